--- a/tests/peers.py
+++ b/tests/peers.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import contextlib
 import json
 import os
@@ -491,6 +492,13 @@
         self.core.list_servers([Listing("s", ("127.0.0.1", 9), 0, Standing.READY)], True)
         self.core.listening = self.core.list_known = self.core.servers[1].tried = True
 
+    def follow(self, loop: asyncio.AbstractEventLoop) -> None:
+        """From here on the clock runs with a loop's, onwards from where it stands: never back, however short
+        the machine has been up.
+        """
+        offset_s = self.now - loop.time()
+        self.core.clock = lambda: loop.time() + offset_s
+
     def listed(self, server: object) -> None:
         """The core's view of the roster side."""
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -337,7 +337,7 @@
 
     async def story():
         inside = Inside()
-        inside.core.clock = asyncio.get_running_loop().time
+        inside.follow(asyncio.get_running_loop())
         network = Network(inside.core)
         front = TrunkFront(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -262,7 +262,7 @@
         inside, links = Inside(), []
         server = RosterServer(RosterServer.silent)
         core = inside.core
-        core.clock = asyncio.get_running_loop().time
+        inside.follow(asyncio.get_running_loop())
         core.log = lambda *args, **fields: None
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
         core.list_servers([Listing("r", ("127.0.0.1", server.port), 0, Standing.READY)], True)
@@ -340,7 +340,7 @@
     async def story():
         inside, links = Inside(), []
         core = inside.core
-        core.clock = asyncio.get_running_loop().time
+        inside.follow(asyncio.get_running_loop())
         network, front = Network(core), TrunkFront(core)
         RosterSide(core, links.append)
         listener = socket.socket()
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -468,7 +468,7 @@
 
     async def story():
         inside = Inside()
-        inside.core.clock = asyncio.get_running_loop().time
+        inside.follow(asyncio.get_running_loop())
         network = Network(inside.core)
         dial = asyncio.ensure_future(network._connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
