--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -85,7 +85,7 @@
         if self.way == "bad first" and first and self.spoilt < 10**6:
             self.spoilt += 1
             if self.spoilt % 2:  # every second one, so that each comes through in the end
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"index\":")
+                writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"index":')
                 return
         await asyncio.sleep(min(wait_s, 2.0))
         body = json.dumps({"index": self.index, "updates": []}).encode()
--- a/stairhatch/fleet/mate.py
+++ b/stairhatch/fleet/mate.py
@@ -66,9 +66,7 @@
         """A claim as this softswitch asks for it; made at the first call."""
         if name not in self.claims:
             me = self.who.name, self.who.incarnation
-            self.claims[name] = Claim(
-                name, me, self.voters, self.terms, self.chance, self.marks, self.epoch
-            )
+            self.claims[name] = Claim(name, me, self.voters, self.terms, self.chance, self.marks, self.epoch)
         return self.claims[name]
 
     def watch(self, now: float, name: str) -> Watch | None:
--- a/stairhatch/fleet/voting.py
+++ b/stairhatch/fleet/voting.py
@@ -374,7 +374,8 @@
         names = sorted(name for name in self.promises if name > call.after)
         kept = tuple(
             Told(p.claim, p.ticket, p.holder, p.incarnation, math.ceil(p.term_s * 1000))
-            if self.until.get(p.claim, -math.inf) > now else Told(p.claim, p.ticket, "", 0, 0)
+            if self.until.get(p.claim, -math.inf) > now
+            else Told(p.claim, p.ticket, "", 0, 0)
             for p in (self.promises[name] for name in names[:PAGE])
         )
         if self.votes and call.wish and call.epoch == self.roll.epoch:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -925,9 +925,7 @@
             for each in self.softswitches
         )
 
-    def run(
-        self, look: Callable[[World], None] = lambda world: None, settle_s: float | None = None
-    ) -> None:
+    def run(self, look: Callable[[World], None] = lambda world: None, settle_s: float | None = None) -> None:
         """All of it. With `settle_s` it begins so long after all serve, as with real processes."""
         with self.in_place():
             self.start()
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -114,9 +114,7 @@
 
 @pytest.mark.parametrize("again", [True, False], ids=["who come again", "who stay"])
 @pytest.mark.parametrize(("told", "real"), [(64, 64), (1024, 64), (64, 1024)])
-def test_callers_that_hold_on_do_not_keep_what_is_away_from_coming_back(
-    tmp_path, started, told, real, again
-):
+def test_callers_that_hold_on_do_not_keep_what_is_away_from_coming_back(tmp_path, started, told, real, again):
     """Guards against descriptors filled by idle callers while the coordinator and all roster servers are
     away: none was left to dial them when they were there again. The limit is what the settings tell, what
     the system sets, or both.
