--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,11 +37,24 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch import interface as say
-from stairhatch.choice import Controller
-from stairhatch.interface import Ending, Standing
 from stairhatch.lab.processes import at, own_host
 from stairhatch.node import message as sip
+from stairhatch.overload.actions import SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    LoadTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Safety, Settings
 from stairhatch.standin.behaviour import Say, ends
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -74,8 +87,8 @@
 class Site:
     """What the settings say, and what the servers are like. Times in seconds, rates in calls a second."""
 
-    safety: say.Safety = field(
-        default_factory=lambda: say.Safety(
+    safety: Safety = field(
+        default_factory=lambda: Safety(
             cold_from=0.29, warm_after_s=14.0, fall_multiple=2.5, fall_s=1.5, drain_grace_s=1.0
         )
     )
@@ -170,9 +183,9 @@
         weights = [self.chance.uniform(0.5, 1.5) for _ in range(processes)]
         if story is Story.LOPSIDED:
             weights[0] = 2 * sum(weights[1:])
-        kind = say.CallClass("read", 1.0, 1.5, 9.0, length_s=site.length_s, late_worth=0.25)
+        kind = CallClass("read", 1.0, 1.5, 9.0, length_s=site.length_s, late_worth=0.25)
         save = replace(kind, name="save", importance=3.0, late_worth=0.1)
-        self.settings = say.Settings(
+        self.settings = Settings(
             (kind, save), site.safety, processes, 0, site.retransmit_s, 6,
             connect_timeout_s=site.connect_timeout_s, longest_return_s=2.0,
         )  # fmt: skip
@@ -194,13 +207,13 @@
         process.core = Controller(replace(self.settings, number=process.number), rng)
         process.out.clear()
         cold = self.now > self.start
-        lines = [say.ListedServer(n, n) for n in sorted(self.others)]
-        lines += [say.ListedServer(COLD, 0, up_since=self.start)] if cold else []
-        self.tell(process, say.ServersListed(tuple(lines), True))
+        lines = [ListedServer(n, n) for n in sorted(self.others)]
+        lines += [ListedServer(COLD, 0, up_since=self.start)] if cold else []
+        self.tell(process, ServersListed(tuple(lines), True))
         for server in self.others:
-            self.tell(process, say.LoadTold(server, self.report(server, unasked=True)))
+            self.tell(process, LoadTold(server, self.report(server, unasked=True)))
 
-    def report(self, server: int, unasked: bool = False) -> say.Report:
+    def report(self, server: int, unasked: bool = False) -> Report:
         """What a server tells: unasked its lines alone, in a release also its processor's figures, a little
         wrong. The warm ones are as busy as ever.
         """
@@ -211,8 +224,8 @@
             used, pace, size = self.open, self.pace(), site.overtold * size
             wait = max(0.0, self.free_at - self.now)
         free = max(0.0, size - used)
-        told = say.Report(wait_s=wait * wrong, rate=pace * wrong if site.tells_rate else None)
-        told = say.Report() if unasked else told
+        told = Report(wait_s=wait * wrong, rate=pace * wrong if site.tells_rate else None)
+        told = Report() if unasked else told
         return replace(told, free=free, size=size) if site.tells_lines else told
 
     def pace(self) -> float:
@@ -232,31 +245,31 @@
             assert process.core is not None
             for when, server in sorted(stood):
                 took = self.chance.uniform(0.01, 0.04)
-                list(process.core.handle(when, say.SetupStood(next(self.ids), server, took)))
+                list(process.core.handle(when, SetupStood(next(self.ids), server, took)))
             for server in self.others:
                 took, report = self.chance.expovariate(1 / site.length_s), self.report(server)
-                over = say.SetupEnded(next(self.ids), server, Ending.DONE, True, report, took_s=took)
+                over = SetupEnded(next(self.ids), server, Ending.DONE, True, report, took_s=took)
                 list(process.core.handle(self.start - 1.0, over))
 
-    def tell(self, process: Process, event: say.Event) -> None:
+    def tell(self, process: Process, event: Event) -> None:
         """One event at a process, and what comes of it."""
         if process.core is None:
             return
         core = process.core
         for act in core.handle(self.now, event):
             match act:
-                case say.SendSetup():
+                case SendSetup():
                     self.send(process, core, act)
-                case say.SetTimer():
-                    wake = partial(self.on, process, core, say.TimerRang(act.label))
+                case SetTimer():
+                    wake = partial(self.on, process, core, TimerRang(act.label))
                     self.at(self.now + max(0.04, act.delay_s), wake)
 
-    def on(self, process: Process, core: Controller, event: say.Event) -> None:
+    def on(self, process: Process, core: Controller, event: Event) -> None:
         """An event meant for a process that may have been replaced since."""
         if process.core is core:
             self.tell(process, event)
 
-    def send(self, process: Process, core: Controller, act: say.SendSetup) -> None:
+    def send(self, process: Process, core: Controller, act: SendSetup) -> None:
         """A set-up: it is written once the link is up, and given up after its time-out."""
         process.out[act.call] = act.server
         sent, written = self.now, max(self.now, process.links_at if act.server == COLD else 0.0)
@@ -266,7 +279,7 @@
             self.at(there, partial(self.arrive, process, core, act, sent))
         self.at(over, partial(self.give_up, process, core, act, sent))
 
-    def arrive(self, process: Process, core: Controller, act: say.SendSetup, sent: float) -> None:
+    def arrive(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """A set-up reaches its server."""
         if act.server != COLD:
             done = self.now + 0.01
@@ -276,38 +289,38 @@
         back = done + self.chance.uniform(*WAY_S)
         self.at(back, partial(self.answer, process, core, act, sent))
 
-    def answer(self, process: Process, core: Controller, act: say.SendSetup, sent: float) -> None:
+    def answer(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """It stands, unless it was given up meanwhile."""
         if process.core is not core or process.out.pop(act.call, None) is None:
             return
-        self.tell(process, say.SetupStood(act.call, act.server, self.now - sent))
+        self.tell(process, SetupStood(act.call, act.server, self.now - sent))
         length = self.chance.expovariate(1 / self.site.length_s)
         self.open += act.server == COLD
         self.at(self.now + length, partial(self.over, process, core, act, length))
 
-    def over(self, process: Process, core: Controller, act: say.SendSetup, length: float) -> None:
+    def over(self, process: Process, core: Controller, act: SendSetup, length: float) -> None:
         """A call has lasted its time."""
         self.open -= act.server == COLD
-        done = say.SetupEnded(act.call, act.server, Ending.DONE, True, self.report(act.server), took_s=length)
+        done = SetupEnded(act.call, act.server, Ending.DONE, True, self.report(act.server), took_s=length)
         self.on(process, core, done)
 
-    def give_up(self, process: Process, core: Controller, act: say.SendSetup, sent: float) -> None:
+    def give_up(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """Its time is over."""
         if process.core is core and process.out.pop(act.call, None) is not None:
-            end, none = Ending.TIMED_OUT, say.Report()
-            over = say.SetupEnded(act.call, act.server, end, False, none, took_s=self.now - sent)
+            end, none = Ending.TIMED_OUT, Report()
+            over = SetupEnded(act.call, act.server, end, False, none, took_s=self.now - sent)
             self.tell(process, over)
 
     def states(self, process: Process) -> None:
         """The cold server's state on one link, now and then again."""
         if process.core is not None and self.now >= process.links_at:
-            self.tell(process, say.LoadTold(COLD, self.report(COLD, unasked=True)))
+            self.tell(process, LoadTold(COLD, self.report(COLD, unasked=True)))
         self.at(self.now + STATE_S, partial(self.states, process))
 
     def hear(self, process: Process) -> None:
         """A process is told that the server has started; the link's first state follows."""
-        line = say.ListedServer(COLD, 0, up_since=self.start)
-        self.tell(process, say.ServersListed((line,), False))
+        line = ListedServer(COLD, 0, up_since=self.start)
+        self.tell(process, ServersListed((line,), False))
         self.states(process)
 
     def offer(self, process: Process) -> None:
@@ -317,7 +330,7 @@
         self.at(self.now + self.chance.expovariate(total * process.share), partial(self.offer, process))
         kind = self.settings.classes[self.chance.random() < 0.25]
         choice = self.chance.randrange(site.servers)
-        self.tell(process, say.CallOffered(next(self.ids), kind, choice, self.chance.choice((3.0, 9.0))))
+        self.tell(process, CallOffered(next(self.ids), kind, choice, self.chance.choice((3.0, 9.0))))
 
     def kill(self, process: Process, down_s: float) -> None:
         """SIGKILL, and another process in its place."""
@@ -328,8 +341,8 @@
 
     def lose_others(self, process: Process) -> None:
         """A process is told that every other server is gone."""
-        gone = (say.ListedServer(n, n, Standing.GONE) for n in range(1, self.site.servers))
-        self.tell(process, say.ServersListed(tuple(gone), False))
+        gone = (ListedServer(n, n, Standing.GONE) for n in range(1, self.site.servers))
+        self.tell(process, ServersListed(tuple(gone), False))
 
     def renumber(self, process: Process, number: int, count: int) -> None:
         """Other settings, live."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,10 +38,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
-from stairhatch import interface as say
-from stairhatch.choice import Controller
 from stairhatch.fleet.messages import Codec
-from stairhatch.interface import Ending, Standing
 from stairhatch.lab.schedule import Schedule
 from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
@@ -49,6 +46,23 @@
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.overload.actions import SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    LoadTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import Settings
 from stairhatch.service import unix_clock
 from stairhatch.settings import settings_from
 from stairhatch.standin.coordinator import Coordinator, line
@@ -56,7 +70,7 @@
 from stairhatch.standin.roster import Link, StandIn
 
 ROOT = Path(__file__).resolve().parents[1]
-Decisions = Callable[[say.Settings, random.Random], Any]
+Decisions = Callable[[Settings, random.Random], Any]
 # What decides, by the name that `--decisions` takes: anything with the Controller's `handle`.
 DECISIONS: dict[str, Decisions] = {"plain": Controller}
 
@@ -100,16 +114,16 @@
         self.settings = settings_from(raw_settings(listed, service))[0]
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
-        self.lines = tuple(say.ListedServer(index + 1, index) for index in range(listed))
+        self.lines = tuple(ListedServer(index + 1, index) for index in range(listed))
         self.now, self.instant, self.serial = 1000.0, 0.0, itertools.count(1)
         self.used: Counter[str] = Counter()  # processor seconds, by what they were for
         self.times: Counter[str] = Counter()
         self.answers = True
         self.order = itertools.count()
-        self.due: list[tuple[float, int, str, say.Event]] = []
-        self.tell("whole", say.ServersListed(self.lines, complete=True))
+        self.due: list[tuple[float, int, str, Event]] = []
+        self.tell("whole", ServersListed(self.lines, complete=True))
 
-    def tell(self, what: str, event: say.Event) -> None:
+    def tell(self, what: str, event: Event) -> None:
         """One event, and what comes of it."""
         if self.now - self.instant >= self.settings.period_s:  # as `Core.instant` has it
             self.instant = self.now
@@ -118,15 +132,15 @@
         self.used[what] += time.process_time() - begun
         self.times[what] += 1
         for action in actions:
-            if isinstance(action, say.SendSetup) and self.answers:
-                stood = say.SetupStood(action.call, action.server, TOOK_S)
-                ended = say.SetupEnded(action.call, action.server, Ending.DONE, True, say.Report())
+            if isinstance(action, SendSetup) and self.answers:
+                stood = SetupStood(action.call, action.server, TOOK_S)
+                ended = SetupEnded(action.call, action.server, Ending.DONE, True, Report())
                 self.later(TOOK_S, "call", stood)
                 self.later(HELD_S, "call", ended)
-            elif isinstance(action, say.SetTimer):
-                self.later(action.delay_s, "call", say.TimerRang(action.label))
+            elif isinstance(action, SetTimer):
+                self.later(action.delay_s, "call", TimerRang(action.label))
 
-    def later(self, after: float, what: str, event: say.Event) -> None:
+    def later(self, after: float, what: str, event: Event) -> None:
         """Tell it when its time has come."""
         heapq.heappush(self.due, (self.now + after, next(self.order), what, event))
 
@@ -135,15 +149,15 @@
         kind = self.settings.classes[service]
         self.times["offered"] += 1
         choice = self.chance.choice(kind.pools or (0,))
-        self.tell("call", say.CallOffered(next(self.serial), kind, choice, grace_s))
+        self.tell("call", CallOffered(next(self.serial), kind, choice, grace_s))
 
     def run(self, seconds: float, rate: float, service: int = 0) -> float:
         """Calls for so long; returns the processor milliseconds of one."""
         for index, each in enumerate(self.lines):
             for turn in range(int((seconds + STATE_S) / STATE_S)):
                 at = STATE_S * (turn + index / len(self.lines))
-                load = say.Report(free=LINES, size=LINES, wait_s=0.001, rate=500.0)
-                self.later(at, "state", say.LoadTold(each.server, load))
+                load = Report(free=LINES, size=LINES, wait_s=0.001, rate=500.0)
+                self.later(at, "state", LoadTold(each.server, load))
         begun, many = self.now, int(seconds * rate)
         self.used["call"], self.times["offered"] = 0.0, 0
         for number in range(many):
@@ -173,7 +187,7 @@
         standing = Standing.DRAINING if turn % 2 == 0 else Standing.READY
         one = (replace(alone.lines[turn % size], standing=standing),)
         alone.now += 0.1
-        alone.tell("change", say.ServersListed(one, complete=False))
+        alone.tell("change", ServersListed(one, complete=False))
     found["decisions_change_by_servers"] = 1000 * alone.used["change"] / 50
     return found
 
@@ -199,7 +213,7 @@
     while len(waiting) < size:
         alone.offer(1, grace_s=600.0)
     while len(waiting) > size:
-        alone.tell("left", say.CallerLeft(next(iter(waiting))))
+        alone.tell("left", CallerLeft(next(iter(waiting))))
     for call in waiting.values():  # they are held through the run
         call.hold_by = call.answer_by
     alone.decisions.holds.clear()
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -23,8 +23,20 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch import interface as say
-from stairhatch.choice import Controller
+from stairhatch.overload.actions import SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.scope.decisions import ScopedController
 from stairhatch.scope.sets import ScopeConfig
 
@@ -34,44 +46,44 @@
 WARM_UP = 200  # calls before the clock is read
 
 
-def settings_of(listed: int) -> say.Settings:
+def settings_of(listed: int) -> Settings:
     """Services of ten servers each, the last one with what is left over."""
     starts = range(0, max(1, listed // SERVICE) * SERVICE, SERVICE)
     pools = [tuple(range(n, n + SERVICE if n != starts[-1] else listed)) for n in starts]
     classes = tuple(
-        say.CallClass(f"service-{n}", aim_s=1.5, deadline_s=9.0, length_s=LASTS_S, pools=each)
+        CallClass(f"service-{n}", aim_s=1.5, deadline_s=9.0, length_s=LASTS_S, pools=each)
         for n, each in enumerate(pools)
     )
-    return say.Settings(classes, balancers=SERVICE, number=0, retransmit_s=0.8, longest_return_s=2.0)
+    return Settings(classes, balancers=SERVICE, number=0, retransmit_s=0.8, longest_return_s=2.0)
 
 
 class Drive:
     """One softswitch's decisions fed by hand."""
 
-    def __init__(self, decisions: Any, settings: say.Settings, listed: int, asked: int) -> None:
+    def __init__(self, decisions: Any, settings: Settings, listed: int, asked: int) -> None:
         self.decisions, self.kinds = decisions, settings.classes[:asked]
         self.now, self.calls, self.stood = 1000.0, 0, 0
-        self.due: list[tuple[float, int, say.Event]] = []
+        self.due: list[tuple[float, int, Event]] = []
         self.order = 0
         self.open: deque[tuple[float, int, int]] = deque()
         self.random = random.Random(7)
-        lines = tuple(say.ListedServer(n + 1, n) for n in range(listed))
-        self.tell(say.ServersListed(lines, True))
+        lines = tuple(ListedServer(n + 1, n) for n in range(listed))
+        self.tell(ServersListed(lines, True))
 
-    def tell(self, event: say.Event) -> None:
+    def tell(self, event: Event) -> None:
         """One event, and what its actions lead to."""
         for action in self.decisions.handle(self.now, event):
             match action:
-                case say.SendSetup(call, server, _):
-                    self.later(SET_UP_S, say.SetupStood(call, server, SET_UP_S))
-                    report = say.Report(free=180.0, size=200.0, wait_s=0.005)
-                    ended = say.SetupEnded(call, server, say.Ending.DONE, True, report, LASTS_S)
+                case SendSetup(call, server, _):
+                    self.later(SET_UP_S, SetupStood(call, server, SET_UP_S))
+                    report = Report(free=180.0, size=200.0, wait_s=0.005)
+                    ended = SetupEnded(call, server, Ending.DONE, True, report, LASTS_S)
                     self.later(LASTS_S, ended)
                     self.stood += 1
-                case say.SetTimer(delay_s, label):
-                    self.later(delay_s, say.TimerRang(label))
+                case SetTimer(delay_s, label):
+                    self.later(delay_s, TimerRang(label))
 
-    def later(self, after_s: float, event: say.Event) -> None:
+    def later(self, after_s: float, event: Event) -> None:
         """An event to come."""
         self.order += 1
         heapq.heappush(self.due, (self.now + after_s, self.order, event))
@@ -88,7 +100,7 @@
             self.calls += 1
             kind = self.kinds[self.calls % len(self.kinds)]
             choice = self.random.choice(kind.pools or (0,))
-            self.tell(say.CallOffered(self.calls, kind, choice, 9.0))
+            self.tell(CallOffered(self.calls, kind, choice, 9.0))
         return (time.process_time() - began) / calls
 
 
--- a/stairhatch/adapter.py
+++ b/stairhatch/adapter.py
@@ -11,52 +11,68 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from stairhatch import interface as say
 from stairhatch import wire
-from stairhatch.choice import Controller
+from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    LoadTold,
+    PeerTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import Settings
 from stairhatch.settings import SettingsError, parse_settings, report_from
 
 REDIALLED, IN_TRANSIT = 2, 8  # bits of an offered call
 NO_LINE, PROCESSOR_FULL, NUMBER_BUSY = 1, 3, 4  # causes of an outcome
 WAIT_UNIT = 16  # a wait in ms rides above the cause
 
-STANDINGS = {0: say.Standing.READY, 1: say.Standing.GONE, 2: say.Standing.DRAINING}
+STANDINGS = {0: Standing.READY, 1: Standing.GONE, 2: Standing.DRAINING}
 ENDINGS = {
-    10: say.Ending.DONE,
-    20: say.Ending.ERROR,
-    30: say.Ending.FULL,
-    40: say.Ending.TIMED_OUT,
-    50: say.Ending.UNREACHED,
-    60: say.Ending.RESET,
-    70: say.Ending.CANCELLED,
-    80: say.Ending.NOT_SENT,
+    10: Ending.DONE,
+    20: Ending.ERROR,
+    30: Ending.FULL,
+    40: Ending.TIMED_OUT,
+    50: Ending.UNREACHED,
+    60: Ending.RESET,
+    70: Ending.CANCELLED,
+    80: Ending.NOT_SENT,
 }
 
 
 class Instance:
     """One controller and what is needed to translate for it."""
 
-    def __init__(self, who: int, settings: say.Settings, names: tuple[str, ...], seed: int) -> None:
+    def __init__(self, who: int, settings: Settings, names: tuple[str, ...], seed: int) -> None:
         self.who = who
         self.names = names
         self.controller = Controller(settings, random.Random(seed))
 
-    def report(self, values: tuple[float, ...]) -> say.Report:
+    def report(self, values: tuple[float, ...]) -> Report:
         """Name the report's values; -1 and what is no number count as missing."""
         return report_from(zip(self.names, values, strict=False))
 
-    def action(self, action: say.Action) -> Any:
+    def action(self, action: Action) -> Any:
         """The wire's record for one action."""
         match action:
-            case say.SendSetup(call, server, timeout_s):
+            case SendSetup(call, server, timeout_s):
                 return wire.Assign(self.who, call, server, timeout_s)
-            case say.RefuseCall(call, return_s):
+            case RefuseCall(call, return_s):
                 return wire.OverloadReply(self.who, call, return_s)
-            case say.FailCall(call):
+            case FailCall(call):
                 return wire.GiveUp(self.who, call)
-            case say.SetTimer(delay_s, label):
+            case SetTimer(delay_s, label):
                 return wire.After(self.who, delay_s, label)
-            case say.Note(text):
+            case Note(text):
                 return wire.Log(self.who, text.encode()[:65535])
 
 
@@ -96,14 +112,14 @@
             text = f"{type(error).__name__}: {error}"
             return [wire.Panic(instance.who, text.encode()[:65535])]
 
-    def _event(self, instance: Instance, record: Any) -> say.Event | None:
+    def _event(self, instance: Instance, record: Any) -> Event | None:
         """The interface's event for a wire record; None for a failed list call, which brings no news."""
         match record:
             case wire.RosterChange():
                 return self._listed(record)
             case wire.Ask():
                 classes = instance.controller.settings.classes
-                return say.CallOffered(
+                return CallOffered(
                     call=record.txn,
                     kind=classes[record.type] if record.type < len(classes) else None,
                     choice=int(record.destination) if math.isfinite(record.destination) else -1,
@@ -113,22 +129,22 @@
                     called=record.resource,
                 )
             case wire.Accepted():
-                return say.SetupStood(record.txn, record.server, record.time_taken_s)
+                return SetupStood(record.txn, record.server, record.time_taken_s)
             case wire.Outcome():
                 return self._ended(instance, record)
             case wire.Abandoned():
-                return say.CallerLeft(record.txn)
+                return CallerLeft(record.txn)
             case wire.Ring():
-                return say.TimerRang(record.label)
+                return TimerRang(record.label)
             case wire.ProbeResult():
                 reached = record.reason == 10
-                report = instance.report(record.pressure) if reached else say.Report()
-                return say.LoadTold(record.server, report, reached, asked=record.time_taken_s > 0)
+                report = instance.report(record.pressure) if reached else Report()
+                return LoadTold(record.server, report, reached, asked=record.time_taken_s > 0)
             case wire.Inbox():
-                return say.PeerTold(record.neighbour, record.body)
+                return PeerTold(record.neighbour, record.body)
         raise wire.WireError(f"no meaning for {type(record).__name__}")
 
-    def _listed(self, record: wire.RosterChange) -> say.ServersListed | None:
+    def _listed(self, record: wire.RosterChange) -> ServersListed | None:
         """A change of the server list, looked up in the inventory that it points at."""
         if record.scope == 3:
             return None
@@ -141,17 +157,17 @@
             if entry.availability not in STANDINGS:
                 raise wire.WireError(f"Inventory: unknown availability {entry.availability}")
             since = entry.up_since_s if math.isfinite(entry.up_since_s) else 0.0
-            lines.append(say.ListedServer(entry.server, entry.number, STANDINGS[entry.availability], since))
-        return say.ServersListed(tuple(lines), complete=record.scope != 0)
+            lines.append(ListedServer(entry.server, entry.number, STANDINGS[entry.availability], since))
+        return ServersListed(tuple(lines), complete=record.scope != 0)
 
-    def _ended(self, instance: Instance, record: wire.Outcome) -> say.SetupEnded:
+    def _ended(self, instance: Instance, record: wire.Outcome) -> SetupEnded:
         """An attempt's end, with the cause taken apart."""
         if record.reason not in ENDINGS:
             raise wire.WireError(f"Outcome: unknown reason {record.reason}")
         ending = ENDINGS[record.reason]
         low, wait_ms = record.cause % WAIT_UNIT, record.cause // WAIT_UNIT
-        told = wait_ms / 1000 if ending is say.Ending.FULL and low == PROCESSOR_FULL and wait_ms else None
-        return say.SetupEnded(
+        told = wait_ms / 1000 if ending is Ending.FULL and low == PROCESSOR_FULL and wait_ms else None
+        return SetupEnded(
             call=record.txn,
             server=record.server,
             ending=ending,
@@ -159,8 +175,8 @@
             report=instance.report(record.pressure),
             took_s=record.time_taken_s,
             told_wait_s=told,
-            number_busy=ending is say.Ending.ERROR and low == NUMBER_BUSY,
-            no_line=ending in (say.Ending.FULL, say.Ending.NOT_SENT) and low == NO_LINE,
+            number_busy=ending is Ending.ERROR and low == NUMBER_BUSY,
+            no_line=ending in (Ending.FULL, Ending.NOT_SENT) and low == NO_LINE,
         )
 
 
--- a/stairhatch/config/__init__.py
+++ b/stairhatch/config/__init__.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from stairhatch.interface import Settings
+from stairhatch.overload.settings import Settings
 from stairhatch.settings import settings_from
 
 if TYPE_CHECKING:
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -23,8 +23,8 @@
 from stairhatch.config import Config, ConfigError, checked_settings, read_file
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import MOST_VOTERS, FleetConfig
-from stairhatch.interface import Settings
 from stairhatch.node.directory import DirectoryError, parse_address
+from stairhatch.overload.settings import Settings
 from stairhatch.scope.sets import ScopeConfig, Service, disagreement
 from stairhatch.settings import SettingsError
 from stairhatch.sip import auth
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -15,9 +15,10 @@
 from itertools import count
 from typing import Any, Protocol
 
-from stairhatch.interface import CallClass, Report, Safety, Settings, Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import Attempt, Core, Counters, Listing, Server
+from stairhatch.overload.events import Report, Standing
+from stairhatch.overload.settings import CallClass, Safety, Settings
 from stairhatch.sip.flows import SipConnection
 from stairhatch.sip.front import Listener, SipConfig, SipFront
 from stairhatch.standin.behaviour import Say, script_for
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -28,10 +28,10 @@
 from stairhatch.fleet.pick import Pick
 from stairhatch.fleet.restarts import Restarts
 from stairhatch.fleet.store import Store, StoreError
-from stairhatch.interface import Settings
 from stairhatch.node.core import Core, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
+from stairhatch.overload.settings import Settings
 
 LIST = "list"
 LONGEST_S, SHORTEST_S = 0.25, 0.001  # between two looks at what is due
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from stairhatch.interface import Standing
 from stairhatch.node.core import Core, Machine, Stage
+from stairhatch.overload.events import Standing
 
 MOST_ORDER = 128  # bytes of a line at the door
 MOST_LOGGED = 200  # characters of an answer
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -18,9 +18,24 @@
 from itertools import count
 from typing import Protocol
 
-from stairhatch import choice
-from stairhatch import interface as say
-from stairhatch.interface import Ending, Report, Standing
+from stairhatch.overload import endpoint
+from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    LoadTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Settings
 
 ANSWER_EARLY_S = 0.03  # attempts and calls end this long before the caller stops waiting
 BACKSTOP_S = 0.01  # what the decisions have left unanswered so long after that is failed
@@ -139,11 +154,11 @@
     """What decides: a Controller, or what stands in its place."""
 
     @property
-    def servers(self) -> Mapping[int, choice.Server]: ...
-    def handle(self, now: float, event: say.Event) -> Iterator[say.Action]: ...
-    def retune(self, settings: say.Settings) -> None: ...
-    def is_cold(self, now: float, server: choice.Server) -> bool: ...
-    def turns_in_span(self, now: float, server: choice.Server) -> float: ...
+    def servers(self) -> Mapping[int, endpoint.Server]: ...
+    def handle(self, now: float, event: Event) -> Iterator[Action]: ...
+    def retune(self, settings: Settings) -> None: ...
+    def is_cold(self, now: float, server: endpoint.Server) -> bool: ...
+    def turns_in_span(self, now: float, server: endpoint.Server) -> float: ...
 
 
 class Stage(Enum):
@@ -159,7 +174,7 @@
     """A set-up as its caller made it. `ident` goes to the roster server, unchanged."""
 
     ident: str
-    kind: say.CallClass  # held for as long as the call is open, whatever the settings say by then
+    kind: CallClass  # held for as long as the call is open, whatever the settings say by then
     key: str  # the number called, as it was written
     description: str
     patience_s: float
@@ -236,7 +251,7 @@
 
     def __init__(
         self,
-        settings: say.Settings,
+        settings: Settings,
         rng: random.Random,
         clock: Callable[[], float],
         log: Logger,
@@ -247,8 +262,8 @@
         self.tracing = tracing  # whether each call leaves lines in the log
         self.settings, self.clock, self.log, self.counters = settings, clock, log, counters
         self.classes = {kind.name: kind for kind in settings.classes}
-        self.before: dict[str, tuple[say.CallClass, float]] = {}  # classes as they were, and until when
-        self.controller: Decisions = decisions or choice.Controller(settings, rng)
+        self.before: dict[str, tuple[CallClass, float]] = {}  # classes as they were, and until when
+        self.controller: Decisions = decisions or Controller(settings, rng)
         self.in_scope: Callable[[int], bool] | None = None  # whether a number is linked to; None: all are
         self.servers: dict[int, Server] = {}
         self.by_instance: dict[str, Server] = {}
@@ -276,7 +291,7 @@
         self._due: list[float] = []  # a heap of these times
         self._order = count(1)
         self._server_ids = count(1)
-        self._events: deque[say.Event] = deque()
+        self._events: deque[Event] = deque()
         self._telling = False
         self._instant = 0.0
 
@@ -327,7 +342,7 @@
 
     # ---- the settings ----
 
-    def retune(self, settings: say.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Other settings hold from now on. Calls that are open keep their class and their cap on attempts."""
         until = self.clock() + OLD_CLASS_S
         self.before = {name: kept for name, kept in self.before.items() if kept[1] > self.clock()}
@@ -336,14 +351,14 @@
         self.classes = {kind.name: kind for kind in settings.classes}
         self.controller.retune(settings)
 
-    def class_named(self, name: str) -> say.CallClass | None:
+    def class_named(self, name: str) -> CallClass | None:
         """The class of that name. One that has gone lives on for callers who have not heard of it yet."""
         kind = self.classes.get(name)
         if kind is None and name in self.before and self.before[name][1] > self.clock():
             kind = self.before[name][0]
         return kind
 
-    def longest_wait(self, kind: say.CallClass) -> float:
+    def longest_wait(self, kind: CallClass) -> float:
         """The limit of a class, or the one it had lately if that was longer."""
         old, until = self.before.get(kind.name, (kind, 0.0))
         return max(kind.deadline_s, old.deadline_s if until > self.clock() else 0.0)
@@ -446,7 +461,7 @@
                     server.listing = gone
                     self.cut_standing(server, before=self.clock() + 1)
                     self.side.listed(server)
-        self._tell(say.ServersListed(tuple(told), complete))
+        self._tell(ServersListed(tuple(told), complete))
 
     def forget_server(self, server: Server) -> None:
         """A server that is gone, and to which no link is left, has nothing to be known of any more."""
@@ -456,9 +471,9 @@
                 del self.by_instance[server.listing.instance]
 
     @staticmethod
-    def _line(server: Server) -> say.ListedServer:
+    def _line(server: Server) -> ListedServer:
         line = server.listing
-        return say.ListedServer(server.id, line.number, line.standing, line.started_s)
+        return ListedServer(server.id, line.number, line.standing, line.started_s)
 
     def stands(self, ident: str) -> bool:
         """Whether a call of that id stands."""
@@ -503,7 +518,7 @@
             self.log("taken", call=offer.ident, kind=offer.kind.name, patience_ms=patience_ms)
         self.at(call.deadline + BACKSTOP_S, partial(self._backstop, call.number))
         self._tell(
-            say.CallOffered(
+            CallOffered(
                 call=call.number,
                 kind=offer.kind,
                 choice=offer.choice,
@@ -525,7 +540,7 @@
             self.log("left", call=call.offer.ident)
         self._close(call)
         attempt = call.attempt
-        self._tell(say.CallerLeft(call.number))
+        self._tell(CallerLeft(call.number))
         if attempt is not None and not attempt.over:
             self._give_up(attempt, Ending.CANCELLED)
 
@@ -541,7 +556,7 @@
         self.counters.add("callers_away")
         if call.attempt is None or not call.attempt.written:
             self._answer_now(call)
-            self._tell(say.CallerLeft(call.number))
+            self._tell(CallerLeft(call.number))
 
     def caller_released(self, call: Call, cause: int) -> None:
         """The caller ends a call that stands."""
@@ -569,7 +584,7 @@
         for call in [call for call in self.calls.values() if call.stage is Stage.OFFERED]:
             if call.stage is Stage.OFFERED:
                 self._answer_now(call)
-                self._tell(say.CallerLeft(call.number))
+                self._tell(CallerLeft(call.number))
 
     def harmless(self, call: Call) -> bool:
         """Whether its caller may be told that trying again does no harm."""
@@ -577,7 +592,7 @@
 
     def _answer_now(self, call: Call) -> None:
         """The final answer without the decisions: another try is the caller's."""
-        self._final(call, (say.RefuseCall if self.harmless(call) else say.FailCall)(call.number))
+        self._final(call, (RefuseCall if self.harmless(call) else FailCall)(call.number))
 
     def _backstop(self, number: int) -> None:
         """By the call's number: a timer that held the call kept it, its caller and its description until the
@@ -586,8 +601,8 @@
         call = self.calls.get(number)
         if call is not None and call.stage is Stage.OFFERED:
             self.log("guard", call=call.offer.ident, why="the decisions left it unanswered")
-            self._final(call, say.FailCall(call.number))
-            self._tell(say.CallerLeft(call.number))
+            self._final(call, FailCall(call.number))
+            self._tell(CallerLeft(call.number))
 
     # ---- roster servers ----
 
@@ -679,7 +694,7 @@
         if self.tracing:
             self.log("answer", call=ident, result="stood", n=attempt.number)
         call.caller.stood(description.encode("utf-8", "surrogateescape"))
-        self._tell(say.SetupStood(call.number, server.id, now - attempt.asked_at))
+        self._tell(SetupStood(call.number, server.id, now - attempt.asked_at))
 
     def finished(self, server: Server, ident: str, cause: int, note: str, report: Report) -> None:
         """A roster server refuses a set-up or releases a call."""
@@ -713,7 +728,7 @@
     def load_told(self, server: Server, report: Report) -> None:
         """A roster server's figures, unasked."""
         if report != Report():
-            self._tell(say.LoadTold(server.id, report))
+            self._tell(LoadTold(server.id, report))
 
     # ---- inside ----
 
@@ -727,7 +742,7 @@
         if self.tracing:
             self.log("release", call=call.offer.ident, side="server", cause=ENDED)
         call.attempt = None
-        self._final(call, say.FailCall(call.number))
+        self._final(call, FailCall(call.number))
         self._attempt_ended(attempt, Ending.RESET, report)
 
     def _call_ended(self, call: Call, cause: int, report: Report) -> None:
@@ -760,11 +775,11 @@
         while len(self._over) > REMEMBERED or next(iter(self._over.values())) < now - REMEMBERED_S:
             self._over.popitem(last=False)
 
-    def _final(self, call: Call, action: say.RefuseCall | say.FailCall) -> None:
+    def _final(self, call: Call, action: RefuseCall | FailCall) -> None:
         """The final answer, once."""
         attempt = call.attempt
         self._close(call)
-        if isinstance(action, say.RefuseCall):
+        if isinstance(action, RefuseCall):
             self.counters.add("answers_refused")
             if self.tracing:
                 return_ms = int(action.return_s * 1000)
@@ -778,7 +793,7 @@
         if attempt is not None and not attempt.over:
             self._give_up(attempt, Ending.CANCELLED)
 
-    def _set_up(self, action: say.SendSetup) -> None:
+    def _set_up(self, action: SendSetup) -> None:
         """The decisions ask for an attempt. What the rules forbid is answered here and never leaves."""
         now = self.clock()
         call, server = self.calls.get(action.call), self.servers.get(action.server)
@@ -789,7 +804,7 @@
         if server is None:
             self.log("guard", call=call.offer.ident, why="unknown server")
             self.counters.add("guards")
-            self._events.append(say.SetupEnded(call.number, action.server, Ending.NOT_SENT, False, Report()))
+            self._events.append(SetupEnded(call.number, action.server, Ending.NOT_SENT, False, Report()))
             return
         call.attempts += 1
         due = call.deadline
@@ -847,7 +862,7 @@
         if call.away and call.stage is Stage.OFFERED:
             self._answer_now(call)
         self._tell(
-            say.SetupEnded(
+            SetupEnded(
                 call=call.number,
                 server=attempt.server.id,
                 ending=ending,
@@ -859,7 +874,7 @@
             )
         )
 
-    def _tell(self, event: say.Event) -> None:
+    def _tell(self, event: Event) -> None:
         """Give the decisions an event; what their actions lead to is told after, in order."""
         self._events.append(event)
         if self._telling:
@@ -871,9 +886,9 @@
         finally:
             self._telling = False
 
-    def _handle(self, event: say.Event) -> None:
+    def _handle(self, event: Event) -> None:
         """One event. Should the decisions fail, that is logged and the call is still answered."""
-        actions: list[say.Action] = []
+        actions: list[Action] = []
         try:
             for action in self.controller.handle(self.instant(), event):
                 actions.append(action)  # one by one: what came before a failure counts
@@ -882,21 +897,21 @@
             self.log("fault", why=f"{type(error).__name__}: {error}", event=type(event).__name__)
             call = self.calls.get(getattr(event, "call", 0))
             if call is not None and call.stage is Stage.OFFERED and call.attempt is None:
-                sent = any(isinstance(a, say.SendSetup) and a.call == call.number for a in actions)
+                sent = any(isinstance(a, SendSetup) and a.call == call.number for a in actions)
                 if not sent:
-                    actions.append(say.FailCall(call.number))
+                    actions.append(FailCall(call.number))
         for action in actions:
             self._act(action)
 
-    def _act(self, action: say.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case say.SendSetup():
+            case SendSetup():
                 self._set_up(action)
-            case say.RefuseCall() | say.FailCall():
+            case RefuseCall() | FailCall():
                 call = self.calls.get(action.call)
                 if call is not None and call.stage is Stage.OFFERED:
                     self._final(call, action)
-            case say.SetTimer(delay_s, label):
-                self.at(self.clock() + delay_s, lambda: self._tell(say.TimerRang(label)))
-            case say.Note(text):
+            case SetTimer(delay_s, label):
+                self.at(self.clock() + delay_s, lambda: self._tell(TimerRang(label)))
+            case Note(text):
                 self.log("note", text=text)
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/directory.py
@@ -12,8 +12,8 @@
 
 import httptools
 
-from stairhatch.interface import Standing
 from stairhatch.node.core import Core, Listing, Machine, idle
+from stairhatch.overload.events import Standing
 
 FIRST_WAIT_MS = 50  # the first answer tells at once whether what was known at the start is the whole list
 HEARD_S = 1.5  # a coordinator that is not heard does not keep a softswitch that knows a list from serving
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -16,8 +16,8 @@
 from functools import partial
 from typing import Any
 
-from stairhatch.interface import Report, Standing
 from stairhatch.node.core import Attempt, Core, Machine, Server
+from stairhatch.overload.events import Report, Standing
 from stairhatch.settings import report_from
 
 MOST_LINE = 16 * 1024
--- a/stairhatch/choice.py
+++ b/stairhatch/overload/controller.py
@@ -1,4 +1,4 @@
-"""Every decision of the controller. Its settings, events and actions are in `stairhatch/interface.py`.
+"""Every decision of the controller. Its settings, events, actions and records stand beside this module.
 
 The ordinary path is the hysteretic control of Roughan and Pearce: a flag per server, raised above an onset
 and lowered at an abatement threshold; while it is up, a random share of new set-ups is refused at once.
@@ -12,10 +12,25 @@
 import math
 import random
 from collections.abc import Iterator
-from dataclasses import dataclass, field
 
-from stairhatch import interface as say
-from stairhatch.interface import Action, Ending, Report, Standing
+from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.endpoint import Server
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    LoadTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.pending_call import Call, Jam
+from stairhatch.overload.settings import CallClass, Settings
 
 # Thresholds are parts of the wait scale: the time after which a waiting set-up is sent again or its aim lost.
 ONSET_PART = 0.35
@@ -51,85 +66,10 @@
 WAKE = 1  # the label of the only timer
 
 
-@dataclass(slots=True)
-class Call:
-    """A call that is owed its final answer."""
-
-    id: int
-    kind: say.CallClass
-    choice: int
-    offered_at: float
-    answer_by: float
-    worth: float  # what it can still earn
-    in_transit: bool
-    called: int
-    hold_by: float  # it is held for room until then
-    cap: int  # on attempts
-    attempts: int = 0
-    may_have_run: bool = False
-    erred_at: tuple[int, ...] = ()  # servers that answered it with an error
-    not_before: float = 0.0  # the release is awaited until then
-
-
-@dataclass(slots=True)
-class Jam:
-    """A called number whose lines were all busy."""
-
-    gap_s: float = 0.0
-    until: float = 0.0
-
-
-@dataclass(slots=True)
-class Server:
-    """One call server, as this node sees it."""
-
-    id: int
-    number: int
-    standing: Standing = Standing.READY
-    listed_at: float = 0.0
-    born: float | None = None  # when it started, if that matters
-    flagged: bool = False
-    reported_s: float = 0.0  # the wait its last report told of
-    reported_at: float = -1e9
-    own_s: float = 0.0  # the wait of the own set-up answered last
-    own_at: float = -1e9
-    quickest_s: float = float("inf")  # the shortest set-up ever: what is not waiting
-    unanswered: dict[int, float] = field(default_factory=dict)  # call -> when sent, oldest first
-    window: float = 1.0
-    credit: float = BURST  # set-ups saved up, where the node may send less than one at a time
-    credit_at: float = -1e9
-    turns: float = 0.0  # while cold: the part of this node's next turn that has gone by
-    turns_at: float = 0.0
-    turn_until: float = -1e9  # an open turn lapses then
-    shrunk: bool = False  # some answer was slow
-    cut_at: float = -1e9
-    moved_at: float = 0.0
-    hold_back: float = 0.0
-    blocked_until: float = 0.0
-    block_s: float = FIRST_BLOCK_S
-    down: bool = False  # it turned the last set-ups away or could not be reached
-    unreached: bool = False
-    errors: int = 0  # errors to calls that stood elsewhere, since its last answer
-    lost_at: float = -1e9  # when a set-up was last seen to be lost
-    has_line: bool = True  # this node's part of the free lines, when last told
-    lines_at: float = -1e9
-    occupied: float | None = None  # lines in use, by all nodes' calls
-    lines: float = 0.0  # lines in all
-    rate: float = 0.0  # set-ups a second that it could take from all nodes, when last told
-    stood_rate: float = 0.0
-    stood_at: float = 0.0
-
-    def oldest_wait(self, now: float) -> float:
-        """How long the oldest own set-up has gone unanswered."""
-        for sent in self.unanswered.values():
-            return now - sent
-        return 0.0
-
-
 class Controller:
     """The decisions of one access node."""
 
-    def __init__(self, settings: say.Settings, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.servers: dict[int, Server] = {}
         self.calls: dict[int, Call] = {}
@@ -146,7 +86,7 @@
         self.lasted_s, self.lasted = 0.0, 0  # calls of this node that ended by themselves
         self.retune(settings)
 
-    def retune(self, settings: say.Settings) -> None:
+    def retune(self, settings: Settings) -> None:
         """Take other settings in one step, with all that is derived from them. What was learnt stays."""
         was = {kind.name: kind.deadline_s for kind in self.settings.classes}
         old, kinds = self.patience, [k for k in settings.classes if k.name in was and k.name in self.patience]
@@ -163,36 +103,36 @@
         if not self.lengths:
             self.length_s = sum(lengths) / len(lengths) if lengths else 0.0  # of a call, as they come
 
-    def handle(self, now: float, event: say.Event) -> Iterator[Action]:
+    def handle(self, now: float, event: Event) -> Iterator[Action]:
         """Take one event; yield what is to be done."""
         match event:
-            case say.ServersListed():
+            case ServersListed():
                 self.servers_listed(now, event)
-            case say.CallOffered():
+            case CallOffered():
                 yield from self.call_offered(now, event)
-            case say.SetupStood():
+            case SetupStood():
                 self.setup_stood(now, event)
-            case say.SetupEnded():
+            case SetupEnded():
                 yield from self.setup_ended(now, event)
-            case say.CallerLeft():
+            case CallerLeft():
                 self.forget(event.call)
-            case say.LoadTold():
+            case LoadTold():
                 self.load_told(now, event)
-            case say.TimerRang():
+            case TimerRang():
                 self.timer_set = False
         newest = None  # a call that has come, or has come back
-        if isinstance(event, say.CallOffered | say.SetupEnded):
+        if isinstance(event, CallOffered | SetupEnded):
             newest = self.waiting.get(event.call)
         yield from self.serve_waiting(now, newest)
         while self.notes:
-            yield say.Note(self.notes.pop(0))
+            yield Note(self.notes.pop(0))
         if self.waiting and not self.timer_set:
             self.timer_set = True
-            yield say.SetTimer(max(WAKE_S, self.settings.period_s), WAKE)
+            yield SetTimer(max(WAKE_S, self.settings.period_s), WAKE)
 
     # ---- the server list ----
 
-    def servers_listed(self, now: float, event: say.ServersListed) -> None:
+    def servers_listed(self, now: float, event: ServersListed) -> None:
         """Rule 3: what drains or is gone gets nothing from this moment on."""
         if event.complete:
             listed = {line.server for line in event.servers}
@@ -202,7 +142,10 @@
         for line in event.servers:
             known = self.servers.get(line.server)
             if known is None:
-                known = self.servers[line.server] = Server(line.server, line.number, window=self.first_window)
+                known = Server(
+                    line.server, line.number, window=self.first_window, credit=BURST, block_s=FIRST_BLOCK_S
+                )
+                self.servers[line.server] = known
             self.note_start(now, known, line)
             known.number, known.standing, known.listed_at = line.number, line.standing, now
         for server in list(self.servers.values()):
@@ -210,7 +153,7 @@
             if gone and now - server.listed_at > MEMORY_S:  # until then it may return, and its size is known
                 del self.servers[server.id]
 
-    def note_start(self, now: float, server: Server, line: say.ListedServer) -> None:
+    def note_start(self, now: float, server: Server, line: ListedServer) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
         age = now - line.up_since
         if line.up_since <= 0 or age >= self.safety.warm_after_s or line.standing is not Standing.READY:
@@ -225,11 +168,11 @@
 
     # ---- calls ----
 
-    def call_offered(self, now: float, event: say.CallOffered) -> Iterator[Action]:
+    def call_offered(self, now: float, event: CallOffered) -> Iterator[Action]:
         """The ordinary path: pick a server; while it is flagged, refuse a share at random; else send."""
         kind = event.kind
         if kind is None:
-            yield say.FailCall(event.call)
+            yield FailCall(event.call)
             return
         self.lengths += 1
         self.length_s += (kind.length_s - self.length_s) / min(self.lengths, 1000)
@@ -253,7 +196,7 @@
             return
         self.wait(call)
 
-    def looks_redialled(self, kind: say.CallClass, grace_s: float) -> bool:
+    def looks_redialled(self, kind: CallClass, grace_s: float) -> bool:
         """Departure: a caller whose patience is not the usual one of its class is on a later try.
 
         Callers' last tries last as long as their time does, their first ones a fixed part of it. Where each
@@ -357,7 +300,7 @@
         server.unanswered[call.id] = now
         server.credit -= 1
         server.turn_until = now  # spent
-        return say.SendSetup(call.id, server.id, self.time_out(now, call, server))
+        return SendSetup(call.id, server.id, self.time_out(now, call, server))
 
     def time_out(self, now: float, call: Call, server: Server) -> float:
         """Departure: where set-ups were lost lately and answers are quick, give up in time for another try.
@@ -375,9 +318,9 @@
         """The final answer to a call that will not be set up; one that may have run must not be 'refused'."""
         self.forget(call.id)
         if call.may_have_run and not call.kind.repeatable:
-            yield say.FailCall(call.id)
+            yield FailCall(call.id)
         else:
-            yield say.RefuseCall(call.id, self.come_back(now, call))
+            yield RefuseCall(call.id, self.come_back(now, call))
 
     def come_back(self, now: float, call: Call) -> float:
         """When a refused caller may dial again: once the least pressed server it may use should have abated.
@@ -513,7 +456,7 @@
 
     # ---- evidence ----
 
-    def setup_stood(self, now: float, event: say.SetupStood) -> None:
+    def setup_stood(self, now: float, event: SetupStood) -> None:
         """The call stands. How long that took is the freshest sign of the server's wait."""
         call = self.calls.get(event.call)
         if call is not None:
@@ -607,7 +550,7 @@
         server.stood_rate = server.stood_rate * (1 - gone) + 1 / MEMORY_S
         server.stood_at = now
 
-    def setup_ended(self, now: float, event: say.SetupEnded) -> Iterator[Action]:
+    def setup_ended(self, now: float, event: SetupEnded) -> Iterator[Action]:
         """An attempt is over: learn from it, then go on with the call if the caller still waits."""
         server = self.servers.get(event.server)
         was_setup = server is not None and server.unanswered.pop(event.call, None) is not None
@@ -633,13 +576,13 @@
         over = over or len(call.erred_at) >= ERRORS_OF_CALL
         if over or max(now, call.not_before) >= call.answer_by:
             self.forget(call.id)
-            yield say.FailCall(call.id)
+            yield FailCall(call.id)
         else:
             if not event.no_line:
                 call.hold_by = call.answer_by  # a further attempt is held while the caller waits
             self.wait(call)
 
-    def learn_end(self, now: float, server: Server, event: say.SetupEnded, was_setup: bool) -> None:
+    def learn_end(self, now: float, server: Server, event: SetupEnded, was_setup: bool) -> None:
         """What an ending tells of the server."""
         self.note_report(now, server, event.report)
         if event.no_line:  # its lines have run out, not its processor: the next report tells of room
@@ -678,7 +621,7 @@
         server.blocked_until = now + max(pause, told_wait_s)
         server.block_s = min(LONGEST_BLOCK_S, 2 * server.block_s)
 
-    def load_told(self, now: float, event: say.LoadTold) -> None:
+    def load_told(self, now: float, event: LoadTold) -> None:
         """Figures that came unasked or by a probe."""
         server = self.servers.get(event.server)
         if server is not None:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -22,7 +22,6 @@
 from stairhatch.fleet.messages import Mark
 from stairhatch.fleet.service import Fleet
 from stairhatch.fleet.store import Found
-from stairhatch.interface import Event, Settings, Standing
 from stairhatch.lab.world import SYNC_S, Disk
 from stairhatch.node.core import ENDED, Call, Core, Counters, Machine, Offer, idle
 from stairhatch.node.directory import Directory
@@ -35,6 +34,8 @@
     REST_S,
 )
 from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.overload.events import Event, Standing
+from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
 from stairhatch.scale.plan import End, Happens, Places, Plan, Traffic, Wanted, What, quantile, read_settings
 from stairhatch.standin.caller import OFFER
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -14,9 +14,22 @@
 from dataclasses import replace
 from itertools import count
 
-from stairhatch import interface as say
-from stairhatch.choice import WAKE, Controller, Server
-from stairhatch.interface import Standing
+from stairhatch.overload.actions import Action, FailCall, RefuseCall, SetTimer
+from stairhatch.overload.controller import WAKE, Controller
+from stairhatch.overload.endpoint import Server
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Event,
+    ListedServer,
+    LoadTold,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.scope.sets import Numbers, ScopeConfig, ServerSet, server_sets
 
 LOOK = 0  # the label of the timer for what may leave; those of the sets begin at WAKE
@@ -36,7 +49,7 @@
     def __init__(self, label: int, servers: ServerSet, controller: Controller) -> None:
         self.label, self.servers, self.controller = label, servers, controller
         self.used_at = -math.inf
-        self.untold: tuple[say.ListedServer, ...] = ()  # lines that its decisions hear with the next event
+        self.untold: tuple[ListedServer, ...] = ()  # lines that its decisions hear with the next event
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -72,13 +85,13 @@
 
     def __init__(
         self,
-        settings: say.Settings,
+        settings: Settings,
         rng: random.Random,
         config: ScopeConfig,
         changed: Changed = unheard,
     ) -> None:
         self.settings, self.rng, self.config, self.changed = settings, rng, config, changed
-        self.lines: dict[int, say.ListedServer] = {}  # the whole list
+        self.lines: dict[int, ListedServer] = {}  # the whole list
         self.numbered: dict[int, dict[int, None]] = {}  # number -> the servers of that number
         self.gone: set[int] = set()  # in the list, until their set has forgotten them
         self.live: dict[Numbers, Scope] = {}
@@ -126,20 +139,20 @@
         """Where there is one set only, it hears all that concerns none, as a Controller does."""
         return next(iter(self.live.values())) if len(self.sets) == len(self.live) == 1 else None
 
-    def _listed_in(self, numbers: Numbers) -> tuple[say.ListedServer, ...]:
+    def _listed_in(self, numbers: Numbers) -> tuple[ListedServer, ...]:
         found = list(self.lines)
         if numbers is not None:
             found = sorted(server for number in numbers for server in self.numbered.get(number, ()))
         return tuple(self.lines[server] for server in found if server not in self.gone)
 
-    def _stray(self, numbers: frozenset[int], kind: say.CallClass | None) -> ServerSet:
+    def _stray(self, numbers: frozenset[int], kind: CallClass | None) -> ServerSet:
         """A set of servers that are in none: for a class as it was, or a call on its way through."""
         settings = self.settings
         self.place.update(dict.fromkeys(numbers, numbers))
         classes = (kind,) if kind is not None else settings.classes
         return ServerSet(numbers, classes, settings.balancers, settings.number)
 
-    def _set_for(self, kind: say.CallClass, choice: int, in_transit: bool) -> ServerSet:
+    def _set_for(self, kind: CallClass, choice: int, in_transit: bool) -> ServerSet:
         """The set that serves a call. A class as it was before a reload may reach into several sets now: the
         one with most of its servers serves the call, so that each call has one set to answer for it.
         """
@@ -158,7 +171,7 @@
             return self._set_at(frozenset(asked), kind)
         return self._set_at(max(weight, key=lambda at: weight[at]), kind)
 
-    def _set_at(self, numbers: Numbers, kind: say.CallClass | None) -> ServerSet:
+    def _set_at(self, numbers: Numbers, kind: CallClass | None) -> ServerSet:
         if numbers in self.sets:
             return self.sets[numbers]
         if numbers in self.live:
@@ -192,59 +205,59 @@
 
     # ---- events ----
 
-    def handle(self, now: float, event: say.Event) -> Iterator[say.Action]:
+    def handle(self, now: float, event: Event) -> Iterator[Action]:
         """Take one event to the set that it concerns; yield what is to be done."""
         self.now = now
         match event:
-            case say.ServersListed():
+            case ServersListed():
                 yield from self._list(now, event)
-            case say.CallOffered():
+            case CallOffered():
                 yield from self._offer(now, event)
-            case say.SetupStood() | say.SetupEnded():
+            case SetupStood() | SetupEnded():
                 yield from self._attempt(now, event)
-            case say.CallerLeft():
+            case CallerLeft():
                 yield from self._tell(now, self.owner.get(event.call) or self.lone(), event)
-            case say.LoadTold():
+            case LoadTold():
                 yield from self._tell(now, self.home(event.server) or self.lone(), event)
-            case say.TimerRang(label) if label == LOOK:
+            case TimerRang(label) if label == LOOK:
                 self.look_set = False
                 self._look(now)
-            case say.TimerRang():
+            case TimerRang():
                 for scope in self.timers.pop(event.label, ()):
-                    yield from self._tell(now, scope, say.TimerRang(WAKE))
+                    yield from self._tell(now, scope, TimerRang(WAKE))
             case _:
                 yield from self._tell(now, self.lone(), event)
         if self.may_leave and not self.look_set:
             self.look_set = True
-            yield say.SetTimer(self.config.idle_s / LOOKS, LOOK)
+            yield SetTimer(self.config.idle_s / LOOKS, LOOK)
 
-    def _tell(self, now: float, scope: Scope | None, event: say.Event) -> Iterator[say.Action]:
+    def _tell(self, now: float, scope: Scope | None, event: Event) -> Iterator[Action]:
         """Have one set's decisions take an event."""
         if scope is None:
             return
         if scope.untold:
             lines, scope.untold = scope.untold, ()
-            scope.controller.servers_listed(now, say.ServersListed(lines, complete=False))
+            scope.controller.servers_listed(now, ServersListed(lines, complete=False))
         for action in scope.controller.handle(now, event):
             match action:
-                case say.SetTimer(delay_s, _):
+                case SetTimer(delay_s, _):
                     self.timers[scope.label] = (scope,)
-                    yield say.SetTimer(delay_s, scope.label)
-                case say.RefuseCall(call) | say.FailCall(call):
+                    yield SetTimer(delay_s, scope.label)
+                case RefuseCall(call) | FailCall(call):
                     self.owner.pop(call, None)
                     yield action
                 case _:
                     yield action
-        if not isinstance(event, say.CallOffered | say.SetupStood | say.SetupEnded | say.CallerLeft):
+        if not isinstance(event, CallOffered | SetupStood | SetupEnded | CallerLeft):
             return
         if self.owner.get(event.call) is scope and event.call not in scope.controller.calls:
             del self.owner[event.call]
 
-    def _offer(self, now: float, event: say.CallOffered) -> Iterator[say.Action]:
+    def _offer(self, now: float, event: CallOffered) -> Iterator[Action]:
         kind = event.kind
         if kind is None:
             if self.lone() is None:
-                yield say.FailCall(event.call)
+                yield FailCall(event.call)
             yield from self._tell(now, self.lone(), event)
             return
         servers = self._set_for(kind, event.choice, event.in_transit)
@@ -256,19 +269,19 @@
         self.owner[event.call] = scope
         yield from self._tell(now, scope, event)
 
-    def _attempt(self, now: float, event: say.SetupStood | say.SetupEnded) -> Iterator[say.Action]:
+    def _attempt(self, now: float, event: SetupStood | SetupEnded) -> Iterator[Action]:
         """An attempt's end goes to the set of the call. Where its server is in another by now, that one
         learns from it, as from the end of a call that has its answer.
         """
         owner, home = self.owner.get(event.call), self.home(event.server)
         if owner is not None and home is not None and owner is not home:
-            learnt = replace(event, answered=True) if isinstance(event, say.SetupEnded) else event
+            learnt = replace(event, answered=True) if isinstance(event, SetupEnded) else event
             yield from self._tell(now, home, learnt)
         yield from self._tell(now, owner or home or self.lone(), event)
 
     # ---- the list ----
 
-    def _list(self, now: float, event: say.ServersListed) -> Iterator[say.Action]:
+    def _list(self, now: float, event: ServersListed) -> Iterator[Action]:
         """Keep the whole list, and tell each set in scope what is news of its own servers."""
         if event.complete:
             named = {line.server for line in event.servers}
@@ -276,7 +289,7 @@
                 if server not in named:
                     self.lines[server] = replace(line, standing=Standing.GONE)
                     self.gone.add(server)
-        told: dict[Numbers, list[say.ListedServer]] = {}
+        told: dict[Numbers, list[ListedServer]] = {}
         for line in event.servers:
             self._note(line)
             scope = self.scope_at(line.number)
@@ -285,7 +298,7 @@
         only = self.lone()
         for numbers, scope in list(self.live.items()):
             if event.complete or numbers in told or scope is only:
-                news = say.ServersListed(tuple(told.get(numbers, ())), event.complete)
+                news = ServersListed(tuple(told.get(numbers, ())), event.complete)
                 scope.untold = () if event.complete else scope.untold
                 yield from self._tell(now, scope, news)
         for server in list(self.gone):
@@ -294,7 +307,7 @@
                 self.gone.discard(server)
                 self.numbered[self.lines.pop(server).number].pop(server, None)
 
-    def _note(self, line: say.ListedServer) -> None:
+    def _note(self, line: ListedServer) -> None:
         """One line of the list. A server whose number changes takes what was learnt of it to its new set."""
         old = self.lines.get(line.server)
         if old is not None and old.number != line.number:
@@ -313,7 +326,7 @@
 
     # ---- other settings ----
 
-    def retune(self, settings: say.Settings, config: ScopeConfig | None = None) -> None:
+    def retune(self, settings: Settings, config: ScopeConfig | None = None) -> None:
         """Take other settings. Sets whose numbers stay go on as they are; those that merge or fall apart hand
         on their servers, their open calls and what was learnt. An open call goes on in one set.
         """
--- a/stairhatch/scope/sets.py
+++ b/stairhatch/scope/sets.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from stairhatch.interface import CallClass, Settings
+from stairhatch.overload.settings import CallClass, Settings
 
 Numbers = frozenset[int] | None  # of servers; None: of all
 
--- a/stairhatch/settings.py
+++ b/stairhatch/settings.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stairhatch import interface as say
+from stairhatch.overload.events import Report
+from stairhatch.overload.settings import CallClass, Safety, Settings
 
 MOST_S = 1e6  # of any time: what is longer was mistyped, and would overflow a timer
 MOST_COUNT = 10**7
@@ -187,7 +188,7 @@
     return text if len(text) <= 40 else text[:37] + "..."
 
 
-def parse_settings(boot_info: bytes | str) -> tuple[say.Settings, tuple[str, ...]]:
+def parse_settings(boot_info: bytes | str) -> tuple[Settings, tuple[str, ...]]:
     """Turn the simulator's text into settings and the names of the report's values. Unknown keys are ignored,
     and none that is read may be missing.
     """
@@ -198,9 +199,7 @@
     return settings_from(raw, "boot_info", complete=True)
 
 
-def settings_from(
-    raw: Any, at: str = "settings", complete: bool = False
-) -> tuple[say.Settings, tuple[str, ...]]:
+def settings_from(raw: Any, at: str = "settings", complete: bool = False) -> tuple[Settings, tuple[str, ...]]:
     """The same from the decoded object. Where it need not be complete, as in an operator's file whose page
     tells what holds otherwise, a missing key takes the interface's default. `at` begins each key's path.
     """
@@ -243,14 +242,14 @@
     return ""
 
 
-def report_from(values: Iterable[tuple[str, float]]) -> say.Report:
+def report_from(values: Iterable[tuple[str, float]]) -> Report:
     """Name a report's values; -1, unknown names and what is no number count as missing."""
     found: dict[str, float] = {}
     for name, value in values:
         field = REPORT_FIELDS.get(name)
         if field is not None and math.isfinite(value) and value >= 0:
             found[field[0]] = value * field[1]
-    return say.Report(**found)
+    return Report(**found)
 
 
 def _check_numbers(raw: dict[str, Any], at: str, complete: bool) -> None:
@@ -271,7 +270,7 @@
     return {ours: raw[theirs] for ours, theirs in names.items() if theirs in raw}
 
 
-def _settings(raw: dict[str, Any]) -> say.Settings:
+def _settings(raw: dict[str, Any]) -> Settings:
     """Pick our settings out of the decoded text."""
     family = raw.get("family_info", {})
     permissions = raw.get("permissions", {})
@@ -284,9 +283,9 @@
         fall_multiple="fall_multiple",
         fall_s="fall_s",
     )
-    return say.Settings(
+    return Settings(
         classes=tuple(_call_class(line, i, family) for i, line in enumerate(raw["classes"])),
-        safety=say.Safety(**safety, **_given(family, clear_wait_s="clear_wait_s")),
+        safety=Safety(**safety, **_given(family, clear_wait_s="clear_wait_s")),
         number=_own_number(raw),
         **_given(raw, balancers="balancers", period_s="period_s"),
         **_given(family, retransmit_s="retransmit_s", own_number="self_no"),
@@ -309,7 +308,7 @@
     return number
 
 
-def _call_class(line: dict[str, Any], index: int, family: dict[str, Any]) -> say.CallClass:
+def _call_class(line: dict[str, Any], index: int, family: dict[str, Any]) -> CallClass:
     """One class of the settings, with what `family_info` adds to it by position."""
     pools = family.get("allowed_pools")
     lengths = family.get("call_length_s")
@@ -318,7 +317,7 @@
         extra["pools"] = tuple(pools[index])
     if lengths is not None:
         extra["length_s"] = lengths[index]
-    return say.CallClass(
+    return CallClass(
         name=line.get("name", str(index)),
         repeatable=line.get("effect", "read_like") == "read_like",
         **_given(line, importance="importance", aim_s="aim_s", deadline_s="hard_limit_s"),
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -13,11 +13,11 @@
 from stairhatch.admission.budget import Level
 from stairhatch.admission.feedback import algorithm_for
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
-from stairhatch.interface import CallClass
 from stairhatch.node import message as sip
 from stairhatch.node import roster
 from stairhatch.node.core import AWAY_S, CUT, Core, Machine, Offer
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.dialogs import Order, Stage, key_of
 from stairhatch.sip.flows import (
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,84 +8,96 @@
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.choice import Controller
+from stairhatch.overload.actions import Action, FailCall, RefuseCall, SendSetup
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallOffered,
+    Ending,
+    Event,
+    ListedServer,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Settings
 
 TWO_CLASSES = (
-    say.CallClass("plain", importance=1, aim_s=1.2, deadline_s=9, late_worth=0.25),
-    say.CallClass("vital", importance=6, aim_s=0.8, deadline_s=6, late_worth=0.25),
+    CallClass("plain", importance=1, aim_s=1.2, deadline_s=9, late_worth=0.25),
+    CallClass("vital", importance=6, aim_s=0.8, deadline_s=6, late_worth=0.25),
 )
-SETTINGS = say.Settings(classes=TWO_CLASSES, balancers=5, retransmit_s=0.8, attempts=5)
+SETTINGS = Settings(classes=TWO_CLASSES, balancers=5, retransmit_s=0.8, attempts=5)
 
 
 @dataclass
 class Node:
     """Drives a controller by hand."""
 
-    settings: say.Settings = SETTINGS
+    settings: Settings = SETTINGS
     seed: int = 1
     now: float = 100.0
     next_call: int = 1
-    done: list[say.Action] = field(default_factory=list)
+    done: list[Action] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.core = Controller(self.settings, random.Random(self.seed))
 
-    def tell(self, event: say.Event) -> list[say.Action]:
+    def tell(self, event: Event) -> list[Action]:
         """One event; returns the actions it led to."""
         actions = list(self.core.handle(self.now, event))
         self.done += actions
         return actions
 
-    def list_servers(self, *lines: say.ListedServer, complete: bool = True) -> list[say.Action]:
+    def list_servers(self, *lines: ListedServer, complete: bool = True) -> list[Action]:
         """News of the server list."""
-        return self.tell(say.ServersListed(lines, complete))
+        return self.tell(ServersListed(lines, complete))
 
-    def offer(self, choice: int = 0, kind: int = 0, grace_s: float = 3.0, **more: object) -> list[say.Action]:
+    def offer(self, choice: int = 0, kind: int = 0, grace_s: float = 3.0, **more: object) -> list[Action]:
         """A new call; its number is `next_call - 1` afterwards."""
         call, self.next_call = self.next_call, self.next_call + 1
         classes = self.core.settings.classes
         held = classes[kind] if kind < len(classes) else None
-        return self.tell(say.CallOffered(call, held, choice, grace_s, **more))  # type: ignore[arg-type]
+        return self.tell(CallOffered(call, held, choice, grace_s, **more))  # type: ignore[arg-type]
 
-    def stood(self, call: int, server: int, took_s: float = 0.05) -> list[say.Action]:
+    def stood(self, call: int, server: int, took_s: float = 0.05) -> list[Action]:
         """A set-up was answered."""
-        return self.tell(say.SetupStood(call, server, took_s))
+        return self.tell(SetupStood(call, server, took_s))
 
     def ended(
-        self, call: int, server: int, ending: say.Ending, answered: bool = False, **more: object
-    ) -> list[say.Action]:
+        self, call: int, server: int, ending: Ending, answered: bool = False, **more: object
+    ) -> list[Action]:
         """An attempt is over."""
-        report = more.pop("report", say.Report())
-        return self.tell(say.SetupEnded(call, server, ending, answered, report, **more))  # type: ignore[arg-type]
+        report = more.pop("report", Report())
+        return self.tell(SetupEnded(call, server, ending, answered, report, **more))  # type: ignore[arg-type]
 
-    def ring(self, after_s: float = 0.0) -> list[say.Action]:
+    def ring(self, after_s: float = 0.0) -> list[Action]:
         """Let time pass, then ring the timer."""
         self.now += after_s
-        return self.tell(say.TimerRang(1))
+        return self.tell(TimerRang(1))
 
     def pressed(self, server: int, wait_s: float) -> None:
         """A report with this wait, from a call that ended."""
-        self.ended(10**9, server, say.Ending.DONE, answered=True, report=say.Report(wait_s=wait_s))
+        self.ended(10**9, server, Ending.DONE, answered=True, report=Report(wait_s=wait_s))
 
 
-def sends(actions: list[say.Action]) -> list[say.SendSetup]:
+def sends(actions: list[Action]) -> list[SendSetup]:
     """The set-ups among the actions."""
-    return [a for a in actions if isinstance(a, say.SendSetup)]
+    return [a for a in actions if isinstance(a, SendSetup)]
 
 
-def finals(actions: list[say.Action]) -> list[say.Action]:
+def finals(actions: list[Action]) -> list[Action]:
     """The final answers among the actions."""
-    return [a for a in actions if isinstance(a, say.RefuseCall | say.FailCall)]
+    return [a for a in actions if isinstance(a, RefuseCall | FailCall)]
 
 
 @pytest.fixture
 def make_node() -> Callable[..., Node]:
     """Nodes that know servers 10, 11, ... with numbers 0, 1, ..."""
 
-    def make(servers: int = 2, settings: say.Settings = SETTINGS, seed: int = 1) -> Node:
+    def make(servers: int = 2, settings: Settings = SETTINGS, seed: int = 1) -> Node:
         node = Node(settings, seed)
-        node.list_servers(*(say.ListedServer(10 + i, i) for i in range(servers)))
+        node.list_servers(*(ListedServer(10 + i, i) for i in range(servers)))
         return node
 
     return make
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,9 +22,9 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.interface import Report, Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import Attempt, Core, Counters, Listing
+from stairhatch.overload.events import Report, Standing
 from stairhatch.settings import settings_from
 from stairhatch.sip.flows import Flow
 from stairhatch.sip.front import Listener, SipConfig, SipFront
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.interface import Ending, Standing
+from stairhatch.overload.actions import Action, SendSetup
+from stairhatch.overload.events import Ending, ListedServer, LoadTold, Report, Standing
+from stairhatch.overload.settings import CallClass, Safety, Settings
 
 from .conftest import Node, sends
 
@@ -16,8 +17,8 @@
 STEP = 0.05
 BORNE = 0.5  # the share of their lines that warm servers use
 CLASSES = (
-    say.CallClass("plain", importance=1, aim_s=2.0, deadline_s=9, length_s=9.0, late_worth=0.2),
-    say.CallClass("vital", importance=6, aim_s=1.0, deadline_s=6, length_s=9.0, late_worth=0.2),
+    CallClass("plain", importance=1, aim_s=2.0, deadline_s=9, length_s=9.0, late_worth=0.2),
+    CallClass("vital", importance=6, aim_s=1.0, deadline_s=6, length_s=9.0, late_worth=0.2),
 )
 
 
@@ -31,11 +32,11 @@
     answers: str
     now: float = 1000.0
     work: list[float] = field(default_factory=list)
-    out: list[tuple[float, Node, say.SendSetup, float]] = field(default_factory=list)
+    out: list[tuple[float, Node, SendSetup, float]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        safety = say.Safety(cold_from=0.28, warm_after_s=14, fall_multiple=self.multiple, fall_s=1.5)
-        self.settings = say.Settings(
+        safety = Safety(cold_from=0.28, warm_after_s=14, fall_multiple=self.multiple, fall_s=1.5)
+        self.settings = Settings(
             CLASSES, safety=safety, balancers=self.nodes, retransmit_s=0.8, attempts=6, period_s=0.005
         )
         self.warm = BORNE * self.lines / CLASSES[0].length_s if self.lines else 0.1 * self.nodes
@@ -46,13 +47,13 @@
         """A node that has just started, told of all servers and their lines."""
         node = Node(replace(self.settings, number=number), seed, self.now)
         node.list_servers(
-            say.ListedServer(COLD, 0, up_since=born),
-            *(say.ListedServer(server, server - COLD) for server in OTHERS),
+            ListedServer(COLD, 0, up_since=born),
+            *(ListedServer(server, server - COLD) for server in OTHERS),
         )
         if self.lines:
-            node.tell(say.LoadTold(COLD, say.Report(free=self.lines, size=self.lines)))
+            node.tell(LoadTold(COLD, Report(free=self.lines, size=self.lines)))
             for server in OTHERS:
-                node.tell(say.LoadTold(server, say.Report(free=2000 * (1 - BORNE), size=2000)))
+                node.tell(LoadTold(server, Report(free=2000 * (1 - BORNE), size=2000)))
         return node
 
     def learn_by_own_calls(self) -> None:
@@ -74,7 +75,7 @@
         """All are told at once that the server has just started."""
         self.born = self.now
         for node in self.fleet:
-            node.list_servers(say.ListedServer(COLD, 0, up_since=self.born), complete=False)
+            node.list_servers(ListedServer(COLD, 0, up_since=self.born), complete=False)
 
     def idle(self, seconds: float) -> None:
         """Nothing is offered; each node looks up whether the cold server may be used."""
@@ -89,7 +90,7 @@
         for index in range(restarted):
             self.fleet[index] = self.fresh_node(index, 1000 + index, self.born)
         for node in self.fleet:
-            gone = (say.ListedServer(server, server - COLD, Standing.GONE) for server in OTHERS)
+            gone = (ListedServer(server, server - COLD, Standing.GONE) for server in OTHERS)
             node.list_servers(*gone, complete=False)
 
     def rush(self, seconds: float) -> None:
@@ -106,7 +107,7 @@
                 self.take(node, node.ring())
             self.answer()
 
-    def take(self, node: Node, actions: list[say.Action]) -> None:
+    def take(self, node: Node, actions: list[Action]) -> None:
         """Set-ups to the cold server are work; where `answers` is silence, so are their repeats."""
         for act in sends(actions):
             assert act.server == COLD
@@ -231,7 +232,7 @@
     node.offer(choice=0)
     node.ended(1, COLD, Ending.UNREACHED)
     node.now += 1.0
-    node.list_servers(say.ListedServer(COLD, 0, up_since=node.now), complete=False)
+    node.list_servers(ListedServer(COLD, 0, up_since=node.now), complete=False)
     node.now += fleet.settings.safety.warm_after_s + 0.1
     assert not node.core.is_cold(node.now, node.core.servers[COLD])
     assert [act.timeout_s for act in sends(node.offer(choice=0))] == [0.0]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -11,8 +11,9 @@
 import pytest
 
 from benchmarks.cold_ramp import COLD, Ramp, Result, Site, Story
-from stairhatch import interface as say
-from stairhatch.choice import Controller
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import ListedServer, LoadTold, Report, ServersListed
+from stairhatch.overload.settings import Safety
 
 SMALL = Site(capacity=30.0, servers=3)
 
@@ -21,7 +22,7 @@
     """Settings and servers of other sites: every figure that the rule or the pace depends on."""
     chance = random.Random(seed)
     cold_from = chance.uniform(0.2, 0.6)
-    safety = say.Safety(
+    safety = Safety(
         cold_from=cold_from,
         warm_after_s=chance.uniform(5.0, 12.0),
         fall_multiple=chance.uniform(1.3, 4.0),
@@ -66,8 +67,8 @@
         assert bitten(story, processes, result)
 
 
-KELP = Site(say.Safety(0, 0.7, 0.5, 9.0, 2.0, 1.0), 0.6, 0.35, 5.0, 20.0, 0.8, servers=3)
-MOSS = Site(say.Safety(0, 1.5, 0.2, 20.0, 4.0, 2.5), 0.0, 0.8, 12.0, 15.0, 0.9, servers=3)
+KELP = Site(Safety(0, 0.7, 0.5, 9.0, 2.0, 1.0), 0.6, 0.35, 5.0, 20.0, 0.8, servers=3)
+MOSS = Site(Safety(0, 1.5, 0.2, 20.0, 4.0, 2.5), 0.0, 0.8, 12.0, 15.0, 0.9, servers=3)
 
 
 @pytest.mark.parametrize("site", [KELP, MOSS], ids=["kelp-watch", "moss-line"])
@@ -109,10 +110,10 @@
         ramp = Ramp(Site(), Story.CALM, 20, 1)
         process = ramp.fleet[0]
         assert process.core is not None
-        ramp.tell(process, say.ServersListed((say.ListedServer(COLD, 0),), False))
+        ramp.tell(process, ServersListed((ListedServer(COLD, 0),), False))
         if told:
-            ramp.tell(process, say.LoadTold(COLD, say.Report(free=10.0, size=360.0, rate=40.0)))
-        anew = say.ListedServer(COLD, 0, up_since=ramp.now)
-        ramp.tell(process, say.ServersListed((anew,), False))
+            ramp.tell(process, LoadTold(COLD, Report(free=10.0, size=360.0, rate=40.0)))
+        anew = ListedServer(COLD, 0, up_since=ramp.now)
+        ramp.tell(process, ServersListed((anew,), False))
         rates.append(process.core.cold_rate(ramp.now, process.core.servers[COLD]))
     assert 0 < rates[1] < 1.1 * rates[0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -3,14 +3,26 @@
 from __future__ import annotations
 
 import random
+import tomllib
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.choice import AGEING_S, Controller
-from stairhatch.interface import Ending, Report
+from stairhatch.overload.actions import FailCall, Note
+from stairhatch.overload.controller import AGEING_S, Controller
+from stairhatch.overload.events import (
+    CallOffered,
+    Ending,
+    ListedServer,
+    LoadTold,
+    Report,
+    ServersListed,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Safety
 from stairhatch.settings import SettingsError, settings_from
 
 from .conftest import SETTINGS, finals, sends
@@ -158,7 +170,7 @@
         (first,) = sends(node.offer())
         (second,) = sends(node.ended(call, first.server, Ending.ERROR))
         assert second.server != first.server
-        assert finals(node.ended(call, second.server, Ending.ERROR)) == [say.FailCall(call)]
+        assert finals(node.ended(call, second.server, Ending.ERROR)) == [FailCall(call)]
     assert not any(server.down for server in node.core.servers.values())
 
 
@@ -198,7 +210,7 @@
     taken = 0
     for seed in range(100):
         node = make_node(servers=1, seed=seed)
-        node.tell(say.LoadTold(10, Report(free=1, size=100)))
+        node.tell(LoadTold(10, Report(free=1, size=100)))
         taken += len(sends(node.offer(kind=1)))
     assert 5 < taken < 45  # one line among five nodes
 
@@ -206,10 +218,10 @@
 def test_the_last_free_lines_are_kept_for_calls_worth_more(make_node):
     """Found on a calm day on sockets (snapshot f920180d): reads took the lines that saves then lacked."""
     node = make_node(servers=1)
-    node.tell(say.LoadTold(10, Report(free=5, size=100)))
+    node.tell(LoadTold(10, Report(free=5, size=100)))
     assert not sends(node.offer(kind=0))
     assert sends(node.offer(kind=1))
-    node.tell(say.LoadTold(10, Report(free=50, size=100)))
+    node.tell(LoadTold(10, Report(free=50, size=100)))
     assert sends(node.ring(0.02))
 
 
@@ -219,7 +231,7 @@
     node.offer(kind=1)
     node.ended(1, 10, Ending.FULL, no_line=True)
     assert not sends(node.ring(0.02))
-    node.tell(say.LoadTold(10, Report(free=50, size=100)))
+    node.tell(LoadTold(10, Report(free=50, size=100)))
     assert sends(node.ring(0.02))
 
 
@@ -238,11 +250,11 @@
 def test_same_events_same_actions():
     def play():
         core, found = Controller(SETTINGS, random.Random(5)), []
-        found += core.handle(1.0, say.ServersListed(tuple(say.ListedServer(s, s) for s in range(4)), True))
+        found += core.handle(1.0, ServersListed(tuple(ListedServer(s, s) for s in range(4)), True))
         for i in range(300):
-            found += core.handle(1.0 + i / 50, say.CallOffered(i, SETTINGS.classes[i % 2], i % 4, 3.0))
+            found += core.handle(1.0 + i / 50, CallOffered(i, SETTINGS.classes[i % 2], i % 4, 3.0))
             if i % 3 == 0:
-                found += core.handle(1.0 + i / 50, say.SetupStood(i, i % 4, 0.3))
+                found += core.handle(1.0 + i / 50, SetupStood(i, i % 4, 0.3))
         return found
 
     assert play() == play()
@@ -253,15 +265,15 @@
     total = 0
     for seed in range(10):
         core = Controller(settings, random.Random(seed))
-        list(core.handle(0.0, say.ServersListed((say.ListedServer(10, 0),), True)))
+        list(core.handle(0.0, ServersListed((ListedServer(10, 0),), True)))
         for i in range(200):
             now = i / 20
-            found = list(core.handle(now, say.TimerRang(1)))
+            found = list(core.handle(now, TimerRang(1)))
             if i % 10 == 0:
-                found += core.handle(now, say.CallOffered(i, SETTINGS.classes[0], 0, 3.0))
+                found += core.handle(now, CallOffered(i, SETTINGS.classes[0], 0, 3.0))
             for act in sends(found):
                 total += 1
-                list(core.handle(now, say.SetupStood(act.call, 10, took_s)))
+                list(core.handle(now, SetupStood(act.call, 10, took_s)))
     return total * settings.balancers / 10
 
 
@@ -277,7 +289,7 @@
     windows = []
     for used in (100, 2700):
         node = make_node(servers=1, settings=replace(SETTINGS, balancers=250))
-        node.tell(say.LoadTold(10, Report(free=3000 - used, size=3000)))
+        node.tell(LoadTold(10, Report(free=3000 - used, size=3000)))
         windows.append(node.core.servers[10].window)
     assert windows[1] > 4 * windows[0]
 
@@ -299,9 +311,9 @@
     with pytest.raises(ValueError, match="balancers"):
         replace(SETTINGS, balancers=0)
     with pytest.raises(ValueError, match="aim_s"):
-        say.CallClass("x", aim_s=0)
+        CallClass("x", aim_s=0)
     with pytest.raises(ValueError, match="cold_from"):
-        say.Safety(cold_from=2)
+        Safety(cold_from=2)
     with pytest.raises(ValueError, match="retransmit_s"):
         replace(SETTINGS, retransmit_s=float("nan"))
 
@@ -323,12 +335,14 @@
         assert settings_from(raw)[0].number == number
 
 
-def test_size_and_width_of_the_module():
-    lines = (ROOT / "stairhatch" / "choice.py").read_text().splitlines()
-    assert len([line for line in lines if line.strip()]) <= 730
-    for path in (ROOT / "stairhatch").glob("*.py"):
+def test_size_and_width_of_the_modules():
+    """The deploy file's policy files have 730 lines together; no line of the package is over 110 wide."""
+    policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
+    assert 0 < len([line for line in lines if line.strip()]) <= 730
+    for path in (ROOT / "stairhatch").rglob("*.py"):
         assert max(map(len, path.read_text().splitlines()), default=0) <= 110
-    assert "interface.py" in "\n".join(lines[:3])
+    assert "settings, events, actions and records" in (ROOT / policy[0]).read_text()[:300]
 
 
 def test_later_tries_count_for_less_marked_or_not(make_node):
@@ -349,9 +363,9 @@
     rates = {}
     for lines in (100, 1000):
         node = make_node()
-        node.tell(say.LoadTold(11, Report(free=50, size=100)))
-        node.list_servers(say.ListedServer(10, 0, up_since=node.now), complete=False)
-        node.tell(say.LoadTold(10, Report(free=lines, size=lines)))
+        node.tell(LoadTold(11, Report(free=50, size=100)))
+        node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
+        node.tell(LoadTold(10, Report(free=lines, size=lines)))
         server = node.core.servers[10]
         rates[lines] = node.core.cold_rate(node.now, server)
         node.stood(1, 10, 0.001)
@@ -369,10 +383,10 @@
         sent = 0
         for seed in range(240):
             node = make_node(settings=replace(settings, number=seed), seed=seed)
-            node.tell(say.LoadTold(11, Report(free=200, size=2000)))
-            node.tell(say.LoadTold(10, Report(free=lines / 10, size=lines)))
-            node.list_servers(say.ListedServer(10, 0, up_since=node.now), complete=False)
-            node.tell(say.LoadTold(10, Report(free=lines, size=lines)))
+            node.tell(LoadTold(11, Report(free=200, size=2000)))
+            node.tell(LoadTold(10, Report(free=lines / 10, size=lines)))
+            node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
+            node.tell(LoadTold(10, Report(free=lines, size=lines)))
             for _ in range(15):
                 sent += sum(act.server == 10 for act in sends(node.ring(0.1) + node.offer(choice=0)))
         kept.append(sent)
@@ -388,7 +402,7 @@
     for call in range(900, 910):
         node.ended(call, 10, Ending.DONE, True, report=Report(free=800, size=1000))
     node.now += 10.0
-    node.list_servers(say.ListedServer(10, 0, up_since=node.now), complete=False)
+    node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
     server = node.core.servers[10]
     fresh = make_node(servers=1)
     assert node.core.cold_rate(node.now, server) > 3 * fresh.core.cold_rate(node.now, fresh.core.servers[10])
@@ -404,7 +418,7 @@
             act = todo.pop()
             todo += sends(node.ended(act.call, act.server, Ending.FULL) if act.server == 10 else [])
         todo += sends(node.offer(choice=0))
-    notes = [a.text for a in node.done if isinstance(a, say.Note)]
+    notes = [a.text for a in node.done if isinstance(a, Note)]
     assert notes == ["server 10 paused: full"]
 
 
@@ -428,7 +442,7 @@
     core, looks = node.core, []
     few = Report(free=1, size=100)  # kept for the calls worth most
     for server in (10, 11):
-        node.tell(say.LoadTold(server, few))
+        node.tell(LoadTold(server, few))
     for _ in range(500):
         node.offer()
     pick = core.pick
@@ -513,11 +527,11 @@
 def test_a_cold_server_is_not_paced_by_a_small_one_that_happens_to_be_idle(make_node):
     """Found in incident i9eafb5: the middle use of two servers' lines was the small one's."""
     node = make_node(servers=3)
-    node.tell(say.LoadTold(10, Report(free=100, size=1000)))
-    node.tell(say.LoadTold(11, Report(free=80, size=100)))
-    node.list_servers(say.ListedServer(10, 0, say.Standing.DRAINING), complete=False)
+    node.tell(LoadTold(10, Report(free=100, size=1000)))
+    node.tell(LoadTold(11, Report(free=80, size=100)))
+    node.list_servers(ListedServer(10, 0, Standing.DRAINING), complete=False)
     node.now += 2.0
-    node.list_servers(say.ListedServer(12, 0, up_since=node.now), complete=False)
+    node.list_servers(ListedServer(12, 0, up_since=node.now), complete=False)
     server = node.core.servers[12]
-    node.tell(say.LoadTold(12, Report(free=1000, size=1000)))
+    node.tell(LoadTold(12, Report(free=1000, size=1000)))
     assert node.core.warm_rate(node.now, server) > 0.7 * 900 / node.core.length_s
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.interface import Report
 from stairhatch.node.core import HOLD_S, Offer
+from stairhatch.overload.actions import SendSetup
+from stairhatch.overload.events import Report, TimerRang
 
 from .peers import Inside
 
@@ -78,9 +78,9 @@
     call, caller = offered(inside)
     inside.core.finished(inside.core.servers[1], IDENT, 34, "", Report())  # full: it is held for another try
     inside.core.controller.wait_no_more(call.number)
-    inside.core._act(say.SendSetup(call.number, 99))
+    inside.core._act(SendSetup(call.number, 99))
     assert inside.core.counters.counts["guards"] == 1
-    inside.core._tell(say.TimerRang(1))  # the next event, whatever it is
+    inside.core._tell(TimerRang(1))  # the next event, whatever it is
     assert call.number in inside.core.controller.waiting, "the decisions have not heard that it never left"
     inside.run(3.5)
     assert len(caller.said) == 1
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,12 +17,12 @@
 import pytest
 import uvloop
 
-from stairhatch.interface import Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import Listing
 from stairhatch.node.net import Bounds, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.overload.events import Standing
 
 from .peers import PATIENCE_S, Caller, Coordinator, Inside, Program, RosterServer, instance, until
 from .peers import sip_headers as headers_of
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -15,9 +15,7 @@
 import pytest
 
 import stairhatch.service as program_module
-from stairhatch.choice import Controller
 from stairhatch.config import Config
-from stairhatch.interface import Standing
 from stairhatch.node import message as sip
 from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, Listing
@@ -25,6 +23,8 @@
 from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import Standing
 from stairhatch.service import OPERATORS, Service, most_callers
 from stairhatch.settings import settings_from
 
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -17,12 +17,12 @@
 import pytest
 import uvloop
 
-from stairhatch.interface import Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import TRY_S, Listing
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.net import Descriptors, Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.overload.events import Standing
 
 from .peers import SETTINGS, Coordinator, Inside, Program, RosterServer, instance, until
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,8 +7,17 @@
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.interface import Ending, Standing
+from stairhatch.overload.actions import FailCall, RefuseCall
+from stairhatch.overload.events import (
+    CallerLeft,
+    Ending,
+    ListedServer,
+    LoadTold,
+    PeerTold,
+    Report,
+    Standing,
+    TimerRang,
+)
 
 from .conftest import SETTINGS, finals, sends
 
@@ -62,8 +71,8 @@
 def test_nothing_is_sent_after_the_caller_left(make_node):
     node = make_node(servers=0)
     node.offer()
-    node.tell(say.CallerLeft(1))
-    node.list_servers(say.ListedServer(10, 0))
+    node.tell(CallerLeft(1))
+    node.list_servers(ListedServer(10, 0))
     assert not sends(run_out(node, 1.0))
 
 
@@ -76,17 +85,17 @@
 @pytest.mark.parametrize("standing", [Standing.DRAINING, Standing.GONE])
 def test_drains_are_kept_at_once(make_node, standing):
     node = make_node()
-    node.list_servers(say.ListedServer(10, 0, standing), complete=False)
+    node.list_servers(ListedServer(10, 0, standing), complete=False)
     for _ in range(5):
         assert all(s.server == 11 for s in sends(node.offer(choice=0)))
 
 
 def test_a_server_missing_from_the_full_list_is_gone(make_node):
     node = make_node()
-    node.list_servers(say.ListedServer(11, 1))
+    node.list_servers(ListedServer(11, 1))
     assert [s.server for s in sends(node.offer(choice=0))] == [11]
     node.now += 60.0
-    node.list_servers(say.ListedServer(11, 1))
+    node.list_servers(ListedServer(11, 1))
     assert 10 not in node.core.servers
 
 
@@ -112,19 +121,19 @@
     kinds = (replace(SETTINGS.classes[0], repeatable=False),)
     node = make_node(settings=replace(SETTINGS, classes=kinds))
     node.offer()
-    assert finals(node.ended(1, 10, Ending.RESET)) == [say.FailCall(1)]
+    assert finals(node.ended(1, 10, Ending.RESET)) == [FailCall(1)]
 
 
 def test_odd_but_legal_events_are_taken_quietly(make_node):
     node = make_node()
     node.ended(77, 99, Ending.DONE, answered=True)
     node.stood(77, 99)
-    node.tell(say.CallerLeft(77))
-    node.tell(say.TimerRang(99))
-    node.tell(say.LoadTold(99, say.Report()))
-    node.tell(say.PeerTold(3, b"?"))
-    node.list_servers(say.ListedServer(55, 9, Standing.GONE), complete=False)
-    assert finals(node.offer(kind=9)) == [say.FailCall(1)]
+    node.tell(CallerLeft(77))
+    node.tell(TimerRang(99))
+    node.tell(LoadTold(99, Report()))
+    node.tell(PeerTold(3, b"?"))
+    node.list_servers(ListedServer(55, 9, Standing.GONE), complete=False)
+    assert finals(node.offer(kind=9)) == [FailCall(1)]
     assert sends(node.offer(choice=-1))
 
 
@@ -143,4 +152,4 @@
         told |= {act.return_s for act in finals(node.done)}
     assert len(told) > 5 and all(0 < each <= 2.0 for each in told)
     silent = make_node(servers=0, settings=replace(SETTINGS, may_advise_return=False, longest_return_s=2.0))
-    assert finals(silent.offer(grace_s=0.0)) == [say.RefuseCall(1)]
+    assert finals(silent.offer(grace_s=0.0)) == [RefuseCall(1)]
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -12,14 +12,28 @@
 
 import pytest
 
-from stairhatch import interface as say
-from stairhatch.choice import Controller
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
-from stairhatch.interface import Ending, Report, Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import Core, Counters, Listing, Offer
 from stairhatch.node.roster import RosterSide
+from stairhatch.overload.actions import FailCall, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    CallerLeft,
+    CallOffered,
+    Ending,
+    ListedServer,
+    LoadTold,
+    PeerTold,
+    Report,
+    ServersListed,
+    SetupEnded,
+    SetupStood,
+    Standing,
+    TimerRang,
+)
+from stairhatch.overload.settings import CallClass, Safety, Settings
 from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
 from stairhatch.scope.sets import ScopeConfig, Service, server_sets
 from stairhatch.standin.ports import free_port
@@ -31,15 +45,15 @@
 
 def kind(name, *pools, **more):
     """A class; no pools: any server."""
-    return say.CallClass(name, pools=tuple(pools) or None, aim_s=1.5, length_s=4.0, **more)
+    return CallClass(name, pools=tuple(pools) or None, aim_s=1.5, length_s=4.0, **more)
 
 
 def settings_of(*classes, **more):
-    return say.Settings(classes, retransmit_s=0.8, longest_return_s=2.0, attempts=4, **more)
+    return Settings(classes, retransmit_s=0.8, longest_return_s=2.0, attempts=4, **more)
 
 
 def line(server, number=None, standing=Standing.READY, up_since=0.0):
-    return say.ListedServer(server, server if number is None else number, standing, up_since)
+    return ListedServer(server, server if number is None else number, standing, up_since)
 
 
 class World:
@@ -62,32 +76,32 @@
         if complete:
             self.number_of.clear()
         self.number_of.update((each.server, each.number) for each in lines)
-        self.tell(say.ServersListed(lines, complete))
+        self.tell(ServersListed(lines, complete))
 
     def offer(self, what, choice=-1, grace_s=6.0, **more):
         self.calls += 1
         self.kinds[self.calls], self.answer_due[self.calls] = what, self.now + grace_s
-        self.tell(say.CallOffered(self.calls, what, choice, grace_s, **more))
+        self.tell(CallOffered(self.calls, what, choice, grace_s, **more))
         return self.calls
 
     def tell(self, event):
         """One event; what its actions lead to is put on the clock. The call's one answer is counted."""
-        if isinstance(event, say.SetupStood) and event.call in self.kinds:
+        if isinstance(event, SetupStood) and event.call in self.kinds:
             self.answers[event.call] += 1
         for action in self.decisions.handle(self.now, event):
             self.actions.append((round(self.now, 9), action))
             match action:
-                case say.SendSetup(call, server, timeout_s):
+                case SendSetup(call, server, timeout_s):
                     assert not self.answers[call], "a set-up for a call that has its answer"
                     self.sent.append((self.now, call, server))
                     self._attempt(call, server, timeout_s)
-                case say.RefuseCall(call) | say.FailCall(call):
+                case RefuseCall(call) | FailCall(call):
                     self.answers[call] += 1
                     assert self.now <= self.answer_due[call], "an answer that came late"
-                case say.SetTimer(delay_s, label):
+                case SetTimer(delay_s, label):
                     self.timers[label] += 1
                     assert self.timers[label] == 1, "two timers under one label"
-                    self.later(delay_s, say.TimerRang(label))
+                    self.later(delay_s, TimerRang(label))
 
     def _attempt(self, call, server, timeout_s):
         """Given up when the decisions say so, and 30 ms before the caller's time is up, as the core does."""
@@ -96,21 +110,21 @@
         report = Report(free=chance.randrange(100), size=100, wait_s=chance.expovariate(1 / self.slow_s))
         due_s = min(timeout_s or NEVER, self.answer_due[call] - 0.03 - self.now)
         if (0.6 if fate < 0.1 else took_s) > due_s:
-            ended = say.SetupEnded(call, server, Ending.TIMED_OUT, False, Report(), due_s)
+            ended = SetupEnded(call, server, Ending.TIMED_OUT, False, Report(), due_s)
             self.later(due_s, ended)
         elif fate < 0.05:
-            self.later(0.05, say.SetupEnded(call, server, Ending.ERROR, False, Report(), 0.05))
+            self.later(0.05, SetupEnded(call, server, Ending.ERROR, False, Report(), 0.05))
         elif fate < 0.1:
-            self.later(0.6, say.SetupEnded(call, server, Ending.TIMED_OUT, False, Report(), 0.6))
+            self.later(0.6, SetupEnded(call, server, Ending.TIMED_OUT, False, Report(), 0.6))
         else:
-            self.later(took_s, say.SetupStood(call, server, took_s))
-            ended = say.SetupEnded(call, server, Ending.DONE, True, report, 4.0)
+            self.later(took_s, SetupStood(call, server, took_s))
+            ended = SetupEnded(call, server, Ending.DONE, True, report, 4.0)
             self.later(took_s + chance.expovariate(1 / 4), ended)
 
     def run(self, until):
         while self.due and self.due[0][0] <= until:
             self.now, _, event = heapq.heappop(self.due)
-            if isinstance(event, say.TimerRang):
+            if isinstance(event, TimerRang):
                 self.timers[event.label] -= 1
             self.tell(event)
         self.now = until
@@ -145,7 +159,7 @@
     assert [each.numbers for each in server_sets(settings_of(a, b, c), ())] == [{1, 2, 4}, {3}]
     assert [each.numbers for each in server_sets(settings_of(a, b, c, d), ())] == [{1, 2, 3, 4}]
     assert [each.numbers for each in server_sets(settings_of(a, b, kind("any")), ())] == [None]
-    nowhere = say.CallClass("none", pools=())
+    nowhere = CallClass("none", pools=())
     assert [each.numbers for each in server_sets(settings_of(a, nowhere), ())] == [{1, 2}, set()]
     sets = server_sets(
         settings_of(a, b, balancers=50, number=7), (Service(("a",), 5, 2), Service(("b",), keep=True))
@@ -181,10 +195,10 @@
         decisions.retune(after)
         world.busy(4, 25, [*classes, *after.classes], 2)
         world.listed(*(line(n) for n in range(1, 4)))
-        world.tell(say.CallerLeft(world.offer(classes[0])))
+        world.tell(CallerLeft(world.offer(classes[0])))
         world.answers[world.calls] += 1
         world.busy(4, 25, after.classes, 3)
-        world.tell(say.LoadTold(99, Report(wait_s=1.0)))
+        world.tell(LoadTold(99, Report(wait_s=1.0)))
         world.run(world.now + 60)
         worlds.append(world)
     assert worlds[0].actions == worlds[1].actions
@@ -220,7 +234,7 @@
         world.run(world.now + 0.007)
     assert [world.timers[label] for label in range(1, 6)] == [1] * 5
     world.finish()
-    assert all(isinstance(a, say.RefuseCall) for _, a in world.actions if not isinstance(a, say.SetTimer))
+    assert all(isinstance(a, RefuseCall) for _, a in world.actions if not isinstance(a, SetTimer))
 
 
 def test_a_set_leaves_when_unused_and_comes_back_as_after_a_restart():
@@ -233,10 +247,10 @@
     world.listed(line(1), line(2))
     assert decisions.in_scope(2) and not told
     call = world.offer(a, grace_s=30.0)
-    world.due = [each for each in world.due if not isinstance(each[2], say.SetupStood | say.SetupEnded)]
+    world.due = [each for each in world.due if not isinstance(each[2], SetupStood | SetupEnded)]
     world.run(world.now + 30.0 + OVER_S)
     assert decisions.in_scope(1), "it left with a call that had no answer"
-    world.tell(say.CallerLeft(call))
+    world.tell(CallerLeft(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
     assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owner
@@ -261,11 +275,11 @@
     world = World(decisions)
     world.listed(line(1), line(2))
     call = world.offer(a)
-    world.due = [each for each in world.due if not isinstance(each[2], say.SetupEnded)]
+    world.due = [each for each in world.due if not isinstance(each[2], SetupEnded)]
     world.run(world.now + 10)
     assert world.answers[call] == 1 and not decisions.live
-    world.tell(say.LoadTold(1, Report(wait_s=0.1)))
-    world.tell(say.SetupEnded(call, 1, Ending.DONE, True, Report(), 10.0))
+    world.tell(LoadTold(1, Report(wait_s=0.1)))
+    world.tell(SetupEnded(call, 1, Ending.DONE, True, Report(), 10.0))
     assert not decisions.owner and not decisions.servers
     with pytest.raises(KeyError):
         decisions.servers[1]
@@ -279,7 +293,7 @@
     "a class goes": (A, C),
     "a class goes and its servers to another": (kind("a", 0, 1, 2, 4), C),
     "all become one": (A, B, C, kind("any")),
-    "nowhere": (A, say.CallClass("b", pools=()), C),
+    "nowhere": (A, CallClass("b", pools=()), C),
     "all change places": (kind("a", 5, 3), kind("b", 0), kind("c", 1, 2, 4, 6)),
     "the same": (A, B, C),
 }
@@ -322,7 +336,7 @@
         pools = world.kinds[call].pools
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
-    world.tell(say.CallerLeft(0))
+    world.tell(CallerLeft(0))
     assert not decisions.live and not decisions.owner, "sets that nobody uses stay"
 
 
@@ -416,12 +430,12 @@
     elsewhere = world.offer(a, 77, in_transit=True)
     world.offer(kind("a", 5, 6))  # a class as it was
     for event in (
-        say.SetupStood(99, 98, 1.0), say.SetupEnded(99, 98, Ending.DONE, True, Report()), say.CallerLeft(99),
-        say.LoadTold(98, Report(wait_s=1.0)), say.TimerRang(4711), say.PeerTold(1, b"x"),
+        SetupStood(99, 98, 1.0), SetupEnded(99, 98, Ending.DONE, True, Report()), CallerLeft(99),
+        LoadTold(98, Report(wait_s=1.0)), TimerRang(4711), PeerTold(1, b"x"),
     ):  # fmt: skip
         world.tell(event)
     world.finish()
-    assert isinstance(next(a for _, a in world.actions if getattr(a, "call", 0) == elsewhere), say.RefuseCall)
+    assert isinstance(next(a for _, a in world.actions if getattr(a, "call", 0) == elsewhere), RefuseCall)
 
 
 def most_in_a_window(times, width):
@@ -438,7 +452,7 @@
     """
     sharing, size, warm = 30, 100.0, 25.0  # warm: set-ups a second of one server, its lines over their length
     a, b = kind("a", 1, 2, 3), kind("b", 9)
-    safety = say.Safety(cold_from=0.25, warm_after_s=12.0, fall_multiple=2.0, fall_s=1.0)
+    safety = Safety(cold_from=0.25, warm_after_s=12.0, fall_multiple=2.0, fall_s=1.0)
     budget = safety.fall_multiple * safety.cold_from * warm * safety.fall_s
     found = {}
     for divisor in (sharing, 1):
@@ -462,7 +476,7 @@
                     node.offer(a, 1, grace_s=4.0)
                 if step % 10 == 1:
                     for server in (1, 2, 3):
-                        node.tell(say.LoadTold(server, Report(free=size * 0.6, size=size, wait_s=0.0)))
+                        node.tell(LoadTold(server, Report(free=size * 0.6, size=size, wait_s=0.0)))
         for node in nodes:
             for at, _, server in node.sent:
                 took[server].append(at)
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from stairhatch import interface as say
 from stairhatch.config import ConfigError
 from stairhatch.config.platform import read_platform
-from stairhatch.interface import Report, Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import Core, Counters, Listing
 from stairhatch.node.roster import parse_load
 from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.overload.events import Report, Standing
+from stairhatch.overload.settings import Safety
 from stairhatch.settings import SETTINGS, Each, Flag, Number, SettingsError, Table, Text, parse_settings
 
 from .peers import Program, free_port, instance
@@ -205,7 +205,7 @@
         assert (kind.length_s, kind.pools) == (
             family["call_length_s"][index], tuple(family["allowed_pools"][index])
         )  # fmt: skip
-    assert settings.safety == say.Safety(
+    assert settings.safety == Safety(
         **{name: value for name, value in safety.items() if name != "must_ask_in_s"},
         clear_wait_s=family["clear_wait_s"],
     )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from stairhatch.interface import Standing
 from stairhatch.node import message as sip
 from stairhatch.node.core import REMEMBERED_S, Core, Counters, Listing
 from stairhatch.node.directory import WHOLE_S, Directory
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.overload.events import Standing
 from stairhatch.settings import settings_from
 
 from .peers import SETTINGS, Caller, Coordinator, Inside, Program, RosterServer, instance, until
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from stairhatch.interface import Report
 from stairhatch.node import message as sip
+from stairhatch.overload.events import Report
 
 from .peers import Caller, Inside, Line, Program, RosterServer, sip_headers, until
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from stairhatch import interface as say
 from stairhatch import wire
 from stairhatch.adapter import Adapter
+from stairhatch.overload.events import Report
 from stairhatch.settings import parse_settings
 
 BOOT = {
@@ -130,9 +130,9 @@
     adapter = Adapter()
     adapter.answer(wire.Batch(1, 10.0, list(DAY)))
     instance = adapter.instances[3]
-    assert instance.report((5.0, 9.0, -1.0)) == say.Report(free=5.0, size=9.0)
-    assert instance.report((float("nan"), 9.0, 250.0, 1.0)) == say.Report(size=9.0, wait_s=0.25)
-    assert instance.report(()) == say.Report()
+    assert instance.report((5.0, 9.0, -1.0)) == Report(free=5.0, size=9.0)
+    assert instance.report((float("nan"), 9.0, 250.0, 1.0)) == Report(size=9.0, wait_s=0.25)
+    assert instance.report(()) == Report()
 
 
 def test_an_exception_in_the_decisions_is_reported_as_panic(monkeypatch):
