--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -26,11 +26,11 @@
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptOutcome,
     CallOffered,
-    Ending,
     Event,
     ListedServer,
-    Report,
+    LoadReport,
     ServersListed,
     SetupEnded,
     SetupStood,
@@ -76,8 +76,8 @@
             match action:
                 case SendSetup(call, server, _):
                     self.later(SET_UP_S, SetupStood(call, server, SET_UP_S))
-                    report = Report(free=180.0, size=200.0, wait_s=0.005)
-                    ended = SetupEnded(call, server, Ending.DONE, True, report, LASTS_S)
+                    report = LoadReport(free_lines=180.0, total_lines=200.0, processor_wait_s=0.005)
+                    ended = SetupEnded(call, server, AttemptOutcome.COMPLETED, True, report, LASTS_S)
                     self.later(LASTS_S, ended)
                     self.stood += 1
                 case SetTimer(delay_s, label):
--- a/stairhatch/adapter.py
+++ b/stairhatch/adapter.py
@@ -15,18 +15,18 @@
 from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptOutcome,
+    Availability,
     CallerLeft,
     CallOffered,
-    Ending,
     Event,
     ListedServer,
+    LoadReport,
     LoadTold,
     PeerTold,
-    Report,
     ServersListed,
     SetupEnded,
     SetupStood,
-    Standing,
     TimerRang,
 )
 from stairhatch.overload.settings import Settings
@@ -36,16 +36,16 @@
 NO_LINE, PROCESSOR_FULL, NUMBER_BUSY = 1, 3, 4  # causes of an outcome
 WAIT_UNIT = 16  # a wait in ms rides above the cause
 
-STANDINGS = {0: Standing.READY, 1: Standing.GONE, 2: Standing.DRAINING}
+STANDINGS = {0: Availability.READY, 1: Availability.GONE, 2: Availability.DRAINING}
 ENDINGS = {
-    10: Ending.DONE,
-    20: Ending.ERROR,
-    30: Ending.FULL,
-    40: Ending.TIMED_OUT,
-    50: Ending.UNREACHED,
-    60: Ending.RESET,
-    70: Ending.CANCELLED,
-    80: Ending.NOT_SENT,
+    10: AttemptOutcome.COMPLETED,
+    20: AttemptOutcome.ERROR,
+    30: AttemptOutcome.REJECTED,
+    40: AttemptOutcome.TIMED_OUT,
+    50: AttemptOutcome.UNREACHABLE,
+    60: AttemptOutcome.RESET,
+    70: AttemptOutcome.CANCELLED,
+    80: AttemptOutcome.NOT_SENT,
 }
 
 
@@ -57,7 +57,7 @@
         self.names = names
         self.controller = Controller(settings, random.Random(seed))
 
-    def report(self, values: tuple[float, ...]) -> Report:
+    def report(self, values: tuple[float, ...]) -> LoadReport:
         """Name the report's values; -1 and what is no number count as missing."""
         return report_from(zip(self.names, values, strict=False))
 
@@ -138,7 +138,7 @@
                 return TimerRang(record.label)
             case wire.ProbeResult():
                 reached = record.reason == 10
-                report = instance.report(record.pressure) if reached else Report()
+                report = instance.report(record.pressure) if reached else LoadReport()
                 return LoadTold(record.server, report, reached, asked=record.time_taken_s > 0)
             case wire.Inbox():
                 return PeerTold(record.neighbour, record.body)
@@ -166,7 +166,11 @@
             raise wire.WireError(f"Outcome: unknown reason {record.reason}")
         ending = ENDINGS[record.reason]
         low, wait_ms = record.cause % WAIT_UNIT, record.cause // WAIT_UNIT
-        told = wait_ms / 1000 if ending is Ending.FULL and low == PROCESSOR_FULL and wait_ms else None
+        told = (
+            wait_ms / 1000
+            if ending is AttemptOutcome.REJECTED and low == PROCESSOR_FULL and wait_ms
+            else None
+        )
         return SetupEnded(
             call=record.txn,
             server=record.server,
@@ -175,8 +179,8 @@
             report=instance.report(record.pressure),
             took_s=record.time_taken_s,
             told_wait_s=told,
-            number_busy=ending is Ending.ERROR and low == NUMBER_BUSY,
-            no_line=ending in (Ending.FULL, Ending.NOT_SENT) and low == NO_LINE,
+            number_busy=ending is AttemptOutcome.ERROR and low == NUMBER_BUSY,
+            no_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT) and low == NO_LINE,
         )
 
 
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -17,7 +17,7 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node.core import Attempt, Core, Counters, Listing, Server
-from stairhatch.overload.events import Report, Standing
+from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, Safety, Settings
 from stairhatch.sip.flows import SipConnection
 from stairhatch.sip.front import Listener, SipConfig, SipFront
@@ -92,7 +92,7 @@
             settings, random.Random(1), self.now, lambda e, **f: self.logged.append((e, f)), Counters()
         )
         self.core.side = self
-        self.core.list_servers([Listing("stand-in", ("127.0.0.1", 9), 0, Standing.READY)], True)
+        self.core.list_servers([Listing("stand-in", ("127.0.0.1", 9), 0, Availability.READY)], True)
         self.core.listening = self.core.list_known = True
         for server in self.core.servers.values():
             server.tried = server.connected = True
@@ -138,7 +138,7 @@
                 case "STARTED":
                     self.core.answered(server, ident, what.blob)
                 case _:
-                    self.core.finished(server, ident, what.cause, "", Report())
+                    self.core.finished(server, ident, what.cause, "", LoadReport())
 
         return act
 
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from stairhatch.node.core import Core, Machine, Stage
-from stairhatch.overload.events import Standing
+from stairhatch.overload.events import Availability
 
 MOST_ORDER = 128  # bytes of a line at the door
 MOST_LOGGED = 200  # characters of an answer
@@ -57,7 +57,9 @@
     why = core.why_not()
     if why:
         return f"fail {why}"
-    ready = [s for s in core.servers.values() if s.listing.standing is Standing.READY and core.links_to(s)]
+    ready = [
+        s for s in core.servers.values() if s.listing.standing is Availability.READY and core.links_to(s)
+    ]
     return f"ok serving, {sum(s.connected for s in ready)} of {len(ready)} roster servers connected"
 
 
@@ -166,7 +168,7 @@
         core = self.core
         stages = [call.stage for call in core.calls.values()]
         setting_up, standing = stages.count(Stage.OFFERED), stages.count(Stage.STANDING)
-        ready = sum(s.listing.standing is Standing.READY for s in core.servers.values())
+        ready = sum(s.listing.standing is Availability.READY for s in core.servers.values())
         connected = sum(server.connected for server in core.servers.values())
         counts = core.counters.counts
         named = ("answers_stood", "answers_refused", "answers_failed", "calls_given_up")
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -22,17 +22,17 @@
 from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptOutcome,
+    Availability,
     CallerLeft,
     CallOffered,
-    Ending,
     Event,
     ListedServer,
+    LoadReport,
     LoadTold,
-    Report,
     ServersListed,
     SetupEnded,
     SetupStood,
-    Standing,
     TimerRang,
 )
 from stairhatch.overload.settings import CallClass, Settings
@@ -191,7 +191,7 @@
     instance: str
     address: tuple[str, int]
     number: int
-    standing: Standing
+    standing: Availability
     started_s: float = 0.0
 
 
@@ -383,7 +383,7 @@
         """
         if self._able:
             return ""
-        ready = [s for s in self.servers.values() if s.listing.standing is Standing.READY]
+        ready = [s for s in self.servers.values() if s.listing.standing is Availability.READY]
         untried = [server.listing.instance for server in ready if not server.tried and self.links_to(server)]
         if not self.list_known:
             return "the list of roster servers is not known yet"
@@ -441,23 +441,23 @@
         for line in lines:
             named.add(line.instance)
             server = self.by_instance.get(line.instance)
-            if server is None and line.standing is Standing.GONE:
+            if server is None and line.standing is Availability.GONE:
                 continue  # it has been forgotten
             if server is None:
                 server = Server(next(self._server_ids), line)
                 self.servers[server.id] = self.by_instance[line.instance] = server
             restarted = line.started_s > server.listing.started_s
             server.listing = line
-            if line.standing is Standing.GONE or restarted:
+            if line.standing is Availability.GONE or restarted:
                 self.cut_standing(server, before=line.started_s if restarted else self.clock() + 1)
             told.append(self._line(server))
             self.side.listed(server)
             self.log("listed", server=line.instance, state=line.standing.value, cell=line.number)
         if complete:
             for server in self.servers.values():
-                if server.listing.instance not in named and server.listing.standing is not Standing.GONE:
+                if server.listing.instance not in named and server.listing.standing is not Availability.GONE:
                     old = server.listing
-                    gone = Listing(old.instance, old.address, old.number, Standing.GONE, old.started_s)
+                    gone = Listing(old.instance, old.address, old.number, Availability.GONE, old.started_s)
                     server.listing = gone
                     self.cut_standing(server, before=self.clock() + 1)
                     self.side.listed(server)
@@ -465,7 +465,7 @@
 
     def forget_server(self, server: Server) -> None:
         """A server that is gone, and to which no link is left, has nothing to be known of any more."""
-        if server.listing.standing is Standing.GONE:
+        if server.listing.standing is Availability.GONE:
             self.servers.pop(server.id, None)
             if self.by_instance.get(server.listing.instance) is server:
                 del self.by_instance[server.listing.instance]
@@ -498,7 +498,7 @@
             and call.stood_at < before
         ]
         for call in cut:
-            self._call_ended(call, CUT, Report())
+            self._call_ended(call, CUT, LoadReport())
 
     # ---- callers ----
 
@@ -542,7 +542,7 @@
         attempt = call.attempt
         self._tell(CallerLeft(call.number))
         if attempt is not None and not attempt.over:
-            self._give_up(attempt, Ending.CANCELLED)
+            self._give_up(attempt, AttemptOutcome.CANCELLED)
 
     def caller_away(self, call: Call) -> None:
         """The caller's connection has ended, and an answer would have to be brought to it by another. What
@@ -567,7 +567,7 @@
                 self.log("release", call=call.offer.ident, side="caller", cause=cause)
             self.side.finish(attempt.server, call.offer.ident, cause)
             self._close(call)
-            self._attempt_ended(attempt, Ending.CANCELLED, Report())
+            self._attempt_ended(attempt, AttemptOutcome.CANCELLED, LoadReport())
 
     def release_unknown(self, ident: str, cause: int) -> None:
         """A caller ends a call from before a restart: only the roster servers know which of them holds it."""
@@ -576,7 +576,7 @@
         self._remember(ident)
         self.counters.add("releases_of_unknown_calls")
         for server in self.servers.values():
-            if server.listing.standing is not Standing.GONE:
+            if server.listing.standing is not Availability.GONE:
                 self.side.finish(server, ident, cause)
 
     def answer_all(self) -> None:
@@ -615,12 +615,12 @@
         if attempt.over or attempt.written:
             return None
         now = self.clock()
-        if attempt.server.listing.standing is not Standing.READY or attempt.due <= now:
-            self._attempt_ended(attempt, Ending.NOT_SENT, Report())
+        if attempt.server.listing.standing is not Availability.READY or attempt.due <= now:
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, LoadReport())
             return None
         if self.before_cold is not None and not self._turn_holds(attempt.server, self.before_cold):
             self.counters.add("turns_lost")
-            self._attempt_ended(attempt, Ending.NOT_SENT, Report())
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, LoadReport())
             return None
         attempt.written, attempt.written_at = True, now
         self.counters.add("attempts_sent")
@@ -656,12 +656,14 @@
     def not_written(self, attempt: Attempt, reached: bool) -> None:
         """The set-up never left: there was no connection, or no room on it."""
         if not attempt.over and not attempt.written:
-            self._attempt_ended(attempt, Ending.NOT_SENT if reached else Ending.UNREACHED, Report())
+            self._attempt_ended(
+                attempt, AttemptOutcome.NOT_SENT if reached else AttemptOutcome.UNREACHABLE, LoadReport()
+            )
 
     def connection_lost(self, attempt: Attempt) -> None:
         """The connection broke under a set-up that had been written on it."""
         if not attempt.over and attempt.call.stage is Stage.OFFERED:
-            self._attempt_ended(attempt, Ending.RESET, Report())
+            self._attempt_ended(attempt, AttemptOutcome.RESET, LoadReport())
 
     def pending(self, server: Server, ident: str) -> None:
         """A roster server is at work on a set-up."""
@@ -696,7 +698,7 @@
         call.caller.stood(description.encode("utf-8", "surrogateescape"))
         self._tell(SetupStood(call.number, server.id, now - attempt.asked_at))
 
-    def finished(self, server: Server, ident: str, cause: int, note: str, report: Report) -> None:
+    def finished(self, server: Server, ident: str, cause: int, note: str, report: LoadReport) -> None:
         """A roster server refuses a set-up or releases a call."""
         call = self.by_ident.get(ident)
         attempt = call.attempt if call is not None else None
@@ -716,23 +718,23 @@
         if cause == ENDED:
             self._ended_unheard(call, attempt, report)
             return
-        ending = Ending.ERROR
+        ending = AttemptOutcome.ERROR
         if cause == FULL:
-            ending = Ending.FULL
+            ending = AttemptOutcome.REJECTED
         elif cause == MOOT:
-            ending = Ending.NOT_SENT
+            ending = AttemptOutcome.NOT_SENT
         elif cause not in ERRORS:
-            ending = Ending.RESET
+            ending = AttemptOutcome.RESET
         self._attempt_ended(attempt, ending, report, note)
 
-    def load_told(self, server: Server, report: Report) -> None:
+    def load_told(self, server: Server, report: LoadReport) -> None:
         """A roster server's figures, unasked."""
-        if report != Report():
+        if report != LoadReport():
             self._tell(LoadTold(server.id, report))
 
     # ---- inside ----
 
-    def _ended_unheard(self, call: Call, attempt: Attempt, report: Report) -> None:
+    def _ended_unheard(self, call: Call, attempt: Attempt, report: LoadReport) -> None:
         """The call stood and has come to its end, but the answer has not been heard.
 
         Guards against a call that is set up a second time though it has run its course: its end was owed to
@@ -743,9 +745,9 @@
             self.log("release", call=call.offer.ident, side="server", cause=ENDED)
         call.attempt = None
         self._final(call, FailCall(call.number))
-        self._attempt_ended(attempt, Ending.RESET, report)
+        self._attempt_ended(attempt, AttemptOutcome.RESET, report)
 
-    def _call_ended(self, call: Call, cause: int, report: Report) -> None:
+    def _call_ended(self, call: Call, cause: int, report: LoadReport) -> None:
         """A standing call is over by the roster server's doing: its caller is released."""
         attempt = call.attempt
         assert attempt is not None
@@ -754,7 +756,9 @@
             self.log("release", call=call.offer.ident, side="server", cause=cause)
         self._close(call)
         call.caller.released(cause)
-        self._attempt_ended(attempt, Ending.DONE if cause == ENDED else Ending.RESET, report)
+        self._attempt_ended(
+            attempt, AttemptOutcome.COMPLETED if cause == ENDED else AttemptOutcome.RESET, report
+        )
 
     def _close(self, call: Call) -> None:
         """The call is over; late messages for it are no news."""
@@ -791,7 +795,7 @@
                 self.log("answer", call=call.offer.ident, result="failed")
             call.caller.failed(timed_out=self.clock() >= call.deadline - ANSWER_EARLY_S)
         if attempt is not None and not attempt.over:
-            self._give_up(attempt, Ending.CANCELLED)
+            self._give_up(attempt, AttemptOutcome.CANCELLED)
 
     def _set_up(self, action: SendSetup) -> None:
         """The decisions ask for an attempt. What the rules forbid is answered here and never leaves."""
@@ -804,7 +808,9 @@
         if server is None:
             self.log("guard", call=call.offer.ident, why="unknown server")
             self.counters.add("guards")
-            self._events.append(SetupEnded(call.number, action.server, Ending.NOT_SENT, False, Report()))
+            self._events.append(
+                SetupEnded(call.number, action.server, AttemptOutcome.NOT_SENT, False, LoadReport())
+            )
             return
         call.attempts += 1
         due = call.deadline
@@ -813,9 +819,9 @@
         attempt = call.attempt = Attempt(call, server, call.attempts, now, due)
         pools = call.offer.kind.pools
         barred = pools is not None and server.listing.number not in pools
-        ready = server.listing.standing is Standing.READY
+        ready = server.listing.standing is Availability.READY
         if barred or not ready or call.attempts > call.cap or due <= max(now, call.pause_until):
-            self._attempt_ended(attempt, Ending.NOT_SENT, Report())
+            self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, LoadReport())
             return
         self.at(due, partial(self._timed_out, call.number, attempt.number))
         if now < call.pause_until:
@@ -831,23 +837,28 @@
         call = self.calls.get(number)
         attempt = call.attempt if call is not None and call.stage is Stage.OFFERED else None
         if attempt is not None and attempt.number == attempt_number and not attempt.over:
-            self._give_up(attempt, Ending.TIMED_OUT)
+            self._give_up(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def _give_up(self, attempt: Attempt, ending: AttemptOutcome) -> None:
         """Stop waiting for an attempt. One that was never written is never sent."""
         if attempt.written:
             self.side.finish(attempt.server, attempt.call.offer.ident, ENDED)
-        elif ending is Ending.TIMED_OUT:
-            ending = Ending.UNREACHED
-        self._attempt_ended(attempt, ending, Report())
+        elif ending is AttemptOutcome.TIMED_OUT:
+            ending = AttemptOutcome.UNREACHABLE
+        self._attempt_ended(attempt, ending, LoadReport())
 
-    def _attempt_ended(self, attempt: Attempt, ending: Ending, report: Report, note: str = "") -> None:
+    def _attempt_ended(
+        self, attempt: Attempt, ending: AttemptOutcome, report: LoadReport, note: str = ""
+    ) -> None:
         """Each attempt has one outcome, told to the decisions."""
         now = self.clock()
         call = attempt.call
         attempt.over = True
         call.attempt = None
-        if ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED) and attempt.written:
+        if (
+            ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
+            and attempt.written
+        ):
             call.pause_until = now + self.settings.safety.clear_wait_s + PAUSE_MARGIN_S
         self.counters.add("outcome_" + ending.value.replace(" ", "_"))
         if self.tracing:
@@ -869,8 +880,8 @@
                 answered=call.stage is not Stage.OFFERED,
                 report=report,
                 took_s=now - attempt.asked_at,
-                number_busy=ending is Ending.ERROR and note == "lines_busy",
-                no_line=ending in (Ending.FULL, Ending.NOT_SENT) and note == "no_circuit",
+                number_busy=ending is AttemptOutcome.ERROR and note == "lines_busy",
+                no_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT) and note == "no_circuit",
             )
         )
 
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/directory.py
@@ -13,7 +13,7 @@
 import httptools
 
 from stairhatch.node.core import Core, Listing, Machine, idle
-from stairhatch.overload.events import Standing
+from stairhatch.overload.events import Availability
 
 FIRST_WAIT_MS = 50  # the first answer tells at once whether what was known at the start is the whole list
 HEARD_S = 1.5  # a coordinator that is not heard does not keep a softswitch that knows a list from serving
@@ -24,9 +24,9 @@
 UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 SOON_S, PACE_S = 0.025, 0.1  # an answer that comes so soon and tells nothing new: the next question waits
 STATES = {
-    "in_service": Standing.READY,
-    "terminating": Standing.DRAINING,
-    "terminated": Standing.GONE,
+    "in_service": Availability.READY,
+    "terminating": Availability.DRAINING,
+    "terminated": Availability.GONE,
 }
 
 
@@ -93,7 +93,7 @@
     known = {
         name: _raw(server.listing)
         for name, server in core.by_instance.items()
-        if server.listing.standing is not Standing.GONE
+        if server.listing.standing is not Availability.GONE
     }
     events, said = [], []
     try:
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from stairhatch.node.core import Attempt, Core, Machine, Server
-from stairhatch.overload.events import Report, Standing
+from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings import report_from
 
 MOST_LINE = 16 * 1024
@@ -60,7 +60,7 @@
     return json.dumps(value, separators=(",", ":")).encode() + b"\n"
 
 
-def parse_load(text: str) -> Report:
+def parse_load(text: str) -> LoadReport:
     """A report such as `x0:12;x1:40`."""
     values = []
     for piece in text.split(";"):
@@ -88,7 +88,7 @@
     def listed(self, server: Server) -> None:
         """News of a server: keep a connection while it is of use."""
         link = self.links.get(server.id)
-        if server.listing.standing is Standing.GONE:
+        if server.listing.standing is Availability.GONE:
             for each in self.all_to(server):
                 each.retire()
             if link is None:  # it never was in scope; not now, since the list is being gone through
@@ -125,7 +125,7 @@
 
     def _look_at_leaving(self, server: Server) -> None:
         self.leaving.discard(server.id)
-        if server.listing.standing is not Standing.GONE:
+        if server.listing.standing is not Availability.GONE:
             self.listed(server)
 
     def set_up(self, attempt: Attempt) -> None:
@@ -293,7 +293,7 @@
             del self.spares[link.server.id]
         if self.links.get(link.server.id) is link:
             del self.links[link.server.id]
-            if link.server.listing.standing is not Standing.GONE:
+            if link.server.listing.standing is not Availability.GONE:
                 self.listed(link.server)  # it was listed again in the meantime
             else:
                 self.core.forget_server(link.server)
@@ -384,7 +384,7 @@
 
     def _overdue(self) -> None:
         """Guards against a machine that vanished: what is to be written to it never leaves."""
-        if self.retired and self.server.listing.standing is Standing.GONE:
+        if self.retired and self.server.listing.standing is Availability.GONE:
             self.queue.clear()
             self.abort()
             self.wake()
@@ -432,7 +432,7 @@
         in_use = self.side.links.get(self.server.id)
         self.server.connected = in_use is not None and in_use.up_at < math.inf
         unsure = self.unsure()
-        if in_use is not None and self.server.listing.standing is not Standing.GONE:
+        if in_use is not None and self.server.listing.standing is not Availability.GONE:
             in_use.queue.extendleft(reversed(unsure))
             in_use.wake()
         if self in self.side.left and not self.done() and any(map(self.side.core.stands, self.stood)):
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -16,17 +16,17 @@
 from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
 from stairhatch.overload.endpoint import Server
 from stairhatch.overload.events import (
+    AttemptOutcome,
+    Availability,
     CallerLeft,
     CallOffered,
-    Ending,
     Event,
     ListedServer,
+    LoadReport,
     LoadTold,
-    Report,
     ServersListed,
     SetupEnded,
     SetupStood,
-    Standing,
     TimerRang,
 )
 from stairhatch.overload.pending_call import Call, Jam
@@ -138,7 +138,7 @@
             listed = {line.server for line in event.servers}
             for server in self.servers.values():
                 if server.id not in listed:
-                    server.standing = Standing.GONE
+                    server.standing = Availability.GONE
         for line in event.servers:
             known = self.servers.get(line.server)
             if known is None:
@@ -149,14 +149,14 @@
             self.note_start(now, known, line)
             known.number, known.standing, known.listed_at = line.number, line.standing, now
         for server in list(self.servers.values()):
-            gone = server.standing is Standing.GONE and not server.unanswered
+            gone = server.standing is Availability.GONE and not server.unanswered
             if gone and now - server.listed_at > MEMORY_S:  # until then it may return, and its size is known
                 del self.servers[server.id]
 
     def note_start(self, now: float, server: Server, line: ListedServer) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
         age = now - line.up_since
-        if line.up_since <= 0 or age >= self.safety.warm_after_s or line.standing is not Standing.READY:
+        if line.up_since <= 0 or age >= self.safety.warm_after_s or line.standing is not Availability.READY:
             return
         if server.born is not None and abs(server.born - line.up_since) < 1e-6:
             return
@@ -374,13 +374,13 @@
     def first_choice(self, call: Call) -> Server | None:
         """The server that the call names, if it is known."""
         for server in self.servers.values():
-            if server.number == call.choice and server.standing is Standing.READY:
+            if server.number == call.choice and server.standing is Availability.READY:
                 return server
         return None
 
     def may_use(self, call: Call, server: Server) -> bool:
         """Whether the list, the class and the call's way allow this server at all."""
-        if server.standing is not Standing.READY or server.number == self.settings.own_number:
+        if server.standing is not Availability.READY or server.number == self.settings.own_number:
             return False
         if call.in_transit:
             return server.number == call.choice
@@ -493,7 +493,7 @@
             if server is not None and server_id != stood_at:
                 server.errors += 1
                 if server.errors >= ERRORS_IN_A_ROW:
-                    self.block(now, server, Ending.ERROR)
+                    self.block(now, server, AttemptOutcome.ERROR)
 
     def drop_overtaken(self, now: float, server: Server, sent: float) -> None:
         """Departure: a set-up overtaken by one sent clearly later, or by a report, is lost and tells nothing.
@@ -556,20 +556,20 @@
         was_setup = server is not None and server.unanswered.pop(event.call, None) is not None
         if server is not None:
             self.learn_end(now, server, event, was_setup)
-        if event.ending is Ending.DONE:
+        if event.ending is AttemptOutcome.COMPLETED:
             self.lasted += 1
             self.lasted_s += (event.took_s - self.lasted_s) / min(self.lasted, 100)
         call = self.calls.get(event.call)
         if call is None or event.answered:
             self.forget(event.call)
             return
-        if event.ending in (Ending.TIMED_OUT, Ending.RESET, Ending.CANCELLED):
+        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
             call.not_before = now + self.safety.clear_wait_s  # rule 5
-        if event.ending not in (Ending.FULL, Ending.UNREACHED, Ending.NOT_SENT):
+        if event.ending not in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
             call.may_have_run = True
         if event.number_busy:
             self.note_number(now, call.called, busy=True)
-        elif event.ending is Ending.ERROR:
+        elif event.ending is AttemptOutcome.ERROR:
             call.erred_at += (event.server,)
         unrepeatable = call.may_have_run and not call.kind.repeatable
         over = event.number_busy or unrepeatable or call.attempts >= call.cap
@@ -587,20 +587,20 @@
         self.note_report(now, server, event.report)
         if event.no_line:  # its lines have run out, not its processor: the next report tells of room
             server.has_line, server.lines_at = False, now
-        elif event.ending in (Ending.UNREACHED, Ending.FULL):
+        elif event.ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED):
             self.block(now, server, event.ending, event.told_wait_s or 0.0)
-        elif event.ending is Ending.TIMED_OUT and was_setup and event.took_s < self.scale_s:
+        elif event.ending is AttemptOutcome.TIMED_OUT and was_setup and event.took_s < self.scale_s:
             if self.is_cold(now, server):
                 server.own_s, server.own_at = event.took_s, now
             else:
                 server.lost_at = now  # given up early, as lost
-        elif event.ending is Ending.TIMED_OUT and was_setup:
+        elif event.ending is AttemptOutcome.TIMED_OUT and was_setup:
             server.own_s, server.own_at = max(event.took_s, self.scale_s), now
             if server.window >= 1:
                 server.window = max(self.least_window, server.window / 2)
             self.steer(now, server, server.own_s)
 
-    def block(self, now: float, server: Server, ending: Ending, told_wait_s: float = 0.0) -> None:
+    def block(self, now: float, server: Server, ending: AttemptOutcome, told_wait_s: float = 0.0) -> None:
         """Departure: a server that turns set-ups away, fails them in a row or can't be reached gets one at a
         time, after pauses.
 
@@ -610,7 +610,7 @@
         """
         if not server.down:
             self.notes.append(f"server {server.id} paused: {ending.value}")
-        if ending is Ending.UNREACHED and not server.unreached:
+        if ending is AttemptOutcome.UNREACHABLE and not server.unreached:
             server.unreached = True
             self.start_turns(now, server)
         server.down = True
@@ -627,36 +627,38 @@
         if server is not None:
             self.note_report(now, server, event.report)
 
-    def note_report(self, now: float, server: Server, report: Report) -> None:
+    def note_report(self, now: float, server: Server, report: LoadReport) -> None:
         """Turn whatever the report holds into one wait.
 
         Where fewer lines are free than there are nodes, each takes one with that chance, so that a pool whose
         lines have run out is not stormed by all nodes for each line that gets free.
         """
-        if report.free is not None and report.size is not None:
-            server.occupied, server.lines = report.size - report.free, report.size
+        if report.free_lines is not None and report.total_lines is not None:
+            server.occupied, server.lines = report.total_lines - report.free_lines, report.total_lines
             self.warm_use(now)  # keeps its memory fresh
             if not server.shrunk:
                 server.window = max(server.window, self.fair_window(server))
-            server.has_line = self.rng.random() * self.settings.balancers < report.free
+            server.has_line = self.rng.random() * self.settings.balancers < report.free_lines
             server.lines_at = now
-        server.rate = report.rate if report.rate is not None else server.rate
-        if report.hold_back is not None:
-            server.hold_back = report.hold_back
+        server.rate = report.admissible_rate if report.admissible_rate is not None else server.rate
+        if report.throttle_fraction is not None:
+            server.hold_back = report.throttle_fraction
         wait = self.reported_wait(report)
         if wait is not None:
             server.reported_s, server.reported_at = wait, now
             self.drop_overtaken(now, server, now - wait - self.scale_s)
             self.steer(now, server, wait)
 
-    def reported_wait(self, report: Report) -> float | None:
+    def reported_wait(self, report: LoadReport) -> float | None:
         """Wait as told; else queue over rate; else, from utilisation, the onset at 9 tenths busy."""
-        if report.wait_s is not None:
-            return report.wait_s
-        if report.queue is not None and report.rate is not None:
-            return report.queue / report.rate if report.rate > 0 else self.scale_s
-        if report.busy is not None:
-            return self.onset * min(9.0, report.busy / max(1 - report.busy, 0.01) / 9)
+        if report.processor_wait_s is not None:
+            return report.processor_wait_s
+        if report.queue_length is not None and report.admissible_rate is not None:
+            return (
+                report.queue_length / report.admissible_rate if report.admissible_rate > 0 else self.scale_s
+            )
+        if report.utilization is not None:
+            return self.onset * min(9.0, report.utilization / max(1 - report.utilization, 0.01) / 9)
         return None
 
     # ---- cold servers (rule 4) ----
@@ -760,5 +762,5 @@
 
     def warm_ones(self, now: float) -> list[Server]:
         """The servers that are neither cold nor down."""
-        up = (s for s in self.servers.values() if s.standing is Standing.READY and not s.down)
+        up = (s for s in self.servers.values() if s.standing is Availability.READY and not s.down)
         return [server for server in up if not self.is_cold(now, server)]
--- a/stairhatch/overload/endpoint.py
+++ b/stairhatch/overload/endpoint.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from stairhatch.overload.events import Standing
+from stairhatch.overload.events import Availability
 
 
 @dataclass(slots=True)
@@ -13,7 +13,7 @@
 
     id: int
     number: int
-    standing: Standing = Standing.READY
+    standing: Availability = Availability.READY
     listed_at: float = 0.0
     born: float | None = None  # when it started, if that matters
     flagged: bool = False
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -11,39 +11,39 @@
 from stairhatch.overload.settings import CallClass
 
 
-class Standing(Enum):
-    """What the server list says of a server."""
+class Availability(Enum):
+    """What the endpoint list says of a call server."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class Ending(Enum):
-    """How an attempt ended."""
+class AttemptOutcome(Enum):
+    """How a set-up attempt ended."""
 
-    DONE = "done"  # the call stood and has ended
-    ERROR = "error"  # the number is busy, or a signalling fault
-    FULL = "full"  # turned away; it never ran
+    COMPLETED = "completed"  # the call was established and has ended normally
+    ERROR = "error"  # the called number is busy, or a signalling fault
+    REJECTED = "rejected"  # the server had no capacity; the set-up never ran
     TIMED_OUT = "timed out"  # no answer in time; it may have gone on
-    UNREACHED = "unreached"  # no connection; it never ran
-    RESET = "reset"  # the set-up or the standing call was cut
+    UNREACHABLE = "unreachable"  # no connection; it never ran
+    RESET = "reset"  # the set-up or the established call was cut
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"  # it never left the node
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A server's figures; each may be missing. `free` and `size` are exact, the others late and noisy."""
+class LoadReport:
+    """A server's load figures; each may be missing. Line counts are exact, the others late and noisy."""
 
-    free: float | None = None  # free lines
-    size: float | None = None  # lines in all
-    wait_s: float | None = None  # wait at its processor
-    queue: float | None = None  # messages waiting there
-    working: float | None = None  # messages being worked on
-    busy: float | None = None  # share of the processor in use, 0 to 1
-    rate: float | None = None  # new set-ups a second it can take from all senders
-    hold_back: float | None = None  # share of new set-ups it asks each sender to hold back
+    free_lines: float | None = None
+    total_lines: float | None = None
+    processor_wait_s: float | None = None  # queueing delay at its processor
+    queue_length: float | None = None  # messages waiting there
+    in_service: float | None = None  # messages being processed
+    utilization: float | None = None  # fraction of the processor in use, 0 to 1
+    admissible_rate: float | None = None  # new set-ups a second it can take from all senders
+    throttle_fraction: float | None = None  # fraction of new set-ups it asks each sender to reject
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
     server: int
     number: int
-    standing: Standing = Standing.READY
+    standing: Availability = Availability.READY
     up_since: float = 0.0  # when it last started; 0: long ago
 
 
@@ -92,9 +92,9 @@
 
     call: int
     server: int
-    ending: Ending
+    ending: AttemptOutcome
     answered: bool
-    report: Report
+    report: LoadReport
     took_s: float = 0.0
     told_wait_s: float | None = None  # a full server's own word on how long to wait
     number_busy: bool = False  # all lines of the number called are busy
@@ -113,7 +113,7 @@
     """A server's figures, unasked or as the answer to a probe."""
 
     server: int
-    report: Report
+    report: LoadReport
     reached: bool = True
     asked: bool = False
 
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -18,6 +18,7 @@
 from stairhatch.overload.controller import WAKE, Controller
 from stairhatch.overload.endpoint import Server
 from stairhatch.overload.events import (
+    Availability,
     CallerLeft,
     CallOffered,
     Event,
@@ -26,7 +27,6 @@
     ServersListed,
     SetupEnded,
     SetupStood,
-    Standing,
     TimerRang,
 )
 from stairhatch.overload.settings import CallClass, Settings
@@ -287,7 +287,7 @@
             named = {line.server for line in event.servers}
             for server, line in self.lines.items():
                 if server not in named:
-                    self.lines[server] = replace(line, standing=Standing.GONE)
+                    self.lines[server] = replace(line, standing=Availability.GONE)
                     self.gone.add(server)
         told: dict[Numbers, list[ListedServer]] = {}
         for line in event.servers:
@@ -319,7 +319,7 @@
             self.numbered[old.number].pop(line.server, None)
         self.lines[line.server] = line
         self.numbered.setdefault(line.number, {})[line.server] = None
-        if line.standing is Standing.GONE:
+        if line.standing is Availability.GONE:
             self.gone.add(line.server)
         else:
             self.gone.discard(line.server)
--- a/stairhatch/settings.py
+++ b/stairhatch/settings.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stairhatch.overload.events import Report
+from stairhatch.overload.events import LoadReport
 from stairhatch.overload.settings import CallClass, Safety, Settings
 
 MOST_S = 1e6  # of any time: what is longer was mistyped, and would overflow a timer
@@ -19,14 +19,14 @@
 
 # Name on the wire -> field of a Report, factor.
 REPORT_FIELDS = {
-    "free": ("free", 1.0),
-    "size": ("size", 1.0),
-    "mean_ms": ("wait_s", 0.001),
-    "depth": ("queue", 1.0),
-    "concurrent": ("working", 1.0),
-    "load_share": ("busy", 1.0),
-    "can_take": ("rate", 1.0),
-    "hold_back": ("hold_back", 1.0),
+    "free": ("free_lines", 1.0),
+    "size": ("total_lines", 1.0),
+    "mean_ms": ("processor_wait_s", 0.001),
+    "depth": ("queue_length", 1.0),
+    "concurrent": ("in_service", 1.0),
+    "load_share": ("utilization", 1.0),
+    "can_take": ("admissible_rate", 1.0),
+    "hold_back": ("throttle_fraction", 1.0),
 }
 
 
@@ -242,14 +242,14 @@
     return ""
 
 
-def report_from(values: Iterable[tuple[str, float]]) -> Report:
+def report_from(values: Iterable[tuple[str, float]]) -> LoadReport:
     """Name a report's values; -1, unknown names and what is no number count as missing."""
     found: dict[str, float] = {}
     for name, value in values:
         field = REPORT_FIELDS.get(name)
         if field is not None and math.isfinite(value) and value >= 0:
             found[field[0]] = value * field[1]
-    return Report(**found)
+    return LoadReport(**found)
 
 
 def _check_numbers(raw: dict[str, Any], at: str, complete: bool) -> None:
