--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -54,7 +54,7 @@
     SetupStood,
     TimerRang,
 )
-from stairhatch.overload.settings import CallClass, Safety, Settings
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.standin.behaviour import Say, ends
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -87,9 +87,13 @@
 class Site:
     """What the settings say, and what the servers are like. Times in seconds, rates in calls a second."""
 
-    safety: Safety = field(
-        default_factory=lambda: Safety(
-            cold_from=0.29, warm_after_s=14.0, fall_multiple=2.5, fall_s=1.5, drain_grace_s=1.0
+    safety: SafetyLimits = field(
+        default_factory=lambda: SafetyLimits(
+            initial_capacity_fraction=0.29,
+            warm_up_s=14.0,
+            overload_multiple=2.5,
+            overload_window_s=1.5,
+            drain_grace_s=1.0,
         )
     )
     retransmit_s: float = 0.8
@@ -105,14 +109,16 @@
 
     def warmth(self, age: float) -> float:
         """Its share of its capacity."""
-        part = min(1.0, max(0.0, age / max(self.safety.warm_after_s, 1e-9)))
+        part = min(1.0, max(0.0, age / max(self.safety.warm_up_s, 1e-9)))
         if not self.even and part < 1:
             part = 0.0
-        return self.safety.cold_from + (1 - self.safety.cold_from) * part
+        return self.safety.initial_capacity_fraction + (1 - self.safety.initial_capacity_fraction) * part
 
     def budget(self, age: float = 0.0) -> float:
         """N: what the settings allow the server then, in any `fall_s`."""
-        return self.safety.fall_multiple * self.warmth(age) * self.capacity * self.safety.fall_s
+        return (
+            self.safety.overload_multiple * self.warmth(age) * self.capacity * self.safety.overload_window_s
+        )
 
     def bound(self, age: float = 0.0) -> float:
         """Beyond N only this much is put down to chance."""
@@ -134,11 +140,11 @@
         """
         first, most, times = 0, (0.0, 0, 0.0), sorted(self.times)
         for last, now in enumerate(times):
-            if now >= self.site.safety.warm_after_s:
+            if now >= self.site.safety.warm_up_s:
                 break
-            while times[first] <= now - self.site.safety.fall_s:
+            while times[first] <= now - self.site.safety.overload_window_s:
                 first += 1
-            count, begun = last + 1 - first, max(0.0, now - self.site.safety.fall_s)
+            count, begun = last + 1 - first, max(0.0, now - self.site.safety.overload_window_s)
             most = max(most, (count / self.site.bound(begun), count, begun))
         return most
 
@@ -183,11 +189,11 @@
         weights = [self.chance.uniform(0.5, 1.5) for _ in range(processes)]
         if story is Story.LOPSIDED:
             weights[0] = 2 * sum(weights[1:])
-        kind = CallClass("read", 1.0, 1.5, 9.0, length_s=site.length_s, late_worth=0.25)
-        save = replace(kind, name="save", importance=3.0, late_worth=0.1)
+        kind = CallClass("read", 1.0, 1.5, 9.0, mean_duration_s=site.length_s, late_weight=0.25)
+        save = replace(kind, name="save", priority_weight=3.0, late_weight=0.1)
         self.settings = Settings(
             (kind, save), site.safety, processes, 0, site.retransmit_s, 6,
-            connect_timeout_s=site.connect_timeout_s, longest_return_s=2.0,
+            connect_timeout_s=site.connect_timeout_s, max_retry_after_s=2.0,
         )  # fmt: skip
         self.fleet = [
             Process(-1 if unknown and n % 3 == 0 else n, None, weight / sum(weights))
@@ -204,7 +210,7 @@
     def begin(self, process: Process) -> None:
         """A process starts with nothing but its settings and the list."""
         rng = random.Random(self.chance.random())
-        process.core = Controller(replace(self.settings, number=process.number), rng)
+        process.core = Controller(replace(self.settings, instance_index=process.number), rng)
         process.out.clear()
         cold = self.now > self.start
         lines = [ListedServer(n, n) for n in sorted(self.others)]
@@ -353,8 +359,8 @@
         self.bites += 1
         assert process.core is not None
         process.number = number
-        self.settings = replace(self.settings, balancers=count)
-        process.core.retune(replace(self.settings, number=number))
+        self.settings = replace(self.settings, instance_count=count)
+        process.core.retune(replace(self.settings, instance_index=number))
 
     def run(self) -> Result:
         """All of it, until it is warm."""
@@ -369,7 +375,7 @@
                 self.bites += 1
             self.at(start + late, partial(self.hear, process))
             self.offer(process)
-        moment = start + chance.uniform(1.0, 0.5 * self.site.safety.warm_after_s)
+        moment = start + chance.uniform(1.0, 0.5 * self.site.safety.warm_up_s)
         if story in (Story.RESTARTED, Story.BOTH):
             for process in chance.sample(self.fleet, self.count // 2):
                 self.at(moment + 0.1 * chance.random(), partial(self.kill, process, chance.uniform(0.3, 0.8)))
@@ -383,7 +389,7 @@
             numbers = chance.sample(range(more), self.count)
             for process, number in zip(self.fleet, numbers, strict=True):
                 self.at(moment + chance.random(), partial(self.renumber, process, number, more))
-        until = start + self.site.safety.warm_after_s
+        until = start + self.site.safety.warm_up_s
         while self.queue and self.queue[0][0] < until:
             self.now, _, what = heapq.heappop(self.queue)
             what()
@@ -428,9 +434,9 @@
     def __init__(self, seed: int) -> None:
         self.chance, self.times, self.in_release = random.Random(seed), [], False
         nature = Nature(
-            set_up_s=1 / (REAL.capacity * PER_CALL), cold_from=REAL.safety.cold_from,
-            warm_after_s=REAL.safety.warm_after_s, fall_multiple=REAL.safety.fall_multiple,
-            fall_s=REAL.safety.fall_s, noise=NOISE,
+            set_up_s=1 / (REAL.capacity * PER_CALL), cold_from=REAL.safety.initial_capacity_fraction,
+            warm_after_s=REAL.safety.warm_up_s, fall_multiple=REAL.safety.overload_multiple,
+            fall_s=REAL.safety.overload_window_s, noise=NOISE,
         )  # fmt: skip
         super().__init__(lines=int(REAL.capacity * HOLD_S), processor=Processor(nature, self.chance))
         self.seen = self.count
@@ -520,9 +526,10 @@
             "load_report": {"names": ["free", "size", "mean_ms", "can_take"]},
             "permissions": {"send_cap": 6, "cancel": True, "retry_after": True, "max_retry_after_s": 2.0,
                             "connect_timeout_s": REAL.connect_timeout_s},
-            "safety": {"answer_slack_s": 0.02, "drain_grace_s": 1.0, "cold_from": REAL.safety.cold_from,
-                       "warm_after_s": REAL.safety.warm_after_s, "fall_multiple": REAL.safety.fall_multiple,
-                       "fall_s": REAL.safety.fall_s},
+            "safety": {"answer_slack_s": 0.02, "drain_grace_s": 1.0,
+                       "cold_from": REAL.safety.initial_capacity_fraction,
+                       "warm_after_s": REAL.safety.warm_up_s, "fall_multiple": REAL.safety.overload_multiple,
+                       "fall_s": REAL.safety.overload_window_s},
         }  # fmt: skip
 
     def start(self, number: int) -> None:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -125,7 +125,7 @@
 
     def tell(self, what: str, event: Event) -> None:
         """One event, and what comes of it."""
-        if self.now - self.instant >= self.settings.period_s:  # as `Core.instant` has it
+        if self.now - self.instant >= self.settings.event_period_s:  # as `Core.instant` has it
             self.instant = self.now
         begun = time.process_time()
         actions = list(self.decisions.handle(self.instant, event))
@@ -148,7 +148,7 @@
         """A caller asks for one of the service's servers."""
         kind = self.settings.classes[service]
         self.times["offered"] += 1
-        choice = self.chance.choice(kind.pools or (0,))
+        choice = self.chance.choice(kind.allowed_servers or (0,))
         self.tell("call", CallOffered(next(self.serial), kind, choice, grace_s))
 
     def run(self, seconds: float, rate: float, service: int = 0) -> float:
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -51,10 +51,18 @@
     starts = range(0, max(1, listed // SERVICE) * SERVICE, SERVICE)
     pools = [tuple(range(n, n + SERVICE if n != starts[-1] else listed)) for n in starts]
     classes = tuple(
-        CallClass(f"service-{n}", aim_s=1.5, deadline_s=9.0, length_s=LASTS_S, pools=each)
+        CallClass(
+            f"service-{n}",
+            latency_objective_s=1.5,
+            deadline_s=9.0,
+            mean_duration_s=LASTS_S,
+            allowed_servers=each,
+        )
         for n, each in enumerate(pools)
     )
-    return Settings(classes, balancers=SERVICE, number=0, retransmit_s=0.8, longest_return_s=2.0)
+    return Settings(
+        classes, instance_count=SERVICE, instance_index=0, retransmit_interval_s=0.8, max_retry_after_s=2.0
+    )
 
 
 class Drive:
@@ -99,7 +107,7 @@
             self.now = until
             self.calls += 1
             kind = self.kinds[self.calls % len(self.kinds)]
-            choice = self.random.choice(kind.pools or (0,))
+            choice = self.random.choice(kind.allowed_servers or (0,))
             self.tell(CallOffered(self.calls, kind, choice, 9.0))
         return (time.process_time() - began) / calls
 
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -443,8 +443,10 @@
             if name in seen:
                 raise ConfigError(f"{here}.classes[{order}]: {name!r} stands twice")
             seen.add(name)
-        if each.softswitches is not None and each.softswitches > settings.balancers:
-            raise ConfigError(f"{here}.softswitches: above settings.balancers, which is {settings.balancers}")
+        if each.softswitches is not None and each.softswitches > settings.instance_count:
+            raise ConfigError(
+                f"{here}.softswitches: above settings.balancers, which is {settings.instance_count}"
+            )
         if each.me is not None and each.me >= (each.softswitches or 0):
             raise ConfigError(f"{here}.me: must be below softswitches")
         me = each.me if each.me is not None else -1
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -18,7 +18,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import Attempt, Core, Counters, Listing, Server
 from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.overload.settings import CallClass, Safety, Settings
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.sip.flows import SipConnection
 from stairhatch.sip.front import Listener, SipConfig, SipFront
 from stairhatch.standin.behaviour import Say, script_for
@@ -85,7 +85,7 @@
         self.time = 1000.0
         settings = Settings(
             (CallClass("read-roster", 1.0, 1.5, 9.0, 0.25), CallClass("save-roster", 3.0, 1.5, 9.0, 0.1)),
-            Safety(drain_grace_s=1.0), retransmit_s=0.8, attempts=6, longest_return_s=2.0,
+            SafetyLimits(drain_grace_s=1.0), retransmit_interval_s=0.8, max_attempts=6, max_retry_after_s=2.0,
         )  # fmt: skip
         self.logged: list[tuple[str, dict[str, Any]]] = []
         self.core = Core(
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -118,11 +118,11 @@
         self.history("started", name=config.name, voter=config.votes)
 
     def _numbers(self, settings: Settings) -> Numbers | None:
-        if not self.config.numbers or settings.balancers < 2:
+        if not self.config.numbers or settings.instance_count < 2:
             return None
-        names = numbers.names(settings.balancers)
-        first = settings.number if settings.number >= 0 else self.chance.randrange(len(names))
-        return Numbers(Pick(names, self.mate.claim, first), SPAN_PART * settings.safety.fall_s)
+        names = numbers.names(settings.instance_count)
+        first = settings.instance_index if settings.instance_index >= 0 else self.chance.randrange(len(names))
+        return Numbers(Pick(names, self.mate.claim, first), SPAN_PART * settings.safety.overload_window_s)
 
     # ---- life ----
 
@@ -151,7 +151,7 @@
 
     def tuned(self, settings: Settings) -> Settings:
         """A file's settings with the number that is held in place of the one that is typed."""
-        if settings.balancers != self.settings.balancers:
+        if settings.instance_count != self.settings.instance_count:
             now = clock()
             if self.numbers is not None:
                 self.carry(self.numbers.pick.give_back(now))
@@ -161,7 +161,7 @@
         self.settings = settings
         if self.numbers is None:
             return settings
-        return replace(settings, number=self.numbers.in_use)
+        return replace(settings, instance_index=self.numbers.in_use)
 
     def _on_loop(self, act: Callable[[], None]) -> object:
         return self.network.loop.call_soon_threadsafe(act)
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -234,12 +234,13 @@
         going = [kind for kind in dict.fromkeys(open_ones) if kind not in core.settings.classes]
         for kind in [*core.settings.classes, *going]:
             text += (
-                f"{kind.name:16} {kind.importance:6g} {kind.aim_s:6g}s {kind.deadline_s:6g}s "
-                f"{'yes' if kind.repeatable else 'no':5} {core.settings.attempts:8} {open_ones.count(kind):5}"
+                f"{kind.name:16} {kind.priority_weight:6g} {kind.latency_objective_s:6g}s "
+                f"{kind.deadline_s:6g}s {'yes' if kind.idempotent else 'no':5} "
+                f"{core.settings.max_attempts:8} {open_ones.count(kind):5}"
                 f"{' as it was before a reload' if kind in going else ''}"
             )
             if core.in_scope is not None:
-                known = near if kind.pools is None else near.intersection(kind.pools)
+                known = near if kind.allowed_servers is None else near.intersection(kind.allowed_servers)
                 text += "  in" if known else "  out"
             text += "\n"
         return text
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -321,7 +321,7 @@
         took more than half of a core where a thousand calls were held (snapshot 1e8dc2f4).
         """
         now = self.clock()
-        if now - self._instant >= self.settings.period_s:
+        if now - self._instant >= self.settings.event_period_s:
             self._instant = now
         return self._instant
 
@@ -508,7 +508,7 @@
             return None
         now = self.clock()
         due = now + offer.patience_s - ANSWER_EARLY_S
-        call = Call(next(self._order), offer, caller, due, self.settings.attempts)
+        call = Call(next(self._order), offer, caller, due, self.settings.max_attempts)
         self.calls[call.number] = self.by_ident[offer.ident] = call
         self.unanswered += 1
         self.counters.add("calls_taken")
@@ -588,7 +588,7 @@
 
     def harmless(self, call: Call) -> bool:
         """Whether its caller may be told that trying again does no harm."""
-        return call.attempts == 0 or call.offer.kind.repeatable
+        return call.attempts == 0 or call.offer.kind.idempotent
 
     def _answer_now(self, call: Call) -> None:
         """The final answer without the decisions: another try is the caller's."""
@@ -817,7 +817,7 @@
         if action.timeout_s != 0:
             due = min(due, now + max(0.0, action.timeout_s))
         attempt = call.attempt = Attempt(call, server, call.attempts, now, due)
-        pools = call.offer.kind.pools
+        pools = call.offer.kind.allowed_servers
         barred = pools is not None and server.listing.number not in pools
         ready = server.listing.standing is Availability.READY
         if barred or not ready or call.attempts > call.cap or due <= max(now, call.pause_until):
@@ -859,7 +859,7 @@
             ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
             and attempt.written
         ):
-            call.pause_until = now + self.settings.safety.clear_wait_s + PAUSE_MARGIN_S
+            call.pause_until = now + self.settings.safety.retry_pause_s + PAUSE_MARGIN_S
         self.counters.add("outcome_" + ending.value.replace(" ", "_"))
         if self.tracing:
             self.log(
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -434,7 +434,7 @@
         if front.core.turns_away():
             front.core.counters.add("calls_turned_away")
             advice = [("come-back-ms", str(int(AWAY_S * 1000)))]
-            self.respond(message, 503, advice if front.core.settings.may_advise_return else [])
+            self.respond(message, 503, advice if front.core.settings.may_send_retry_after else [])
             return
         offer = Offer(
             ident=ident,
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -93,13 +93,16 @@
         self.patience = {k.name: old[k.name] * k.deadline_s / was[k.name] for k in kinds}
         self.settings, self.safety = settings, settings.safety
         # Floors and first values are the whole fleet's; each node takes its part of them.
-        self.first_window = FIRST_FLEET_WINDOW / settings.balancers
-        self.least_window = LEAST_FLEET_WINDOW / settings.balancers
-        aims = [kind.aim_s for kind in settings.classes]
-        self.scale_s = min(aims + ([settings.retransmit_s] if settings.retransmit_s > 0 else []), default=1.0)
-        self.most = max((k.importance for k in settings.classes), default=1.0) or 1.0
-        self.least = min((k.importance for k in settings.classes if k.importance > 0), default=1.0)
-        lengths = [kind.length_s for kind in settings.classes]
+        self.first_window = FIRST_FLEET_WINDOW / settings.instance_count
+        self.least_window = LEAST_FLEET_WINDOW / settings.instance_count
+        aims = [kind.latency_objective_s for kind in settings.classes]
+        self.scale_s = min(
+            aims + ([settings.retransmit_interval_s] if settings.retransmit_interval_s > 0 else []),
+            default=1.0,
+        )
+        self.most = max((k.priority_weight for k in settings.classes), default=1.0) or 1.0
+        self.least = min((k.priority_weight for k in settings.classes if k.priority_weight > 0), default=1.0)
+        lengths = [kind.mean_duration_s for kind in settings.classes]
         if not self.lengths:
             self.length_s = sum(lengths) / len(lengths) if lengths else 0.0  # of a call, as they come
 
@@ -128,7 +131,7 @@
             yield Note(self.notes.pop(0))
         if self.waiting and not self.timer_set:
             self.timer_set = True
-            yield SetTimer(max(WAKE_S, self.settings.period_s), WAKE)
+            yield SetTimer(max(WAKE_S, self.settings.event_period_s), WAKE)
 
     # ---- the server list ----
 
@@ -156,7 +159,7 @@
     def note_start(self, now: float, server: Server, line: ListedServer) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
         age = now - line.up_since
-        if line.up_since <= 0 or age >= self.safety.warm_after_s or line.standing is not Availability.READY:
+        if line.up_since <= 0 or age >= self.safety.warm_up_s or line.standing is not Availability.READY:
             return
         if server.born is not None and abs(server.born - line.up_since) < 1e-6:
             return
@@ -175,13 +178,13 @@
             yield FailCall(event.call)
             return
         self.lengths += 1
-        self.length_s += (kind.length_s - self.length_s) / min(self.lengths, 1000)
-        margin = max(ANSWER_MARGIN_S, 2 * self.settings.period_s)
+        self.length_s += (kind.mean_duration_s - self.length_s) / min(self.lengths, 1000)
+        margin = max(ANSWER_MARGIN_S, 2 * self.settings.event_period_s)
         by = now + event.grace_s - margin
         redial = event.redial or self.looks_redialled(kind, event.grace_s)
-        worth = kind.importance * (kind.late_worth if redial else 1.0)
-        hold = min(by, now + kind.aim_s - self.onset)  # while its aim can be met
-        cap = self.settings.attempts
+        worth = kind.priority_weight * (kind.late_weight if redial else 1.0)
+        hold = min(by, now + kind.latency_objective_s - self.onset)  # while its aim can be met
+        cap = self.settings.max_attempts
         call = Call(event.call, kind, event.choice, now, by, worth, event.in_transit, event.called, hold, cap)
         self.calls[call.id] = call
         if self.number_jammed(now, call):
@@ -309,15 +312,15 @@
         was merely slow, so it acts at unflagged servers only.
         """
         if self.is_cold(now, server):
-            return BEFORE_REPEAT * self.settings.retransmit_s  # rule 4: no repeats, see `cold_rate`
-        left = call.offered_at + call.kind.aim_s - now - self.safety.clear_wait_s - self.onset
+            return BEFORE_REPEAT * self.settings.retransmit_interval_s  # rule 4: no repeats, see `cold_rate`
+        left = call.offered_at + call.kind.latency_objective_s - now - self.safety.retry_pause_s - self.onset
         lossy = now - server.lost_at < MEMORY_S and not self.is_flagged(now, server)
         return left if lossy and left > self.onset else 0.0
 
     def refuse(self, now: float, call: Call) -> Iterator[Action]:
         """The final answer to a call that will not be set up; one that may have run must not be 'refused'."""
         self.forget(call.id)
-        if call.may_have_run and not call.kind.repeatable:
+        if call.may_have_run and not call.kind.idempotent:
             yield FailCall(call.id)
         else:
             yield RefuseCall(call.id, self.come_back(now, call))
@@ -329,11 +332,11 @@
         is spread, so that those refused together do not return together. It could harm by keeping a caller
         away from a server that recovers sooner.
         """
-        if not self.settings.may_advise_return:
+        if not self.settings.may_send_retry_after:
             return 0.0
         waits = [self.pressure(now, server) for server in self.servers.values() if self.may_use(call, server)]
-        about = max(self.scale_s, min(waits, default=self.settings.longest_return_s))
-        return min(self.settings.longest_return_s, about * (0.5 + self.rng.random()))
+        about = max(self.scale_s, min(waits, default=self.settings.max_retry_after_s))
+        return min(self.settings.max_retry_after_s, about * (0.5 + self.rng.random()))
 
     def forget(self, call_id: int) -> None:
         """Nothing more is done for this call."""
@@ -380,11 +383,11 @@
 
     def may_use(self, call: Call, server: Server) -> bool:
         """Whether the list, the class and the call's way allow this server at all."""
-        if server.standing is not Availability.READY or server.number == self.settings.own_number:
+        if server.standing is not Availability.READY or server.number == self.settings.own_server_number:
             return False
         if call.in_transit:
             return server.number == call.choice
-        return call.kind.pools is None or server.number in call.kind.pools
+        return call.kind.allowed_servers is None or server.number in call.kind.allowed_servers
 
     def with_room(self, now: float) -> list[tuple[Server, float]]:
         """The servers that can be sent something at this moment, each with the least worth it is open to."""
@@ -542,7 +545,7 @@
         """A node's part of what a server bears, by its lines in use, if each set-up waited for the onset."""
         if server.occupied is None or self.length_s <= 0:
             return 0.0
-        return PART_SLACK * self.onset * server.occupied / self.length_s / self.settings.balancers
+        return PART_SLACK * self.onset * server.occupied / self.length_s / self.settings.instance_count
 
     def count_stood(self, now: float, server: Server) -> None:
         """Keep the rate of own set-ups that stood, averaged over half a minute: one node's are few."""
@@ -564,14 +567,14 @@
             self.forget(event.call)
             return
         if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
-            call.not_before = now + self.safety.clear_wait_s  # rule 5
+            call.not_before = now + self.safety.retry_pause_s  # rule 5
         if event.ending not in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
             call.may_have_run = True
         if event.number_busy:
             self.note_number(now, call.called, busy=True)
         elif event.ending is AttemptOutcome.ERROR:
             call.erred_at += (event.server,)
-        unrepeatable = call.may_have_run and not call.kind.repeatable
+        unrepeatable = call.may_have_run and not call.kind.idempotent
         over = event.number_busy or unrepeatable or call.attempts >= call.cap
         over = over or len(call.erred_at) >= ERRORS_OF_CALL
         if over or max(now, call.not_before) >= call.answer_by:
@@ -638,7 +641,7 @@
             self.warm_use(now)  # keeps its memory fresh
             if not server.shrunk:
                 server.window = max(server.window, self.fair_window(server))
-            server.has_line = self.rng.random() * self.settings.balancers < report.free_lines
+            server.has_line = self.rng.random() * self.settings.instance_count < report.free_lines
             server.lines_at = now
         server.rate = report.admissible_rate if report.admissible_rate is not None else server.rate
         if report.throttle_fraction is not None:
@@ -665,7 +668,7 @@
 
     def is_cold(self, now: float, server: Server) -> bool:
         """Whether the server started so lately that it may not be warm, or may start again at any moment."""
-        return server.unreached or (server.born is not None and now - server.born < self.safety.warm_after_s)
+        return server.unreached or (server.born is not None and now - server.born < self.safety.warm_up_s)
 
     def start_turns(self, now: float, server: Server) -> None:
         """The first turn comes at random within a gap, so that the nodes' turns lie spread."""
@@ -684,13 +687,13 @@
         server.turns_at = server.credit_at = now
         if server.turns >= 1:
             server.turns %= 1
-            server.turn_until = now - server.turns / pace + TURN_PART * self.safety.fall_s
+            server.turn_until = now - server.turns / pace + TURN_PART * self.safety.overload_window_s
         return now < server.turn_until
 
     @property
     def turn_span(self) -> float:
         """Turns that open in one such span may be used within one `fall_s`, and no others."""
-        return max((1 + TURN_PART) * self.safety.fall_s, 1e-9)
+        return max((1 + TURN_PART) * self.safety.overload_window_s, 1e-9)
 
     def turns_in_span(self, now: float, server: Server) -> float:
         """This node's turns in a span: the fleet's, dealt out whole by the nodes' own numbers.
@@ -703,10 +706,10 @@
         """
         settings, fleet = self.settings, self.cold_rate(now, server) * self.turn_span
         if not server.lines:  # each node guesses its size by itself: the count goes by chance
-            return fleet / settings.balancers
-        whole, rest = divmod(int(fleet), settings.balancers) if fleet >= 1 else (0, 1)
-        rank = (settings.number - server.number * STRIDE) % settings.balancers
-        return min(1.0, fleet) * (whole + (settings.number >= 0 and rank < rest))
+            return fleet / settings.instance_count
+        whole, rest = divmod(int(fleet), settings.instance_count) if fleet >= 1 else (0, 1)
+        rank = (settings.instance_index - server.number * STRIDE) % settings.instance_count
+        return min(1.0, fleet) * (whole + (settings.instance_index >= 0 and rank < rest))
 
     def cold_rate(self, now: float, server: Server) -> float:
         """Set-ups a second, from all nodes: a part of what it can do by now, within the budget.
@@ -716,14 +719,14 @@
         keep that up. Rule 4: no window of `fall_s` holds more than BUDGET_PART of fall_multiple x what it can
         do x fall_s, even where all send whenever they may. Derivation, and the third kept: `docs/cold.md`.
         """
-        safety, most = self.safety, BUDGET_PART * self.safety.fall_multiple / (1 + TURN_PART)
+        safety, most = self.safety, BUDGET_PART * self.safety.overload_multiple / (1 + TURN_PART)
         if server.rate > 0:
             return min(COLD_PART, most) * server.rate
         age = now - server.born if server.born is not None else 0.0
-        warmth = max(0.0, min(1.0, age / max(safety.warm_after_s, 1e-9)))
-        able = safety.cold_from + (1 - safety.cold_from) * warmth
+        warmth = max(0.0, min(1.0, age / max(safety.warm_up_s, 1e-9)))
+        able = safety.initial_capacity_fraction + (1 - safety.initial_capacity_fraction) * warmth
         borne = (server.occupied or 0.0) / max(self.length_s, self.lasted_s, 1e-9)
-        guess = min(COLD_PART * able, most * safety.cold_from) * self.warm_rate(now, server)
+        guess = min(COLD_PART * able, most * safety.initial_capacity_fraction) * self.warm_rate(now, server)
         return max(min(COLD_PART, most) * borne, guess)
 
     def warm_rate(self, now: float, server: Server) -> float:
@@ -743,8 +746,10 @@
             for other in self.servers.values()
             if other is not server and other.stood_rate > 0 and not self.is_cold(now, other)
         ]
-        unknown = LEAST_FLEET_WINDOW / (self.safety.cold_from * max(self.safety.fall_s, 1e-9))
-        return self.settings.balancers * min(own) if own else unknown
+        unknown = LEAST_FLEET_WINDOW / (
+            self.safety.initial_capacity_fraction * max(self.safety.overload_window_s, 1e-9)
+        )
+        return self.settings.instance_count * min(own) if own else unknown
 
     def warm_use(self, now: float) -> float:
         """The share of all their lines that warm servers use, or used lately, fading.
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -580,7 +580,7 @@
         self.life += 1
         self.running, self.since = True, world.clock.now
         number = -1 if plan.fleet is not None and plan.fleet.numbers else self.index
-        settings: Settings = replace(world.settings, number=number)
+        settings: Settings = replace(world.settings, instance_index=number)
         chance = random.Random(world.chance.getrandbits(64))
         self.core = core = Core(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -117,7 +117,9 @@
         made = server_sets(self.settings, self.config.services)
         self.sets = {each.numbers: each for each in made}
         self.place = {number: each.numbers for each in made for number in each.numbers or ()}
-        self.by_class = {kind.name: (kind.pools, each.numbers) for each in made for kind in each.classes}
+        self.by_class = {
+            kind.name: (kind.allowed_servers, each.numbers) for each in made for kind in each.classes
+        }
 
     def scope_at(self, number: int) -> Scope | None:
         """The set in scope that holds the servers of a number."""
@@ -150,18 +152,18 @@
         settings = self.settings
         self.place.update(dict.fromkeys(numbers, numbers))
         classes = (kind,) if kind is not None else settings.classes
-        return ServerSet(numbers, classes, settings.balancers, settings.number)
+        return ServerSet(numbers, classes, settings.instance_count, settings.instance_index)
 
     def _set_for(self, kind: CallClass, choice: int, in_transit: bool) -> ServerSet:
         """The set that serves a call. A class as it was before a reload may reach into several sets now: the
         one with most of its servers serves the call, so that each call has one set to answer for it.
         """
         pools, numbers = self.by_class.get(kind.name, ((), frozenset()))
-        known = kind.name in self.by_class and pools == kind.pools
+        known = kind.name in self.by_class and pools == kind.allowed_servers
         if None in self.sets or (known and not in_transit):
             return self.sets[None if None in self.sets else numbers]
-        named = in_transit or (kind.pools is None and choice in self.place)
-        asked = [choice] if named else self.place if kind.pools is None else kind.pools
+        named = in_transit or (kind.allowed_servers is None and choice in self.place)
+        asked = [choice] if named else self.place if kind.allowed_servers is None else kind.allowed_servers
         weight: dict[Numbers, int] = {}
         for number in asked:
             if number in self.place:
@@ -343,7 +345,9 @@
                 scope.controller.retune(settings)  # the patience of all classes, whatever set they are in
                 continue
             else:  # its classes have gone, or gone elsewhere: it ends by itself
-                scope.servers = replace(scope.servers, softswitches=settings.balancers, me=settings.number)
+                scope.servers = replace(
+                    scope.servers, softswitches=settings.instance_count, me=settings.instance_index
+                )
                 self.place.update(dict.fromkeys(numbers, numbers))
             scope.controller.retune(scope.servers.tuned(settings))
             self.live[numbers] = scope
--- a/stairhatch/scope/sets.py
+++ b/stairhatch/scope/sets.py
@@ -42,7 +42,9 @@
 
     def tuned(self, settings: Settings) -> Settings:
         """The settings for the decisions on this set."""
-        return replace(settings, classes=self.classes, balancers=self.softswitches, number=self.me)
+        return replace(
+            settings, classes=self.classes, instance_count=self.softswitches, instance_index=self.me
+        )
 
 
 def groups(classes: Iterable[CallClass]) -> list[tuple[Numbers, list[CallClass]]]:
@@ -50,7 +52,7 @@
     class that may use any server makes one group of all.
     """
     kinds = list(classes)
-    if any(kind.pools is None for kind in kinds):
+    if any(kind.allowed_servers is None for kind in kinds):
         return [(None, kinds)]
     above: dict[int, int] = {}
 
@@ -60,13 +62,15 @@
         return number
 
     for kind in kinds:
-        for number in kind.pools or ():
+        for number in kind.allowed_servers or ():
             above.setdefault(number, number)
-            above[root(number)] = root((kind.pools or ())[0])
+            above[root(number)] = root((kind.allowed_servers or ())[0])
     found: dict[int | None, tuple[set[int], list[CallClass]]] = {}
     for kind in kinds:
-        numbers, members = found.setdefault(root(kind.pools[0]) if kind.pools else None, (set(), []))
-        numbers.update(kind.pools or ())
+        numbers, members = found.setdefault(
+            root(kind.allowed_servers[0]) if kind.allowed_servers else None, (set(), [])
+        )
+        numbers.update(kind.allowed_servers or ())
         members.append(kind)
     return [(frozenset(numbers), members) for numbers, members in found.values()]
 
@@ -90,10 +94,10 @@
     sets = []
     for numbers, members in groups(settings.classes):
         told = [by_class.get(kind.name, Service(())) for kind in members]
-        share, me = settings.balancers, settings.number
+        share, me = settings.instance_count, settings.instance_index
         figures = {(each.softswitches, each.me) for each in told}
         figure, index = figures.pop() if len(figures) == 1 else (None, -1)
-        if figure is not None and figure < settings.balancers:
+        if figure is not None and figure < settings.instance_count:
             share, me = figure, index if index < figure else -1
         sets.append(ServerSet(numbers, tuple(members), share, me, any(each.keep for each in told)))
     return tuple(sets)
--- a/stairhatch/settings.py
+++ b/stairhatch/settings.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from stairhatch.overload.events import LoadReport
-from stairhatch.overload.settings import CallClass, Safety, Settings
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 
 MOST_S = 1e6  # of any time: what is longer was mistyped, and would overflow a timer
 MOST_COUNT = 10**7
@@ -278,25 +278,25 @@
         raw.get("safety", {}),
         answer_slack_s="answer_slack_s",
         drain_grace_s="drain_grace_s",
-        cold_from="cold_from",
-        warm_after_s="warm_after_s",
-        fall_multiple="fall_multiple",
-        fall_s="fall_s",
+        initial_capacity_fraction="cold_from",
+        warm_up_s="warm_after_s",
+        overload_multiple="fall_multiple",
+        overload_window_s="fall_s",
     )
     return Settings(
         classes=tuple(_call_class(line, i, family) for i, line in enumerate(raw["classes"])),
-        safety=Safety(**safety, **_given(family, clear_wait_s="clear_wait_s")),
-        number=_own_number(raw),
-        **_given(raw, balancers="balancers", period_s="period_s"),
-        **_given(family, retransmit_s="retransmit_s", own_number="self_no"),
+        safety=SafetyLimits(**safety, **_given(family, retry_pause_s="clear_wait_s")),
+        instance_index=_own_number(raw),
+        **_given(raw, instance_count="balancers", event_period_s="period_s"),
+        **_given(family, retransmit_interval_s="retransmit_s", own_server_number="self_no"),
         **_given(
             permissions,
-            attempts="send_cap",
+            max_attempts="send_cap",
             may_probe="may_probe",
-            may_tell_peers="peers",
+            may_message_peers="peers",
             may_cancel="cancel",
-            may_advise_return="retry_after",
-            longest_return_s="max_retry_after_s",
+            may_send_retry_after="retry_after",
+            max_retry_after_s="max_retry_after_s",
             connect_timeout_s="connect_timeout_s",
         ),
     )
@@ -314,13 +314,13 @@
     lengths = family.get("call_length_s")
     extra: dict[str, Any] = {}
     if pools is not None:
-        extra["pools"] = tuple(pools[index])
+        extra["allowed_servers"] = tuple(pools[index])
     if lengths is not None:
-        extra["length_s"] = lengths[index]
+        extra["mean_duration_s"] = lengths[index]
     return CallClass(
         name=line.get("name", str(index)),
-        repeatable=line.get("effect", "read_like") == "read_like",
-        **_given(line, importance="importance", aim_s="aim_s", deadline_s="hard_limit_s"),
-        **_given(line, late_worth="late_worth"),
+        idempotent=line.get("effect", "read_like") == "read_like",
+        **_given(line, priority_weight="importance", latency_objective_s="aim_s", deadline_s="hard_limit_s"),
+        **_given(line, late_weight="late_worth"),
         **extra,
     )
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -171,7 +171,7 @@
         """Whether we can take a new call of a source, by what its class is worth."""
         assert self.gate is not None
         kind, _ = self.class_of(user, named)
-        return self.gate.judge(Kind.CALL, source, kind.importance if kind else 0.0, self.core.clock())
+        return self.gate.judge(Kind.CALL, source, kind.priority_weight if kind else 0.0, self.core.clock())
 
     def _note_shed(self, judged: Judged) -> None:
         self.counters.add("sent_503")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,10 +24,10 @@
 from stairhatch.overload.settings import CallClass, Settings
 
 TWO_CLASSES = (
-    CallClass("plain", importance=1, aim_s=1.2, deadline_s=9, late_worth=0.25),
-    CallClass("vital", importance=6, aim_s=0.8, deadline_s=6, late_worth=0.25),
+    CallClass("plain", priority_weight=1, latency_objective_s=1.2, deadline_s=9, late_weight=0.25),
+    CallClass("vital", priority_weight=6, latency_objective_s=0.8, deadline_s=6, late_weight=0.25),
 )
-SETTINGS = Settings(classes=TWO_CLASSES, balancers=5, retransmit_s=0.8, attempts=5)
+SETTINGS = Settings(classes=TWO_CLASSES, instance_count=5, retransmit_interval_s=0.8, max_attempts=5)
 
 
 @dataclass
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,7 +9,7 @@
 
 from stairhatch.overload.actions import Action, SendSetup
 from stairhatch.overload.events import AttemptOutcome, Availability, ListedServer, LoadReport, LoadTold
-from stairhatch.overload.settings import CallClass, Safety, Settings
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 
 from .conftest import Node, sends
 
@@ -17,8 +17,22 @@
 STEP = 0.05
 BORNE = 0.5  # the share of their lines that warm servers use
 CLASSES = (
-    CallClass("plain", importance=1, aim_s=2.0, deadline_s=9, length_s=9.0, late_worth=0.2),
-    CallClass("vital", importance=6, aim_s=1.0, deadline_s=6, length_s=9.0, late_worth=0.2),
+    CallClass(
+        "plain",
+        priority_weight=1,
+        latency_objective_s=2.0,
+        deadline_s=9,
+        mean_duration_s=9.0,
+        late_weight=0.2,
+    ),
+    CallClass(
+        "vital",
+        priority_weight=6,
+        latency_objective_s=1.0,
+        deadline_s=6,
+        mean_duration_s=9.0,
+        late_weight=0.2,
+    ),
 )
 
 
@@ -35,17 +49,29 @@
     out: list[tuple[float, Node, SendSetup, float]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        safety = Safety(cold_from=0.28, warm_after_s=14, fall_multiple=self.multiple, fall_s=1.5)
+        safety = SafetyLimits(
+            initial_capacity_fraction=0.28,
+            warm_up_s=14,
+            overload_multiple=self.multiple,
+            overload_window_s=1.5,
+        )
         self.settings = Settings(
-            CLASSES, safety=safety, balancers=self.nodes, retransmit_s=0.8, attempts=6, period_s=0.005
+            CLASSES,
+            safety=safety,
+            instance_count=self.nodes,
+            retransmit_interval_s=0.8,
+            max_attempts=6,
+            event_period_s=0.005,
+        )
+        self.warm = BORNE * self.lines / CLASSES[0].mean_duration_s if self.lines else 0.1 * self.nodes
+        self.budget = (
+            safety.overload_multiple * safety.initial_capacity_fraction * self.warm * safety.overload_window_s
         )
-        self.warm = BORNE * self.lines / CLASSES[0].length_s if self.lines else 0.1 * self.nodes
-        self.budget = safety.fall_multiple * safety.cold_from * self.warm * safety.fall_s
         self.fleet = [self.fresh_node(number, number, 0.0) for number in range(self.nodes)]
 
     def fresh_node(self, number: int, seed: int, born: float) -> Node:
         """A node that has just started, told of all servers and their lines."""
-        node = Node(replace(self.settings, number=number), seed, self.now)
+        node = Node(replace(self.settings, instance_index=number), seed, self.now)
         node.list_servers(
             ListedServer(COLD, 0, up_since=born),
             *(ListedServer(server, server - COLD) for server in OTHERS),
@@ -114,10 +140,10 @@
             over = self.now + (act.timeout_s or 3.0)
             self.work.append(self.now)
             self.out.append((over if self.answers == "silent" else self.now + STEP, node, act, self.now))
-            again = self.settings.retransmit_s
+            again = self.settings.retransmit_interval_s
             while self.answers == "silent" and self.now + again < over:
                 self.work.append(self.now + again)
-                again = 2 * again + self.settings.retransmit_s
+                again = 2 * again + self.settings.retransmit_interval_s
 
     def answer(self) -> None:
         """What is due comes back to its node."""
@@ -136,7 +162,7 @@
         """The most work in any window of `fall_s`."""
         times, most, first = sorted(self.work), 0, 0
         for last, time in enumerate(times):
-            while times[first] <= time - self.settings.safety.fall_s:
+            while times[first] <= time - self.settings.safety.overload_window_s:
                 first += 1
             most = max(most, last - first + 1)
         return most
@@ -157,7 +183,7 @@
     fleet.rush(9.0)
     assert fleet.most_in_a_window() <= fleet.budget
     # Nor is it starved: a part of what it is promised to do at its very start is used.
-    least = (0.25 if lines else 0.15) * fleet.settings.safety.cold_from * fleet.warm * 9.0
+    least = (0.25 if lines else 0.15) * fleet.settings.safety.initial_capacity_fraction * fleet.warm * 9.0
     assert len(fleet.work) >= (least if answers == "quick" else 1)
 
 
@@ -172,7 +198,7 @@
     fleet.idle(4.0)
     fleet.lose_the_others(restarted)
     fleet.rush(9.0)
-    promised = fleet.settings.safety.cold_from * fleet.warm * 9.0
+    promised = fleet.settings.safety.initial_capacity_fraction * fleet.warm * 9.0
     assert len(fleet.work) >= 0.75 * promised
     assert fleet.most_in_a_window() <= 2 / 3 * fleet.budget
 
@@ -189,7 +215,7 @@
         < sum(dealt)
         <= fleet.fleet[0].core.cold_rate(fleet.now, fleet.fleet[0].core.servers[COLD]) * span
     )
-    unnumbered = Node(replace(fleet.settings, number=-1), 1, fleet.now)
+    unnumbered = Node(replace(fleet.settings, instance_index=-1), 1, fleet.now)
     unnumbered.core.servers = fleet.fleet[0].core.servers
     assert unnumbered.core.turns_in_span(fleet.now, unnumbered.core.servers[COLD]) == 0.0
 
@@ -233,6 +259,6 @@
     node.ended(1, COLD, AttemptOutcome.UNREACHABLE)
     node.now += 1.0
     node.list_servers(ListedServer(COLD, 0, up_since=node.now), complete=False)
-    node.now += fleet.settings.safety.warm_after_s + 0.1
+    node.now += fleet.settings.safety.warm_up_s + 0.1
     assert not node.core.is_cold(node.now, node.core.servers[COLD])
     assert [act.timeout_s for act in sends(node.offer(choice=0))] == [0.0]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -13,7 +13,7 @@
 from benchmarks.cold_ramp import COLD, Ramp, Result, Site, Story
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import ListedServer, LoadReport, LoadTold, ServersListed
-from stairhatch.overload.settings import Safety
+from stairhatch.overload.settings import SafetyLimits
 
 SMALL = Site(capacity=30.0, servers=3)
 
@@ -22,11 +22,11 @@
     """Settings and servers of other sites: every figure that the rule or the pace depends on."""
     chance = random.Random(seed)
     cold_from = chance.uniform(0.2, 0.6)
-    safety = Safety(
-        cold_from=cold_from,
-        warm_after_s=chance.uniform(5.0, 12.0),
-        fall_multiple=chance.uniform(1.3, 4.0),
-        fall_s=chance.uniform(0.5, 2.5),
+    safety = SafetyLimits(
+        initial_capacity_fraction=cold_from,
+        warm_up_s=chance.uniform(5.0, 12.0),
+        overload_multiple=chance.uniform(1.3, 4.0),
+        overload_window_s=chance.uniform(0.5, 2.5),
     )
     return Site(
         safety,
@@ -67,8 +67,8 @@
         assert bitten(story, processes, result)
 
 
-KELP = Site(Safety(0, 0.7, 0.5, 9.0, 2.0, 1.0), 0.6, 0.35, 5.0, 20.0, 0.8, servers=3)
-MOSS = Site(Safety(0, 1.5, 0.2, 20.0, 4.0, 2.5), 0.0, 0.8, 12.0, 15.0, 0.9, servers=3)
+KELP = Site(SafetyLimits(0, 0.7, 0.5, 9.0, 2.0, 1.0), 0.6, 0.35, 5.0, 20.0, 0.8, servers=3)
+MOSS = Site(SafetyLimits(0, 1.5, 0.2, 20.0, 4.0, 2.5), 0.0, 0.8, 12.0, 15.0, 0.9, servers=3)
 
 
 @pytest.mark.parametrize("site", [KELP, MOSS], ids=["kelp-watch", "moss-line"])
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
     SetupStood,
     TimerRang,
 )
-from stairhatch.overload.settings import CallClass, Safety
+from stairhatch.overload.settings import CallClass, SafetyLimits
 from stairhatch.settings import SettingsError, settings_from
 
 from .conftest import SETTINGS, finals, sends
@@ -113,7 +113,7 @@
 def test_own_unanswered_set_ups_raise_the_flag_without_any_report(make_node):
     node = make_node()
     node.offer(choice=0)
-    node.now += SETTINGS.retransmit_s + 0.1
+    node.now += SETTINGS.retransmit_interval_s + 0.1
     assert flagged(node)
 
 
@@ -282,21 +282,23 @@
             for act in sends(found):
                 total += 1
                 list(core.handle(now, SetupStood(act.call, 10, took_s)))
-    return total * settings.balancers / 10
+    return total * settings.instance_count / 10
 
 
 def test_floors_do_not_add_up_over_the_fleet():
     """Found on the grown deployments: a floor for each of 220 nodes was a flood onto a slowed server."""
-    small, large = (flood(replace(SETTINGS, balancers=n), took_s) for n, took_s in ((5, 1.5), (250, 1.5)))
+    small, large = (
+        flood(replace(SETTINGS, instance_count=n), took_s) for n, took_s in ((5, 1.5), (250, 1.5))
+    )
     assert large < 20 * small  # fifty times the nodes, each asked for as much
-    assert flood(replace(SETTINGS, balancers=250), 0.05) > 0
+    assert flood(replace(SETTINGS, instance_count=250), 0.05) > 0
 
 
 def test_the_first_window_follows_what_the_server_bears(make_node):
     """Found on amman-later big-1: a server that bears 270 set-ups a second was left idle at the start."""
     windows = []
     for used in (100, 2700):
-        node = make_node(servers=1, settings=replace(SETTINGS, balancers=250))
+        node = make_node(servers=1, settings=replace(SETTINGS, instance_count=250))
         node.tell(LoadTold(10, LoadReport(free_lines=3000 - used, total_lines=3000)))
         windows.append(node.core.servers[10].window)
     assert windows[1] > 4 * windows[0]
@@ -316,14 +318,14 @@
 
 
 def test_impossible_settings_are_named():
-    with pytest.raises(ValueError, match="balancers"):
-        replace(SETTINGS, balancers=0)
-    with pytest.raises(ValueError, match="aim_s"):
-        CallClass("x", aim_s=0)
-    with pytest.raises(ValueError, match="cold_from"):
-        Safety(cold_from=2)
-    with pytest.raises(ValueError, match="retransmit_s"):
-        replace(SETTINGS, retransmit_s=float("nan"))
+    with pytest.raises(ValueError, match="instance_count"):
+        replace(SETTINGS, instance_count=0)
+    with pytest.raises(ValueError, match="latency_objective_s"):
+        CallClass("x", latency_objective_s=0)
+    with pytest.raises(ValueError, match="initial_capacity_fraction"):
+        SafetyLimits(initial_capacity_fraction=2)
+    with pytest.raises(ValueError, match="retransmit_interval_s"):
+        replace(SETTINGS, retransmit_interval_s=float("nan"))
 
 
 @pytest.mark.parametrize(
@@ -340,7 +342,7 @@
         with pytest.raises(SettingsError, match=r"settings\.me: must be"):
             settings_from(raw)
     else:
-        assert settings_from(raw)[0].number == number
+        assert settings_from(raw)[0].instance_index == number
 
 
 def test_size_and_width_of_the_modules():
@@ -361,9 +363,9 @@
     node.offer(kind=0, grace_s=3.0)
     fresh = node.core.calls[node.next_call - 1].worth
     node.offer(kind=0, grace_s=3.0, redial=True)
-    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_worth
+    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
     node.offer(kind=0, grace_s=5.5)
-    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_worth
+    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
 
 
 def test_a_big_cold_server_is_not_held_to_what_small_ones_bear(make_node):
@@ -386,11 +388,11 @@
 
 def test_all_nodes_together_keep_to_the_size_of_a_small_cold_server(make_node):
     """Found on amman-later big-2: paced by what the largest server bore, a small one was pushed over."""
-    settings, kept = replace(SETTINGS, balancers=240), []
+    settings, kept = replace(SETTINGS, instance_count=240), []
     for lines in (200, 2000):
         sent = 0
         for seed in range(240):
-            node = make_node(settings=replace(settings, number=seed), seed=seed)
+            node = make_node(settings=replace(settings, instance_index=seed), seed=seed)
             node.tell(LoadTold(11, LoadReport(free_lines=200, total_lines=2000)))
             node.tell(LoadTold(10, LoadReport(free_lines=lines / 10, total_lines=lines)))
             node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
@@ -398,10 +400,14 @@
             for _ in range(15):
                 sent += sum(act.server == 10 for act in sends(node.ring(0.1) + node.offer(choice=0)))
         kept.append(sent)
-    warm = [0.9 * lines / SETTINGS.classes[0].length_s for lines in (200, 2000)]
+    warm = [0.9 * lines / SETTINGS.classes[0].mean_duration_s for lines in (200, 2000)]
     safety = SETTINGS.safety
     for sent, rate in zip(kept, warm, strict=True):
-        assert 0 < sent <= safety.fall_multiple * safety.cold_from * rate * safety.fall_s
+        assert (
+            0
+            < sent
+            <= safety.overload_multiple * safety.initial_capacity_fraction * rate * safety.overload_window_s
+        )
 
 
 def test_after_an_outage_of_all_the_first_to_return_is_paced_by_what_was_borne(make_node):
@@ -469,7 +475,7 @@
 
 def test_reports_of_a_long_wait_cut_the_part_of_a_node_that_sends_seldom(make_node):
     """Found on bangkok-later big-2: own answers came too seldom to slow down for."""
-    node = make_node(settings=replace(SETTINGS, balancers=250))
+    node = make_node(settings=replace(SETTINGS, instance_count=250))
     server = node.core.servers[10]
     before = server.window
     node.pressed(10, 2.0)
@@ -488,7 +494,7 @@
     """Found on bangkok-later rough-1: an answer that never came cut the node's part as a slow one would."""
     kept = []
     for report in (LoadReport(processor_wait_s=0.01), LoadReport()):
-        node = make_node(settings=replace(SETTINGS, balancers=250))
+        node = make_node(settings=replace(SETTINGS, instance_count=250))
         node.offer(choice=0)
         node.now += 2.0
         node.ended(900, 10, AttemptOutcome.COMPLETED, True, report=report)
@@ -502,7 +508,7 @@
     """Found on bangkok-later big-2: 220 nodes' saved set-ups were six seconds of work for a slowed server."""
     saved = 0.0
     for seed in range(50):
-        node = make_node(settings=replace(SETTINGS, balancers=250), seed=seed)
+        node = make_node(settings=replace(SETTINGS, instance_count=250), seed=seed)
         node.pressed(10, 2.0)
         saved += node.core.servers[10].credit
     assert saved < 50
@@ -510,7 +516,7 @@
 
 def test_a_reported_wait_of_minutes_does_not_put_off_the_next_cut(make_node):
     """Found on purbachal-later big-2: an ageing server told of 100 s, and nodes cut but once in that time."""
-    node = make_node(settings=replace(SETTINGS, balancers=250))
+    node = make_node(settings=replace(SETTINGS, instance_count=250))
     node.pressed(10, 100.0)
     once = node.core.servers[10].window
     node.now += 1.0
@@ -528,13 +534,13 @@
     )  # overtakes it
     timeout = sends(node.offer())[0].timeout_s
     kind = SETTINGS.classes[0]
-    assert 0 < timeout < kind.aim_s - SETTINGS.safety.clear_wait_s
+    assert 0 < timeout < kind.latency_objective_s - SETTINGS.safety.retry_pause_s
     window = node.core.servers[10].window
     node.now += timeout
     node.ended(2, 10, AttemptOutcome.TIMED_OUT, took_s=timeout)
     assert node.core.servers[10].window == window  # it tells of loss, not of a long wait
     node.pressed(10, 1.0)
-    node.now += SETTINGS.safety.clear_wait_s + 0.1
+    node.now += SETTINGS.safety.retry_pause_s + 0.1
     assert all(act.timeout_s == 0.0 for act in sends(node.ring()))  # not at a pressed server
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -537,8 +537,8 @@
     connection.receive(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.by_ident[old], inside.core.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
-    assert call.offer.kind is kept and kept.repeatable and (call.cap, other.cap) == (6, 1)
-    assert not other.offer.kind.repeatable
+    assert call.offer.kind is kept and kept.idempotent and (call.cap, other.cap) == (6, 1)
+    assert not other.offer.kind.idempotent
     server = inside.core.servers[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
@@ -573,8 +573,8 @@
     core.servers[10].window = 7.5
     kept = dict(core.patience)
     (_, vital), length = core.settings.classes, core.length_s
-    shorter = replace(vital, aim_s=0.3, deadline_s=vital.deadline_s / 2, importance=9)
-    core.retune(replace(core.settings, classes=(shorter,), balancers=10, attempts=1))
+    shorter = replace(vital, latency_objective_s=0.3, deadline_s=vital.deadline_s / 2, priority_weight=9)
+    core.retune(replace(core.settings, classes=(shorter,), instance_count=10, max_attempts=1))
     fresh = Controller(core.settings, random.Random(1))
     for name in ("settings", "safety", "first_window", "least_window", "scale_s", "most", "least", "onset"):
         assert getattr(core, name) == getattr(fresh, name), name
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,7 @@
         count += len(sends(acts))
         answers += finals(acts)
     assert len(answers) == 1
-    assert count <= SETTINGS.attempts
+    assert count <= SETTINGS.max_attempts
     assert not node.core.calls
 
 
@@ -108,7 +108,7 @@
     again = []
     while not again:
         again = sends(node.ring(0.02))
-    assert node.now - ended >= SETTINGS.safety.clear_wait_s
+    assert node.now - ended >= SETTINGS.safety.retry_pause_s
 
 
 def test_refused_set_up_goes_elsewhere_without_a_wait(make_node):
@@ -118,7 +118,7 @@
 
 
 def test_unrepeatable_calls_are_not_sent_twice_nor_refused(make_node):
-    kinds = (replace(SETTINGS.classes[0], repeatable=False),)
+    kinds = (replace(SETTINGS.classes[0], idempotent=False),)
     node = make_node(settings=replace(SETTINGS, classes=kinds))
     node.offer()
     assert finals(node.ended(1, 10, AttemptOutcome.RESET)) == [FailCall(1)]
@@ -147,9 +147,11 @@
     """Guards against redials at once, which swell the load behind the throttle; spread, and within bounds."""
     told = set()
     for seed in range(20):
-        node = make_node(servers=0, seed=seed, settings=replace(SETTINGS, longest_return_s=2.0))
+        node = make_node(servers=0, seed=seed, settings=replace(SETTINGS, max_retry_after_s=2.0))
         node.offer(grace_s=0.0)
         told |= {act.return_s for act in finals(node.done)}
     assert len(told) > 5 and all(0 < each <= 2.0 for each in told)
-    silent = make_node(servers=0, settings=replace(SETTINGS, may_advise_return=False, longest_return_s=2.0))
+    silent = make_node(
+        servers=0, settings=replace(SETTINGS, may_send_retry_after=False, max_retry_after_s=2.0)
+    )
     assert finals(silent.offer(grace_s=0.0)) == [RefuseCall(1)]
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -33,7 +33,7 @@
     SetupStood,
     TimerRang,
 )
-from stairhatch.overload.settings import CallClass, Safety, Settings
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
 from stairhatch.scope.sets import ScopeConfig, Service, server_sets
 from stairhatch.standin.ports import free_port
@@ -45,11 +45,13 @@
 
 def kind(name, *pools, **more):
     """A class; no pools: any server."""
-    return CallClass(name, pools=tuple(pools) or None, aim_s=1.5, length_s=4.0, **more)
+    return CallClass(
+        name, allowed_servers=tuple(pools) or None, latency_objective_s=1.5, mean_duration_s=4.0, **more
+    )
 
 
 def settings_of(*classes, **more):
-    return Settings(classes, retransmit_s=0.8, longest_return_s=2.0, attempts=4, **more)
+    return Settings(classes, retransmit_interval_s=0.8, max_retry_after_s=2.0, max_attempts=4, **more)
 
 
 def line(server, number=None, standing=Availability.READY, up_since=0.0):
@@ -139,7 +141,7 @@
         while (at := self.now + chance.expovariate(rate)) < end:
             self.run(at)
             what = chance.choice(classes)
-            self.offer(what, chance.choice(what.pools or (0, 1, 2)))
+            self.offer(what, chance.choice(what.allowed_servers or (0, 1, 2)))
         self.run(end)
 
     def finish(self):
@@ -163,28 +165,31 @@
     assert [each.numbers for each in server_sets(settings_of(a, b, c), ())] == [{1, 2, 4}, {3}]
     assert [each.numbers for each in server_sets(settings_of(a, b, c, d), ())] == [{1, 2, 3, 4}]
     assert [each.numbers for each in server_sets(settings_of(a, b, kind("any")), ())] == [None]
-    nowhere = CallClass("none", pools=())
+    nowhere = CallClass("none", allowed_servers=())
     assert [each.numbers for each in server_sets(settings_of(a, nowhere), ())] == [{1, 2}, set()]
     sets = server_sets(
-        settings_of(a, b, balancers=50, number=7), (Service(("a",), 5, 2), Service(("b",), keep=True))
+        settings_of(a, b, instance_count=50, instance_index=7),
+        (Service(("a",), 5, 2), Service(("b",), keep=True)),
     )
     assert [(each.softswitches, each.me, each.keep) for each in sets] == [(5, 2, False), (50, 7, True)]
-    mixed = server_sets(settings_of(a, c, balancers=50, number=7), (Service(("a",), 5, 2),))
+    mixed = server_sets(settings_of(a, c, instance_count=50, instance_index=7), (Service(("a",), 5, 2),))
     assert [(each.softswitches, each.me) for each in mixed] == [(50, 7)], "a figure was guessed"
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(
     "classes",
-    [(kind("a", 0, 1, 2), kind("b", 2, 3, importance=3.0)), (kind("a", 0, 1), kind("any"))],
+    [(kind("a", 0, 1, 2), kind("b", 2, 3, priority_weight=3.0)), (kind("a", 0, 1), kind("any"))],
     ids=["shared servers", "any server"],
 )
 def test_with_one_set_the_same_seeds_give_the_same_actions(seed, classes):
     """Guards against a second policy that grows beside the one that is known: action for action, through a
     server that starts, a drain, one that goes, other settings, an unknown class and a call passing through.
     """
-    before = settings_of(*classes, balancers=20, number=3)
-    after = replace(before, classes=tuple(replace(each, deadline_s=5.0, aim_s=1.0) for each in classes))
+    before = settings_of(*classes, instance_count=20, instance_index=3)
+    after = replace(
+        before, classes=tuple(replace(each, deadline_s=5.0, latency_objective_s=1.0) for each in classes)
+    )
     services = [Service(tuple(each.name for each in classes), keep=True)]
     worlds = []
     for decisions in (Controller(before, random.Random(seed)), scoped(before, seed, services=services)):
@@ -289,7 +294,7 @@
         decisions.servers[1]
 
 
-A, B, C = kind("a", 0, 1, 2), kind("b", 3, 4), kind("c", 5, 6, importance=2.0)
+A, B, C = kind("a", 0, 1, 2), kind("b", 3, 4), kind("c", 5, 6, priority_weight=2.0)
 RETUNES = {
     "two merge": (kind("a", 0, 1, 2, 3), B, C),
     "one falls apart": (kind("a", 0), kind("d", 1, 2), B, C),
@@ -297,7 +302,7 @@
     "a class goes": (A, C),
     "a class goes and its servers to another": (kind("a", 0, 1, 2, 4), C),
     "all become one": (A, B, C, kind("any")),
-    "nowhere": (A, CallClass("b", pools=()), C),
+    "nowhere": (A, CallClass("b", allowed_servers=()), C),
     "all change places": (kind("a", 5, 3), kind("b", 0), kind("c", 1, 2, 4, 6)),
     "the same": (A, B, C),
 }
@@ -310,7 +315,7 @@
     against set-ups that stay unanswered for good, and against learning anew what was known. Servers are slow,
     so that calls wait, and set-ups are out, at the very moment; both are counted.
     """
-    before = settings_of(A, B, C, balancers=3, number=1)
+    before = settings_of(A, B, C, instance_count=3, instance_index=1)
     after = replace(before, classes=RETUNES[name])
     decisions = scoped(before, idle_s=8.0)
     world = World(decisions, slow_s=0.5)
@@ -337,7 +342,7 @@
         world.busy(2, 30, settings.classes, f"new{number}")
     world.finish()
     for at, call, server in world.sent:
-        pools = world.kinds[call].pools
+        pools = world.kinds[call].allowed_servers
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
     world.tell(CallerLeft(0))
@@ -460,8 +465,10 @@
     """
     sharing, size, warm = 30, 100.0, 25.0  # warm: set-ups a second of one server, its lines over their length
     a, b = kind("a", 1, 2, 3), kind("b", 9)
-    safety = Safety(cold_from=0.25, warm_after_s=12.0, fall_multiple=2.0, fall_s=1.0)
-    budget = safety.fall_multiple * safety.cold_from * warm * safety.fall_s
+    safety = SafetyLimits(
+        initial_capacity_fraction=0.25, warm_up_s=12.0, overload_multiple=2.0, overload_window_s=1.0
+    )
+    budget = safety.overload_multiple * safety.initial_capacity_fraction * warm * safety.overload_window_s
     found = {}
     for divisor in (sharing, 1):
         per = divisor if told else None
@@ -470,7 +477,7 @@
         nodes = []
         for number in range(sharing):
             own = min(number, fleet - 1)
-            settings = settings_of(a, b, balancers=fleet, number=own, safety=safety)
+            settings = settings_of(a, b, instance_count=fleet, instance_index=own, safety=safety)
             services = [Service(("a",), per, min(number, per - 1))] if per else []
             nodes.append(World(scoped(settings, number, services=services), number, slow_s=0.03))
             born = 0.0 if cold == "one" else 999.0
@@ -494,7 +501,7 @@
             for at, _, server in node.sent:
                 took[server].append(at)
         chilled = (1,) if cold == "one" else (1, 2, 3)
-        found[divisor] = max(most_in_a_window(took[server], safety.fall_s) for server in chilled)
+        found[divisor] = max(most_in_a_window(took[server], safety.overload_window_s) for server in chilled)
         assert sum(map(len, took.values())) > 8, "nothing was sent at all"
     assert 0 < found[sharing] <= budget < found[1], (found, budget)
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -20,7 +20,7 @@
 from stairhatch.node.roster import parse_load
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.overload.settings import Safety
+from stairhatch.overload.settings import SafetyLimits
 from stairhatch.settings import SETTINGS, Each, Flag, Number, SettingsError, Table, Text, parse_settings
 
 from .peers import Program, free_port, instance
@@ -198,24 +198,45 @@
     family, permissions, safety = told["family_info"], told["permissions"], told["safety"]
     assert [kind.name for kind in settings.classes] == [line["name"] for line in told["classes"]]
     for index, (kind, line) in enumerate(zip(settings.classes, told["classes"], strict=True)):
-        assert (kind.importance, kind.aim_s, kind.deadline_s, kind.late_worth, kind.repeatable) == (
-            line["importance"], line["aim_s"], line["hard_limit_s"], line["late_worth"],
+        assert (
+            kind.priority_weight,
+            kind.latency_objective_s,
+            kind.deadline_s,
+            kind.late_weight,
+            kind.idempotent,
+        ) == (
+            line["importance"],
+            line["aim_s"],
+            line["hard_limit_s"],
+            line["late_worth"],
             line["effect"] == "read_like",
-        )  # fmt: skip
-        assert (kind.length_s, kind.pools) == (
-            family["call_length_s"][index], tuple(family["allowed_pools"][index])
-        )  # fmt: skip
-    assert settings.safety == Safety(
-        **{name: value for name, value in safety.items() if name != "must_ask_in_s"},
-        clear_wait_s=family["clear_wait_s"],
+        )
+        assert (kind.mean_duration_s, kind.allowed_servers) == (
+            family["call_length_s"][index],
+            tuple(family["allowed_pools"][index]),
+        )
+    assert settings.safety == SafetyLimits(
+        answer_slack_s=safety["answer_slack_s"],
+        drain_grace_s=safety["drain_grace_s"],
+        initial_capacity_fraction=safety["cold_from"],
+        warm_up_s=safety["warm_after_s"],
+        overload_multiple=safety["fall_multiple"],
+        overload_window_s=safety["fall_s"],
+        retry_pause_s=family["clear_wait_s"],
     )
-    assert (settings.balancers, settings.number, settings.period_s, settings.own_number) == (
-        told["balancers"], told["me"], told["period_s"], family["self_no"]
-    )  # fmt: skip
-    assert (settings.attempts, settings.may_probe, settings.may_tell_peers, settings.may_cancel) == tuple(
-        permissions[name] for name in ("send_cap", "may_probe", "peers", "cancel")
-    )
-    assert (settings.may_advise_return, settings.longest_return_s, settings.connect_timeout_s) == tuple(
+    assert (
+        settings.instance_count,
+        settings.instance_index,
+        settings.event_period_s,
+        settings.own_server_number,
+    ) == (told["balancers"], told["me"], told["period_s"], family["self_no"])
+    assert (
+        settings.max_attempts,
+        settings.may_probe,
+        settings.may_message_peers,
+        settings.may_cancel,
+    ) == tuple(permissions[name] for name in ("send_cap", "may_probe", "peers", "cancel"))
+    assert (settings.may_send_retry_after, settings.max_retry_after_s, settings.connect_timeout_s) == tuple(
         permissions[name] for name in ("retry_after", "max_retry_after_s", "connect_timeout_s")
     )
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -112,8 +112,10 @@
 
 def test_settings_are_translated_and_unknown_keys_ignored():
     settings, names = parse_settings(json.dumps(BOOT).encode())
-    assert settings.balancers == 4 and settings.attempts == 5 and settings.safety.clear_wait_s == 0.5
-    assert settings.classes[0].pools == (0, 1) and settings.classes[0].length_s == 11.0
+    assert (
+        settings.instance_count == 4 and settings.max_attempts == 5 and settings.safety.retry_pause_s == 0.5
+    )
+    assert settings.classes[0].allowed_servers == (0, 1) and settings.classes[0].mean_duration_s == 11.0
     assert names[2] == "mean_ms"
 
 
