--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -42,17 +42,17 @@
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    LoadTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.standin.behaviour import Say, ends
@@ -213,11 +213,11 @@
         process.core = Controller(replace(self.settings, instance_index=process.number), rng)
         process.out.clear()
         cold = self.now > self.start
-        lines = [ListedServer(n, n) for n in sorted(self.others)]
-        lines += [ListedServer(COLD, 0, up_since=self.start)] if cold else []
-        self.tell(process, ServersListed(tuple(lines), True))
+        lines = [EndpointRecord(n, n) for n in sorted(self.others)]
+        lines += [EndpointRecord(COLD, 0, started_at=self.start)] if cold else []
+        self.tell(process, EndpointsUpdated(tuple(lines), True))
         for server in self.others:
-            self.tell(process, LoadTold(server, self.report(server, unasked=True)))
+            self.tell(process, LoadReported(server, self.report(server, unasked=True)))
 
     def report(self, server: int, unasked: bool = False) -> LoadReport:
         """What a server tells: unasked its lines alone, in a release also its processor's figures, a little
@@ -253,10 +253,12 @@
             assert process.core is not None
             for when, server in sorted(stood):
                 took = self.chance.uniform(0.01, 0.04)
-                list(process.core.handle(when, SetupStood(next(self.ids), server, took)))
+                list(process.core.handle(when, CallEstablished(next(self.ids), server, took)))
             for server in self.others:
                 took, report = self.chance.expovariate(1 / site.length_s), self.report(server)
-                over = SetupEnded(next(self.ids), server, AttemptOutcome.COMPLETED, True, report, took_s=took)
+                over = AttemptEnded(
+                    next(self.ids), server, AttemptOutcome.COMPLETED, True, report, elapsed_s=took
+                )
                 list(process.core.handle(self.start - 1.0, over))
 
     def tell(self, process: Process, event: Event) -> None:
@@ -269,7 +271,7 @@
                 case SendSetup():
                     self.send(process, core, act)
                 case SetTimer():
-                    wake = partial(self.on, process, core, TimerRang(act.label))
+                    wake = partial(self.on, process, core, TimerExpired(act.timer_id))
                     self.at(self.now + max(0.04, act.delay_s), wake)
 
     def on(self, process: Process, core: Controller, event: Event) -> None:
@@ -279,8 +281,8 @@
 
     def send(self, process: Process, core: Controller, act: SendSetup) -> None:
         """A set-up: it is written once the link is up, and given up after its time-out."""
-        process.out[act.call] = act.server
-        sent, written = self.now, max(self.now, process.links_at if act.server == COLD else 0.0)
+        process.out[act.call_id] = act.server_id
+        sent, written = self.now, max(self.now, process.links_at if act.server_id == COLD else 0.0)
         over = sent + (act.timeout_s or FALLBACK_S)
         if written < over:
             there = written + self.chance.uniform(*WAY_S)
@@ -289,7 +291,7 @@
 
     def arrive(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """A set-up reaches its server."""
-        if act.server != COLD:
+        if act.server_id != COLD:
             done = self.now + 0.01
         else:
             self.times.append(self.now - self.start)
@@ -299,38 +301,43 @@
 
     def answer(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """It stands, unless it was given up meanwhile."""
-        if process.core is not core or process.out.pop(act.call, None) is None:
+        if process.core is not core or process.out.pop(act.call_id, None) is None:
             return
-        self.tell(process, SetupStood(act.call, act.server, self.now - sent))
+        self.tell(process, CallEstablished(act.call_id, act.server_id, self.now - sent))
         length = self.chance.expovariate(1 / self.site.length_s)
-        self.open += act.server == COLD
+        self.open += act.server_id == COLD
         self.at(self.now + length, partial(self.over, process, core, act, length))
 
     def over(self, process: Process, core: Controller, act: SendSetup, length: float) -> None:
         """A call has lasted its time."""
-        self.open -= act.server == COLD
-        done = SetupEnded(
-            act.call, act.server, AttemptOutcome.COMPLETED, True, self.report(act.server), took_s=length
+        self.open -= act.server_id == COLD
+        done = AttemptEnded(
+            act.call_id,
+            act.server_id,
+            AttemptOutcome.COMPLETED,
+            True,
+            self.report(act.server_id),
+            elapsed_s=length,
         )
         self.on(process, core, done)
 
     def give_up(self, process: Process, core: Controller, act: SendSetup, sent: float) -> None:
         """Its time is over."""
-        if process.core is core and process.out.pop(act.call, None) is not None:
+        if process.core is core and process.out.pop(act.call_id, None) is not None:
             end, none = AttemptOutcome.TIMED_OUT, LoadReport()
-            over = SetupEnded(act.call, act.server, end, False, none, took_s=self.now - sent)
+            over = AttemptEnded(act.call_id, act.server_id, end, False, none, elapsed_s=self.now - sent)
             self.tell(process, over)
 
     def states(self, process: Process) -> None:
         """The cold server's state on one link, now and then again."""
         if process.core is not None and self.now >= process.links_at:
-            self.tell(process, LoadTold(COLD, self.report(COLD, unasked=True)))
+            self.tell(process, LoadReported(COLD, self.report(COLD, unasked=True)))
         self.at(self.now + STATE_S, partial(self.states, process))
 
     def hear(self, process: Process) -> None:
         """A process is told that the server has started; the link's first state follows."""
-        line = ListedServer(COLD, 0, up_since=self.start)
-        self.tell(process, ServersListed((line,), False))
+        line = EndpointRecord(COLD, 0, started_at=self.start)
+        self.tell(process, EndpointsUpdated((line,), False))
         self.states(process)
 
     def offer(self, process: Process) -> None:
@@ -351,8 +358,8 @@
 
     def lose_others(self, process: Process) -> None:
         """A process is told that every other server is gone."""
-        gone = (ListedServer(n, n, Availability.GONE) for n in range(1, self.site.servers))
-        self.tell(process, ServersListed(tuple(gone), False))
+        gone = (EndpointRecord(n, n, Availability.GONE) for n in range(1, self.site.servers))
+        self.tell(process, EndpointsUpdated(tuple(gone), False))
 
     def renumber(self, process: Process, number: int, count: int) -> None:
         """Other settings, live."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -49,18 +49,18 @@
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    LoadTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.settings import Settings
 from stairhatch.service import unix_clock
@@ -114,14 +114,14 @@
         self.settings = settings_from(raw_settings(listed, service))[0]
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
-        self.lines = tuple(ListedServer(index + 1, index) for index in range(listed))
+        self.lines = tuple(EndpointRecord(index + 1, index) for index in range(listed))
         self.now, self.instant, self.serial = 1000.0, 0.0, itertools.count(1)
         self.used: Counter[str] = Counter()  # processor seconds, by what they were for
         self.times: Counter[str] = Counter()
         self.answers = True
         self.order = itertools.count()
         self.due: list[tuple[float, int, str, Event]] = []
-        self.tell("whole", ServersListed(self.lines, complete=True))
+        self.tell("whole", EndpointsUpdated(self.lines, complete=True))
 
     def tell(self, what: str, event: Event) -> None:
         """One event, and what comes of it."""
@@ -133,12 +133,14 @@
         self.times[what] += 1
         for action in actions:
             if isinstance(action, SendSetup) and self.answers:
-                stood = SetupStood(action.call, action.server, TOOK_S)
-                ended = SetupEnded(action.call, action.server, AttemptOutcome.COMPLETED, True, LoadReport())
+                stood = CallEstablished(action.call_id, action.server_id, TOOK_S)
+                ended = AttemptEnded(
+                    action.call_id, action.server_id, AttemptOutcome.COMPLETED, True, LoadReport()
+                )
                 self.later(TOOK_S, "call", stood)
                 self.later(HELD_S, "call", ended)
             elif isinstance(action, SetTimer):
-                self.later(action.delay_s, "call", TimerRang(action.label))
+                self.later(action.delay_s, "call", TimerExpired(action.timer_id))
 
     def later(self, after: float, what: str, event: Event) -> None:
         """Tell it when its time has come."""
@@ -159,7 +161,7 @@
                 load = LoadReport(
                     free_lines=LINES, total_lines=LINES, processor_wait_s=0.001, admissible_rate=500.0
                 )
-                self.later(at, "state", LoadTold(each.server, load))
+                self.later(at, "state", LoadReported(each.server_id, load))
         begun, many = self.now, int(seconds * rate)
         self.used["call"], self.times["offered"] = 0.0, 0
         for number in range(many):
@@ -187,9 +189,9 @@
     found["decisions_rest_by_servers"] = 100 * state * size / STATE_S
     for turn in range(50):
         standing = Availability.DRAINING if turn % 2 == 0 else Availability.READY
-        one = (replace(alone.lines[turn % size], standing=standing),)
+        one = (replace(alone.lines[turn % size], availability=standing),)
         alone.now += 0.1
-        alone.tell("change", ServersListed(one, complete=False))
+        alone.tell("change", EndpointsUpdated(one, complete=False))
     found["decisions_change_by_servers"] = 1000 * alone.used["change"] / 50
     return found
 
@@ -215,7 +217,7 @@
     while len(waiting) < size:
         alone.offer(1, grace_s=600.0)
     while len(waiting) > size:
-        alone.tell("left", CallerLeft(next(iter(waiting))))
+        alone.tell("left", CallAbandoned(next(iter(waiting))))
     for call in waiting.values():  # they are held through the run
         call.hold_by = call.answer_by
     alone.decisions.holds.clear()
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -26,15 +26,15 @@
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.scope.decisions import ScopedController
@@ -75,21 +75,21 @@
         self.order = 0
         self.open: deque[tuple[float, int, int]] = deque()
         self.random = random.Random(7)
-        lines = tuple(ListedServer(n + 1, n) for n in range(listed))
-        self.tell(ServersListed(lines, True))
+        lines = tuple(EndpointRecord(n + 1, n) for n in range(listed))
+        self.tell(EndpointsUpdated(lines, True))
 
     def tell(self, event: Event) -> None:
         """One event, and what its actions lead to."""
         for action in self.decisions.handle(self.now, event):
             match action:
                 case SendSetup(call, server, _):
-                    self.later(SET_UP_S, SetupStood(call, server, SET_UP_S))
+                    self.later(SET_UP_S, CallEstablished(call, server, SET_UP_S))
                     report = LoadReport(free_lines=180.0, total_lines=200.0, processor_wait_s=0.005)
-                    ended = SetupEnded(call, server, AttemptOutcome.COMPLETED, True, report, LASTS_S)
+                    ended = AttemptEnded(call, server, AttemptOutcome.COMPLETED, True, report, LASTS_S)
                     self.later(LASTS_S, ended)
                     self.stood += 1
                 case SetTimer(delay_s, label):
-                    self.later(delay_s, TimerRang(label))
+                    self.later(delay_s, TimerExpired(label))
 
     def later(self, after_s: float, event: Event) -> None:
         """An event to come."""
--- a/stairhatch/adapter.py
+++ b/stairhatch/adapter.py
@@ -12,22 +12,22 @@
 from typing import Any, BinaryIO
 
 from stairhatch import wire
-from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    LoadTold,
-    PeerTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    PeerMessageReceived,
+    TimerExpired,
 )
 from stairhatch.overload.settings import Settings
 from stairhatch.settings import SettingsError, parse_settings, report_from
@@ -66,13 +66,13 @@
         match action:
             case SendSetup(call, server, timeout_s):
                 return wire.Assign(self.who, call, server, timeout_s)
-            case RefuseCall(call, return_s):
+            case RejectCall(call, return_s):
                 return wire.OverloadReply(self.who, call, return_s)
             case FailCall(call):
                 return wire.GiveUp(self.who, call)
             case SetTimer(delay_s, label):
                 return wire.After(self.who, delay_s, label)
-            case Note(text):
+            case LogMessage(text):
                 return wire.Log(self.who, text.encode()[:65535])
 
 
@@ -120,31 +120,31 @@
             case wire.Ask():
                 classes = instance.controller.settings.classes
                 return CallOffered(
-                    call=record.txn,
-                    kind=classes[record.type] if record.type < len(classes) else None,
-                    choice=int(record.destination) if math.isfinite(record.destination) else -1,
-                    grace_s=record.grace_s,
-                    redial=bool(record.bits & REDIALLED),
+                    call_id=record.txn,
+                    call_class=classes[record.type] if record.type < len(classes) else None,
+                    preferred_number=int(record.destination) if math.isfinite(record.destination) else -1,
+                    caller_timeout_s=record.grace_s,
+                    is_caller_retry=bool(record.bits & REDIALLED),
                     in_transit=bool(record.bits & IN_TRANSIT),
-                    called=record.resource,
+                    called_number=record.resource,
                 )
             case wire.Accepted():
-                return SetupStood(record.txn, record.server, record.time_taken_s)
+                return CallEstablished(record.txn, record.server, record.time_taken_s)
             case wire.Outcome():
                 return self._ended(instance, record)
             case wire.Abandoned():
-                return CallerLeft(record.txn)
+                return CallAbandoned(record.txn)
             case wire.Ring():
-                return TimerRang(record.label)
+                return TimerExpired(record.label)
             case wire.ProbeResult():
                 reached = record.reason == 10
                 report = instance.report(record.pressure) if reached else LoadReport()
-                return LoadTold(record.server, report, reached, asked=record.time_taken_s > 0)
+                return LoadReported(record.server, report, reached, solicited=record.time_taken_s > 0)
             case wire.Inbox():
-                return PeerTold(record.neighbour, record.body)
+                return PeerMessageReceived(record.neighbour, record.body)
         raise wire.WireError(f"no meaning for {type(record).__name__}")
 
-    def _listed(self, record: wire.RosterChange) -> ServersListed | None:
+    def _listed(self, record: wire.RosterChange) -> EndpointsUpdated | None:
         """A change of the server list, looked up in the inventory that it points at."""
         if record.scope == 3:
             return None
@@ -157,10 +157,10 @@
             if entry.availability not in STANDINGS:
                 raise wire.WireError(f"Inventory: unknown availability {entry.availability}")
             since = entry.up_since_s if math.isfinite(entry.up_since_s) else 0.0
-            lines.append(ListedServer(entry.server, entry.number, STANDINGS[entry.availability], since))
-        return ServersListed(tuple(lines), complete=record.scope != 0)
+            lines.append(EndpointRecord(entry.server, entry.number, STANDINGS[entry.availability], since))
+        return EndpointsUpdated(tuple(lines), complete=record.scope != 0)
 
-    def _ended(self, instance: Instance, record: wire.Outcome) -> SetupEnded:
+    def _ended(self, instance: Instance, record: wire.Outcome) -> AttemptEnded:
         """An attempt's end, with the cause taken apart."""
         if record.reason not in ENDINGS:
             raise wire.WireError(f"Outcome: unknown reason {record.reason}")
@@ -171,16 +171,16 @@
             if ending is AttemptOutcome.REJECTED and low == PROCESSOR_FULL and wait_ms
             else None
         )
-        return SetupEnded(
-            call=record.txn,
-            server=record.server,
-            ending=ending,
+        return AttemptEnded(
+            call_id=record.txn,
+            server_id=record.server,
+            outcome=ending,
             answered=bool(record.done_flag),
             report=instance.report(record.pressure),
-            took_s=record.time_taken_s,
-            told_wait_s=told,
-            number_busy=ending is AttemptOutcome.ERROR and low == NUMBER_BUSY,
-            no_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT) and low == NO_LINE,
+            elapsed_s=record.time_taken_s,
+            retry_after_s=told,
+            destination_busy=ending is AttemptOutcome.ERROR and low == NUMBER_BUSY,
+            no_free_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT) and low == NO_LINE,
         )
 
 
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -19,21 +19,21 @@
 from typing import Protocol
 
 from stairhatch.overload import endpoint
-from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    LoadTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
 
@@ -461,7 +461,7 @@
                     server.listing = gone
                     self.cut_standing(server, before=self.clock() + 1)
                     self.side.listed(server)
-        self._tell(ServersListed(tuple(told), complete))
+        self._tell(EndpointsUpdated(tuple(told), complete))
 
     def forget_server(self, server: Server) -> None:
         """A server that is gone, and to which no link is left, has nothing to be known of any more."""
@@ -471,9 +471,9 @@
                 del self.by_instance[server.listing.instance]
 
     @staticmethod
-    def _line(server: Server) -> ListedServer:
+    def _line(server: Server) -> EndpointRecord:
         line = server.listing
-        return ListedServer(server.id, line.number, line.standing, line.started_s)
+        return EndpointRecord(server.id, line.number, line.standing, line.started_s)
 
     def stands(self, ident: str) -> bool:
         """Whether a call of that id stands."""
@@ -519,12 +519,12 @@
         self.at(call.deadline + BACKSTOP_S, partial(self._backstop, call.number))
         self._tell(
             CallOffered(
-                call=call.number,
-                kind=offer.kind,
-                choice=offer.choice,
-                grace_s=offer.patience_s,
-                redial=offer.redial,
-                called=offer.called,
+                call_id=call.number,
+                call_class=offer.kind,
+                preferred_number=offer.choice,
+                caller_timeout_s=offer.patience_s,
+                is_caller_retry=offer.redial,
+                called_number=offer.called,
             )
         )
         return call
@@ -540,7 +540,7 @@
             self.log("left", call=call.offer.ident)
         self._close(call)
         attempt = call.attempt
-        self._tell(CallerLeft(call.number))
+        self._tell(CallAbandoned(call.number))
         if attempt is not None and not attempt.over:
             self._give_up(attempt, AttemptOutcome.CANCELLED)
 
@@ -556,7 +556,7 @@
         self.counters.add("callers_away")
         if call.attempt is None or not call.attempt.written:
             self._answer_now(call)
-            self._tell(CallerLeft(call.number))
+            self._tell(CallAbandoned(call.number))
 
     def caller_released(self, call: Call, cause: int) -> None:
         """The caller ends a call that stands."""
@@ -584,7 +584,7 @@
         for call in [call for call in self.calls.values() if call.stage is Stage.OFFERED]:
             if call.stage is Stage.OFFERED:
                 self._answer_now(call)
-                self._tell(CallerLeft(call.number))
+                self._tell(CallAbandoned(call.number))
 
     def harmless(self, call: Call) -> bool:
         """Whether its caller may be told that trying again does no harm."""
@@ -592,7 +592,7 @@
 
     def _answer_now(self, call: Call) -> None:
         """The final answer without the decisions: another try is the caller's."""
-        self._final(call, (RefuseCall if self.harmless(call) else FailCall)(call.number))
+        self._final(call, (RejectCall if self.harmless(call) else FailCall)(call.number))
 
     def _backstop(self, number: int) -> None:
         """By the call's number: a timer that held the call kept it, its caller and its description until the
@@ -602,7 +602,7 @@
         if call is not None and call.stage is Stage.OFFERED:
             self.log("guard", call=call.offer.ident, why="the decisions left it unanswered")
             self._final(call, FailCall(call.number))
-            self._tell(CallerLeft(call.number))
+            self._tell(CallAbandoned(call.number))
 
     # ---- roster servers ----
 
@@ -696,7 +696,7 @@
         if self.tracing:
             self.log("answer", call=ident, result="stood", n=attempt.number)
         call.caller.stood(description.encode("utf-8", "surrogateescape"))
-        self._tell(SetupStood(call.number, server.id, now - attempt.asked_at))
+        self._tell(CallEstablished(call.number, server.id, now - attempt.asked_at))
 
     def finished(self, server: Server, ident: str, cause: int, note: str, report: LoadReport) -> None:
         """A roster server refuses a set-up or releases a call."""
@@ -730,7 +730,7 @@
     def load_told(self, server: Server, report: LoadReport) -> None:
         """A roster server's figures, unasked."""
         if report != LoadReport():
-            self._tell(LoadTold(server.id, report))
+            self._tell(LoadReported(server.id, report))
 
     # ---- inside ----
 
@@ -779,16 +779,16 @@
         while len(self._over) > REMEMBERED or next(iter(self._over.values())) < now - REMEMBERED_S:
             self._over.popitem(last=False)
 
-    def _final(self, call: Call, action: RefuseCall | FailCall) -> None:
+    def _final(self, call: Call, action: RejectCall | FailCall) -> None:
         """The final answer, once."""
         attempt = call.attempt
         self._close(call)
-        if isinstance(action, RefuseCall):
+        if isinstance(action, RejectCall):
             self.counters.add("answers_refused")
             if self.tracing:
-                return_ms = int(action.return_s * 1000)
+                return_ms = int(action.retry_after_s * 1000)
                 self.log("answer", call=call.offer.ident, result="refused", return_ms=return_ms)
-            call.caller.refused(action.return_s)
+            call.caller.refused(action.retry_after_s)
         else:
             self.counters.add("answers_failed")
             if self.tracing:
@@ -800,7 +800,7 @@
     def _set_up(self, action: SendSetup) -> None:
         """The decisions ask for an attempt. What the rules forbid is answered here and never leaves."""
         now = self.clock()
-        call, server = self.calls.get(action.call), self.servers.get(action.server)
+        call, server = self.calls.get(action.call_id), self.servers.get(action.server_id)
         if call is None or call.stage is not Stage.OFFERED or call.attempt is not None:
             self.log("guard", why="an attempt was asked for a call that is over or has one out")
             self.counters.add("guards")
@@ -809,7 +809,7 @@
             self.log("guard", call=call.offer.ident, why="unknown server")
             self.counters.add("guards")
             self._events.append(
-                SetupEnded(call.number, action.server, AttemptOutcome.NOT_SENT, False, LoadReport())
+                AttemptEnded(call.number, action.server_id, AttemptOutcome.NOT_SENT, False, LoadReport())
             )
             return
         call.attempts += 1
@@ -873,15 +873,16 @@
         if call.away and call.stage is Stage.OFFERED:
             self._answer_now(call)
         self._tell(
-            SetupEnded(
-                call=call.number,
-                server=attempt.server.id,
-                ending=ending,
+            AttemptEnded(
+                call_id=call.number,
+                server_id=attempt.server.id,
+                outcome=ending,
                 answered=call.stage is not Stage.OFFERED,
                 report=report,
-                took_s=now - attempt.asked_at,
-                number_busy=ending is AttemptOutcome.ERROR and note == "lines_busy",
-                no_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT) and note == "no_circuit",
+                elapsed_s=now - attempt.asked_at,
+                destination_busy=ending is AttemptOutcome.ERROR and note == "lines_busy",
+                no_free_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
+                and note == "no_circuit",
             )
         )
 
@@ -906,9 +907,9 @@
         except Exception as error:  # noqa: BLE001 - a caller must not wait for a fault of ours
             self.counters.add("decision_faults")
             self.log("fault", why=f"{type(error).__name__}: {error}", event=type(event).__name__)
-            call = self.calls.get(getattr(event, "call", 0))
+            call = self.calls.get(getattr(event, "call_id", 0))
             if call is not None and call.stage is Stage.OFFERED and call.attempt is None:
-                sent = any(isinstance(a, SendSetup) and a.call == call.number for a in actions)
+                sent = any(isinstance(a, SendSetup) and a.call_id == call.number for a in actions)
                 if not sent:
                     actions.append(FailCall(call.number))
         for action in actions:
@@ -918,11 +919,11 @@
         match action:
             case SendSetup():
                 self._set_up(action)
-            case RefuseCall() | FailCall():
-                call = self.calls.get(action.call)
+            case RejectCall() | FailCall():
+                call = self.calls.get(action.call_id)
                 if call is not None and call.stage is Stage.OFFERED:
                     self._final(call, action)
             case SetTimer(delay_s, label):
-                self.at(self.clock() + delay_s, lambda: self._tell(TimerRang(label)))
-            case Note(text):
+                self.at(self.clock() + delay_s, lambda: self._tell(TimerExpired(label)))
+            case LogMessage(text):
                 self.log("note", text=text)
--- a/stairhatch/overload/actions.py
+++ b/stairhatch/overload/actions.py
@@ -12,24 +12,24 @@
 class SendSetup:
     """Send a set-up. `timeout_s` 0: until the caller gives up."""
 
-    call: int
-    server: int
+    call_id: int
+    server_id: int
     timeout_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class RefuseCall:
+class RejectCall:
     """Final answer: turned away; the caller may be told when to dial again."""
 
-    call: int
-    return_s: float = 0.0
+    call_id: int
+    retry_after_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailCall:
     """Final answer: given up."""
 
-    call: int
+    call_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,14 +37,14 @@
     """Ask for a TimerRang after this long."""
 
     delay_s: float
-    label: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     """One plain line for the people on call."""
 
     text: str
 
 
-Action = SendSetup | RefuseCall | FailCall | SetTimer | Note
+Action = SendSetup | RejectCall | FailCall | SetTimer | LogMessage
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -13,21 +13,21 @@
 import random
 from collections.abc import Iterator
 
-from stairhatch.overload.actions import Action, FailCall, Note, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.endpoint import Server
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    LoadTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.pending_call import Call, Jam
 from stairhatch.overload.settings import CallClass, Settings
@@ -109,62 +109,66 @@
     def handle(self, now: float, event: Event) -> Iterator[Action]:
         """Take one event; yield what is to be done."""
         match event:
-            case ServersListed():
+            case EndpointsUpdated():
                 self.servers_listed(now, event)
             case CallOffered():
                 yield from self.call_offered(now, event)
-            case SetupStood():
+            case CallEstablished():
                 self.setup_stood(now, event)
-            case SetupEnded():
+            case AttemptEnded():
                 yield from self.setup_ended(now, event)
-            case CallerLeft():
-                self.forget(event.call)
-            case LoadTold():
+            case CallAbandoned():
+                self.forget(event.call_id)
+            case LoadReported():
                 self.load_told(now, event)
-            case TimerRang():
+            case TimerExpired():
                 self.timer_set = False
         newest = None  # a call that has come, or has come back
-        if isinstance(event, CallOffered | SetupEnded):
-            newest = self.waiting.get(event.call)
+        if isinstance(event, CallOffered | AttemptEnded):
+            newest = self.waiting.get(event.call_id)
         yield from self.serve_waiting(now, newest)
         while self.notes:
-            yield Note(self.notes.pop(0))
+            yield LogMessage(self.notes.pop(0))
         if self.waiting and not self.timer_set:
             self.timer_set = True
             yield SetTimer(max(WAKE_S, self.settings.event_period_s), WAKE)
 
     # ---- the server list ----
 
-    def servers_listed(self, now: float, event: ServersListed) -> None:
+    def servers_listed(self, now: float, event: EndpointsUpdated) -> None:
         """Rule 3: what drains or is gone gets nothing from this moment on."""
         if event.complete:
-            listed = {line.server for line in event.servers}
+            listed = {line.server_id for line in event.endpoints}
             for server in self.servers.values():
                 if server.id not in listed:
                     server.standing = Availability.GONE
-        for line in event.servers:
-            known = self.servers.get(line.server)
+        for line in event.endpoints:
+            known = self.servers.get(line.server_id)
             if known is None:
                 known = Server(
-                    line.server, line.number, window=self.first_window, credit=BURST, block_s=FIRST_BLOCK_S
+                    line.server_id, line.number, window=self.first_window, credit=BURST, block_s=FIRST_BLOCK_S
                 )
-                self.servers[line.server] = known
+                self.servers[line.server_id] = known
             self.note_start(now, known, line)
-            known.number, known.standing, known.listed_at = line.number, line.standing, now
+            known.number, known.standing, known.listed_at = line.number, line.availability, now
         for server in list(self.servers.values()):
             gone = server.standing is Availability.GONE and not server.unanswered
             if gone and now - server.listed_at > MEMORY_S:  # until then it may return, and its size is known
                 del self.servers[server.id]
 
-    def note_start(self, now: float, server: Server, line: ListedServer) -> None:
+    def note_start(self, now: float, server: Server, line: EndpointRecord) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
-        age = now - line.up_since
-        if line.up_since <= 0 or age >= self.safety.warm_up_s or line.standing is not Availability.READY:
+        age = now - line.started_at
+        if (
+            line.started_at <= 0
+            or age >= self.safety.warm_up_s
+            or line.availability is not Availability.READY
+        ):
             return
-        if server.born is not None and abs(server.born - line.up_since) < 1e-6:
+        if server.born is not None and abs(server.born - line.started_at) < 1e-6:
             return
         self.notes.append(f"server {server.id} started {age:.0f} s ago: paced while cold")
-        server.born = line.up_since
+        server.born = line.started_at
         server.flagged, server.down, server.unreached = False, False, False
         server.blocked_until, server.block_s = 0.0, FIRST_BLOCK_S
         self.start_turns(now, server)
@@ -173,19 +177,30 @@
 
     def call_offered(self, now: float, event: CallOffered) -> Iterator[Action]:
         """The ordinary path: pick a server; while it is flagged, refuse a share at random; else send."""
-        kind = event.kind
+        kind = event.call_class
         if kind is None:
-            yield FailCall(event.call)
+            yield FailCall(event.call_id)
             return
         self.lengths += 1
         self.length_s += (kind.mean_duration_s - self.length_s) / min(self.lengths, 1000)
         margin = max(ANSWER_MARGIN_S, 2 * self.settings.event_period_s)
-        by = now + event.grace_s - margin
-        redial = event.redial or self.looks_redialled(kind, event.grace_s)
+        by = now + event.caller_timeout_s - margin
+        redial = event.is_caller_retry or self.looks_redialled(kind, event.caller_timeout_s)
         worth = kind.priority_weight * (kind.late_weight if redial else 1.0)
         hold = min(by, now + kind.latency_objective_s - self.onset)  # while its aim can be met
         cap = self.settings.max_attempts
-        call = Call(event.call, kind, event.choice, now, by, worth, event.in_transit, event.called, hold, cap)
+        call = Call(
+            event.call_id,
+            kind,
+            event.preferred_number,
+            now,
+            by,
+            worth,
+            event.in_transit,
+            event.called_number,
+            hold,
+            cap,
+        )
         self.calls[call.id] = call
         if self.number_jammed(now, call):
             yield from self.refuse(now, call)
@@ -323,7 +338,7 @@
         if call.may_have_run and not call.kind.idempotent:
             yield FailCall(call.id)
         else:
-            yield RefuseCall(call.id, self.come_back(now, call))
+            yield RejectCall(call.id, self.come_back(now, call))
 
     def come_back(self, now: float, call: Call) -> float:
         """When a refused caller may dial again: once the least pressed server it may use should have abated.
@@ -459,22 +474,22 @@
 
     # ---- evidence ----
 
-    def setup_stood(self, now: float, event: SetupStood) -> None:
+    def setup_stood(self, now: float, event: CallEstablished) -> None:
         """The call stands. How long that took is the freshest sign of the server's wait."""
-        call = self.calls.get(event.call)
+        call = self.calls.get(event.call_id)
         if call is not None:
             self.note_number(now, call.called, busy=False)
-            self.blame(now, call, event.server)
-        self.forget(event.call)
-        server = self.servers.get(event.server)
+            self.blame(now, call, event.server_id)
+        self.forget(event.call_id)
+        server = self.servers.get(event.server_id)
         if server is None:
             return
         count = len(server.unanswered)
-        sent = server.unanswered.pop(event.call, now - event.took_s)
+        sent = server.unanswered.pop(event.call_id, now - event.elapsed_s)
         server.errors = 0
-        server.quickest_s = min(server.quickest_s, event.took_s)
+        server.quickest_s = min(server.quickest_s, event.elapsed_s)
         self.drop_overtaken(now, server, sent)
-        server.own_s, server.own_at = event.took_s - server.quickest_s, now
+        server.own_s, server.own_at = event.elapsed_s - server.quickest_s, now
         if server.down:
             self.notes.append(f"server {server.id} answers again")
             server.down, server.block_s = False, FIRST_BLOCK_S
@@ -553,52 +568,56 @@
         server.stood_rate = server.stood_rate * (1 - gone) + 1 / MEMORY_S
         server.stood_at = now
 
-    def setup_ended(self, now: float, event: SetupEnded) -> Iterator[Action]:
+    def setup_ended(self, now: float, event: AttemptEnded) -> Iterator[Action]:
         """An attempt is over: learn from it, then go on with the call if the caller still waits."""
-        server = self.servers.get(event.server)
-        was_setup = server is not None and server.unanswered.pop(event.call, None) is not None
+        server = self.servers.get(event.server_id)
+        was_setup = server is not None and server.unanswered.pop(event.call_id, None) is not None
         if server is not None:
             self.learn_end(now, server, event, was_setup)
-        if event.ending is AttemptOutcome.COMPLETED:
+        if event.outcome is AttemptOutcome.COMPLETED:
             self.lasted += 1
-            self.lasted_s += (event.took_s - self.lasted_s) / min(self.lasted, 100)
-        call = self.calls.get(event.call)
+            self.lasted_s += (event.elapsed_s - self.lasted_s) / min(self.lasted, 100)
+        call = self.calls.get(event.call_id)
         if call is None or event.answered:
-            self.forget(event.call)
+            self.forget(event.call_id)
             return
-        if event.ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
+        if event.outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED):
             call.not_before = now + self.safety.retry_pause_s  # rule 5
-        if event.ending not in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
+        if event.outcome not in (
+            AttemptOutcome.REJECTED,
+            AttemptOutcome.UNREACHABLE,
+            AttemptOutcome.NOT_SENT,
+        ):
             call.may_have_run = True
-        if event.number_busy:
+        if event.destination_busy:
             self.note_number(now, call.called, busy=True)
-        elif event.ending is AttemptOutcome.ERROR:
-            call.erred_at += (event.server,)
+        elif event.outcome is AttemptOutcome.ERROR:
+            call.erred_at += (event.server_id,)
         unrepeatable = call.may_have_run and not call.kind.idempotent
-        over = event.number_busy or unrepeatable or call.attempts >= call.cap
+        over = event.destination_busy or unrepeatable or call.attempts >= call.cap
         over = over or len(call.erred_at) >= ERRORS_OF_CALL
         if over or max(now, call.not_before) >= call.answer_by:
             self.forget(call.id)
             yield FailCall(call.id)
         else:
-            if not event.no_line:
+            if not event.no_free_line:
                 call.hold_by = call.answer_by  # a further attempt is held while the caller waits
             self.wait(call)
 
-    def learn_end(self, now: float, server: Server, event: SetupEnded, was_setup: bool) -> None:
+    def learn_end(self, now: float, server: Server, event: AttemptEnded, was_setup: bool) -> None:
         """What an ending tells of the server."""
         self.note_report(now, server, event.report)
-        if event.no_line:  # its lines have run out, not its processor: the next report tells of room
+        if event.no_free_line:  # its lines have run out, not its processor: the next report tells of room
             server.has_line, server.lines_at = False, now
-        elif event.ending in (AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED):
-            self.block(now, server, event.ending, event.told_wait_s or 0.0)
-        elif event.ending is AttemptOutcome.TIMED_OUT and was_setup and event.took_s < self.scale_s:
+        elif event.outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED):
+            self.block(now, server, event.outcome, event.retry_after_s or 0.0)
+        elif event.outcome is AttemptOutcome.TIMED_OUT and was_setup and event.elapsed_s < self.scale_s:
             if self.is_cold(now, server):
-                server.own_s, server.own_at = event.took_s, now
+                server.own_s, server.own_at = event.elapsed_s, now
             else:
                 server.lost_at = now  # given up early, as lost
-        elif event.ending is AttemptOutcome.TIMED_OUT and was_setup:
-            server.own_s, server.own_at = max(event.took_s, self.scale_s), now
+        elif event.outcome is AttemptOutcome.TIMED_OUT and was_setup:
+            server.own_s, server.own_at = max(event.elapsed_s, self.scale_s), now
             if server.window >= 1:
                 server.window = max(self.least_window, server.window / 2)
             self.steer(now, server, server.own_s)
@@ -624,9 +643,9 @@
         server.blocked_until = now + max(pause, told_wait_s)
         server.block_s = min(LONGEST_BLOCK_S, 2 * server.block_s)
 
-    def load_told(self, now: float, event: LoadTold) -> None:
+    def load_told(self, now: float, event: LoadReported) -> None:
         """Figures that came unasked or by a probe."""
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if server is not None:
             self.note_report(now, server, event.report)
 
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -47,20 +47,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedServer:
+class EndpointRecord:
     """One line of the server list."""
 
-    server: int
+    server_id: int
     number: int
-    standing: Availability = Availability.READY
-    up_since: float = 0.0  # when it last started; 0: long ago
+    availability: Availability = Availability.READY
+    started_at: float = 0.0  # when it last started; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
-class ServersListed:
+class EndpointsUpdated:
     """News of the server list: the complete list, or only the lines that changed."""
 
-    servers: tuple[ListedServer, ...]
+    endpoints: tuple[EndpointRecord, ...]
     complete: bool
 
 
@@ -68,69 +68,80 @@
 class CallOffered:
     """A caller asks for a call. One final answer is owed within `grace_s`."""
 
-    call: int
-    kind: CallClass | None  # as it is when the call comes, and for as long as it is open; None: no such class
-    choice: int  # number of the server of first choice
-    grace_s: float
-    redial: bool = False
+    call_id: int
+    call_class: (
+        CallClass | None
+    )  # as it is when the call comes, and for as long as it is open; None: no such class
+    preferred_number: int  # number of the server of first choice
+    caller_timeout_s: float
+    is_caller_retry: bool = False
     in_transit: bool = False
-    called: int = 0  # the number called; 0: not told
+    called_number: int = 0  # the number called; 0: not told
 
 
 @dataclass(frozen=True, slots=True)
-class SetupStood:
+class CallEstablished:
     """The call stands; the set-up took this long."""
 
-    call: int
-    server: int
-    took_s: float
+    call_id: int
+    server_id: int
+    elapsed_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class SetupEnded:
+class AttemptEnded:
     """An attempt is over. `answered` tells that the caller has had a final answer."""
 
-    call: int
-    server: int
-    ending: AttemptOutcome
+    call_id: int
+    server_id: int
+    outcome: AttemptOutcome
     answered: bool
     report: LoadReport
-    took_s: float = 0.0
-    told_wait_s: float | None = None  # a full server's own word on how long to wait
-    number_busy: bool = False  # all lines of the number called are busy
-    no_line: bool = False  # turned away for want of a free line, not of processor time
+    elapsed_s: float = 0.0
+    retry_after_s: float | None = None  # a full server's own word on how long to wait
+    destination_busy: bool = False  # all lines of the number called are busy
+    no_free_line: bool = False  # turned away for want of a free line, not of processor time
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallAbandoned:
     """The caller gave up; no answer is owed any more."""
 
-    call: int
+    call_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class LoadTold:
+class LoadReported:
     """A server's figures, unasked or as the answer to a probe."""
 
-    server: int
+    server_id: int
     report: LoadReport
     reached: bool = True
-    asked: bool = False
+    solicited: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerExpired:
     """A timer that was set has come due."""
 
-    label: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerTold:
+class PeerMessageReceived:
     """A message from another node."""
 
-    peer: int
+    peer_id: int
     body: bytes
 
 
-Event = ServersListed | CallOffered | SetupStood | SetupEnded | CallerLeft | LoadTold | TimerRang | PeerTold
+Event = (
+    EndpointsUpdated
+    | CallOffered
+    | CallEstablished
+    | AttemptEnded
+    | CallAbandoned
+    | LoadReported
+    | TimerExpired
+    | PeerMessageReceived
+)
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -14,20 +14,20 @@
 from dataclasses import replace
 from itertools import count
 
-from stairhatch.overload.actions import Action, FailCall, RefuseCall, SetTimer
+from stairhatch.overload.actions import Action, FailCall, RejectCall, SetTimer
 from stairhatch.overload.controller import WAKE, Controller
 from stairhatch.overload.endpoint import Server
 from stairhatch.overload.events import (
+    AttemptEnded,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
-    LoadTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.scope.sets import Numbers, ScopeConfig, ServerSet, server_sets
@@ -49,7 +49,7 @@
     def __init__(self, label: int, servers: ServerSet, controller: Controller) -> None:
         self.label, self.servers, self.controller = label, servers, controller
         self.used_at = -math.inf
-        self.untold: tuple[ListedServer, ...] = ()  # lines that its decisions hear with the next event
+        self.untold: tuple[EndpointRecord, ...] = ()  # lines that its decisions hear with the next event
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -91,7 +91,7 @@
         changed: Changed = unheard,
     ) -> None:
         self.settings, self.rng, self.config, self.changed = settings, rng, config, changed
-        self.lines: dict[int, ListedServer] = {}  # the whole list
+        self.lines: dict[int, EndpointRecord] = {}  # the whole list
         self.numbered: dict[int, dict[int, None]] = {}  # number -> the servers of that number
         self.gone: set[int] = set()  # in the list, until their set has forgotten them
         self.live: dict[Numbers, Scope] = {}
@@ -141,7 +141,7 @@
         """Where there is one set only, it hears all that concerns none, as a Controller does."""
         return next(iter(self.live.values())) if len(self.sets) == len(self.live) == 1 else None
 
-    def _listed_in(self, numbers: Numbers) -> tuple[ListedServer, ...]:
+    def _listed_in(self, numbers: Numbers) -> tuple[EndpointRecord, ...]:
         found = list(self.lines)
         if numbers is not None:
             found = sorted(server for number in numbers for server in self.numbered.get(number, ()))
@@ -211,22 +211,22 @@
         """Take one event to the set that it concerns; yield what is to be done."""
         self.now = now
         match event:
-            case ServersListed():
+            case EndpointsUpdated():
                 yield from self._list(now, event)
             case CallOffered():
                 yield from self._offer(now, event)
-            case SetupStood() | SetupEnded():
+            case CallEstablished() | AttemptEnded():
                 yield from self._attempt(now, event)
-            case CallerLeft():
-                yield from self._tell(now, self.owner.get(event.call) or self.lone(), event)
-            case LoadTold():
-                yield from self._tell(now, self.home(event.server) or self.lone(), event)
-            case TimerRang(label) if label == LOOK:
+            case CallAbandoned():
+                yield from self._tell(now, self.owner.get(event.call_id) or self.lone(), event)
+            case LoadReported():
+                yield from self._tell(now, self.home(event.server_id) or self.lone(), event)
+            case TimerExpired(label) if label == LOOK:
                 self.look_set = False
                 self._look(now)
-            case TimerRang():
-                for scope in self.timers.pop(event.label, ()):
-                    yield from self._tell(now, scope, TimerRang(WAKE))
+            case TimerExpired():
+                for scope in self.timers.pop(event.timer_id, ()):
+                    yield from self._tell(now, scope, TimerExpired(WAKE))
             case _:
                 yield from self._tell(now, self.lone(), event)
         if self.may_leave and not self.look_set:
@@ -239,60 +239,60 @@
             return
         if scope.untold:
             lines, scope.untold = scope.untold, ()
-            scope.controller.servers_listed(now, ServersListed(lines, complete=False))
+            scope.controller.servers_listed(now, EndpointsUpdated(lines, complete=False))
         for action in scope.controller.handle(now, event):
             match action:
                 case SetTimer(delay_s, _):
                     self.timers[scope.label] = (scope,)
                     yield SetTimer(delay_s, scope.label)
-                case RefuseCall(call) | FailCall(call):
+                case RejectCall(call) | FailCall(call):
                     self.owner.pop(call, None)
                     yield action
                 case _:
                     yield action
-        if not isinstance(event, CallOffered | SetupStood | SetupEnded | CallerLeft):
+        if not isinstance(event, CallOffered | CallEstablished | AttemptEnded | CallAbandoned):
             return
-        if self.owner.get(event.call) is scope and event.call not in scope.controller.calls:
-            del self.owner[event.call]
+        if self.owner.get(event.call_id) is scope and event.call_id not in scope.controller.calls:
+            del self.owner[event.call_id]
 
     def _offer(self, now: float, event: CallOffered) -> Iterator[Action]:
-        kind = event.kind
+        kind = event.call_class
         if kind is None:
             if self.lone() is None:
-                yield FailCall(event.call)
+                yield FailCall(event.call_id)
             yield from self._tell(now, self.lone(), event)
             return
-        servers = self._set_for(kind, event.choice, event.in_transit)
+        servers = self._set_for(kind, event.preferred_number, event.in_transit)
         scope = self.live.get(servers.numbers)
         if scope is None:
             scope = self._begin(servers)
             self.changed(servers.numbers, scope.names, True)
         scope.used_at = self.used[kind.name] = now
-        self.owner[event.call] = scope
+        self.owner[event.call_id] = scope
         yield from self._tell(now, scope, event)
 
-    def _attempt(self, now: float, event: SetupStood | SetupEnded) -> Iterator[Action]:
+    def _attempt(self, now: float, event: CallEstablished | AttemptEnded) -> Iterator[Action]:
         """An attempt's end goes to the set of the call. Where its server is in another by now, that one
         learns from it, as from the end of a call that has its answer.
         """
-        owner, home = self.owner.get(event.call), self.home(event.server)
+        owner, home = self.owner.get(event.call_id), self.home(event.server_id)
         if owner is not None and home is not None and owner is not home:
-            learnt = replace(event, answered=True) if isinstance(event, SetupEnded) else event
+            learnt = replace(event, answered=True) if isinstance(event, AttemptEnded) else event
             yield from self._tell(now, home, learnt)
         yield from self._tell(now, owner or home or self.lone(), event)
 
     # ---- the list ----
 
-    def _list(self, now: float, event: ServersListed) -> Iterator[Action]:
+    def _list(self, now: float, event: EndpointsUpdated) -> Iterator[Action]:
         """Keep the whole list, and tell each set in scope what is news of its own servers."""
         if event.complete:
-            named = {line.server for line in event.servers}
+            named = {line.server_id for line in event.endpoints}
             for server, line in self.lines.items():
                 if server not in named:
-                    self.lines[server] = replace(line, standing=Availability.GONE)
+                    self.lines[server] = replace(line, availability=Availability.GONE)
                     self.gone.add(server)
-        told: dict[Numbers, list[ListedServer]] = {}
-        for line in event.servers:
+        told: dict[Numbers, list[EndpointRecord]] = {}
+        for line in event.endpoints:
             self._note(line)
             scope = self.scope_at(line.number)
             if scope is not None:
@@ -300,7 +300,7 @@
         only = self.lone()
         for numbers, scope in list(self.live.items()):
             if event.complete or numbers in told or scope is only:
-                news = ServersListed(tuple(told.get(numbers, ())), event.complete)
+                news = EndpointsUpdated(tuple(told.get(numbers, ())), event.complete)
                 scope.untold = () if event.complete else scope.untold
                 yield from self._tell(now, scope, news)
         for server in list(self.gone):
@@ -309,22 +309,22 @@
                 self.gone.discard(server)
                 self.numbered[self.lines.pop(server).number].pop(server, None)
 
-    def _note(self, line: ListedServer) -> None:
+    def _note(self, line: EndpointRecord) -> None:
         """One line of the list. A server whose number changes takes what was learnt of it to its new set."""
-        old = self.lines.get(line.server)
+        old = self.lines.get(line.server_id)
         if old is not None and old.number != line.number:
             before, after = self.scope_at(old.number), self.scope_at(line.number)
             if before is not after and before is not None:
-                known = before.controller.servers.pop(line.server, None)
+                known = before.controller.servers.pop(line.server_id, None)
                 if known is not None and after is not None:
-                    after.controller.servers[line.server] = known
-            self.numbered[old.number].pop(line.server, None)
-        self.lines[line.server] = line
-        self.numbered.setdefault(line.number, {})[line.server] = None
-        if line.standing is Availability.GONE:
-            self.gone.add(line.server)
+                    after.controller.servers[line.server_id] = known
+            self.numbered[old.number].pop(line.server_id, None)
+        self.lines[line.server_id] = line
+        self.numbered.setdefault(line.number, {})[line.server_id] = None
+        if line.availability is Availability.GONE:
+            self.gone.add(line.server_id)
         else:
-            self.gone.discard(line.server)
+            self.gone.discard(line.server_id)
 
     # ---- other settings ----
 
@@ -401,7 +401,7 @@
                     new.servers[server] = known
             for called, jam in old.controller.jams.items():
                 new.jams[called] = replace(jam)
-        scope.untold = tuple(line for line in scope.untold if line.server not in new.servers)
+        scope.untold = tuple(line for line in scope.untold if line.server_id not in new.servers)
         if mine:
             self._average(new, [old.controller for old in mine])
         return scope
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,18 +8,18 @@
 
 import pytest
 
-from stairhatch.overload.actions import Action, FailCall, RefuseCall, SendSetup
+from stairhatch.overload.actions import Action, FailCall, RejectCall, SendSetup
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
+    CallEstablished,
     CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
     Event,
-    ListedServer,
     LoadReport,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
 
@@ -49,9 +49,9 @@
         self.done += actions
         return actions
 
-    def list_servers(self, *lines: ListedServer, complete: bool = True) -> list[Action]:
+    def list_servers(self, *lines: EndpointRecord, complete: bool = True) -> list[Action]:
         """News of the server list."""
-        return self.tell(ServersListed(lines, complete))
+        return self.tell(EndpointsUpdated(lines, complete))
 
     def offer(self, choice: int = 0, kind: int = 0, grace_s: float = 3.0, **more: object) -> list[Action]:
         """A new call; its number is `next_call - 1` afterwards."""
@@ -62,19 +62,19 @@
 
     def stood(self, call: int, server: int, took_s: float = 0.05) -> list[Action]:
         """A set-up was answered."""
-        return self.tell(SetupStood(call, server, took_s))
+        return self.tell(CallEstablished(call, server, took_s))
 
     def ended(
         self, call: int, server: int, ending: AttemptOutcome, answered: bool = False, **more: object
     ) -> list[Action]:
         """An attempt is over."""
         report = more.pop("report", LoadReport())
-        return self.tell(SetupEnded(call, server, ending, answered, report, **more))  # type: ignore[arg-type]
+        return self.tell(AttemptEnded(call, server, ending, answered, report, **more))  # type: ignore[arg-type]
 
     def ring(self, after_s: float = 0.0) -> list[Action]:
         """Let time pass, then ring the timer."""
         self.now += after_s
-        return self.tell(TimerRang(1))
+        return self.tell(TimerExpired(1))
 
     def pressed(self, server: int, wait_s: float) -> None:
         """A report with this wait, from a call that ended."""
@@ -90,7 +90,7 @@
 
 def finals(actions: list[Action]) -> list[Action]:
     """The final answers among the actions."""
-    return [a for a in actions if isinstance(a, RefuseCall | FailCall)]
+    return [a for a in actions if isinstance(a, RejectCall | FailCall)]
 
 
 @pytest.fixture
@@ -99,7 +99,7 @@
 
     def make(servers: int = 2, settings: Settings = SETTINGS, seed: int = 1) -> Node:
         node = Node(settings, seed)
-        node.list_servers(*(ListedServer(10 + i, i) for i in range(servers)))
+        node.list_servers(*(EndpointRecord(10 + i, i) for i in range(servers)))
         return node
 
     return make
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stairhatch.overload.actions import Action, SendSetup
-from stairhatch.overload.events import AttemptOutcome, Availability, ListedServer, LoadReport, LoadTold
+from stairhatch.overload.events import AttemptOutcome, Availability, EndpointRecord, LoadReport, LoadReported
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 
 from .conftest import Node, sends
@@ -73,13 +73,13 @@
         """A node that has just started, told of all servers and their lines."""
         node = Node(replace(self.settings, instance_index=number), seed, self.now)
         node.list_servers(
-            ListedServer(COLD, 0, up_since=born),
-            *(ListedServer(server, server - COLD) for server in OTHERS),
+            EndpointRecord(COLD, 0, started_at=born),
+            *(EndpointRecord(server, server - COLD) for server in OTHERS),
         )
         if self.lines:
-            node.tell(LoadTold(COLD, LoadReport(free_lines=self.lines, total_lines=self.lines)))
+            node.tell(LoadReported(COLD, LoadReport(free_lines=self.lines, total_lines=self.lines)))
             for server in OTHERS:
-                node.tell(LoadTold(server, LoadReport(free_lines=2000 * (1 - BORNE), total_lines=2000)))
+                node.tell(LoadReported(server, LoadReport(free_lines=2000 * (1 - BORNE), total_lines=2000)))
         return node
 
     def learn_by_own_calls(self) -> None:
@@ -93,15 +93,15 @@
                     if chance.random() < 0.1:
                         node.offer(choice=server - COLD)
                 for act in sends(node.done):
-                    node.stood(act.call, act.server, 0.03)
-                    node.ended(act.call, act.server, AttemptOutcome.COMPLETED, True)
+                    node.stood(act.call_id, act.server_id, 0.03)
+                    node.ended(act.call_id, act.server_id, AttemptOutcome.COMPLETED, True)
                 node.done.clear()
 
     def start_cold(self) -> None:
         """All are told at once that the server has just started."""
         self.born = self.now
         for node in self.fleet:
-            node.list_servers(ListedServer(COLD, 0, up_since=self.born), complete=False)
+            node.list_servers(EndpointRecord(COLD, 0, started_at=self.born), complete=False)
 
     def idle(self, seconds: float) -> None:
         """Nothing is offered; each node looks up whether the cold server may be used."""
@@ -116,7 +116,7 @@
         for index in range(restarted):
             self.fleet[index] = self.fresh_node(index, 1000 + index, self.born)
         for node in self.fleet:
-            gone = (ListedServer(server, server - COLD, Availability.GONE) for server in OTHERS)
+            gone = (EndpointRecord(server, server - COLD, Availability.GONE) for server in OTHERS)
             node.list_servers(*gone, complete=False)
 
     def rush(self, seconds: float) -> None:
@@ -136,7 +136,7 @@
     def take(self, node: Node, actions: list[Action]) -> None:
         """Set-ups to the cold server are work; where `answers` is silence, so are their repeats."""
         for act in sends(actions):
-            assert act.server == COLD
+            assert act.server_id == COLD
             over = self.now + (act.timeout_s or 3.0)
             self.work.append(self.now)
             self.out.append((over if self.answers == "silent" else self.now + STEP, node, act, self.now))
@@ -151,12 +151,14 @@
         self.out = [item for item in self.out if item[0] > self.now]
         for _, node, act, sent in due:
             if self.answers == "quick":
-                node.stood(act.call, COLD, 0.01)
-                node.ended(act.call, COLD, AttemptOutcome.COMPLETED, True, took_s=self.now - sent)
+                node.stood(act.call_id, COLD, 0.01)
+                node.ended(act.call_id, COLD, AttemptOutcome.COMPLETED, True, elapsed_s=self.now - sent)
             elif self.answers == "full":
-                self.take(node, node.ended(act.call, COLD, AttemptOutcome.REJECTED))
+                self.take(node, node.ended(act.call_id, COLD, AttemptOutcome.REJECTED))
             else:
-                self.take(node, node.ended(act.call, COLD, AttemptOutcome.TIMED_OUT, took_s=self.now - sent))
+                self.take(
+                    node, node.ended(act.call_id, COLD, AttemptOutcome.TIMED_OUT, elapsed_s=self.now - sent)
+                )
 
     def most_in_a_window(self) -> int:
         """The most work in any window of `fall_s`."""
@@ -246,7 +248,7 @@
     for node in fleet.fleet:
         node.offer(choice=0)
         for act in sends(node.done):
-            node.ended(act.call, act.server, AttemptOutcome.UNREACHABLE)
+            node.ended(act.call_id, act.server_id, AttemptOutcome.UNREACHABLE)
     fleet.lose_the_others(restarted=0)
     fleet.rush(4.0)
     assert 0 < fleet.most_in_a_window() <= fleet.budget
@@ -258,7 +260,7 @@
     node.offer(choice=0)
     node.ended(1, COLD, AttemptOutcome.UNREACHABLE)
     node.now += 1.0
-    node.list_servers(ListedServer(COLD, 0, up_since=node.now), complete=False)
+    node.list_servers(EndpointRecord(COLD, 0, started_at=node.now), complete=False)
     node.now += fleet.settings.safety.warm_up_s + 0.1
     assert not node.core.is_cold(node.now, node.core.servers[COLD])
     assert [act.timeout_s for act in sends(node.offer(choice=0))] == [0.0]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -12,7 +12,7 @@
 
 from benchmarks.cold_ramp import COLD, Ramp, Result, Site, Story
 from stairhatch.overload.controller import Controller
-from stairhatch.overload.events import ListedServer, LoadReport, LoadTold, ServersListed
+from stairhatch.overload.events import EndpointRecord, EndpointsUpdated, LoadReport, LoadReported
 from stairhatch.overload.settings import SafetyLimits
 
 SMALL = Site(capacity=30.0, servers=3)
@@ -110,12 +110,13 @@
         ramp = Ramp(Site(), Story.CALM, 20, 1)
         process = ramp.fleet[0]
         assert process.core is not None
-        ramp.tell(process, ServersListed((ListedServer(COLD, 0),), False))
+        ramp.tell(process, EndpointsUpdated((EndpointRecord(COLD, 0),), False))
         if told:
             ramp.tell(
-                process, LoadTold(COLD, LoadReport(free_lines=10.0, total_lines=360.0, admissible_rate=40.0))
+                process,
+                LoadReported(COLD, LoadReport(free_lines=10.0, total_lines=360.0, admissible_rate=40.0)),
             )
-        anew = ListedServer(COLD, 0, up_since=ramp.now)
-        ramp.tell(process, ServersListed((anew,), False))
+        anew = EndpointRecord(COLD, 0, started_at=ramp.now)
+        ramp.tell(process, EndpointsUpdated((anew,), False))
         rates.append(process.core.cold_rate(ramp.now, process.core.servers[COLD]))
     assert 0 < rates[1] < 1.1 * rates[0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -9,18 +9,18 @@
 
 import pytest
 
-from stairhatch.overload.actions import FailCall, Note
+from stairhatch.overload.actions import FailCall, LogMessage
 from stairhatch.overload.controller import AGEING_S, Controller
 from stairhatch.overload.events import (
     AttemptOutcome,
     Availability,
+    CallEstablished,
     CallOffered,
-    ListedServer,
+    EndpointRecord,
+    EndpointsUpdated,
     LoadReport,
-    LoadTold,
-    ServersListed,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits
 from stairhatch.settings import SettingsError, settings_from
@@ -37,7 +37,7 @@
 def test_first_choice_while_clear(make_node):
     node = make_node(servers=3)
     for choice in (2, 0, 1):
-        assert [s.server for s in sends(node.offer(choice=choice))] == [10 + choice]
+        assert [s.server_id for s in sends(node.offer(choice=choice))] == [10 + choice]
 
 
 def test_hysteresis_between_onset_and_abatement(make_node):
@@ -65,7 +65,7 @@
 def test_flagged_first_choice_yields_to_an_unflagged_one(make_node):
     node = make_node()
     node.pressed(10, 1.0)
-    assert [s.server for s in sends(node.offer(choice=0))] == [11]
+    assert [s.server_id for s in sends(node.offer(choice=0))] == [11]
 
 
 def test_a_random_share_is_refused_while_all_are_flagged(make_node):
@@ -152,11 +152,11 @@
         todo = sends(node.offer(choice=0))
         while todo:
             act = todo.pop()
-            if act.server == 10:
+            if act.server_id == 10:
                 full += 1
-                todo += sends(node.ended(act.call, 10, AttemptOutcome.REJECTED))
+                todo += sends(node.ended(act.call_id, 10, AttemptOutcome.REJECTED))
             else:
-                node.stood(act.call, 11)
+                node.stood(act.call_id, 11)
     assert full <= 4
 
 
@@ -165,8 +165,8 @@
     node = make_node()
     for call in (1, 2):
         assert not node.core.servers[10].down
-        assert [act.server for act in sends(node.offer())] == [10]
-        assert [act.server for act in sends(node.ended(call, 10, AttemptOutcome.ERROR))] == [11]
+        assert [act.server_id for act in sends(node.offer())] == [10]
+        assert [act.server_id for act in sends(node.ended(call, 10, AttemptOutcome.ERROR))] == [11]
         node.stood(call, 11)
     assert node.core.servers[10].down and not node.core.servers[11].down
 
@@ -176,9 +176,9 @@
     node = make_node()
     for call in range(1, 20):
         (first,) = sends(node.offer())
-        (second,) = sends(node.ended(call, first.server, AttemptOutcome.ERROR))
-        assert second.server != first.server
-        assert finals(node.ended(call, second.server, AttemptOutcome.ERROR)) == [FailCall(call)]
+        (second,) = sends(node.ended(call, first.server_id, AttemptOutcome.ERROR))
+        assert second.server_id != first.server_id
+        assert finals(node.ended(call, second.server_id, AttemptOutcome.ERROR)) == [FailCall(call)]
     assert not any(server.down for server in node.core.servers.values())
 
 
@@ -188,16 +188,16 @@
     tried = 0
     for _ in range(100):
         node.now += 0.05
-        for act in sends(node.offer(called=7)):
+        for act in sends(node.offer(called_number=7)):
             tried += 1
-            assert finals(node.ended(act.call, act.server, AttemptOutcome.ERROR, number_busy=True))
+            assert finals(node.ended(act.call_id, act.server_id, AttemptOutcome.ERROR, destination_busy=True))
     assert tried <= 5
     assert not node.core.servers[10].down
-    assert sends(node.offer(called=8))
+    assert sends(node.offer(called_number=8))
     for _ in range(3000):  # once the number answers again, it is forgotten
         node.now += 0.05
-        for act in sends(node.offer(called=7)):
-            node.stood(act.call, act.server)
+        for act in sends(node.offer(called_number=7)):
+            node.stood(act.call_id, act.server_id)
     assert not node.core.jams
 
 
@@ -218,7 +218,7 @@
     taken = 0
     for seed in range(100):
         node = make_node(servers=1, seed=seed)
-        node.tell(LoadTold(10, LoadReport(free_lines=1, total_lines=100)))
+        node.tell(LoadReported(10, LoadReport(free_lines=1, total_lines=100)))
         taken += len(sends(node.offer(kind=1)))
     assert 5 < taken < 45  # one line among five nodes
 
@@ -226,10 +226,10 @@
 def test_the_last_free_lines_are_kept_for_calls_worth_more(make_node):
     """Found on a calm day on sockets (snapshot f920180d): reads took the lines that saves then lacked."""
     node = make_node(servers=1)
-    node.tell(LoadTold(10, LoadReport(free_lines=5, total_lines=100)))
+    node.tell(LoadReported(10, LoadReport(free_lines=5, total_lines=100)))
     assert not sends(node.offer(kind=0))
     assert sends(node.offer(kind=1))
-    node.tell(LoadTold(10, LoadReport(free_lines=50, total_lines=100)))
+    node.tell(LoadReported(10, LoadReport(free_lines=50, total_lines=100)))
     assert sends(node.ring(0.02))
 
 
@@ -237,9 +237,9 @@
     """Found on the same day: each turn-back for want of a line paused a server that was idle."""
     node = make_node(servers=1)
     node.offer(kind=1)
-    node.ended(1, 10, AttemptOutcome.REJECTED, no_line=True)
+    node.ended(1, 10, AttemptOutcome.REJECTED, no_free_line=True)
     assert not sends(node.ring(0.02))
-    node.tell(LoadTold(10, LoadReport(free_lines=50, total_lines=100)))
+    node.tell(LoadReported(10, LoadReport(free_lines=50, total_lines=100)))
     assert sends(node.ring(0.02))
 
 
@@ -252,17 +252,17 @@
     node.offer(kind=0)
     node.offer(kind=1)
     node.now += 0.05  # held calls are looked through once an instant
-    assert [s.call for s in sends(node.stood(1, 10))][:1] == [3]
+    assert [s.call_id for s in sends(node.stood(1, 10))][:1] == [3]
 
 
 def test_same_events_same_actions():
     def play():
         core, found = Controller(SETTINGS, random.Random(5)), []
-        found += core.handle(1.0, ServersListed(tuple(ListedServer(s, s) for s in range(4)), True))
+        found += core.handle(1.0, EndpointsUpdated(tuple(EndpointRecord(s, s) for s in range(4)), True))
         for i in range(300):
             found += core.handle(1.0 + i / 50, CallOffered(i, SETTINGS.classes[i % 2], i % 4, 3.0))
             if i % 3 == 0:
-                found += core.handle(1.0 + i / 50, SetupStood(i, i % 4, 0.3))
+                found += core.handle(1.0 + i / 50, CallEstablished(i, i % 4, 0.3))
         return found
 
     assert play() == play()
@@ -273,15 +273,15 @@
     total = 0
     for seed in range(10):
         core = Controller(settings, random.Random(seed))
-        list(core.handle(0.0, ServersListed((ListedServer(10, 0),), True)))
+        list(core.handle(0.0, EndpointsUpdated((EndpointRecord(10, 0),), True)))
         for i in range(200):
             now = i / 20
-            found = list(core.handle(now, TimerRang(1)))
+            found = list(core.handle(now, TimerExpired(1)))
             if i % 10 == 0:
                 found += core.handle(now, CallOffered(i, SETTINGS.classes[0], 0, 3.0))
             for act in sends(found):
                 total += 1
-                list(core.handle(now, SetupStood(act.call, 10, took_s)))
+                list(core.handle(now, CallEstablished(act.call_id, 10, took_s)))
     return total * settings.instance_count / 10
 
 
@@ -299,7 +299,7 @@
     windows = []
     for used in (100, 2700):
         node = make_node(servers=1, settings=replace(SETTINGS, instance_count=250))
-        node.tell(LoadTold(10, LoadReport(free_lines=3000 - used, total_lines=3000)))
+        node.tell(LoadReported(10, LoadReport(free_lines=3000 - used, total_lines=3000)))
         windows.append(node.core.servers[10].window)
     assert windows[1] > 4 * windows[0]
 
@@ -309,7 +309,7 @@
     for i in range(200):
         node.now += 0.05
         for act in sends(node.offer(choice=i % 2)):
-            node.stood(act.call, act.server)
+            node.stood(act.call_id, act.server_id)
     for _ in range(300):
         node.ring(0.02)
     core = node.core
@@ -362,7 +362,7 @@
         node.offer(kind=0, grace_s=3.0)
     node.offer(kind=0, grace_s=3.0)
     fresh = node.core.calls[node.next_call - 1].worth
-    node.offer(kind=0, grace_s=3.0, redial=True)
+    node.offer(kind=0, grace_s=3.0, is_caller_retry=True)
     assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
     node.offer(kind=0, grace_s=5.5)
     assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
@@ -373,15 +373,15 @@
     rates = {}
     for lines in (100, 1000):
         node = make_node()
-        node.tell(LoadTold(11, LoadReport(free_lines=50, total_lines=100)))
-        node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
-        node.tell(LoadTold(10, LoadReport(free_lines=lines, total_lines=lines)))
+        node.tell(LoadReported(11, LoadReport(free_lines=50, total_lines=100)))
+        node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
+        node.tell(LoadReported(10, LoadReport(free_lines=lines, total_lines=lines)))
         server = node.core.servers[10]
         rates[lines] = node.core.cold_rate(node.now, server)
         node.stood(1, 10, 0.001)
         assert node.core.cold_rate(node.now, server) == rates[lines]
         server.unanswered[2] = node.now
-        node.ended(2, 10, AttemptOutcome.TIMED_OUT, took_s=3.0)  # once read as an answer in no time at all
+        node.ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)  # once read as an answer in no time at all
         assert node.core.cold_rate(node.now, server) <= rates[lines]
     assert rates[1000] > 5 * rates[100] > 0
 
@@ -393,12 +393,12 @@
         sent = 0
         for seed in range(240):
             node = make_node(settings=replace(settings, instance_index=seed), seed=seed)
-            node.tell(LoadTold(11, LoadReport(free_lines=200, total_lines=2000)))
-            node.tell(LoadTold(10, LoadReport(free_lines=lines / 10, total_lines=lines)))
-            node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
-            node.tell(LoadTold(10, LoadReport(free_lines=lines, total_lines=lines)))
+            node.tell(LoadReported(11, LoadReport(free_lines=200, total_lines=2000)))
+            node.tell(LoadReported(10, LoadReport(free_lines=lines / 10, total_lines=lines)))
+            node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
+            node.tell(LoadReported(10, LoadReport(free_lines=lines, total_lines=lines)))
             for _ in range(15):
-                sent += sum(act.server == 10 for act in sends(node.ring(0.1) + node.offer(choice=0)))
+                sent += sum(act.server_id == 10 for act in sends(node.ring(0.1) + node.offer(choice=0)))
         kept.append(sent)
     warm = [0.9 * lines / SETTINGS.classes[0].mean_duration_s for lines in (200, 2000)]
     safety = SETTINGS.safety
@@ -418,7 +418,7 @@
             call, 10, AttemptOutcome.COMPLETED, True, report=LoadReport(free_lines=800, total_lines=1000)
         )
     node.now += 10.0
-    node.list_servers(ListedServer(10, 0, up_since=node.now), complete=False)
+    node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
     server = node.core.servers[10]
     fresh = make_node(servers=1)
     assert node.core.cold_rate(node.now, server) > 3 * fresh.core.cold_rate(node.now, fresh.core.servers[10])
@@ -433,10 +433,10 @@
         while todo:
             act = todo.pop()
             todo += sends(
-                node.ended(act.call, act.server, AttemptOutcome.REJECTED) if act.server == 10 else []
+                node.ended(act.call_id, act.server_id, AttemptOutcome.REJECTED) if act.server_id == 10 else []
             )
         todo += sends(node.offer(choice=0))
-    notes = [a.text for a in node.done if isinstance(a, Note)]
+    notes = [a.text for a in node.done if isinstance(a, LogMessage)]
     assert notes == ["server 10 paused: rejected"]
 
 
@@ -460,7 +460,7 @@
     core, looks = node.core, []
     few = LoadReport(free_lines=1, total_lines=100)  # kept for the calls worth most
     for server in (10, 11):
-        node.tell(LoadTold(server, few))
+        node.tell(LoadReported(server, few))
     for _ in range(500):
         node.offer()
     pick = core.pick
@@ -499,7 +499,7 @@
         node.now += 2.0
         node.ended(900, 10, AttemptOutcome.COMPLETED, True, report=report)
         node.now += 1.0
-        node.ended(1, 10, AttemptOutcome.TIMED_OUT, took_s=3.0)
+        node.ended(1, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)
         kept.append(node.core.servers[10].window)
     assert kept[0] > kept[1]
 
@@ -537,7 +537,7 @@
     assert 0 < timeout < kind.latency_objective_s - SETTINGS.safety.retry_pause_s
     window = node.core.servers[10].window
     node.now += timeout
-    node.ended(2, 10, AttemptOutcome.TIMED_OUT, took_s=timeout)
+    node.ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=timeout)
     assert node.core.servers[10].window == window  # it tells of loss, not of a long wait
     node.pressed(10, 1.0)
     node.now += SETTINGS.safety.retry_pause_s + 0.1
@@ -547,11 +547,11 @@
 def test_a_cold_server_is_not_paced_by_a_small_one_that_happens_to_be_idle(make_node):
     """Found in incident i9eafb5: the middle use of two servers' lines was the small one's."""
     node = make_node(servers=3)
-    node.tell(LoadTold(10, LoadReport(free_lines=100, total_lines=1000)))
-    node.tell(LoadTold(11, LoadReport(free_lines=80, total_lines=100)))
-    node.list_servers(ListedServer(10, 0, Availability.DRAINING), complete=False)
+    node.tell(LoadReported(10, LoadReport(free_lines=100, total_lines=1000)))
+    node.tell(LoadReported(11, LoadReport(free_lines=80, total_lines=100)))
+    node.list_servers(EndpointRecord(10, 0, Availability.DRAINING), complete=False)
     node.now += 2.0
-    node.list_servers(ListedServer(12, 0, up_since=node.now), complete=False)
+    node.list_servers(EndpointRecord(12, 0, started_at=node.now), complete=False)
     server = node.core.servers[12]
-    node.tell(LoadTold(12, LoadReport(free_lines=1000, total_lines=1000)))
+    node.tell(LoadReported(12, LoadReport(free_lines=1000, total_lines=1000)))
     assert node.core.warm_rate(node.now, server) > 0.7 * 900 / node.core.length_s
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,7 +6,7 @@
 
 from stairhatch.node.core import HOLD_S, Offer
 from stairhatch.overload.actions import SendSetup
-from stairhatch.overload.events import LoadReport, TimerRang
+from stairhatch.overload.events import LoadReport, TimerExpired
 
 from .peers import Inside
 
@@ -82,7 +82,7 @@
     inside.core.controller.wait_no_more(call.number)
     inside.core._act(SendSetup(call.number, 99))
     assert inside.core.counters.counts["guards"] == 1
-    inside.core._tell(TimerRang(1))  # the next event, whatever it is
+    inside.core._tell(TimerExpired(1))  # the next event, whatever it is
     assert call.number in inside.core.controller.waiting, "the decisions have not heard that it never left"
     inside.run(3.5)
     assert len(caller.said) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from stairhatch.overload.actions import FailCall, RefuseCall
+from stairhatch.overload.actions import FailCall, RejectCall
 from stairhatch.overload.events import (
     AttemptOutcome,
     Availability,
-    CallerLeft,
-    ListedServer,
+    CallAbandoned,
+    EndpointRecord,
     LoadReport,
-    LoadTold,
-    PeerTold,
-    TimerRang,
+    LoadReported,
+    PeerMessageReceived,
+    TimerExpired,
 )
 
 from .conftest import SETTINGS, finals, sends
@@ -45,7 +45,7 @@
     for _ in range(150):
         acts = node.ring(0.02)
         if out:
-            acts = node.ended(out.pop().call, 10, ending) + acts
+            acts = node.ended(out.pop().call_id, 10, ending) + acts
         out += sends(acts)
         count += len(sends(acts))
         answers += finals(acts)
@@ -71,8 +71,8 @@
 def test_nothing_is_sent_after_the_caller_left(make_node):
     node = make_node(servers=0)
     node.offer()
-    node.tell(CallerLeft(1))
-    node.list_servers(ListedServer(10, 0))
+    node.tell(CallAbandoned(1))
+    node.list_servers(EndpointRecord(10, 0))
     assert not sends(run_out(node, 1.0))
 
 
@@ -85,17 +85,17 @@
 @pytest.mark.parametrize("standing", [Availability.DRAINING, Availability.GONE])
 def test_drains_are_kept_at_once(make_node, standing):
     node = make_node()
-    node.list_servers(ListedServer(10, 0, standing), complete=False)
+    node.list_servers(EndpointRecord(10, 0, standing), complete=False)
     for _ in range(5):
-        assert all(s.server == 11 for s in sends(node.offer(choice=0)))
+        assert all(s.server_id == 11 for s in sends(node.offer(choice=0)))
 
 
 def test_a_server_missing_from_the_full_list_is_gone(make_node):
     node = make_node()
-    node.list_servers(ListedServer(11, 1))
-    assert [s.server for s in sends(node.offer(choice=0))] == [11]
+    node.list_servers(EndpointRecord(11, 1))
+    assert [s.server_id for s in sends(node.offer(choice=0))] == [11]
     node.now += 60.0
-    node.list_servers(ListedServer(11, 1))
+    node.list_servers(EndpointRecord(11, 1))
     assert 10 not in node.core.servers
 
 
@@ -114,7 +114,7 @@
 def test_refused_set_up_goes_elsewhere_without_a_wait(make_node):
     node = make_node()
     node.offer()
-    assert [s.server for s in sends(node.ended(1, 10, AttemptOutcome.REJECTED))] == [11]
+    assert [s.server_id for s in sends(node.ended(1, 10, AttemptOutcome.REJECTED))] == [11]
 
 
 def test_unrepeatable_calls_are_not_sent_twice_nor_refused(make_node):
@@ -128,11 +128,11 @@
     node = make_node()
     node.ended(77, 99, AttemptOutcome.COMPLETED, answered=True)
     node.stood(77, 99)
-    node.tell(CallerLeft(77))
-    node.tell(TimerRang(99))
-    node.tell(LoadTold(99, LoadReport()))
-    node.tell(PeerTold(3, b"?"))
-    node.list_servers(ListedServer(55, 9, Availability.GONE), complete=False)
+    node.tell(CallAbandoned(77))
+    node.tell(TimerExpired(99))
+    node.tell(LoadReported(99, LoadReport()))
+    node.tell(PeerMessageReceived(3, b"?"))
+    node.list_servers(EndpointRecord(55, 9, Availability.GONE), complete=False)
     assert finals(node.offer(kind=9)) == [FailCall(1)]
     assert sends(node.offer(choice=-1))
 
@@ -149,9 +149,9 @@
     for seed in range(20):
         node = make_node(servers=0, seed=seed, settings=replace(SETTINGS, max_retry_after_s=2.0))
         node.offer(grace_s=0.0)
-        told |= {act.return_s for act in finals(node.done)}
+        told |= {act.retry_after_s for act in finals(node.done)}
     assert len(told) > 5 and all(0 < each <= 2.0 for each in told)
     silent = make_node(
         servers=0, settings=replace(SETTINGS, may_send_retry_after=False, max_retry_after_s=2.0)
     )
-    assert finals(silent.offer(grace_s=0.0)) == [RefuseCall(1)]
+    assert finals(silent.offer(grace_s=0.0)) == [RejectCall(1)]
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -17,21 +17,21 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import Core, Counters, Listing, Offer
 from stairhatch.node.roster import RosterSide
-from stairhatch.overload.actions import FailCall, RefuseCall, SendSetup, SetTimer
+from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    AttemptEnded,
     AttemptOutcome,
     Availability,
-    CallerLeft,
+    CallAbandoned,
+    CallEstablished,
     CallOffered,
-    ListedServer,
+    EndpointRecord,
+    EndpointsUpdated,
     LoadReport,
-    LoadTold,
-    PeerTold,
-    ServersListed,
-    SetupEnded,
-    SetupStood,
-    TimerRang,
+    LoadReported,
+    PeerMessageReceived,
+    TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
@@ -55,7 +55,7 @@
 
 
 def line(server, number=None, standing=Availability.READY, up_since=0.0):
-    return ListedServer(server, server if number is None else number, standing, up_since)
+    return EndpointRecord(server, server if number is None else number, standing, up_since)
 
 
 class World:
@@ -77,8 +77,8 @@
     def listed(self, *lines, complete=True):
         if complete:
             self.number_of.clear()
-        self.number_of.update((each.server, each.number) for each in lines)
-        self.tell(ServersListed(lines, complete))
+        self.number_of.update((each.server_id, each.number) for each in lines)
+        self.tell(EndpointsUpdated(lines, complete))
 
     def offer(self, what, choice=-1, grace_s=6.0, **more):
         self.calls += 1
@@ -88,8 +88,8 @@
 
     def tell(self, event):
         """One event; what its actions lead to is put on the clock. The call's one answer is counted."""
-        if isinstance(event, SetupStood) and event.call in self.kinds:
-            self.answers[event.call] += 1
+        if isinstance(event, CallEstablished) and event.call_id in self.kinds:
+            self.answers[event.call_id] += 1
         for action in self.decisions.handle(self.now, event):
             self.actions.append((round(self.now, 9), action))
             match action:
@@ -97,13 +97,13 @@
                     assert not self.answers[call], "a set-up for a call that has its answer"
                     self.sent.append((self.now, call, server))
                     self._attempt(call, server, timeout_s)
-                case RefuseCall(call) | FailCall(call):
+                case RejectCall(call) | FailCall(call):
                     self.answers[call] += 1
                     assert self.now <= self.answer_due[call], "an answer that came late"
                 case SetTimer(delay_s, label):
                     self.timers[label] += 1
                     assert self.timers[label] == 1, "two timers under one label"
-                    self.later(delay_s, TimerRang(label))
+                    self.later(delay_s, TimerExpired(label))
 
     def _attempt(self, call, server, timeout_s):
         """Given up when the decisions say so, and 30 ms before the caller's time is up, as the core does."""
@@ -116,22 +116,22 @@
         )
         due_s = min(timeout_s or NEVER, self.answer_due[call] - 0.03 - self.now)
         if (0.6 if fate < 0.1 else took_s) > due_s:
-            ended = SetupEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), due_s)
+            ended = AttemptEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), due_s)
             self.later(due_s, ended)
         elif fate < 0.05:
-            self.later(0.05, SetupEnded(call, server, AttemptOutcome.ERROR, False, LoadReport(), 0.05))
+            self.later(0.05, AttemptEnded(call, server, AttemptOutcome.ERROR, False, LoadReport(), 0.05))
         elif fate < 0.1:
-            self.later(0.6, SetupEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), 0.6))
+            self.later(0.6, AttemptEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), 0.6))
         else:
-            self.later(took_s, SetupStood(call, server, took_s))
-            ended = SetupEnded(call, server, AttemptOutcome.COMPLETED, True, report, 4.0)
+            self.later(took_s, CallEstablished(call, server, took_s))
+            ended = AttemptEnded(call, server, AttemptOutcome.COMPLETED, True, report, 4.0)
             self.later(took_s + chance.expovariate(1 / 4), ended)
 
     def run(self, until):
         while self.due and self.due[0][0] <= until:
             self.now, _, event = heapq.heappop(self.due)
-            if isinstance(event, TimerRang):
-                self.timers[event.label] -= 1
+            if isinstance(event, TimerExpired):
+                self.timers[event.timer_id] -= 1
             self.tell(event)
         self.now = until
 
@@ -204,15 +204,17 @@
         decisions.retune(after)
         world.busy(4, 25, [*classes, *after.classes], 2)
         world.listed(*(line(n) for n in range(1, 4)))
-        world.tell(CallerLeft(world.offer(classes[0])))
+        world.tell(CallAbandoned(world.offer(classes[0])))
         world.answers[world.calls] += 1
         world.busy(4, 25, after.classes, 3)
-        world.tell(LoadTold(99, LoadReport(processor_wait_s=1.0)))
+        world.tell(LoadReported(99, LoadReport(processor_wait_s=1.0)))
         world.run(world.now + 60)
         worlds.append(world)
     assert worlds[0].actions == worlds[1].actions
     kinds = Counter(type(action).__name__ for _, action in worlds[0].actions)
-    assert kinds["SendSetup"] > 100 and kinds["RefuseCall"] and kinds["Note"] and kinds["SetTimer"], kinds
+    assert (
+        kinds["SendSetup"] > 100 and kinds["RejectCall"] and kinds["LogMessage"] and kinds["SetTimer"]
+    ), kinds
 
 
 def test_a_set_comes_with_its_first_call_and_hears_of_its_own_servers_alone():
@@ -243,7 +245,7 @@
         world.run(world.now + 0.007)
     assert [world.timers[label] for label in range(1, 6)] == [1] * 5
     world.finish()
-    assert all(isinstance(a, RefuseCall) for _, a in world.actions if not isinstance(a, SetTimer))
+    assert all(isinstance(a, RejectCall) for _, a in world.actions if not isinstance(a, SetTimer))
 
 
 def test_a_set_leaves_when_unused_and_comes_back_as_after_a_restart():
@@ -256,10 +258,10 @@
     world.listed(line(1), line(2))
     assert decisions.in_scope(2) and not told
     call = world.offer(a, grace_s=30.0)
-    world.due = [each for each in world.due if not isinstance(each[2], SetupStood | SetupEnded)]
+    world.due = [each for each in world.due if not isinstance(each[2], CallEstablished | AttemptEnded)]
     world.run(world.now + 30.0 + OVER_S)
     assert decisions.in_scope(1), "it left with a call that had no answer"
-    world.tell(CallerLeft(call))
+    world.tell(CallAbandoned(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
     assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owner
@@ -284,11 +286,11 @@
     world = World(decisions)
     world.listed(line(1), line(2))
     call = world.offer(a)
-    world.due = [each for each in world.due if not isinstance(each[2], SetupEnded)]
+    world.due = [each for each in world.due if not isinstance(each[2], AttemptEnded)]
     world.run(world.now + 10)
     assert world.answers[call] == 1 and not decisions.live
-    world.tell(LoadTold(1, LoadReport(processor_wait_s=0.1)))
-    world.tell(SetupEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
+    world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
+    world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
     assert not decisions.owner and not decisions.servers
     with pytest.raises(KeyError):
         decisions.servers[1]
@@ -345,7 +347,7 @@
         pools = world.kinds[call].allowed_servers
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
-    world.tell(CallerLeft(0))
+    world.tell(CallAbandoned(0))
     assert not decisions.live and not decisions.owner, "sets that nobody uses stay"
 
 
@@ -441,14 +443,14 @@
     elsewhere = world.offer(a, 77, in_transit=True)
     world.offer(kind("a", 5, 6))  # a class as it was
     for event in (
-        SetupStood(99, 98, 1.0),
-        SetupEnded(99, 98, AttemptOutcome.COMPLETED, True, LoadReport()), CallerLeft(99),
-        LoadTold(98, LoadReport(processor_wait_s=1.0)),
-        TimerRang(4711), PeerTold(1, b"x"),
+        CallEstablished(99, 98, 1.0),
+        AttemptEnded(99, 98, AttemptOutcome.COMPLETED, True, LoadReport()), CallAbandoned(99),
+        LoadReported(98, LoadReport(processor_wait_s=1.0)),
+        TimerExpired(4711), PeerMessageReceived(1, b"x"),
     ):  # fmt: skip
         world.tell(event)
     world.finish()
-    assert isinstance(next(a for _, a in world.actions if getattr(a, "call", 0) == elsewhere), RefuseCall)
+    assert isinstance(next(a for _, a in world.actions if getattr(a, "call_id", 0) == elsewhere), RejectCall)
 
 
 def most_in_a_window(times, width):
@@ -492,7 +494,7 @@
                 if step % 10 == 1:
                     for server in (1, 2, 3):
                         node.tell(
-                            LoadTold(
+                            LoadReported(
                                 server,
                                 LoadReport(free_lines=size * 0.6, total_lines=size, processor_wait_s=0.0),
                             )
