--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,7 +42,7 @@
 from stairhatch.lab.schedule import Schedule
 from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
-from stairhatch.node.core import Core, Counters, Listing
+from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
 from stairhatch.node.roster import RosterSide
@@ -370,13 +370,13 @@
 class Beside:
     """A side that does nothing: no links are opened."""
 
-    def listed(self, server: object) -> None:
+    def record_changed(self, server: object) -> None:
         """The directory names a server."""
 
 
-def bare_core() -> Core:
+def bare_core() -> CallManager:
     """A core without fronts."""
-    return Core(
+    return CallManager(
         settings_from(raw_settings(24))[0], random.Random(1), unix_clock(), lambda *a, **k: None, Counters()
     )
 
@@ -412,7 +412,7 @@
     for _ in range(count):
         core = bare_core()
         RosterSide(core, Network(core).dial)
-        core.list_servers([Listing("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
+        core.list_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
         cores.append(core)
 
     def answer(what: str) -> Any:
@@ -852,14 +852,14 @@
     timed(TrunkConnection, "receive", "parse")
     timed(Controller, "handle", "decide", whole=True)
     for method in ("offer", "answered", "finished", "caller_released", "tick", "may_write"):
-        timed(Core, method, "core")
+        timed(CallManager, method, "core")
     timed(RosterLink, "pull", "ask")
     timed(TrunkConnection, "pull", "answer")
     timed(RosterLink, "receive", "states")
     path = Path(os.environ["SPANS"])
-    began = Core.__init__
+    began = CallManager.__init__
 
-    def begin(self: Core, *words: Any, **named: Any) -> None:
+    def begin(self: CallManager, *words: Any, **named: Any) -> None:
         began(self, *words, **named)
 
         def tell() -> None:
@@ -870,7 +870,7 @@
 
         self.at(self.clock() + 0.25, tell)
 
-    Core.__init__ = begin  # type: ignore[method-assign]
+    CallManager.__init__ = begin  # type: ignore[method-assign]
     sys.argv[1:] = []
     return entry.main()
 
--- a/stairhatch/conform/faults.py
+++ b/stairhatch/conform/faults.py
@@ -48,7 +48,7 @@
     if self.ringing is not None and not self.ringing.heard:
         self.front.core.at(self.front.core.clock() + 0.5, lambda: _final_held(self, description))
     else:
-        WHOLE["stood"](self, description)
+        WHOLE["established"](self, description)
 
 
 def _tag_each_time(
@@ -125,7 +125,7 @@
 
 def _closes(self: flows.SipConnection, data: Any) -> None:
     before = self.faults
-    WHOLE["receive"](self, data)
+    WHOLE["receive_data"](self, data)
     self.closing = self.closing or self.faults > before
 
 
@@ -156,10 +156,10 @@
 
 
 WHOLE: dict[str, Any] = {
-    "acked": leg.Leg.acked, "stood": leg.Leg.stood, "respond": front.SipFront.respond,
+    "acked": leg.Leg.acked, "established": leg.Leg.established, "respond": front.SipFront.respond,
     "known": transactions.Transactions.known, "cancel": front.SipFront._cancel,
     "unfit": front.SipFront._unfit, "read_address": grammar.read_address, "negotiate": sessions.negotiate,
-    "receive": flows.SipConnection.receive, "request": front.SipFront._request,
+    "receive_data": flows.SipConnection.receive_data, "request": front.SipFront._request,
 }  # fmt: skip
 T, L, F = transactions.Transactions, leg.Leg, front.SipFront
 FAULTS: dict[str, list[Change]] = {
@@ -205,13 +205,13 @@
     "a reliable 180 is not sent again": [(L, "_ring_again", _nothing)],
     "any PRACK is taken": [(sessions.Reliable, "prack", lambda self, message: sessions.Prack.HEARD)],
     "no 180 is reliable": [(sessions, "wants_reliable", lambda message: False)],
-    "the 2xx waits for the PRACK": [(L, "stood", _final_held)],
+    "the 2xx waits for the PRACK": [(L, "established", _final_held)],
     "any content is taken": [(sessions, "read_description", lambda message: message.body)],
     "any password is good": [(auth.Guard, "judge", _always_good)],
     "credentials may be used again": [(auth.Guard, "_use", lambda self, nonce, count: True)],
     "nonces are good for ever": [(auth.Guard, "_age", lambda self, nonce: 0.0)],
     "pings are not answered": [(flows.SipConnection, "_pong", _nothing)],
-    "a bad message ends its stream": [(flows.SipConnection, "receive", _closes)],
+    "a bad message ends its stream": [(flows.SipConnection, "receive_data", _closes)],
     "other requests get a 100": [(F, "_request", _provisional_first)],
     "a call that is over is begun again": [(T, "_remember", _nothing)],
 }  # fmt: skip
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Attempt, Core, Counters, Listing, Server
+from stairhatch.node.core import Attempt, CallManager, Counters, RosterServer, ServerRecord
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.sip.flows import SipConnection
@@ -66,7 +66,7 @@
         """Bytes to the program."""
         if self.connection is not None:
             if not self.connection.closing:
-                self.connection.receive(data)
+                self.connection.receive_data(data)
         else:
             self.stage.front.ports[0].receive(data, self.peer)
         self.stage.carry()
@@ -74,7 +74,7 @@
     def close(self) -> None:
         """The caller ends its connection."""
         if self.connection is not None:
-            self.connection.lost()
+            self.connection.connection_lost()
             self.connection = None
 
 
@@ -88,14 +88,14 @@
             SafetyLimits(drain_grace_s=1.0), retransmit_interval_s=0.8, max_attempts=6, max_retry_after_s=2.0,
         )  # fmt: skip
         self.logged: list[tuple[str, dict[str, Any]]] = []
-        self.core = Core(
+        self.core = CallManager(
             settings, random.Random(1), self.now, lambda e, **f: self.logged.append((e, f)), Counters()
         )
         self.core.side = self
-        self.core.list_servers([Listing("stand-in", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.list_servers([ServerRecord("stand-in", ("127.0.0.1", 9), 0, Availability.READY)], True)
         self.core.listening = self.core.list_known = True
         for server in self.core.servers.values():
-            server.tried = server.connected = True
+            server.dial_attempted = server.connected = True
         at = (Listener(("127.0.0.1", 5060)),)
         told: dict[str, Any] = {
             "udp": at, "tcp": at, "contact": "", "default_class": "read-roster",
@@ -115,20 +115,20 @@
 
     # the roster side
 
-    def listed(self, server: Server) -> None:
+    def record_changed(self, server: RosterServer) -> None:
         """The core's view of the roster side."""
 
-    def set_up(self, attempt: Attempt) -> None:
+    def send_setup(self, attempt: Attempt) -> None:
         """A set-up is written at once, and the stand-in does as it does."""
         if self.core.may_write(attempt) is None:
             return
         ident = attempt.call.offer.ident
         self.set_ups.append(ident)
-        for each in script_for(attempt.call.offer.key):
+        for each in script_for(attempt.call.offer.called_uri):
             act = self._saying(attempt.server, ident, each)
             heapq.heappush(self._later, (self.time + each.after_s, next(self._order), act))
 
-    def _saying(self, server: Server, ident: str, what: Say) -> Callable[[], None]:
+    def _saying(self, server: RosterServer, ident: str, what: Say) -> Callable[[], None]:
         def act() -> None:
             if ident in self.released:
                 return
@@ -142,15 +142,15 @@
 
         return act
 
-    def finish(self, server: Server, ident: str, cause: int) -> None:
+    def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
         """A set-up given up, or a call released."""
         self.releases.append((ident, cause))
         self.released.add(ident)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The process is about to go."""
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """All is written at once."""
         return True
 
@@ -170,7 +170,7 @@
         """The program opens a connection: whoever is called at that place takes it."""
         wire = next((w for w in self.wires if w.peer == connection.peer and w.connection is None), None)
         if wire is None or wire.transport == "udp":
-            heapq.heappush(self._later, (self.time, next(self._order), connection.lost))
+            heapq.heappush(self._later, (self.time, next(self._order), connection.connection_lost))
             return
         wire.connection = connection
 
@@ -185,7 +185,7 @@
                 else:
                     wire.got.append((self.time, data))
         for wire in self.wires:
-            if wire.connection is not None and (data := wire.connection.pull()):
+            if wire.connection is not None and (data := wire.connection.data_to_send()):
                 wire.got.append((self.time, data))
 
     def wait(self, seconds: float) -> None:
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -28,7 +28,7 @@
 from stairhatch.fleet.pick import Pick
 from stairhatch.fleet.restarts import Restarts
 from stairhatch.fleet.store import Store, StoreError
-from stairhatch.node.core import Core, idle
+from stairhatch.node.core import CallManager, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
 from stairhatch.overload.settings import Settings
@@ -74,7 +74,7 @@
 class Fleet:
     """One softswitch's part in shared work."""
 
-    def __init__(self, core: Core, network: Network, config: FleetConfig, settings: Settings) -> None:
+    def __init__(self, core: CallManager, network: Network, config: FleetConfig, settings: Settings) -> None:
         """StoreError where the folder can't be used, OSError where the address can't."""
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from stairhatch.node.core import Core, Machine, Stage
+from stairhatch.node.core import CallManager, CallState, ConnectionProtocol
 from stairhatch.overload.events import Availability
 
 MOST_ORDER = 128  # bytes of a line at the door
@@ -32,7 +32,7 @@
 """
 
 
-def obey(core: Core, line: str) -> str:
+def obey(core: CallManager, line: str) -> str:
     """Carry out one of the operators' orders; returns the line that answers it."""
     match line:
         case "check":
@@ -58,25 +58,25 @@
     if why:
         return f"fail {why}"
     ready = [
-        s for s in core.servers.values() if s.listing.standing is Availability.READY and core.links_to(s)
+        s for s in core.servers.values() if s.record.availability is Availability.READY and core.links_to(s)
     ]
     return f"ok serving, {sum(s.connected for s in ready)} of {len(ready)} roster servers connected"
 
 
-class Door(Machine):
+class Door(ConnectionProtocol):
     """One operator's connection: one line, one answer, and the end."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CallManager) -> None:
         super().__init__()
         self.core = core
         self.data = b""
         self.answer = b""
 
-    def owes(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether the answer waits to be written."""
         return bool(self.answer)
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the operator; what comes after the line is not read."""
         if self.closing:
             return
@@ -87,16 +87,16 @@
         elif end:
             self._say(obey(self.core, line.decode("utf-8", "replace").strip()))
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         """The operator will send no more."""
         if not self.closing:
             self._say("fail an unfinished line")
 
-    def expire(self) -> None:
+    def read_timed_out(self) -> None:
         """No whole line has come in time."""
         self._say("fail no whole line came in time")
 
-    def put_out(self) -> bytes:
+    def eviction_response(self) -> bytes:
         return b"fail too many are connected here\n"
 
     def _say(self, text: str) -> None:
@@ -107,21 +107,23 @@
             self.core.log("order", line=order, answer=text[:MOST_LOGGED])
         if order == "check":
             self.core.check_said = said
-        self.answer, self.asked, self.closing = text.encode() + b"\n", True, True
-        self.wake()
+        self.answer, self.request_received, self.closing = text.encode() + b"\n", True, True
+        self.notify_writable()
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         data, self.answer = self.answer, b""
         return data
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection has ended."""
 
 
 class Console:
     """One terminal."""
 
-    def __init__(self, core: Core, end: Callable[[], None], service: Callable[[], str] = lambda: "") -> None:
+    def __init__(
+        self, core: CallManager, end: Callable[[], None], service: Callable[[], str] = lambda: ""
+    ) -> None:
         self.core, self.end, self.service = core, end, service
         self.started = core.clock()
         self._data = b""
@@ -166,9 +168,9 @@
 
     def _status(self) -> str:
         core = self.core
-        stages = [call.stage for call in core.calls.values()]
-        setting_up, standing = stages.count(Stage.OFFERED), stages.count(Stage.STANDING)
-        ready = sum(s.listing.standing is Availability.READY for s in core.servers.values())
+        stages = [call.state for call in core.calls.values()]
+        setting_up, standing = stages.count(CallState.OFFERED), stages.count(CallState.ESTABLISHED)
+        ready = sum(s.record.availability is Availability.READY for s in core.servers.values())
         connected = sum(server.connected for server in core.servers.values())
         counts = core.counters.counts
         named = ("answers_stood", "answers_refused", "answers_failed", "calls_given_up")
@@ -202,9 +204,9 @@
             " wait   age marks\n"
         )
         for server in core.servers.values():
-            line = server.listing
+            line = server.record
             here = [
-                call.stage
+                call.state
                 for call in core.calls.values()
                 if call.attempt is not None and call.attempt.server is server
             ]
@@ -219,9 +221,10 @@
                 marks = [name for name in ("flagged", "down") if getattr(seen, name)]
                 marks += ["cold"] if core.controller.is_cold(now, seen) else []
             text += (
-                f"{line.instance:20} {address:22} {line.number:6} {line.standing.value:9} "
-                f"{link:4} {here.count(Stage.OFFERED):4} "
-                f"{held:4} {here.count(Stage.STANDING):8} {wait:>6} {age:>5} {' '.join(marks) or '-'}\n"
+                f"{line.instance:20} {address:22} {line.number:6} {line.availability.value:9} "
+                f"{link:4} {here.count(CallState.OFFERED):4} "
+                f"{held:4} {here.count(CallState.ESTABLISHED):8} {wait:>6} {age:>5} "
+                f"{' '.join(marks) or '-'}\n"
             )
         return text
 
@@ -229,8 +232,8 @@
         core = self.core
         text = f"{'class':16} {'worth':>6} {'aim':>7} {'limit':>7} {'again':5} {'attempts':>8} {'open':>5}"
         text += "\n" if core.in_scope is None else "  scope\n"
-        near = {s.listing.number for s in core.servers.values() if core.links_to(s)}
-        open_ones = [call.offer.kind for call in core.calls.values()]
+        near = {s.record.number for s in core.servers.values() if core.links_to(s)}
+        open_ones = [call.offer.call_class for call in core.calls.values()]
         going = [kind for kind in dict.fromkeys(open_ones) if kind not in core.settings.classes]
         for kind in [*core.settings.classes, *going]:
             text += (
@@ -253,10 +256,10 @@
         for index, call in enumerate(core.calls.values()):
             if index == MOST_SHOWN:
                 return text + f"and {len(core.calls) - MOST_SHOWN} more\n"
-            kind = call.offer.kind.name
-            server = call.attempt.server.listing.instance if call.attempt is not None else "-"
+            kind = call.offer.call_class.name
+            server = call.attempt.server.record.instance if call.attempt is not None else "-"
             text += (
-                f"{call.offer.ident:17} {call.offer.key:18} {kind:12} {call.stage.value:9} "
+                f"{call.offer.ident:17} {call.offer.called_uri:18} {kind:12} {call.state.value:9} "
                 f"{call.attempts:5} {server}\n"
             )
         return text
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -57,152 +57,152 @@
     """Stands where nothing has been wired yet."""
 
 
-class Machine:
+class ConnectionProtocol:
     """A state machine at the end of a connection: it is fed bytes, hands bytes out and knows no socket."""
 
     def __init__(self) -> None:
-        self.wake: Callable[[], None] = idle  # there is something to write; set by the driver
+        self.notify_writable: Callable[[], None] = idle  # there is something to write; set by the driver
         self.abort: Callable[[], None] = idle  # end the connection at once; set by the driver
         self.closing = False
-        self.asked = False  # a whole request has come on it
+        self.request_received = False  # a whole request has come on it
         self.writing = False  # what was pulled is on its way; kept by the driver
-        self.hears_out = False  # what comes after its own last word is of use
+        self.reads_until_eof = False  # what comes after its own last word is of use
 
-    def owes(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether an answer is owed on this connection, so that it must not be closed."""
         return False
 
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun and its rest is awaited."""
         return False
 
-    def expire(self) -> None:
+    def read_timed_out(self) -> None:
         """What was to come has not come in time: say so if that can be said, and end the connection."""
         self.closing = True
-        self.wake()
+        self.notify_writable()
 
-    def half_closed(self) -> None:
+    def peer_closing(self) -> None:
         """The peer has closed its side, or reset the connection. What it sent before may still lie unread: it
         comes by `receive`, and then `ended`. The peer waits for no call any more.
         """
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         """The peer will send no more. A machine with something left to say sets `closing`: it is written."""
 
-    def put_out(self) -> bytes:
+    def eviction_response(self) -> bytes:
         """The last word on a connection that has to go for a newcomer."""
         return b""
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed or under way on it, so that a drain may end it."""
-        return not (self.owes() or self.writing or self.partial())
+        return not (self.owes_response() or self.writing or self.has_partial_message())
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """A drain ends the connection at an idle moment."""
         self.closing = True
-        self.wake()
+        self.notify_writable()
 
-    def done(self) -> bool:
+    def can_close(self) -> bool:
         """Whether the connection may be closed once all is written. Never while an answer is owed on it.
 
         Guards against a good set-up that goes down with a bad message behind it on the same connection.
         """
-        return self.closing and not self.owes()
+        return self.closing and not self.owes_response()
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the peer."""
         raise NotImplementedError
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         """What is to be written now."""
         raise NotImplementedError
 
-    def unsent(self, rest: bytes) -> bytes:
+    def reclaim_unsent(self, rest: bytes) -> bytes:
         """The peer does not take what was pulled last, from `rest` on. Returns how much of that must go yet;
         the machine hands the others out again once there is room.
         """
         return rest
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection has ended."""
         raise NotImplementedError
 
 
-class Caller(Protocol):
+class CallerSession(Protocol):
     """One call as its front holds it. Exactly one of `stood`, `refused` and `failed` is called, once; before
     it `rang` any number of times, where a front asked for that (`Offer.rings`).
     """
 
-    def rang(self) -> None: ...
-    def stood(self, description: bytes) -> None: ...
-    def refused(self, return_s: float) -> None: ...
+    def progressing(self) -> None: ...
+    def established(self, description: bytes) -> None: ...
+    def rejected(self, return_s: float) -> None: ...
     def failed(self, timed_out: bool) -> None: ...
     def released(self, cause: int) -> None: ...
 
 
-class ServerSide(Protocol):
+class ServerPool(Protocol):
     """What the core asks of the side that speaks to the roster servers."""
 
-    def listed(self, server: Server) -> None: ...
-    def set_up(self, attempt: Attempt) -> None: ...
-    def finish(self, server: Server, ident: str, cause: int) -> None: ...
-    def leave(self) -> None: ...
-    def flushed(self) -> bool: ...
+    def record_changed(self, server: RosterServer) -> None: ...
+    def send_setup(self, attempt: Attempt) -> None: ...
+    def send_release(self, server: RosterServer, ident: str, cause: int) -> None: ...
+    def shut_down(self) -> None: ...
+    def is_flushed(self) -> bool: ...
 
 
-class Decisions(Protocol):
+class OverloadControl(Protocol):
     """What decides: a Controller, or what stands in its place."""
 
     @property
-    def servers(self) -> Mapping[int, endpoint.Server]: ...
+    def servers(self) -> Mapping[int, endpoint.Endpoint]: ...
     def handle(self, now: float, event: Event) -> Iterator[Action]: ...
     def retune(self, settings: Settings) -> None: ...
-    def is_cold(self, now: float, server: endpoint.Server) -> bool: ...
-    def turns_in_span(self, now: float, server: endpoint.Server) -> float: ...
+    def is_cold(self, now: float, server: endpoint.Endpoint) -> bool: ...
+    def turns_in_span(self, now: float, server: endpoint.Endpoint) -> float: ...
 
 
-class Stage(Enum):
+class CallState(Enum):
     """Where a call is in its life."""
 
     OFFERED = "offered"
-    STANDING = "standing"
-    OVER = "over"
+    ESTABLISHED = "standing"
+    TERMINATED = "over"
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class CallRequest:
     """A set-up as its caller made it. `ident` goes to the roster server, unchanged."""
 
     ident: str
-    kind: CallClass  # held for as long as the call is open, whatever the settings say by then
-    key: str  # the number called, as it was written
+    call_class: CallClass  # held for as long as the call is open, whatever the settings say by then
+    called_uri: str  # the number called, as it was written
     description: str
-    patience_s: float
-    choice: int = -1
-    called: int = 0
-    redial: bool = False
-    rings: bool = False  # its front is told that a roster server is at work on it
+    caller_timeout_s: float
+    preferred_number: int = -1
+    called_number: int = 0
+    is_caller_retry: bool = False
+    reports_progress: bool = False  # its front is told that a roster server is at work on it
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class ServerRecord:
     """One line of the directory."""
 
     instance: str
     address: tuple[str, int]
     number: int
-    standing: Availability
-    started_s: float = 0.0
+    availability: Availability
+    started_at: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
-class Server:
+class RosterServer:
     """A roster server. Keyed by the directory's instance id, since addresses are used again."""
 
     id: int
-    listing: Listing
+    record: ServerRecord
     connected: bool = False  # these two are kept by the roster side
-    tried: bool = False  # a connection has come up, or failed to
+    dial_attempted: bool = False  # a connection has come up, or failed to
 
 
 @dataclass(eq=False, slots=True)
@@ -210,16 +210,16 @@
     """A call from its offer to its end."""
 
     number: int
-    offer: Offer
-    caller: Caller
+    offer: CallRequest
+    caller_session: CallerSession
     deadline: float
-    cap: int  # on its attempts
-    stage: Stage = Stage.OFFERED
+    max_attempts: int  # on its attempts
+    state: CallState = CallState.OFFERED
     attempt: Attempt | None = None
     attempts: int = 0
     pause_until: float = 0.0
-    stood_at: float = 0.0
-    away: bool = False  # its caller can't be heard any more: nothing new is sent for it
+    established_at: float = 0.0
+    caller_gone: bool = False  # its caller can't be heard any more: nothing new is sent for it
 
 
 @dataclass(eq=False, slots=True)
@@ -227,13 +227,13 @@
     """One set-up of a call at one server."""
 
     call: Call
-    server: Server
+    server: RosterServer
     number: int
-    asked_at: float
-    due: float
+    started_at: float
+    deadline: float
     written: bool = False
     written_at: float = 0.0
-    over: bool = False
+    ended: bool = False
 
 
 @dataclass(slots=True)
@@ -246,7 +246,7 @@
         self.counts[name] = self.counts.get(name, 0) + by
 
 
-class Core:
+class CallManager:
     """All calls of one softswitch."""
 
     def __init__(
@@ -257,20 +257,20 @@
         log: Logger,
         counters: Counters,
         tracing: bool = False,
-        decisions: Decisions | None = None,
+        decisions: OverloadControl | None = None,
     ) -> None:
         self.tracing = tracing  # whether each call leaves lines in the log
         self.settings, self.clock, self.log, self.counters = settings, clock, log, counters
         self.classes = {kind.name: kind for kind in settings.classes}
         self.before: dict[str, tuple[CallClass, float]] = {}  # classes as they were, and until when
-        self.controller: Decisions = decisions or Controller(settings, rng)
+        self.controller: OverloadControl = decisions or Controller(settings, rng)
         self.in_scope: Callable[[int], bool] | None = None  # whether a number is linked to; None: all are
-        self.servers: dict[int, Server] = {}
-        self.by_instance: dict[str, Server] = {}
+        self.servers: dict[int, RosterServer] = {}
+        self.by_instance: dict[str, RosterServer] = {}
         self.calls: dict[int, Call] = {}
         self.by_ident: dict[str, Call] = {}
         self.unanswered = 0
-        self.side: ServerSide
+        self.side: ServerPool
         self.orphan: list[Callable[[str, int], None]] = []  # where releases of unknown calls go
         self.wake: Callable[[], None] = idle  # the earliest timer has changed
         self.listening = False  # the fronts take calls
@@ -383,8 +383,10 @@
         """
         if self._able:
             return ""
-        ready = [s for s in self.servers.values() if s.listing.standing is Availability.READY]
-        untried = [server.listing.instance for server in ready if not server.tried and self.links_to(server)]
+        ready = [s for s in self.servers.values() if s.record.availability is Availability.READY]
+        untried = [
+            server.record.instance for server in ready if not server.dial_attempted and self.links_to(server)
+        ]
         if not self.list_known:
             return "the list of roster servers is not known yet"
         if not ready:
@@ -396,9 +398,9 @@
         self._able = True
         return ""
 
-    def links_to(self, server: Server) -> bool:
+    def links_to(self, server: RosterServer) -> bool:
         """Whether a link to a server is wanted: it is in scope."""
-        return self.in_scope is None or self.in_scope(server.listing.number)
+        return self.in_scope is None or self.in_scope(server.record.number)
 
     def drain(self, on: bool) -> None:
         """Begin to send callers away, or take them again. What was taken is served either way."""
@@ -425,115 +427,120 @@
 
     def settled(self) -> bool:
         """Whether every call has its answer, and the servers what they have to hear of it."""
-        return not self.unanswered and self.side.flushed()
+        return not self.unanswered and self.side.is_flushed()
 
     def leave(self) -> None:
         """All is answered: the process that follows is told of calls that stand, and takes who still asks."""
         self.leaving, self.turn_away_s = True, 0.0
-        self.side.leave()
+        self.side.shut_down()
 
     # ---- the directory ----
 
-    def list_servers(self, lines: Iterable[Listing], complete: bool) -> None:
+    def list_servers(self, lines: Iterable[ServerRecord], complete: bool) -> None:
         """News of the directory. What is gone cuts the calls that stood there."""
         told = []
         named = set()
         for line in lines:
             named.add(line.instance)
             server = self.by_instance.get(line.instance)
-            if server is None and line.standing is Availability.GONE:
+            if server is None and line.availability is Availability.GONE:
                 continue  # it has been forgotten
             if server is None:
-                server = Server(next(self._server_ids), line)
+                server = RosterServer(next(self._server_ids), line)
                 self.servers[server.id] = self.by_instance[line.instance] = server
-            restarted = line.started_s > server.listing.started_s
-            server.listing = line
-            if line.standing is Availability.GONE or restarted:
-                self.cut_standing(server, before=line.started_s if restarted else self.clock() + 1)
+            restarted = line.started_at > server.record.started_at
+            server.record = line
+            if line.availability is Availability.GONE or restarted:
+                self.cut_standing(server, before=line.started_at if restarted else self.clock() + 1)
             told.append(self._line(server))
-            self.side.listed(server)
-            self.log("listed", server=line.instance, state=line.standing.value, cell=line.number)
+            self.side.record_changed(server)
+            self.log("listed", server=line.instance, state=line.availability.value, cell=line.number)
         if complete:
             for server in self.servers.values():
-                if server.listing.instance not in named and server.listing.standing is not Availability.GONE:
-                    old = server.listing
-                    gone = Listing(old.instance, old.address, old.number, Availability.GONE, old.started_s)
-                    server.listing = gone
+                if (
+                    server.record.instance not in named
+                    and server.record.availability is not Availability.GONE
+                ):
+                    old = server.record
+                    gone = ServerRecord(
+                        old.instance, old.address, old.number, Availability.GONE, old.started_at
+                    )
+                    server.record = gone
                     self.cut_standing(server, before=self.clock() + 1)
-                    self.side.listed(server)
+                    self.side.record_changed(server)
         self._tell(EndpointsUpdated(tuple(told), complete))
 
-    def forget_server(self, server: Server) -> None:
+    def forget_server(self, server: RosterServer) -> None:
         """A server that is gone, and to which no link is left, has nothing to be known of any more."""
-        if server.listing.standing is Availability.GONE:
+        if server.record.availability is Availability.GONE:
             self.servers.pop(server.id, None)
-            if self.by_instance.get(server.listing.instance) is server:
-                del self.by_instance[server.listing.instance]
+            if self.by_instance.get(server.record.instance) is server:
+                del self.by_instance[server.record.instance]
 
     @staticmethod
-    def _line(server: Server) -> EndpointRecord:
-        line = server.listing
-        return EndpointRecord(server.id, line.number, line.standing, line.started_s)
+    def _line(server: RosterServer) -> EndpointRecord:
+        line = server.record
+        return EndpointRecord(server.id, line.number, line.availability, line.started_at)
 
     def stands(self, ident: str) -> bool:
         """Whether a call of that id stands."""
         call = self.by_ident.get(ident)
-        return call is not None and call.stage is Stage.STANDING
+        return call is not None and call.state is CallState.ESTABLISHED
 
-    def stands_at(self, server: Server) -> bool:
+    def stands_at(self, server: RosterServer) -> bool:
         """Whether a call stands at a server."""
         return any(
-            call.stage is Stage.STANDING and call.attempt is not None and call.attempt.server is server
+            call.state is CallState.ESTABLISHED and call.attempt is not None and call.attempt.server is server
             for call in self.calls.values()
         )
 
-    def cut_standing(self, server: Server, before: float) -> None:
+    def cut_standing(self, server: RosterServer, before: float) -> None:
         """Its process has gone, and with it the calls that stood there before that time."""
         cut = [
             call
             for call in self.calls.values()
-            if call.stage is Stage.STANDING
+            if call.state is CallState.ESTABLISHED
             and call.attempt is not None
             and call.attempt.server is server
-            and call.stood_at < before
+            and call.established_at < before
         ]
         for call in cut:
             self._call_ended(call, CUT, LoadReport())
 
     # ---- callers ----
 
-    def offer(self, offer: Offer, caller: Caller) -> Call | None:
+    def offer(self, offer: CallRequest, caller: CallerSession) -> Call | None:
         """A call is taken: one final answer is owed. None for an id that is in use, which is not taken."""
         if offer.ident in self.by_ident:
             return None
         now = self.clock()
-        due = now + offer.patience_s - ANSWER_EARLY_S
+        due = now + offer.caller_timeout_s - ANSWER_EARLY_S
         call = Call(next(self._order), offer, caller, due, self.settings.max_attempts)
         self.calls[call.number] = self.by_ident[offer.ident] = call
         self.unanswered += 1
         self.counters.add("calls_taken")
-        self.counters.add(f"calls_taken_{offer.kind.name}")
+        self.counters.add(f"calls_taken_{offer.call_class.name}")
         if self.tracing:
-            patience_ms = int(offer.patience_s * 1000)
-            self.log("taken", call=offer.ident, kind=offer.kind.name, patience_ms=patience_ms)
+            patience_ms = int(offer.caller_timeout_s * 1000)
+            self.log("taken", call=offer.ident, kind=offer.call_class.name, patience_ms=patience_ms)
         self.at(call.deadline + BACKSTOP_S, partial(self._backstop, call.number))
         self._tell(
             CallOffered(
                 call_id=call.number,
-                call_class=offer.kind,
-                preferred_number=offer.choice,
-                caller_timeout_s=offer.patience_s,
-                is_caller_retry=offer.redial,
-                called_number=offer.called,
+                call_class=offer.call_class,
+                preferred_number=offer.preferred_number,
+                caller_timeout_s=offer.caller_timeout_s,
+                is_caller_retry=offer.is_caller_retry,
+                called_number=offer.called_number,
             )
         )
         return call
 
     def caller_left(self, call: Call) -> None:
         """The caller gave the set-up up; no answer is owed any more."""
-        if call.stage is Stage.STANDING:
+        if call.state is CallState.ESTABLISHED:
             self.caller_released(call, ENDED)
-        if call.stage is not Stage.OFFERED:
+        if call.state is not CallState.OFFERED:
             return
         self.counters.add("calls_given_up")
         if self.tracing:
@@ -541,7 +548,7 @@
         self._close(call)
         attempt = call.attempt
         self._tell(CallAbandoned(call.number))
-        if attempt is not None and not attempt.over:
+        if attempt is not None and not attempt.ended:
             self._give_up(attempt, AttemptOutcome.CANCELLED)
 
     def caller_away(self, call: Call) -> None:
@@ -550,9 +557,9 @@
 
         Guards against calls that are set up for a caller who has left while the call waited.
         """
-        if call.stage is not Stage.OFFERED or call.away:
+        if call.state is not CallState.OFFERED or call.caller_gone:
             return
-        call.away = True
+        call.caller_gone = True
         self.counters.add("callers_away")
         if call.attempt is None or not call.attempt.written:
             self._answer_now(call)
@@ -560,12 +567,12 @@
 
     def caller_released(self, call: Call, cause: int) -> None:
         """The caller ends a call that stands."""
-        if call.stage is Stage.STANDING and call.attempt is not None:
+        if call.state is CallState.ESTABLISHED and call.attempt is not None:
             attempt = call.attempt
             self.counters.add("calls_released_by_caller")
             if self.tracing:
                 self.log("release", call=call.offer.ident, side="caller", cause=cause)
-            self.side.finish(attempt.server, call.offer.ident, cause)
+            self.side.send_release(attempt.server, call.offer.ident, cause)
             self._close(call)
             self._attempt_ended(attempt, AttemptOutcome.CANCELLED, LoadReport())
 
@@ -576,19 +583,19 @@
         self._remember(ident)
         self.counters.add("releases_of_unknown_calls")
         for server in self.servers.values():
-            if server.listing.standing is not Availability.GONE:
-                self.side.finish(server, ident, cause)
+            if server.record.availability is not Availability.GONE:
+                self.side.send_release(server, ident, cause)
 
     def answer_all(self) -> None:
         """The process is about to be ended: who still waits is told so, and may try elsewhere."""
-        for call in [call for call in self.calls.values() if call.stage is Stage.OFFERED]:
-            if call.stage is Stage.OFFERED:
+        for call in [call for call in self.calls.values() if call.state is CallState.OFFERED]:
+            if call.state is CallState.OFFERED:
                 self._answer_now(call)
                 self._tell(CallAbandoned(call.number))
 
     def harmless(self, call: Call) -> bool:
         """Whether its caller may be told that trying again does no harm."""
-        return call.attempts == 0 or call.offer.kind.idempotent
+        return call.attempts == 0 or call.offer.call_class.idempotent
 
     def _answer_now(self, call: Call) -> None:
         """The final answer without the decisions: another try is the caller's."""
@@ -599,7 +606,7 @@
         longest wait was over, long after its end.
         """
         call = self.calls.get(number)
-        if call is not None and call.stage is Stage.OFFERED:
+        if call is not None and call.state is CallState.OFFERED:
             self.log("guard", call=call.offer.ident, why="the decisions left it unanswered")
             self._final(call, FailCall(call.number))
             self._tell(CallAbandoned(call.number))
@@ -612,10 +619,10 @@
         A set-up that has waited for its connection may have been overtaken by its caller, its time-out or
         the directory.
         """
-        if attempt.over or attempt.written:
+        if attempt.ended or attempt.written:
             return None
         now = self.clock()
-        if attempt.server.listing.standing is not Availability.READY or attempt.due <= now:
+        if attempt.server.record.availability is not Availability.READY or attempt.deadline <= now:
             self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, LoadReport())
             return None
         if self.before_cold is not None and not self._turn_holds(attempt.server, self.before_cold):
@@ -629,9 +636,9 @@
                 "attempt",
                 call=attempt.call.offer.ident,
                 n=attempt.number,
-                server=attempt.server.listing.instance,
+                server=attempt.server.record.instance,
             )
-        return max(1, int((attempt.due - now) * 1000))
+        return max(1, int((attempt.deadline - now) * 1000))
 
     def not_sent(self, attempt: Attempt) -> None:
         """It was to be written and has been taken back, none of it sent: `may_write` is asked again."""
@@ -641,7 +648,7 @@
         if self.tracing:
             self.log("taken_back", call=attempt.call.offer.ident, n=attempt.number)
 
-    def _turn_holds(self, server: Server, look: Callable[[], None]) -> bool:
+    def _turn_holds(self, server: RosterServer, look: Callable[[], None]) -> bool:
         """Whether this softswitch still has a turn at a cold server, where its number is one that is claimed.
 
         Guards against a process that was stopped between its decision and its write, whose number another
@@ -655,26 +662,26 @@
 
     def not_written(self, attempt: Attempt, reached: bool) -> None:
         """The set-up never left: there was no connection, or no room on it."""
-        if not attempt.over and not attempt.written:
+        if not attempt.ended and not attempt.written:
             self._attempt_ended(
                 attempt, AttemptOutcome.NOT_SENT if reached else AttemptOutcome.UNREACHABLE, LoadReport()
             )
 
     def connection_lost(self, attempt: Attempt) -> None:
         """The connection broke under a set-up that had been written on it."""
-        if not attempt.over and attempt.call.stage is Stage.OFFERED:
+        if not attempt.ended and attempt.call.state is CallState.OFFERED:
             self._attempt_ended(attempt, AttemptOutcome.RESET, LoadReport())
 
-    def pending(self, server: Server, ident: str) -> None:
+    def pending(self, server: RosterServer, ident: str) -> None:
         """A roster server is at work on a set-up."""
         call = self.by_ident.get(ident)
-        attempt = call.attempt if call is not None and call.stage is Stage.OFFERED else None
-        if call is None or attempt is None or not call.offer.rings:
+        attempt = call.attempt if call is not None and call.state is CallState.OFFERED else None
+        if call is None or attempt is None or not call.offer.reports_progress:
             return
         if attempt.server is server and attempt.written:
-            call.caller.rang()
+            call.caller_session.progressing()
 
-    def answered(self, server: Server, ident: str, description: str) -> None:
+    def answered(self, server: RosterServer, ident: str, description: str) -> None:
         """A roster server says that the call stands."""
         call = self.by_ident.get(ident)
         attempt = call.attempt if call is not None else None
@@ -684,21 +691,21 @@
         if call is None or attempt is None or attempt.server is not server or not attempt.written:
             self.counters.add("late_answers")
             if self.tracing:
-                self.log("late", call=ident, server=server.listing.instance)
-            self.side.finish(server, ident, ENDED)
+                self.log("late", call=ident, server=server.record.instance)
+            self.side.send_release(server, ident, ENDED)
             return
-        if call.stage is not Stage.OFFERED:
+        if call.state is not CallState.OFFERED:
             return
         now = self.clock()
-        call.stage, call.stood_at = Stage.STANDING, now
+        call.state, call.established_at = CallState.ESTABLISHED, now
         self.unanswered -= 1
         self.counters.add("answers_stood")
         if self.tracing:
             self.log("answer", call=ident, result="stood", n=attempt.number)
-        call.caller.stood(description.encode("utf-8", "surrogateescape"))
-        self._tell(CallEstablished(call.number, server.id, now - attempt.asked_at))
+        call.caller_session.established(description.encode("utf-8", "surrogateescape"))
+        self._tell(CallEstablished(call.number, server.id, now - attempt.started_at))
 
-    def finished(self, server: Server, ident: str, cause: int, note: str, report: LoadReport) -> None:
+    def finished(self, server: RosterServer, ident: str, cause: int, note: str, report: LoadReport) -> None:
         """A roster server refuses a set-up or releases a call."""
         call = self.by_ident.get(ident)
         attempt = call.attempt if call is not None else None
@@ -712,7 +719,7 @@
                 for tell in self.orphan:
                     tell(ident, cause)
             return
-        if call.stage is Stage.STANDING:
+        if call.state is CallState.ESTABLISHED:
             self._call_ended(call, cause, report)
             return
         if cause == ENDED:
@@ -727,7 +734,7 @@
             ending = AttemptOutcome.RESET
         self._attempt_ended(attempt, ending, report, note)
 
-    def load_told(self, server: Server, report: LoadReport) -> None:
+    def load_told(self, server: RosterServer, report: LoadReport) -> None:
         """A roster server's figures, unasked."""
         if report != LoadReport():
             self._tell(LoadReported(server.id, report))
@@ -755,16 +762,16 @@
         if self.tracing:
             self.log("release", call=call.offer.ident, side="server", cause=cause)
         self._close(call)
-        call.caller.released(cause)
+        call.caller_session.released(cause)
         self._attempt_ended(
             attempt, AttemptOutcome.COMPLETED if cause == ENDED else AttemptOutcome.RESET, report
         )
 
     def _close(self, call: Call) -> None:
         """The call is over; late messages for it are no news."""
-        if call.stage is Stage.OFFERED:
+        if call.state is CallState.OFFERED:
             self.unanswered -= 1
-        call.stage = Stage.OVER
+        call.state = CallState.TERMINATED
         del self.calls[call.number], self.by_ident[call.offer.ident]
         self._remember(call.offer.ident)
 
@@ -788,20 +795,20 @@
             if self.tracing:
                 return_ms = int(action.retry_after_s * 1000)
                 self.log("answer", call=call.offer.ident, result="refused", return_ms=return_ms)
-            call.caller.refused(action.retry_after_s)
+            call.caller_session.rejected(action.retry_after_s)
         else:
             self.counters.add("answers_failed")
             if self.tracing:
                 self.log("answer", call=call.offer.ident, result="failed")
-            call.caller.failed(timed_out=self.clock() >= call.deadline - ANSWER_EARLY_S)
-        if attempt is not None and not attempt.over:
+            call.caller_session.failed(timed_out=self.clock() >= call.deadline - ANSWER_EARLY_S)
+        if attempt is not None and not attempt.ended:
             self._give_up(attempt, AttemptOutcome.CANCELLED)
 
     def _set_up(self, action: SendSetup) -> None:
         """The decisions ask for an attempt. What the rules forbid is answered here and never leaves."""
         now = self.clock()
         call, server = self.calls.get(action.call_id), self.servers.get(action.server_id)
-        if call is None or call.stage is not Stage.OFFERED or call.attempt is not None:
+        if call is None or call.state is not CallState.OFFERED or call.attempt is not None:
             self.log("guard", why="an attempt was asked for a call that is over or has one out")
             self.counters.add("guards")
             return
@@ -817,10 +824,10 @@
         if action.timeout_s != 0:
             due = min(due, now + max(0.0, action.timeout_s))
         attempt = call.attempt = Attempt(call, server, call.attempts, now, due)
-        pools = call.offer.kind.allowed_servers
-        barred = pools is not None and server.listing.number not in pools
-        ready = server.listing.standing is Availability.READY
-        if barred or not ready or call.attempts > call.cap or due <= max(now, call.pause_until):
+        pools = call.offer.call_class.allowed_servers
+        barred = pools is not None and server.record.number not in pools
+        ready = server.record.availability is Availability.READY
+        if barred or not ready or call.attempts > call.max_attempts or due <= max(now, call.pause_until):
             self._attempt_ended(attempt, AttemptOutcome.NOT_SENT, LoadReport())
             return
         self.at(due, partial(self._timed_out, call.number, attempt.number))
@@ -830,19 +837,19 @@
             self._start(attempt)
 
     def _start(self, attempt: Attempt) -> None:
-        if not attempt.over:
-            self.side.set_up(attempt)
+        if not attempt.ended:
+            self.side.send_setup(attempt)
 
     def _timed_out(self, number: int, attempt_number: int) -> None:
         call = self.calls.get(number)
-        attempt = call.attempt if call is not None and call.stage is Stage.OFFERED else None
-        if attempt is not None and attempt.number == attempt_number and not attempt.over:
+        attempt = call.attempt if call is not None and call.state is CallState.OFFERED else None
+        if attempt is not None and attempt.number == attempt_number and not attempt.ended:
             self._give_up(attempt, AttemptOutcome.TIMED_OUT)
 
     def _give_up(self, attempt: Attempt, ending: AttemptOutcome) -> None:
         """Stop waiting for an attempt. One that was never written is never sent."""
         if attempt.written:
-            self.side.finish(attempt.server, attempt.call.offer.ident, ENDED)
+            self.side.send_release(attempt.server, attempt.call.offer.ident, ENDED)
         elif ending is AttemptOutcome.TIMED_OUT:
             ending = AttemptOutcome.UNREACHABLE
         self._attempt_ended(attempt, ending, LoadReport())
@@ -853,7 +860,7 @@
         """Each attempt has one outcome, told to the decisions."""
         now = self.clock()
         call = attempt.call
-        attempt.over = True
+        attempt.ended = True
         call.attempt = None
         if (
             ending in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
@@ -870,16 +877,16 @@
                 written=attempt.written,
                 note=note,
             )
-        if call.away and call.stage is Stage.OFFERED:
+        if call.caller_gone and call.state is CallState.OFFERED:
             self._answer_now(call)
         self._tell(
             AttemptEnded(
                 call_id=call.number,
                 server_id=attempt.server.id,
                 outcome=ending,
-                answered=call.stage is not Stage.OFFERED,
+                answered=call.state is not CallState.OFFERED,
                 report=report,
-                elapsed_s=now - attempt.asked_at,
+                elapsed_s=now - attempt.started_at,
                 destination_busy=ending is AttemptOutcome.ERROR and note == "lines_busy",
                 no_free_line=ending in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
                 and note == "no_circuit",
@@ -908,7 +915,7 @@
             self.counters.add("decision_faults")
             self.log("fault", why=f"{type(error).__name__}: {error}", event=type(event).__name__)
             call = self.calls.get(getattr(event, "call_id", 0))
-            if call is not None and call.stage is Stage.OFFERED and call.attempt is None:
+            if call is not None and call.state is CallState.OFFERED and call.attempt is None:
                 sent = any(isinstance(a, SendSetup) and a.call_id == call.number for a in actions)
                 if not sent:
                     actions.append(FailCall(call.number))
@@ -921,7 +928,7 @@
                 self._set_up(action)
             case RejectCall() | FailCall():
                 call = self.calls.get(action.call_id)
-                if call is not None and call.stage is Stage.OFFERED:
+                if call is not None and call.state is CallState.OFFERED:
                     self._final(call, action)
             case SetTimer(delay_s, label):
                 self.at(self.clock() + delay_s, lambda: self._tell(TimerExpired(label)))
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/directory.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from stairhatch.node.core import Core, Listing, Machine, idle
+from stairhatch.node.core import CallManager, ConnectionProtocol, ServerRecord, idle
 from stairhatch.overload.events import Availability
 
 FIRST_WAIT_MS = 50  # the first answer tells at once whether what was known at the start is the whole list
@@ -44,17 +44,17 @@
     return host, int(port)
 
 
-def _listing(raw: dict[str, Any]) -> Listing:
-    return Listing(
+def _listing(raw: dict[str, Any]) -> ServerRecord:
+    return ServerRecord(
         instance=str(raw["instanceId"]),
         address=parse_address(str(raw["hostPort"])),
         number=int(raw["cell"]),
-        standing=STATES[raw["lifecycle"]],
-        started_s=float(raw.get("startedAtMs") or 0) / 1000,
+        availability=STATES[raw["lifecycle"]],
+        started_at=float(raw.get("startedAtMs") or 0) / 1000,
     )
 
 
-Change = tuple[int, list[Listing], bool]
+Change = tuple[int, list[ServerRecord], bool]
 
 
 def read_events(answer: Any, after: int) -> tuple[int, list[Change]]:
@@ -72,16 +72,16 @@
     return max(last, after), changes
 
 
-def _raw(line: Listing) -> dict[str, Any]:
+def _raw(line: ServerRecord) -> dict[str, Any]:
     """A line as the coordinator tells it."""
     host, port = line.address
     return {
         "instanceId": line.instance, "hostPort": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
-        "cell": line.number, "lifecycle": "in_service", "startedAtMs": round(line.started_s * 1000),
+        "cell": line.number, "lifecycle": "in_service", "startedAtMs": round(line.started_at * 1000),
     }  # fmt: skip
 
 
-def pass_over_unread(core: Core, answer: Any, after: int) -> tuple[Any, str]:
+def pass_over_unread(core: CallManager, answer: Any, after: int) -> tuple[Any, str]:
     """An answer without the lines in it that can't be read, and what was passed over; DirectoryError if it is
     odd beyond that.
 
@@ -91,9 +91,9 @@
     which no rule allows; where it told that one is ready, the others bear its share meanwhile.
     """
     known = {
-        name: _raw(server.listing)
+        name: _raw(server.record)
         for name, server in core.by_instance.items()
-        if server.listing.standing is not Availability.GONE
+        if server.record.availability is not Availability.GONE
     }
     events, said = [], []
     try:
@@ -126,7 +126,7 @@
     return {**answer, "updates": events}, "; ".join(said[:4])
 
 
-def apply_events(core: Core, answer: Any, after: int) -> int:
+def apply_events(core: CallManager, answer: Any, after: int) -> int:
     """Tell the core what is new; returns the number of the last event. An odd answer changes nothing."""
     last, changes = read_events(answer, after)
     for _, lines, complete in changes:
@@ -134,10 +134,10 @@
     return last
 
 
-class Directory(Machine):
+class Directory(ConnectionProtocol):
     """The subscription. A broken or odd answer ends the connection; the driver comes again."""
 
-    def __init__(self, core: Core, address: tuple[str, int], after: int) -> None:
+    def __init__(self, core: CallManager, address: tuple[str, int], after: int) -> None:
         super().__init__()
         self.core, self.address, self.after = core, address, after
         self.answers = 0
@@ -202,7 +202,7 @@
         path = f"/v2/stream?follow={self.after}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._output = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
-        self.wake()
+        self.notify_writable()
 
     def _ask_again(self, asked: int) -> None:
         """Guards against a coordinator that answers at once though nothing is new: a core went to that."""
@@ -236,16 +236,16 @@
             self.core.log("directory", why=f"its number {index} is older than {self.after}, which is kept")
         self._older = older
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         """What is to be written."""
         data, self._output = self._output, b""
         return data
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection has ended."""
         self._parser = None
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the coordinator."""
         if self.closing:
             return
@@ -256,7 +256,7 @@
             self.core.counters.add("directory_faults")
             self.core.log("directory", why=str(cause or error))
             self.closing = True
-            self.wake()
+            self.notify_writable()
 
     def on_body(self, body: bytes) -> None:
         """Part of an answer."""
@@ -289,4 +289,4 @@
             self._ask()
         else:
             self.closing = True
-            self.wake()
+            self.notify_writable()
--- a/stairhatch/node/net.py
+++ b/stairhatch/node/net.py
@@ -21,7 +21,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from stairhatch.node.core import Core, Machine, idle
+from stairhatch.node.core import CallManager, ConnectionProtocol, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.roster import RosterLink
 
@@ -55,7 +55,7 @@
 
 
 Place = tuple[str, int]
-Accept = Callable[[Place], Machine]
+Accept = Callable[[Place], ConnectionProtocol]
 
 
 class Datagrams(Protocol):
@@ -110,7 +110,7 @@
 class Taken:
     """A connection of a caller."""
 
-    machine: Machine
+    machine: ConnectionProtocol
     sock: socket.socket
     since: float
     last: float = 0.0  # when bytes last came
@@ -289,8 +289,10 @@
         old = now - self.bounds.young_s
         for one in self.taken:
             one.look(now)
-        idle_ones = [one for one in self.taken if one.idles(old, now) and not one.machine.owes()]
-        idle_ones.sort(key=lambda one: (one.begun > 0, one.machine.asked))  # stable: the first of equals
+        idle_ones = [one for one in self.taken if one.idles(old, now) and not one.machine.owes_response()]
+        idle_ones.sort(
+            key=lambda one: (one.begun > 0, one.machine.request_received)
+        )  # stable: the first of equals
         out = 0
         for one in idle_ones:
             if out == many:
@@ -300,7 +302,7 @@
             del self.taken[one]
             self.leaving.add(one)
             self.network.core.counters.add("connections_evicted")
-            if word := one.machine.put_out():
+            if word := one.machine.eviction_response():
                 with contextlib.suppress(OSError):
                     one.sock.send(word)
             one.machine.closing = True
@@ -319,30 +321,30 @@
         for one in list(self.taken):
             machine = one.machine
             one.look(now)
-            late_first = not machine.asked and now - one.since > self.bounds.first_s
+            late_first = not machine.request_received and now - one.since > self.bounds.first_s
             if one.unseen():
                 continue  # it has come in time; the loop is late
-            if now - one.last > self.bounds.idle_s and not machine.closing and machine.idle():
+            if now - one.last > self.bounds.idle_s and not machine.closing and machine.is_idle():
                 self.network.core.counters.add("connections_idle_ended")
-                machine.leave()
+                machine.close_when_idle()
                 continue
             if machine.closing or not (late_first or (one.begun and now - one.begun > WHOLE_S)):
                 continue
             self.network.core.counters.add("connections_expired")
-            machine.expire()
+            machine.read_timed_out()
 
     def end_idle(self) -> None:
         """A drain: end what is idle, unless something has come on it that has not been read."""
         now = self.network.loop.time()
         for one in reversed(list(self.taken)):  # the busiest first: what stays for releases is used least
             machine = one.machine
-            quiet = now - one.last >= QUIET_S if machine.asked else now - one.since >= FRESH_S
-            if machine.closing or not quiet or not machine.idle() or one.unseen():
+            quiet = now - one.last >= QUIET_S if machine.request_received else now - one.since >= FRESH_S
+            if machine.closing or not quiet or not machine.is_idle() or one.unseen():
                 continue
             self.network.core.counters.add("connections_drained")
             with contextlib.suppress(OSError):
                 one.sock.shutdown(socket.SHUT_WR)  # at once, so that nothing can come in between
-            machine.leave()
+            machine.close_when_idle()
 
 
 class Ears:
@@ -396,7 +398,7 @@
 class Network:
     """The sockets of one softswitch."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CallManager) -> None:
         self.core = core
         self.loop = asyncio.get_running_loop()
         self.pool = Pool()
@@ -545,18 +547,18 @@
         try:
             if events & GONE and not one.gone:
                 one.gone = True
-                machine.half_closed()
+                machine.peer_closing()
             size = one.sock.recv_into(self.inbox)
             if size:
-                machine.receive(self.inbox[:size])
+                machine.receive_data(self.inbox[:size])
                 one.last = self.loop.time()
-                one.begun = (one.begun or one.last) if machine.partial() else 0.0
+                one.begun = (one.begun or one.last) if machine.has_partial_message() else 0.0
                 if among is not None and one in among:
                     among.move_to_end(one)
-                if machine.done():
+                if machine.can_close():
                     self._heard_out(one, True)
             else:
-                machine.ended()
+                machine.eof_received()
                 self._heard_out(one, False)
             return size
         except (BlockingIOError, InterruptedError):
@@ -586,22 +588,22 @@
         """Once: what is open on it is given up where the reset is read, and not when its task comes to it."""
         if not one.lost:
             one.lost = True
-            one.machine.lost()
+            one.machine.connection_lost()
 
-    async def _read(self, sock: socket.socket, machine: Machine) -> bool:
+    async def _read(self, sock: socket.socket, machine: ConnectionProtocol) -> bool:
         """Give a machine what comes until its peer ends (False) or it has had its last word (True)."""
         buffer = self.pool.take()
         try:
             while size := await self.loop.sock_recv_into(sock, buffer):
-                machine.receive(memoryview(buffer)[:size])
-                if machine.done():
+                machine.receive_data(memoryview(buffer)[:size])
+                if machine.can_close():
                     return True
         finally:
             self.pool.give(buffer)
-        machine.ended()
+        machine.eof_received()
         return False
 
-    async def _run(self, sock: socket.socket, machine: Machine, one: Taken | None = None) -> None:
+    async def _run(self, sock: socket.socket, machine: ConnectionProtocol, one: Taken | None = None) -> None:
         """Carry bytes both ways until either side ends; from a caller that `attend` reads, only to it."""
         sock.setblocking(False)
         with contextlib.suppress(OSError):
@@ -612,7 +614,7 @@
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
-        machine.wake, machine.abort = wake.set, abort
+        machine.notify_writable, machine.abort = wake.set, abort
         wake.set()
         writer = self.loop.create_task(self._write(sock, machine, wake, abort))
         try:
@@ -620,7 +622,7 @@
                 open_still = await self._read(sock, machine)
             else:
                 open_still = await one.over
-            if (machine.closing or machine.done()) and not (one and one.lost):  # its last words
+            if (machine.closing or machine.can_close()) and not (one and one.lost):  # its last words
                 await asyncio.wait([writer], timeout=FLUSH_S)
             if open_still:
                 await self._linger(sock, machine)
@@ -629,7 +631,7 @@
         except Exception as error:  # noqa: BLE001 - bytes that upset a machine must end their connection only
             self._fault(error, machine)
         finally:
-            machine.wake, machine.abort = idle, idle
+            machine.notify_writable, machine.abort = idle, idle
             writer.cancel()
             try:
                 await asyncio.wait([writer])  # awaited itself, it hid that this task was cancelled meanwhile:
@@ -638,11 +640,11 @@
                     self._heard_out(one, False)
                 sock.close()
                 if one is None:
-                    machine.lost()
+                    machine.connection_lost()
                 else:
                     self._lost(one)
 
-    async def _linger(self, sock: socket.socket, machine: Machine) -> None:
+    async def _linger(self, sock: socket.socket, machine: ConnectionProtocol) -> None:
         """Read on for a moment: closed with bytes unread, the connection would be reset under our answer.
         Only a machine that wants its peer's last words is given them.
         """
@@ -651,8 +653,8 @@
             left = LINGER_BYTES
             while left > 0 and (size := await self.loop.sock_recv_into(sock, buffer)):
                 left -= size
-                if machine.hears_out:
-                    machine.receive(memoryview(buffer)[:size])
+                if machine.reads_until_eof:
+                    machine.receive_data(memoryview(buffer)[:size])
 
         buffer = self.pool.take()
         try:
@@ -663,7 +665,7 @@
             self.pool.give(buffer)
 
     async def _write(
-        self, sock: socket.socket, machine: Machine, wake: asyncio.Event, abort: Callable[[], None]
+        self, sock: socket.socket, machine: ConnectionProtocol, wake: asyncio.Event, abort: Callable[[], None]
     ) -> None:
         """Write what the machine has, as fast as its peer takes it."""
         machine.writing = False  # a link's last connection may have broken in the middle
@@ -671,11 +673,11 @@
             while True:
                 await wake.wait()
                 wake.clear()
-                while data := machine.pull():
+                while data := machine.data_to_send():
                     machine.writing = True
                     await self._send(sock, machine, data)
                     machine.writing = False
-                if machine.done():
+                if machine.can_close():
                     sock.shutdown(socket.SHUT_WR)
                     self.loop.call_later(LINGER_S, abort)
                     return
@@ -700,7 +702,7 @@
         await asyncio.sleep(ROOM_S)
         return socket.socket(family(address[0]), socket.SOCK_STREAM)
 
-    async def _send(self, sock: socket.socket, machine: Machine, data: bytes) -> None:
+    async def _send(self, sock: socket.socket, machine: ConnectionProtocol, data: bytes) -> None:
         """Send what was pulled in the same step; of what the peer does not take only what has to follow."""
         try:
             size = sock.send(data)
@@ -708,7 +710,7 @@
             size = 0
         if size == len(data):
             return
-        if rest := machine.unsent(data[size:]):
+        if rest := machine.reclaim_unsent(data[size:]):
             await self.loop.sock_sendall(sock, rest)
             return
         room = self.loop.create_future()
@@ -737,16 +739,16 @@
             raise
         return sock
 
-    def dial_caller(self, connection: Machine, peer: Place) -> None:
+    def dial_caller(self, connection: ConnectionProtocol, peer: Place) -> None:
         """Open a connection to a caller, for what it has to be told."""
         self.spawn(self._dial_caller(connection, peer))
 
-    async def _dial_caller(self, connection: Machine, peer: Place) -> None:
+    async def _dial_caller(self, connection: ConnectionProtocol, peer: Place) -> None:
         try:
             sock = await self._connect(peer)
         except (OSError, TimeoutError):
             self.core.counters.add("callers_unreached")
-            connection.lost()
+            connection.connection_lost()
             return
         one = Taken(connection, sock, self.loop.time())
         self.attend(one)
@@ -839,17 +841,17 @@
 
     async def _keep_up(self, link: RosterLink) -> None:
         backoff = FIRST_BACKOFF_S
-        while not link.done():
+        while not link.can_close():
             if link.retired and not link.urgent:
                 break
             wanted = asyncio.Event()
-            link.wake = wanted.set
+            link.notify_writable = wanted.set
             try:
                 if len(self._dialled) >= self.descriptors.for_links():
                     raise OSError(errno.EMFILE, "no descriptor is left to a link")
                 self._dialled.add(link)
                 within_s = self.core.settings.connect_timeout_s
-                sock = await self._connect(link.server.listing.address, within_s)
+                sock = await self._connect(link.server.record.address, within_s)
             except (OSError, TimeoutError) as error:
                 self._dialled.discard(link)
                 if isinstance(error, OSError) and error.errno in OUT_OF_THEM:
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -16,7 +16,7 @@
 from functools import partial
 from typing import Any
 
-from stairhatch.node.core import Attempt, Core, Machine, Server
+from stairhatch.node.core import Attempt, CallManager, ConnectionProtocol, RosterServer
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings import report_from
 
@@ -75,7 +75,7 @@
 class RosterSide:
     """The links to all roster servers that the directory has named."""
 
-    def __init__(self, core: Core, dial: Callable[[RosterLink], None]) -> None:
+    def __init__(self, core: CallManager, dial: Callable[[RosterLink], None]) -> None:
         self.core, self.dial = core, dial
         self.links: dict[int, RosterLink] = {}  # the one in use, by the server's id
         self.spares: dict[int, RosterLink] = {}  # dialled because that one keeps silent
@@ -85,10 +85,10 @@
         core.side = self
         core.at(core.clock() + LOOK_S, self._look)
 
-    def listed(self, server: Server) -> None:
+    def record_changed(self, server: RosterServer) -> None:
         """News of a server: keep a connection while it is of use."""
         link = self.links.get(server.id)
-        if server.listing.standing is Availability.GONE:
+        if server.record.availability is Availability.GONE:
             for each in self.all_to(server):
                 each.retire()
             if link is None:  # it never was in scope; not now, since the list is being gone through
@@ -104,11 +104,11 @@
             self.dial(link)
         link.retired = False
         for each in self.all_to(server):
-            if each.up_at < server.listing.started_s - SURELY_S:
+            if each.up_at < server.record.started_at - SURELY_S:
                 each.abort()  # the process that it was opened to is no more
-        link.wake()
+        link.notify_writable()
 
-    def _let_go(self, server: Server) -> None:
+    def _let_go(self, server: RosterServer) -> None:
         """A server is out of scope: its links end once no call is being set up there or stands there.
 
         Guards against calls whose end comes on a link that went with its scope, and releases that were to go.
@@ -123,21 +123,21 @@
         for each in self.all_to(server):
             each.retire()
 
-    def _look_at_leaving(self, server: Server) -> None:
+    def _look_at_leaving(self, server: RosterServer) -> None:
         self.leaving.discard(server.id)
-        if server.listing.standing is not Availability.GONE:
-            self.listed(server)
+        if server.record.availability is not Availability.GONE:
+            self.record_changed(server)
 
-    def set_up(self, attempt: Attempt) -> None:
+    def send_setup(self, attempt: Attempt) -> None:
         """Queue a set-up; it is rendered when it can be written."""
         link = self.links.get(attempt.server.id)
         if link is None or len(link.queue) >= MOST_WAITING:
             self.core.not_written(attempt, reached=True)
             return
         link.queue.append(attempt)
-        link.wake()
+        link.notify_writable()
 
-    def finish(self, server: Server, ident: str, cause: int) -> None:
+    def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
         """Give a set-up up, or release a call that stands."""
         link = self.links.get(server.id)
         if link is None or len(link.queue) >= MOST_RELEASES:
@@ -146,11 +146,11 @@
             each.open.pop(ident, None)
             each.stood.discard(ident)
             if each.retired:
-                each.wake()  # it may be done now
+                each.notify_writable()  # it may be done now
         link.queue.append(Release(_line({"verb": "FINISH", "tag": ident, "opts": {}, "rc": cause})))
-        link.wake()
+        link.notify_writable()
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Another process goes on: what the servers have to tell from now on comes on its links.
 
         Guards against ends of calls that come here after the last caller has gone, and are told to nobody.
@@ -162,12 +162,12 @@
             link.written.clear()
             link.abort()
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether all that can be written has been written."""
         every = (*self.links.values(), *self.spares.values(), *self.left)
         return not any((link.queue or link.writing) and link.up_at < math.inf for link in every)
 
-    def all_to(self, server: Server) -> list[RosterLink]:
+    def all_to(self, server: RosterServer) -> list[RosterLink]:
         """Every link to a server."""
         here = [links[server.id] for links in (self.links, self.spares) if server.id in links]
         return here + [link for link in self.left if link.server is server]
@@ -194,7 +194,7 @@
             link.doubt_from = now + link.doubt_s
             self.core.counters.add("links_doubted")
             silent_s = round(now - max(link.heard_at, link.up_at), 2)
-            self.core.log("doubted", server=link.server.listing.instance, silent_s=silent_s)
+            self.core.log("doubted", server=link.server.record.instance, silent_s=silent_s)
             spare.append(link)
         for link in spare:
             self._second(link)
@@ -226,15 +226,15 @@
         link.queue.extend(old.queue)
         link.queue.extend(old.unsure())
         old.queue.clear()
-        old.wake()
+        old.notify_writable()
 
     def _look_at_left(self, old: RosterLink) -> None:
         """A link passed over ends once nothing is due on it; it is looked at until then."""
         if old in self.left:
-            old.wake()
+            old.notify_writable()
             self.core.at(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_left, old))
 
-    def _make_room(self, server: Server) -> None:
+    def _make_room(self, server: RosterServer) -> None:
         """Before one more is dialled: of those passed over the oldest ends that has nothing open, since a
         server tells its state on four connections. What it may have sent there comes on the one that is
         opened next.
@@ -242,7 +242,7 @@
         kept = [each for each in self.left if each.server is server]
         if len(kept) >= MOST_LEFT and (old := next((each for each in kept if not each.open), None)):
             old.left_at = -math.inf
-            old.wake()
+            old.notify_writable()
 
     def heard(self, link: RosterLink, state: bool) -> None:
         """Something came. Where another link to the server should have heard of it too, that one is dead."""
@@ -265,7 +265,7 @@
         old.ending = False
         if old in self.left and old.heard_at < since - APART_S:
             self.core.counters.add("links_dead")
-            self.core.log("link_dead", server=old.server.listing.instance, open=len(old.open))
+            self.core.log("link_dead", server=old.server.record.instance, open=len(old.open))
             old.stood.clear()  # their ends come again on the one that is opened below
             old.abort()
             in_use = self.links.get(old.server.id)
@@ -273,7 +273,7 @@
                 in_use.doubt_s, in_use.doubt_from = DOUBT_S, -math.inf
             self.core.at(self.core.clock() + AGAIN_S, partial(self._again, old.server))
 
-    def _again(self, server: Server) -> None:
+    def _again(self, server: RosterServer) -> None:
         """A dead link has ended. What the server released on it before it knew comes on the next one opened.
 
         Guards against calls whose end is told to nobody: they ended after the second link had come up and
@@ -293,8 +293,8 @@
             del self.spares[link.server.id]
         if self.links.get(link.server.id) is link:
             del self.links[link.server.id]
-            if link.server.listing.standing is not Availability.GONE:
-                self.listed(link.server)  # it was listed again in the meantime
+            if link.server.record.availability is not Availability.GONE:
+                self.record_changed(link.server)  # it was listed again in the meantime
             else:
                 self.core.forget_server(link.server)
 
@@ -307,12 +307,12 @@
     times: int = 0  # written
 
 
-class RosterLink(Machine):
+class RosterLink(ConnectionProtocol):
     """One roster server and a connection to it, if there is one."""
 
-    def __init__(self, side: RosterSide, server: Server) -> None:
+    def __init__(self, side: RosterSide, server: RosterServer) -> None:
         super().__init__()
-        self.hears_out = True
+        self.reads_until_eof = True
         self.side, self.server = side, server
         self.retired = False
         self.told_unreached = False
@@ -332,7 +332,7 @@
         self.pulled: list[tuple[Attempt | Release | bytes, int]] = []  # handed out last, with their lengths
         self.data = bytearray()
 
-    def done(self) -> bool:
+    def can_close(self) -> bool:
         """Whether the connection may be closed. Never while a set-up is open on it, nor, once it was passed
         over, while a call stands that was set up on it.
 
@@ -380,14 +380,14 @@
         for attempt in waiting:
             self.side.core.not_written(attempt, reached=True)
         self.side.core.at(self.side.core.clock() + RETIRED_S, self._overdue)
-        self.wake()
+        self.notify_writable()
 
     def _overdue(self) -> None:
         """Guards against a machine that vanished: what is to be written to it never leaves."""
-        if self.retired and self.server.listing.standing is Availability.GONE:
+        if self.retired and self.server.record.availability is Availability.GONE:
             self.queue.clear()
             self.abort()
-            self.wake()
+            self.notify_writable()
 
     def connected(self) -> None:
         """A connection has come up."""
@@ -395,22 +395,22 @@
         self.spoilt, self.up_at = False, self.side.core.clock()
         self.heard_at, self.states = -math.inf, 0
         self.stood.clear()
-        self.server.connected, self.server.tried, self.told_unreached = True, True, False
+        self.server.connected, self.server.dial_attempted, self.told_unreached = True, True, False
         if self.side.is_spare(self):
             self.side.promote(self)
         self.side.core.counters.add("roster_connections")
-        self.side.core.log("reached", server=self.server.listing.instance)
+        self.side.core.log("reached", server=self.server.record.instance)
 
     def failed(self, refused: bool) -> None:
         """A connection did not come up. A refused one proves that the process is gone, with its calls."""
         core = self.side.core
         core.counters.add("roster_connections_failed")
-        self.server.tried = True
+        self.server.dial_attempted = True
         if self.side.is_spare(self) or self in self.side.left:
             self.retired = True  # the link in use goes on; that it is refused one more proves nothing
             return
         if not self.told_unreached:  # once: it is tried again every second
-            core.log("unreached", server=self.server.listing.instance, refused=refused)
+            core.log("unreached", server=self.server.record.instance, refused=refused)
             self.told_unreached = True
         waiting = [item for item in self.queue if isinstance(item, Attempt)]
         kept = () if refused or self.retired else (i for i in self.queue if not isinstance(i, Attempt))
@@ -421,7 +421,7 @@
         if refused and not any(link.up_at < math.inf for link in others):
             core.cut_standing(self.server, before=core.clock() + 1)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection broke: the set-ups open on it are reset.
 
         Another is opened where it was passed over and calls stand that were set up on it. Guards against an
@@ -432,27 +432,27 @@
         in_use = self.side.links.get(self.server.id)
         self.server.connected = in_use is not None and in_use.up_at < math.inf
         unsure = self.unsure()
-        if in_use is not None and self.server.listing.standing is not Availability.GONE:
+        if in_use is not None and self.server.record.availability is not Availability.GONE:
             in_use.queue.extendleft(reversed(unsure))
-            in_use.wake()
-        if self in self.side.left and not self.done() and any(map(self.side.core.stands, self.stood)):
+            in_use.notify_writable()
+        if self in self.side.left and not self.can_close() and any(map(self.side.core.stands, self.stood)):
             self.side.core.at(self.side.core.clock() + AGAIN_S, partial(self.side._again, self.server))
         broken, self.open = list(self.open.values()), {}
-        self.side.core.log("link_lost", server=self.server.listing.instance, open=len(broken))
+        self.side.core.log("link_lost", server=self.server.record.instance, open=len(broken))
         for attempt in broken:
             self.side.core.connection_lost(attempt)
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         """What is to be written now. Where this process stood still meanwhile, it looks again who left."""
         clock, data = self.side.core.clock, self._pull()
         for _ in range(MOST_LOOKS):
             if clock() - self.looked_at < STALE_S:
                 break
-            self.unsent(data)
+            self.reclaim_unsent(data)
             data = self._pull()
         return data
 
-    def unsent(self, rest: bytes) -> bytes:
+    def reclaim_unsent(self, rest: bytes) -> bytes:
         """A link is slow: set-ups and releases wait here again, but for the line that was begun.
 
         Guards against a set-up that is sent when its link has room, though its caller left, or its time was
@@ -491,7 +491,9 @@
                 if self.asked_at <= max(self.heard_at, self.up_at):
                     self.asked_at = core.clock()
                 self.open[offer.ident] = item
-                line = start_line(offer.ident, offer.kind.name, offer.key, offer.description, left_ms)
+                line = start_line(
+                    offer.ident, offer.call_class.name, offer.called_uri, offer.description, left_ms
+                )
             elif isinstance(item, Release):
                 item.times += 1
                 self.written.append((core.clock(), item))
@@ -503,7 +505,7 @@
             size += len(line)
         return b"".join(out)
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the roster server."""
         if self.spoilt:
             return
@@ -528,7 +530,7 @@
         self.spoilt = True
         self.data.clear()
         core.counters.add("malformed_from_servers")
-        instance = self.server.listing.instance
+        instance = self.server.record.instance
         core.log("malformed", side="server", server=instance, why=why, open=len(self.open))
         self.abort()
 
@@ -572,4 +574,4 @@
             core.load_told(self.server, report)
         elif verb == "ECHO":
             self.queue.append(_line({"verb": "ECHOED", "tag": ident, "opts": {}, "rc": 1}))
-            self.wake()
+            self.notify_writable()
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -12,7 +12,7 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.core import AWAY_S, ENDED, Call, Core, Machine, Offer
+from stairhatch.node.core import AWAY_S, ENDED, Call, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
 
 MOST_OUTPUT = 128 * 1024  # a caller that reads so much too slowly is cut off
@@ -61,7 +61,7 @@
 class TrunkFront:
     """All connections of callers, and the releases that have not been heard."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: CallManager) -> None:
         self.core = core
         self.connections: dict[TrunkConnection, None] = {}  # the last that spoke comes last
         self.calls: dict[str, TrunkCall] = {}
@@ -176,13 +176,13 @@
             self.connection.front.calls.pop(ident, None)
             self.call = None  # no cycle is left for the collector: it paused a busy node for too long
 
-    def rang(self) -> None:
+    def progressing(self) -> None:
         """The platform's callers are told of the end of a set-up alone."""
 
-    def stood(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         self._answer(200, [], description)
 
-    def refused(self, return_s: float) -> None:
+    def rejected(self, return_s: float) -> None:
         self._answer(503, [("come-back-ms", str(int(return_s * 1000)))] if return_s > 0 else [])
 
     def failed(self, timed_out: bool) -> None:
@@ -193,7 +193,7 @@
         self.connection.front.release(self.request.get("call-id"), cause, self.connection)
 
 
-class TrunkConnection(Machine):
+class TrunkConnection(ConnectionProtocol):
     """One connection of callers."""
 
     def __init__(self, front: TrunkFront) -> None:
@@ -210,15 +210,15 @@
         self.gone = False  # its peer has closed it; what came before may still be unread
         self.parser = sip.StreamParser()
 
-    def owes(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether a set-up is open on it, or an answer waits to be written."""
         return bool(self.open or self.output)
 
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether the rest of a message is awaited."""
         return self.parser.partial()
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Also that no release sent on it has yet to be heard, and that another connection is left for those
         of calls that stand.
 
@@ -227,21 +227,21 @@
         """
         told = (self.front.releases.get(ident) for ident in self.byes)
         unheard = any(r is not None and r.tried and r.tried[-1] is self for r in told)
-        return super().idle() and not unheard and not (self.front.core.holds() and self._last_ear())
+        return super().is_idle() and not unheard and not (self.front.core.holds() and self._last_ear())
 
     def _last_ear(self) -> bool:
         """Whether no other connection is as likely to be read."""
         others = (c for c in self.front.connections if c is not self and c.caller and not c.closing)
         return self.caller and not any(other.heard >= self.heard for other in others)
 
-    def expire(self) -> None:
+    def read_timed_out(self) -> None:
         """A message has not come whole in time: its request is answered, if its head could be read."""
         begun = self.parser.begun
         if begun is not None and begun.method not in ("", "ACK"):
             self.respond(begun, 408, [])
-        super().expire()
+        super().read_timed_out()
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the caller."""
         front = self.front
         if self.closing:
@@ -250,7 +250,7 @@
         self.parser.feed(data)
         try:
             while not self.closing and (message := self.parser.next()) is not None:
-                self.asked = True
+                self.request_received = True
                 self.requests += 1
                 self._message(message)
         except sip.SipError as error:
@@ -259,22 +259,22 @@
             if error.partial is not None and error.partial.method not in ("", "ACK"):
                 self.respond(error.partial, error.status, [])
             self.closing = True
-            self.wake()
+            self.notify_writable()
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         """What is to be written."""
         data = b"".join(self.output)
         self.output.clear()
         self.size = 0
         return data
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         """The caller sends no more: it has left what is open, as with a close, which looks the same."""
-        self.half_closed()
+        self.peer_closing()
         self.closing = True
-        self.wake()
+        self.notify_writable()
 
-    def half_closed(self) -> None:
+    def peer_closing(self) -> None:
         """Each set-up is answered once all the same, for one that only ended its side of the connection and
         still reads; those that lie unread before the end of the stream, as they are read.
 
@@ -294,7 +294,7 @@
         if held.call is not None:
             self.front.core.caller_left(held.call)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection has ended: what was open on it is given up, what stands on lives on."""
         front = self.front
         front.connections.pop(self, None)
@@ -334,7 +334,7 @@
             self.front.core.counters.add("slow_callers_cut")
             self.closing = True
             self.abort()
-        self.wake()
+        self.notify_writable()
 
     def _message(self, message: sip.Message) -> None:
         front, ident = self.front, message.get("call-id")
@@ -360,7 +360,7 @@
                 if held is not None:
                     stood = front.core.stands(ident)
                     held.connection._give_up(held)
-                    held.connection.wake()  # it may have ended but for this
+                    held.connection.notify_writable()  # it may have ended but for this
                     if stood:  # it crossed the answer: its caller may take the call to stand, and is told
                         front.core.counters.add("cancels_crossed")
                         front.release(ident, ENDED, held.connection)
@@ -399,7 +399,7 @@
         if self.faults >= MOST_FAULTS and not self.open:
             self.front.core.counters.add("faulty_callers_cut")
             self.closing = True
-            self.wake()
+            self.notify_writable()
 
     def _invite(self, message: sip.Message, ident: str) -> None:
         """A set-up. One that can't be understood, or no roster server could read, is answered at once."""
@@ -436,15 +436,15 @@
             advice = [("come-back-ms", str(int(AWAY_S * 1000)))]
             self.respond(message, 503, advice if front.core.settings.may_send_retry_after else [])
             return
-        offer = Offer(
+        offer = CallRequest(
             ident=ident,
-            kind=kind,
-            key=key,
+            call_class=kind,
+            called_uri=key,
             description=description,
-            patience_s=patience_s,
-            choice=choice,
-            called=called_number(key),
-            redial=message.get("repeat-mark") == "1",
+            caller_timeout_s=patience_s,
+            preferred_number=choice,
+            called_number=called_number(key),
+            is_caller_retry=message.get("repeat-mark") == "1",
         )
         held = TrunkCall(self, message)
         message.body = b""  # not needed any more
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 
 from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
-from stairhatch.overload.endpoint import Server
+from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import (
     AttemptEnded,
     AttemptOutcome,
@@ -29,7 +29,7 @@
     LoadReported,
     TimerExpired,
 )
-from stairhatch.overload.pending_call import Call, Jam
+from stairhatch.overload.pending_call import DestinationBackoff, PendingCall
 from stairhatch.overload.settings import CallClass, Settings
 
 # Thresholds are parts of the wait scale: the time after which a waiting set-up is sent again or its aim lost.
@@ -71,13 +71,13 @@
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.servers: dict[int, Server] = {}
-        self.calls: dict[int, Call] = {}
-        self.waiting: dict[int, Call] = {}
+        self.servers: dict[int, Endpoint] = {}
+        self.calls: dict[int, PendingCall] = {}
+        self.waiting: dict[int, PendingCall] = {}
         self.ranks: dict[float, list[tuple[float, int]]] = {}  # the waiting calls by worth, oldest first
         self.holds: list[tuple[float, int]] = []  # a heap of when each is given up; some are over
         self.borne, self.borne_at = 0.0, 0.0  # the share of its lines that a warm server used lately
-        self.jams: dict[int, Jam] = {}
+        self.jams: dict[int, DestinationBackoff] = {}
         self.patience: dict[str, float] = {}  # class -> the time its callers mostly give a try
         self.timer_set = False
         self.served_at = -1.0  # when the waiting calls were last looked through
@@ -145,7 +145,7 @@
         for line in event.endpoints:
             known = self.servers.get(line.server_id)
             if known is None:
-                known = Server(
+                known = Endpoint(
                     line.server_id, line.number, window=self.first_window, credit=BURST, block_s=FIRST_BLOCK_S
                 )
                 self.servers[line.server_id] = known
@@ -156,7 +156,7 @@
             if gone and now - server.listed_at > MEMORY_S:  # until then it may return, and its size is known
                 del self.servers[server.id]
 
-    def note_start(self, now: float, server: Server, line: EndpointRecord) -> None:
+    def note_start(self, now: float, server: Endpoint, line: EndpointRecord) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
         age = now - line.started_at
         if (
@@ -189,7 +189,7 @@
         worth = kind.priority_weight * (kind.late_weight if redial else 1.0)
         hold = min(by, now + kind.latency_objective_s - self.onset)  # while its aim can be met
         cap = self.settings.max_attempts
-        call = Call(
+        call = PendingCall(
             event.call_id,
             kind,
             event.preferred_number,
@@ -225,7 +225,7 @@
         self.patience[kind.name] = usual + max(-step, min(step, grace_s - usual))
         return abs(grace_s - usual) > PATIENCE_SLACK * usual
 
-    def number_jammed(self, now: float, call: Call) -> bool:
+    def number_jammed(self, now: float, call: PendingCall) -> bool:
         """Departure: after 'busy' a number gets one trial call a gap, which doubles with each new 'busy'.
 
         Guards against a rush on one number, whose calls cost the servers work and stand nowhere. It could
@@ -247,7 +247,7 @@
         if busy:
             if jam is None:
                 self.jams = {n: j for n, j in self.jams.items() if now <= j.until + LONGEST_GAP_S}
-                jam = self.jams[called] = Jam()
+                jam = self.jams[called] = DestinationBackoff()
                 self.notes.append(f"number {called} busy: trial calls only")
             jam.gap_s = min(LONGEST_GAP_S, max(FIRST_BLOCK_S, 2 * jam.gap_s))
             jam.until = now + jam.gap_s * (0.5 + self.rng.random())
@@ -257,7 +257,7 @@
             if jam.gap_s < FIRST_BLOCK_S:
                 del self.jams[called]
 
-    def serve_waiting(self, now: float, newest: Call | None) -> Iterator[Action]:
+    def serve_waiting(self, now: float, newest: PendingCall | None) -> Iterator[Action]:
         """Send what may go, the most important first; answer what can no longer be served in time."""
         seen, self.served_at = now == self.served_at, now
         if not self.waiting or (seen and newest is None):
@@ -281,7 +281,7 @@
                 yield from self.refuse(now, late)
 
     def serve_rank(
-        self, now: float, rank: list[tuple[float, int]], roomy: list[tuple[Server, float]]
+        self, now: float, rank: list[tuple[float, int]], roomy: list[tuple[Endpoint, float]]
     ) -> Iterator[Action]:
         """Send calls of one worth, the oldest first, while there is room for them."""
         for _, call_id in rank:
@@ -296,7 +296,7 @@
                 index = next(i for i, (s, _) in enumerate(roomy) if s is server)
                 roomy[index : index + 1] = self.open_to(now, server)
 
-    def wait(self, call: Call) -> None:
+    def wait(self, call: PendingCall) -> None:
         """Hold a call for room."""
         self.waiting[call.id] = call
         bisect.insort(self.ranks.setdefault(call.worth, []), (call.offered_at, call.id))
@@ -311,7 +311,7 @@
             if not rank:
                 del self.ranks[call.worth]
 
-    def send(self, now: float, call: Call, server: Server) -> Action:
+    def send(self, now: float, call: PendingCall, server: Endpoint) -> Action:
         """Rule 2: the call leaves the waiting ones, so it has one attempt out at a time."""
         self.wait_no_more(call.id)
         call.attempts += 1
@@ -320,7 +320,7 @@
         server.turn_until = now  # spent
         return SendSetup(call.id, server.id, self.time_out(now, call, server))
 
-    def time_out(self, now: float, call: Call, server: Server) -> float:
+    def time_out(self, now: float, call: PendingCall, server: Endpoint) -> float:
         """Departure: where set-ups were lost lately and answers are quick, give up in time for another try.
 
         Guards against answers that never come, which cost a call its aim. It could harm by sending twice what
@@ -332,7 +332,7 @@
         lossy = now - server.lost_at < MEMORY_S and not self.is_flagged(now, server)
         return left if lossy and left > self.onset else 0.0
 
-    def refuse(self, now: float, call: Call) -> Iterator[Action]:
+    def refuse(self, now: float, call: PendingCall) -> Iterator[Action]:
         """The final answer to a call that will not be set up; one that may have run must not be 'refused'."""
         self.forget(call.id)
         if call.may_have_run and not call.kind.idempotent:
@@ -340,7 +340,7 @@
         else:
             yield RejectCall(call.id, self.come_back(now, call))
 
-    def come_back(self, now: float, call: Call) -> float:
+    def come_back(self, now: float, call: PendingCall) -> float:
         """When a refused caller may dial again: once the least pressed server it may use should have abated.
 
         Departure: the paper's refused calls vanish, ours redial, and at once where nothing is said. The time
@@ -360,7 +360,7 @@
 
     # ---- the pick ----
 
-    def pick(self, now: float, call: Call, roomy: list[tuple[Server, float]]) -> Server | None:
+    def pick(self, now: float, call: PendingCall, roomy: list[tuple[Endpoint, float]]) -> Endpoint | None:
         """First choice while clear; else an unflagged one of two drawn; else fewer own unanswered set-ups."""
         open_ones = [s for s, floor in roomy if call.worth >= floor and self.may_use(call, s)]
         if call.erred_at:  # another one tells whose fault it is
@@ -376,7 +376,7 @@
                 return server
         return min(drawn, key=lambda s: len(s.unanswered))
 
-    def least_worth(self, now: float, server: Server) -> float:
+    def least_worth(self, now: float, server: Endpoint) -> float:
         """Departure: the last free lines of a server are kept for the calls that are worth most.
 
         Guards against days on which lines run short, not processors: calls of little worth took each line as
@@ -389,14 +389,14 @@
         free = server.lines - server.occupied - len(server.unanswered)
         return self.most * (1 - free / (LINES_KEPT * math.sqrt(server.lines)))
 
-    def first_choice(self, call: Call) -> Server | None:
+    def first_choice(self, call: PendingCall) -> Endpoint | None:
         """The server that the call names, if it is known."""
         for server in self.servers.values():
             if server.number == call.choice and server.standing is Availability.READY:
                 return server
         return None
 
-    def may_use(self, call: Call, server: Server) -> bool:
+    def may_use(self, call: PendingCall, server: Endpoint) -> bool:
         """Whether the list, the class and the call's way allow this server at all."""
         if server.standing is not Availability.READY or server.number == self.settings.own_server_number:
             return False
@@ -404,15 +404,15 @@
             return server.number == call.choice
         return call.kind.allowed_servers is None or server.number in call.kind.allowed_servers
 
-    def with_room(self, now: float) -> list[tuple[Server, float]]:
+    def with_room(self, now: float) -> list[tuple[Endpoint, float]]:
         """The servers that can be sent something at this moment, each with the least worth it is open to."""
         return [pair for server in self.servers.values() for pair in self.open_to(now, server)]
 
-    def open_to(self, now: float, server: Server) -> list[tuple[Server, float]]:
+    def open_to(self, now: float, server: Endpoint) -> list[tuple[Endpoint, float]]:
         """The server with the least worth that it is open to, if it can be sent something."""
         return [(server, self.least_worth(now, server))] if self.has_room(now, server) else []
 
-    def has_room(self, now: float, server: Server) -> bool:
+    def has_room(self, now: float, server: Endpoint) -> bool:
         """Departures: blocked, cold and flagged servers get only what they can take."""
         cold = self.is_cold(now, server)
         if now < server.blocked_until or not (self.has_turn if cold else self.has_credit)(now, server):
@@ -425,7 +425,7 @@
             return False
         return len(server.unanswered) < max(1.0, server.window)
 
-    def has_credit(self, now: float, server: Server) -> bool:
+    def has_credit(self, now: float, server: Endpoint) -> bool:
         """Below one set-up at a time a node saves up for each, at the pace of its window."""
         if server.window >= 1:
             server.credit, server.credit_at = BURST, now
@@ -447,7 +447,7 @@
         """A wait at or below this lowers it."""
         return ABATEMENT_PART * self.scale_s
 
-    def pressure(self, now: float, server: Server) -> float:
+    def pressure(self, now: float, server: Endpoint) -> float:
         """One figure for the wait: the fresher of report and own set-ups, and the oldest unanswered one."""
         known = server.own_s if server.own_at >= server.reported_at else server.reported_s
         if now - max(server.own_at, server.reported_at) > AGEING_S:
@@ -457,7 +457,7 @@
         quickest = min(server.quickest_s, self.onset)
         return max(known, server.oldest_wait(now) - quickest)
 
-    def is_flagged(self, now: float, server: Server) -> bool:
+    def is_flagged(self, now: float, server: Endpoint) -> bool:
         """The hysteresis."""
         pressure = self.pressure(now, server)
         if server.flagged and pressure <= self.abatement and server.hold_back <= 0:
@@ -466,7 +466,7 @@
             server.flagged = True
         return server.flagged
 
-    def share(self, call: Call, server: Server) -> float:
+    def share(self, call: PendingCall, server: Endpoint) -> float:
         """The share of new set-ups refused while flagged; the more a call can still earn, the smaller."""
         if server.hold_back > 0:
             return min(1.0, server.hold_back)
@@ -499,7 +499,7 @@
         self.count_stood(now, server)
         self.move_window(now, server, count)
 
-    def blame(self, now: float, call: Call, stood_at: int) -> None:
+    def blame(self, now: float, call: PendingCall, stood_at: int) -> None:
         """Departure: an error counts against a server once the same call has stood at another.
 
         Guards against callers whose set-ups no server can use: each was answered with an error, two of them
@@ -513,7 +513,7 @@
                 if server.errors >= ERRORS_IN_A_ROW:
                     self.block(now, server, AttemptOutcome.ERROR)
 
-    def drop_overtaken(self, now: float, server: Server, sent: float) -> None:
+    def drop_overtaken(self, now: float, server: Endpoint, sent: float) -> None:
         """Departure: a set-up overtaken by one sent clearly later, or by a report, is lost and tells nothing.
 
         Guards against lost set-ups that would hold the window shut. It could harm where a server takes
@@ -525,7 +525,7 @@
             del server.unanswered[call_id]
             server.lost_at = now
 
-    def move_window(self, now: float, server: Server, count: int) -> None:
+    def move_window(self, now: float, server: Endpoint, count: int) -> None:
         """Departure, self-clocking: steer the own unanswered set-ups so that the wait stays at the onset."""
         if server.window < 1:
             self.steer(now, server, server.own_s)
@@ -537,7 +537,7 @@
         server.shrunk = server.shrunk or step < 0
         server.window = max(self.least_window, min(MOST_WINDOW, server.window + step))
 
-    def steer(self, now: float, server: Server, wait: float) -> None:
+    def steer(self, now: float, server: Endpoint, wait: float) -> None:
         """Below one set-up at a time every sign of the wait steers, in proportion to it and to the time.
 
         Guards against a slowed server that many nodes hear of seldom: by own answers alone its queue was full
@@ -556,13 +556,13 @@
             server.window *= 1 + grown
         server.moved_at = now
 
-    def fair_window(self, server: Server) -> float:
+    def fair_window(self, server: Endpoint) -> float:
         """A node's part of what a server bears, by its lines in use, if each set-up waited for the onset."""
         if server.occupied is None or self.length_s <= 0:
             return 0.0
         return PART_SLACK * self.onset * server.occupied / self.length_s / self.settings.instance_count
 
-    def count_stood(self, now: float, server: Server) -> None:
+    def count_stood(self, now: float, server: Endpoint) -> None:
         """Keep the rate of own set-ups that stood, averaged over half a minute: one node's are few."""
         gone = min(1.0, (now - server.stood_at) / MEMORY_S)
         server.stood_rate = server.stood_rate * (1 - gone) + 1 / MEMORY_S
@@ -604,7 +604,7 @@
                 call.hold_by = call.answer_by  # a further attempt is held while the caller waits
             self.wait(call)
 
-    def learn_end(self, now: float, server: Server, event: AttemptEnded, was_setup: bool) -> None:
+    def learn_end(self, now: float, server: Endpoint, event: AttemptEnded, was_setup: bool) -> None:
         """What an ending tells of the server."""
         self.note_report(now, server, event.report)
         if event.no_free_line:  # its lines have run out, not its processor: the next report tells of room
@@ -622,7 +622,7 @@
                 server.window = max(self.least_window, server.window / 2)
             self.steer(now, server, server.own_s)
 
-    def block(self, now: float, server: Server, ending: AttemptOutcome, told_wait_s: float = 0.0) -> None:
+    def block(self, now: float, server: Endpoint, ending: AttemptOutcome, told_wait_s: float = 0.0) -> None:
         """Departure: a server that turns set-ups away, fails them in a row or can't be reached gets one at a
         time, after pauses.
 
@@ -649,7 +649,7 @@
         if server is not None:
             self.note_report(now, server, event.report)
 
-    def note_report(self, now: float, server: Server, report: LoadReport) -> None:
+    def note_report(self, now: float, server: Endpoint, report: LoadReport) -> None:
         """Turn whatever the report holds into one wait.
 
         Where fewer lines are free than there are nodes, each takes one with that chance, so that a pool whose
@@ -685,17 +685,17 @@
 
     # ---- cold servers (rule 4) ----
 
-    def is_cold(self, now: float, server: Server) -> bool:
+    def is_cold(self, now: float, server: Endpoint) -> bool:
         """Whether the server started so lately that it may not be warm, or may start again at any moment."""
         return server.unreached or (server.born is not None and now - server.born < self.safety.warm_up_s)
 
-    def start_turns(self, now: float, server: Server) -> None:
+    def start_turns(self, now: float, server: Endpoint) -> None:
         """The first turn comes at random within a gap, so that the nodes' turns lie spread."""
         server.turns, server.turns_at, server.turn_until = self.rng.random(), now, now
         server.rate, server.occupied = 0.0, None  # another process's
         server.credit = self.rng.random()  # for when it will be warm
 
-    def has_turn(self, now: float, server: Server) -> bool:
+    def has_turn(self, now: float, server: Endpoint) -> bool:
         """A node's turns at a cold server come at even gaps; one that is not used soon lapses.
 
         Guards against what nodes have saved up: when all other servers went, each of 270 nodes spent one
@@ -714,7 +714,7 @@
         """Turns that open in one such span may be used within one `fall_s`, and no others."""
         return max((1 + TURN_PART) * self.safety.overload_window_s, 1e-9)
 
-    def turns_in_span(self, now: float, server: Server) -> float:
+    def turns_in_span(self, now: float, server: Endpoint) -> float:
         """This node's turns in a span: the fleet's, dealt out whole by the nodes' own numbers.
 
         Departure: each server has its own few nodes that may use it while it is cold, the others wait. With
@@ -730,7 +730,7 @@
         rank = (settings.instance_index - server.number * STRIDE) % settings.instance_count
         return min(1.0, fleet) * (whole + (settings.instance_index >= 0 and rank < rest))
 
-    def cold_rate(self, now: float, server: Server) -> float:
+    def cold_rate(self, now: float, server: Endpoint) -> float:
         """Set-ups a second, from all nodes: a part of what it can do by now, within the budget.
 
         Best is what it says itself that it can take; until it does, the guess that it gains evenly, which may
@@ -748,7 +748,7 @@
         guess = min(COLD_PART * able, most * safety.initial_capacity_fraction) * self.warm_rate(now, server)
         return max(min(COLD_PART, most) * borne, guess)
 
-    def warm_rate(self, now: float, server: Server) -> float:
+    def warm_rate(self, now: float, server: Endpoint) -> float:
         """Set-ups a second, from all nodes, that it should bear once warm: by its lines, or the own.
 
         Servers differ in size: what the best one bears pushed a small one over (amman-later big-2). One of
@@ -784,7 +784,7 @@
             self.borne, self.borne_at = use, now
         return max(use, faded)
 
-    def warm_ones(self, now: float) -> list[Server]:
+    def warm_ones(self, now: float) -> list[Endpoint]:
         """The servers that are neither cold nor down."""
         up = (s for s in self.servers.values() if s.standing is Availability.READY and not s.down)
         return [server for server in up if not self.is_cold(now, server)]
--- a/stairhatch/overload/endpoint.py
+++ b/stairhatch/overload/endpoint.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Server:
+class Endpoint:
     """One call server, as this node sees it."""
 
     id: int
--- a/stairhatch/overload/pending_call.py
+++ b/stairhatch/overload/pending_call.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Call:
+class PendingCall:
     """A call that is owed its final answer."""
 
     id: int
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Jam:
+class DestinationBackoff:
     """A called number whose lines were all busy."""
 
     gap_s: float = 0.0
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -23,7 +23,7 @@
 from stairhatch.fleet.service import Fleet
 from stairhatch.fleet.store import Found
 from stairhatch.lab.world import SYNC_S, Disk
-from stairhatch.node.core import ENDED, Call, Core, Counters, Machine, Offer, idle
+from stairhatch.node.core import ENDED, Call, CallManager, CallRequest, ConnectionProtocol, Counters, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.message import called_number
 from stairhatch.node.net import (
@@ -263,7 +263,7 @@
 
     part = "rest"
 
-    def __init__(self, softswitch: Softswitch, machine: Machine) -> None:
+    def __init__(self, softswitch: Softswitch, machine: ConnectionProtocol) -> None:
         self.softswitch, self.world, self.machine = softswitch, softswitch.world, machine
         self.clock, self.meter = self.world.clock, self.world.meter
         self.stream: Stream | None = None
@@ -283,7 +283,7 @@
     def began(self, stream: Stream) -> None:
         """The connection is up."""
         self.stream, self.up_at = stream, self.clock.now
-        self.machine.wake, self.machine.abort = self._wake, self._abort
+        self.machine.notify_writable, self.machine.abort = self._wake, self._abort
         self._wake()
 
     def take(self, data: bytes) -> None:
@@ -292,7 +292,7 @@
             return
         self.meter.enter(self.part)
         try:
-            self.machine.receive(data)
+            self.machine.receive_data(data)
         except Exception as error:  # noqa: BLE001 - as `Network._run`: it ends this connection only
             self.softswitch.core.counters.add("connection_faults")
             self.softswitch.log("fault", why=f"{type(error).__name__}: {error}")
@@ -300,7 +300,7 @@
             return
         finally:
             self.meter.leave()
-        if self.machine.done():
+        if self.machine.can_close():
             self._pull()
 
     def _wake(self) -> None:
@@ -313,10 +313,10 @@
         if self.stream is None or self.stopped:
             return
         self.meter.enter(self.part)
-        while data := self.machine.pull():
+        while data := self.machine.data_to_send():
             self.stream.send(0, data)
         self.meter.leave()
-        if self.machine.done():
+        if self.machine.can_close():
             self._abort()
 
     def _abort(self) -> None:
@@ -327,10 +327,10 @@
         if self.stream is None or self.stopped or (stream is not None and stream is not self.stream):
             return
         stream, self.stream = self.stream, None
-        self.machine.ended()
+        self.machine.eof_received()
         stream.close(0)
-        self.machine.wake, self.machine.abort = idle, idle
-        self.machine.lost()
+        self.machine.notify_writable, self.machine.abort = idle, idle
+        self.machine.connection_lost()
         self.over()
 
     def over(self) -> None:
@@ -368,13 +368,13 @@
         self._again, link = None, self.link
         if self.stopped:
             return
-        if link.done() or (link.retired and not link.urgent):
+        if link.can_close() or (link.retired and not link.urgent):
             self._drop()
             return
         self._wanted = False
-        link.wake = self._want
+        link.notify_writable = self._want
         within_s = self.softswitch.core.settings.connect_timeout_s
-        self.world.dial(self, link.server.listing.address, within_s, self._up, self._failed)
+        self.world.dial(self, link.server.record.address, within_s, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
         self.link.connected()
@@ -473,16 +473,16 @@
         world = self.softswitch.world
         world.traffic.ended(self.wanted, end, world.passed)
 
-    def rang(self) -> None:
+    def progressing(self) -> None:
         """A roster server is at work on it."""
 
-    def stood(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         """It is held for a while, then its caller hangs up."""
         world = self.softswitch.world
         world.clock.call_later(self.wanted.hold_s, self._hang_up, self.softswitch.life)
         self._end(End.STOOD)
 
-    def refused(self, return_s: float) -> None:
+    def rejected(self, return_s: float) -> None:
         """Turned away."""
         self._end(End.REFUSED)
 
@@ -550,7 +550,7 @@
         self.callers: dict[int, HollowCaller] = {}
         self.numbered = False  # it goes by a number that it holds
         self.heard: dict[str, int] = {}  # how many changes of each line have come
-        self.core: Core
+        self.core: CallManager
         self.fleet: Fleet | None = None
         self.process: Life
         self.store: HollowStore | None = None
@@ -582,7 +582,7 @@
         number = -1 if plan.fleet is not None and plan.fleet.numbers else self.index
         settings: Settings = replace(world.settings, instance_index=number)
         chance = random.Random(world.chance.getrandbits(64))
-        self.core = core = Core(settings, chance, world.clock.time, self.log, Counters())
+        self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
         core.wake = self._arm
         RosterSide(core, lambda link: self._keep(link))
@@ -616,7 +616,7 @@
         self.store = HollowStore(self.world, self.disk)
         return self.store
 
-    def _meter_decisions(self, core: Core) -> None:
+    def _meter_decisions(self, core: CallManager) -> None:
         meter, inner = self.world.meter, core.controller.handle
 
         def handle(now: float, event: Event) -> Iterator[Any]:
@@ -652,11 +652,15 @@
             traffic.ended(wanted, End.REFUSED, world.passed)
             return
         caller = HollowCaller(self, wanted)
-        offer = Offer(
-            ident=f"{wanted.serial:016x}", kind=world.settings.classes[wanted.service], key=wanted.number,
-            description=OFFER.decode(), patience_s=world.plan.calls.limit_s,
-            called=called_number(wanted.number), rings=True,
-        )  # fmt: skip
+        offer = CallRequest(
+            ident=f"{wanted.serial:016x}",
+            call_class=world.settings.classes[wanted.service],
+            called_uri=wanted.number,
+            description=OFFER.decode(),
+            caller_timeout_s=world.plan.calls.limit_s,
+            called_number=called_number(wanted.number),
+            reports_progress=True,
+        )
         self.callers[wanted.serial] = caller
         with world.meter.of("calls"):
             caller.call = self.core.offer(offer, caller)
@@ -824,7 +828,7 @@
             if each.running:
                 coordinator = self.coordinators[self.places.region(each.index)]
                 servers = each.core.by_instance.values()
-                ours = {s.listing.instance for s in servers if s.listing.standing is Availability.READY}
+                ours = {s.record.instance for s in servers if s.record.availability is Availability.READY}
                 found += ours != coordinator.in_service()
         return found
 
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -16,7 +16,7 @@
 
 from stairhatch.overload.actions import Action, FailCall, RejectCall, SetTimer
 from stairhatch.overload.controller import WAKE, Controller
-from stairhatch.overload.endpoint import Server
+from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import (
     AttemptEnded,
     Availability,
@@ -61,13 +61,13 @@
         return any(call.answer_by + OVER_S > now for call in self.controller.calls.values())
 
 
-class Seen(Mapping[int, Server]):
+class Seen(Mapping[int, Endpoint]):
     """All servers in scope, as the decisions see them."""
 
     def __init__(self, scoped: ScopedController) -> None:
         self.scoped = scoped
 
-    def __getitem__(self, server: int) -> Server:
+    def __getitem__(self, server: int) -> Endpoint:
         scope = self.scoped.home(server)
         if scope is None:
             raise KeyError(server)
@@ -101,7 +101,7 @@
         self.labels = count(WAKE)
         self.look_set, self.may_leave = False, False
         self.now = 0.0  # of the last event
-        self.servers: Mapping[int, Server] = Seen(self)
+        self.servers: Mapping[int, Endpoint] = Seen(self)
         self.sets: dict[Numbers, ServerSet] = {}
         self.place: dict[int, Numbers] = {}  # number -> the set it is in
         self.by_class: dict[str, tuple[tuple[int, ...] | None, Numbers]] = {}
@@ -433,12 +433,12 @@
 
     # ---- what the core asks ----
 
-    def is_cold(self, now: float, server: Server) -> bool:
+    def is_cold(self, now: float, server: Endpoint) -> bool:
         """Whether a server in scope may not be warm."""
         scope = self.scope_at(server.number)
         return scope is not None and scope.controller.is_cold(now, server)
 
-    def turns_in_span(self, now: float, server: Server) -> float:
+    def turns_in_span(self, now: float, server: Endpoint) -> float:
         """This softswitch's turns at a cold server in a span."""
         scope = self.scope_at(server.number)
         return scope.controller.turns_in_span(now, server) if scope is not None else 0.0
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -22,7 +22,7 @@
 
 from stairhatch.config import Config, ConfigError
 from stairhatch.node.console import PROMPT, Console, Door
-from stairhatch.node.core import Core, Counters
+from stairhatch.node.core import CallManager, Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
 from stairhatch.node.net import UNLIMITED, Bounds, Descriptors, Listening, Network, descriptors_held
 from stairhatch.node.roster import RosterSide
@@ -124,7 +124,7 @@
         self.counters = Counters()
         rng = random.Random(config.seed or None)
         self.scoped = self._scoped(config.scope, rng) if config.scope is not None else None
-        self.core = Core(
+        self.core = CallManager(
             config.settings, rng, self.clock, self.log, self.counters, config.tracing, self.scoped
         )  # fmt: skip
         self.network = Network(self.core)
@@ -147,11 +147,11 @@
 
     def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], came: bool) -> None:
         """A set of servers has come into scope or left: links are opened, or ended when nothing is due."""
-        mine = [s for s in self.core.servers.values() if numbers is None or s.listing.number in numbers]
+        mine = [s for s in self.core.servers.values() if numbers is None or s.record.number in numbers]
         self.counters.add("scopes_in" if came else "scopes_out")
         self.log("scope", state="in" if came else "out", classes=",".join(classes), servers=len(mine))
         for server in mine:
-            self.core.side.listed(server)
+            self.core.side.record_changed(server)
 
     def listen(self) -> str:
         """Open the fronts; returns their addresses."""
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Counters, Machine, idle
+from stairhatch.node.core import ConnectionProtocol, Counters, idle
 
 MOST_OUTPUT = 256 * 1024  # of a connection; one that reads so much too slowly is cut off
 MOST_DATAGRAMS = 4096  # waiting to be sent
@@ -138,7 +138,7 @@
         self.port.wake()
 
 
-class SipConnection(Machine, Flow):
+class SipConnection(ConnectionProtocol, Flow):
     """A TCP connection, taken or dialled."""
 
     reliable = True
@@ -154,28 +154,28 @@
         self.owed: set[bytes] = set()  # transactions that await their final answer here
         self.dialogs = 0  # that stand on it
 
-    def owes(self) -> bool:
+    def owes_response(self) -> bool:
         """Whether a final answer is owed on it, or one waits to be written."""
         return bool(self.owed or self.output)
 
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether the rest of a message is awaited."""
         return self.parser.partial()
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Also that no dialog stands on it: a drain lets those end, and their BYE come by it."""
-        return super().idle() and not self.dialogs
+        return super().is_idle() and not self.dialogs
 
-    def expire(self) -> None:
+    def read_timed_out(self) -> None:
         """A message has not come whole in time: its request is answered, if its head could be read."""
         if (begun := self.parser.begun) is not None:
             self.owner.malformed(self, sip.SipError(408, "the rest of a message never came", begun))
-        super().expire()
+        super().read_timed_out()
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Nothing more goes this way: what is due to the peer later is dialled or sent by UDP."""
         self._forsake()
-        super().leave()
+        super().close_when_idle()
 
     def send(self, data: bytes) -> None:
         self.output.append(data)
@@ -184,9 +184,9 @@
             self.owner.counters.add("slow_callers_cut")
             self.closing = True
             self.abort()
-        self.wake()
+        self.notify_writable()
 
-    def receive(self, data: bytes | memoryview) -> None:
+    def receive_data(self, data: bytes | memoryview) -> None:
         """Bytes from the peer. After a malformed message of unknown length the stream is closed."""
         if self.closing:
             return
@@ -199,35 +199,35 @@
                 self.owner.malformed(self, error)
                 if not error.in_step or self.faults >= MOST_FAULTS:
                     self.closing = True
-                    self.wake()
+                    self.notify_writable()
                 continue
             self._pong()
             if message is None:
                 break
-            self.asked = True
+            self.request_received = True
             self.owner.receive(self, message)
         if self.gone:
             self.owner.caller_gone(self)
 
     def _pong(self) -> None:
         if self.parser.pings:
-            self.asked = True
+            self.request_received = True
             self.owner.counters.add("pings", self.parser.pings)
             self.parser.pings = 0
             self.send(PONG)  # one for all that came at once
 
-    def pull(self) -> bytes:
+    def data_to_send(self) -> bytes:
         data = b"".join(self.output)
         self.output.clear()
         self.size = 0
         return data
 
-    def half_closed(self) -> None:
+    def peer_closing(self) -> None:
         """What lies unread before the end of the stream is read yet, and its set-ups are given up too."""
         self.gone = True
         self.owner.caller_gone(self)
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         """The peer sends no more. What waits for its call is answered on what may be left of the connection;
         the answer to what is out goes another way.
         """
@@ -235,9 +235,9 @@
         self._forsake()
         self.owed.clear()
         self.closing = True
-        self.wake()
+        self.notify_writable()
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection has ended. What stands lives on, and is reached another way."""
         self._forsake()
         self.owner.counters.add("connections_lost")
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -15,7 +15,7 @@
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.core import AWAY_S, CUT, Core, Machine, Offer
+from stairhatch.node.core import AWAY_S, CUT, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: CallManager,
         config: SipConfig,
         token: Callable[[], str],
         part: Callable[[], float],
@@ -127,7 +127,7 @@
 
     # ---- what comes in ----
 
-    def connector(self, listener: Listener) -> Callable[[Place], Machine]:
+    def connector(self, listener: Listener) -> Callable[[Place], ConnectionProtocol]:
         """What makes the machine of a connection that has been taken at an address."""
 
         def connect(peer: Place) -> SipConnection:
@@ -441,15 +441,15 @@
         leg.user, leg.timer = user, timer
         transaction.user = leg
         self.respond(transaction, 100, [])
-        offer = Offer(
+        offer = CallRequest(
             ident=ident,
-            kind=kind,
-            key=uri.user,
+            call_class=kind,
+            called_uri=uri.user,
             description=description,
-            patience_s=self._patience(message, kind),
-            choice=choice,
-            called=called_number(uri.user),
-            rings=True,
+            caller_timeout_s=self._patience(message, kind),
+            preferred_number=choice,
+            called_number=called_number(uri.user),
+            reports_progress=True,
         )
         call = self.core.offer(offer, leg)
         if leg.invite is not None or leg.dialog is not None:
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ENDED, Call, Core
+from stairhatch.node.core import ENDED, Call, CallManager
 from stairhatch.sip import grammar, sessions
 from stairhatch.sip.dialogs import Dialog, Key, Stage, open_dialog
 from stairhatch.sip.flows import Flow, Place, SipConnection
@@ -30,7 +30,7 @@
 class Front(Protocol):
     """What a leg asks of the front that it belongs to."""
 
-    core: Core
+    core: CallManager
     transactions: Transactions
     dialogs: dict[Key, Leg]
     ours: dict[tuple[Leg, str], Ours]
@@ -81,7 +81,7 @@
 
     # ---- what the core says ----
 
-    def rang(self) -> None:
+    def progressing(self) -> None:
         """A roster server is at work on the call: 180, once, reliably where the caller knows how."""
         invite = self.invite
         if invite is None or invite.head is None or self.dialog is not None:
@@ -125,7 +125,7 @@
             self._put(self.invite.last)
             self.front.core.at(self.front.core.clock() + AGAIN_S, self._still_ringing)
 
-    def stood(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         """The call stands: 200 is sent until the ACK comes, and the dialog is confirmed."""
         front, invite = self.front, self.invite
         if invite is None:
@@ -172,7 +172,7 @@
         gap = min(2 * gap, T2, LAST - passed)
         front.core.at(front.core.clock() + gap, partial(self._answer_again, sent, gap, passed + gap))
 
-    def refused(self, return_s: float) -> None:
+    def rejected(self, return_s: float) -> None:
         self._refuse(503, [("retry-after", str(max(1, math.ceil(return_s))))])
 
     def failed(self, timed_out: bool) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Attempt, Core, Counters, Listing
+from stairhatch.node.core import Attempt, CallManager, Counters, ServerRecord
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings import settings_from
 from stairhatch.sip.flows import Flow
@@ -480,7 +480,9 @@
     def __init__(self, **config: Any) -> None:
         self.now = 1000.0
         self.settings = settings_from(SETTINGS)[0]
-        self.core = Core(self.settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters())
+        self.core = CallManager(
+            self.settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
+        )
         self.core.side = self
         self.written: list[Attempt] = []
         self.finishes: list[tuple[str, int]] = []
@@ -489,8 +491,8 @@
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
         self.front = SipFront(self.core, config, lambda: next(tokens), chance.random, b"secret")
-        self.core.list_servers([Listing("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.listening = self.core.list_known = self.core.servers[1].tried = True
+        self.core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.listening = self.core.list_known = self.core.servers[1].dial_attempted = True
 
     def follow(self, loop: asyncio.AbstractEventLoop) -> None:
         """From here on the clock runs with a loop's, onwards from where it stands: never back, however short
@@ -499,22 +501,22 @@
         offset_s = self.now - loop.time()
         self.core.clock = lambda: loop.time() + offset_s
 
-    def listed(self, server: object) -> None:
+    def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
 
-    def set_up(self, attempt: Attempt) -> None:
+    def send_setup(self, attempt: Attempt) -> None:
         """A set-up is written at once."""
         if self.core.may_write(attempt) is not None:
             self.written.append(attempt)
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The process is about to go."""
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """All is written at once."""
         return True
 
-    def finish(self, server: object, ident: str, cause: int) -> None:
+    def send_release(self, server: object, ident: str, cause: int) -> None:
         """A set-up given up, or a call released."""
         self.finishes.append((ident, cause))
 
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -183,7 +183,7 @@
     attempt = inside.written[0]
     inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", inside.report())
     assert not inside.front.ports[0].output and dialled[0].peer == ("127.0.0.1", 4100)
-    assert dialled[0].pull().startswith(b"BYE ")
-    dialled[0].lost()
-    dialled[1].lost()  # tried twice in vain
+    assert dialled[0].data_to_send().startswith(b"BYE ")
+    dialled[0].connection_lost()
+    dialled[1].connection_lost()  # tried twice in vain
     assert line.sent[-1].method == "BYE"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -229,5 +229,7 @@
     alone = scale.Alone(Other, 12)
     alone.run(0.1, 100)
     kinds = [type(event).__name__ for event in heard]
-    assert kinds[0] == "ServersListed" and kinds.count("CallOffered") == kinds.count("SetupStood") == 10
-    assert "LoadTold" in kinds and isinstance(alone.decisions.rng, random.Random)
+    assert (
+        kinds[0] == "EndpointsUpdated" and kinds.count("CallOffered") == kinds.count("CallEstablished") == 10
+    )
+    assert "LoadReported" in kinds and isinstance(alone.decisions.rng, random.Random)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stairhatch.node.core import HOLD_S, Offer
+from stairhatch.node.core import HOLD_S, CallRequest
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import LoadReport, TimerExpired
 
@@ -19,13 +19,13 @@
     def __init__(self):
         self.said = []
 
-    def rang(self):
+    def progressing(self):
         self.said.append("rang")
 
-    def stood(self, description):
+    def established(self, description):
         self.said.append("stood")
 
-    def refused(self, return_s):
+    def rejected(self, return_s):
         self.said.append("refused")
 
     def failed(self, timed_out):
@@ -39,7 +39,7 @@
     """A call whose set-up has been written."""
     caller = Told()
     kind = inside.settings.classes[0]
-    call = inside.core.offer(Offer(IDENT, kind, "1000", "d", patience_s), caller)
+    call = inside.core.offer(CallRequest(IDENT, kind, "1000", "d", patience_s), caller)
     assert len(inside.written) == 1
     return call, caller
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -314,13 +314,13 @@
     inside = Inside()
     front = TrunkFront(inside.core)
     connection, ident = front.connect(), next(IDS)
-    connection.receive(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
-    assert inside.written and connection.partial()
-    connection.expire()
-    connection.pull()
-    assert connection.closing and not connection.done()
+    connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
+    assert inside.written and connection.has_partial_message()
+    connection.read_timed_out()
+    connection.data_to_send()
+    assert connection.closing and not connection.can_close()
     inside.stand()
-    assert b"SIP/2.0 200" in connection.pull() and connection.done()
+    assert b"SIP/2.0 200" in connection.data_to_send() and connection.can_close()
 
 
 def trunk_invite(ident, kind="ebb", body=b"d"):
@@ -382,14 +382,14 @@
     inside = Inside()
     front = TrunkFront(inside.core)
     deaf, ident = front.connect(), next(IDS)
-    deaf.receive(trunk_invite(ident, "read-roster"))
+    deaf.receive_data(trunk_invite(ident, "read-roster"))
     inside.stand()
     inside.core.finished(inside.written[-1].server, ident, 16, "", inside.report())
     inside.run(3.0)
-    assert deaf.pull().count(b"BYE sip:") == 4
+    assert deaf.data_to_send().count(b"BYE sip:") == 4
     late = front.connect()
     inside.run(0.2)
-    assert late.pull().count(b"BYE sip:") == 1
+    assert late.data_to_send().count(b"BYE sip:") == 1
     inside.run(60.0)
     assert not front.releases and inside.core.counters.counts["releases_unheard"] == 1
 
@@ -418,12 +418,12 @@
         machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
         side = RosterSide(inside.core, links.append)
-        side.listed(inside.core.servers[1])
+        side.record_changed(inside.core.servers[1])
         machine = links[0]
         machine.connected()
-    assert side.flushed()
+    assert side.is_flushed()
     machine.writing = True
-    assert not side.flushed()
+    assert not side.is_flushed()
 
 
 def test_a_request_that_comes_at_the_last_look_is_answered(monkeypatch):
@@ -575,17 +575,17 @@
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
-        directory.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     directory.connected()
-    assert b"follow=9" in directory.pull()
+    assert b"follow=9" in directory.data_to_send()
     answer(9)
-    directory.pull()
+    directory.data_to_send()
     answer(4)
     assert directory.after == 9 and [fields["why"] for event, fields in told if event == "directory"]
-    assert not directory.pull(), "it answered at once: the next question waits"
+    assert not directory.data_to_send(), "it answered at once: the next question waits"
     inside.run(PACE_S + 0.01)
-    assert b"follow=9" in directory.pull()
+    assert b"follow=9" in directory.data_to_send()
     answer(4)
     assert len([event for event, _ in told if event == "directory"]) == 1, "told once"
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Listing
+from stairhatch.node.core import ServerRecord
 from stairhatch.node.net import Bounds, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
@@ -265,7 +265,7 @@
         inside.follow(asyncio.get_running_loop())
         core.log = lambda *args, **fields: None
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
-        core.list_servers([Listing("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
+        core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
@@ -292,7 +292,7 @@
         else:
             network.dial(link)
             await come(lambda: len(asked(set(idents))) == len(idents))
-            left, set_up = set(gone), side.set_up
+            left, set_up = set(gone), side.send_setup
 
             def queued(attempt):
                 set_up(attempt)
@@ -300,7 +300,7 @@
                     left.clear()
                     all_go()
 
-            side.set_up = queued
+            side.send_setup = queued
             server.script = RosterServer.answers
             for ident in idents:
                 server.say("FINISH", ident, rc=41)
@@ -347,7 +347,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        core.list_servers([Listing("r", listener.getsockname(), 0, Availability.READY)], True)
+        core.list_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
         connect = network._connect
 
         async def narrow(address, within_s):
@@ -414,7 +414,7 @@
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
     inside, links = Inside(), []
     side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
-    side.listed(inside.core.servers[1])
+    side.record_changed(inside.core.servers[1])
     (link,) = links
     link.connected()
     callers, looks = [front.connect() for _ in range(3)], []
@@ -422,13 +422,13 @@
     def look():
         """The first caller leaves, unseen, after the first look."""
         if looks:
-            callers[0].ended()
+            callers[0].eof_received()
         looks.append(inside.now)
 
     inside.core.hear_callers = look
     idents = [next(IDS) for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
-        caller.receive(trunk_invite(ident, "read-roster"))
+        caller.receive_data(trunk_invite(ident, "read-roster"))
     may_write, stops = inside.core.may_write, [0.3]
 
     def slow(attempt):
@@ -436,6 +436,6 @@
         return may_write(attempt)
 
     inside.core.may_write = slow
-    started = [json.loads(line)["tag"] for line in link.pull().splitlines()]
+    started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
     assert len(looks) == 2 and started == idents[1:] and set(link.open) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.console import MOST_ORDER, Door
-from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, Listing
+from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
 from stairhatch.node.roster import RosterSide
@@ -75,7 +75,7 @@
 def statuses(connection, ident):
     """The answers that a connection of the platform's front has queued for a call; takes them off it."""
     parser, found = sip.StreamParser(), []
-    parser.feed(connection.pull())
+    parser.feed(connection.data_to_send())
     while (message := parser.next()) is not None:
         if message.get("call-id") == ident:
             found.append(message.status or message.method)
@@ -136,7 +136,7 @@
     core.list_known = True
     assert "no roster server" in core.why_not()
     lines = [
-        Listing(name, ("127.0.0.1", 9), n, Availability.READY) for n, name in enumerate(("live", "dead"))
+        ServerRecord(name, ("127.0.0.1", 9), n, Availability.READY) for n, name in enumerate(("live", "dead"))
     ]
     core.list_servers(lines, True)
     assert "live dead" in core.why_not()
@@ -146,8 +146,8 @@
     assert "not listening" in core.why_not()
     core.listening = True
     assert core.why_not() == ""
-    core.list_servers([Listing("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
-    links[0].lost()
+    core.list_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
+    links[0].connection_lost()
     assert core.why_not() == "", "what comes and goes later is for the decisions"
     assert side.links
 
@@ -205,7 +205,7 @@
         inside.core.drain(on)
         lines.clear()
         for _ in range(10):
-            Door(inside.core).receive(b"check\n")
+            Door(inside.core).receive_data(b"check\n")
         assert len(lines) == 1
 
 
@@ -295,7 +295,7 @@
     front = TrunkFront(inside.core)
     one, two = front.connect(), front.connect()
     for connection in (one, two):
-        connection.receive(trunk_invite(ident := next(IDS)))
+        connection.receive_data(trunk_invite(ident := next(IDS)))
         inside.stand()
         assert statuses(connection, ident) == [200]
     return front, one, two, ident
@@ -308,13 +308,13 @@
     inside = Inside()
     _, one, two, _ = front_of(inside)
     inside.core.drain(True)
-    assert one.idle() and two.idle(), "each may go while the other stays"
-    two.leave()
-    assert not one.idle(), "the last one is kept for the call that stands"
+    assert one.is_idle() and two.is_idle(), "each may go while the other stays"
+    two.close_when_idle()
+    assert not one.is_idle(), "the last one is kept for the call that stands"
     inside.run(HOLD_S - 0.1)
-    assert not one.idle()
+    assert not one.is_idle()
     inside.run(0.2)
-    assert one.idle() and HOLD_S < 3.8
+    assert one.is_idle() and HOLD_S < 3.8
 
 
 def test_an_ending_program_keeps_no_connection_for_calls_that_live_on():
@@ -323,10 +323,10 @@
     _, one, two, _ = front_of(inside)
     inside.core.ending = True
     inside.core.drain(True)
-    two.leave()
-    assert not one.idle(), "ends of calls may come until it leaves"
+    two.close_when_idle()
+    assert not one.is_idle(), "ends of calls may come until it leaves"
     inside.core.leave()
-    assert one.idle()
+    assert one.is_idle()
 
 
 def test_releases_due_in_a_drain_keep_for_the_next_caller_and_not_for_a_test():
@@ -337,12 +337,12 @@
     _, one, two, ident = front_of(inside)
     inside.core.drain(True)
     for each in (one, two):
-        each.leave()
-        each.lost()
+        each.close_when_idle()
+        each.connection_lost()
     inside.core.finished(inside.core.servers[1], ident, 16, "", inside.report())
     inside.run(120.0)
-    tests = inside.written[0].call.caller.connection.front.connect()
-    tests.receive(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
+    tests = inside.written[0].call.caller_session.connection.front.connect()
+    tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     assert statuses(tests, "p") == [503]
     inside.run(2 * GREET_S)
     assert statuses(tests, ident) == []
@@ -363,7 +363,7 @@
     theirs.send(trunk_invite(ident := next(IDS)))
     listening.end_idle()
     assert not one.machine.closing
-    one.machine.receive(ours.recv(4096))
+    one.machine.receive_data(ours.recv(4096))
     assert inside.core.unanswered == 1
     inside.run(0.1)
     listening.end_idle()
@@ -381,12 +381,12 @@
     connection = TrunkFront(inside.core).connect()
     inside.core.drain(True)
     inside.run(TURN_AWAY_S - 0.1)
-    connection.receive(trunk_invite(early := next(IDS)))
+    connection.receive_data(trunk_invite(early := next(IDS)))
     inside.run(0.2)
-    connection.receive(trunk_invite(late := next(IDS)))
+    connection.receive_data(trunk_invite(late := next(IDS)))
     assert statuses(connection, late) == [503] and early in inside.core.by_ident
     inside.core.drain(False)
-    connection.receive(trunk_invite(again := next(IDS)))
+    connection.receive_data(trunk_invite(again := next(IDS)))
     assert again in inside.core.by_ident
 
 
@@ -395,8 +395,8 @@
     inside = Inside()
     door = Door(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
-        door.receive(piece)
-    assert door.pull().startswith(b"ok draining") and door.done()
+        door.receive_data(piece)
+    assert door.data_to_send().startswith(b"ok draining") and door.can_close()
     assert inside.core.drain_since is not None
 
 
@@ -530,15 +530,19 @@
     """Guards against a call whose rules change, or that is lost, while it is open."""
     inside = Inside()
     connection = TrunkFront(inside.core).connect()
-    connection.receive(trunk_invite(old := next(IDS), "9000", "save-roster"))
-    kept = inside.core.by_ident[old].offer.kind
+    connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
+    kept = inside.core.by_ident[old].offer.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
     inside.core.retune(settings_from(tuned(lines, cap=1))[0])
-    connection.receive(trunk_invite(new := next(IDS), "3000"))
+    connection.receive_data(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.by_ident[old], inside.core.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
-    assert call.offer.kind is kept and kept.idempotent and (call.cap, other.cap) == (6, 1)
-    assert not other.offer.kind.idempotent
+    assert (
+        call.offer.call_class is kept
+        and kept.idempotent
+        and (call.max_attempts, other.max_attempts) == (6, 1)
+    )
+    assert not other.offer.call_class.idempotent
     server = inside.core.servers[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
@@ -555,11 +559,11 @@
     inside.core.retune(settings_from(tuned([class_line("read-roster", hard_limit_s=2.0)]))[0])
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
-        connection.receive(trunk_invite(ident, "9000", kind))
+        connection.receive_data(trunk_invite(ident, "9000", kind))
         assert ident in inside.core.by_ident
     inside.run(OLD_CLASS_S)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
-        connection.receive(trunk_invite(ident, "9000", kind))
+        connection.receive_data(trunk_invite(ident, "9000", kind))
         assert statuses(connection, ident) == [400]
 
 
@@ -715,10 +719,10 @@
     inside.core.list_known = False
     directory = Directory(inside.core, ("127.0.0.1", 1), 4)
     directory.connected()
-    assert int(directory.pull().split(b"wait_ms=")[1].split()[0]) <= 100
+    assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
-    directory.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert inside.core.list_known and int(directory.pull().split(b"wait_ms=")[1].split()[0]) >= 1000
+    directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    assert inside.core.list_known and int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
 def test_a_coordinator_that_says_nothing_does_not_keep_a_known_list_from_serving():
@@ -772,15 +776,15 @@
     """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([Listing("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
+    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     links[0].connected()
-    side.finish(links[0].server, next(IDS), 16)
-    assert not side.flushed()
-    links[0].pull()
-    assert side.flushed()
-    side.leave()
-    links[0].lost()
-    assert links[0].done()
+    side.send_release(links[0].server, next(IDS), 16)
+    assert not side.is_flushed()
+    links[0].data_to_send()
+    assert side.is_flushed()
+    side.shut_down()
+    links[0].connection_lost()
+    assert links[0].can_close()
     side.drop(links[0])
     assert len(links) == 1
 
@@ -812,9 +816,9 @@
 
 def come(inside, one, data):
     """Bytes have come on a connection, as the driver notes them."""
-    one.machine.receive(data)
+    one.machine.receive_data(data)
     one.last = inside.now
-    one.begun = (one.begun or inside.now) if one.machine.partial() else 0.0
+    one.begun = (one.begun or inside.now) if one.machine.has_partial_message() else 0.0
 
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
@@ -863,17 +867,17 @@
     """
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([Listing("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].connected()
     connection = TrunkFront(inside.core).connect()
     for _ in range(4):
-        connection.receive(trunk_invite(ident := next(IDS)))
+        connection.receive_data(trunk_invite(ident := next(IDS)))
         inside.run(0.01)
-        assert b"START" in links[0].pull()
+        assert b"START" in links[0].data_to_send()
         inside.run(0.15)
         headers = [("call-id", ident), ("cseq", "1 CANCEL")]
-        connection.receive(sip.request("CANCEL", "sip:x@net", headers, b""))
-        links[0].pull()
+        connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
+        links[0].data_to_send()
     assert side.spares and not links[0].open
 
 
@@ -883,17 +887,17 @@
     """
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([Listing("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     connection = TrunkFront(inside.core).connect()
     began = inside.now
     while len(links) < 4:
         links[-1].connected()
         while not side.spares:
-            connection.receive(trunk_invite(ident := next(IDS), "9000"))
+            connection.receive_data(trunk_invite(ident := next(IDS), "9000"))
             inside.run(0.1)
-            links[-1].pull()
+            links[-1].data_to_send()
             headers = [("call-id", ident), ("cseq", "1 CANCEL")]
-            connection.receive(sip.request("CANCEL", "sip:x@net", headers, b""))
+            connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
             assert inside.now < began + 3, "a wait that doubles"
 
 
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import TRY_S, Listing
+from stairhatch.node.core import TRY_S, ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.net import Descriptors, Network
 from stairhatch.node.roster import RosterSide
@@ -252,7 +252,7 @@
     RosterSide(inside.core, lambda link: None)
     for number in range(20):
         name = f"s-{number}"
-        line = Listing(name, ("127.0.0.1", 9), number % 2, Availability.READY)
+        line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
         inside.core.list_servers([line], False)
         waits = inside.core.awaits()
         assert (name in waits) is (number * 0.1 < TRY_S), "the newest has not been tried"
@@ -301,15 +301,15 @@
     RosterSide(inside.core, lambda link: None)
     inside.core.servers.clear()
     inside.core.by_instance.clear()
-    listed = [Listing(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
+    listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
     inside.core.list_servers(listed, True)
     directory, told = Directory(inside.core, ("127.0.0.1", 1), 4), []
     directory.told = told.append
     for event in events:
         directory.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
-        directory.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    standings = {s.listing.instance: s.listing.standing.value for s in inside.core.by_instance.values()}
+        directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    standings = {s.record.instance: s.record.availability.value for s in inside.core.by_instance.values()}
     return directory, standings, told
 
 
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -15,7 +15,7 @@
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
 from stairhatch.node import message as sip
-from stairhatch.node.core import Core, Counters, Listing, Offer
+from stairhatch.node.core import CallManager, CallRequest, Counters, ServerRecord
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
@@ -559,7 +559,7 @@
         settings = settings_of(*classes)
         self.scoped = scoped(settings, idle_s=4.0)
         self.scoped.changed = self.changed
-        self.core = Core(
+        self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
@@ -569,15 +569,15 @@
 
     def changed(self, numbers, classes, came):
         for server in list(self.core.servers.values()):
-            self.side.listed(server)
+            self.side.record_changed(server)
 
     def listing(self, name, number, standing=Availability.READY):
-        self.core.list_servers([Listing(name, ("127.0.0.1", 9), number, standing)], complete=False)
+        self.core.list_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
 
     def offer(self, what):
         self.calls += 1
         caller = Heard()
-        call = self.core.offer(Offer(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
+        call = self.core.offer(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
         return call, caller
 
     def run(self, seconds):
@@ -598,31 +598,31 @@
         inside.listing(name, number)
     assert not inside.dialled and inside.core.awaits() == "", "it waits for what is out of scope"
     call, caller = inside.offer(a)
-    assert [link.server.listing.instance for link in inside.dialled] == ["x", "y"]
+    assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
     for link in inside.dialled:
         link.connected()
     link = inside.side.links[call.attempt.server.id]
-    assert b'"START"' in link.pull()
-    link.receive(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.offer.ident.encode())
-    assert caller.told == ["stood"]
+    assert b'"START"' in link.data_to_send()
+    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.offer.ident.encode())
+    assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
     assert not inside.scoped.live and inside.core.counters.counts["calls_taken"] == 1
-    assert other.done() and not link.retired and not link.done()
-    inside.listing(link.server.listing.instance, 3)  # to another service, which is out of scope as well
+    assert other.can_close() and not link.retired and not link.can_close()
+    inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
-    assert not link.retired and not link.done()
+    assert not link.retired and not link.can_close()
     inside.core.caller_released(call, 16)
-    assert not link.done(), "the release has not been written"
-    assert b'"FINISH"' in link.pull()
+    assert not link.can_close(), "the release has not been written"
+    assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
-    assert link.retired and link.done()
+    assert link.retired and link.can_close()
     for each in (link, other):
         each.side.drop(each)
     assert not inside.side.links and not inside.side.leaving and len(inside.dialled) == 2
     inside.offer(b)
-    at_three = [each.server.listing.instance for each in inside.dialled[2:]]
-    assert sorted(at_three) == sorted([link.server.listing.instance, "z"])
+    at_three = [each.server.record.instance for each in inside.dialled[2:]]
+    assert sorted(at_three) == sorted([link.server.record.instance, "z"])
 
 
 def test_a_set_that_comes_back_while_its_links_end_has_links():
@@ -636,10 +636,10 @@
     link.connected()
 
     def leaves(call):
-        assert b'"START"' in link.pull()
+        assert b'"START"' in link.data_to_send()
         inside.core.caller_left(call)
-        assert b'"FINISH"' in link.pull()
-        link.receive(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
+        assert b'"FINISH"' in link.data_to_send()
+        link.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
     leaves(call)
     inside.run(20)
@@ -652,7 +652,7 @@
     link.side.drop(link)  # its connection has ended
     assert len(inside.dialled) == 1
     call, _ = inside.offer(a)
-    assert len(inside.dialled) == 2 and call.attempt.server.listing.instance == "x"
+    assert len(inside.dialled) == 2 and call.attempt.server.record.instance == "x"
 
 
 def test_a_server_that_goes_without_ever_having_been_in_scope_is_forgotten():
@@ -663,12 +663,12 @@
     inside.offer(kind("a", 1))
     inside.listing("z", 2, Availability.GONE)
     inside.run(0.1)
-    assert [s.listing.instance for s in inside.core.servers.values()] == ["x"]
+    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
     assert list(inside.scoped.lines) == [1]
     inside.listing("z", 2)
-    inside.core.list_servers([Listing("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
+    inside.core.list_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
     inside.run(0.1)
-    assert [s.listing.instance for s in inside.core.servers.values()] == ["x"]
+    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
 
 
 PER, SERVICES = 3, 4
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -16,7 +16,7 @@
 from stairhatch.config import ConfigError
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
-from stairhatch.node.core import Core, Counters, Listing
+from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.roster import parse_load
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
@@ -326,20 +326,22 @@
     def __init__(self, told: dict[str, Any]) -> None:
         self.now, self.sent, self.told = 1000.0, 0, []
         settings = parse_settings(json.dumps(told))[0]
-        self.core = Core(settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters())
+        self.core = CallManager(
+            settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
+        )
         self.core.side = self
         pools = told["family_info"]["allowed_pools"][0]
-        lines = [Listing(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
+        lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
         self.core.list_servers(lines, True)
         self.caller = TrunkFront(self.core).connect()
 
-    def listed(self, server: object) -> None:
+    def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
 
-    def finish(self, server: object, ident: str, cause: int) -> None:
+    def send_release(self, server: object, ident: str, cause: int) -> None:
         """A set-up is given up."""
 
-    def set_up(self, attempt: Any) -> None:
+    def send_setup(self, attempt: Any) -> None:
         """A set-up is written, and stands."""
         if self.core.may_write(attempt) is not None:
             self.sent += 1
@@ -353,12 +355,12 @@
             "answer-within": "3000", "routing-data": "dest:0;width:1;via:-1",
         }  # fmt: skip
         headers.update({name.replace("_", "-"): value for name, value in more.items()})
-        self.caller.receive(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
+        self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
             self.core.tick()
         parser = sip.StreamParser()
-        parser.feed(self.caller.pull())
+        parser.feed(self.caller.data_to_send())
         found = []
         while (message := parser.next()) is not None:
             found.append(message.status)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import pytest
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import REMEMBERED_S, Core, Counters, Listing
+from stairhatch.node.core import REMEMBERED_S, CallManager, Counters, ServerRecord
 from stairhatch.node.directory import WHOLE_S, Directory
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import MOST_WARNINGS, Log
@@ -150,10 +150,10 @@
     directory, aborted = Directory(inside.core, ("127.0.0.1", 1), 4), []
     directory.abort = lambda: aborted.append(inside.now)
     directory.connected()
-    assert b"follow=4" in directory.pull()
+    assert b"follow=4" in directory.data_to_send()
     body = b'{"index":4,"updates":[]}'
     inside.run(WHOLE_S - 0.1)
-    directory.receive(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     inside.run(WHOLE_S - 0.1)
     assert not aborted, "a whole answer begins the wait anew"
     inside.run(0.2)
@@ -408,12 +408,12 @@
 
 def a_link(now):
     """A link to a listed server, connected, and what the driver was asked to end."""
-    core = Core(
+    core = CallManager(
         settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
     )
     links, aborted = [], []
     side = RosterSide(core, links.append)
-    core.list_servers([Listing("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].abort = lambda: aborted.append(now[0])
     links[0].connected()
     return core, side, links[0], aborted
@@ -430,8 +430,8 @@
     def silent_until_doubted():
         """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
         link = side.links[1]
-        caller.receive(invite(ident=next(IDS), within="9000"))
-        while not link.pull():
+        caller.receive_data(invite(ident=next(IDS), within="9000"))
+        while not link.data_to_send():
             now[0] += 0.01
             core.tick()
         since = now[0]
@@ -443,10 +443,10 @@
         spare.connected()
         for _ in range(3):
             now[0] += 0.3
-            spare.receive(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
+            spare.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
             core.tick()
         for each in list(side.left):  # as the driver does
-            each.lost()
+            each.connection_lost()
             side.drop(each)
         return now[0] - since
 
@@ -462,9 +462,9 @@
 def asked(core, side, now, within="9000"):
     """A call whose set-up has been written on the link in use."""
     caller, ident = TrunkFront(core).connect(), next(IDS)
-    caller.receive(invite(ident=ident, within=within))
+    caller.receive_data(invite(ident=ident, within=within))
     for _ in range(100):
-        if b"START" in side.links[1].pull():
+        if b"START" in side.links[1].data_to_send():
             return ident
         now[0] += 0.01
         core.tick()
@@ -489,16 +489,16 @@
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
     side.spares[1].connected()
-    assert side.left == [old] and not old.done()
+    assert side.left == [old] and not old.can_close()
     pass_time(core, now, 9.0)
-    old.receive(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
+    old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     pass_time(core, now, 20.0)
-    assert core.stands(ident) and not old.done()
+    assert core.stands(ident) and not old.can_close()
     if ends == "by the server":
-        old.receive(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
+        old.receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     else:
         core.caller_released(core.by_ident[ident], 16)
-    assert not core.stands(ident) and old.done()
+    assert not core.stands(ident) and old.can_close()
 
 
 def test_a_link_passed_over_that_breaks_under_calls_is_followed_by_another():
@@ -510,9 +510,9 @@
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
     side.spares[1].connected()
-    old.receive(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
+    old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     assert core.stands(ident) and side.left == [old] and not side.spares
-    old.lost()  # as the driver does
+    old.connection_lost()  # as the driver does
     side.drop(old)
     pass_time(core, now, 0.2)
     assert side.spares, "another is dialled"
@@ -526,12 +526,14 @@
     core, side, _, _ = a_link(now)
     for _ in range(6):
         link = side.links[1]
-        link.receive(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
+        link.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
         ident = asked(core, side, now)
-        link.receive(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
+        link.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
         side._second(link)
-        for each in [each for each in side.left if each.done()]:  # as the driver does, before the next is up
-            each.lost()
+        for each in [
+            each for each in side.left if each.can_close()
+        ]:  # as the driver does, before the next is up
+            each.connection_lost()
             side.drop(each)
         side.spares[1].connected()
         assert len(side.left) <= 3
@@ -543,7 +545,7 @@
     now = [1000.0]
     core, _, _, aborted = a_link(now)
     now[0] = 1010.0
-    core.list_servers([Listing("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
+    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
     assert bool(aborted) is ends
 
 
@@ -551,12 +553,12 @@
     """Guards against a connection and its releases kept for good for a machine that is gone."""
     now = [1000.0]
     core, side, link, aborted = a_link(now)
-    side.finish(link.server, "00000000005e0001", 16)
-    core.list_servers([Listing("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
-    assert not link.done()
+    side.send_release(link.server, "00000000005e0001", 16)
+    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
+    assert not link.can_close()
     now[0] += 11
     core.tick()
-    assert aborted and link.done()
+    assert aborted and link.can_close()
 
 
 # ---- the long day ----
@@ -592,7 +594,7 @@
 def test_what_is_kept_of_servers_and_calls_goes_with_them():
     """Guards against memory that grows with each server and call that ever was."""
     now = [1000.0]
-    core = Core(
+    core = CallManager(
         settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
     )
     links = []
@@ -600,11 +602,11 @@
     front = TrunkFront(core)
     connection = front.connect()
     for n in range(200):
-        core.list_servers([Listing(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
-        connection.receive(invite(ident=f"{n:016x}", call_kind="read-roster"))
-        connection.receive(sip.request(f"MADE{n}", "sip:x@net", [], b"") if n < 7 else b"")
-        core.list_servers([Listing(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
-        for link in [link for link in links if link.done()]:
+        core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
+        connection.receive_data(invite(ident=f"{n:016x}", call_kind="read-roster"))
+        connection.receive_data(sip.request(f"MADE{n}", "sip:x@net", [], b"") if n < 7 else b"")
+        core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
+        for link in [link for link in links if link.can_close()]:
             links.remove(link)
             side.drop(link)  # as the driver does when a link has ended
         now[0] += 5
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -83,7 +83,7 @@
     answer = line.sent[-1]
     assert answer.body == "v=0 æ".encode() and answer.get("content-type") == "application/sdp"
     assert answer.all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"] and answer.get("contact")
-    assert line.inside.written[0].call.offer.kind.name == "save-roster"  # by the prefix 7 of the number
+    assert line.inside.written[0].call.offer.call_class.name == "save-roster"  # by the prefix 7 of the number
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.inside.run(60)
     assert len(line.statuses()) == 5 and not line.inside.front.transactions.servers
@@ -177,7 +177,7 @@
     attempt = inside.written[0]
     inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", REPORT)
     if transport:
-        data, peer = dialled[0].pull(), dialled[0].peer
+        data, peer = dialled[0].data_to_send(), dialled[0].peer
     else:
         data, peer = inside.front.ports[0].output[0]
     assert peer == ("127.0.0.1", 4010)
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -441,8 +441,8 @@
     assert line.sent[-1].method == "BYE"
     line.alive = False
     inside.front.flow_lost(line)
-    assert dialled and b"BYE sip:office@127.0.0.1:4010" in dialled[0].pull()
-    dialled[0].lost()  # nobody listens there: UDP is left
+    assert dialled and b"BYE sip:office@127.0.0.1:4010" in dialled[0].data_to_send()
+    dialled[0].connection_lost()  # nobody listens there: UDP is left
     assert inside.front.ports[0].output[-1][1] == ("127.0.0.1", 4010)
 
 
