--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -141,7 +141,7 @@
         again = (c for c in reversed(release.tried) if c in self.connections and not c.closing)
         return found or next(again, None)
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether all output has been written, and the releases sent have been heard.
 
         Guards against an answer cut in two by the end of the process: what the driver has pulled is not
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -260,7 +260,7 @@
             await asyncio.sleep(STAY_S)
         fronts = [each for each in (self.trunk, self.front) if each is not None]
         answered = math.inf  # since when
-        while not await self._quiet(lambda: core.settled() and all(each.flushed() for each in fronts)):
+        while not await self._quiet(lambda: core.settled() and all(each.is_flushed() for each in fronts)):
             now = self.network.loop.time()
             if core.unanswered and now >= last:
                 self.log("drained", unanswered=core.unanswered)
@@ -306,7 +306,7 @@
             await asyncio.sleep(0.02)
         if front.end_dialogs():
             last = loop.time() + FLUSHED_S
-            while not (front.flushed() and self.core.settled()) and loop.time() < last:
+            while not (front.is_flushed() and self.core.settled()) and loop.time() < last:
                 await asyncio.sleep(0.01)
 
     def state(self) -> str:
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -691,7 +691,7 @@
             flow = UdpFlow(flow.port, place)
         flow.send(data)
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether all output has been handed to the driver, and requests of ours have been answered."""
         output = any(each.output for each in self.ports)
         output = output or any(each.output or each.writing for each in self.connections.values())
