--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -45,7 +45,7 @@
 from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -827,7 +827,7 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
-    from stairhatch.node.roster import RosterLink
+    from stairhatch.node.server_pool import RosterLink
     from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
--- a/stairhatch/node/net.py
+++ b/stairhatch/node/net.py
@@ -23,7 +23,7 @@
 
 from stairhatch.node.core import CallManager, ConnectionProtocol, idle
 from stairhatch.node.directory import Directory
-from stairhatch.node.roster import RosterLink
+from stairhatch.node.server_pool import RosterLink
 
 BUFFER_BYTES = 16 * 1024
 CONNECT_S = 0.5  # to a coordinator or a caller; to a roster server as the settings say
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -11,7 +11,7 @@
 from functools import lru_cache, partial
 
 from stairhatch.node import message as sip
-from stairhatch.node import roster
+from stairhatch.node import server_pool
 from stairhatch.node.core import AWAY_S, ENDED, Call, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
 
@@ -420,7 +420,7 @@
         if not 0 < patience_s <= PATIENCE_SLACK * front.core.longest_wait(kind):
             self._unusable(message, 400)
             return
-        if roster.too_long(ident, message.get("call-kind"), key, description):
+        if server_pool.too_long(ident, message.get("call-kind"), key, description):
             self._unusable(message, 413)
             return
         if ident in front.calls or front.core.was_over(ident):
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -33,7 +33,7 @@
     LONGEST_POLL_BACKOFF_S,
     REST_S,
 )
-from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.node.server_pool import RosterLink, RosterSide
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -25,7 +25,7 @@
 from stairhatch.node.core import CallManager, Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
 from stairhatch.node.net import UNLIMITED, Bounds, Descriptors, Listening, Network, descriptors_held
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings import lost_key
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -14,7 +14,7 @@
 from stairhatch.admission.feedback import algorithm_for
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import message as sip
-from stairhatch.node import roster
+from stairhatch.node import server_pool
 from stairhatch.node.core import AWAY_S, CUT, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
 from stairhatch.overload.settings import CallClass
@@ -426,7 +426,7 @@
         except ValueError:
             self.final(transaction, 400, [])
             return
-        if roster.too_long(ident, kind.name, uri.user, description):
+        if server_pool.too_long(ident, kind.name, uri.user, description):
             self.final(transaction, 413, [])
             return
         if len(self.dialogs) >= self.config.dialogs:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.net import Bounds, Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.service import Service
 from stairhatch.settings import settings_from
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -21,7 +21,7 @@
 from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stairhatch.node import message as sip
-from stairhatch.node.roster import parse_load
+from stairhatch.node.server_pool import parse_load
 from stairhatch.node.syslog import Log, rfc5424, structured
 
 from .peers import Program, RosterServer, until
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -21,7 +21,7 @@
 from stairhatch.node.core import TRY_S, ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.net import Descriptors, Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.overload.events import Availability
 
 from .peers import SETTINGS, Coordinator, Inside, Program, RosterServer, instance, until
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -16,7 +16,7 @@
 from stairhatch.config.appliance import config_from
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, CallRequest, Counters, ServerRecord
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -17,7 +17,7 @@
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
-from stairhatch.node.roster import parse_load
+from stairhatch.node.server_pool import parse_load
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import REMEMBERED_S, CallManager, Counters, ServerRecord
 from stairhatch.node.directory import WHOLE_S, Directory
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import RosterSide
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
