--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -51,13 +51,17 @@
 }
 
 
+# Log events and the fields that hold when the last of them came; older trees say `reached`.
+EVENTS = {"ready": "ready", "serving": "serving", "server_connected": "connected", "reached": "connected"}
+
+
 @dataclass
 class Start:
     """One start: seconds since the process was begun, and processor seconds of it by then."""
 
     passed: float
     ready: float = 0.0
-    reached: float = 0.0
+    connected: float = 0.0
     serving: float = 0.0
     processor: float = 0.0
 
@@ -150,8 +154,8 @@
         print(f"never passed: {log.read_text()[-200:]}", file=sys.stderr)
     for text in log.read_text().splitlines():
         at, event, *_ = f"{text}  ".split(" ")
-        if event in ("ready", "serving", "reached"):
-            setattr(found, event, float(at) - began_unix)
+        if event in EVENTS:
+            setattr(found, EVENTS[event], float(at) - began_unix)
     return found
 
 
@@ -211,12 +215,12 @@
         times = [each.passed for each in starts]
         middle = {
             name: at([getattr(each, name) for each in starts], 0.5)
-            for name in ("ready", "reached", "serving", "processor")
+            for name in ("ready", "connected", "serving", "processor")
         }
         print(
             f"{way:9} {options.count} at once, {options.servers}+{options.stuck}+{options.dead} servers:"
             f" passed p50 {at(times, 0.5):.2f} s, p90 {at(times, 0.9):.2f} s, longest {max(times):.2f} s;"
-            f" medians: up {middle['ready']:.2f} s, last link {middle['reached']:.2f} s,"
+            f" medians: up {middle['ready']:.2f} s, last link {middle['connected']:.2f} s,"
             f" serving {middle['serving']:.2f} s; {middle['processor']:.2f} s of processor",
             flush=True,
         )
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -45,7 +45,7 @@
 from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -411,7 +411,7 @@
     cores = []
     for _ in range(count):
         core = bare_core()
-        RosterSide(core, Network(core).dial)
+        ServerConnectionPool(core, Network(core).dial)
         core.list_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
         cores.append(core)
 
@@ -827,7 +827,7 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
-    from stairhatch.node.server_pool import RosterLink
+    from stairhatch.node.server_connection import ServerConnection
     from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
@@ -849,13 +849,13 @@
 
         setattr(owner, method, act)
 
-    timed(TrunkConnection, "receive", "parse")
+    timed(TrunkConnection, "receive_data", "parse")
     timed(Controller, "handle", "decide", whole=True)
     for method in ("offer", "answered", "finished", "caller_released", "tick", "may_write"):
         timed(CallManager, method, "core")
-    timed(RosterLink, "pull", "ask")
-    timed(TrunkConnection, "pull", "answer")
-    timed(RosterLink, "receive", "states")
+    timed(ServerConnection, "data_to_send", "ask")
+    timed(TrunkConnection, "data_to_send", "answer")
+    timed(ServerConnection, "receive_data", "states")
     path = Path(os.environ["SPANS"])
     began = CallManager.__init__
 
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -189,8 +189,8 @@
             f"callers    {counts.get('connections_evicted', 0)} connections put out for others, "
             f"{counts.get('connections_expired', 0)} ended as silent, "
             f"{unusable} requests unusable\n"
-            f"links      {counts.get('roster_connections', 0)} opened, "
-            f"{counts.get('roster_connections_failed', 0)} not reached, "
+            f"links      {counts.get('server_connections', 0)} opened, "
+            f"{counts.get('server_connections_failed', 0)} not reached, "
             f"{counts.get('malformed_from_servers', 0)} ended as spoilt\n"
         ) + self.service()
 
--- a/stairhatch/node/net.py
+++ b/stairhatch/node/net.py
@@ -23,7 +23,7 @@
 
 from stairhatch.node.core import CallManager, ConnectionProtocol, idle
 from stairhatch.node.directory import Directory
-from stairhatch.node.server_pool import RosterLink
+from stairhatch.node.server_connection import ServerConnection
 
 BUFFER_BYTES = 16 * 1024
 CONNECT_S = 0.5  # to a coordinator or a caller; to a roster server as the settings say
@@ -407,7 +407,7 @@
         self.descriptors = Descriptors()
         self._ran_out: dict[str, float] = {}  # when it was last said, by where
         self._to_shrink = False
-        self._dialled: set[RosterLink] = set()  # with a descriptor
+        self._dialled: set[ServerConnection] = set()  # with a descriptor
         self.emptying: asyncio.Task[None] | None = None
         core.on_drain = self.empty
         self.looked: Callable[[float], None] | None = None  # who watches the load
@@ -830,19 +830,19 @@
 
     # ---- what the softswitch keeps connections to ----
 
-    def dial(self, link: RosterLink) -> None:
+    def dial(self, link: ServerConnection) -> None:
         """Keep a connection to a roster server until its link is retired."""
         self.spawn(self._keep(link))
 
-    async def _keep(self, link: RosterLink) -> None:
+    async def _keep(self, link: ServerConnection) -> None:
         with self._kept():
             await self._keep_up(link)
-        link.side.drop(link)
+        link.pool.remove(link)
 
-    async def _keep_up(self, link: RosterLink) -> None:
+    async def _keep_up(self, link: ServerConnection) -> None:
         backoff = FIRST_BACKOFF_S
         while not link.can_close():
-            if link.retired and not link.urgent:
+            if link.draining and not link.has_queued:
                 break
             wanted = asyncio.Event()
             link.notify_writable = wanted.set
@@ -856,24 +856,24 @@
                 self._dialled.discard(link)
                 if isinstance(error, OSError) and error.errno in OUT_OF_THEM:
                     self.ran_out("descriptors", error)
-                link.failed(refused=isinstance(error, ConnectionRefusedError))
-                if link.retired:
+                link.connect_failed(refused=isinstance(error, ConnectionRefusedError))
+                if link.draining:
                     break
-                if not link.urgent:
+                if not link.has_queued:
                     wanted.clear()
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(wanted.wait(), backoff)
                 backoff = min(LONGEST_BACKOFF_S, 2 * backoff)
                 continue
             up_at = self.loop.time()
-            link.connected()
+            link.connection_made()
             try:
                 await self._run(sock, link)
             finally:
                 self._dialled.discard(link)
             if self.loop.time() - up_at > LONGEST_BACKOFF_S:
                 backoff = FIRST_BACKOFF_S
-            elif not link.retired:  # it broke as soon as it had come up
+            elif not link.draining:  # it broke as soon as it had come up
                 await asyncio.sleep(backoff)
                 backoff = min(LONGEST_BACKOFF_S, 2 * backoff)
 
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -1,577 +1,292 @@
-"""The side of the roster servers: owns the links to them (one to each is in use, a second is dialled while
-the first keeps silent for no reason that shows) and the JSON lines spoken there. A state machine that is fed
-bytes and hands bytes out; a set-up becomes bytes only when it is about to be written. It must never know a
-socket, never choose a server, and never give up a connection that has set-ups open, unless something came on
-it that can't be read, or another link shows that it is dead: no answer is to be had on it from there on.
+"""The connections to all roster servers of the endpoint list: which one to each is in use.
+
+Also what becomes of one that keeps silent, or leads to a server that is gone or out of scope. One connection
+to each server is active. Where it is unresponsive for no reason that shows, a standby is dialled; once that
+is up it is promoted, and the other is superseded: it is read until nothing is due on it, and ended when the
+new one shows that it is dead. The pool never chooses a server and knows no socket: what dials is passed in.
 """
 
 from __future__ import annotations
 
-import json
-import math
-import re
-from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
-from typing import Any
-
-from stairhatch.node.core import Attempt, CallManager, ConnectionProtocol, RosterServer
-from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.settings import report_from
-
-MOST_LINE = 16 * 1024
-MOST_WAITING = 512  # set-ups that one link holds back; what comes beyond is not sent
-MOST_RELEASES = 8192
-RETIRED_S = 10.0  # a link to a server that is gone is not kept longer, whatever is still open on it
-SURELY_S = 1.0  # a connection so much older than a server's start is to the process before
-PULLED = 64 * 1024  # bytes handed out at a time
-LOOK_S = 0.1  # how often the links are looked at for silence
-SILENT_S = 0.35  # a set-up that is open so long on a link that says nothing makes it suspect
-QUIET_S, QUIET_GAPS = 1.5, 3.0  # where calls stand: silence of so long, and so many gaps between states told
-LEFT_S = 10.0  # a link passed over is read so long at least, and while calls stand that were set up on it
-LOOK_AT_LEFT_S = 1.0  # then it is looked at so often
-AGAIN_S = 0.1  # after a dead link has been ended
-APART_S = 0.2  # what comes on two links for the same cause may lie so far apart
-DOUBT_S, LONGEST_DOUBT_S = 1.0, 16.0  # between two looks for another way to the same server
-MOST_TIMES = 3  # a release is written so often at most, should each connection break under it
-MOST_LEFT = 3  # links passed over beside the one in use: a server tells its state on four
-STALE_S = 0.05  # a look at the callers counts no longer for what is about to be sent
-MOST_LOOKS = 3
-KEPT_S = 10.0  # releases written on a link that turns out to be dead are written again on the next
-IDENT = re.compile(r"[0-9a-fA-F]{16}\Z")
-VERBS = ("PENDING", "STARTED", "FINISH", "FINISHED", "ECHO", "ECHOED", "LOAD")
-
-
-def start_line(ident: str, kind: str, key: str, description: str, left_ms: int) -> bytes:
-    """A set-up as it goes to a roster server."""
-    opts = {"class": kind, "key": key, "left": str(left_ms)}
-    return _line({"verb": "START", "tag": ident, "opts": opts, "blob": description})
-
-
-def too_long(ident: str, kind: str, key: str, description: str) -> bool:
-    """Whether a set-up would not fit into a line. Escaping makes a character six times as long at most."""
-    if 6 * (len(ident) + len(key) + len(description)) + 512 < MOST_LINE:
-        return False
-    return len(start_line(ident, kind, key, description, 10**8)) > MOST_LINE
-
-
-def _line(value: dict[str, Any]) -> bytes:
-    return json.dumps(value, separators=(",", ":")).encode() + b"\n"
-
-
-def parse_load(text: str) -> LoadReport:
-    """A report such as `x0:12;x1:40`."""
-    values = []
-    for piece in text.split(";"):
-        name, _, figure = piece.partition(":")
-        try:
-            values.append((name.strip(), float(figure)))
-        except ValueError:
-            continue
-    return report_from(values)
-
-
-class RosterSide:
-    """The links to all roster servers that the directory has named."""
-
-    def __init__(self, core: CallManager, dial: Callable[[RosterLink], None]) -> None:
+
+from stairhatch.node.core import Attempt, CallManager, RosterServer
+from stairhatch.node.send_queue import SIMULTANEOUS_S
+from stairhatch.node.server_connection import SUPERSEDED_S, ServerConnection
+from stairhatch.overload.events import Availability
+
+START_MARGIN_S = 1.0  # a connection so much older than a server's start is to the process before
+LIVENESS_CHECK_S = 0.1  # between two looks for unresponsive connections
+CLOSE_CHECK_S = 1.0  # between two looks whether a superseded connection, or a server's, may end
+CLOSE_CHECK_MARGIN_S = 0.01  # the first of them is so much later than the time it is read at least
+REDIAL_DELAY_S = 0.1  # after a dead connection has been ended
+MAX_SUPERSEDED = 3  # beside the one in use: a server reports its load on four
+
+
+class ServerConnectionPool:
+    """The connections to all roster servers that the endpoint list has named (`ServerPool`)."""
+
+    def __init__(self, core: CallManager, dial: Callable[[ServerConnection], None]) -> None:
+        """Watch the connections of a call manager; `dial` keeps each connected until it may be closed."""
         self.core, self.dial = core, dial
-        self.links: dict[int, RosterLink] = {}  # the one in use, by the server's id
-        self.spares: dict[int, RosterLink] = {}  # dialled because that one keeps silent
-        self.over = False  # another process goes on
-        self.left: list[RosterLink] = []  # passed over for a spare; what is open there may still be answered
-        self.leaving: set[int] = set()  # servers out of scope whose links are looked at until they may end
+        self.active: dict[int, ServerConnection] = {}  # the one in use, by the server's id
+        self.standby: dict[int, ServerConnection] = {}  # dialled because that one is unresponsive
+        self.superseded: list[ServerConnection] = []  # what is pending there may still be answered
+        self.draining: set[int] = set()  # servers out of scope, looked at until their connections may end
+        self.handed_over = False  # another process goes on
         core.side = self
-        core.at(core.clock() + LOOK_S, self._look)
+        core.at(core.clock() + LIVENESS_CHECK_S, self._check_liveness)
+
+    # ---- the endpoint list ----
 
     def record_changed(self, server: RosterServer) -> None:
-        """News of a server: keep a connection while it is of use."""
-        link = self.links.get(server.id)
+        """A server's record is new or has changed: a connection is kept while it is of use."""
+        connection = self.active.get(server.id)
         if server.record.availability is Availability.GONE:
-            for each in self.all_to(server):
-                each.retire()
-            if link is None:  # it never was in scope; not now, since the list is being gone through
+            for each in self.connections_to(server):
+                each.drain()
+            if connection is None:  # never in scope; not at once, since the list is being gone through
                 self.core.at(self.core.clock(), partial(self.core.forget_server, server))
             return
-        if self.over:
+        if self.handed_over:
             return
         if not self.core.links_to(server):
-            self._let_go(server)
+            self._drain_server(server)
             return
-        if link is None:
-            link = self.links[server.id] = RosterLink(self, server)
-            self.dial(link)
-        link.retired = False
-        for each in self.all_to(server):
-            if each.up_at < server.record.started_at - SURELY_S:
+        if connection is None:
+            connection = self.active[server.id] = ServerConnection(self, server)
+            self.dial(connection)
+        connection.draining = False
+        for each in self.connections_to(server):
+            if each.liveness.connected_at < server.record.started_at - START_MARGIN_S:
                 each.abort()  # the process that it was opened to is no more
-        link.notify_writable()
+        connection.notify_writable()
 
-    def _let_go(self, server: RosterServer) -> None:
-        """A server is out of scope: its links end once no call is being set up there or stands there.
+    def _drain_server(self, server: RosterServer) -> None:
+        """A server is out of scope: its connections end once no call is being set up there or stands there.
 
-        Guards against calls whose end comes on a link that went with its scope, and releases that were to go.
+        Until then the ends of calls come on them, and releases go on them.
         """
-        if server.id in self.leaving or not self.all_to(server):
+        if server.id in self.draining or not self.connections_to(server):
             return
         attempts = (call.attempt for call in self.core.calls.values())
         if any(attempt is not None and attempt.server is server for attempt in attempts):
-            self.leaving.add(server.id)
-            self.core.at(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_leaving, server))
+            self.draining.add(server.id)
+            self.core.at(self.core.clock() + CLOSE_CHECK_S, partial(self._check_draining, server))
             return
-        for each in self.all_to(server):
-            each.retire()
+        for each in self.connections_to(server):
+            each.drain()
 
-    def _look_at_leaving(self, server: RosterServer) -> None:
-        self.leaving.discard(server.id)
+    def _check_draining(self, server: RosterServer) -> None:
+        self.draining.discard(server.id)
         if server.record.availability is not Availability.GONE:
             self.record_changed(server)
 
+    # ---- set-ups and releases ----
+
     def send_setup(self, attempt: Attempt) -> None:
         """Queue a set-up; it is rendered when it can be written."""
-        link = self.links.get(attempt.server.id)
-        if link is None or len(link.queue) >= MOST_WAITING:
+        connection = self.active.get(attempt.server.id)
+        if connection is None or not connection.send_setup(attempt):
             self.core.not_written(attempt, reached=True)
-            return
-        link.queue.append(attempt)
-        link.notify_writable()
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
         """Give a set-up up, or release a call that stands."""
-        link = self.links.get(server.id)
-        if link is None or len(link.queue) >= MOST_RELEASES:
+        connection = self.active.get(server.id)
+        if connection is None or not connection.send_queue.has_room_for_release:
             return
-        for each in self.all_to(server):
-            each.open.pop(ident, None)
-            each.stood.discard(ident)
-            if each.retired:
-                each.notify_writable()  # it may be done now
-        link.queue.append(Release(_line({"verb": "FINISH", "tag": ident, "opts": {}, "rc": cause})))
-        link.notify_writable()
+        for each in self.connections_to(server):
+            each.forget_call(ident)
+        connection.send_release(ident, cause)
+
+    # ---- the end of this process ----
 
     def shut_down(self) -> None:
-        """Another process goes on: what the servers have to tell from now on comes on its links.
+        """Another process goes on: what the servers report from now on comes on its connections.
 
-        Guards against ends of calls that come here after the last caller has gone, and are told to nobody.
+        Ends of calls that came here would be told to nobody, once the last caller has gone.
         """
-        self.over = True
-        for link in [*self.links.values(), *self.spares.values(), *self.left]:
-            link.retire()
-            link.queue.clear()
-            link.written.clear()
-            link.abort()
+        self.handed_over = True
+        for connection in self._all():
+            connection.discard()
 
     def is_flushed(self) -> bool:
         """Whether all that can be written has been written."""
-        every = (*self.links.values(), *self.spares.values(), *self.left)
-        return not any((link.queue or link.writing) and link.up_at < math.inf for link in every)
+        return all(connection.is_flushed() for connection in self._all())
 
-    def all_to(self, server: RosterServer) -> list[RosterLink]:
-        """Every link to a server."""
-        here = [links[server.id] for links in (self.links, self.spares) if server.id in links]
-        return here + [link for link in self.left if link.server is server]
+    # ---- what connections ask ----
 
-    def _look(self) -> None:
-        """Dial a second time where a link keeps silent though something is due on it.
+    def connections_to(self, server: RosterServer) -> list[ServerConnection]:
+        """Every connection to a server."""
+        found = [each[server.id] for each in (self.active, self.standby) if server.id in each]
+        return found + [each for each in self.superseded if each.server is server]
 
-        Guards against a connection that was cut off without a word and stays open: a node's set-ups all went
-        there and none came back, for the rest of the day (rate+silent+leave, snapshot 39c36c99). Nothing is
-        given up for the suspicion alone: a server may merely be slow.
+    def active_connection(self, server: RosterServer) -> ServerConnection | None:
+        """The connection in use, or about to come up."""
+        return self.active.get(server.id)
+
+    def is_standby(self, connection: ServerConnection) -> bool:
+        """Whether it has not come up yet beside the one in use."""
+        return self.standby.get(connection.server.id) is connection
+
+    def is_superseded(self, connection: ServerConnection) -> bool:
+        """Whether another has taken its place."""
+        return connection in self.superseded
+
+    def reads_superseded(self, server: RosterServer) -> bool:
+        """Whether a superseded connection to a server is still up."""
+        return any(each.server is server and each.liveness.is_connected for each in self.superseded)
+
+    def has_superseded(self) -> bool:
+        """Whether there is any connection that another has taken the place of."""
+        return bool(self.superseded)
+
+    def remove(self, connection: ServerConnection) -> None:
+        """A connection has ended for good."""
+        server = connection.server
+        if connection in self.superseded:
+            self.superseded.remove(connection)
+        if self.is_standby(connection):
+            del self.standby[server.id]
+        if self.active.get(server.id) is connection:
+            del self.active[server.id]
+            if server.record.availability is not Availability.GONE:
+                self.record_changed(server)  # it was listed again in the meantime
+            else:
+                self.core.forget_server(server)
+
+    # ---- unresponsive connections, and their standbys ----
+
+    def _check_liveness(self) -> None:
+        """Dial a standby where a connection is unresponsive though something is due on it.
+
+        A connection may be cut off without a word and stay open: all set-ups would go there and none come
+        back. Nothing is given up for the suspicion alone, since a server may merely be slow.
         """
         now = self.core.clock()
-        self.core.at(now + LOOK_S, self._look)
-        spare: list[RosterLink] = []
-        for ident, link in self.links.items():
-            if ident in self.spares or link.retired or not link.suspect(now):
-                continue
-            # Each new link is told a state first: where nothing came at all, the server is not merely slow.
-            beside = sum(each.server is link.server and each.left_at > now - LEFT_S for each in self.left)
-            unheard = link.heard_at < link.up_at and beside < MOST_LEFT
-            if now < link.doubt_from and not unheard:
+        self.core.at(now + LIVENESS_CHECK_S, self._check_liveness)
+        unresponsive: list[ServerConnection] = []
+        for server_id, connection in self.active.items():
+            if server_id in self.standby or connection.draining or not connection.is_unresponsive(now):
                 continue
-            link.doubt_s = min(LONGEST_DOUBT_S, 2 * link.doubt_s)
-            link.doubt_from = now + link.doubt_s
-            self.core.counters.add("links_doubted")
-            silent_s = round(now - max(link.heard_at, link.up_at), 2)
-            self.core.log("doubted", server=link.server.record.instance, silent_s=silent_s)
-            spare.append(link)
-        for link in spare:
-            self._second(link)
-
-    def _second(self, link: RosterLink) -> None:
-        """Dial once more to the server of the link in use."""
-        ident = link.server.id
-        if self.links.get(ident) is link and ident not in self.spares and not link.retired:
-            self._make_room(link.server)
-            spare = self.spares[ident] = RosterLink(self, link.server)
-            spare.doubt_s, spare.doubt_from = link.doubt_s, link.doubt_from
-            self.dial(spare)
-
-    def is_spare(self, link: RosterLink) -> bool:
-        """Whether it has not come up yet beside the one in use."""
-        return self.spares.get(link.server.id) is link
-
-    def promote(self, link: RosterLink) -> None:
-        """A spare has come up: it is used from now on. The other is kept for what may still come on it."""
-        ident = link.server.id
-        del self.spares[ident]
-        old = self.links.get(ident)
-        self.links[ident] = link
+            if self._may_suspect(connection, now):
+                self._report_unresponsive(connection, now)
+                unresponsive.append(connection)
+        for connection in unresponsive:
+            self.dial_standby(connection)
+
+    def _may_suspect(self, connection: ServerConnection, now: float) -> bool:
+        """Whether a standby may be dialled by now.
+
+        On each new connection a load report comes first: where nothing came at all the server is not merely
+        slow, and no backoff is kept.
+        """
+        liveness = connection.liveness
+        beside = sum(
+            each.server is connection.server and each.superseded_at > now - SUPERSEDED_S
+            for each in self.superseded
+        )
+        never_received = liveness.last_received_at < liveness.connected_at
+        return now >= liveness.suspect_from or (never_received and beside < MAX_SUPERSEDED)
+
+    def _report_unresponsive(self, connection: ServerConnection, now: float) -> None:
+        liveness = connection.liveness
+        liveness.back_off(now)
+        self.core.counters.add("server_connections_unresponsive")
+        silent_s = round(now - liveness.last_activity_at, 2)
+        instance = connection.server.record.instance
+        self.core.log("server_connection_unresponsive", server=instance, silent_s=silent_s)
+
+    def dial_standby(self, connection: ServerConnection) -> None:
+        """Dial once more to the server of the connection in use."""
+        server = connection.server
+        is_active = self.active.get(server.id) is connection
+        if is_active and server.id not in self.standby and not connection.draining:
+            self._close_oldest_superseded(server)
+            standby = self.standby[server.id] = ServerConnection(self, server)
+            standby.liveness.inherit_backoff(connection.liveness)
+            self.dial(standby)
+
+    def promote(self, connection: ServerConnection) -> None:
+        """A standby has come up: it is used from now on. The other is kept for what may still come on it."""
+        server_id = connection.server.id
+        del self.standby[server_id]
+        old = self.active.get(server_id)
+        self.active[server_id] = connection
         if old is None:
             return
-        self.left.append(old)
-        old.retired, old.left_at = True, self.core.clock()
-        self.core.at(old.left_at + LEFT_S + 0.01, partial(self._look_at_left, old))
-        link.queue.extend(old.queue)
-        link.queue.extend(old.unsure())
-        old.queue.clear()
-        old.notify_writable()
-
-    def _look_at_left(self, old: RosterLink) -> None:
-        """A link passed over ends once nothing is due on it; it is looked at until then."""
-        if old in self.left:
-            old.notify_writable()
-            self.core.at(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_left, old))
+        self.superseded.append(old)
+        old.mark_superseded()
+        first_check_at = old.superseded_at + SUPERSEDED_S + CLOSE_CHECK_MARGIN_S
+        self.core.at(first_check_at, partial(self._check_superseded, old))
+        old.hand_queue_to(connection)
 
-    def _make_room(self, server: RosterServer) -> None:
-        """Before one more is dialled: of those passed over the oldest ends that has nothing open, since a
-        server tells its state on four connections. What it may have sent there comes on the one that is
-        opened next.
-        """
-        kept = [each for each in self.left if each.server is server]
-        if len(kept) >= MOST_LEFT and (old := next((each for each in kept if not each.open), None)):
-            old.left_at = -math.inf
+    # ---- superseded connections ----
+
+    def _check_superseded(self, old: ServerConnection) -> None:
+        """A superseded connection ends once nothing is due on it; it is looked at until then."""
+        if old in self.superseded:
             old.notify_writable()
+            self.core.at(self.core.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old))
 
-    def heard(self, link: RosterLink, state: bool) -> None:
-        """Something came. Where another link to the server should have heard of it too, that one is dead."""
-        now = self.core.clock()
-        link.heard_at = now
-        if state:
-            link.states += 1
-        if not self.left or link in self.left or (state and link.states < 2):
-            return  # the first state comes on each new connection by itself
-        for old in self.left:
-            silent = max(old.heard_at, link.up_at, old.up_at) < now - APART_S
-            if old.server is link.server and silent and not old.ending:
-                old.ending = True
-                self.core.at(now + APART_S, partial(self._end_dead, old, now))
-
-    def _end_dead(self, old: RosterLink, since: float) -> None:
-        """End a link that was passed over and has kept silent: it had been doubted and was right to be. Its
-        successor is doubted without waiting, and another is dialled for what was released on the dead one.
-        """
-        old.ending = False
-        if old in self.left and old.heard_at < since - APART_S:
-            self.core.counters.add("links_dead")
-            self.core.log("link_dead", server=old.server.record.instance, open=len(old.open))
-            old.stood.clear()  # their ends come again on the one that is opened below
-            old.abort()
-            in_use = self.links.get(old.server.id)
-            if in_use is not None:  # the doubt was right: the next one need not wait
-                in_use.doubt_s, in_use.doubt_from = DOUBT_S, -math.inf
-            self.core.at(self.core.clock() + AGAIN_S, partial(self._again, old.server))
-
-    def _again(self, server: RosterServer) -> None:
-        """A dead link has ended. What the server released on it before it knew comes on the next one opened.
-
-        Guards against calls whose end is told to nobody: they ended after the second link had come up and
-        before the first was closed (rate+silent+leave, snapshot 807910f0).
-        """
-        link = self.links.get(server.id)
-        if server.id in self.spares:  # dialled before: it may have been opened before the end was sent
-            self.core.at(self.core.clock() + AGAIN_S, partial(self._again, server))
-        elif link is not None and link.up_at < math.inf:
-            self._second(link)
-
-    def drop(self, link: RosterLink) -> None:
-        """A link has ended for good."""
-        if link in self.left:
-            self.left.remove(link)
-        if self.is_spare(link):
-            del self.spares[link.server.id]
-        if self.links.get(link.server.id) is link:
-            del self.links[link.server.id]
-            if link.server.record.availability is not Availability.GONE:
-                self.record_changed(link.server)  # it was listed again in the meantime
-            else:
-                self.core.forget_server(link.server)
-
-
-@dataclass(slots=True)
-class Release:
-    """A release, or the giving up of a set-up, as it is written."""
-
-    line: bytes
-    times: int = 0  # written
-
-
-class RosterLink(ConnectionProtocol):
-    """One roster server and a connection to it, if there is one."""
-
-    def __init__(self, side: RosterSide, server: RosterServer) -> None:
-        super().__init__()
-        self.reads_until_eof = True
-        self.side, self.server = side, server
-        self.retired = False
-        self.told_unreached = False
-        self.spoilt = False
-        self.up_at = math.inf  # when the connection came up; none: never
-        self.heard_at = -math.inf  # when something last came
-        self.asked_at = -math.inf  # when the first set-up was written after that, be it given up by now
-        self.left_at = -math.inf  # when it was passed over for another
-        self.ending = False  # it is about to be found dead, unless something comes
-        self.states = 0  # reports that came unasked, on this connection
-        self.stood: set[str] = set()  # calls that were set up on it: their ends are sent here
-        self.doubt_s, self.doubt_from = DOUBT_S, -math.inf
-        self.queue: deque[Attempt | Release | bytes] = deque()
-        self.written: deque[tuple[float, Release]] = deque(maxlen=512)  # releases, the last ones
-        self.open: dict[str, Attempt] = {}  # written here, not yet answered
-        self.looked_at = math.inf  # when callers were last heard for what is pulled; none: for no set-up
-        self.pulled: list[tuple[Attempt | Release | bytes, int]] = []  # handed out last, with their lengths
-        self.data = bytearray()
-
-    def can_close(self) -> bool:
-        """Whether the connection may be closed. Never while a set-up is open on it, nor, once it was passed
-        over, while a call stands that was set up on it.
-
-        Guards against ends of calls that are told to nobody: a server sends them on the connection of the
-        set-up, and again on the next that is opened. A call ended 0.1 s after its link, passed over and read
-        for 10 s more, had been closed; the link in use was not the next that was opened, so it never came
-        (calm+mass, seed 1, snapshot 9dfed0e6).
+    def _close_oldest_superseded(self, server: RosterServer) -> None:
+        """Before one more is dialled: of those superseded the oldest ends that has nothing pending.
+
+        A server reports its load on four connections. What it may have sent on the one that ends comes on the
+        one that is opened next.
         """
-        if not self.retired or self.open or self.queue or self.side.core.clock() - self.left_at <= LEFT_S:
-            return False
-        if self.left_at > -math.inf:
-            self.stood = {ident for ident in self.stood if self.side.core.stands(ident)}
-        return not self.stood or self.left_at == -math.inf
-
-    @property
-    def urgent(self) -> bool:
-        """Whether something waits for a connection."""
-        return bool(self.queue)
-
-    def suspect(self, now: float) -> bool:
-        """Whether it keeps silent though an answer is due, or states are told and calls stand there."""
-        if self.up_at > now:
-            return False
-        last = max(self.heard_at, self.up_at)
-        if self.asked_at > last and now - self.asked_at > SILENT_S:
-            return True
-        for attempt in self.open.values():  # the first is the one written first
-            return now - max(last, attempt.written_at) > SILENT_S
-        gap = (last - self.up_at) / self.states if self.states > 2 else math.inf
-        return now - last > max(QUIET_S, QUIET_GAPS * gap) and self.side.core.stands_at(self.server)
-
-    def unsure(self) -> list[Release]:
-        """Releases that were written, perhaps to nobody."""
-        now = self.side.core.clock()
-        since = max(self.heard_at - APART_S, now - KEPT_S)
-        found = [release for at, release in self.written if at >= since and release.times < MOST_TIMES]
-        self.written.clear()
-        return found
-
-    def retire(self) -> None:
-        """The server is gone; what has not been written to it is not sent."""
-        self.retired, self.left_at = True, -math.inf
-        waiting = [item for item in self.queue if isinstance(item, Attempt)]
-        self.queue = deque(item for item in self.queue if not isinstance(item, Attempt))
-        for attempt in waiting:
-            self.side.core.not_written(attempt, reached=True)
-        self.side.core.at(self.side.core.clock() + RETIRED_S, self._overdue)
-        self.notify_writable()
-
-    def _overdue(self) -> None:
-        """Guards against a machine that vanished: what is to be written to it never leaves."""
-        if self.retired and self.server.record.availability is Availability.GONE:
-            self.queue.clear()
-            self.abort()
-            self.notify_writable()
-
-    def connected(self) -> None:
-        """A connection has come up."""
-        self.data.clear()
-        self.spoilt, self.up_at = False, self.side.core.clock()
-        self.heard_at, self.states = -math.inf, 0
-        self.stood.clear()
-        self.server.connected, self.server.dial_attempted, self.told_unreached = True, True, False
-        if self.side.is_spare(self):
-            self.side.promote(self)
-        self.side.core.counters.add("roster_connections")
-        self.side.core.log("reached", server=self.server.record.instance)
-
-    def failed(self, refused: bool) -> None:
-        """A connection did not come up. A refused one proves that the process is gone, with its calls."""
-        core = self.side.core
-        core.counters.add("roster_connections_failed")
-        self.server.dial_attempted = True
-        if self.side.is_spare(self) or self in self.side.left:
-            self.retired = True  # the link in use goes on; that it is refused one more proves nothing
+        kept = [each for each in self.superseded if each.server is server]
+        if len(kept) >= MAX_SUPERSEDED and (old := next((e for e in kept if not e.pending_setups), None)):
+            old.end_superseded_period()
+
+    def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
+        """Something came. Where a superseded connection should have brought it too, that one is dead."""
+        if connection in self.superseded:
             return
-        if not self.told_unreached:  # once: it is tried again every second
-            core.log("unreached", server=self.server.record.instance, refused=refused)
-            self.told_unreached = True
-        waiting = [item for item in self.queue if isinstance(item, Attempt)]
-        kept = () if refused or self.retired else (i for i in self.queue if not isinstance(i, Attempt))
-        self.queue = deque(kept)
-        for attempt in waiting:
-            core.not_written(attempt, reached=False)
-        others = (link for link in self.side.left if link.server is self.server)
-        if refused and not any(link.up_at < math.inf for link in others):
-            core.cut_standing(self.server, before=core.clock() + 1)
-
-    def connection_lost(self) -> None:
-        """The connection broke: the set-ups open on it are reset.
-
-        Another is opened where it was passed over and calls stand that were set up on it. Guards against an
-        end that was under way when it broke: it comes again on the next connection that is opened, and the
-        one in use is open already.
-        """
-        self.up_at = math.inf
-        in_use = self.side.links.get(self.server.id)
-        self.server.connected = in_use is not None and in_use.up_at < math.inf
-        unsure = self.unsure()
-        if in_use is not None and self.server.record.availability is not Availability.GONE:
-            in_use.queue.extendleft(reversed(unsure))
-            in_use.notify_writable()
-        if self in self.side.left and not self.can_close() and any(map(self.side.core.stands, self.stood)):
-            self.side.core.at(self.side.core.clock() + AGAIN_S, partial(self.side._again, self.server))
-        broken, self.open = list(self.open.values()), {}
-        self.side.core.log("link_lost", server=self.server.record.instance, open=len(broken))
-        for attempt in broken:
-            self.side.core.connection_lost(attempt)
-
-    def data_to_send(self) -> bytes:
-        """What is to be written now. Where this process stood still meanwhile, it looks again who left."""
-        clock, data = self.side.core.clock, self._pull()
-        for _ in range(MOST_LOOKS):
-            if clock() - self.looked_at < STALE_S:
-                break
-            self.reclaim_unsent(data)
-            data = self._pull()
-        return data
-
-    def reclaim_unsent(self, rest: bytes) -> bytes:
-        """A link is slow: set-ups and releases wait here again, but for the line that was begun.
-
-        Guards against a set-up that is sent when its link has room, though its caller left, or its time was
-        up, while it lay between the queue and the socket.
-        """
-        size = len(rest)
-        while self.pulled and self.pulled[-1][1] <= size:
-            item, length = self.pulled.pop()
-            size -= length
-            if isinstance(item, Attempt):
-                self.open.pop(item.call.offer.ident, None)
-                self.side.core.not_sent(item)
-            elif isinstance(item, Release):
-                item.times -= 1
-                self.written.pop()
-            self.queue.appendleft(item)
-        return rest[:size]
-
-    def _pull(self) -> bytes:
-        """What callers have sent until now is read before the first set-up: some of them may have left while
-        this process stood still, or while the set-up waited here.
-        """
-        core, out, size = self.side.core, [], 0
-        self.pulled.clear()
-        self.looked_at = math.inf
-        while self.queue and size < PULLED and not self.spoilt:
-            item = self.queue.popleft()
-            if isinstance(item, Attempt):
-                if self.looked_at == math.inf:
-                    core.hear_callers()
-                    self.looked_at = core.clock()
-                left_ms = core.may_write(item)
-                if left_ms is None:
-                    continue
-                offer = item.call.offer
-                if self.asked_at <= max(self.heard_at, self.up_at):
-                    self.asked_at = core.clock()
-                self.open[offer.ident] = item
-                line = start_line(
-                    offer.ident, offer.call_class.name, offer.called_uri, offer.description, left_ms
-                )
-            elif isinstance(item, Release):
-                item.times += 1
-                self.written.append((core.clock(), item))
-                line = item.line
-            else:
-                line = item
-            out.append(line)
-            self.pulled.append((item, len(line)))
-            size += len(line)
-        return b"".join(out)
-
-    def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the roster server."""
-        if self.spoilt:
+        if is_load_report and connection.liveness.load_reports < 2:  # the first comes on each by itself
             return
-        self.data += data
-        start = 0
-        while not self.spoilt and (end := self.data.find(b"\n", start)) >= 0:
-            line = bytes(self.data[start:end])
-            start = end + 1
-            if line.strip():
-                self._line(line)
-        del self.data[:start]
-        if len(self.data) > MOST_LINE:
-            self._spoil("a line without end")
-
-    def _spoil(self, why: str) -> None:
-        """What came can't be read: end the connection, so that all set-ups open on it get their outcome now.
-
-        Guards against answers that never come: behind one that is spoilt, those to other set-ups are not
-        to be had either, and their callers waited until their time was over.
+        now = self.core.clock()
+        for old in self.superseded:
+            if old.server is not connection.server or old.dead_check_pending:
+                continue
+            both_up_at = max(connection.liveness.connected_at, old.liveness.connected_at)
+            if max(old.liveness.last_received_at, both_up_at) < now - SIMULTANEOUS_S:
+                old.dead_check_pending = True
+                self.core.at(now + SIMULTANEOUS_S, partial(self._close_dead, old, now))
+
+    def _close_dead(self, old: ServerConnection, since: float) -> None:
+        """End a superseded connection that has kept silent: it was suspected and rightly so.
+
+        Its successor is suspected without a backoff, and another is dialled for what was released on the dead
+        one.
         """
-        core = self.side.core
-        self.spoilt = True
-        self.data.clear()
-        core.counters.add("malformed_from_servers")
-        instance = self.server.record.instance
-        core.log("malformed", side="server", server=instance, why=why, open=len(self.open))
-        self.abort()
-
-    def _line(self, line: bytes) -> None:
-        core = self.side.core
-        try:
-            if len(line) > MOST_LINE:
-                raise ValueError("longer than 16 KiB")
-            message = json.loads(line.decode())
-            verb, ident = message.get("verb"), message.get("tag", "")
-            opts = message.get("opts") or {}
-            report = parse_load(str(opts.get("load", "")))
-            note = str(opts.get("note", ""))
-            cause = int(message.get("rc") or 0)
-            blob = message.get("blob") if verb == "STARTED" else ""
-            if not isinstance(verb, str) or not isinstance(blob, str):
-                raise ValueError("verb or blob")
-            blob.encode()  # half a pair of surrogates can't be passed on
-            if verb in ("STARTED", "FINISH") and not (isinstance(ident, str) and IDENT.match(ident)):
-                raise ValueError("tag")
-        except (ValueError, AttributeError, TypeError, OverflowError, RecursionError) as error:
-            self._spoil(f"{type(error).__name__}: {str(error)[:80]}")
-            return
-        core.counters.add(f"got_{verb if verb in VERBS else 'other_verb'}")
-        self.side.heard(self, state=verb == "LOAD")
-        if verb == "STARTED":
-            core.load_told(self.server, report)
-            self.open.pop(ident, None)
-            core.answered(self.server, ident, blob)
-            if core.stands(ident):
-                self.stood.add(ident)
-        elif verb == "PENDING":
-            if isinstance(ident, str):
-                core.pending(self.server, ident)
-        elif verb == "FINISH":
-            self.open.pop(ident, None)
-            core.finished(self.server, ident, cause, note, report)
-            for each in self.side.all_to(self.server):
-                each.stood.discard(ident)
-        elif verb == "LOAD":
-            core.load_told(self.server, report)
-        elif verb == "ECHO":
-            self.queue.append(_line({"verb": "ECHOED", "tag": ident, "opts": {}, "rc": 1}))
-            self.notify_writable()
+        old.dead_check_pending = False
+        if old in self.superseded and old.liveness.last_received_at < since - SIMULTANEOUS_S:
+            instance = old.server.record.instance
+            self.core.counters.add("server_connections_dead")
+            self.core.log("server_connection_dead", server=instance, open=len(old.pending_setups))
+            old.abort_as_dead()
+            active = self.active.get(old.server.id)
+            if active is not None:
+                active.liveness.reset_backoff()
+            self.dial_again_later(old.server)
+
+    def dial_again_later(self, server: RosterServer) -> None:
+        """A connection has ended on which ends of calls may have been lost: they come on the next opened."""
+        self.core.at(self.core.clock() + REDIAL_DELAY_S, partial(self._dial_again, server))
+
+    def _dial_again(self, server: RosterServer) -> None:
+        """Dial once more, for ends of calls that were sent on a dead connection.
+
+        Calls may have ended after the standby had come up and before the dead connection was closed: the
+        server sends their ends once more, on the connection that is opened after that.
+        """
+        connection = self.active.get(server.id)
+        if server.id in self.standby:  # dialled before: it may have been opened before the end was sent
+            self.dial_again_later(server)
+        elif connection is not None and connection.liveness.is_connected:
+            self.dial_standby(connection)
+
+    def _all(self) -> list[ServerConnection]:
+        return [*self.active.values(), *self.standby.values(), *self.superseded]
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -24,7 +24,8 @@
 SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
 BOM = "\ufeff"
 WARNINGS = (
-    "fault", "guard", "malformed", "unreached", "directory", "accept", "link_lost", "link_dead", "doubted"
+    "fault", "guard", "malformed", "server_connect_failed", "directory", "accept", "server_connection_lost",
+    "server_connection_dead", "server_connection_unresponsive",
 )  # fmt: skip
 NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
 NOT_SD_NAME = re.compile(r'[^\x21-\x7e]|[=\]" ]')
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -11,9 +11,9 @@
 from functools import lru_cache, partial
 
 from stairhatch.node import message as sip
-from stairhatch.node import server_pool
 from stairhatch.node.core import AWAY_S, ENDED, Call, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.node.server_messages import exceeds_line_limit
 
 MOST_OUTPUT = 128 * 1024  # a caller that reads so much too slowly is cut off
 RELEASE_KEPT_S = 30.0  # how long a release waits for a caller to connect
@@ -420,7 +420,7 @@
         if not 0 < patience_s <= PATIENCE_SLACK * front.core.longest_wait(kind):
             self._unusable(message, 400)
             return
-        if server_pool.too_long(ident, message.get("call-kind"), key, description):
+        if exceeds_line_limit(ident, message.get("call-kind"), key, description):
             self._unusable(message, 413)
             return
         if ident in front.calls or front.core.was_over(ident):
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -1,7 +1,7 @@
 """The hollow softswitches of a run and what stands around them: owns the drivers that stand for sockets, the
 stand-in roster servers and coordinators on the virtual clock, the events of the plan, and what is counted.
-The Core with its Controller, RosterSide, Directory and Fleet are the program's own and are fed the bytes that
-would cross a socket. It must never reach into a decision.
+The Core with its Controller, ServerConnectionPool, Directory and Fleet are the program's own and are fed the
+bytes that would cross a socket. It must never reach into a decision.
 """
 
 from __future__ import annotations
@@ -33,7 +33,8 @@
     LONGEST_POLL_BACKOFF_S,
     REST_S,
 )
-from stairhatch.node.server_pool import RosterLink, RosterSide
+from stairhatch.node.server_connection import ServerConnection
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
@@ -347,7 +348,7 @@
 
     part = "links"
 
-    def __init__(self, softswitch: Softswitch, link: RosterLink) -> None:
+    def __init__(self, softswitch: Softswitch, link: ServerConnection) -> None:
         super().__init__(softswitch, link)
         self.link = link
         self._wanted = False
@@ -368,7 +369,7 @@
         self._again, link = None, self.link
         if self.stopped:
             return
-        if link.can_close() or (link.retired and not link.urgent):
+        if link.can_close() or (link.draining and not link.has_queued):
             self._drop()
             return
         self._wanted = False
@@ -377,17 +378,17 @@
         self.world.dial(self, link.server.record.address, within_s, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
-        self.link.connected()
+        self.link.connection_made()
         self.began(stream)
 
     def _failed(self, refused: bool) -> None:
         if self.stopped:
             return
-        self.link.failed(refused)
-        if self.link.retired:
+        self.link.connect_failed(refused)
+        if self.link.draining:
             self._drop()
             return
-        self._wanted = self._wanted and self.link.urgent
+        self._wanted = self._wanted and self.link.has_queued
         self._later(0.0 if self._wanted else self.backoff)
         self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
 
@@ -396,7 +397,7 @@
         if self.clock.now - self.up_at > LONGEST_BACKOFF_S:
             self.backoff = FIRST_BACKOFF_S
             self._later(0.0)
-        elif self.link.retired:
+        elif self.link.draining:
             self._later(0.0)
         else:
             self._later(self.backoff)
@@ -404,7 +405,7 @@
 
     def _drop(self) -> None:
         self.softswitch.drivers.pop(self, None)
-        self.link.side.drop(self.link)
+        self.link.pool.remove(self.link)
 
 
 class Follower(Driver):
@@ -585,7 +586,7 @@
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
         core.wake = self._arm
-        RosterSide(core, lambda link: self._keep(link))
+        ServerConnectionPool(core, lambda link: self._keep(link))
         core.listening = True
         region = world.places.region(self.index)
         directory = Directory(core, world.coordinators[region].place, 0)
@@ -594,7 +595,7 @@
         Follower(self, directory)
         self._arm()
 
-    def _keep(self, link: RosterLink) -> None:
+    def _keep(self, link: ServerConnection) -> None:
         Keeper(self, link)
 
     def _join(self, plan: Plan, directory: Directory) -> None:
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -25,7 +25,7 @@
 from stairhatch.node.core import CallManager, Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
 from stairhatch.node.net import UNLIMITED, Bounds, Descriptors, Listening, Network, descriptors_held
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings import lost_key
@@ -128,7 +128,7 @@
             config.settings, rng, self.clock, self.log, self.counters, config.tracing, self.scoped
         )  # fmt: skip
         self.network = Network(self.core)
-        RosterSide(self.core, self.network.dial)
+        ServerConnectionPool(self.core, self.network.dial)
         if self.scoped is not None:
             self.core.in_scope, self.scoped.changed = self.scoped.in_scope, self._scope_changed
         self.trunk: TrunkFront | None = None
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -14,9 +14,9 @@
 from stairhatch.admission.feedback import algorithm_for
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import message as sip
-from stairhatch.node import server_pool
 from stairhatch.node.core import AWAY_S, CUT, CallManager, CallRequest, ConnectionProtocol
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.node.server_messages import exceeds_line_limit
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.dialogs import Order, Stage, key_of
@@ -426,7 +426,7 @@
         except ValueError:
             self.final(transaction, 400, [])
             return
-        if server_pool.too_long(ident, kind.name, uri.user, description):
+        if exceeds_line_limit(ident, kind.name, uri.user, description):
             self.final(transaction, 413, [])
             return
         if len(self.dialogs) >= self.config.dialogs:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.net import Bounds, Network
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.service import Service
 from stairhatch.settings import settings_from
@@ -237,13 +237,14 @@
     until(lambda: program.lines("taken"))
     leave(caller, ident, by)
     until(lambda: program.lines("left"))
-    assert not program.lines("attempt") and not program.lines("reached"), "it left before the link was up"
+    early = program.lines("attempt") + program.lines("server_connected")
+    assert not early, "it left before the link was up"
     other, stays = ask(program, "platform")
     until(lambda: len(program.lines("taken")) == 2)
     threading.Thread(target=shut._accept, daemon=True).start()
     other.expect(stays, 200)
     assert starts(shut) == [stays]
-    assert not program.lines("unreached"), "the settings' time to connect holds, and no other"
+    assert not program.lines("server_connect_failed"), "the settings' time to connect holds, and no other"
     for each in full:
         each.close()
 
@@ -417,10 +418,10 @@
         side = inside.front
         machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        side = RosterSide(inside.core, links.append)
+        side = ServerConnectionPool(inside.core, links.append)
         side.record_changed(inside.core.servers[1])
         machine = links[0]
-        machine.connected()
+        machine.connection_made()
     assert side.is_flushed()
     machine.writing = True
     assert not side.is_flushed()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -20,7 +20,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import ServerRecord
 from stairhatch.node.net import Bounds, Network
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 
@@ -264,7 +264,7 @@
         core = inside.core
         inside.follow(asyncio.get_running_loop())
         core.log = lambda *args, **fields: None
-        network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
+        network, side, front = Network(core), ServerConnectionPool(core, links.append), TrunkFront(core)
         core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
@@ -284,8 +284,8 @@
         await come(lambda: core.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
-            connected = link.connected
-            link.connected = lambda: (connected(), all_go())
+            connected = link.connection_made
+            link.connection_made = lambda: (connected(), all_go())
             server.script = RosterServer.answers
             network.dial(link)
             before = 0
@@ -342,7 +342,7 @@
         core = inside.core
         inside.follow(asyncio.get_running_loop())
         network, front = Network(core), TrunkFront(core)
-        RosterSide(core, links.append)
+        ServerConnectionPool(core, links.append)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -368,7 +368,7 @@
         await come(lambda: link.writing)
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
-        begun = set(link.open)
+        begun = set(link.pending_setups)
         assert len(begun) <= 3, "the link is slow"
         assert core.counters.counts["attempts_taken_back"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
@@ -413,10 +413,10 @@
 def test_a_look_at_the_callers_does_not_count_after_a_standstill():
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
     inside, links = Inside(), []
-    side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
+    side, front = ServerConnectionPool(inside.core, links.append), TrunkFront(inside.core)
     side.record_changed(inside.core.servers[1])
     (link,) = links
-    link.connected()
+    link.connection_made()
     callers, looks = [front.connect() for _ in range(3)], []
 
     def look():
@@ -437,5 +437,5 @@
 
     inside.core.may_write = slow
     started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
-    assert len(looks) == 2 and started == idents[1:] and set(link.open) == set(idents[1:])
+    assert len(looks) == 2 and started == idents[1:] and set(link.pending_setups) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -21,7 +21,7 @@
 from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
@@ -128,7 +128,7 @@
     """Guards against a yes before calls can be served, and against one dead server that holds it at no."""
     inside, links = Inside(), []
     core = inside.core
-    side = RosterSide(core, links.append)
+    side = ServerConnectionPool(core, links.append)
     core.servers.clear()
     core.by_instance.clear()
     core.listening = core.list_known = False
@@ -140,16 +140,16 @@
     ]
     core.list_servers(lines, True)
     assert "live dead" in core.why_not()
-    links[0].connected()
+    links[0].connection_made()
     assert "tried yet: dead" in core.why_not()
-    links[1].failed(refused=False)
+    links[1].connect_failed(refused=False)
     assert "not listening" in core.why_not()
     core.listening = True
     assert core.why_not() == ""
     core.list_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     links[0].connection_lost()
     assert core.why_not() == "", "what comes and goes later is for the decisions"
-    assert side.links
+    assert side.active
 
 
 def test_a_door_full_of_silent_operators_has_room_at_once():
@@ -775,9 +775,9 @@
 def test_links_that_were_left_are_not_opened_again():
     """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
     inside, links = Inside(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
-    links[0].connected()
+    links[0].connection_made()
     side.send_release(links[0].server, next(IDS), 16)
     assert not side.is_flushed()
     links[0].data_to_send()
@@ -785,7 +785,7 @@
     side.shut_down()
     links[0].connection_lost()
     assert links[0].can_close()
-    side.drop(links[0])
+    side.remove(links[0])
     assert len(links) == 1
 
 
@@ -866,9 +866,9 @@
     given up before it had been open long enough to make it suspect (pieces+silent+leave, snapshot 2875ccb7).
     """
     inside, links = Inside(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    links[0].connected()
+    links[0].connection_made()
     connection = TrunkFront(inside.core).connect()
     for _ in range(4):
         connection.receive_data(trunk_invite(ident := next(IDS)))
@@ -878,7 +878,7 @@
         headers = [("call-id", ident), ("cseq", "1 CANCEL")]
         connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
         links[0].data_to_send()
-    assert side.spares and not links[0].open
+    assert side.standby and not links[0].pending_setups
 
 
 def test_a_second_link_that_says_nothing_at_all_is_doubted_at_once():
@@ -886,13 +886,13 @@
     one before: 6 s without set-ups at that server (pieces+silent+leave, snapshot ee1e40c6).
     """
     inside, links = Inside(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     connection = TrunkFront(inside.core).connect()
     began = inside.now
     while len(links) < 4:
-        links[-1].connected()
-        while not side.spares:
+        links[-1].connection_made()
+        while not side.standby:
             connection.receive_data(trunk_invite(ident := next(IDS), "9000"))
             inside.run(0.1)
             links[-1].data_to_send()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stairhatch.node import message as sip
-from stairhatch.node.server_pool import parse_load
+from stairhatch.node.server_messages import parse_load_report
 from stairhatch.node.syslog import Log, rfc5424, structured
 
 from .peers import Program, RosterServer, until
@@ -58,7 +58,7 @@
 
 def test_a_load_report_is_read_by_the_settings_names():
     """Guards against figures taken for others; what is unknown or no number counts as missing."""
-    report = parse_load("free:5;size:9;mean_ms:250;can_take:-1;other:3;depth:x")
+    report = parse_load_report("free:5;size:9;mean_ms:250;can_take:-1;other:3;depth:x")
     assert (
         report.free_lines,
         report.total_lines,
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -21,7 +21,7 @@
 from stairhatch.node.core import TRY_S, ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.net import Descriptors, Network
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability
 
 from .peers import SETTINGS, Coordinator, Inside, Program, RosterServer, instance, until
@@ -129,17 +129,17 @@
     started.append(program)
     for each in (coordinator.go, *(each.close for each in servers)):
         each()
-    until(lambda: len(program.lines("link_lost")) == 6, "that all are away")
+    until(lambda: len(program.lines("server_connection_lost")) == 6, "that all are away")
     before = counters(program)
     crowd = Crowd(program.address, 2 * min(told, real), again)
     until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
-    missed = ("roster_connections_failed", "directory_unreached")
+    missed = ("server_connections_failed", "directory_unreached")
     until(lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed")
     assert counters(program)["connections_evicted"] > 0, "callers who hold on were in excess"
     asked = len(coordinator.asked)
     coordinator.come()
     back = [RosterServer(port=each.port) for each in servers]
-    until(lambda: len(program.lines("reached")) >= 12, "the roster servers, reached again")
+    until(lambda: len(program.lines("server_connected")) >= 12, "the roster servers, reached again")
     until(lambda: len(coordinator.asked) > asked, "the coordinator, asked again")
     coordinator.tell(instance("s-0", back[0].port, 0, "terminating"))
     until(lambda: program.lines("listed")[-1]["state"] == "draining", "its news")
@@ -165,8 +165,8 @@
     coordinator = Coordinator(*(instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)))
     program = Limited.on_platform(tmp_path, coordinator, sockets=1024).serves()
     started.append(program)
-    until(lambda: len(program.lines("unreached")) >= 20, "servers that there is no descriptor for")
-    assert program.lines("reached"), "others are reached"
+    until(lambda: len(program.lines("server_connect_failed")) >= 20, "servers without a descriptor")
+    assert program.lines("server_connected"), "others are reached"
     crowd = Crowd(program.address, 64, False)
     until(lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are put out")
     assert program.order("check").startswith("ok")
@@ -234,14 +234,14 @@
     program = Program.on_platform(tmp_path, coordinator, {**SETTINGS, "permissions": permissions})
     started.append(program)
     until(lambda: program.lines("serving"), "that it serves")
-    assert not program.lines("unreached"), "it was still being dialled"
+    assert not program.lines("server_connect_failed"), "it was still being dialled"
     assert program.tested() == 200 and program.order("check").startswith("ok")
     ident, caller = next(IDS), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
     stuck.answer()  # the dial that waits in the kernel comes up late
-    until(lambda: any(line["server"] == "s-1" for line in program.lines("reached")), "the late one")
-    assert not program.lines("unreached")
+    until(lambda: any(line["server"] == "s-1" for line in program.lines("server_connected")), "the late one")
+    assert not program.lines("server_connect_failed")
     stuck.close()
 
 
@@ -249,7 +249,7 @@
     """Guards against a start that waits for no link, or for each server that is listed while it waits."""
     inside = Inside()
     inside.core._able = False
-    RosterSide(inside.core, lambda link: None)
+    ServerConnectionPool(inside.core, lambda link: None)
     for number in range(20):
         name = f"s-{number}"
         line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
@@ -298,7 +298,7 @@
 def directory_of(*events, names="abc"):
     """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
     inside = Inside()
-    RosterSide(inside.core, lambda link: None)
+    ServerConnectionPool(inside.core, lambda link: None)
     inside.core.servers.clear()
     inside.core.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -16,7 +16,7 @@
 from stairhatch.config.appliance import config_from
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, CallRequest, Counters, ServerRecord
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -564,7 +564,7 @@
             decisions=self.scoped,
         )  # fmt: skip
         self.core.in_scope = self.scoped.in_scope
-        self.side = RosterSide(self.core, self.dialled.append)
+        self.side = ServerConnectionPool(self.core, self.dialled.append)
         self.core.list_known = self.core.listening = True
 
     def changed(self, numbers, classes, came):
@@ -600,26 +600,26 @@
     call, caller = inside.offer(a)
     assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
     for link in inside.dialled:
-        link.connected()
-    link = inside.side.links[call.attempt.server.id]
+        link.connection_made()
+    link = inside.side.active[call.attempt.server.id]
     assert b'"START"' in link.data_to_send()
     link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.offer.ident.encode())
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
     assert not inside.scoped.live and inside.core.counters.counts["calls_taken"] == 1
-    assert other.can_close() and not link.retired and not link.can_close()
+    assert other.can_close() and not link.draining and not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
-    assert not link.retired and not link.can_close()
+    assert not link.draining and not link.can_close()
     inside.core.caller_released(call, 16)
     assert not link.can_close(), "the release has not been written"
     assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
-    assert link.retired and link.can_close()
+    assert link.draining and link.can_close()
     for each in (link, other):
-        each.side.drop(each)
-    assert not inside.side.links and not inside.side.leaving and len(inside.dialled) == 2
+        each.pool.remove(each)
+    assert not inside.side.active and not inside.side.draining and len(inside.dialled) == 2
     inside.offer(b)
     at_three = [each.server.record.instance for each in inside.dialled[2:]]
     assert sorted(at_three) == sorted([link.server.record.instance, "z"])
@@ -633,7 +633,7 @@
     inside.listing("z", 2)
     call, _ = inside.offer(a)
     link = inside.dialled[0]
-    link.connected()
+    link.connection_made()
 
     def leaves(call):
         assert b'"START"' in link.data_to_send()
@@ -643,13 +643,13 @@
 
     leaves(call)
     inside.run(20)
-    assert link.retired and not inside.scoped.live
+    assert link.draining and not inside.scoped.live
     call, _ = inside.offer(a)
-    assert not link.retired
+    assert not link.draining
     leaves(call)
     inside.run(20)
-    assert link.retired
-    link.side.drop(link)  # its connection has ended
+    assert link.draining
+    link.pool.remove(link)  # its connection has ended
     assert len(inside.dialled) == 1
     call, _ = inside.offer(a)
     assert len(inside.dialled) == 2 and call.attempt.server.record.instance == "x"
@@ -738,11 +738,15 @@
     assert links == {f"r{n}": "up" if n // PER == 1 else "-" for n in range(PER * SERVICES)}
 
     until(lambda: " scope state=out classes=s1 " in program.text(), "the scope leaves")  # behind a prompt
-    until(lambda: len(program.lines("link_lost")) == PER - 1, "the links on which no call stands end")
-    assert name not in [each["server"] for each in program.lines("link_lost")] and not took.of("FINISH")
+
+    def lost() -> list[str]:
+        return [each["server"] for each in program.lines("server_connection_lost")]
+
+    until(lambda: len(lost()) == PER - 1, "the links on which no call stands end")
+    assert name not in lost() and not took.of("FINISH")
     caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKbye", "c1", **more))
     until(lambda: took.of("FINISH"), "the release at the server")
-    until(lambda: name in [each["server"] for each in program.lines("link_lost")], "then its link ends")
+    until(lambda: name in lost(), "then its link ends")
 
     ask("c2", "s3")  # nobody is there
     until(lambda: caller.finals("c2"), "a final answer")
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -17,7 +17,7 @@
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
-from stairhatch.node.server_pool import parse_load
+from stairhatch.node.server_messages import parse_load_report
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
@@ -405,8 +405,8 @@
     """Guards against a figure taken for another, and an empty report taken for a server at rest: where
     nothing can be used the decisions are told nothing.
     """
-    assert parse_load(text) == report
+    assert parse_load_report(text) == report
     stage = Stage(TENDERS)
     stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
-    stage.core.load_told(next(iter(stage.core.servers.values())), parse_load(text))
+    stage.core.load_told(next(iter(stage.core.servers.values())), parse_load_report(text))
     assert len(stage.told) == (report != LoadReport())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import REMEMBERED_S, CallManager, Counters, ServerRecord
 from stairhatch.node.directory import WHOLE_S, Directory
-from stairhatch.node.server_pool import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
@@ -386,7 +386,7 @@
         return caller.finals(waiting)
 
     until(told)
-    assert caller.finals(waiting) == [200] and program.lines("link_dead")
+    assert caller.finals(waiting) == [200] and program.lines("server_connection_dead")
     assert {m["tag"] for m in server.of("FINISH")} == {standing}
     until(lambda: len(server.links) >= 3, "a link for what was released on the dead one")
 
@@ -403,7 +403,7 @@
         time.sleep(0.2)
     server.say("STARTED", ident, server.links[0], blob="d")
     caller.expect(ident, 200)
-    assert len(server.of("START")) == 1 and not program.lines("link_dead")
+    assert len(server.of("START")) == 1 and not program.lines("server_connection_dead")
 
 
 def a_link(now):
@@ -412,10 +412,10 @@
         settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
     )
     links, aborted = [], []
-    side = RosterSide(core, links.append)
+    side = ServerConnectionPool(core, links.append)
     core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].abort = lambda: aborted.append(now[0])
-    links[0].connected()
+    links[0].connection_made()
     return core, side, links[0], aborted
 
 
@@ -429,33 +429,33 @@
 
     def silent_until_doubted():
         """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
-        link = side.links[1]
+        link = side.active[1]
         caller.receive_data(invite(ident=next(IDS), within="9000"))
         while not link.data_to_send():
             now[0] += 0.01
             core.tick()
         since = now[0]
-        while not side.spares:
+        while not side.standby:
             now[0] += 0.01
             core.tick()
             assert now[0] < since + 5, "it was not doubted"
-        spare = side.spares[1]
-        spare.connected()
+        spare = side.standby[1]
+        spare.connection_made()
         for _ in range(3):
             now[0] += 0.3
             spare.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
             core.tick()
-        for each in list(side.left):  # as the driver does
+        for each in list(side.superseded):  # as the driver does
             each.connection_lost()
-            side.drop(each)
+            side.remove(each)
         return now[0] - since
 
     first = silent_until_doubted()
     for _ in range(3):
         now[0] += 0.2
         core.tick()
-        for spare in list(side.spares.values()):
-            spare.connected()
+        for spare in list(side.standby.values()):
+            spare.connection_made()
         assert silent_until_doubted() < first + 0.2
 
 
@@ -464,7 +464,7 @@
     caller, ident = TrunkFront(core).connect(), next(IDS)
     caller.receive_data(invite(ident=ident, within=within))
     for _ in range(100):
-        if b"START" in side.links[1].data_to_send():
+        if b"START" in side.active[1].data_to_send():
             return ident
         now[0] += 0.01
         core.tick()
@@ -488,8 +488,8 @@
     core, side, old, _ = a_link(now)
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
-    side.spares[1].connected()
-    assert side.left == [old] and not old.can_close()
+    side.standby[1].connection_made()
+    assert side.superseded == [old] and not old.can_close()
     pass_time(core, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     pass_time(core, now, 20.0)
@@ -509,13 +509,13 @@
     core, side, old, _ = a_link(now)
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
-    side.spares[1].connected()
+    side.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    assert core.stands(ident) and side.left == [old] and not side.spares
+    assert core.stands(ident) and side.superseded == [old] and not side.standby
     old.connection_lost()  # as the driver does
-    side.drop(old)
+    side.remove(old)
     pass_time(core, now, 0.2)
-    assert side.spares, "another is dialled"
+    assert side.standby, "another is dialled"
 
 
 def test_of_links_kept_for_calls_the_oldest_ends_before_another_is_opened():
@@ -525,18 +525,18 @@
     now = [1000.0]
     core, side, _, _ = a_link(now)
     for _ in range(6):
-        link = side.links[1]
+        link = side.active[1]
         link.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
         ident = asked(core, side, now)
         link.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-        side._second(link)
+        side.dial_standby(link)
         for each in [
-            each for each in side.left if each.can_close()
+            each for each in side.superseded if each.can_close()
         ]:  # as the driver does, before the next is up
             each.connection_lost()
-            side.drop(each)
-        side.spares[1].connected()
-        assert len(side.left) <= 3
+            side.remove(each)
+        side.standby[1].connection_made()
+        assert len(side.superseded) <= 3
 
 
 @pytest.mark.parametrize(("started", "ends"), [(999.9, False), (1004.0, True)])
@@ -598,7 +598,7 @@
         settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
     )
     links = []
-    side = RosterSide(core, links.append)
+    side = ServerConnectionPool(core, links.append)
     front = TrunkFront(core)
     connection = front.connect()
     for n in range(200):
@@ -608,10 +608,10 @@
         core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
         for link in [link for link in links if link.can_close()]:
             links.remove(link)
-            side.drop(link)  # as the driver does when a link has ended
+            side.remove(link)  # as the driver does when a link has ended
         now[0] += 5
         core.tick()
-    assert not core.servers and not core.by_instance and not side.links
+    assert not core.servers and not core.by_instance and not side.active
     assert not core.calls and not front.calls and not core.by_ident
     assert len(core._over) <= REMEMBERED_S / 5 + 1
     assert len(core.controller.servers) <= 10 and len(core._timers) <= 10
