--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,6 +38,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
+from stairhatch.components import steady_unix_clock
 from stairhatch.fleet.messages import Codec
 from stairhatch.lab.schedule import Schedule
 from stairhatch.lab.world import LIST, World
@@ -63,7 +64,6 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
-from stairhatch.service import unix_clock
 from stairhatch.settings import settings_from
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -377,7 +377,11 @@
 def bare_core() -> CallManager:
     """A core without fronts."""
     return CallManager(
-        settings_from(raw_settings(24))[0], random.Random(1), unix_clock(), lambda *a, **k: None, Counters()
+        settings_from(raw_settings(24))[0],
+        random.Random(1),
+        steady_unix_clock(),
+        lambda *a, **k: None,
+        Counters(),
     )
 
 
--- a/stairhatch/__main__.py
+++ b/stairhatch/__main__.py
@@ -1,6 +1,7 @@
-"""`python -m stairhatch`: owns the choice between the two programs. Without arguments it is the platform's
-softswitch, told what it needs by the RELAY_ variables; with a command it is the appliance's command line
-(`stairhatch.cli`), of which the platform's program imports nothing.
+"""`python -m stairhatch`: chooses between the two programs.
+
+Without arguments it is the platform's softswitch, configured by the RELAY_ variables. With a command it is
+the appliance's command line (`stairhatch.cli`), of which the platform's program imports nothing.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from stairhatch.config.platform import read_platform
-from stairhatch.start import serve
+from stairhatch.main import serve
 
 
 def main() -> int:
-    """The platform's softswitch, or what the command line says."""
+    """Run the platform's softswitch, or the command that is given; return the exit code."""
     if len(sys.argv) > 1:
         from stairhatch.cli import main as command_line
 
--- /dev/null
+++ b/stairhatch/application.py
@@ -0,0 +1,288 @@
+"""Composition root: builds one softswitch from its configuration, connects its parts and runs it to its end.
+
+`Application` starts each part. The end is in `stairhatch.shutdown`, a new configuration at SIGHUP in
+`stairhatch.reload`, the limits on connections in `stairhatch.connection_limits`. The parts of the appliance
+are imported only where the configuration asks for them: the platform's softswitch does not load them.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import random
+import secrets
+import signal
+import socket
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from stairhatch.components import Components, steady_unix_clock
+from stairhatch.config import Config, ConfigError
+from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
+from stairhatch.node.console import Console, Door
+from stairhatch.node.core import CallManager, Counters
+from stairhatch.node.directory import Directory, DirectoryError, apply_events
+from stairhatch.node.net import Bounds, Descriptors, Network, descriptors_held
+from stairhatch.node.roster import RosterSide
+from stairhatch.node.syslog import Log
+from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.reload import ConfigReloader
+from stairhatch.shutdown import GracefulShutdown
+from stairhatch.terminal import Terminal
+
+if TYPE_CHECKING:
+    from stairhatch.fleet.config import FleetConfig
+    from stairhatch.scope.sets import Numbers
+    from stairhatch.sip.front import SipConfig, SipFront
+
+READY_POLL_S = 0.01
+SECRET_BYTES = 32  # of the SIP frontend's nonces and tags
+IDENT_BYTES = 8
+GC_THRESHOLDS = (20_000, 20, 50)  # of the collector: rare, since a collection holds up calls
+
+
+def inherited_socket(descriptor: int) -> socket.socket:
+    """Return the listening socket that the platform owns. It is never bound, shut down or unlinked here.
+
+    Raises ConfigError if the descriptor is no listening socket.
+    """
+    try:
+        sock = socket.socket(fileno=descriptor)
+        if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            raise ConfigError(f"RELAY_INHERITED_FD: descriptor {descriptor} does not listen")
+    except (OSError, ValueError, OverflowError) as error:
+        raise ConfigError(f"RELAY_INHERITED_FD: descriptor {descriptor}: {error}") from error
+    return sock
+
+
+class Application:
+    """One softswitch: its parts (`parts`), its configuration (`reloader`) and its terminal.
+
+    `open_listeners`, `start_discovery` and `serve_when_ready` bring it up in this order, `shut_down` ends it.
+    """
+
+    def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
+        rng = random.Random(config.seed or None)
+        self.parts = self._build(config, rng)
+        self.reloader = ConfigReloader(config, read_config, self.parts)
+        self.terminal = Terminal(self.parts.network.loop)
+
+    def _build(self, config: Config, rng: random.Random) -> Components:
+        clock = steady_unix_clock()
+        log = Log("stairhatch", socket.gethostname(), clock, config.syslog)
+        counters = Counters()
+        scoped = None
+        if config.scope is not None:
+            from stairhatch.scope.decisions import ScopedController
+
+            scoped = ScopedController(config.settings, rng, config.scope)
+        core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
+        network = Network(core)
+        RosterSide(core, network.dial)
+        if scoped is not None:
+            core.in_scope = scoped.in_scope
+            scoped.changed = self._scope_changed
+        return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
+
+    @property
+    def config(self) -> Config:
+        """The configuration in force."""
+        return self.reloader.config
+
+    def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], entered: bool) -> None:
+        """Open connections to servers that come into scope; those of servers that leave it end when idle."""
+        parts = self.parts
+        servers = [
+            each for each in parts.core.servers.values() if numbers is None or each.record.number in numbers
+        ]
+        parts.counters.add("scopes_entered" if entered else "scopes_left")
+        state = "in" if entered else "out"
+        parts.log("scope", state=state, classes=",".join(classes), servers=len(servers))
+        for server in servers:
+            parts.core.side.record_changed(server)
+
+    # ---- start ----
+
+    def open_listeners(self) -> str:
+        """Open the frontends and the admin endpoint; return their addresses for the log.
+
+        Raises ConfigError if an address cannot be used.
+        """
+        config = self.config
+        opened: list[str] = []
+        try:
+            if config.listen is not None:
+                opened.append(self._listen_platform(config, config.listen))
+            if config.sip is not None:
+                opened += self._listen_sip(config.sip)
+            if config.console is not None:
+                opened.append(self._listen_admin(config.console))
+        except OSError as error:
+            raise ConfigError(f"can't listen: {error.strerror}") from error
+        self.parts.network.listeners = self.parts.caller_listeners
+        self._limit_descriptors(config)
+        self.parts.core.listening = config.inherited is None
+        return ",".join(opened)
+
+    def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
+        parts = self.parts
+        parts.trunk = TrunkFront(parts.core)
+        at = address if config.inherited is None else inherited_socket(config.inherited)
+        bounds = Bounds(caller_connection_limit(config))
+        listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
+        parts.caller_listeners.append(listener)
+        return f"{address[0]}:{address[1]}"
+
+    def _listen_sip(self, config: SipConfig) -> list[str]:
+        from stairhatch.sip.flows import host_port
+
+        network = self.parts.network
+        front = self.parts.sip = self._sip_frontend(config)
+        opened: list[str] = []
+        for port in front.ports:
+            network.datagrams(port.local, port, callers=True)
+            opened.append(f"udp:{host_port(port.local)}")
+        for listener in config.tcp:
+            bounds = Bounds(config.connections, idle_s=config.idle_s)
+            self.parts.caller_listeners.append(
+                network.listen(listener.place, front.connector(listener), bounds)
+            )
+            opened.append(f"tcp:{host_port(listener.place)}")
+        return opened
+
+    def _sip_frontend(self, config: SipConfig) -> SipFront:
+        from stairhatch.sip.front import SipFront
+
+        network = self.parts.network
+        rng = random.Random(secrets.randbits(64))
+        front = SipFront(
+            self.parts.core,
+            config,
+            lambda: secrets.token_hex(IDENT_BYTES),
+            rng.random,
+            secrets.token_bytes(SECRET_BYTES),
+        )
+        if front.gate is not None:
+            network.watch(front.looked)
+        front.dial = lambda connection: network.dial_caller(connection, connection.peer)
+        return front
+
+    def _listen_admin(self, address: tuple[str, int]) -> str:
+        core = self.parts.core
+        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_BOUNDS)
+        return f"console:{address[0]}:{address[1]}"
+
+    def _limit_descriptors(self, config: Config) -> None:
+        """Divide the descriptors between callers and servers, what is open now set aside."""
+        reserved = descriptors_held() + (ADMIN_BOUNDS.most if config.console is not None else 0)
+        limit = descriptor_limit(config)
+        self.parts.network.descriptors = Descriptors(limit, reserved)
+        if config.listen is not None and limit < config.sockets:
+            self.parts.log("descriptors", configured=config.sockets, limit=limit)
+
+    def start_discovery(self) -> None:
+        """Take in the call servers that are known, and follow what the coordinator tells of them.
+
+        Raises ConfigError if they, or the cluster member's files and address, cannot be used.
+        """
+        parts = self.parts
+        config = self.config
+        try:
+            last_event = apply_events(parts.core, config.known, 0)
+        except DirectoryError as error:
+            raise ConfigError(str(error)) from error
+        if config.coordinator is not None:
+            parts.directory = Directory(parts.core, config.coordinator, last_event)
+        else:
+            parts.core.list_known = True
+        if config.fleet is not None:
+            self._join_cluster(config.fleet)
+        if parts.directory is not None:
+            parts.network.spawn(parts.network.follow(parts.directory))
+
+    def _join_cluster(self, config: FleetConfig) -> None:
+        """Take part in shared work."""
+        from stairhatch.fleet.service import Fleet, StoreError
+
+        parts = self.parts
+        try:
+            parts.fleet = Fleet(parts.core, parts.network, config, self.config.settings)
+        except StoreError as error:
+            raise ConfigError(f"fleet.folder: {error}") from error
+        except OSError as error:
+            raise ConfigError(f"fleet.listen: {error.strerror}") from error
+        if parts.directory is not None and config.list:
+            parts.fleet.directory = parts.directory
+            parts.directory.told = parts.fleet.heard
+            parts.directory.may_ask = parts.fleet.may_ask
+        parts.fleet.begin()
+
+    async def serve_when_ready(self) -> None:
+        """Wait until the list is known and each server has been tried, then accept and log `serving`.
+
+        Only a socket that is shared with another process is not accepted on before.
+        """
+        core = self.parts.core
+        while core.awaits():
+            await asyncio.sleep(READY_POLL_S)
+        if core.ending:
+            return
+        for listener in self.parts.caller_listeners:
+            listener.open()
+        core.listening = True
+        self.parts.log("serving", servers=len(core.servers))
+
+    # ---- while it runs ----
+
+    def status_text(self) -> str:
+        """Return what the console's `status` shows of the configuration and of service discovery."""
+        text = f"reload     {self.reloader.last_result or 'never'}\n"
+        directory = self.parts.directory
+        if directory is not None:
+            host, port = directory.address
+            age_s = self.parts.clock() - directory.told_at
+            text += f"directory  {host}:{port}, event {directory.after}, last heard {age_s:.1f} s ago\n"
+        return text
+
+    async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
+        """Drain and return when nothing is owed; `skip_dialogs`, once set, ends the wait for dialogs."""
+        await GracefulShutdown(self.parts, self.config, self.terminal.write).run(skip_dialogs)
+
+
+async def run(config: Config, read_config: Callable[[], Config], hung_up: Callable[[], bool]) -> None:
+    """Serve until SIGTERM, SIGINT or `quit`, then shut down gracefully.
+
+    `read_config` reads the configuration anew at SIGHUP; `hung_up` tells whether a SIGHUP has come since
+    `config` was read. Raises ConfigError if the configuration cannot be used.
+    """
+    application = Application(config, read_config)
+    try:
+        await _run(application, hung_up)
+    finally:  # also where it ends in a fault: the lines before it tell why
+        application.parts.log.close()
+
+
+async def _run(application: Application, hung_up: Callable[[], bool]) -> None:
+    parts = application.parts
+    loop = parts.network.loop
+    stop = asyncio.Event()
+    for name in (signal.SIGTERM, signal.SIGINT):  # before anything can be accepted
+        loop.add_signal_handler(name, stop.set)
+    addresses = application.open_listeners()
+    application.start_discovery()
+    loop.add_signal_handler(signal.SIGHUP, application.reloader.reload)
+    loop.add_signal_handler(signal.SIGUSR1, lambda: parts.log("counters", **parts.counters.counts))
+    if hung_up():
+        application.reloader.reload()
+    application.terminal.attach(Console(parts.core, stop.set, application.status_text))
+    parts.log("ready", name=application.config.name, listen=addresses)
+    parts.network.spawn(application.serve_when_ready())
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(*GC_THRESHOLDS)
+    await stop.wait()
+    stop.clear()  # set once more it ends the wait for dialogs
+    await application.shut_down(stop)
+    if parts.fleet is not None:
+        parts.fleet.end()
+    parts.log("counters", lines_left_out=parts.log.left_out, **parts.counters.counts)
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -21,7 +21,7 @@
 
 
 def _serve(file: str) -> int:
-    from stairhatch.start import serve
+    from stairhatch.main import serve
 
     return serve(lambda: read_appliance(file, dict(os.environ)))
 
@@ -518,9 +518,9 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def users_list(file: Path) -> None:
     """The users in FILE, with realm and algorithms."""
-    from stairhatch.users import listed
+    from stairhatch.users import list_users
 
-    _told(listed, file)
+    _told(list_users, file)
 
 
 def _told(act: object, *words: object) -> None:
--- /dev/null
+++ b/stairhatch/components.py
@@ -0,0 +1,50 @@
+"""The parts of one running softswitch, as the composition root (`stairhatch.application`) has built them.
+
+Shutdown and reload work on the same parts and take them from here, so that neither has to know the root. A
+part that the configuration does not ask for is None.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from stairhatch.node.core import CallManager, Counters
+from stairhatch.node.directory import Directory
+from stairhatch.node.net import Listening, Network
+from stairhatch.node.syslog import Log
+from stairhatch.node.trunk_front import TrunkFront
+
+if TYPE_CHECKING:
+    from stairhatch.fleet.service import Fleet
+    from stairhatch.scope.decisions import ScopedController
+    from stairhatch.sip.front import SipFront
+
+
+def steady_unix_clock() -> Callable[[], float]:
+    """Return a clock of Unix time in seconds that never steps: set once, advanced by the monotonic clock."""
+    offset = time.time() - time.monotonic()
+    return lambda: offset + time.monotonic()
+
+
+@dataclass(slots=True, kw_only=True)
+class Components:
+    """The parts of one softswitch.
+
+    The first five stand from the start. The frontends and listeners come as the listening sockets are opened,
+    service discovery and the cluster member as the list of servers is first taken in.
+    """
+
+    clock: Callable[[], float]
+    log: Log
+    counters: Counters
+    core: CallManager
+    network: Network
+    scoped: ScopedController | None = None
+    trunk: TrunkFront | None = None
+    sip: SipFront | None = None
+    directory: Directory | None = None
+    fleet: Fleet | None = None
+    caller_listeners: list[Listening] = field(default_factory=list)
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from stairhatch.application import Application
 from stairhatch.config import Config
 from stairhatch.config.appliance import config_from
-from stairhatch.service import Service
 from stairhatch.sip.flows import host_port
 from stairhatch.standin.caller import Caller, End, Placed
 from stairhatch.standin.roster import StandIn
@@ -92,45 +92,46 @@
         self.ends[end.value] += 1
         self.say(f"  call to {call.number}: {end.value} ({status}) after {took_s * 1000:.0f} ms")
 
-    def summary(self, service: Service) -> str:
+    def summary(self, application: Application) -> str:
         """The state of things in a line."""
         told = (
             ", ".join(f"{count} {name}" for name, count in sorted(self.ends.items())) or "no call ended yet"
         )
-        standing = len(service.core.calls) - service.core.unanswered
-        return f"{self.placed} placed: {told}; {standing} stand now, {service.core.unanswered} being set up"
+        core = application.parts.core
+        standing = len(core.calls) - core.unanswered
+        return f"{self.placed} placed: {told}; {standing} stand now, {core.unanswered} being set up"
 
 
 async def demonstrate(demo: Demo, say: Callable[[str], None]) -> int:
     """Run it; returns 0 if every call that ended had one final answer and some stood, else 1."""
     servers = [await StandIn().listen() for _ in range(2)]
     config = configuration(demo, servers)
-    service = Service(config, lambda: config)
-    listening = service.listen()
-    service.follow()
+    application = Application(config, lambda: config)
+    listening = application.open_listeners()
+    application.start_discovery()
     stop = asyncio.Event()
     for name in (signal.SIGTERM, signal.SIGINT):
-        service.network.loop.add_signal_handler(name, stop.set)
-    while service.core.awaits():
+        application.parts.network.loop.add_signal_handler(name, stop.set)
+    while application.parts.core.awaits():
         await asyncio.sleep(0.01)
-    await service.begin()
+    await application.serve_when_ready()
     say(f"the appliance listens on {listening}; two stand-in roster servers answer")
     show = Show(say)
-    calling = asyncio.create_task(_call(demo, show, service))
+    calling = asyncio.create_task(_call(demo, show, application))
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(stop.wait(), demo.seconds or None)
     calling.cancel()
     say("draining: what was taken is answered, what stands may end")
-    hurry = asyncio.Event()
-    await service.end(hurry)
-    say(show.summary(service))
+    skip_dialogs = asyncio.Event()
+    await application.shut_down(skip_dialogs)
+    say(show.summary(application))
     for each in servers:
         await each.close()
-    service.log.close()
+    application.parts.log.close()
     return 0 if not demo.rate or show.ends["stood"] else 1
 
 
-async def _call(demo: Demo, show: Show, service: Service) -> None:
+async def _call(demo: Demo, show: Show, application: Application) -> None:
     """Place calls, alternating between the transports."""
     if not demo.rate:
         return
@@ -148,4 +149,4 @@
         caller.place(chance.choice(NUMBERS), chance.uniform(1.0, 4.0), loop.time(), show.ended)
         if loop.time() - told >= 5.0:
             told = loop.time()
-            show.say(show.summary(service))
+            show.say(show.summary(application))
--- a/stairhatch/lab/child.py
+++ b/stairhatch/lab/child.py
@@ -20,7 +20,7 @@
 from stairhatch.fleet import service
 from stairhatch.fleet.store import Store
 from stairhatch.lab.planted import planted
-from stairhatch.start import serve
+from stairhatch.main import serve
 
 
 class Faults:
--- /dev/null
+++ b/stairhatch/shutdown.py
@@ -0,0 +1,141 @@
+"""Graceful shutdown: from SIGTERM, SIGINT or `quit` to the moment at which nothing is owed to anybody.
+
+In order: drain (as `drain-on` does), serve what still comes for a moment, answer the calls that are being set
+up, wait for the established dialogs of the SIP frontend, close the callers' connections. The platform follows
+SIGTERM with SIGKILL, so calls that wait too long are answered before that (`drain_deadline_reached` in the
+log).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from stairhatch.components import Components
+from stairhatch.config import Config
+
+if TYPE_CHECKING:
+    from stairhatch.sip.front import SipFront
+
+MIN_STAY_S = 1.0  # after SIGTERM connections come for 0.4 s, requests on them for 0.2 s more
+SIGKILL_MARGIN_S = 0.4  # a restart's SIGKILL comes 0.7 s after the longest deadline, or after `drain_s`
+FLUSH_TIMEOUT_S = 2.0  # for a peer to read its answer, or to hear of a release
+FINAL_CHECK_S = 0.05  # before the end: what was handed to the sockets last is written
+HANDOVER_S = 2.0  # so long into an upgrade a caller that never pauses is sent to the new process
+POLL_S = 0.01
+DIALOG_POLL_S = 0.02
+PROGRESS_PERIOD_S = 5.0  # how often a restart names the dialogs that it waits for
+PROGRESS_DIALOGS = 5  # so many of them are named
+
+
+class GracefulShutdown:
+    """Brings one softswitch to its end. `print_text` writes to the operator's terminal."""
+
+    def __init__(self, parts: Components, config: Config, print_text: Callable[[str], None]) -> None:
+        self._parts = parts
+        self._print_text = print_text
+        self._replaced = config.inherited is not None  # another process takes over the socket
+        self._drain_s = config.drain_s
+
+    async def run(self, skip_dialogs: asyncio.Event) -> None:
+        """Drain for good and return when nothing is owed, or what is owed cannot be delivered.
+
+        Dialogs that are established are waited for until the configured time is up or `skip_dialogs` is set.
+        """
+        parts = self._parts
+        started = parts.network.loop.time()
+        parts.log("stopping", unanswered=parts.core.unanswered)
+        parts.core.ending = True
+        if self._replaced:
+            self._leave_newcomers()
+        parts.core.drain(True)
+        deadline = self._deadline(started)
+        if not self._replaced:
+            await asyncio.sleep(MIN_STAY_S)
+        await self._answer_callers(deadline)
+        if parts.sip is not None:
+            await self._finish_dialogs(parts.sip, skip_dialogs)
+        if self._replaced:
+            await self._close_connections(deadline)
+
+    def _leave_newcomers(self) -> None:
+        """Leave those who connect from now on to the next process."""
+        core = self._parts.core
+        core.listening = False
+        core.turn_away_s = HANDOVER_S
+        for listener in self._parts.caller_listeners:
+            listener.close()
+
+    def _deadline(self, started: float) -> float:
+        """Return when the calls that still wait have to be answered, in the loop's time."""
+        if self._parts.trunk is None:
+            return math.inf
+        longest = max((each.deadline_s for each in self._parts.core.settings.classes), default=0.0)
+        return started + min(longest, self._drain_s) + SIGKILL_MARGIN_S
+
+    async def _answer_callers(self, deadline: float) -> None:
+        """Wait until each call has its answer and it is written; answer what is left at the deadline."""
+        core = self._parts.core
+        loop = self._parts.network.loop
+        answered_at = math.inf
+        while not await self._is_quiet():
+            now = loop.time()
+            if core.unanswered and now >= deadline:
+                self._parts.log("drain_deadline_reached", unanswered=core.unanswered)
+                core.answer_all()
+            answered_at = math.inf if core.unanswered else min(answered_at, now)
+            if now > answered_at + FLUSH_TIMEOUT_S:
+                self._parts.log("flush_timeout", why="a peer does not read what it is owed")
+                return
+            await asyncio.sleep(POLL_S)
+
+    def _is_settled(self) -> bool:
+        frontends = (self._parts.trunk, self._parts.sip)
+        return self._parts.core.settled() and all(each.is_flushed() for each in frontends if each is not None)
+
+    async def _is_quiet(self) -> bool:
+        """Return whether nothing is owed, now and a moment later, and nothing lies unread.
+
+        The second look is for a request that comes in that moment: the end of the process would reset its
+        connection with no answer.
+        """
+        if not self._is_settled() or self._parts.network.unseen():
+            return False
+        await asyncio.sleep(FINAL_CHECK_S)
+        return self._is_settled() and not self._parts.network.unseen()
+
+    async def _finish_dialogs(self, front: SipFront, skip: asyncio.Event) -> None:
+        """Wait for the established dialogs, then end on both sides what is left.
+
+        The next process would know no such dialog, and its call server would never hear of the caller's BYE.
+        """
+        loop = self._parts.network.loop
+        deadline = loop.time() + front.config.restart_wait_s
+        report_at = 0.0
+        while front.dialogs and loop.time() < deadline and not skip.is_set():
+            if loop.time() >= report_at:
+                report_at = loop.time() + PROGRESS_PERIOD_S
+                self._report_dialogs(front, deadline - loop.time())
+            await asyncio.sleep(DIALOG_POLL_S)
+        if front.end_dialogs():
+            deadline = loop.time() + FLUSH_TIMEOUT_S
+            while not (front.is_flushed() and self._parts.core.settled()) and loop.time() < deadline:
+                await asyncio.sleep(POLL_S)
+
+    def _report_dialogs(self, front: SipFront, left_s: float) -> None:
+        """Say in the log and on the terminal which calls the end waits for."""
+        count = len(front.dialogs)
+        calls = [
+            f"{each.ident}@{each.flow.peer[0]}" for each in list(front.dialogs.values())[:PROGRESS_DIALOGS]
+        ]
+        self._parts.log("waiting_for_dialogs", dialogs=count, for_s=f"{left_s:.0f}", calls=",".join(calls))
+        self._print_text(f"waiting for {count} calls, {left_s:.0f} s at most: {' '.join(calls)}\n")
+
+    async def _close_connections(self, deadline: float) -> None:
+        """Ask the callers' connections to end and wait until they have."""
+        network = self._parts.network
+        self._parts.core.leave()
+        while not network.emptied() and network.loop.time() < deadline:
+            await asyncio.sleep(POLL_S)
--- a/stairhatch/users.py
+++ b/stairhatch/users.py
@@ -1,6 +1,8 @@
-"""The file of those who may call: owns how it is changed by command. A change is written beside the file and
-renamed over it, so that a reader sees the old one or the new one whole; only its owner may read it. It must
-never print a password or a hash.
+"""Changes the file of SIP users by command (`stairhatch users add|remove|list`).
+
+A line of the file is `user:realm:algorithm:hash` (`stairhatch.sip.auth` reads it). A change is written beside
+the file and renamed over it, so that a reader sees the old file or the new one whole. Only its owner may read
+it, and nothing here prints a password or a hash.
 """
 
 from __future__ import annotations
@@ -12,12 +14,15 @@
 
 from stairhatch.sip import auth
 
+FIELDS = 4  # of a line
+
 
-def _lines(file: Path) -> list[str]:
+def _read_lines(file: Path) -> list[str]:
     return file.read_text(encoding="utf-8").splitlines() if file.exists() else []
 
 
-def _write(file: Path, lines: Iterable[str]) -> None:
+def _replace_file(file: Path, lines: Iterable[str]) -> None:
+    """Write the lines beside the file and rename them over it; the temporary file never stays behind."""
     text = "".join(f"{line}\n" for line in lines)
     handle, name = tempfile.mkstemp(prefix=f".{file.name}.", dir=file.parent)
     try:
@@ -31,41 +36,44 @@
         raise
 
 
-def _is(line: str, name: str, realm: str) -> bool:
-    words = line.strip().split(":")
-    return len(words) == 4 and words[0] == name and realm in ("", words[1])
+def _is_entry_of(line: str, user: str, realm: str) -> bool:
+    """Whether a line is a user's; an empty realm stands for any."""
+    fields = line.strip().split(":")
+    return len(fields) == FIELDS and fields[0] == user and realm in ("", fields[1])
+
 
+def add(file: Path, user: str, realm: str, password: str, md5: bool) -> str:
+    """Add a user, or replace its hashes; return the line that tells which.
 
-def add(file: Path, name: str, realm: str, password: str, md5: bool) -> str:
-    """Add a user, or replace its hashes. UsersError for a name or password that can't be used."""
+    Raises UsersError for a name or password that cannot be used, or a file that holds something else.
+    """
     if not password:
         raise auth.UsersError("the password is empty")
     algorithms = [each for each in auth.ALGORITHMS if md5 or each != "MD5"]
-    new = auth.user_lines(name, realm, password, algorithms)
-    old = _lines(file)
+    new = auth.user_lines(user, realm, password, algorithms)
+    old = _read_lines(file)
     auth.read_users("\n".join(old), realm, algorithms)  # a spoilt file is not written over
-    kept = [line for line in old if not _is(line, name, realm)]
-    _write(file, [*kept, *new])
-    return f"{name}: {'changed' if len(kept) < len(old) else 'added'} in {file}; reload with SIGHUP"
+    kept = [line for line in old if not _is_entry_of(line, user, realm)]
+    _replace_file(file, [*kept, *new])
+    return f"{user}: {'changed' if len(kept) < len(old) else 'added'} in {file}; reload with SIGHUP"
 
 
-def remove(file: Path, name: str, realm: str) -> str:
-    """Take a user out. UsersError where there is none of that name."""
-    old = _lines(file)
-    kept = [line for line in old if not _is(line, name, realm)]
+def remove(file: Path, user: str, realm: str) -> str:
+    """Remove a user; return the line that says so. Raises UsersError where there is none of that name."""
+    old = _read_lines(file)
+    kept = [line for line in old if not _is_entry_of(line, user, realm)]
     if len(kept) == len(old):
-        raise auth.UsersError(f"{file}: no user {name}")
-    _write(file, kept)
-    return f"{name}: removed from {file}; reload with SIGHUP"
+        raise auth.UsersError(f"{file}: no user {user}")
+    _replace_file(file, kept)
+    return f"{user}: removed from {file}; reload with SIGHUP"
 
 
-def listed(file: Path) -> str:
-    """A line for each user and realm."""
-    found: dict[tuple[str, str], list[str]] = {}
+def list_users(file: Path) -> str:
+    """Return a line for each user and realm with its algorithms."""
+    algorithms: dict[tuple[str, str], list[str]] = {}
     for line in file.read_text(encoding="utf-8").splitlines():
-        words = line.strip().split(":")
-        if len(words) == 4 and not line.startswith("#"):
-            found.setdefault((words[0], words[1]), []).append(words[2])
-    return (
-        "\n".join(f"{user}  {realm}  {' '.join(each)}" for (user, realm), each in found.items()) or "no users"
-    )
+        fields = line.strip().split(":")
+        if len(fields) == FIELDS and not line.startswith("#"):
+            algorithms.setdefault((fields[0], fields[1]), []).append(fields[2])
+    lines = [f"{user}  {realm}  {' '.join(names)}" for (user, realm), names in algorithms.items()]
+    return "\n".join(lines) or "no users"
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -92,7 +92,7 @@
     code = "import sys, stairhatch.__main__; print(*[m for m in sys.modules])"
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     names = set(found.stdout.split())
-    assert "stairhatch.service" in names
+    assert "stairhatch.application" in names
     for name in ("click", "msgspec", "sqlite3", "stairhatch.cli", "stairhatch.sip.front"):
         assert name not in names
     parts = ("stairhatch.fleet", "stairhatch.scope", "stairhatch.config.app")
@@ -116,15 +116,15 @@
         main_group, ["users", "add", str(tmp_path / "u.txt"), "a", "--realm", "r", "--stdin"], input="word\n"
     )
     more = '[sip]\nauth = { users = "u.txt", realm = "r" }'
-    assert program.reload(text.replace("[sip]", more, 1))["wants_restart"] == "-"
+    assert program.reload(text.replace("[sip]", more, 1))["restart_required"] == "-"
     ask(2, "c2")
     assert 'realm="r"' in caller.expect("c2", 401).get("www-authenticate")
-    assert program.reload(text)["result"] == "taken"
+    assert program.reload(text)["result"] == "applied"
     ask(3, "c3")
     caller.expect("c3", 200)
     assert (
         program.reload(text.replace("idle_s", "idle").replace("[sip]", "[sip]\nidle = 3", 1))["result"]
-        == "refused"
+        == "rejected"
     )
     assert program.stop() == 0
     lists = text.replace(f'udp = "{host}:{port}"', f'udp = ["{host}:{port}", "[::1]:{port}"]')
@@ -157,8 +157,10 @@
     tag = sip.parameters(caller.expect("c1", 200).get("to"))["tag"]
     caller.send("ACK", "sip:71@net", sip_headers("ACK", "1", "z9hG4bKb", host=caller.host, to_tag=tag))
     program.process.send_signal(signal.SIGTERM)
-    until(lambda: program.lines("waiting"), "the line that tells whom it waits for")
-    assert program.lines("waiting")[0]["dialogs"] == "1" and "waiting for 1 calls" in program.text()
+    until(lambda: program.lines("waiting_for_dialogs"), "the line that tells whom it waits for")
+    assert (
+        program.lines("waiting_for_dialogs")[0]["dialogs"] == "1" and "waiting for 1 calls" in program.text()
+    )
     assert not server.of("FINISH") and program.process.poll() is None
     if hangs_up:
         caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKc", host=caller.host, to_tag=tag))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,14 +19,14 @@
 import pytest
 import uvloop
 
-from stairhatch import service as service_module
+from stairhatch import shutdown as shutdown_module
+from stairhatch.application import Application
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.net import Bounds, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
-from stairhatch.service import Service
 from stairhatch.settings import settings_from
 
 from .peers import (
@@ -430,21 +430,21 @@
     """Guards against a connection reset by the end with a request unread on it. The caller sends when the
     program has found that nothing is owed, for the second time.
     """
-    monkeypatch.setattr(service_module, "STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
     answers = []
 
     async def story():
         known = {"index": 0, "updates": []}
         settings = {**TIDE, "permissions": {**TIDE["permissions"], "retry_after": False}}
         config = Config("n", settings_from(settings)[0], listen=("127.0.0.1", 0), known=known)
-        service = Service(config, lambda: config)
-        service.listen()
-        service.follow()
-        service.core.turn_away_s = 0.0
-        caller = socket.create_connection(service.callers[0].sock.getsockname())
-        while not service.callers[0].taken:
+        application = Application(config, lambda: config)
+        application.open_listeners()
+        application.start_discovery()
+        application.parts.core.turn_away_s = 0.0
+        caller = socket.create_connection(application.parts.caller_listeners[0].sock.getsockname())
+        while not application.parts.caller_listeners[0].taken:
             await asyncio.sleep(0.001)
-        settled, found = service.core.settled, []
+        settled, found = application.parts.core.settled, []
 
         def watched():
             found.append(settled())
@@ -452,13 +452,13 @@
                 caller.sendall(trunk_invite(next(IDS)))
             return found[-1]
 
-        service.core.settled = watched
-        await asyncio.wait_for(service.end(asyncio.Event()), PATIENCE_S)
+        application.parts.core.settled = watched
+        await asyncio.wait_for(application.shut_down(asyncio.Event()), PATIENCE_S)
         assert found.count(True) > 2, "the crossing took place"
         caller.setblocking(False)
         answers.append(caller.recv(65536))
         caller.close()
-        service.log.close()
+        application.parts.log.close()
 
     asyncio.run(story())
     assert answers[0].startswith(b"SIP/2.0 503")
@@ -557,7 +557,7 @@
     settings["classes"] = [{**slack, "effect": "read_like"}]
     settings["family_info"] |= {"allowed_pools": [[31]], "call_length_s": [10.0], "clear_wait_s": 0.83}
     settings["permissions"] |= {"send_cap": 2}
-    assert program.reload(json.dumps(config))["result"] == "taken"
+    assert program.reload(json.dumps(config))["result"] == "applied"
     ident = next(IDS)
     caller.invite(ident, "slack", 20_000)
     until(lambda: caller.finals(ident))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -14,8 +14,10 @@
 
 import pytest
 
-import stairhatch.service as program_module
+import stairhatch.shutdown as shutdown_module
+from stairhatch.application import Application
 from stairhatch.config import Config
+from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit
 from stairhatch.node import message as sip
 from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
@@ -25,7 +27,6 @@
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
-from stairhatch.service import OPERATORS, Service, most_callers
 from stairhatch.settings import settings_from
 
 from .peers import (
@@ -156,9 +157,9 @@
     """Guards against an operator who waits until the silent ones' time is over: an answer is due in 1 s."""
     inside = Inside()
     listening = Listening(SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core),
-                          None, None, OPERATORS)  # fmt: skip
+                          None, None, ADMIN_BOUNDS)  # fmt: skip
     with socket.socketpair()[0] as end:
-        for _ in range(OPERATORS.most):
+        for _ in range(ADMIN_BOUNDS.most):
             listening.taken[Taken(Door(inside.core), end, inside.now)] = None
         inside.run(0.1)
         assert listening._put_out()
@@ -459,16 +460,16 @@
         marked = json.dumps(changed(raw, "settings", *path, value=json.loads(name)))
         bad += [marked.replace(name, number) for number in NO_NUMBERS]
     for index, each in enumerate(bad):
-        assert program.reload(each)["result"] == "refused", each
+        assert program.reload(each)["result"] == "rejected", each
         assert len(program.lines("reload")) == index + 1, "one line each"
     caller, ident = program.caller(), next(IDS)
     caller.invite(ident, "save-roster", within=9000)
     caller.expect(ident, 200)
     line = program.reload(json.dumps(changed(raw, "settings", "classes", 0, "hard_limit_s", value=8)))
-    assert (line["result"], line["settings"], line["wants_restart"]) == ("taken", "new", "-")
+    assert (line["result"], line["settings"], line["restart_required"]) == ("applied", "new", "-")
     program.stop()
     counted = program.lines("counters")[-1]
-    assert (counted["reloads_refused"], counted["retunes"]) == (str(len(bad)), "1")
+    assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(bad)), "1")
 
 
 def test_the_appliances_file_is_held_to_the_same(stage):
@@ -483,10 +484,10 @@
         *(text.replace(limit, f"hard_limit_s = {bad} #") for bad in ("nan", "inf", "true", '"9"', "0", "-1")),
         *(text.replace(cap, f"send_cap = {bad}") for bad in ("nan", "inf", "true", '"9"', "0", "-1", "2.5")),
     ]:  # fmt: skip
-        assert each != text and program.reload(each)["result"] == "refused", each
+        assert each != text and program.reload(each)["result"] == "rejected", each
     new = text.replace('"save-roster"', '"plan-roster"').replace(limit, "hard_limit_s = 4.0 #")
     line = program.reload(new)
-    assert (line["result"], line["added"], line["removed"]) == ("taken", "plan-roster", "save-roster")
+    assert (line["result"], line["added"], line["removed"]) == ("applied", "plan-roster", "save-roster")
     caller = Caller(program.address, udp=True)
     caller.send("INVITE", "sip:71@net", sip_headers("INVITE", host=caller.host))
     caller.expect("c1", 200)
@@ -506,7 +507,7 @@
     until(lambda: server.of("START"))
     new = [class_line("night-roster"), class_line("read-roster", effect="keyed")]
     line = program.reload(json.dumps({**raw, "settings": tuned(new, cap=1)}))
-    assert (line["added"], line["removed"], line["wants_restart"]) == ("night-roster", "save-roster", "-")
+    assert (line["added"], line["removed"], line["restart_required"]) == ("night-roster", "save-roster", "-")
     server.script = RosterServer.answers
     for kind in ("night-roster", "read-roster", "save-roster"):
         ident = next(IDS)
@@ -709,8 +710,8 @@
     old.process.terminate()
     assert old.process.wait(20) == 0
     assert caller.finals(ident) == [503]
-    at = {name: float(old.lines(name)[-1]["at"]) for name in ("stopping", "drained")}
-    assert 5.0 < at["drained"] - at["stopping"] < 5.7, "by its own clock"
+    at = {name: float(old.lines(name)[-1]["at"]) for name in ("stopping", "drain_deadline_reached")}
+    assert 5.0 < at["drain_deadline_reached"] - at["stopping"] < 5.7, "by its own clock"
 
 
 def test_the_first_question_to_the_coordinator_is_answered_at_once():
@@ -738,16 +739,16 @@
 def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch, tmp_path):
     """Guards against a program that never ends because somebody takes no answer."""
     settings = settings_from(SETTINGS)[0]
-    monkeypatch.setattr(program_module, "FLUSHED_S", 0.05)
-    monkeypatch.setattr(program_module, "STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
 
     async def story():
         known = {"index": 0, "updates": []}
-        service = Service(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
-        service.listen()
-        service.follow()
-        service.trunk.flushed = lambda: False
-        await asyncio.wait_for(service.end(asyncio.Event()), 20)
+        application = Application(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
+        application.open_listeners()
+        application.start_discovery()
+        application.parts.trunk.is_flushed = lambda: False
+        await asyncio.wait_for(application.shut_down(asyncio.Event()), 20)
 
     asyncio.run(story())
 
@@ -768,8 +769,8 @@
     """Guards against an upgrade in which each process takes callers as if it were alone."""
     alone = Config("n", Inside().settings, sockets=384, memory_mb=80)
     beside = replace(alone, inherited=4)
-    assert 2 * most_callers(beside) <= most_callers(alone) <= 384 * 3 / 4
-    assert most_callers(beside) > 384 / 3, "callers hold up to a third"
+    assert 2 * caller_connection_limit(beside) <= caller_connection_limit(alone) <= 384 * 3 / 4
+    assert caller_connection_limit(beside) > 384 / 3, "callers hold up to a third"
 
 
 def test_links_that_were_left_are_not_opened_again():
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -752,8 +752,8 @@
     assert caller.finals("c2")[0] >= 400 and not any(each.links for each in others)
     until(lambda: all(len(each.links) >= 2 for each in asked), "links anew")
     text = program.path.read_text()
-    assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "taken"
-    assert program.reload(text.replace("[scope]\nidle_s = 1\n", ""))["wants_restart"] == "scope"
+    assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "applied"
+    assert program.reload(text.replace("[scope]\nidle_s = 1\n", ""))["restart_required"] == "scope"
     assert program.stop() == 0
     assert not any(each.links for each in others)
     for each in mute:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -63,7 +63,7 @@
     new.events = list(old.events)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "coordinator": f"127.0.0.1:{new.port}"}))
-    assert line["result"] == "taken" and line["wants_restart"] == "-"
+    assert line["result"] == "applied" and line["restart_required"] == "-"
     new.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
     assert new.asked[0] == 1, "the number of the last event was not kept"
     served(program)
@@ -79,12 +79,12 @@
     program, coordinator, (server,) = stage(None)
     text = program.path.read_text()
     bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
-    assert program.reload(bad)["result"] == "refused"
+    assert program.reload(bad)["result"] == "rejected"
     other = RosterServer()
     coordinator.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
     served(program)
     assert other.of("START")
-    assert program.reload(text)["result"] == "taken"
+    assert program.reload(text)["result"] == "applied"
 
 
 def test_a_reload_says_what_wants_a_restart(stage):
@@ -92,7 +92,7 @@
     program, _, _ = stage(None)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
-    assert line["wants_restart"] == "listen,console"
+    assert line["restart_required"] == "listen,console"
     served(program)
 
 
@@ -103,7 +103,7 @@
     stage.started.append(program)
     text = program.path.read_text().replace(f"127.0.0.1:{one.port}", f"127.0.0.1:{two.port}")
     text = text.replace('"roster-a"', '"roster-c"').replace('"roster-b"', '"roster-d"')
-    assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "taken"
+    assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "applied"
     caller = Caller(program.address, udp=True)
     headers = {
         "via": f"SIP/2.0/UDP {caller.host};branch=z9hG4bKr", "from": "<sip:a@net>;tag=1",
@@ -124,7 +124,7 @@
     until(lambda: server.of("START"))
     assert program.stop() == 0
     until(lambda: caller.closed)
-    assert caller.finals(ident) == [503] and program.lines("drained")
+    assert caller.finals(ident) == [503] and program.lines("drain_deadline_reached")
 
 
 # ---- the coordinator ----
