--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -44,7 +44,7 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -30,7 +30,7 @@
 from stairhatch.fleet.store import Store, StoreError
 from stairhatch.node.core import CallManager, idle
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
 from stairhatch.overload.settings import Settings
 
 LIST = "list"
--- /dev/null
+++ b/stairhatch/node/io/__init__.py
@@ -0,0 +1,1 @@
+"""The sockets of a softswitch: all that touches the network."""
--- a/stairhatch/node/net.py
+++ b/stairhatch/node/io/network.py
@@ -10,32 +10,30 @@
 import contextlib
 import errno
 import math
-import os
 import select
 import socket
 import struct
 import time
 from collections import OrderedDict, deque
 from collections.abc import Callable, Coroutine, Iterator
-from dataclasses import dataclass
 from functools import partial
 from typing import Any, Protocol
 
 from stairhatch.node.core import CallManager, ConnectionProtocol, idle
 from stairhatch.node.directory import Directory
+from stairhatch.node.io.accepted_connection import Bounds, Taken
+from stairhatch.node.io.buffer_pool import BUFFER_BYTES, Pool
+from stairhatch.node.io.descriptor_budget import Descriptors
+from stairhatch.node.io.readiness_poller import Ears
 from stairhatch.node.roster import RosterLink
 
-BUFFER_BYTES = 16 * 1024
 CONNECT_S = 0.5  # to a coordinator or a caller; to a roster server as the settings say
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 1.0
 LONGEST_POLL_BACKOFF_S = 0.5  # what the coordinator would have told counts as told 2 s after a break
 REST_S = 1.0  # how often it is looked whether to ask the coordinator, where another does that for all
 FLUSH_S = 1.0
-FIRST_S = 2.5  # a caller's first request must have come whole by then: it is owed an answer within 3 s
 WHOLE_S = 5.0  # every further message, from its first byte; some callers' bytes come in pieces
 SWEEP_S = 0.25  # how often these two are looked at
-NOISE_S = 1.0  # bytes that make no message for so long keep no connection
-YOUNG_S = 0.25  # a connection is not put out for others before it could have asked
 DRAIN_SWEEP_S = 0.02  # how often a drain looks for idle connections
 QUIET_S = 0.02  # so long after its last bytes one is idle: the ACK to its answer has come
 FRESH_S = 0.5  # a new connection is given so long to ask, in a drain too
@@ -43,14 +41,10 @@
 SO_TIMESTAMPNS, NOTES_BYTES, STAMP = 35, 64, struct.Struct("@qq")  # Linux; elsewhere nothing is noted
 MOST_WAIT_S = 5.0  # a clock that was set makes no wait longer
 OUT_AT_ONCE = 8  # connections put out whose descriptors are not free yet
-SPARE = 16  # descriptors for these, and for what is opened for a moment: a configuration read anew
-UNLIMITED = 1 << 30  # descriptors, where no limit is set
 OUT_OF_THEM = (errno.EMFILE, errno.ENFILE)
 ROOM_S = 0.01  # so long after one was put out its descriptor is free
 SAY_S = 1.0  # how often it is said at most that descriptors have run out
 LINGER_S, LINGER_BYTES = 0.2, 256 * 1024  # what still comes is read after the last answer, so that it arrives
-HEARD_ROUNDS = 4  # before set-ups are written: a buffer a round of each connection; timers wait meanwhile
-HEARD_BYTES = 512 * 1024  # of all: no further round is begun beyond so much
 GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll has the same; the peer closed, or reset
 
 
@@ -72,16 +66,6 @@
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
-def unread(sock: socket.socket) -> bytes | None:
-    """The first byte that lies unread on a connection; b"" for its end or a fault, None for neither."""
-    try:
-        return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-    except BlockingIOError:
-        return None
-    except OSError:
-        return b""
-
-
 def connected(sock: socket.socket) -> bool:
     """Whether a connection that was dialled has come up."""
     try:
@@ -91,108 +75,6 @@
     return True
 
 
-class Pool:
-    """Buffers of one size, used again."""
-
-    def __init__(self, most: int = 64) -> None:
-        self.free: list[bytearray] = []
-        self.most = most
-
-    def take(self) -> bytearray:
-        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
-
-    def give(self, buffer: bytearray) -> None:
-        if len(self.free) < self.most:
-            self.free.append(buffer)
-
-
-@dataclass(eq=False, slots=True)
-class Taken:
-    """A connection of a caller."""
-
-    machine: ConnectionProtocol
-    sock: socket.socket
-    since: float
-    last: float = 0.0  # when bytes last came
-    begun: float = 0.0  # since when the rest of a message is awaited; 0: it is not
-    gone: bool = False  # its peer has closed, with bytes before that which may lie unread
-    over: asyncio.Future[bool] | None = None  # while it is read; then whether its peer may still send
-    lost: bool = False  # and its machine knows
-    requests: int = 0  # whole messages on it, as last looked at
-    asked_at: float = 0.0  # since when there were no more
-
-    def __post_init__(self) -> None:
-        self.last = self.asked_at = self.since
-
-    def look(self, now: float) -> None:
-        """Note whether a whole message has come since the last look."""
-        if (requests := getattr(self.machine, "requests", 0)) != self.requests:
-            self.requests, self.asked_at = requests, now
-
-    def idles(self, old: float, now: float) -> bool:
-        """Whether nothing has come since then, or for long no more than line ends between messages.
-
-        Guards against callers who ask once and then send a line end now and then: they were never idle, and
-        filled the limit for good.
-        """
-        noise = hasattr(self.machine, "requests") and not self.begun and now - self.asked_at > NOISE_S
-        return self.last <= old or noise
-
-    def unseen(self) -> bool:
-        """Whether bytes have come that have not been read. What is read is given to the machine at once."""
-        return bool(unread(self.sock))
-
-
-@dataclass(frozen=True, slots=True)
-class Bounds:
-    """What those who connect to one address are allowed."""
-
-    most: int  # connections at a time
-    first_s: float = FIRST_S
-    young_s: float = YOUNG_S
-    idle_s: float = math.inf  # one on which nothing came for so long, and nothing is owed, is ended
-
-
-def descriptors_held() -> int:
-    """How many descriptors this process holds; what a process holds before its connections, where the system
-    does not tell.
-    """
-    try:
-        return len(os.listdir("/proc/self/fd"))
-    except OSError:
-        return 24
-
-
-@dataclass(slots=True)
-class Descriptors:
-    """The descriptors that a process may hold, and who they are for.
-
-    Callers hold a third of them at most by the platform's word, and that is theirs. What is over goes first
-    to the roster servers and the coordinator, whether their connections are up or not.
-
-    Guards against descriptors filled by callers who hold on while all servers are away: none was left to dial
-    them when they were there again, and as nobody else connected, nobody was put out. And against a list that
-    is longer than the limit: its links left none to callers and to the operators' door.
-    """
-
-    most: int = UNLIMITED
-    base: int = 0  # held, or kept, for other things than callers and what is dialled
-    dialled: int = 0  # connections that are kept up, be they open or not
-
-    def least_for_callers(self) -> int:
-        return self.most // 3
-
-    def for_callers(self) -> int:
-        return max(self.least_for_callers(), self._over() - self.dialled)
-
-    def for_links(self) -> int:
-        """How many links may be open at a time."""
-        return max(self.most // 4, self._over() - self.least_for_callers() - 1)
-
-    def _over(self) -> int:
-        return self.most - self.base - min(SPARE, self.most // 8)
-
-
 class Listening:
     """A listening socket and the connections taken on it.
 
@@ -347,54 +229,6 @@
             machine.close_when_idle()
 
 
-class Ears:
-    """Sockets of callers, and a look at which of them have something to be read: one system call for all,
-    by a poll of our own beside the loop's. Where that can't be had, nothing is heard here, and what comes is
-    read by the loop alone.
-    """
-
-    def __init__(self, fault: Callable[[Exception, object], None]) -> None:
-        self.fault = fault
-        self.poll: select.epoll | select.poll | None = None
-        with contextlib.suppress(OSError):
-            self.poll = select.epoll() if hasattr(select, "epoll") else select.poll()
-        self.by_descriptor: dict[int, Callable[[int], int]] = {}
-
-    def add(self, sock: socket.socket, hear: Callable[[int], int]) -> None:
-        """Have `hear` called with the events, where there are any; it returns how many bytes it has read."""
-        descriptor = sock.fileno()
-        if self.poll is None or descriptor < 0:
-            return
-        for events in (select.POLLIN | select.POLLRDHUP, select.POLLIN):
-            with contextlib.suppress(OSError, ValueError):
-                self.poll.register(descriptor, events)
-                self.by_descriptor[descriptor] = hear
-                return
-
-    def drop(self, sock: socket.socket) -> None:
-        """Before it is closed."""
-        if self.poll is not None and self.by_descriptor.pop(sock.fileno(), None) is not None:
-            with contextlib.suppress(OSError, ValueError, KeyError):
-                self.poll.unregister(sock.fileno())
-
-    def hear(self) -> None:
-        """Have all read what has come until now, within bounds."""
-        size = 0
-        for _ in range(HEARD_ROUNDS):
-            try:
-                ready = self.poll.poll(0) if self.poll is not None else []
-            except OSError:
-                return
-            if not ready or size >= HEARD_BYTES:
-                return
-            for descriptor, events in ready:
-                hear = self.by_descriptor.get(descriptor)
-                try:
-                    size += hear(events) if hear is not None else 0
-                except Exception as error:  # noqa: BLE001 - the set-ups of others are to be written
-                    self.fault(error, hear)
-
-
 class Network:
     """The sockets of one softswitch."""
 
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -25,14 +25,14 @@
 from stairhatch.lab.world import SYNC_S, Disk
 from stairhatch.node.core import ENDED, Call, CallManager, CallRequest, ConnectionProtocol, Counters, idle
 from stairhatch.node.directory import Directory
-from stairhatch.node.message import called_number
-from stairhatch.node.net import (
+from stairhatch.node.io.network import (
     CONNECT_S,
     FIRST_BACKOFF_S,
     LONGEST_BACKOFF_S,
     LONGEST_POLL_BACKOFF_S,
     REST_S,
 )
+from stairhatch.node.message import called_number
 from stairhatch.node.roster import RosterLink, RosterSide
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -24,7 +24,9 @@
 from stairhatch.node.console import PROMPT, Console, Door
 from stairhatch.node.core import CallManager, Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
-from stairhatch.node.net import UNLIMITED, Bounds, Descriptors, Listening, Network, descriptors_held
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.descriptor_budget import UNLIMITED, Descriptors, descriptors_held
+from stairhatch.node.io.network import Listening, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,8 @@
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
-from stairhatch.node.net import Bounds, Network
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.service import Service
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,7 +19,8 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node.core import ServerRecord
-from stairhatch.node.net import Bounds, Network
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -20,7 +20,8 @@
 from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
+from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
+from stairhatch.node.io.network import FRESH_S, Listening, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -20,7 +20,8 @@
 from stairhatch.node import message as sip
 from stairhatch.node.core import TRY_S, ServerRecord
 from stairhatch.node.directory import TRIES, Directory
-from stairhatch.node.net import Descriptors, Network
+from stairhatch.node.io.descriptor_budget import Descriptors
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.events import Availability
 
