--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -19,9 +19,9 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.lab.member import Member
-from stairhatch.lab.processes import Lab
-from stairhatch.lab.schedule import Schedule
+from stairhatch.fault_injection.member import Member
+from stairhatch.fault_injection.processes import Lab
+from stairhatch.fault_injection.schedule import Schedule
 from stairhatch.standin.coordinator import line
 from stairhatch.standin.processor import Nature, Processor, State
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,10 +20,10 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.lab.processes import Lab
-from stairhatch.lab.rules import stretches
-from stairhatch.lab.schedule import Event, Fault, Schedule
-from stairhatch.lab.world import LIST, World
+from stairhatch.fault_injection.processes import Lab
+from stairhatch.fault_injection.rules import stretches
+from stairhatch.fault_injection.schedule import Event, Fault, Schedule
+from stairhatch.fault_injection.world import LIST, World
 
 TERM_S = 3.0
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,9 +38,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
+from stairhatch.fault_injection.schedule import Schedule
+from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import Codec
-from stairhatch.lab.schedule import Schedule
-from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -340,8 +340,8 @@
     """Start real softswitches with stand-ins around them and carry out the timeline of FILE, or those drawn
     from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
     """
-    from stairhatch.lab import runs
-    from stairhatch.lab.schedule import ScheduleError, read_schedule
+    from stairhatch.fault_injection import runs
+    from stairhatch.fault_injection.schedule import ScheduleError, read_schedule
 
     if (file is None) is (not seeds):
         raise click.UsageError("give either FILE or --seeds A-B")
@@ -373,8 +373,8 @@
 @click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
     """Carry out the run of SEED once more, keep all of it and show who held what."""
-    from stairhatch.lab import runs
-    from stairhatch.lab.schedule import draw
+    from stairhatch.fault_injection import runs
+    from stairhatch.fault_injection.schedule import draw
 
     told = runs.Told(draw(seed, members=members, scale=scale), seed, keep, True)
     for event in told.schedule.events:
@@ -393,8 +393,8 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def lab_check(folder: Path) -> None:
     """Judge once more what a run has kept, and show who held what."""
-    from stairhatch.lab import runs
-    from stairhatch.lab.processes import LabError
+    from stairhatch.fault_injection import runs
+    from stairhatch.fault_injection.processes import LabError
 
     try:
         broken, shown = runs.judge(folder)
@@ -418,8 +418,8 @@
     """The same decisions on a virtual clock, from seeds. Exit code 1: a rule was broken (with --faults: a
     fault was not found).
     """
-    from stairhatch.lab.planted import PLANTED
-    from stairhatch.lab.trial import run_seeds
+    from stairhatch.fault_injection.planted import PLANTED
+    from stairhatch.fault_injection.trial import run_seeds
 
     chosen = _seeds(seeds)
     if planted == "list":
@@ -462,9 +462,9 @@
     """Every order of events in a small world, to a depth. Exit code 1: a rule was broken, or not all was
     seen.
     """
-    from stairhatch.lab import explore
-    from stairhatch.lab.planted import PLANTED
-    from stairhatch.lab.planted import planted as with_fault
+    from stairhatch.fault_injection import explore
+    from stairhatch.fault_injection.planted import PLANTED
+    from stairhatch.fault_injection.planted import planted as with_fault
 
     if planted and planted not in PLANTED:
         raise click.BadParameter(f"there is no fault called {planted!r}", param_hint="--planted")
--- a/stairhatch/lab/child.py
+++ b/stairhatch/fault_injection/child.py
@@ -17,9 +17,9 @@
 import time
 
 from stairhatch.config.appliance import read_appliance
+from stairhatch.fault_injection.planted import planted
 from stairhatch.fleet import service
 from stairhatch.fleet.store import Store
-from stairhatch.lab.planted import planted
 from stairhatch.start import serve
 
 
--- a/stairhatch/lab/member.py
+++ b/stairhatch/fault_injection/member.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.lab.history import Line
+from stairhatch.fault_injection.history import Line
 
 ROOT = Path(__file__).resolve().parents[2]
 ENDED_S = 10.0
@@ -64,7 +64,7 @@
         ours, theirs = os.pipe()[::-1]
         with (self.folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "stairhatch.lab.child", str(self.file), repr(self.rate),
+                [sys.executable, "-m", "stairhatch.fault_injection.child", str(self.file), repr(self.rate),
                  repr(self.offset), str(theirs)],
                 cwd=ROOT, stdin=subprocess.DEVNULL, stdout=log, stderr=log, pass_fds=(theirs,),
                 env={**os.environ, "RELAY_CONSOLE": ""},
--- a/stairhatch/lab/processes.py
+++ b/stairhatch/fault_injection/processes.py
@@ -22,16 +22,16 @@
 
 from msgspec.structs import replace
 
+from stairhatch.fault_injection import rules
+from stairhatch.fault_injection.callers import Callers
+from stairhatch.fault_injection.history import Line
+from stairhatch.fault_injection.member import ROOT, Member
+from stairhatch.fault_injection.reaper import PREFIX
+from stairhatch.fault_injection.rules import Broken
+from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
+from stairhatch.fault_injection.ways import Ways
+from stairhatch.fault_injection.world import LIST
 from stairhatch.fleet.effects import What
-from stairhatch.lab import rules
-from stairhatch.lab.callers import Callers
-from stairhatch.lab.history import Line
-from stairhatch.lab.member import ROOT, Member
-from stairhatch.lab.reaper import PREFIX
-from stairhatch.lab.rules import Broken
-from stairhatch.lab.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
-from stairhatch.lab.ways import Ways
-from stairhatch.lab.world import LIST
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -155,7 +155,7 @@
         self.chance = random.Random(f"lab {seed}")
         self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.lab.reaper", str(self.folder)], cwd=ROOT,
+            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)], cwd=ROOT,
             stdin=subprocess.PIPE,
         )  # fmt: skip
         self.members: dict[str, Member] = {}
--- a/stairhatch/lab/rules.py
+++ b/stairhatch/fault_injection/rules.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from stairhatch.fault_injection.history import Line
 from stairhatch.fleet.effects import What
-from stairhatch.lab.history import Line
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairhatch/lab/runs.py
+++ b/stairhatch/fault_injection/runs.py
@@ -16,10 +16,10 @@
 import msgspec
 import uvloop
 
-from stairhatch.lab import history, rules, timeline
-from stairhatch.lab.processes import LabError, Report, run_lab
-from stairhatch.lab.rules import Broken
-from stairhatch.lab.schedule import FOLDERS, Schedule, draw
+from stairhatch.fault_injection import history, rules, timeline
+from stairhatch.fault_injection.processes import LabError, Report, run_lab
+from stairhatch.fault_injection.rules import Broken
+from stairhatch.fault_injection.schedule import FOLDERS, Schedule, draw
 
 SCHEDULE, HISTORY, REPORT = "schedule.json", "history.jsonl", "report.json"
 
--- a/stairhatch/lab/timeline.py
+++ b/stairhatch/fault_injection/timeline.py
@@ -5,8 +5,8 @@
 import math
 from xml.sax.saxutils import escape
 
-from stairhatch.lab.history import Line
-from stairhatch.lab.rules import stretches
+from stairhatch.fault_injection.history import Line
+from stairhatch.fault_injection.rules import stretches
 
 COLUMNS = 100
 WIDTH, ROW, LEFT, TOP = 1000, 22, 110, 30
--- a/stairhatch/lab/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stairhatch.lab.planted import planted
-from stairhatch.lab.rules import Broken, check, stretches, unheld
-from stairhatch.lab.schedule import draw
-from stairhatch.lab.world import LIST, World
+from stairhatch.fault_injection.planted import planted
+from stairhatch.fault_injection.rules import Broken, check, stretches, unheld
+from stairhatch.fault_injection.schedule import draw
+from stairhatch.fault_injection.world import LIST, World
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairhatch/lab/ways.py
+++ b/stairhatch/fault_injection/ways.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from stairhatch.lab.schedule import Event, Fault, cuts
+from stairhatch.fault_injection.schedule import Event, Fault, cuts
 
 Place = tuple[str, int]
 PIECE = 16 * 1024
--- a/stairhatch/lab/world.py
+++ b/stairhatch/fault_injection/world.py
@@ -15,14 +15,14 @@
 
 from msgspec.structs import replace as replace_fault
 
+from stairhatch.fault_injection.history import Line
+from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
 from stairhatch.fleet.claims import Stage, Terms
 from stairhatch.fleet.effects import Effect, Fence, Kept, Note, Place, Promise, Send, What, Write
 from stairhatch.fleet.epochs import Roll
 from stairhatch.fleet.mate import Mate, Who
 from stairhatch.fleet.messages import Mark, Message, News
 from stairhatch.fleet.pick import Pick
-from stairhatch.lab.history import Line
-from stairhatch.lab.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
 
 LIST = "list"
 WORK_S = 0.15  # the mean time between two pieces of work of who holds the list
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale/plan.py
@@ -19,8 +19,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from stairhatch.lab.schedule import Event as Cut
-from stairhatch.lab.schedule import Fault, cuts
+from stairhatch.fault_injection.schedule import Event as Cut
+from stairhatch.fault_injection.schedule import Fault, cuts
 from stairhatch.load.weather import Weather
 from stairhatch.settings import settings_from
 
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.lab.member import ROOT, Member
-from stairhatch.lab.processes import READY_S, own_host
-from stairhatch.lab.reaper import PREFIX
+from stairhatch.fault_injection.member import ROOT, Member
+from stairhatch.fault_injection.processes import READY_S, own_host
+from stairhatch.fault_injection.reaper import PREFIX
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
     NUMBERS,
@@ -81,7 +81,9 @@
         self.plan, self.settle_s = plan, settle_s
         self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.lab.reaper", str(self.folder)], cwd=ROOT, stdin=subprocess.PIPE
+            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
         )
         self.traffic = Traffic(plan)
         self.traffic.place = self._place
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,6 +15,7 @@
 from pathlib import Path
 from typing import Any
 
+from stairhatch.fault_injection.world import SYNC_S, Disk
 from stairhatch.fleet import service as fleet_service
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import FleetConfig
@@ -22,7 +23,6 @@
 from stairhatch.fleet.messages import Mark
 from stairhatch.fleet.service import Fleet
 from stairhatch.fleet.store import Found
-from stairhatch.lab.world import SYNC_S, Disk
 from stairhatch.node.core import ENDED, Call, CallManager, CallRequest, ConnectionProtocol, Counters, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.message import called_number
--- a/tests/test_lab.py
+++ b/tests/test_fault_injection.py
@@ -14,13 +14,13 @@
 
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
+from stairhatch.fault_injection import rules, runs
+from stairhatch.fault_injection.history import Line
+from stairhatch.fault_injection.schedule import draw, read_schedule
 from stairhatch.fleet import asking
 from stairhatch.fleet.effects import Fence, Promise, Write
 from stairhatch.fleet.messages import Mark
 from stairhatch.fleet.store import FILE, Store, StoreError
-from stairhatch.lab import rules, runs
-from stairhatch.lab.history import Line
-from stairhatch.lab.schedule import draw, read_schedule
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, until
@@ -105,7 +105,7 @@
             return []
 
     def members():
-        return [pid for pid in children() if "stairhatch.lab.child" in arguments(pid)]
+        return [pid for pid in children() if "stairhatch.fault_injection.child" in arguments(pid)]
 
     try:
         pids = until(lambda: len(found := members()) == 5 and found, "five softswitches")
@@ -116,7 +116,7 @@
     finally:
         lab.kill()
         lab.wait()
-    until(lambda: not any("stairhatch.lab.child" in arguments(pid) for pid in pids), "their end")
+    until(lambda: not any("stairhatch.fault_injection.child" in arguments(pid) for pid in pids), "their end")
     until(lambda: not folder.exists(), "the folder's end")
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from stairhatch.fault_injection.explore import Bounds, explore
+from stairhatch.fault_injection.planted import planted
+from stairhatch.fault_injection.schedule import draw
+from stairhatch.fault_injection.trial import run_seeds
+from stairhatch.fault_injection.world import World
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.effects import Kept, Send, Write
 from stairhatch.fleet.epochs import Kind, Roll, Said, compare, digest, may_go_on
 from stairhatch.fleet.messages import Ask, Mark, RollCall
 from stairhatch.fleet.voting import Standing, Voter
-from stairhatch.lab.explore import Bounds, explore
-from stairhatch.lab.planted import planted
-from stairhatch.lab.schedule import draw
-from stairhatch.lab.trial import run_seeds
-from stairhatch.lab.world import World
 
 
 def test_forty_seeds_break_no_rule_and_every_fault_bites():
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
 LAYERS = (
     ("overload", "settings", "wire", "", "adapter"), ("node",), ("admission", "fleet", "scope"),
     ("sip",), ("config",), ("service",), ("start", "users"), ("standin",), ("conform", "demo", "load"),
-    ("lab",), ("scale",), ("cli",), ("__main__",),
+    ("fault_injection",), ("scale",), ("cli",), ("__main__",),
 )  # fmt: skip
 MODULES = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -254,7 +254,7 @@
 
     def children():
         pids = Path(f"/proc/{scale.pid}/task/{scale.pid}/children").read_text().split()
-        return [int(pid) for pid in pids if "stairhatch.lab." in " ".join(arguments(pid))]
+        return [int(pid) for pid in pids if "stairhatch.fault_injection." in " ".join(arguments(pid))]
 
     try:
         pids = until(lambda: len(found := children()) == 5 and found, "four softswitches and the reaper")
