--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULES = ("stairhatch/sip", "stairhatch/node/core.py")
+MODULES = ("stairhatch/sip", "stairhatch/node/call_manager.py")
 LEFT_OUT = ("__init__.py",)
 SHIFTED = {ast.Lt: "<=", ast.LtE: "<", ast.Gt: ">=", ast.GtE: ">", ast.Eq: "!=", ast.NotEq: "=="}
 SHIFTED |= {ast.Is: "is not", ast.IsNot: "is", ast.In: "not in", ast.NotIn: "in"}
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,7 +42,9 @@
 from stairhatch.lab.schedule import Schedule
 from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
 from stairhatch.node.roster import RosterSide
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -16,7 +16,9 @@
 from typing import Any, Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Attempt, CallManager, Counters, RosterServer, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, RosterServer, ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.sip.flows import SipConnection
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -28,9 +28,10 @@
 from stairhatch.fleet.pick import Pick
 from stairhatch.fleet.restarts import Restarts
 from stairhatch.fleet.store import Store, StoreError
-from stairhatch.node.core import CallManager, idle
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
+from stairhatch.node.protocol import do_nothing
 from stairhatch.overload.settings import Settings
 
 LIST = "list"
@@ -79,7 +80,7 @@
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
         self.output: deque[tuple[bytes, Place]] = deque()
-        self.wake: Callable[[], None] = idle  # set by the driver: there is something to send
+        self.wake: Callable[[], None] = do_nothing  # set by the driver: there is something to send
         self.codec = Codec(config.fleet, config.secret)
         self.history = History(config)
         self.chance = random.Random(secrets.randbits(64))
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/call_manager.py
@@ -11,14 +11,22 @@
 import math
 import random
 from collections import OrderedDict, deque
-from collections.abc import Callable, Iterable, Iterator, Mapping
-from dataclasses import dataclass, field
-from enum import Enum
+from collections.abc import Callable, Iterable
 from functools import partial
 from itertools import count
-from typing import Protocol
 
-from stairhatch.overload import endpoint
+from stairhatch.node.calls import (
+    Attempt,
+    Call,
+    CallerSession,
+    CallRequest,
+    CallState,
+    RosterServer,
+    ServerRecord,
+)
+from stairhatch.node.counters import Counters
+from stairhatch.node.ports import Logger, OverloadControl, ServerPool
+from stairhatch.node.protocol import do_nothing
 from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -50,201 +58,6 @@
 ENDED, CUT, FULL, MOOT = 16, 41, 34, 102  # causes of a release
 ERRORS = (17, 47)
 
-Logger = Callable[..., None]
-
-
-def idle() -> None:
-    """Stands where nothing has been wired yet."""
-
-
-class ConnectionProtocol:
-    """A state machine at the end of a connection: it is fed bytes, hands bytes out and knows no socket."""
-
-    def __init__(self) -> None:
-        self.notify_writable: Callable[[], None] = idle  # there is something to write; set by the driver
-        self.abort: Callable[[], None] = idle  # end the connection at once; set by the driver
-        self.closing = False
-        self.request_received = False  # a whole request has come on it
-        self.writing = False  # what was pulled is on its way; kept by the driver
-        self.reads_until_eof = False  # what comes after its own last word is of use
-
-    def owes_response(self) -> bool:
-        """Whether an answer is owed on this connection, so that it must not be closed."""
-        return False
-
-    def has_partial_message(self) -> bool:
-        """Whether a message has begun and its rest is awaited."""
-        return False
-
-    def read_timed_out(self) -> None:
-        """What was to come has not come in time: say so if that can be said, and end the connection."""
-        self.closing = True
-        self.notify_writable()
-
-    def peer_closing(self) -> None:
-        """The peer has closed its side, or reset the connection. What it sent before may still lie unread: it
-        comes by `receive`, and then `ended`. The peer waits for no call any more.
-        """
-
-    def eof_received(self) -> None:
-        """The peer will send no more. A machine with something left to say sets `closing`: it is written."""
-
-    def eviction_response(self) -> bytes:
-        """The last word on a connection that has to go for a newcomer."""
-        return b""
-
-    def is_idle(self) -> bool:
-        """Whether nothing is owed or under way on it, so that a drain may end it."""
-        return not (self.owes_response() or self.writing or self.has_partial_message())
-
-    def close_when_idle(self) -> None:
-        """A drain ends the connection at an idle moment."""
-        self.closing = True
-        self.notify_writable()
-
-    def can_close(self) -> bool:
-        """Whether the connection may be closed once all is written. Never while an answer is owed on it.
-
-        Guards against a good set-up that goes down with a bad message behind it on the same connection.
-        """
-        return self.closing and not self.owes_response()
-
-    def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the peer."""
-        raise NotImplementedError
-
-    def data_to_send(self) -> bytes:
-        """What is to be written now."""
-        raise NotImplementedError
-
-    def reclaim_unsent(self, rest: bytes) -> bytes:
-        """The peer does not take what was pulled last, from `rest` on. Returns how much of that must go yet;
-        the machine hands the others out again once there is room.
-        """
-        return rest
-
-    def connection_lost(self) -> None:
-        """The connection has ended."""
-        raise NotImplementedError
-
-
-class CallerSession(Protocol):
-    """One call as its front holds it. Exactly one of `stood`, `refused` and `failed` is called, once; before
-    it `rang` any number of times, where a front asked for that (`Offer.rings`).
-    """
-
-    def progressing(self) -> None: ...
-    def established(self, description: bytes) -> None: ...
-    def rejected(self, return_s: float) -> None: ...
-    def failed(self, timed_out: bool) -> None: ...
-    def released(self, cause: int) -> None: ...
-
-
-class ServerPool(Protocol):
-    """What the core asks of the side that speaks to the roster servers."""
-
-    def record_changed(self, server: RosterServer) -> None: ...
-    def send_setup(self, attempt: Attempt) -> None: ...
-    def send_release(self, server: RosterServer, ident: str, cause: int) -> None: ...
-    def shut_down(self) -> None: ...
-    def is_flushed(self) -> bool: ...
-
-
-class OverloadControl(Protocol):
-    """What decides: a Controller, or what stands in its place."""
-
-    @property
-    def servers(self) -> Mapping[int, endpoint.Endpoint]: ...
-    def handle(self, now: float, event: Event) -> Iterator[Action]: ...
-    def retune(self, settings: Settings) -> None: ...
-    def is_cold(self, now: float, server: endpoint.Endpoint) -> bool: ...
-    def turns_in_span(self, now: float, server: endpoint.Endpoint) -> float: ...
-
-
-class CallState(Enum):
-    """Where a call is in its life."""
-
-    OFFERED = "offered"
-    ESTABLISHED = "standing"
-    TERMINATED = "over"
-
-
-@dataclass(frozen=True, slots=True)
-class CallRequest:
-    """A set-up as its caller made it. `ident` goes to the roster server, unchanged."""
-
-    ident: str
-    call_class: CallClass  # held for as long as the call is open, whatever the settings say by then
-    called_uri: str  # the number called, as it was written
-    description: str
-    caller_timeout_s: float
-    preferred_number: int = -1
-    called_number: int = 0
-    is_caller_retry: bool = False
-    reports_progress: bool = False  # its front is told that a roster server is at work on it
-
-
-@dataclass(frozen=True, slots=True)
-class ServerRecord:
-    """One line of the directory."""
-
-    instance: str
-    address: tuple[str, int]
-    number: int
-    availability: Availability
-    started_at: float = 0.0
-
-
-@dataclass(eq=False, slots=True)
-class RosterServer:
-    """A roster server. Keyed by the directory's instance id, since addresses are used again."""
-
-    id: int
-    record: ServerRecord
-    connected: bool = False  # these two are kept by the roster side
-    dial_attempted: bool = False  # a connection has come up, or failed to
-
-
-@dataclass(eq=False, slots=True)
-class Call:
-    """A call from its offer to its end."""
-
-    number: int
-    offer: CallRequest
-    caller_session: CallerSession
-    deadline: float
-    max_attempts: int  # on its attempts
-    state: CallState = CallState.OFFERED
-    attempt: Attempt | None = None
-    attempts: int = 0
-    pause_until: float = 0.0
-    established_at: float = 0.0
-    caller_gone: bool = False  # its caller can't be heard any more: nothing new is sent for it
-
-
-@dataclass(eq=False, slots=True)
-class Attempt:
-    """One set-up of a call at one server."""
-
-    call: Call
-    server: RosterServer
-    number: int
-    started_at: float
-    deadline: float
-    written: bool = False
-    written_at: float = 0.0
-    ended: bool = False
-
-
-@dataclass(slots=True)
-class Counters:
-    """What was taken in, sent and answered, by kind."""
-
-    counts: dict[str, int] = field(default_factory=dict)
-
-    def add(self, name: str, by: int = 1) -> None:
-        self.counts[name] = self.counts.get(name, 0) + by
-
 
 class CallManager:
     """All calls of one softswitch."""
@@ -272,7 +85,7 @@
         self.unanswered = 0
         self.side: ServerPool
         self.orphan: list[Callable[[str, int], None]] = []  # where releases of unknown calls go
-        self.wake: Callable[[], None] = idle  # the earliest timer has changed
+        self.wake: Callable[[], None] = do_nothing  # the earliest timer has changed
         self.listening = False  # the fronts take calls
         self.list_known = False  # the directory has been heard
         self.drain_since: float | None = None
@@ -280,8 +93,8 @@
         self.check_said = ""  # what `check` was answered last
         self.leaving = False  # and all that was taken is answered
         self.turn_away_s = TURN_AWAY_S
-        self.on_drain: Callable[[], None] = idle  # the driver ends what is idle
-        self.hear_callers: Callable[[], None] = idle  # read what they have sent until now; set by the driver
+        self.on_drain: Callable[[], None] = do_nothing  # the driver ends what is idle
+        self.hear_callers: Callable[[], None] = do_nothing  # read what they have sent so far
         self.before_cold: Callable[[], None] | None = None  # look whether the own number still holds
         self.orders: dict[str, Callable[..., str]] = {}  # more of the operators' orders, by their first word
         self._able = False
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -7,7 +7,9 @@
 
 from collections.abc import Callable
 
-from stairhatch.node.core import CallManager, CallState, ConnectionProtocol
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import CallState
+from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.overload.events import Availability
 
 MOST_ORDER = 128  # bytes of a line at the door
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/directory.py
@@ -12,7 +12,9 @@
 
 import httptools
 
-from stairhatch.node.core import CallManager, ConnectionProtocol, ServerRecord, idle
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.overload.events import Availability
 
 FIRST_WAIT_MS = 50  # the first answer tells at once whether what was known at the start is the whole list
@@ -142,7 +144,7 @@
         self.core, self.address, self.after = core, address, after
         self.answers = 0
         self.told_at = core.clock()  # when the last whole answer came
-        self.hurry: Callable[[], None] = idle  # come at once, set by the driver
+        self.hurry: Callable[[], None] = do_nothing  # come at once, set by the driver
         self.told: Callable[[Any], None] | None = None  # hears each answer that has been taken in
         self.may_ask: Callable[[], bool] | None = None  # whether it is this softswitch's turn to ask
         self._asked, self._asked_at = 0, 0.0
--- a/stairhatch/node/net.py
+++ b/stairhatch/node/net.py
@@ -21,8 +21,9 @@
 from functools import partial
 from typing import Any, Protocol
 
-from stairhatch.node.core import CallManager, ConnectionProtocol, idle
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.directory import Directory
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink
 
 BUFFER_BYTES = 16 * 1024
@@ -631,7 +632,7 @@
         except Exception as error:  # noqa: BLE001 - bytes that upset a machine must end their connection only
             self._fault(error, machine)
         finally:
-            machine.notify_writable, machine.abort = idle, idle
+            machine.notify_writable, machine.abort = do_nothing, do_nothing
             writer.cancel()
             try:
                 await asyncio.wait([writer])  # awaited itself, it hid that this task was cancelled meanwhile:
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -16,7 +16,9 @@
 from functools import partial
 from typing import Any
 
-from stairhatch.node.core import Attempt, CallManager, ConnectionProtocol, RosterServer
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, RosterServer
+from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings import report_from
 
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -12,8 +12,10 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.core import AWAY_S, ENDED, Call, CallManager, CallRequest, ConnectionProtocol
+from stairhatch.node.call_manager import AWAY_S, ENDED, CallManager
+from stairhatch.node.calls import Call, CallRequest
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.node.protocol import ConnectionProtocol
 
 MOST_OUTPUT = 128 * 1024  # a caller that reads so much too slowly is cut off
 RELEASE_KEPT_S = 30.0  # how long a release waits for a caller to connect
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -23,7 +23,9 @@
 from stairhatch.fleet.service import Fleet
 from stairhatch.fleet.store import Found
 from stairhatch.lab.world import SYNC_S, Disk
-from stairhatch.node.core import ENDED, Call, CallManager, CallRequest, ConnectionProtocol, Counters, idle
+from stairhatch.node.call_manager import ENDED, CallManager
+from stairhatch.node.calls import Call, CallRequest
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.message import called_number
 from stairhatch.node.net import (
@@ -33,6 +35,7 @@
     LONGEST_POLL_BACKOFF_S,
     REST_S,
 )
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink, RosterSide
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
@@ -329,7 +332,7 @@
         stream, self.stream = self.stream, None
         self.machine.eof_received()
         stream.close(0)
-        self.machine.notify_writable, self.machine.abort = idle, idle
+        self.machine.notify_writable, self.machine.abort = do_nothing, do_nothing
         self.machine.connection_lost()
         self.over()
 
@@ -703,7 +706,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.core.wake = idle
+        self.core.wake = do_nothing
         if self.fleet is not None:
             self.process.over = True
             if self.store is not None:
@@ -786,7 +789,9 @@
     ) -> None:
         if driver.stopped:
             return
-        stream = Stream(self.net, driver.softswitch.index, far, (driver.take, _nobody), (idle, idle))
+        stream = Stream(
+            self.net, driver.softswitch.index, far, (driver.take, _nobody), (do_nothing, do_nothing)
+        )
         take, lost = target.accept(stream)
         stream.ends, stream.lost = (driver.take, take), (lambda: driver.ended(stream), lost)
         up(stream)
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -21,8 +21,9 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.config import Config, ConfigError
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import PROMPT, Console, Door
-from stairhatch.node.core import CallManager, Counters
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
 from stairhatch.node.net import UNLIMITED, Bounds, Descriptors, Listening, Network, descriptors_held
 from stairhatch.node.roster import RosterSide
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -12,7 +12,8 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ConnectionProtocol, Counters, idle
+from stairhatch.node.counters import Counters
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
 MOST_OUTPUT = 256 * 1024  # of a connection; one that reads so much too slowly is cut off
 MOST_DATAGRAMS = 4096  # waiting to be sent
@@ -100,7 +101,7 @@
         self.owner, self.local = owner, local
         self.networks = networks or Networks()
         self.output: deque[tuple[bytes, Place]] = deque(maxlen=MOST_DATAGRAMS)
-        self.wake: Callable[[], None] = idle
+        self.wake: Callable[[], None] = do_nothing
 
     def receive(self, data: bytes, peer: Place) -> None:
         """One datagram. What is malformed and can't be answered is counted and dropped."""
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -15,8 +15,10 @@
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.core import AWAY_S, CUT, CallManager, CallRequest, ConnectionProtocol
+from stairhatch.node.call_manager import AWAY_S, CUT, CallManager
+from stairhatch.node.calls import CallRequest
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.dialogs import Order, Stage, key_of
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -10,7 +10,8 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ENDED, Call, CallManager
+from stairhatch.node.call_manager import ENDED, CallManager
+from stairhatch.node.calls import Call
 from stairhatch.sip import grammar, sessions
 from stairhatch.sip.dialogs import Dialog, Key, Stage, open_dialog
 from stairhatch.sip.flows import Flow, Place, SipConnection
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Counters
+from stairhatch.node.counters import Counters
 from stairhatch.sip.flows import Flow, Place, SipConnection, UdpFlow
 from stairhatch.sip.heads import HERE, Head, render
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -23,7 +23,9 @@
 from typing import Any
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Attempt, CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings import settings_from
 from stairhatch.sip.flows import Flow
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from stairhatch.node.core import HOLD_S, CallRequest
+from stairhatch.node.call_manager import HOLD_S
+from stairhatch.node.calls import CallRequest
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import LoadReport, TimerExpired
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ServerRecord
+from stairhatch.node.calls import ServerRecord
 from stairhatch.node.net import Bounds, Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -17,8 +17,9 @@
 import stairhatch.service as program_module
 from stairhatch.config import Config
 from stairhatch.node import message as sip
+from stairhatch.node.call_manager import HOLD_S, OLD_CLASS_S, TURN_AWAY_S
+from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
-from stairhatch.node.core import HOLD_S, OLD_CLASS_S, TURN_AWAY_S, ServerRecord
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import FIRST_S, FRESH_S, Bounds, Listening, Network, Taken
 from stairhatch.node.roster import RosterSide
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -18,7 +18,8 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import TRY_S, ServerRecord
+from stairhatch.node.call_manager import TRY_S
+from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.net import Descriptors, Network
 from stairhatch.node.roster import RosterSide
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -15,7 +15,9 @@
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, CallRequest, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import CallRequest, ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -16,7 +16,9 @@
 from stairhatch.config import ConfigError
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.roster import parse_load
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,9 @@
 import pytest
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import REMEMBERED_S, CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import REMEMBERED_S, CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import WHOLE_S, Directory
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import MOST_WARNINGS, Log
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import Counters
+from stairhatch.node.counters import Counters
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.flows import Flow, Networks
 from stairhatch.sip.heads import Head
