--- a/stairhatch/node/io/accepted_connection.py
+++ b/stairhatch/node/io/accepted_connection.py
@@ -7,7 +7,7 @@
 import socket
 from dataclasses import dataclass
 
-from stairhatch.node.core import ConnectionProtocol
+from stairhatch.node.protocol import ConnectionProtocol
 
 FIRST_S = 2.5  # a caller's first request must have come whole by then: it is owed an answer within 3 s
 NOISE_S = 1.0  # bytes that make no message for so long keep no connection
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -19,12 +19,13 @@
 from functools import partial
 from typing import Any, Protocol
 
-from stairhatch.node.core import CallManager, ConnectionProtocol, idle
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import Bounds, Taken
 from stairhatch.node.io.buffer_pool import BUFFER_BYTES, Pool
 from stairhatch.node.io.descriptor_budget import Descriptors
 from stairhatch.node.io.readiness_poller import Ears
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink
 
 CONNECT_S = 0.5  # to a coordinator or a caller; to a roster server as the settings say
@@ -465,7 +466,7 @@
         except Exception as error:  # noqa: BLE001 - bytes that upset a machine must end their connection only
             self._fault(error, machine)
         finally:
-            machine.notify_writable, machine.abort = idle, idle
+            machine.notify_writable, machine.abort = do_nothing, do_nothing
             writer.cancel()
             try:
                 await asyncio.wait([writer])  # awaited itself, it hid that this task was cancelled meanwhile:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ServerRecord
+from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
