--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -19,10 +19,13 @@
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
-from stairhatch.node.core import CallManager, Counters
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events
-from stairhatch.node.net import Bounds, Descriptors, Network, descriptors_held
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -11,9 +11,10 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from stairhatch.node.core import CallManager, Counters
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Listening, Network
+from stairhatch.node.io.network import Listening, Network
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 
--- a/stairhatch/connection_limits.py
+++ b/stairhatch/connection_limits.py
@@ -8,7 +8,8 @@
 import resource
 
 from stairhatch.config import Config
-from stairhatch.node.net import UNLIMITED, Bounds
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.descriptor_budget import UNLIMITED
 
 # At the admin endpoint. Its descriptors are set aside: callers cannot use them up.
 ADMIN_BOUNDS = Bounds(most=12, first_s=3.0, young_s=0.05)
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -13,7 +13,7 @@
 
 from stairhatch.components import Components
 from stairhatch.config import Config, ConfigError
-from stairhatch.node.core import ServerRecord
+from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import DirectoryError, apply_events, read_events
 from stairhatch.settings import lost_key
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,8 @@
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
-from stairhatch.node.net import Bounds, Network
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings import settings_from
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -13,7 +13,7 @@
     ("overload", "settings", "wire", "", "adapter"), ("node",), ("admission", "fleet", "scope"),
     ("sip",), ("config",), ("components", "connection_limits", "reload", "shutdown", "terminal"),
     ("application",), ("main", "users"), ("standin",), ("conform", "demo", "load"),
-    ("lab",), ("scale",), ("cli",), ("__main__",),
+    ("fault_injection",), ("scale",), ("cli",), ("__main__",),
 )  # fmt: skip
 MODULES = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
