--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -637,8 +637,8 @@
     assert all(len(each) == 1 for each in finals), finals
     assert finals.count([200]) == len(stand) + 1 and {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.text()
-    limit = text.find(" drained ")
-    assert text.count(" drained ") == (front == "platform"), "there the limit ends it, at once for all"
+    limit = text.find(" drain_deadline_reached ")
+    assert text.count(" drain_deadline_reached ") == (front == "platform"), "there the limit ends it, at once for all"
     assert " attempt " not in text[limit:] or front != "platform", "nothing new after it"
     tags = [line["call"] for line in program.lines("attempt")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
