--- /dev/null
+++ b/stairhatch/simulator/adapter.py
@@ -0,0 +1,287 @@
+"""`python -m stairhatch.simulator.adapter`: runs the controllers of the simulator's instances.
+
+It reads batches of events from standard input and answers each on standard output. It only translates: the
+wire's records into the controller's events, and its actions into records. What the wire does not carry keeps
+the default of the event's field.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+import sys
+from typing import BinaryIO
+
+from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
+from stairhatch.overload.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    Availability,
+    CallAbandoned,
+    CallEstablished,
+    CallOffered,
+    EndpointRecord,
+    EndpointsUpdated,
+    Event,
+    LoadReport,
+    LoadReported,
+    PeerMessageReceived,
+    TimerExpired,
+)
+from stairhatch.overload.settings import Settings
+from stairhatch.settings import SettingsError, parse_settings, report_from
+from stairhatch.simulator.codec import (
+    ActionReply,
+    AttemptEndedRecord,
+    CallAbandonedRecord,
+    CallEstablishedRecord,
+    CallOfferedRecord,
+    CodecError,
+    ControllerFailedRecord,
+    EndpointsUpdatedRecord,
+    EventBatch,
+    FailCallRecord,
+    InstanceRecord,
+    InstanceStartedRecord,
+    InstanceStoppedRecord,
+    InventoryEntry,
+    InventoryRecord,
+    LoadReportedRecord,
+    LogMessageRecord,
+    PeerMessageRecord,
+    ReadBytes,
+    RejectCallRecord,
+    SendSetupRecord,
+    SetTimerRecord,
+    TimerExpiredRecord,
+    WireRecord,
+    encode_reply,
+    read_batch,
+)
+
+MAX_TEXT_BYTES = 65_535  # of a log line or an error: its count is a u16
+NO_SUCH_NUMBER = -1  # a destination that is no finite number
+
+# Bits of an offered call's flags.
+FLAG_CALLER_RETRY = 2
+FLAG_IN_TRANSIT = 8
+
+# Causes of an attempt's end; a wait in milliseconds, times CAUSE_WAIT_UNIT, may be added to them.
+CAUSE_NO_FREE_LINE = 1
+CAUSE_PROCESSOR_FULL = 3
+CAUSE_NUMBER_BUSY = 4
+CAUSE_WAIT_UNIT = 16
+
+# How much of the server list an update carries.
+EXTENT_DELTA = 0  # the entries that changed
+EXTENT_CACHED = 2  # the complete list, perhaps out of date; 1 is the complete list as it is
+EXTENT_FAILED = 3  # none: the list could not be had
+
+AVAILABILITIES = {0: Availability.READY, 1: Availability.GONE, 2: Availability.DRAINING}
+OUTCOME_OK = 10
+OUTCOMES = {
+    OUTCOME_OK: AttemptOutcome.COMPLETED,
+    20: AttemptOutcome.ERROR,
+    30: AttemptOutcome.REJECTED,
+    40: AttemptOutcome.TIMED_OUT,
+    50: AttemptOutcome.UNREACHABLE,
+    60: AttemptOutcome.RESET,
+    70: AttemptOutcome.CANCELLED,
+    80: AttemptOutcome.NOT_SENT,
+}
+
+EXIT_OK = 0
+EXIT_OUTPUT_CLOSED = 1
+EXIT_MALFORMED_INPUT = 2
+
+
+class SimulatedInstance:
+    """One controller, and what is needed to translate for it."""
+
+    def __init__(
+        self, instance_id: int, settings: Settings, load_report_names: tuple[str, ...], seed: int
+    ) -> None:
+        """Start from nothing but the settings; `seed` is that of the instance's random numbers."""
+        self.instance_id = instance_id
+        self.load_report_names = load_report_names
+        self.controller = Controller(settings, random.Random(seed))
+
+    def load_report(self, values: tuple[float, ...]) -> LoadReport:
+        """Name a report's values; -1 and what is no number count as missing."""
+        return report_from(zip(self.load_report_names, values, strict=False))
+
+    def record_for(self, action: Action) -> WireRecord:
+        """The wire's record for one action."""
+        match action:
+            case SendSetup(call_id, server_id, timeout_s):
+                return SendSetupRecord(self.instance_id, call_id, server_id, timeout_s)
+            case RejectCall(call_id, retry_after_s):
+                return RejectCallRecord(self.instance_id, call_id, retry_after_s)
+            case FailCall(call_id):
+                return FailCallRecord(self.instance_id, call_id)
+            case SetTimer(delay_s, timer_id):
+                return SetTimerRecord(self.instance_id, delay_s, timer_id)
+            case LogMessage(text):
+                return LogMessageRecord(self.instance_id, text.encode()[:MAX_TEXT_BYTES])
+
+
+class SimulatorAdapter:
+    """All instances of one process, and the numbered server lists that they share on the wire."""
+
+    def __init__(self) -> None:
+        """No instance has started, and no list is known."""
+        self.instances: dict[int, SimulatedInstance] = {}
+        self.inventories: dict[int, tuple[InventoryEntry, ...]] = {}
+
+    def answer(self, batch: EventBatch) -> ActionReply:
+        """Pass a batch to its instances; their actions, in order, are the reply.
+
+        CodecError for a record that has no meaning, SettingsError for settings that cannot be used.
+        """
+        reply = ActionReply(batch.number, [])
+        for record in batch.records:
+            match record:
+                case InventoryRecord():
+                    self.inventories[record.inventory_id] = record.entries
+                case InstanceStartedRecord():
+                    self._start_instance(record)
+                case InstanceStoppedRecord():
+                    self.instances.pop(record.instance_id, None)
+                case _:
+                    reply.records.extend(self._handle(batch.clock, record))
+        return reply
+
+    def _start_instance(self, record: InstanceStartedRecord) -> None:
+        """A new controller, which knows nothing yet."""
+        settings, names = parse_settings(record.settings_json)
+        instance = SimulatedInstance(record.instance_id, settings, names, record.seed)
+        self.instances[record.instance_id] = instance
+
+    def _handle(self, now: float, record: WireRecord) -> list[WireRecord]:
+        """One event for one instance; an exception in the decisions becomes a record with its text."""
+        if not isinstance(record, InstanceRecord):
+            raise CodecError(f"no meaning for {type(record).__name__}")
+        instance = self.instances.get(record.instance_id)
+        if instance is None:
+            raise CodecError(
+                f"{type(record).__name__} for instance {record.instance_id}, which was not started"
+            )
+        event = self._event(instance, record)
+        if event is None:
+            return []
+        try:
+            return [instance.record_for(action) for action in instance.controller.handle(now, event)]
+        except Exception as error:  # noqa: BLE001 - the wire has a record for just this
+            text = f"{type(error).__name__}: {error}"
+            return [ControllerFailedRecord(instance.instance_id, text.encode()[:MAX_TEXT_BYTES])]
+
+    def _event(self, instance: SimulatedInstance, record: InstanceRecord) -> Event | None:
+        """The controller's event for a record; None where the server list could not be had: no news."""
+        event: Event | None
+        match record:
+            case CallOfferedRecord():
+                event = _call_offered(instance, record)
+            case CallEstablishedRecord():
+                event = CallEstablished(record.call_id, record.server_id, record.elapsed_s)
+            case AttemptEndedRecord():
+                event = _attempt_ended(instance, record)
+            case CallAbandonedRecord():
+                event = CallAbandoned(record.call_id)
+            case TimerExpiredRecord():
+                event = TimerExpired(record.timer_id)
+            case LoadReportedRecord():
+                event = _load_reported(instance, record)
+            case EndpointsUpdatedRecord():
+                event = self._endpoints_updated(record)
+            case PeerMessageRecord():
+                event = PeerMessageReceived(record.peer_id, record.body)
+            case _:
+                raise CodecError(f"no meaning for {type(record).__name__}")
+        return event
+
+    def _endpoints_updated(self, record: EndpointsUpdatedRecord) -> EndpointsUpdated | None:
+        """A change of the server list, looked up in the inventory that it points at."""
+        if record.extent == EXTENT_FAILED:
+            return None
+        if record.extent > EXTENT_FAILED:
+            raise CodecError(f"{type(record).__name__}: unknown extent {record.extent}")
+        if record.inventory_id not in self.inventories:
+            raise CodecError(f"{type(record).__name__}: no inventory {record.inventory_id}")
+        entries = self.inventories[record.inventory_id]
+        endpoints = tuple(_endpoint_record(entry) for entry in entries)
+        return EndpointsUpdated(endpoints, complete=record.extent != EXTENT_DELTA)
+
+
+def _endpoint_record(entry: InventoryEntry) -> EndpointRecord:
+    """One line of the server list."""
+    if entry.availability not in AVAILABILITIES:
+        raise CodecError(f"{type(entry).__name__}: unknown availability {entry.availability}")
+    started_at = entry.started_at if math.isfinite(entry.started_at) else 0.0
+    return EndpointRecord(entry.server_id, entry.number, AVAILABILITIES[entry.availability], started_at)
+
+
+def _call_offered(instance: SimulatedInstance, record: CallOfferedRecord) -> CallOffered:
+    """An offered call, with its class looked up in the instance's settings."""
+    classes = instance.controller.settings.classes
+    return CallOffered(
+        call_id=record.call_id,
+        call_class=classes[record.class_index] if record.class_index < len(classes) else None,
+        preferred_number=int(record.destination) if math.isfinite(record.destination) else NO_SUCH_NUMBER,
+        caller_timeout_s=record.caller_timeout_s,
+        is_caller_retry=bool(record.flags & FLAG_CALLER_RETRY),
+        in_transit=bool(record.flags & FLAG_IN_TRANSIT),
+        called_number=record.called_number,
+    )
+
+
+def _attempt_ended(instance: SimulatedInstance, record: AttemptEndedRecord) -> AttemptEnded:
+    """An attempt's end, with the cause taken apart."""
+    if record.outcome not in OUTCOMES:
+        raise CodecError(f"{type(record).__name__}: unknown outcome {record.outcome}")
+    outcome = OUTCOMES[record.outcome]
+    wait_ms, cause = divmod(record.cause, CAUSE_WAIT_UNIT)
+    waits = outcome is AttemptOutcome.REJECTED and cause == CAUSE_PROCESSOR_FULL and wait_ms > 0
+    never_ran = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
+    return AttemptEnded(
+        call_id=record.call_id,
+        server_id=record.server_id,
+        outcome=outcome,
+        answered=bool(record.answered),
+        report=instance.load_report(record.load_report),
+        elapsed_s=record.elapsed_s,
+        retry_after_s=wait_ms / 1000 if waits else None,
+        destination_busy=outcome is AttemptOutcome.ERROR and cause == CAUSE_NUMBER_BUSY,
+        no_free_line=never_ran and cause == CAUSE_NO_FREE_LINE,
+    )
+
+
+def _load_reported(instance: SimulatedInstance, record: LoadReportedRecord) -> LoadReported:
+    """A health check's result, or a report that came unsolicited."""
+    reached = record.outcome == OUTCOME_OK
+    report = instance.load_report(record.load_report) if reached else LoadReport()
+    return LoadReported(record.server_id, report, reached, solicited=record.elapsed_s > 0)
+
+
+def serve(read: ReadBytes, out: BinaryIO) -> None:
+    """Answer batch after batch until the input ends. CodecError or SettingsError at malformed input."""
+    adapter = SimulatorAdapter()
+    while (batch := read_batch(read)) is not None:
+        out.write(encode_reply(adapter.answer(batch)))
+        out.flush()
+
+
+def main() -> int:
+    """Run on standard input and output; the exit code, with one plain line on malformed input."""
+    try:
+        serve(sys.stdin.buffer.read, sys.stdout.buffer)
+    except (CodecError, SettingsError) as error:
+        print(f"stairhatch.simulator.adapter: malformed input: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
+    except (BrokenPipeError, KeyboardInterrupt):
+        return EXIT_OUTPUT_CLOSED
+    return EXIT_OK
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -10,7 +10,7 @@
 
 # From the lowest up; a module may import from its own layer and those before it.
 LAYERS = (
-    ("overload", "settings", "wire", "", "adapter"), ("node",), ("admission", "fleet", "scope"),
+    ("overload", "settings", "", "simulator"), ("node",), ("admission", "fleet", "scope"),
     ("sip",), ("config",), ("service",), ("start", "users"), ("standin",), ("conform", "demo", "load"),
     ("lab",), ("scale",), ("cli",), ("__main__",),
 )  # fmt: skip
