--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -66,7 +66,7 @@
 )
 from stairhatch.overload.settings import Settings
 from stairhatch.service import unix_clock
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
 from stairhatch.standin.roster import Link, StandIn
@@ -113,7 +113,7 @@
     """The decisions of one softswitch, with servers that answer at once and tell their state now and then."""
 
     def __init__(self, make: Decisions, listed: int, service: int = SERVICE) -> None:
-        self.settings = settings_from(raw_settings(listed, service))[0]
+        self.settings = settings_from_object(raw_settings(listed, service)).settings
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
         self.lines = tuple(EndpointRecord(index + 1, index) for index in range(listed))
@@ -379,7 +379,11 @@
 def bare_core() -> CallManager:
     """A core without fronts."""
     return CallManager(
-        settings_from(raw_settings(24))[0], random.Random(1), unix_clock(), lambda *a, **k: None, Counters()
+        settings_from_object(raw_settings(24)).settings,
+        random.Random(1),
+        unix_clock(),
+        lambda *a, **k: None,
+        Counters(),
     )
 
 
--- a/stairhatch/config/__init__.py
+++ b/stairhatch/config/__init__.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stairhatch.overload.settings import Settings
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
@@ -49,7 +49,7 @@
     """The settings, in which each class can be told by its name. SettingsError where a key can't be used, or
     is missing where they have to be complete.
     """
-    settings = settings_from(raw, complete=complete)[0]
+    settings = settings_from_object(raw, complete=complete).settings
     names = [kind.name for kind in settings.classes]
     if not names or len(set(names)) < len(names):
         raise ConfigError(f"settings.classes: {'two have one name' if names else 'there is none'}")
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -26,7 +26,7 @@
 from stairhatch.node.directory import DirectoryError, parse_address
 from stairhatch.overload.settings import Settings
 from stairhatch.scope.sets import ScopeConfig, Service, disagreement
-from stairhatch.settings import SettingsError
+from stairhatch.settings.errors import SettingsError
 from stairhatch.sip import auth
 from stairhatch.sip.flows import Networks, Place, is_address
 from stairhatch.sip.front import AuthConfig, Listener, SipConfig
--- a/stairhatch/config/platform.py
+++ b/stairhatch/config/platform.py
@@ -10,17 +10,18 @@
 
 from stairhatch.config import Config, ConfigError, checked_settings, read_file
 from stairhatch.node.directory import DirectoryError, parse_address, read_events
-from stairhatch.settings import MOST_COUNT, Number, SettingsError, Table, Text, check
+from stairhatch.settings.errors import SettingsError
+from stairhatch.settings.schema import MAX_COUNT, NumberShape, ObjectShape, TextShape, validate
 
 RESTART_S, UPGRADE_S = 3.0, 5.0  # a planned restart's SIGKILL, and one where a process follows
-SIZE = Number(1, MOST_COUNT)
-KEYS = Table(
+SIZE = NumberShape(1, MAX_COUNT)
+KEYS = ObjectShape(
     {
-        "name": Text(),
-        "seed": Text(),
-        "limits": Table({"sockets": SIZE, "memory_mb": SIZE}),
-        "settings": Table({}),  # looked at by itself
-        "known": Table({}),
+        "name": TextShape(),
+        "seed": TextShape(),
+        "limits": ObjectShape({"sockets": SIZE, "memory_mb": SIZE}),
+        "settings": ObjectShape({}),  # looked at by itself
+        "known": ObjectShape({}),
     },
     optional=frozenset(("name", "seed")),  # one is in RELAY_NAME too, without the other chance decides
 )
@@ -46,7 +47,7 @@
     """The configuration in the decoded file and the variables."""
     if not isinstance(raw, dict):
         raise ConfigError("the file holds no JSON object")
-    check(raw, KEYS, "", complete=True)
+    validate(raw, KEYS, "", complete=True)
     name = environ.get("RELAY_NAME") or raw.get("name")
     if not name:
         raise ConfigError("name: is missing")
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -20,7 +20,7 @@
 from stairhatch.node.calls import Attempt, RosterServer
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.settings import report_from
+from stairhatch.settings.load_reports import load_report_from_values
 
 MOST_LINE = 16 * 1024
 MOST_WAITING = 512  # set-ups that one link holds back; what comes beyond is not sent
@@ -71,7 +71,7 @@
             values.append((name.strip(), float(figure)))
         except ValueError:
             continue
-    return report_from(values)
+    return load_report_from_values(values)
 
 
 class RosterSide:
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale/plan.py
@@ -22,7 +22,7 @@
 from stairhatch.fault_injection.schedule import Event as Cut
 from stairhatch.fault_injection.schedule import Fault, cuts
 from stairhatch.load.weather import Weather
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 MOST_DEPTH = 11
 NUMBERS = 1000  # the number called begins with this plus the service
@@ -269,7 +269,7 @@
 
 def read_settings(plan: Plan) -> Any:
     """The same as the program reads it."""
-    return settings_from(settings_for(plan))[0]
+    return settings_from_object(settings_for(plan)).settings
 
 
 class Places:
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -31,7 +31,8 @@
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
-from stairhatch.settings import lost_key
+from stairhatch.settings.errors import LostKeyError
+from stairhatch.settings.lost_keys import check_no_key_lost
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
@@ -326,11 +327,10 @@
         try:
             new = self.reread()
             listed = read_events(new.known, 0)[1]  # before anything is changed
-            if lost := lost_key(self.config.raw, new.raw):
-                raise ConfigError(f"{lost} is missing, and is in force")
+            check_no_key_lost(self.config.raw, new.raw)
             if (new.coordinator is None) is not (self.config.coordinator is None):
                 raise ConfigError("a coordinator in place of listed servers, or the reverse, wants a restart")
-        except (ConfigError, DirectoryError) as error:
+        except (ConfigError, LostKeyError, DirectoryError) as error:
             self.counters.add("reloads_refused")
             self.reloaded = f"refused: {error}"
             self.log("reload", result="refused", why=str(error))
--- /dev/null
+++ b/stairhatch/settings/parser.py
@@ -0,0 +1,144 @@
+"""The parser of the settings: from JSON, or an object already decoded, to `stairhatch.overload.settings`.
+
+The simulator's adapter and the softswitch both read their settings here. The keys of the operators' pages are
+translated to the controller's terms here and nowhere else.
+"""
+
+from __future__ import annotations
+
+import json
+from dataclasses import dataclass
+from typing import Any
+
+from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
+from stairhatch.settings.errors import MissingKeyError, SettingsError
+from stairhatch.settings.schema import SETTINGS_SCHEMA, validate
+
+JSON_PATH = "boot_info"  # the wire's name for the text; it begins each key's path
+IDEMPOTENT_EFFECT = "read_like"
+POOLS_LAYOUT = "pools"
+UNKNOWN_INSTANCE = -1
+
+
+@dataclass(frozen=True, slots=True)
+class ParsedSettings:
+    """The settings, and the names of a load report's values in the order in which they are sent."""
+
+    settings: Settings
+    load_report_names: tuple[str, ...]
+
+
+def parse_settings_json(text: bytes | str) -> ParsedSettings:
+    """Parse the simulator's text. Unknown keys are ignored, and none that is read may be missing.
+
+    SettingsError where the text is no JSON, or a key is missing or cannot be used.
+    """
+    try:
+        raw = json.loads(text)
+    except (ValueError, RecursionError) as error:
+        raise SettingsError(f"{JSON_PATH} is no JSON: {error}") from error
+    return settings_from_object(raw, JSON_PATH, complete=True)
+
+
+def settings_from_object(raw: Any, path: str = "settings", *, complete: bool = False) -> ParsedSettings:
+    """Parse the decoded object; `path` begins each key's path in a message.
+
+    Where it need not be complete, as in an operator's file whose page says what holds otherwise, a missing
+    key takes the default of its field. SettingsError where a key cannot be used.
+    """
+    validate(raw, SETTINGS_SCHEMA, path, complete=complete)
+    _check_consistency(raw, path, complete)
+    try:
+        settings = _settings(raw)
+    except ValueError as error:
+        raise SettingsError(f"{path}: {error}") from error
+    return ParsedSettings(settings, tuple(raw.get("load_report", {}).get("names", ())))
+
+
+def _check_consistency(raw: dict[str, Any], path: str, complete: bool) -> None:
+    """What no key tells alone: each class has its line in the lists, and `me` is one of the instances."""
+    balancers = raw.get("balancers", 1)
+    if raw.get("me", 0) >= balancers:
+        raise SettingsError(f"{path}.me: must be below balancers, {balancers}, not {raw['me']}")
+    if "classes" not in raw:
+        raise MissingKeyError(f"{path}.classes")
+    family = raw.get("family_info", {})
+    classes = len(raw["classes"])
+    for name in ("allowed_pools", "call_length_s"):
+        if name in family and len(family[name]) != classes:  # which line is whose can't be told
+            raise SettingsError(f"{path}.family_info.{name}: must have a line for each of {classes} classes")
+    pools_are_told = "allowed_pools" in family or family.get("layout", POOLS_LAYOUT) != POOLS_LAYOUT
+    if complete and not pools_are_told:
+        raise MissingKeyError(f"{path}.family_info.allowed_pools")
+
+
+def _present(raw: dict[str, Any], **keys: str) -> dict[str, Any]:
+    """The values of those keys that the object holds, by the names of our fields: field=key."""
+    return {field: raw[key] for field, key in keys.items() if key in raw}
+
+
+def _settings(raw: dict[str, Any]) -> Settings:
+    """Build the settings from the decoded object. ValueError where they contradict each other."""
+    family = raw.get("family_info", {})
+    permissions = raw.get("permissions", {})
+    return Settings(
+        classes=tuple(_call_class(line, index, family) for index, line in enumerate(raw["classes"])),
+        safety=_safety_limits(raw.get("safety", {}), family),
+        instance_index=_instance_index(raw),
+        **_present(raw, instance_count="balancers", event_period_s="period_s"),
+        **_present(family, retransmit_interval_s="retransmit_s", own_server_number="self_no"),
+        **_present(
+            permissions,
+            max_attempts="send_cap",
+            may_probe="may_probe",
+            may_message_peers="peers",
+            may_cancel="cancel",
+            may_send_retry_after="retry_after",
+            max_retry_after_s="max_retry_after_s",
+            connect_timeout_s="connect_timeout_s",
+        ),
+    )
+
+
+def _safety_limits(safety: dict[str, Any], family: dict[str, Any]) -> SafetyLimits:
+    """The safety limits; the pause before a retry stands in `family_info`."""
+    return SafetyLimits(
+        **_present(
+            safety,
+            answer_slack_s="answer_slack_s",
+            drain_grace_s="drain_grace_s",
+            initial_capacity_fraction="cold_from",
+            warm_up_s="warm_after_s",
+            overload_multiple="fall_multiple",
+            overload_window_s="fall_s",
+        ),
+        **_present(family, retry_pause_s="clear_wait_s"),
+    )
+
+
+def _instance_index(raw: dict[str, Any]) -> int:
+    """Which of the instances this one is; UNKNOWN_INSTANCE where that is not told among several."""
+    is_only_one = raw.get("balancers", 1) == 1
+    index: int = raw.get("me", 0 if is_only_one else UNKNOWN_INSTANCE)
+    return index
+
+
+def _call_class(line: dict[str, Any], index: int, family: dict[str, Any]) -> CallClass:
+    """One class of calls, with what `family_info` adds to it by position."""
+    by_position: dict[str, Any] = {}
+    if "allowed_pools" in family:
+        by_position["allowed_servers"] = tuple(family["allowed_pools"][index])
+    if "call_length_s" in family:
+        by_position["mean_duration_s"] = family["call_length_s"][index]
+    return CallClass(
+        name=line.get("name", str(index)),
+        idempotent=line.get("effect", IDEMPOTENT_EFFECT) == IDEMPOTENT_EFFECT,
+        **_present(
+            line,
+            priority_weight="importance",
+            latency_objective_s="aim_s",
+            deadline_s="hard_limit_s",
+            late_weight="late_worth",
+        ),
+        **by_position,
+    )
--- a/stairhatch/simulator/adapter.py
+++ b/stairhatch/simulator/adapter.py
@@ -29,8 +29,9 @@
     PeerMessageReceived,
     TimerExpired,
 )
-from stairhatch.overload.settings import Settings
-from stairhatch.settings import SettingsError, parse_settings, report_from
+from stairhatch.settings.errors import SettingsError
+from stairhatch.settings.load_reports import load_report_from_values
+from stairhatch.settings.parser import ParsedSettings, parse_settings_json
 from stairhatch.simulator.codec import (
     ActionReply,
     AttemptEndedRecord,
@@ -99,17 +100,15 @@
 class SimulatedInstance:
     """One controller, and what is needed to translate for it."""
 
-    def __init__(
-        self, instance_id: int, settings: Settings, load_report_names: tuple[str, ...], seed: int
-    ) -> None:
+    def __init__(self, instance_id: int, parsed: ParsedSettings, seed: int) -> None:
         """Start from nothing but the settings; `seed` is that of the instance's random numbers."""
         self.instance_id = instance_id
-        self.load_report_names = load_report_names
-        self.controller = Controller(settings, random.Random(seed))
+        self.load_report_names = parsed.load_report_names
+        self.controller = Controller(parsed.settings, random.Random(seed))
 
     def load_report(self, values: tuple[float, ...]) -> LoadReport:
         """Name a report's values; -1 and what is no number count as missing."""
-        return report_from(zip(self.load_report_names, values, strict=False))
+        return load_report_from_values(zip(self.load_report_names, values, strict=False))
 
     def record_for(self, action: Action) -> WireRecord:
         """The wire's record for one action."""
@@ -154,9 +153,8 @@
 
     def _start_instance(self, record: InstanceStartedRecord) -> None:
         """A new controller, which knows nothing yet."""
-        settings, names = parse_settings(record.settings_json)
-        instance = SimulatedInstance(record.instance_id, settings, names, record.seed)
-        self.instances[record.instance_id] = instance
+        parsed = parse_settings_json(record.settings_json)
+        self.instances[record.instance_id] = SimulatedInstance(record.instance_id, parsed, record.seed)
 
     def _handle(self, now: float, record: WireRecord) -> list[WireRecord]:
         """One event for one instance; an exception in the decisions becomes a record with its text."""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -27,7 +27,7 @@
 from stairhatch.node.calls import Attempt, ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.sip.flows import Flow
 from stairhatch.sip.front import Listener, SipConfig, SipFront
 from stairhatch.standin.ports import free_port
@@ -481,7 +481,7 @@
 
     def __init__(self, **config: Any) -> None:
         self.now = 1000.0
-        self.settings = settings_from(SETTINGS)[0]
+        self.settings = settings_from_object(SETTINGS).settings
         self.core = CallManager(
             self.settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
         )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -23,7 +23,8 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits
-from stairhatch.settings import SettingsError, settings_from
+from stairhatch.settings.errors import SettingsError
+from stairhatch.settings.parser import settings_from_object
 
 from .conftest import SETTINGS, finals, sends
 
@@ -340,9 +341,9 @@
     raw = {"classes": [{"name": "a"}], **told}
     if number is None:
         with pytest.raises(SettingsError, match=r"settings\.me: must be"):
-            settings_from(raw)
+            settings_from_object(raw)
     else:
-        assert settings_from(raw)[0].instance_index == number
+        assert settings_from_object(raw).settings.instance_index == number
 
 
 def test_size_and_width_of_the_modules():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,7 +28,7 @@
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.service import Service
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
     PATIENCE_S,
@@ -437,7 +437,7 @@
     async def story():
         known = {"index": 0, "updates": []}
         settings = {**TIDE, "permissions": {**TIDE["permissions"], "retry_after": False}}
-        config = Config("n", settings_from(settings)[0], listen=("127.0.0.1", 0), known=known)
+        config = Config("n", settings_from_object(settings).settings, listen=("127.0.0.1", 0), known=known)
         service = Service(config, lambda: config)
         service.listen()
         service.follow()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -28,7 +28,7 @@
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
 from stairhatch.service import OPERATORS, Service, most_callers
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
     SETTINGS,
@@ -535,7 +535,7 @@
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.by_ident[old].offer.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
-    inside.core.retune(settings_from(tuned(lines, cap=1))[0])
+    inside.core.retune(settings_from_object(tuned(lines, cap=1)).settings)
     connection.receive_data(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.by_ident[old], inside.core.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
@@ -558,7 +558,7 @@
     """Guards against calls turned away that left before their caller heard of the new settings."""
     inside = Inside()
     connection = TrunkFront(inside.core).connect()
-    inside.core.retune(settings_from(tuned([class_line("read-roster", hard_limit_s=2.0)]))[0])
+    inside.core.retune(settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings)
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
         connection.receive_data(trunk_invite(ident, "9000", kind))
@@ -739,7 +739,7 @@
 
 def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch, tmp_path):
     """Guards against a program that never ends because somebody takes no answer."""
-    settings = settings_from(SETTINGS)[0]
+    settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(program_module, "FLUSHED_S", 0.05)
     monkeypatch.setattr(program_module, "STAY_S", 0.0)
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -23,7 +23,16 @@
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
-from stairhatch.settings import SETTINGS, Each, Flag, Number, SettingsError, Table, Text, parse_settings
+from stairhatch.settings.errors import SettingsError
+from stairhatch.settings.parser import parse_settings_json
+from stairhatch.settings.schema import (
+    SETTINGS_SCHEMA,
+    BooleanShape,
+    ListShape,
+    NumberShape,
+    ObjectShape,
+    TextShape,
+)
 
 from .peers import Program, free_port, instance
 
@@ -83,16 +92,16 @@
     }  # fmt: skip
 
 
-def paths(raw: Any, shape: Any = SETTINGS, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
+def paths(raw: Any, shape: Any = SETTINGS_SCHEMA, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
     """Each place of the settings that is read, with what may stand there."""
-    if isinstance(shape, Table):
+    if isinstance(shape, ObjectShape):
         for key, inner in shape.keys.items():
             yield (*at, key), inner
             yield from paths(raw[key], inner, (*at, key))
-    elif isinstance(shape, Each):
+    elif isinstance(shape, ListShape):
         for index, item in enumerate(raw):
-            yield (*at, index), shape.shape
-            yield from paths(item, shape.shape, (*at, index))
+            yield (*at, index), shape.item
+            yield from paths(item, shape.item, (*at, index))
 
 
 def with_(raw: Any, at: tuple, value: Any) -> Any:
@@ -115,15 +124,19 @@
 
 def unfit(shape: Any) -> list[Any]:
     """Values that may not stand there."""
-    wrong = [None, {} if not isinstance(shape, Table) else [], [] if not isinstance(shape, Each) else "depth"]
+    wrong = [
+        None,
+        {} if not isinstance(shape, ObjectShape) else [],
+        [] if not isinstance(shape, ListShape) else "depth",
+    ]
     match shape:
-        case Number(least, most, above):
+        case NumberShape(least, most, above):
             wrong += [True, "3", float("nan"), float("inf"), 10**400, least - 1, most * 2 + 1]
             wrong += [least] if above else []
-            wrong += [7.5] if shape.whole else []
-        case Flag():
+            wrong += [7.5] if shape.integer else []
+        case BooleanShape():
             wrong += [0, 1, "no", "true"]
-        case Text():
+        case TextShape():
             wrong += ["", 3, True]
     return wrong
 
@@ -155,7 +168,7 @@
     for at in keys:
         assert reader.refuses(platform(with_(told, at, GONE))) == f"{shown(at)}: is missing"
         with pytest.raises(SettingsError) as error:
-            parse_settings(json.dumps(with_(told, at, GONE)))
+            parse_settings_json(json.dumps(with_(told, at, GONE)))
         assert str(error.value) == f"{shown(at)}: is missing".replace("settings", "boot_info", 1)
 
 
@@ -247,8 +260,9 @@
     """Guards against a setting that comes new into the interface and is read from no text: its default would
     hold at every site. In the made-up settings no figure is the default.
     """
-    settings, names = parse_settings(json.dumps(MADE_UP))
-    assert names == ("load_share", "unheard_of")
+    parsed = parse_settings_json(json.dumps(MADE_UP))
+    settings = parsed.settings
+    assert parsed.load_report_names == ("load_share", "unheard_of")
     seen = 0
     for part in (settings, settings.safety, settings.classes[0]):
         for each in fields(part):
@@ -327,7 +341,7 @@
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.now, self.sent, self.told = 1000.0, 0, []
-        settings = parse_settings(json.dumps(told))[0]
+        settings = parse_settings_json(json.dumps(told)).settings
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
         )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import SETTINGS, Caller, Coordinator, Inside, Program, RosterServer, instance, until
 
@@ -411,7 +411,11 @@
 def a_link(now):
     """A link to a listed server, connected, and what the driver was asked to end."""
     core = CallManager(
-        settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
+        settings_from_object(SETTINGS).settings,
+        random.Random(1),
+        lambda: now[0],
+        lambda *a, **k: None,
+        Counters(),
     )
     links, aborted = [], []
     side = RosterSide(core, links.append)
@@ -597,7 +601,11 @@
     """Guards against memory that grows with each server and call that ever was."""
     now = [1000.0]
     core = CallManager(
-        settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
+        settings_from_object(SETTINGS).settings,
+        random.Random(1),
+        lambda: now[0],
+        lambda *a, **k: None,
+        Counters(),
     )
     links = []
     side = RosterSide(core, links.append)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stairhatch.overload.events import LoadReport
-from stairhatch.settings import parse_settings
+from stairhatch.settings.parser import parse_settings_json
 from stairhatch.simulator import codec
 from stairhatch.simulator.adapter import SimulatorAdapter
 
@@ -128,12 +128,13 @@
 
 
 def test_settings_are_translated_and_unknown_keys_ignored():
-    settings, names = parse_settings(json.dumps(BOOT).encode())
+    parsed = parse_settings_json(json.dumps(BOOT).encode())
+    settings = parsed.settings
     assert (
         settings.instance_count == 4 and settings.max_attempts == 5 and settings.safety.retry_pause_s == 0.5
     )
     assert settings.classes[0].allowed_servers == (0, 1) and settings.classes[0].mean_duration_s == 11.0
-    assert names[2] == "mean_ms"
+    assert parsed.load_report_names[2] == "mean_ms"
 
 
 def test_adapter_sends_and_restarts_from_nothing():
