--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -367,7 +367,7 @@
         assert process.core is not None
         process.number = number
         self.settings = replace(self.settings, instance_count=count)
-        process.core.retune(replace(self.settings, instance_index=number))
+        process.core.update_settings(replace(self.settings, instance_index=number))
 
     def run(self) -> Result:
         """All of it, until it is warm."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -219,7 +219,7 @@
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
     for call in waiting.values():  # they are held through the run
-        call.hold_by = call.answer_by
+        call.queue_until = call.answer_by
     alone.decisions.holds.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -125,8 +125,8 @@
             found[name].append(round(drive.run(calls) * 1e6, 1))
     share = {name: round(min(each) * RATE / 1e4, 2) for name, each in found.items()}
     return {
-        "listed": listed, "known_to_plain": len(plain.decisions.servers),
-        "in_scope": len(scoped.decisions.servers), "stood": [plain.stood, scoped.stood],
+        "listed": listed, "known_to_plain": len(plain.decisions.endpoints),
+        "in_scope": len(scoped.decisions.endpoints), "stood": [plain.stood, scoped.stood],
         "offered": plain.calls, "us_a_call": {name: min(each) for name, each in found.items()},
         "rounds_us": found, "percent_of_a_core": share,
     }  # fmt: skip
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -212,14 +212,14 @@
             ]
             address = f"{line.address[0]}:{line.address[1]}"
             link = "up" if server.connected else "down" if core.links_to(server) else "-"
-            seen = core.controller.servers.get(server.id)  # what the decisions go by
+            seen = core.controller.endpoints.get(server.id)  # what the decisions go by
             held, wait, age, marks = 0, "-", "-", []
             if seen is not None:
-                held = len(seen.unanswered)
+                held = len(seen.pending_setups)
                 if seen.reported_at > 0:
-                    wait, age = f"{seen.reported_s * 1000:.0f}ms", f"{now - seen.reported_at:.1f}s"
-                marks = [name for name in ("flagged", "down") if getattr(seen, name)]
-                marks += ["cold"] if core.controller.is_cold(now, seen) else []
+                    wait, age = f"{seen.reported_delay_s * 1000:.0f}ms", f"{now - seen.reported_at:.1f}s"
+                marks = [word for word, true in (("flagged", seen.flagged), ("down", seen.ejected)) if true]
+                marks += ["cold"] if core.controller.is_warming_up(now, seen) else []
             text += (
                 f"{line.instance:20} {address:22} {line.number:6} {line.availability.value:9} "
                 f"{link:4} {here.count(CallState.OFFERED):4} "
--- a/stairhatch/node/core.py
+++ b/stairhatch/node/core.py
@@ -154,11 +154,11 @@
     """What decides: a Controller, or what stands in its place."""
 
     @property
-    def servers(self) -> Mapping[int, endpoint.Endpoint]: ...
+    def endpoints(self) -> Mapping[int, endpoint.Endpoint]: ...
     def handle(self, now: float, event: Event) -> Iterator[Action]: ...
-    def retune(self, settings: Settings) -> None: ...
-    def is_cold(self, now: float, server: endpoint.Endpoint) -> bool: ...
-    def turns_in_span(self, now: float, server: endpoint.Endpoint) -> float: ...
+    def update_settings(self, settings: Settings) -> None: ...
+    def is_warming_up(self, now: float, server: endpoint.Endpoint) -> bool: ...
+    def slow_start_slots(self, now: float, server: endpoint.Endpoint) -> float: ...
 
 
 class CallState(Enum):
@@ -349,7 +349,7 @@
         self.before.update((name, (kind, until)) for name, kind in self.classes.items())
         self.settings = settings
         self.classes = {kind.name: kind for kind in settings.classes}
-        self.controller.retune(settings)
+        self.controller.update_settings(settings)
 
     def class_named(self, name: str) -> CallClass | None:
         """The class of that name. One that has gone lives on for callers who have not heard of it yet."""
@@ -654,11 +654,11 @@
         Guards against a process that was stopped between its decision and its write, whose number another
         has by now: both would use the same turns.
         """
-        seen, now = self.controller.servers.get(server.id), self.clock()
-        if seen is None or not self.controller.is_cold(now, seen):
+        seen, now = self.controller.endpoints.get(server.id), self.clock()
+        if seen is None or not self.controller.is_warming_up(now, seen):
             return True
         look()
-        return self.controller.turns_in_span(now, seen) > 0
+        return self.controller.slow_start_slots(now, seen) > 0
 
     def not_written(self, attempt: Attempt, reached: bool) -> None:
         """The set-up never left: there was no connection, or no room on it."""
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -71,7 +71,7 @@
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.servers: dict[int, Endpoint] = {}
+        self.endpoints: dict[int, Endpoint] = {}
         self.calls: dict[int, PendingCall] = {}
         self.waiting: dict[int, PendingCall] = {}
         self.ranks: dict[float, list[tuple[float, int]]] = {}  # the waiting calls by worth, oldest first
@@ -84,9 +84,9 @@
         self.notes: list[str] = []  # lines for the people on call, few and plain
         self.lengths = 0
         self.lasted_s, self.lasted = 0.0, 0  # calls of this node that ended by themselves
-        self.retune(settings)
+        self.update_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take other settings in one step, with all that is derived from them. What was learnt stays."""
         was = {kind.name: kind.deadline_s for kind in self.settings.classes}
         old, kinds = self.patience, [k for k in settings.classes if k.name in was and k.name in self.patience]
@@ -139,22 +139,26 @@
         """Rule 3: what drains or is gone gets nothing from this moment on."""
         if event.complete:
             listed = {line.server_id for line in event.endpoints}
-            for server in self.servers.values():
+            for server in self.endpoints.values():
                 if server.id not in listed:
-                    server.standing = Availability.GONE
+                    server.availability = Availability.GONE
         for line in event.endpoints:
-            known = self.servers.get(line.server_id)
+            known = self.endpoints.get(line.server_id)
             if known is None:
                 known = Endpoint(
-                    line.server_id, line.number, window=self.first_window, credit=BURST, block_s=FIRST_BLOCK_S
+                    line.server_id,
+                    line.number,
+                    concurrency_limit=self.first_window,
+                    tokens=BURST,
+                    next_ejection_s=FIRST_BLOCK_S,
                 )
-                self.servers[line.server_id] = known
+                self.endpoints[line.server_id] = known
             self.note_start(now, known, line)
-            known.number, known.standing, known.listed_at = line.number, line.availability, now
-        for server in list(self.servers.values()):
-            gone = server.standing is Availability.GONE and not server.unanswered
+            known.number, known.availability, known.listed_at = line.number, line.availability, now
+        for server in list(self.endpoints.values()):
+            gone = server.availability is Availability.GONE and not server.pending_setups
             if gone and now - server.listed_at > MEMORY_S:  # until then it may return, and its size is known
-                del self.servers[server.id]
+                del self.endpoints[server.id]
 
     def note_start(self, now: float, server: Endpoint, line: EndpointRecord) -> None:
         """A server that started lately is cold; what was learned of it before no longer holds."""
@@ -165,12 +169,12 @@
             or line.availability is not Availability.READY
         ):
             return
-        if server.born is not None and abs(server.born - line.started_at) < 1e-6:
+        if server.started_at is not None and abs(server.started_at - line.started_at) < 1e-6:
             return
         self.notes.append(f"server {server.id} started {age:.0f} s ago: paced while cold")
-        server.born = line.started_at
-        server.flagged, server.down, server.unreached = False, False, False
-        server.blocked_until, server.block_s = 0.0, FIRST_BLOCK_S
+        server.started_at = line.started_at
+        server.flagged, server.ejected, server.unreachable = False, False, False
+        server.ejected_until, server.next_ejection_s = 0.0, FIRST_BLOCK_S
         self.start_turns(now, server)
 
     # ---- calls ----
@@ -226,17 +230,13 @@
         return abs(grace_s - usual) > PATIENCE_SLACK * usual
 
     def number_jammed(self, now: float, call: PendingCall) -> bool:
-        """Departure: after 'busy' a number gets one trial call a gap, which doubles with each new 'busy'.
-
-        Guards against a rush on one number, whose calls cost the servers work and stand nowhere. It could
-        harm by turning away a call to a number that has just got free.
-        """
-        jam = self.jams.get(call.called)
+        """Extension: after 'busy' a number gets one trial call an interval, which doubles with each 'busy'."""
+        jam = self.jams.get(call.called_number)
         if jam is None:
             return False
-        if now < jam.until:
+        if now < jam.next_trial_at:
             return True
-        jam.until = now + jam.gap_s * (0.5 + self.rng.random())
+        jam.next_trial_at = now + jam.interval_s * (0.5 + self.rng.random())
         return False
 
     def note_number(self, now: float, called: int, busy: bool) -> None:
@@ -246,15 +246,15 @@
         jam = self.jams.get(called)
         if busy:
             if jam is None:
-                self.jams = {n: j for n, j in self.jams.items() if now <= j.until + LONGEST_GAP_S}
+                self.jams = {n: j for n, j in self.jams.items() if now <= j.next_trial_at + LONGEST_GAP_S}
                 jam = self.jams[called] = DestinationBackoff()
                 self.notes.append(f"number {called} busy: trial calls only")
-            jam.gap_s = min(LONGEST_GAP_S, max(FIRST_BLOCK_S, 2 * jam.gap_s))
-            jam.until = now + jam.gap_s * (0.5 + self.rng.random())
+            jam.interval_s = min(LONGEST_GAP_S, max(FIRST_BLOCK_S, 2 * jam.interval_s))
+            jam.next_trial_at = now + jam.interval_s * (0.5 + self.rng.random())
         elif jam is not None:
-            jam.gap_s /= 2
-            jam.until = min(jam.until, now + jam.gap_s)
-            if jam.gap_s < FIRST_BLOCK_S:
+            jam.interval_s /= 2
+            jam.next_trial_at = min(jam.next_trial_at, now + jam.interval_s)
+            if jam.interval_s < FIRST_BLOCK_S:
                 del self.jams[called]
 
     def serve_waiting(self, now: float, newest: PendingCall | None) -> Iterator[Action]:
@@ -273,7 +273,7 @@
                 yield from self.serve_rank(now, self.ranks[worth].copy(), roomy)
         while self.holds and self.holds[0][0] <= now:
             late = self.waiting.get(heapq.heappop(self.holds)[1])
-            if late is None or now < late.hold_by:
+            if late is None or now < late.queue_until:
                 continue
             if now < late.not_before < late.answer_by:
                 heapq.heappush(self.holds, (late.not_before, late.id))
@@ -299,25 +299,25 @@
     def wait(self, call: PendingCall) -> None:
         """Hold a call for room."""
         self.waiting[call.id] = call
-        bisect.insort(self.ranks.setdefault(call.worth, []), (call.offered_at, call.id))
-        heapq.heappush(self.holds, (call.hold_by, call.id))
+        bisect.insort(self.ranks.setdefault(call.weight, []), (call.offered_at, call.id))
+        heapq.heappush(self.holds, (call.queue_until, call.id))
 
     def wait_no_more(self, call_id: int) -> None:
         """The call is sent or over."""
         call = self.waiting.pop(call_id, None)
         if call is not None:
-            rank = self.ranks[call.worth]
+            rank = self.ranks[call.weight]
             del rank[bisect.bisect_left(rank, (call.offered_at, call_id))]
             if not rank:
-                del self.ranks[call.worth]
+                del self.ranks[call.weight]
 
     def send(self, now: float, call: PendingCall, server: Endpoint) -> Action:
         """Rule 2: the call leaves the waiting ones, so it has one attempt out at a time."""
         self.wait_no_more(call.id)
         call.attempts += 1
-        server.unanswered[call.id] = now
-        server.credit -= 1
-        server.turn_until = now  # spent
+        server.pending_setups[call.id] = now
+        server.tokens -= 1
+        server.slot_open_until = now  # spent
         return SendSetup(call.id, server.id, self.time_out(now, call, server))
 
     def time_out(self, now: float, call: PendingCall, server: Endpoint) -> float:
@@ -326,16 +326,22 @@
         Guards against answers that never come, which cost a call its aim. It could harm by sending twice what
         was merely slow, so it acts at unflagged servers only.
         """
-        if self.is_cold(now, server):
+        if self.is_warming_up(now, server):
             return BEFORE_REPEAT * self.settings.retransmit_interval_s  # rule 4: no repeats, see `cold_rate`
-        left = call.offered_at + call.kind.latency_objective_s - now - self.safety.retry_pause_s - self.onset
-        lossy = now - server.lost_at < MEMORY_S and not self.is_flagged(now, server)
+        left = (
+            call.offered_at
+            + call.call_class.latency_objective_s
+            - now
+            - self.safety.retry_pause_s
+            - self.onset
+        )
+        lossy = now - server.loss_seen_at < MEMORY_S and not self.is_flagged(now, server)
         return left if lossy and left > self.onset else 0.0
 
     def refuse(self, now: float, call: PendingCall) -> Iterator[Action]:
         """The final answer to a call that will not be set up; one that may have run must not be 'refused'."""
         self.forget(call.id)
-        if call.may_have_run and not call.kind.idempotent:
+        if call.may_have_run and not call.call_class.idempotent:
             yield FailCall(call.id)
         else:
             yield RejectCall(call.id, self.come_back(now, call))
@@ -349,7 +355,9 @@
         """
         if not self.settings.may_send_retry_after:
             return 0.0
-        waits = [self.pressure(now, server) for server in self.servers.values() if self.may_use(call, server)]
+        waits = [
+            self.pressure(now, server) for server in self.endpoints.values() if self.may_use(call, server)
+        ]
         about = max(self.scale_s, min(waits, default=self.settings.max_retry_after_s))
         return min(self.settings.max_retry_after_s, about * (0.5 + self.rng.random()))
 
@@ -362,19 +370,19 @@
 
     def pick(self, now: float, call: PendingCall, roomy: list[tuple[Endpoint, float]]) -> Endpoint | None:
         """First choice while clear; else an unflagged one of two drawn; else fewer own unanswered set-ups."""
-        open_ones = [s for s, floor in roomy if call.worth >= floor and self.may_use(call, s)]
-        if call.erred_at:  # another one tells whose fault it is
-            open_ones = [s for s in open_ones if s.id not in call.erred_at] or open_ones
+        open_ones = [s for s, floor in roomy if call.weight >= floor and self.may_use(call, s)]
+        if call.error_servers:  # another one tells whose fault it is
+            open_ones = [s for s in open_ones if s.id not in call.error_servers] or open_ones
         if not open_ones:
             return None
         for server in open_ones:
-            if server.number == call.choice and not self.is_flagged(now, server):
+            if server.number == call.preferred_number and not self.is_flagged(now, server):
                 return server
         drawn = self.rng.sample(open_ones, min(2, len(open_ones)))
         for server in drawn:
             if not self.is_flagged(now, server):
                 return server
-        return min(drawn, key=lambda s: len(s.unanswered))
+        return min(drawn, key=lambda s: len(s.pending_setups))
 
     def least_worth(self, now: float, server: Endpoint) -> float:
         """Departure: the last free lines of a server are kept for the calls that are worth most.
@@ -384,29 +392,33 @@
         spread of the count of free lines, which changes while a report is under way. It could harm by
         leaving these lines idle while calls of less worth are refused.
         """
-        if server.lines <= 0 or server.occupied is None or now - server.lines_at > AGEING_S:
+        if (
+            server.total_lines <= 0
+            or server.lines_in_use is None
+            or now - server.lines_reported_at > AGEING_S
+        ):
             return 0.0
-        free = server.lines - server.occupied - len(server.unanswered)
-        return self.most * (1 - free / (LINES_KEPT * math.sqrt(server.lines)))
+        free = server.total_lines - server.lines_in_use - len(server.pending_setups)
+        return self.most * (1 - free / (LINES_KEPT * math.sqrt(server.total_lines)))
 
     def first_choice(self, call: PendingCall) -> Endpoint | None:
         """The server that the call names, if it is known."""
-        for server in self.servers.values():
-            if server.number == call.choice and server.standing is Availability.READY:
+        for server in self.endpoints.values():
+            if server.number == call.preferred_number and server.availability is Availability.READY:
                 return server
         return None
 
     def may_use(self, call: PendingCall, server: Endpoint) -> bool:
         """Whether the list, the class and the call's way allow this server at all."""
-        if server.standing is not Availability.READY or server.number == self.settings.own_server_number:
+        if server.availability is not Availability.READY or server.number == self.settings.own_server_number:
             return False
         if call.in_transit:
-            return server.number == call.choice
-        return call.kind.allowed_servers is None or server.number in call.kind.allowed_servers
+            return server.number == call.preferred_number
+        return call.call_class.allowed_servers is None or server.number in call.call_class.allowed_servers
 
     def with_room(self, now: float) -> list[tuple[Endpoint, float]]:
         """The servers that can be sent something at this moment, each with the least worth it is open to."""
-        return [pair for server in self.servers.values() for pair in self.open_to(now, server)]
+        return [pair for server in self.endpoints.values() for pair in self.open_to(now, server)]
 
     def open_to(self, now: float, server: Endpoint) -> list[tuple[Endpoint, float]]:
         """The server with the least worth that it is open to, if it can be sent something."""
@@ -414,26 +426,26 @@
 
     def has_room(self, now: float, server: Endpoint) -> bool:
         """Departures: blocked, cold and flagged servers get only what they can take."""
-        cold = self.is_cold(now, server)
-        if now < server.blocked_until or not (self.has_turn if cold else self.has_credit)(now, server):
+        cold = self.is_warming_up(now, server)
+        if now < server.ejected_until or not (self.has_turn if cold else self.has_credit)(now, server):
             return False
-        if not server.has_line and now - server.lines_at < AGEING_S:
+        if not server.has_free_line and now - server.lines_reported_at < AGEING_S:
             return False
-        if server.down or cold:
-            return not server.unanswered
-        if server.oldest_wait(now) > self.scale_s:
+        if server.ejected or cold:
+            return not server.pending_setups
+        if server.oldest_pending_s(now) > self.scale_s:
             return False
-        return len(server.unanswered) < max(1.0, server.window)
+        return len(server.pending_setups) < max(1.0, server.concurrency_limit)
 
     def has_credit(self, now: float, server: Endpoint) -> bool:
         """Below one set-up at a time a node saves up for each, at the pace of its window."""
-        if server.window >= 1:
-            server.credit, server.credit_at = BURST, now
+        if server.concurrency_limit >= 1:
+            server.tokens, server.tokens_at = BURST, now
             return True
-        pace = server.window / max(self.pressure(now, server), self.onset)
-        server.credit = min(BURST, server.credit + pace * (now - server.credit_at))
-        server.credit_at = now
-        return server.credit >= 1
+        pace = server.concurrency_limit / max(self.pressure(now, server), self.onset)
+        server.tokens = min(BURST, server.tokens + pace * (now - server.tokens_at))
+        server.tokens_at = now
+        return server.tokens >= 1
 
     # ---- the flag ----
 
@@ -449,28 +461,30 @@
 
     def pressure(self, now: float, server: Endpoint) -> float:
         """One figure for the wait: the fresher of report and own set-ups, and the oldest unanswered one."""
-        known = server.own_s if server.own_at >= server.reported_at else server.reported_s
-        if now - max(server.own_at, server.reported_at) > AGEING_S:
+        known = (
+            server.measured_delay_s if server.measured_at >= server.reported_at else server.reported_delay_s
+        )
+        if now - max(server.measured_at, server.reported_at) > AGEING_S:
             known = 0.0
-        if server.down:
+        if server.ejected:
             return max(known, self.scale_s)
-        quickest = min(server.quickest_s, self.onset)
-        return max(known, server.oldest_wait(now) - quickest)
+        quickest = min(server.fastest_setup_s, self.onset)
+        return max(known, server.oldest_pending_s(now) - quickest)
 
     def is_flagged(self, now: float, server: Endpoint) -> bool:
         """The hysteresis."""
         pressure = self.pressure(now, server)
-        if server.flagged and pressure <= self.abatement and server.hold_back <= 0:
+        if server.flagged and pressure <= self.abatement and server.throttle_fraction <= 0:
             server.flagged = False
-        elif not server.flagged and (pressure > self.onset or server.hold_back > 0):
+        elif not server.flagged and (pressure > self.onset or server.throttle_fraction > 0):
             server.flagged = True
         return server.flagged
 
     def share(self, call: PendingCall, server: Endpoint) -> float:
         """The share of new set-ups refused while flagged; the more a call can still earn, the smaller."""
-        if server.hold_back > 0:
-            return min(1.0, server.hold_back)
-        return min(MOST_SHARE, SHARE * self.least / max(call.worth, 1e-9))
+        if server.throttle_fraction > 0:
+            return min(1.0, server.throttle_fraction)
+        return min(MOST_SHARE, SHARE * self.least / max(call.weight, 1e-9))
 
     # ---- evidence ----
 
@@ -478,24 +492,24 @@
         """The call stands. How long that took is the freshest sign of the server's wait."""
         call = self.calls.get(event.call_id)
         if call is not None:
-            self.note_number(now, call.called, busy=False)
+            self.note_number(now, call.called_number, busy=False)
             self.blame(now, call, event.server_id)
         self.forget(event.call_id)
-        server = self.servers.get(event.server_id)
+        server = self.endpoints.get(event.server_id)
         if server is None:
             return
-        count = len(server.unanswered)
-        sent = server.unanswered.pop(event.call_id, now - event.elapsed_s)
-        server.errors = 0
-        server.quickest_s = min(server.quickest_s, event.elapsed_s)
+        count = len(server.pending_setups)
+        sent = server.pending_setups.pop(event.call_id, now - event.elapsed_s)
+        server.attributed_errors = 0
+        server.fastest_setup_s = min(server.fastest_setup_s, event.elapsed_s)
         self.drop_overtaken(now, server, sent)
-        server.own_s, server.own_at = event.elapsed_s - server.quickest_s, now
-        if server.down:
+        server.measured_delay_s, server.measured_at = event.elapsed_s - server.fastest_setup_s, now
+        if server.ejected:
             self.notes.append(f"server {server.id} answers again")
-            server.down, server.block_s = False, FIRST_BLOCK_S
-            server.window = min(1.0, server.window)
-            if server.unreached:  # it has been away, so it is cold
-                server.unreached, server.born = False, now
+            server.ejected, server.next_ejection_s = False, FIRST_BLOCK_S
+            server.concurrency_limit = min(1.0, server.concurrency_limit)
+            if server.unreachable:  # it has been away, so it is cold
+                server.unreachable, server.started_at = False, now
         self.count_stood(now, server)
         self.move_window(now, server, count)
 
@@ -506,36 +520,32 @@
         paused a sound server, and three quarters of the good calls were refused (snapshot 61cf2221). It could
         harm by knowing a faulty server later, by one attempt.
         """
-        for server_id in call.erred_at:
-            server = self.servers.get(server_id)
+        for server_id in call.error_servers:
+            server = self.endpoints.get(server_id)
             if server is not None and server_id != stood_at:
-                server.errors += 1
-                if server.errors >= ERRORS_IN_A_ROW:
+                server.attributed_errors += 1
+                if server.attributed_errors >= ERRORS_IN_A_ROW:
                     self.block(now, server, AttemptOutcome.ERROR)
 
     def drop_overtaken(self, now: float, server: Endpoint, sent: float) -> None:
-        """Departure: a set-up overtaken by one sent clearly later, or by a report, is lost and tells nothing.
-
-        Guards against lost set-ups that would hold the window shut. It could harm where a server takes
-        set-ups out of turn: the window would then let some more through.
-        """
-        for call_id, other in list(server.unanswered.items()):
-            if other + min(server.quickest_s, self.onset) + OVERTAKE_S >= sent:
+        """Extension: a set-up overtaken by one sent clearly later, or by a report, counts as lost."""
+        for call_id, other in list(server.pending_setups.items()):
+            if other + min(server.fastest_setup_s, self.onset) + OVERTAKE_S >= sent:
                 break
-            del server.unanswered[call_id]
-            server.lost_at = now
+            del server.pending_setups[call_id]
+            server.loss_seen_at = now
 
     def move_window(self, now: float, server: Endpoint, count: int) -> None:
         """Departure, self-clocking: steer the own unanswered set-ups so that the wait stays at the onset."""
-        if server.window < 1:
-            self.steer(now, server, server.own_s)
+        if server.concurrency_limit < 1:
+            self.steer(now, server, server.measured_delay_s)
             return
-        step = WINDOW_STEP * (1 - server.own_s / self.onset)
+        step = WINDOW_STEP * (1 - server.measured_delay_s / self.onset)
         step = max(-WINDOW_STEP, min(WINDOW_STEP, step))
-        if step > 0 and count + 1 < server.window:
+        if step > 0 and count + 1 < server.concurrency_limit:
             return
-        server.shrunk = server.shrunk or step < 0
-        server.window = max(self.least_window, min(MOST_WINDOW, server.window + step))
+        server.limit_reduced = server.limit_reduced or step < 0
+        server.concurrency_limit = max(self.least_window, min(MOST_WINDOW, server.concurrency_limit + step))
 
     def steer(self, now: float, server: Endpoint, wait: float) -> None:
         """Below one set-up at a time every sign of the wait steers, in proportion to it and to the time.
@@ -544,34 +554,36 @@
         for ten seconds before each had cut its part (bangkok-later big-2). One cut a wait: its effect is seen
         no earlier. It could harm by cutting for a single odd report; the window then grows back in seconds.
         """
-        if server.window >= 1:
+        if server.concurrency_limit >= 1:
             return
         if wait > self.onset:
-            if now - server.cut_at > min(wait, self.scale_s):
-                server.window = max(self.least_window, server.window * max(MOST_CUT, self.onset / wait))
-                server.cut_at, server.shrunk = now, True
-                server.credit = min(server.credit, self.rng.random())  # what was saved up is a flood by now
-        elif server.credit < 1:
-            grown = min(1.0, (now - server.moved_at) / GROWTH_SPAN_S) * (1 - wait / self.onset)
-            server.window *= 1 + grown
-        server.moved_at = now
+            if now - server.limit_cut_at > min(wait, self.scale_s):
+                server.concurrency_limit = max(
+                    self.least_window, server.concurrency_limit * max(MOST_CUT, self.onset / wait)
+                )
+                server.limit_cut_at, server.limit_reduced = now, True
+                server.tokens = min(server.tokens, self.rng.random())  # what was saved up is a flood by now
+        elif server.tokens < 1:
+            grown = min(1.0, (now - server.limit_adapted_at) / GROWTH_SPAN_S) * (1 - wait / self.onset)
+            server.concurrency_limit *= 1 + grown
+        server.limit_adapted_at = now
 
     def fair_window(self, server: Endpoint) -> float:
         """A node's part of what a server bears, by its lines in use, if each set-up waited for the onset."""
-        if server.occupied is None or self.length_s <= 0:
+        if server.lines_in_use is None or self.length_s <= 0:
             return 0.0
-        return PART_SLACK * self.onset * server.occupied / self.length_s / self.settings.instance_count
+        return PART_SLACK * self.onset * server.lines_in_use / self.length_s / self.settings.instance_count
 
     def count_stood(self, now: float, server: Endpoint) -> None:
         """Keep the rate of own set-ups that stood, averaged over half a minute: one node's are few."""
-        gone = min(1.0, (now - server.stood_at) / MEMORY_S)
-        server.stood_rate = server.stood_rate * (1 - gone) + 1 / MEMORY_S
-        server.stood_at = now
+        gone = min(1.0, (now - server.established_at) / MEMORY_S)
+        server.established_rate = server.established_rate * (1 - gone) + 1 / MEMORY_S
+        server.established_at = now
 
     def setup_ended(self, now: float, event: AttemptEnded) -> Iterator[Action]:
         """An attempt is over: learn from it, then go on with the call if the caller still waits."""
-        server = self.servers.get(event.server_id)
-        was_setup = server is not None and server.unanswered.pop(event.call_id, None) is not None
+        server = self.endpoints.get(event.server_id)
+        was_setup = server is not None and server.pending_setups.pop(event.call_id, None) is not None
         if server is not None:
             self.learn_end(now, server, event, was_setup)
         if event.outcome is AttemptOutcome.COMPLETED:
@@ -590,37 +602,37 @@
         ):
             call.may_have_run = True
         if event.destination_busy:
-            self.note_number(now, call.called, busy=True)
+            self.note_number(now, call.called_number, busy=True)
         elif event.outcome is AttemptOutcome.ERROR:
-            call.erred_at += (event.server_id,)
-        unrepeatable = call.may_have_run and not call.kind.idempotent
-        over = event.destination_busy or unrepeatable or call.attempts >= call.cap
-        over = over or len(call.erred_at) >= ERRORS_OF_CALL
+            call.error_servers += (event.server_id,)
+        unrepeatable = call.may_have_run and not call.call_class.idempotent
+        over = event.destination_busy or unrepeatable or call.attempts >= call.max_attempts
+        over = over or len(call.error_servers) >= ERRORS_OF_CALL
         if over or max(now, call.not_before) >= call.answer_by:
             self.forget(call.id)
             yield FailCall(call.id)
         else:
             if not event.no_free_line:
-                call.hold_by = call.answer_by  # a further attempt is held while the caller waits
+                call.queue_until = call.answer_by  # a further attempt is held while the caller waits
             self.wait(call)
 
     def learn_end(self, now: float, server: Endpoint, event: AttemptEnded, was_setup: bool) -> None:
         """What an ending tells of the server."""
         self.note_report(now, server, event.report)
         if event.no_free_line:  # its lines have run out, not its processor: the next report tells of room
-            server.has_line, server.lines_at = False, now
+            server.has_free_line, server.lines_reported_at = False, now
         elif event.outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.REJECTED):
             self.block(now, server, event.outcome, event.retry_after_s or 0.0)
         elif event.outcome is AttemptOutcome.TIMED_OUT and was_setup and event.elapsed_s < self.scale_s:
-            if self.is_cold(now, server):
-                server.own_s, server.own_at = event.elapsed_s, now
+            if self.is_warming_up(now, server):
+                server.measured_delay_s, server.measured_at = event.elapsed_s, now
             else:
-                server.lost_at = now  # given up early, as lost
+                server.loss_seen_at = now  # given up early, as lost
         elif event.outcome is AttemptOutcome.TIMED_OUT and was_setup:
-            server.own_s, server.own_at = max(event.elapsed_s, self.scale_s), now
-            if server.window >= 1:
-                server.window = max(self.least_window, server.window / 2)
-            self.steer(now, server, server.own_s)
+            server.measured_delay_s, server.measured_at = max(event.elapsed_s, self.scale_s), now
+            if server.concurrency_limit >= 1:
+                server.concurrency_limit = max(self.least_window, server.concurrency_limit / 2)
+            self.steer(now, server, server.measured_delay_s)
 
     def block(self, now: float, server: Endpoint, ending: AttemptOutcome, told_wait_s: float = 0.0) -> None:
         """Departure: a server that turns set-ups away, fails them in a row or can't be reached gets one at a
@@ -630,22 +642,22 @@
         loaded of all, against storms of further attempts, and against a dead server. It could harm by
         leaving a server alone for up to LONGEST_BLOCK_S after it could serve again.
         """
-        if not server.down:
+        if not server.ejected:
             self.notes.append(f"server {server.id} paused: {ending.value}")
-        if ending is AttemptOutcome.UNREACHABLE and not server.unreached:
-            server.unreached = True
+        if ending is AttemptOutcome.UNREACHABLE and not server.unreachable:
+            server.unreachable = True
             self.start_turns(now, server)
-        server.down = True
-        if now < server.blocked_until:
+        server.ejected = True
+        if now < server.ejected_until:
             return
         self.steer(now, server, max(self.scale_s, told_wait_s))
-        pause = server.block_s * (0.5 + self.rng.random())
-        server.blocked_until = now + max(pause, told_wait_s)
-        server.block_s = min(LONGEST_BLOCK_S, 2 * server.block_s)
+        pause = server.next_ejection_s * (0.5 + self.rng.random())
+        server.ejected_until = now + max(pause, told_wait_s)
+        server.next_ejection_s = min(LONGEST_BLOCK_S, 2 * server.next_ejection_s)
 
     def load_told(self, now: float, event: LoadReported) -> None:
         """Figures that came unasked or by a probe."""
-        server = self.servers.get(event.server_id)
+        server = self.endpoints.get(event.server_id)
         if server is not None:
             self.note_report(now, server, event.report)
 
@@ -656,18 +668,23 @@
         lines have run out is not stormed by all nodes for each line that gets free.
         """
         if report.free_lines is not None and report.total_lines is not None:
-            server.occupied, server.lines = report.total_lines - report.free_lines, report.total_lines
+            server.lines_in_use, server.total_lines = (
+                report.total_lines - report.free_lines,
+                report.total_lines,
+            )
             self.warm_use(now)  # keeps its memory fresh
-            if not server.shrunk:
-                server.window = max(server.window, self.fair_window(server))
-            server.has_line = self.rng.random() * self.settings.instance_count < report.free_lines
-            server.lines_at = now
-        server.rate = report.admissible_rate if report.admissible_rate is not None else server.rate
+            if not server.limit_reduced:
+                server.concurrency_limit = max(server.concurrency_limit, self.fair_window(server))
+            server.has_free_line = self.rng.random() * self.settings.instance_count < report.free_lines
+            server.lines_reported_at = now
+        server.admissible_rate = (
+            report.admissible_rate if report.admissible_rate is not None else server.admissible_rate
+        )
         if report.throttle_fraction is not None:
-            server.hold_back = report.throttle_fraction
+            server.throttle_fraction = report.throttle_fraction
         wait = self.reported_wait(report)
         if wait is not None:
-            server.reported_s, server.reported_at = wait, now
+            server.reported_delay_s, server.reported_at = wait, now
             self.drop_overtaken(now, server, now - wait - self.scale_s)
             self.steer(now, server, wait)
 
@@ -685,15 +702,17 @@
 
     # ---- cold servers (rule 4) ----
 
-    def is_cold(self, now: float, server: Endpoint) -> bool:
+    def is_warming_up(self, now: float, server: Endpoint) -> bool:
         """Whether the server started so lately that it may not be warm, or may start again at any moment."""
-        return server.unreached or (server.born is not None and now - server.born < self.safety.warm_up_s)
+        return server.unreachable or (
+            server.started_at is not None and now - server.started_at < self.safety.warm_up_s
+        )
 
     def start_turns(self, now: float, server: Endpoint) -> None:
         """The first turn comes at random within a gap, so that the nodes' turns lie spread."""
-        server.turns, server.turns_at, server.turn_until = self.rng.random(), now, now
-        server.rate, server.occupied = 0.0, None  # another process's
-        server.credit = self.rng.random()  # for when it will be warm
+        server.slot_progress, server.slot_progress_at, server.slot_open_until = self.rng.random(), now, now
+        server.admissible_rate, server.lines_in_use = 0.0, None  # another process's
+        server.tokens = self.rng.random()  # for when it will be warm
 
     def has_turn(self, now: float, server: Endpoint) -> bool:
         """A node's turns at a cold server come at even gaps; one that is not used soon lapses.
@@ -701,20 +720,22 @@
         Guards against what nodes have saved up: when all other servers went, each of 270 nodes spent one
         set-up at once (issue 11). It could harm by leaving a turn unused while another node's calls wait.
         """
-        pace = self.turns_in_span(now, server) / self.turn_span
-        server.turns += pace * (now - server.turns_at)
-        server.turns_at = server.credit_at = now
-        if server.turns >= 1:
-            server.turns %= 1
-            server.turn_until = now - server.turns / pace + TURN_PART * self.safety.overload_window_s
-        return now < server.turn_until
+        pace = self.slow_start_slots(now, server) / self.turn_span
+        server.slot_progress += pace * (now - server.slot_progress_at)
+        server.slot_progress_at = server.tokens_at = now
+        if server.slot_progress >= 1:
+            server.slot_progress %= 1
+            server.slot_open_until = (
+                now - server.slot_progress / pace + TURN_PART * self.safety.overload_window_s
+            )
+        return now < server.slot_open_until
 
     @property
     def turn_span(self) -> float:
         """Turns that open in one such span may be used within one `fall_s`, and no others."""
         return max((1 + TURN_PART) * self.safety.overload_window_s, 1e-9)
 
-    def turns_in_span(self, now: float, server: Endpoint) -> float:
+    def slow_start_slots(self, now: float, server: Endpoint) -> float:
         """This node's turns in a span: the fleet's, dealt out whole by the nodes' own numbers.
 
         Departure: each server has its own few nodes that may use it while it is cold, the others wait. With
@@ -724,7 +745,7 @@
         node without calls. A node that does not know its number has no part in what is left over.
         """
         settings, fleet = self.settings, self.cold_rate(now, server) * self.turn_span
-        if not server.lines:  # each node guesses its size by itself: the count goes by chance
+        if not server.total_lines:  # each node guesses its size by itself: the count goes by chance
             return fleet / settings.instance_count
         whole, rest = divmod(int(fleet), settings.instance_count) if fleet >= 1 else (0, 1)
         rank = (settings.instance_index - server.number * STRIDE) % settings.instance_count
@@ -739,12 +760,12 @@
         do x fall_s, even where all send whenever they may. Derivation, and the third kept: `docs/cold.md`.
         """
         safety, most = self.safety, BUDGET_PART * self.safety.overload_multiple / (1 + TURN_PART)
-        if server.rate > 0:
-            return min(COLD_PART, most) * server.rate
-        age = now - server.born if server.born is not None else 0.0
+        if server.admissible_rate > 0:
+            return min(COLD_PART, most) * server.admissible_rate
+        age = now - server.started_at if server.started_at is not None else 0.0
         warmth = max(0.0, min(1.0, age / max(safety.warm_up_s, 1e-9)))
         able = safety.initial_capacity_fraction + (1 - safety.initial_capacity_fraction) * warmth
-        borne = (server.occupied or 0.0) / max(self.length_s, self.lasted_s, 1e-9)
+        borne = (server.lines_in_use or 0.0) / max(self.length_s, self.lasted_s, 1e-9)
         guess = min(COLD_PART * able, most * safety.initial_capacity_fraction) * self.warm_rate(now, server)
         return max(min(COLD_PART, most) * borne, guess)
 
@@ -756,14 +777,14 @@
         whose errors cancel in the sum. Calls last longer at a second choice, so the longer of what was told
         and what was seen counts. With nothing known all nodes together send less than one in `fall_s`.
         """
-        sizes = [other.lines for other in self.servers.values() if other.lines > 0]
+        sizes = [other.total_lines for other in self.endpoints.values() if other.total_lines > 0]
         if sizes and self.length_s > 0 and self.warm_use(now) > 0:
-            size = server.lines or min(sizes)
+            size = server.total_lines or min(sizes)
             return self.warm_use(now) * size / max(self.length_s, self.lasted_s)
         own = [
-            other.stood_rate * math.exp((other.stood_at - now) / MEMORY_S)
-            for other in self.servers.values()
-            if other is not server and other.stood_rate > 0 and not self.is_cold(now, other)
+            other.established_rate * math.exp((other.established_at - now) / MEMORY_S)
+            for other in self.endpoints.values()
+            if other is not server and other.established_rate > 0 and not self.is_warming_up(now, other)
         ]
         unknown = LEAST_FLEET_WINDOW / (
             self.safety.initial_capacity_fraction * max(self.safety.overload_window_s, 1e-9)
@@ -776,9 +797,9 @@
         Else, after an outage of all or of the one big server, the first to return would idle through its
         warm-up (incidents i687ce9, i9eafb5).
         """
-        told = [s for s in self.warm_ones(now) if s.occupied is not None and s.lines > 0]
-        used = sum(server.occupied or 0.0 for server in told)
-        use = used / sum(server.lines for server in told) if told else 0.0
+        told = [s for s in self.warm_ones(now) if s.lines_in_use is not None and s.total_lines > 0]
+        used = sum(server.lines_in_use or 0.0 for server in told)
+        use = used / sum(server.total_lines for server in told) if told else 0.0
         faded = self.borne * math.exp((self.borne_at - now) / MEMORY_S)
         if use > faded:
             self.borne, self.borne_at = use, now
@@ -786,5 +807,5 @@
 
     def warm_ones(self, now: float) -> list[Endpoint]:
         """The servers that are neither cold nor down."""
-        up = (s for s in self.servers.values() if s.standing is Availability.READY and not s.down)
-        return [server for server in up if not self.is_cold(now, server)]
+        up = (s for s in self.endpoints.values() if s.availability is Availability.READY and not s.ejected)
+        return [server for server in up if not self.is_warming_up(now, server)]
--- a/stairhatch/overload/pending_call.py
+++ b/stairhatch/overload/pending_call.py
@@ -12,18 +12,18 @@
     """A call that is owed its final answer."""
 
     id: int
-    kind: CallClass
-    choice: int
+    call_class: CallClass
+    preferred_number: int
     offered_at: float
     answer_by: float
-    worth: float  # what it can still earn
+    weight: float  # what it can still earn
     in_transit: bool
-    called: int
-    hold_by: float  # it is held for room until then
-    cap: int  # on attempts
+    called_number: int
+    queue_until: float  # it is held for room until then
+    max_attempts: int  # on attempts
     attempts: int = 0
     may_have_run: bool = False
-    erred_at: tuple[int, ...] = ()  # servers that answered it with an error
+    error_servers: tuple[int, ...] = ()  # servers that answered it with an error
     not_before: float = 0.0  # the release is awaited until then
 
 
@@ -31,5 +31,5 @@
 class DestinationBackoff:
     """A called number whose lines were all busy."""
 
-    gap_s: float = 0.0
-    until: float = 0.0
+    interval_s: float = 0.0
+    next_trial_at: float = 0.0
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -71,13 +71,13 @@
         scope = self.scoped.home(server)
         if scope is None:
             raise KeyError(server)
-        return scope.controller.servers[server]
+        return scope.controller.endpoints[server]
 
     def __iter__(self) -> Iterator[int]:
-        return (server for scope in self.scoped.live.values() for server in scope.controller.servers)
+        return (server for scope in self.scoped.live.values() for server in scope.controller.endpoints)
 
     def __len__(self) -> int:
-        return sum(len(scope.controller.servers) for scope in self.scoped.live.values())
+        return sum(len(scope.controller.endpoints) for scope in self.scoped.live.values())
 
 
 class ScopedController:
@@ -101,7 +101,7 @@
         self.labels = count(WAKE)
         self.look_set, self.may_leave = False, False
         self.now = 0.0  # of the last event
-        self.servers: Mapping[int, Endpoint] = Seen(self)
+        self.endpoints: Mapping[int, Endpoint] = Seen(self)
         self.sets: dict[Numbers, ServerSet] = {}
         self.place: dict[int, Numbers] = {}  # number -> the set it is in
         self.by_class: dict[str, tuple[tuple[int, ...] | None, Numbers]] = {}
@@ -305,7 +305,7 @@
                 yield from self._tell(now, scope, news)
         for server in list(self.gone):
             home = self.home(server)
-            if home is None or server not in home.controller.servers:
+            if home is None or server not in home.controller.endpoints:
                 self.gone.discard(server)
                 self.numbered[self.lines.pop(server).number].pop(server, None)
 
@@ -315,9 +315,9 @@
         if old is not None and old.number != line.number:
             before, after = self.scope_at(old.number), self.scope_at(line.number)
             if before is not after and before is not None:
-                known = before.controller.servers.pop(line.server_id, None)
+                known = before.controller.endpoints.pop(line.server_id, None)
                 if known is not None and after is not None:
-                    after.controller.servers[line.server_id] = known
+                    after.controller.endpoints[line.server_id] = known
             self.numbered[old.number].pop(line.server_id, None)
         self.lines[line.server_id] = line
         self.numbered.setdefault(line.number, {})[line.server_id] = None
@@ -328,7 +328,7 @@
 
     # ---- other settings ----
 
-    def retune(self, settings: Settings, config: ScopeConfig | None = None) -> None:
+    def update_settings(self, settings: Settings, config: ScopeConfig | None = None) -> None:
         """Take other settings. Sets whose numbers stay go on as they are; those that merge or fall apart hand
         on their servers, their open calls and what was learnt. An open call goes on in one set.
         """
@@ -342,14 +342,16 @@
                 scope.servers = self.sets[numbers]
             elif numbers is None or None in self.sets or any(number in self.place for number in numbers):
                 parting.append(scope)
-                scope.controller.retune(settings)  # the patience of all classes, whatever set they are in
+                scope.controller.update_settings(
+                    settings
+                )  # the patience of all classes, whatever set they are in
                 continue
             else:  # its classes have gone, or gone elsewhere: it ends by itself
                 scope.servers = replace(
                     scope.servers, softswitches=settings.instance_count, me=settings.instance_index
                 )
                 self.place.update(dict.fromkeys(numbers, numbers))
-            scope.controller.retune(scope.servers.tuned(settings))
+            scope.controller.update_settings(scope.servers.tuned(settings))
             self.live[numbers] = scope
         taken = self._hand_on(parting)
         for servers in self.sets.values():
@@ -370,7 +372,7 @@
         """Find each open call of sets that are no more its new one; returns the sets that replace them."""
         for old in parting:
             for call in list(old.controller.calls.values()):
-                servers = self._set_for(call.kind, call.choice, call.in_transit)
+                servers = self._set_for(call.call_class, call.preferred_number, call.in_transit)
                 new = self.live.get(servers.numbers) or self._build(servers, parting)
                 new.controller.calls[call.id] = call
                 if call.id in old.controller.waiting:
@@ -396,12 +398,12 @@
             new.patience.update((n, s) for n, s in old.controller.patience.items() if n in names)
         for old in mine:
             scope.used_at = max(scope.used_at, old.used_at)
-            for server, known in old.controller.servers.items():
+            for server, known in old.controller.endpoints.items():
                 if servers.numbers is None or known.number in servers.numbers:
-                    new.servers[server] = known
+                    new.endpoints[server] = known
             for called, jam in old.controller.jams.items():
                 new.jams[called] = replace(jam)
-        scope.untold = tuple(line for line in scope.untold if line.server_id not in new.servers)
+        scope.untold = tuple(line for line in scope.untold if line.server_id not in new.endpoints)
         if mine:
             self._average(new, [old.controller for old in mine])
         return scope
@@ -433,12 +435,12 @@
 
     # ---- what the core asks ----
 
-    def is_cold(self, now: float, server: Endpoint) -> bool:
+    def is_warming_up(self, now: float, server: Endpoint) -> bool:
         """Whether a server in scope may not be warm."""
         scope = self.scope_at(server.number)
-        return scope is not None and scope.controller.is_cold(now, server)
+        return scope is not None and scope.controller.is_warming_up(now, server)
 
-    def turns_in_span(self, now: float, server: Endpoint) -> float:
+    def slow_start_slots(self, now: float, server: Endpoint) -> float:
         """This softswitch's turns at a cold server in a span."""
         scope = self.scope_at(server.number)
-        return scope.controller.turns_in_span(now, server) if scope is not None else 0.0
+        return scope.controller.slow_start_slots(now, server) if scope is not None else 0.0
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -341,7 +341,7 @@
         elif new.known != old.known:  # the list in the file is the whole list
             self.core.list_servers(listed[0][1], complete=True)
         if self.scoped is not None and new.scope is not None and new.scope != old.scope:
-            self.scoped.retune(self.scoped.settings, new.scope)
+            self.scoped.update_settings(self.scoped.settings, new.scope)
         if new.settings != old.settings:
             self.core.retune(self.fleet.tuned(new.settings) if self.fleet is not None else new.settings)
             self.counters.add("retunes")
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -209,17 +209,17 @@
     """Guards against a fleet of which each node takes the same part for its own."""
     fleet = Fleet(60, 300, 2.5, "quick")
     fleet.start_cold()
-    dealt = [node.core.turns_in_span(fleet.now, node.core.servers[COLD]) for node in fleet.fleet]
+    dealt = [node.core.slow_start_slots(fleet.now, node.core.endpoints[COLD]) for node in fleet.fleet]
     span = fleet.fleet[0].core.turn_span
     assert (
         set(dealt) == {0.0, 1.0}
         and 0
         < sum(dealt)
-        <= fleet.fleet[0].core.cold_rate(fleet.now, fleet.fleet[0].core.servers[COLD]) * span
+        <= fleet.fleet[0].core.cold_rate(fleet.now, fleet.fleet[0].core.endpoints[COLD]) * span
     )
     unnumbered = Node(replace(fleet.settings, instance_index=-1), 1, fleet.now)
-    unnumbered.core.servers = fleet.fleet[0].core.servers
-    assert unnumbered.core.turns_in_span(fleet.now, unnumbered.core.servers[COLD]) == 0.0
+    unnumbered.core.endpoints = fleet.fleet[0].core.endpoints
+    assert unnumbered.core.slow_start_slots(fleet.now, unnumbered.core.endpoints[COLD]) == 0.0
 
 
 def test_where_no_lines_are_told_the_guesses_of_all_nodes_come_to_less_than_was_borne():
@@ -227,7 +227,7 @@
     fleet = Fleet(270, 0, 3.0, "quick")
     fleet.learn_by_own_calls()
     fleet.start_cold()
-    guesses = [node.core.warm_rate(fleet.now, node.core.servers[COLD]) for node in fleet.fleet]
+    guesses = [node.core.warm_rate(fleet.now, node.core.endpoints[COLD]) for node in fleet.fleet]
     assert 0.3 * fleet.warm < sum(guesses) / len(guesses) < fleet.warm
 
 
@@ -262,5 +262,5 @@
     node.now += 1.0
     node.list_servers(EndpointRecord(COLD, 0, started_at=node.now), complete=False)
     node.now += fleet.settings.safety.warm_up_s + 0.1
-    assert not node.core.is_cold(node.now, node.core.servers[COLD])
+    assert not node.core.is_warming_up(node.now, node.core.endpoints[COLD])
     assert [act.timeout_s for act in sends(node.offer(choice=0))] == [0.0]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -118,5 +118,5 @@
             )
         anew = EndpointRecord(COLD, 0, started_at=ramp.now)
         ramp.tell(process, EndpointsUpdated((anew,), False))
-        rates.append(process.core.cold_rate(ramp.now, process.core.servers[COLD]))
+        rates.append(process.core.cold_rate(ramp.now, process.core.endpoints[COLD]))
     assert 0 < rates[1] < 1.1 * rates[0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -31,7 +31,7 @@
 
 
 def flagged(node, server=10):
-    return node.core.is_flagged(node.now, node.core.servers[server])
+    return node.core.is_flagged(node.now, node.core.endpoints[server])
 
 
 def test_first_choice_while_clear(make_node):
@@ -127,20 +127,20 @@
 
 def test_window_grows_with_quick_answers_and_shrinks_with_slow_ones(make_node):
     node = make_node(servers=1)
-    server = node.core.servers[10]
+    server = node.core.endpoints[10]
     for _ in range(3):
-        for _ in range(int(server.window) + 1):
+        for _ in range(int(server.concurrency_limit) + 1):
             node.offer()
-        for call in list(server.unanswered):
+        for call in list(server.pending_setups):
             node.stood(call, 10, 0.05)
-    grown = server.window
+    grown = server.concurrency_limit
     assert grown > 4
     for _ in range(60):
         node.offer()
         node.now += 0.7
-        for call in list(server.unanswered):
+        for call in list(server.pending_setups):
             node.stood(call, 10, 0.7)
-    assert server.window < grown / 2
+    assert server.concurrency_limit < grown / 2
 
 
 def test_a_server_that_answers_full_at_once_does_not_draw_the_calls(make_node):
@@ -164,11 +164,11 @@
     """Guards against a server that answers errors at once and so looks the quickest of all."""
     node = make_node()
     for call in (1, 2):
-        assert not node.core.servers[10].down
+        assert not node.core.endpoints[10].ejected
         assert [act.server_id for act in sends(node.offer())] == [10]
         assert [act.server_id for act in sends(node.ended(call, 10, AttemptOutcome.ERROR))] == [11]
         node.stood(call, 11)
-    assert node.core.servers[10].down and not node.core.servers[11].down
+    assert node.core.endpoints[10].ejected and not node.core.endpoints[11].ejected
 
 
 def test_set_ups_that_no_server_can_use_pause_none_and_are_tried_no_more_than_twice(make_node):
@@ -179,7 +179,7 @@
         (second,) = sends(node.ended(call, first.server_id, AttemptOutcome.ERROR))
         assert second.server_id != first.server_id
         assert finals(node.ended(call, second.server_id, AttemptOutcome.ERROR)) == [FailCall(call)]
-    assert not any(server.down for server in node.core.servers.values())
+    assert not any(server.ejected for server in node.core.endpoints.values())
 
 
 def test_a_busy_number_gets_trials_only_and_others_go_on(make_node):
@@ -192,7 +192,7 @@
             tried += 1
             assert finals(node.ended(act.call_id, act.server_id, AttemptOutcome.ERROR, destination_busy=True))
     assert tried <= 5
-    assert not node.core.servers[10].down
+    assert not node.core.endpoints[10].ejected
     assert sends(node.offer(called_number=8))
     for _ in range(3000):  # once the number answers again, it is forgotten
         node.now += 0.05
@@ -209,7 +209,7 @@
     node.offer()
     node.now += 0.05
     node.stood(2, 10, 0.05)
-    assert not node.core.servers[10].unanswered
+    assert not node.core.endpoints[10].pending_setups
     node.now += 1.0
     assert sends(node.offer())
 
@@ -245,9 +245,9 @@
 
 def test_the_more_important_held_call_goes_first(make_node):
     node = make_node(servers=1)
-    server = node.core.servers[10]
-    server.window = 1.0
-    server.quickest_s = 0.05
+    server = node.core.endpoints[10]
+    server.concurrency_limit = 1.0
+    server.fastest_setup_s = 0.05
     node.offer(kind=0)
     node.offer(kind=0)
     node.offer(kind=1)
@@ -300,7 +300,7 @@
     for used in (100, 2700):
         node = make_node(servers=1, settings=replace(SETTINGS, instance_count=250))
         node.tell(LoadReported(10, LoadReport(free_lines=3000 - used, total_lines=3000)))
-        windows.append(node.core.servers[10].window)
+        windows.append(node.core.endpoints[10].concurrency_limit)
     assert windows[1] > 4 * windows[0]
 
 
@@ -314,7 +314,7 @@
         node.ring(0.02)
     core = node.core
     assert not core.calls and not core.waiting
-    assert all(not s.unanswered for s in core.servers.values())
+    assert all(not s.pending_setups for s in core.endpoints.values())
 
 
 def test_impossible_settings_are_named():
@@ -361,11 +361,11 @@
     for _ in range(50):
         node.offer(kind=0, grace_s=3.0)
     node.offer(kind=0, grace_s=3.0)
-    fresh = node.core.calls[node.next_call - 1].worth
+    fresh = node.core.calls[node.next_call - 1].weight
     node.offer(kind=0, grace_s=3.0, is_caller_retry=True)
-    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
+    assert node.core.calls[node.next_call - 1].weight == fresh * SETTINGS.classes[0].late_weight
     node.offer(kind=0, grace_s=5.5)
-    assert node.core.calls[node.next_call - 1].worth == fresh * SETTINGS.classes[0].late_weight
+    assert node.core.calls[node.next_call - 1].weight == fresh * SETTINGS.classes[0].late_weight
 
 
 def test_a_big_cold_server_is_not_held_to_what_small_ones_bear(make_node):
@@ -376,11 +376,11 @@
         node.tell(LoadReported(11, LoadReport(free_lines=50, total_lines=100)))
         node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
         node.tell(LoadReported(10, LoadReport(free_lines=lines, total_lines=lines)))
-        server = node.core.servers[10]
+        server = node.core.endpoints[10]
         rates[lines] = node.core.cold_rate(node.now, server)
         node.stood(1, 10, 0.001)
         assert node.core.cold_rate(node.now, server) == rates[lines]
-        server.unanswered[2] = node.now
+        server.pending_setups[2] = node.now
         node.ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)  # once read as an answer in no time at all
         assert node.core.cold_rate(node.now, server) <= rates[lines]
     assert rates[1000] > 5 * rates[100] > 0
@@ -419,9 +419,11 @@
         )
     node.now += 10.0
     node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
-    server = node.core.servers[10]
+    server = node.core.endpoints[10]
     fresh = make_node(servers=1)
-    assert node.core.cold_rate(node.now, server) > 3 * fresh.core.cold_rate(node.now, fresh.core.servers[10])
+    assert node.core.cold_rate(node.now, server) > 3 * fresh.core.cold_rate(
+        node.now, fresh.core.endpoints[10]
+    )
     assert 0 < node.core.warm_rate(node.now + 30, server) < node.core.warm_rate(node.now, server)
 
 
@@ -476,18 +478,18 @@
 def test_reports_of_a_long_wait_cut_the_part_of_a_node_that_sends_seldom(make_node):
     """Found on bangkok-later big-2: own answers came too seldom to slow down for."""
     node = make_node(settings=replace(SETTINGS, instance_count=250))
-    server = node.core.servers[10]
-    before = server.window
+    server = node.core.endpoints[10]
+    before = server.concurrency_limit
     node.pressed(10, 2.0)
-    once = server.window
+    once = server.concurrency_limit
     node.pressed(10, 2.0)
-    assert before * 0.2 < once == server.window < before  # one cut a wait
-    server.credit = 0.0
+    assert before * 0.2 < once == server.concurrency_limit < before  # one cut a wait
+    server.tokens = 0.0
     for _ in range(40):
         node.now += 0.5
         node.pressed(10, 0.0)
-        server.credit = min(server.credit, 0.5)
-    assert server.window > before
+        server.tokens = min(server.tokens, 0.5)
+    assert server.concurrency_limit > before
 
 
 def test_a_report_of_a_short_wait_overtakes_a_lost_set_up(make_node):
@@ -500,7 +502,7 @@
         node.ended(900, 10, AttemptOutcome.COMPLETED, True, report=report)
         node.now += 1.0
         node.ended(1, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)
-        kept.append(node.core.servers[10].window)
+        kept.append(node.core.endpoints[10].concurrency_limit)
     assert kept[0] > kept[1]
 
 
@@ -510,7 +512,7 @@
     for seed in range(50):
         node = make_node(settings=replace(SETTINGS, instance_count=250), seed=seed)
         node.pressed(10, 2.0)
-        saved += node.core.servers[10].credit
+        saved += node.core.endpoints[10].tokens
     assert saved < 50
 
 
@@ -518,10 +520,10 @@
     """Found on purbachal-later big-2: an ageing server told of 100 s, and nodes cut but once in that time."""
     node = make_node(settings=replace(SETTINGS, instance_count=250))
     node.pressed(10, 100.0)
-    once = node.core.servers[10].window
+    once = node.core.endpoints[10].concurrency_limit
     node.now += 1.0
     node.pressed(10, 100.0)
-    assert node.core.servers[10].window < once
+    assert node.core.endpoints[10].concurrency_limit < once
 
 
 def test_where_answers_are_lost_a_set_up_is_given_up_in_time_for_another(make_node):
@@ -535,10 +537,10 @@
     timeout = sends(node.offer())[0].timeout_s
     kind = SETTINGS.classes[0]
     assert 0 < timeout < kind.latency_objective_s - SETTINGS.safety.retry_pause_s
-    window = node.core.servers[10].window
+    window = node.core.endpoints[10].concurrency_limit
     node.now += timeout
     node.ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=timeout)
-    assert node.core.servers[10].window == window  # it tells of loss, not of a long wait
+    assert node.core.endpoints[10].concurrency_limit == window  # it tells of loss, not of a long wait
     node.pressed(10, 1.0)
     node.now += SETTINGS.safety.retry_pause_s + 0.1
     assert all(act.timeout_s == 0.0 for act in sends(node.ring()))  # not at a pressed server
@@ -552,6 +554,6 @@
     node.list_servers(EndpointRecord(10, 0, Availability.DRAINING), complete=False)
     node.now += 2.0
     node.list_servers(EndpointRecord(12, 0, started_at=node.now), complete=False)
-    server = node.core.servers[12]
+    server = node.core.endpoints[12]
     node.tell(LoadReported(12, LoadReport(free_lines=1000, total_lines=1000)))
     assert node.core.warm_rate(node.now, server) > 0.7 * 900 / node.core.length_s
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -63,9 +63,9 @@
     inside = Inside()
     call, caller = offered(inside)
     decided = inside.core.controller
-    assert decided.calls and decided.servers[1].unanswered
+    assert decided.calls and decided.endpoints[1].pending_setups
     ENDINGS[how](inside, call)
-    assert not decided.calls and not decided.waiting and not decided.servers[1].unanswered
+    assert not decided.calls and not decided.waiting and not decided.endpoints[1].pending_setups
     assert len(caller.said) == (how != "given up")
     inside.run(20.0)
     assert len(inside.written) == 1 and len(caller.said) == (how != "given up")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -96,7 +96,7 @@
     assert [s.server_id for s in sends(node.offer(choice=0))] == [11]
     node.now += 60.0
     node.list_servers(EndpointRecord(11, 1))
-    assert 10 not in node.core.servers
+    assert 10 not in node.core.endpoints
 
 
 @pytest.mark.parametrize("ending", [AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED])
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -201,7 +201,7 @@
         world.answers[world.calls] = 1  # failed at once
         world.offer(classes[0], 1, in_transit=True)
         world.busy(4, 25, classes, 1)
-        decisions.retune(after)
+        decisions.update_settings(after)
         world.busy(4, 25, [*classes, *after.classes], 2)
         world.listed(*(line(n) for n in range(1, 4)))
         world.tell(CallAbandoned(world.offer(classes[0])))
@@ -223,13 +223,13 @@
     decisions = scoped(settings_of(a, b), changed=told)
     world = World(decisions)
     world.listed(*(line(n + 1, n) for n in range(1900)))
-    assert not decisions.servers and not told and not any(map(decisions.in_scope, range(1900)))
+    assert not decisions.endpoints and not told and not any(map(decisions.in_scope, range(1900)))
     world.busy(3, 20, [a])
     assert told == [(frozenset(range(10)), ("a",), True)]
-    assert sorted(decisions.servers) == list(range(1, 11)) and len(decisions.servers) == 10
+    assert sorted(decisions.endpoints) == list(range(1, 11)) and len(decisions.endpoints) == 10
     assert [n for n in range(1900) if decisions.in_scope(n)] == list(range(10))
     world.busy(3, 20, [a, b])
-    assert len(told) == 2 and len(decisions.servers) == 20
+    assert len(told) == 2 and len(decisions.endpoints) == 20
     world.finish()
     assert {server for _, _, server in world.sent} <= set(range(1, 21))
 
@@ -268,13 +268,15 @@
     assert [came for _, _, came in told] == [True, False]
     world.listed(line(1, up_since=world.now - 1), complete=False)
     world.offer(a, 1)
-    seen, new = decisions.servers[1], scoped(settings_of(a, b))
+    seen, new = decisions.endpoints[1], scoped(settings_of(a, b))
     anew = World(new)
     anew.now = world.now
     anew.listed(line(1, up_since=world.now - 1))
     anew.offer(a, 1)
-    pace = decisions.turns_in_span(world.now, seen)
-    assert decisions.is_cold(world.now, seen) and 0 < pace == new.turns_in_span(world.now, new.servers[1])
+    pace = decisions.slow_start_slots(world.now, seen)
+    assert decisions.is_warming_up(world.now, seen) and 0 < pace == new.slow_start_slots(
+        world.now, new.endpoints[1]
+    )
     assert decisions.timers.keys() <= {scope.label for scope in decisions.live.values()} | {LOOK}
     world.finish()
 
@@ -291,9 +293,9 @@
     assert world.answers[call] == 1 and not decisions.live
     world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
     world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
-    assert not decisions.owner and not decisions.servers
+    assert not decisions.owner and not decisions.endpoints
     with pytest.raises(KeyError):
-        decisions.servers[1]
+        decisions.endpoints[1]
 
 
 A, B, C = kind("a", 0, 1, 2), kind("b", 3, 4), kind("c", 5, 6, priority_weight=2.0)
@@ -326,10 +328,10 @@
     for number, settings in enumerate([after, before] if there_and_back else [after]):
         waiting = {call for each in decisions.live.values() for call in each.controller.waiting}
         open_ones = {call for each in decisions.live.values() for call in each.controller.calls}
-        known = {server: (seen, seen.window) for server, seen in decisions.servers.items()}
+        known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
-            assert len(waiting) > 5 and sum(len(seen.unanswered) for seen, _ in known.values()) > 3
-        decisions.retune(settings)
+            assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
+        decisions.update_settings(settings)
         assert {call for each in decisions.live.values() for call in each.controller.calls} == open_ones
         assert {call for each in decisions.live.values() for call in each.controller.waiting} == waiting
         assert set(decisions.owner) == open_ones
@@ -337,8 +339,8 @@
         kept = [server for server in known if decisions.in_scope(world.number_of[server])]
         assert kept, "nothing that was known is in scope"
         for server in kept:
-            seen = decisions.servers[server]
-            assert (seen, seen.window) == known[server], "learnt anew"
+            seen = decisions.endpoints[server]
+            assert (seen, seen.concurrency_limit) == known[server], "learnt anew"
         # The old classes live on for callers who have not heard of the new ones.
         world.busy(1.5, 30, [*before.classes, *after.classes], f"both{number}")
         world.busy(2, 30, settings.classes, f"new{number}")
@@ -359,7 +361,7 @@
     for turn in range(6):
         for each in decisions.settings.classes:
             world.offer(each, grace_s=60.0)
-        decisions.retune(one if turn % 2 == 0 else two)
+        decisions.update_settings(one if turn % 2 == 0 else two)
         world.run(world.now + 0.5)
         out = sum(world.timers[label] for label in world.timers if label != LOOK)
         assert out == len([each for each in decisions.live.values() if each.controller.waiting])
@@ -377,11 +379,11 @@
     world.offer(b, 3)
     call = world.offer(a, 1)
     assert world.sent[-1][1:] == (call, 1)
-    seen = decisions.servers[1]
+    seen = decisions.endpoints[1]
     world.listed(line(1, 3), complete=False)
-    assert decisions.servers[1] is seen and seen.number == 3 and call in seen.unanswered
+    assert decisions.endpoints[1] is seen and seen.number == 3 and call in seen.pending_setups
     world.run(world.now + 3)
-    assert not seen.unanswered and world.answers[call] == 1 and seen.own_at > -1e9
+    assert not seen.pending_setups and world.answers[call] == 1 and seen.measured_at > -1e9
     before = len(world.sent)
     world.busy(4, 10, [a])
     assert {server for _, _, server in world.sent[before:]} == {2}, "a's set has lost it"
@@ -389,7 +391,7 @@
     world.busy(4, 10, [b])
     assert {server for _, call, server in world.sent[before:] if world.kinds[call] is b} == {1, 3}
     world.listed(line(1, 77), complete=False)  # where no class looks
-    assert 1 not in decisions.servers
+    assert 1 not in decisions.endpoints
     world.finish()
 
 
@@ -411,7 +413,7 @@
     world.listed(line(3, 2), complete=False)
     world.listed(line(11, 0), line(12, 1), line(3, 2), complete=True)
     assert sorted(decisions.lines) == [3, 11, 12] and not decisions.gone
-    assert sorted(decisions.servers) == [3, 11, 12]
+    assert sorted(decisions.endpoints) == [3, 11, 12]
     world.finish()
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -614,5 +614,5 @@
     assert not core.servers and not core.by_instance and not side.links
     assert not core.calls and not front.calls and not core.by_ident
     assert len(core._over) <= REMEMBERED_S / 5 + 1
-    assert len(core.controller.servers) <= 10 and len(core._timers) <= 10
+    assert len(core.controller.endpoints) <= 10 and len(core._timers) <= 10
     assert not any("MADE" in name for name in core.counters.counts)
