--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -230,7 +230,7 @@
         return abs(grace_s - usual) > PATIENCE_SLACK * usual
 
     def number_jammed(self, now: float, call: PendingCall) -> bool:
-        """Extension: after 'busy' a number gets one trial call an interval, which doubles with each 'busy'."""
+        """Extension: after 'busy' a number gets one trial call an interval, which doubles each time."""
         jam = self.jams.get(call.called_number)
         if jam is None:
             return False
@@ -514,11 +514,9 @@
         self.move_window(now, server, count)
 
     def blame(self, now: float, call: PendingCall, stood_at: int) -> None:
-        """Departure: an error counts against a server once the same call has stood at another.
+        """Extension: an error counts against a server once the same call was established at another.
 
-        Guards against callers whose set-ups no server can use: each was answered with an error, two of them
-        paused a sound server, and three quarters of the good calls were refused (snapshot 61cf2221). It could
-        harm by knowing a faulty server later, by one attempt.
+        A set-up that no server can use is thus held against none (snapshot 61cf2221).
         """
         for server_id in call.error_servers:
             server = self.endpoints.get(server_id)
