--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -66,7 +66,7 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
 from stairhatch.standin.roster import Link, StandIn
@@ -113,7 +113,7 @@
     """The decisions of one softswitch, with servers that answer at once and tell their state now and then."""
 
     def __init__(self, make: Decisions, listed: int, service: int = SERVICE) -> None:
-        self.settings = settings_from(raw_settings(listed, service))[0]
+        self.settings = settings_from_object(raw_settings(listed, service)).settings
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
         self.lines = tuple(EndpointRecord(index + 1, index) for index in range(listed))
@@ -221,7 +221,7 @@
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
     for call in waiting.values():  # they are held through the run
-        call.hold_by = call.answer_by
+        call.queue_until = call.answer_by
     alone.decisions.holds.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
@@ -379,7 +379,7 @@
 def bare_core() -> CallManager:
     """A core without fronts."""
     return CallManager(
-        settings_from(raw_settings(24))[0],
+        settings_from_object(raw_settings(24)).settings,
         random.Random(1),
         steady_unix_clock(),
         lambda *a, **k: None,
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -15,7 +15,8 @@
 from stairhatch.config import Config, ConfigError
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import DirectoryError, apply_events, read_events
-from stairhatch.settings import lost_key
+from stairhatch.settings.errors import LostKeyError
+from stairhatch.settings.lost_keys import check_no_key_lost
 
 # Keys that a running process keeps as they were at its start, beside those that a part refuses to take.
 RESTART_KEYS = ("name", "listen", "console", "sockets", "memory_mb", "syslog", "fleet")
@@ -74,7 +75,7 @@
         """Read the configuration and apply it, or reject it; the result is logged, counted and kept."""
         try:
             candidate = self._read()
-        except (ConfigError, DirectoryError) as error:
+        except (ConfigError, LostKeyError, DirectoryError) as error:
             result: ReloadResult = ReloadRejected(str(error))
             self._parts.counters.add("reloads_rejected")
             self._parts.log("reload", result="rejected", why=str(error))
@@ -87,8 +88,7 @@
         """Read and check a configuration before anything is changed."""
         new = self._read_config()
         listed = read_events(new.known, 0)[1]
-        if lost := lost_key(self.config.raw, new.raw):
-            raise ConfigError(f"{lost} is missing, and is in force")
+        check_no_key_lost(self.config.raw, new.raw)
         if (new.coordinator is None) is not (self.config.coordinator is None):
             raise ConfigError("a coordinator in place of listed servers, or the reverse, wants a restart")
         return _Candidate(new, listed[0][1] if listed else [])
@@ -123,7 +123,7 @@
         """Give the decisions their new settings and scope."""
         parts = self._parts
         if parts.scoped is not None and new.scope is not None and new.scope != old.scope:
-            parts.scoped.retune(parts.scoped.settings, new.scope)
+            parts.scoped.update_settings(parts.scoped.settings, new.scope)
         if new.settings != old.settings:
             settings = parts.fleet.tuned(new.settings) if parts.fleet is not None else new.settings
             parts.core.retune(settings)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -28,7 +28,7 @@
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
     PATIENCE_S,
@@ -437,7 +437,7 @@
     async def story():
         known = {"index": 0, "updates": []}
         settings = {**TIDE, "permissions": {**TIDE["permissions"], "retry_after": False}}
-        config = Config("n", settings_from(settings)[0], listen=("127.0.0.1", 0), known=known)
+        config = Config("n", settings_from_object(settings).settings, listen=("127.0.0.1", 0), known=known)
         application = Application(config, lambda: config)
         application.open_listeners()
         application.start_discovery()
@@ -638,7 +638,9 @@
     assert finals.count([200]) == len(stand) + 1 and {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.text()
     limit = text.find(" drain_deadline_reached ")
-    assert text.count(" drain_deadline_reached ") == (front == "platform"), "there the limit ends it, at once for all"
+    assert text.count(" drain_deadline_reached ") == (
+        front == "platform"
+    ), "there the limit ends it, at once for all"
     assert " attempt " not in text[limit:] or front != "platform", "nothing new after it"
     tags = [line["call"] for line in program.lines("attempt")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -29,7 +29,7 @@
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
     SETTINGS,
@@ -536,7 +536,7 @@
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.by_ident[old].offer.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
-    inside.core.retune(settings_from(tuned(lines, cap=1))[0])
+    inside.core.retune(settings_from_object(tuned(lines, cap=1)).settings)
     connection.receive_data(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.by_ident[old], inside.core.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
@@ -559,7 +559,7 @@
     """Guards against calls turned away that left before their caller heard of the new settings."""
     inside = Inside()
     connection = TrunkFront(inside.core).connect()
-    inside.core.retune(settings_from(tuned([class_line("read-roster", hard_limit_s=2.0)]))[0])
+    inside.core.retune(settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings)
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
         connection.receive_data(trunk_invite(ident, "9000", kind))
@@ -577,15 +577,15 @@
     for _ in range(50):
         node.offer(kind=0, grace_s=3.0)
         node.offer(kind=1, grace_s=2.0)
-    core.servers[10].window = 7.5
+    core.endpoints[10].concurrency_limit = 7.5
     kept = dict(core.patience)
     (_, vital), length = core.settings.classes, core.length_s
     shorter = replace(vital, latency_objective_s=0.3, deadline_s=vital.deadline_s / 2, priority_weight=9)
-    core.retune(replace(core.settings, classes=(shorter,), instance_count=10, max_attempts=1))
+    core.update_settings(replace(core.settings, classes=(shorter,), instance_count=10, max_attempts=1))
     fresh = Controller(core.settings, random.Random(1))
     for name in ("settings", "safety", "first_window", "least_window", "scale_s", "most", "least", "onset"):
         assert getattr(core, name) == getattr(fresh, name), name
-    assert core.servers[10].window == 7.5 and core.length_s == length
+    assert core.endpoints[10].concurrency_limit == 7.5 and core.length_s == length
     assert core.patience == {"vital": kept["vital"] / 2}, "by its name, and in proportion"
 
 
@@ -740,7 +740,7 @@
 
 def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch, tmp_path):
     """Guards against a program that never ends because somebody takes no answer."""
-    settings = settings_from(SETTINGS)[0]
+    settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
 
