--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,7 +37,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.lab.processes import at, own_host
+from stairhatch.fault_injection.processes import at, own_host
 from stairhatch.node import message as sip
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
@@ -367,7 +367,7 @@
         assert process.core is not None
         process.number = number
         self.settings = replace(self.settings, instance_count=count)
-        process.core.retune(replace(self.settings, instance_index=number))
+        process.core.update_settings(replace(self.settings, instance_index=number))
 
     def run(self) -> Result:
         """All of it, until it is warm."""
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,13 +38,16 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
+from stairhatch.components import steady_unix_clock
+from stairhatch.fault_injection.schedule import Schedule
+from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import Codec
-from stairhatch.lab.schedule import Schedule
-from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
@@ -63,8 +66,7 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
-from stairhatch.service import unix_clock
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
 from stairhatch.standin.roster import Link, StandIn
@@ -111,7 +113,7 @@
     """The decisions of one softswitch, with servers that answer at once and tell their state now and then."""
 
     def __init__(self, make: Decisions, listed: int, service: int = SERVICE) -> None:
-        self.settings = settings_from(raw_settings(listed, service))[0]
+        self.settings = settings_from_object(raw_settings(listed, service)).settings
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
         self.lines = tuple(EndpointRecord(index + 1, index) for index in range(listed))
@@ -219,7 +221,7 @@
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
     for call in waiting.values():  # they are held through the run
-        call.hold_by = call.answer_by
+        call.queue_until = call.answer_by
     alone.decisions.holds.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
@@ -377,7 +379,11 @@
 def bare_core() -> CallManager:
     """A core without fronts."""
     return CallManager(
-        settings_from(raw_settings(24))[0], random.Random(1), unix_clock(), lambda *a, **k: None, Counters()
+        settings_from_object(raw_settings(24)).settings,
+        random.Random(1),
+        steady_unix_clock(),
+        lambda *a, **k: None,
+        Counters(),
     )
 
 
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -12,8 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt
 from stairhatch.node.connection_liveness import ConnectionLiveness
-from stairhatch.node.core import Attempt, CallManager
 from stairhatch.node.server_messages import render_setup
 
 MAX_QUEUED_SETUPS = 512  # that one connection holds back; what comes beyond is not sent
--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -12,8 +12,10 @@
 import math
 from typing import Protocol
 
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, RosterServer
 from stairhatch.node.connection_liveness import ConnectionLiveness
-from stairhatch.node.core import Attempt, CallManager, ConnectionProtocol, RosterServer
+from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.send_queue import PendingRelease, SendQueue
 from stairhatch.node.server_messages import (
     KNOWN_VERBS,
--- a/stairhatch/node/server_messages.py
+++ b/stairhatch/node/server_messages.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from stairhatch.overload.events import LoadReport
-from stairhatch.settings import report_from
+from stairhatch.settings.load_reports import load_report_from_values
 
 MAX_LINE_BYTES = 16 * 1024
 LINE_OVERHEAD_BYTES = 512  # of a set-up's line, beside its id, number and description
@@ -97,7 +97,7 @@
             values.append((name.strip(), float(figure)))
         except ValueError:
             continue
-    return report_from(values)
+    return load_report_from_values(values)
 
 
 def parse_message(line: bytes) -> ServerMessage:
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from stairhatch.node.core import Attempt, CallManager, RosterServer
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, RosterServer
 from stairhatch.node.send_queue import SIMULTANEOUS_S
 from stairhatch.node.server_connection import SUPERSEDED_S, ServerConnection
 from stairhatch.overload.events import Availability
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -11,8 +11,10 @@
 from functools import lru_cache, partial
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import AWAY_S, ENDED, Call, CallManager, CallRequest, ConnectionProtocol
+from stairhatch.node.call_manager import AWAY_S, ENDED, CallManager
+from stairhatch.node.calls import Call, CallRequest
 from stairhatch.node.message import called_number, release_cause
+from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.server_messages import exceeds_line_limit
 
 MOST_OUTPUT = 128 * 1024  # a caller that reads so much too slowly is cut off
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -10,9 +10,10 @@
 
 # From the lowest up; a module may import from its own layer and those before it.
 LAYERS = (
-    ("overload", "settings", "wire", "", "adapter"), ("node",), ("admission", "fleet", "scope"),
-    ("sip",), ("config",), ("service",), ("start", "users"), ("standin",), ("conform", "demo", "load"),
-    ("lab",), ("scale",), ("cli",), ("__main__",),
+    ("overload", "settings", "", "simulator"), ("node",), ("admission", "fleet", "scope"),
+    ("sip",), ("config",), ("components", "connection_limits", "reload", "shutdown", "terminal"),
+    ("application",), ("main", "users"), ("standin",), ("conform", "demo", "load"),
+    ("fault_injection",), ("scale",), ("cli",), ("__main__",),
 )  # fmt: skip
 MODULES = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -18,8 +18,9 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.core import ServerRecord
-from stairhatch.node.net import Bounds, Network
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.network import Network
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
