--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -18,7 +18,6 @@
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.send_queue import PendingRelease, SendQueue
 from stairhatch.node.server_messages import (
-    KNOWN_VERBS,
     MAX_LINE_BYTES,
     MalformedMessageError,
     ServerMessage,
@@ -31,6 +30,7 @@
 
 DRAIN_TIMEOUT_S = 10.0  # one to a server that is gone is not kept longer, whatever is still pending on it
 SUPERSEDED_S = 10.0  # a superseded one is read so long at least, and while calls stand that were set up on it
+RECEIVED_COUNTERS = {str(verb): f"got_{verb}" for verb in Verb if verb is not Verb.START}
 
 
 class ConnectionOwner(Protocol):
@@ -303,8 +303,8 @@
 
     def _message_received(self, message: ServerMessage) -> None:
         core, verb, call_id = self.pool.core, message.verb, message.call_id
-        core.counters.add(f"got_{verb if verb in KNOWN_VERBS else 'other_verb'}")
-        is_load_report = verb == "LOAD"
+        core.counters.add(RECEIVED_COUNTERS.get(verb, "got_other_verb"))
+        is_load_report = verb == Verb.LOAD
         self.liveness.message_received(core.clock(), is_load_report)
         if self.pool.has_superseded():
             self.pool.message_received(self, is_load_report)
--- a/stairhatch/node/server_messages.py
+++ b/stairhatch/node/server_messages.py
@@ -38,7 +38,6 @@
     LOAD = "LOAD"  # from a server: a load report, unasked
 
 
-KNOWN_VERBS = frozenset(str(verb) for verb in Verb if verb is not Verb.START)  # that a server may send
 CALL_VERBS = frozenset((str(Verb.STARTED), str(Verb.FINISH)))  # they name a call
 
 
