--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -833,8 +833,8 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
+    from stairhatch.node.platform_frontend import TrunkConnection
     from stairhatch.node.server_connection import ServerConnection
-    from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
     inner: list[float] = []
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -26,9 +26,9 @@
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
 from stairhatch.node.io.network import Network
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import Log
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.reload import ConfigReloader
 from stairhatch.shutdown import GracefulShutdown
 from stairhatch.terminal import Terminal
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -15,8 +15,8 @@
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Listening, Network
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.syslog import Log
-from stairhatch.node.trunk_front import TrunkFront
 
 if TYPE_CHECKING:
     from stairhatch.fleet.service import Fleet
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,8 +26,8 @@
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.server_pool import ServerConnectionPool
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,8 +21,8 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.server_pool import ServerConnectionPool
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 
 from .peers import PATIENCE_S, Caller, Coordinator, Inside, Program, RosterServer, instance, until
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,8 +25,8 @@
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
 from stairhatch.node.io.network import FRESH_S, Listening, Network
+from stairhatch.node.platform_frontend import GREET_S, TrunkFront
 from stairhatch.node.server_pool import ServerConnectionPool
-from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -19,8 +19,8 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.server_messages import parse_load_report
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
 from stairhatch.settings.errors import SettingsError
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,9 +15,9 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import WHOLE_S, Directory
+from stairhatch.node.platform_frontend import TrunkFront
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import MOST_WARNINGS, Log
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
