--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -833,7 +833,7 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
-    from stairhatch.node.platform_frontend import TrunkConnection
+    from stairhatch.node.platform_connection import PlatformConnection
     from stairhatch.node.server_connection import ServerConnection
 
     spent: Counter[str] = Counter()
@@ -855,12 +855,12 @@
 
         setattr(owner, method, act)
 
-    timed(TrunkConnection, "receive_data", "parse")
+    timed(PlatformConnection, "receive_data", "parse")
     timed(Controller, "handle", "decide", whole=True)
     for method in ("offer", "answered", "finished", "caller_released", "tick", "may_write"):
         timed(CallManager, method, "core")
     timed(ServerConnection, "data_to_send", "ask")
-    timed(TrunkConnection, "data_to_send", "answer")
+    timed(PlatformConnection, "data_to_send", "answer")
     timed(ServerConnection, "receive_data", "states")
     path = Path(os.environ["SPANS"])
     began = CallManager.__init__
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -26,7 +26,7 @@
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
 from stairhatch.node.io.network import Network
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import Log
 from stairhatch.reload import ConfigReloader
@@ -129,7 +129,7 @@
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.trunk = TrunkFront(parts.core)
+        parts.trunk = PlatformFrontend(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
         bounds = Bounds(caller_connection_limit(config))
         listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -15,7 +15,7 @@
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Listening, Network
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.syslog import Log
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
     core: CallManager
     network: Network
     scoped: ScopedController | None = None
-    trunk: TrunkFront | None = None
+    trunk: PlatformFrontend | None = None
     sip: SipFront | None = None
     directory: Directory | None = None
     fleet: Fleet | None = None
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,7 +26,7 @@
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.settings.parser import settings_from_object
 
@@ -314,7 +314,7 @@
 def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
     """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
     inside = Inside()
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     connection, ident = front.connect(), next(IDS)
     connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
     assert inside.written and connection.has_partial_message()
@@ -341,7 +341,7 @@
         inside = Inside()
         inside.follow(asyncio.get_running_loop())
         network = Network(inside.core)
-        front = TrunkFront(inside.core)
+        front = PlatformFrontend(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
         listening = network.listen(sock, front.connect, Bounds(1, young_s=0.05))
         old = socket.create_connection(sock.getsockname())
@@ -382,7 +382,7 @@
 def test_a_release_that_nobody_hears_is_kept_for_who_connects_next():
     """Guards against an end of a call that is dropped after four tries at callers who don't read."""
     inside = Inside()
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
     inside.stand()
@@ -393,7 +393,9 @@
     inside.run(0.2)
     assert late.data_to_send().count(b"BYE sip:") == 1
     inside.run(60.0)
-    assert not front.releases and inside.core.counters.counts["releases_unheard"] == 1
+    assert (
+        not front.registry.deliveries.pending and inside.core.counters.counts["releases_unacknowledged"] == 1
+    )
 
 
 def test_a_fault_in_a_timer_takes_no_other_with_it():
@@ -413,7 +415,7 @@
     """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
     inside, links = Inside(), []
     if to == "caller":
-        side = TrunkFront(inside.core)
+        side = PlatformFrontend(inside.core)
         machine = side.connect()
     elif to == "SIP caller":
         side = inside.front
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,7 +21,7 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability
 
@@ -265,7 +265,7 @@
         core = inside.core
         inside.follow(asyncio.get_running_loop())
         core.log = lambda *args, **fields: None
-        network, side, front = Network(core), ServerConnectionPool(core, links.append), TrunkFront(core)
+        network, side, front = Network(core), ServerConnectionPool(core, links.append), PlatformFrontend(core)
         core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
@@ -342,7 +342,7 @@
         inside, links = Inside(), []
         core = inside.core
         inside.follow(asyncio.get_running_loop())
-        network, front = Network(core), TrunkFront(core)
+        network, front = Network(core), PlatformFrontend(core)
         ServerConnectionPool(core, links.append)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -414,7 +414,7 @@
 def test_a_look_at_the_callers_does_not_count_after_a_standstill():
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
     inside, links = Inside(), []
-    side, front = ServerConnectionPool(inside.core, links.append), TrunkFront(inside.core)
+    side, front = ServerConnectionPool(inside.core, links.append), PlatformFrontend(inside.core)
     side.record_changed(inside.core.servers[1])
     (link,) = links
     link.connection_made()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -25,7 +25,7 @@
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
 from stairhatch.node.io.network import FRESH_S, Listening, Network
-from stairhatch.node.platform_frontend import GREET_S, TrunkFront
+from stairhatch.node.platform_frontend import CALLER_AFTER_S, PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
@@ -295,7 +295,7 @@
     """The platform's front on a core whose clock is set by hand, with a call that stands on one of two
     connections; both have heard a release.
     """
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     one, two = front.connect(), front.connect()
     for connection in (one, two):
         connection.receive_data(trunk_invite(ident := next(IDS)))
@@ -337,20 +337,20 @@
     (drain, snapshot 0737b4e5).
     """
     inside = Inside()
-    _, one, two, ident = front_of(inside)
+    front, one, two, ident = front_of(inside)
     inside.core.drain(True)
     for each in (one, two):
         each.close_when_idle()
         each.connection_lost()
     inside.core.finished(inside.core.servers[1], ident, 16, "", inside.report())
     inside.run(120.0)
-    tests = inside.written[0].call.caller_session.connection.front.connect()
+    tests = front.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     assert statuses(tests, "p") == [503]
-    inside.run(2 * GREET_S)
+    inside.run(2 * CALLER_AFTER_S)
     assert statuses(tests, ident) == []
-    silent = tests.front.connect()
-    inside.run(2 * GREET_S)
+    silent = front.connect()
+    inside.run(2 * CALLER_AFTER_S)
     assert statuses(silent, ident) == ["BYE"]
 
 
@@ -381,7 +381,7 @@
 def test_new_set_ups_are_refused_only_some_time_into_a_drain():
     """Guards against refusing callers who come before the front has heard the no."""
     inside = Inside()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     inside.core.drain(True)
     inside.run(TURN_AWAY_S - 0.1)
     connection.receive_data(trunk_invite(early := next(IDS)))
@@ -532,7 +532,7 @@
 def test_open_calls_keep_their_class_and_their_attempts():
     """Guards against a call whose rules change, or that is lost, while it is open."""
     inside = Inside()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.by_ident[old].offer.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
@@ -558,7 +558,7 @@
 def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
     """Guards against calls turned away that left before their caller heard of the new settings."""
     inside = Inside()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     inside.core.retune(settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings)
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
@@ -809,7 +809,7 @@
 
 def listening_of(inside, most, *ends):
     """A listener of the platform's front with one connection taken for each given end of a pair."""
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     loop = SimpleNamespace(time=lambda: inside.now)
     listening = Listening(SimpleNamespace(loop=loop, core=inside.core), None, front.connect, Bounds(most))
     taken = [Taken(front.connect(), end, inside.now) for end in ends]
@@ -872,7 +872,7 @@
     side = ServerConnectionPool(inside.core, links.append)
     inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].connection_made()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     for _ in range(4):
         connection.receive_data(trunk_invite(ident := next(IDS)))
         inside.run(0.01)
@@ -891,7 +891,7 @@
     inside, links = Inside(), []
     side = ServerConnectionPool(inside.core, links.append)
     inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     began = inside.now
     while len(links) < 4:
         links[-1].connection_made()
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -19,7 +19,7 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_messages import parse_load_report
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
@@ -349,7 +349,7 @@
         pools = told["family_info"]["allowed_pools"][0]
         lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
         self.core.list_servers(lines, True)
-        self.caller = TrunkFront(self.core).connect()
+        self.caller = PlatformFrontend(self.core).connect()
 
     def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,7 +15,7 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import WHOLE_S, Directory
-from stairhatch.node.platform_frontend import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.overload.events import Availability
@@ -431,7 +431,7 @@
     """
     now = [1000.0]
     core, side, _, _ = a_link(now)
-    caller = TrunkFront(core).connect()
+    caller = PlatformFrontend(core).connect()
 
     def silent_until_doubted():
         """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
@@ -467,7 +467,7 @@
 
 def asked(core, side, now, within="9000"):
     """A call whose set-up has been written on the link in use."""
-    caller, ident = TrunkFront(core).connect(), next(IDS)
+    caller, ident = PlatformFrontend(core).connect(), next(IDS)
     caller.receive_data(invite(ident=ident, within=within))
     for _ in range(100):
         if b"START" in side.active[1].data_to_send():
@@ -609,7 +609,7 @@
     )
     links = []
     side = ServerConnectionPool(core, links.append)
-    front = TrunkFront(core)
+    front = PlatformFrontend(core)
     connection = front.connect()
     for n in range(200):
         core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
@@ -622,7 +622,7 @@
         now[0] += 5
         core.tick()
     assert not core.servers and not core.by_instance and not side.active
-    assert not core.calls and not front.calls and not core.by_ident
+    assert not core.calls and not front.registry.calls and not core.by_ident
     assert len(core._over) <= REMEMBERED_S / 5 + 1
     assert len(core.controller.endpoints) <= 10 and len(core._timers) <= 10
     assert not any("MADE" in name for name in core.counters.counts)
