--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -40,7 +40,7 @@
 from benchmarks import capacity
 from stairhatch.fault_injection.schedule import Schedule
 from stairhatch.fault_injection.world import LIST, World
-from stairhatch.fleet.messages import Codec
+from stairhatch.fleet.messages import FleetCodec
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
 from stairhatch.node.directory import Directory
@@ -937,7 +937,7 @@
 def of_voter(size: int, told: argparse.Namespace) -> dict[str, float]:
     """By members of claims with three voters, on the virtual clock, once nearly all numbers are held."""
     names = tuple(f"s{index}" for index in range(size))
-    voters, codec = names[:3], Codec("fleet", b"0123456789abcdef")
+    voters, codec = names[:3], FleetCodec("fleet", b"0123456789abcdef")
     world = World(Schedule(1e9, names, voters), 1)
     counts: Counter[str] = Counter()
     window: list[float] = []
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -257,17 +257,17 @@
     """Ask the softswitch that FILE describes, by its door, for its claims: names, holders, tickets, terms
     left, whether it votes, and why there is no majority.
     """
-    from stairhatch.fleet import asking
+    from stairhatch.fleet import admin_client
 
     try:
         if watch:
-            asking.watch(_door(file), watch, seconds, click.echo)
+            admin_client.observe_lease(_door(file), watch, seconds, click.echo)
             return
-        told = asking.claims(_door(file))
-    except asking.DoorError as error:
+        told = admin_client.lease_report(_door(file))
+    except admin_client.AdminClientError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(1)
-    click.echo(json.dumps(told) if as_json else asking.table(told), nl=as_json)
+    click.echo(json.dumps(told) if as_json else admin_client.format_report(told), nl=as_json)
 
 
 @main_group.command("restart-slot")
@@ -279,12 +279,16 @@
     with SIGTERM. Exit code 0: it is held, until a term after that softswitch has gone. 1: there was none in
     time.
     """
-    from stairhatch.fleet import asking
+    from stairhatch.fleet import admin_client
 
     door = _door(file)
     try:
-        click.echo(asking.ask(door, "restart-give") if give else asking.wait_for(door, "restart-ask", wait))
-    except asking.DoorError as error:
+        click.echo(
+            admin_client.execute(door, "restart-give")
+            if give
+            else admin_client.execute_until_ready(door, "restart-ask", wait)
+        )
+    except admin_client.AdminClientError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(1)
 
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -21,8 +21,8 @@
 from stairhatch.admission.budget import BudgetPolicy
 from stairhatch.admission.gate import GatePolicy
 from stairhatch.config import Config, ConfigError, checked_settings, read_file
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.config import MOST_VOTERS, FleetConfig
+from stairhatch.fleet.config import MAX_VOTERS, FleetConfig
+from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.node.directory import DirectoryError, parse_address
 from stairhatch.overload.settings import Settings
 from stairhatch.scope.sets import ScopeConfig, Service, disagreement
@@ -393,8 +393,8 @@
     told = table.fleet
     if told is None:
         return None
-    if not 1 <= len(told.voters) <= MOST_VOTERS:
-        raise ConfigError(f"fleet.voters: from 1 to {MOST_VOTERS} are needed, best 3 or 5")
+    if not 1 <= len(told.voters) <= MAX_VOTERS:
+        raise ConfigError(f"fleet.voters: from 1 to {MAX_VOTERS} are needed, best 3 or 5")
     if len(table.name) > 48:
         raise ConfigError("name: in a fleet it has 48 characters at most")
     listen = _address(told.listen, "fleet.listen")
@@ -422,7 +422,7 @@
         secret=secret.encode(),
         folder=folder / told.folder if told.folder is not None else None,
         history=folder / told.history if told.history is not None else None,
-        terms=Terms(told.term_s, told.drift, min(0.25, told.term_s / 8)),
+        terms=LeaseTimings(told.term_s, told.drift, min(0.25, told.term_s / 8)),
         numbers=told.numbers,
         list=told.list,
         restarts=told.restarts,
--- a/stairhatch/fault_injection/child.py
+++ b/stairhatch/fault_injection/child.py
@@ -18,8 +18,8 @@
 
 from stairhatch.config.appliance import read_appliance
 from stairhatch.fault_injection.planted import planted
-from stairhatch.fleet import service
-from stairhatch.fleet.store import Store
+from stairhatch.fleet import runtime
+from stairhatch.fleet.store import VoterStore
 from stairhatch.start import serve
 
 
@@ -77,9 +77,9 @@
     path, rate, offset, orders = sys.argv[1], float(sys.argv[2]), float(sys.argv[3]), int(sys.argv[4])
     die_with_parent()
     faults = Faults(rate, offset)
-    service.clock = faults.clock
-    service.between_check_and_write = faults.between
-    Store.before_commit = staticmethod(faults.before_commit)
+    runtime.clock = faults.clock
+    runtime.between_check_and_write = faults.between
+    VoterStore.before_commit = staticmethod(faults.before_commit)
     time.time = lambda: faults.wall() + faults.step
     threading.Thread(target=faults.obey, args=(orders,), daemon=True).start()
     with planted(os.environ.get("STAIRHATCH_LAB_PLANTED", "")):
--- a/stairhatch/fault_injection/explore.py
+++ b/stairhatch/fault_injection/explore.py
@@ -17,11 +17,18 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.effects import Effect, Kept, Place, Promise, Send, Write
-from stairhatch.fleet.mate import Mate, Who
-from stairhatch.fleet.messages import Look, Mark, Message, RollAnswer, RollCall, Shown
-from stairhatch.fleet.voting import Standing
+from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState, PersistVotes, SendMessage, Vote
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.messages import (
+    FleetMessage,
+    LeaseQuery,
+    LeaseStatus,
+    StatusReply,
+    StatusRequest,
+    StorageVersion,
+)
+from stairhatch.fleet.voter import VoterState
 
 CLAIM = "work"
 FAR = 1e9
@@ -104,12 +111,12 @@
     def __init__(self, state: State) -> None:
         self.state, self.now = state, state.now
         self.packed = dict(state.mates)
-        self.open: dict[str, Mate] = {}
+        self.open: dict[str, ClusterMember] = {}
         self.disks = dict(state.disks)
         self.flying = list(state.flying)
         self.writes = list(state.writes)
 
-    def mate(self, name: str) -> Mate:
+    def mate(self, name: str) -> ClusterMember:
         """One softswitch, to be changed."""
         if name not in self.open:
             self.open[name] = pickle.loads(self.packed[name])
@@ -118,19 +125,19 @@
     def carry(self, name: str, effects: list[Effect]) -> None:
         """What one has asked for. Roll calls and answers to them arrive at once."""
         for effect in effects:
-            if isinstance(effect, Write):
+            if isinstance(effect, PersistVotes):
                 self.writes.append((name, pickle.dumps(effect)))
-            elif isinstance(effect, Send):
+            elif isinstance(effect, SendMessage):
                 to, message = effect.to[0], effect.message
-                if isinstance(message, RollCall | RollAnswer):
+                if isinstance(message, StatusRequest | StatusReply):
                     self.carry(to, self.mate(to).handle(self.now, (name, 0), message))
-                elif not isinstance(message, Look | Shown):
+                elif not isinstance(message, LeaseQuery | LeaseStatus):
                     self.flying.append((name, to, pickle.dumps(message)))
 
     def deliver(self, index: int, again: bool, slow: bool) -> None:
         """A message arrives."""
         sender, to, packed = self.flying[index] if again else self.flying.pop(index)
-        message: Message = pickle.loads(packed)
+        message: FleetMessage = pickle.loads(packed)
         before = len(self.writes)
         self.carry(to, self.mate(to).handle(self.now, (sender, 0), message))
         while not slow and len(self.writes) > before:
@@ -139,11 +146,11 @@
     def sync(self, index: int) -> None:
         """A write ends."""
         name, packed = self.writes.pop(index)
-        write: Write = pickle.loads(packed)
+        write: PersistVotes = pickle.loads(packed)
         self.put(name, write)
         self.carry(name, self.mate(name).written(self.now, write.number))
 
-    def put(self, name: str, write: Write) -> None:
+    def put(self, name: str, write: PersistVotes) -> None:
         """It is on the disk."""
         _, promises = pickle.loads(self.disks[name])
         promises.update((each.claim, each) for each in write.promises)
@@ -156,9 +163,11 @@
         for write in mine if synced else ():
             self.put(name, write)
         mark, promises = pickle.loads(self.disks[name])
-        kept = Kept(Mark(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values()))
+        kept = PersistedState(
+            StorageVersion(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values())
+        )
         old = self.mate(name)
-        fresh = Mate(old.who, old.voters, old.terms, NO_DICE, self.now, kept)
+        fresh = ClusterMember(old.who, old.voters, old.terms, NO_DICE, self.now, kept)
         self.open[name] = fresh
         self.carry(name, fresh.tick(self.now))
         for each in [each for each in self.writes if each[0] == name]:  # the note that it votes
@@ -201,20 +210,22 @@
 
 def first(bounds: Bounds) -> State:
     """Voters that vote, and askers that have asked."""
-    voters: dict[str, Place] = {f"v{n}": (f"v{n}", 0) for n in range(bounds.voters)}
-    terms = Terms(3.0, 0.01, 0.25)
+    voters: dict[str, PeerAddress] = {f"v{n}": (f"v{n}", 0) for n in range(bounds.voters)}
+    terms = LeaseTimings(3.0, 0.01, 0.25)
     mates: dict[str, bytes] = {}
     for name in voters:
-        mate = Mate(Who(name, 0), voters, terms, NO_DICE, 0.0, Kept(Mark(name, 1, 0), True))
+        mate = ClusterMember(
+            MemberId(name, 0), voters, terms, NO_DICE, 0.0, PersistedState(StorageVersion(name, 1, 0), True)
+        )
         assert mate.voter is not None
-        mate.voter.standing, mate.voter.due = Standing.VOTES, FAR
+        mate.voter.standing, mate.voter.due = VoterState.VOTING, FAR
         mates[name] = pickle.dumps(mate)
     for n in range(bounds.askers):
-        asker = Mate(Who(f"a{n}", n + 1), voters, terms, NO_DICE, 0.0)
+        asker = ClusterMember(MemberId(f"a{n}", n + 1), voters, terms, NO_DICE, 0.0)
         asker.claim(CLAIM).want(0.0)
         mates[asker.who.name] = pickle.dumps(asker)
-    empty: dict[str, Promise] = {}
-    disks = tuple((name, pickle.dumps((Mark(name, 1, 0), empty))) for name in voters)
+    empty: dict[str, Vote] = {}
+    disks = tuple((name, pickle.dumps((StorageVersion(name, 1, 0), empty))) for name in voters)
     left = Left(bounds.crashes, bounds.copies, bounds.slow, bounds.steps, bounds.leaps)
     step = Step(State(0.0, tuple(mates.items()), disks, (), (), (), (0, ""), left))
     step.advance(leap=False)
--- a/stairhatch/fault_injection/planted.py
+++ b/stairhatch/fault_injection/planted.py
@@ -10,14 +10,14 @@
 from typing import Any
 from unittest import mock
 
-from stairhatch.fleet import voting
-from stairhatch.fleet.claims import Claim, Stage, Terms
-from stairhatch.fleet.effects import Promise, Send
-from stairhatch.fleet.epochs import Roll, may_go_on
-from stairhatch.fleet.fence import Fences
-from stairhatch.fleet.mate import Mate
-from stairhatch.fleet.messages import Ask, GiveBack, Granted
-from stairhatch.fleet.voting import Standing, Voter
+from stairhatch.fleet import voter
+from stairhatch.fleet.effects import SendMessage, Vote
+from stairhatch.fleet.fencing import FencingTokens
+from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
+from stairhatch.fleet.member import ClusterMember
+from stairhatch.fleet.messages import LeaseGranted, LeaseRelease, LeaseRequest
+from stairhatch.fleet.voter import Voter, VoterState
+from stairhatch.fleet.voter_set import VoterSet, may_advance
 
 Patch = tuple[Any, str, Any]
 PLANTED: dict[str, Callable[[], list[Patch]]] = {}
@@ -46,27 +46,27 @@
 
 @plant("a fence is not checked")
 def _() -> list[Patch]:
-    return [(Fences, "take", lambda self, claim, ticket, sender: (True, []))]
+    return [(FencingTokens, "take", lambda self, claim, ticket, sender: (True, []))]
 
 
 @plant("a fence lasts for one start only")
 def _() -> list[Patch]:
-    init = Mate.__init__
+    init = ClusterMember.__init__
 
-    def forgetful(self: Mate, *told: Any) -> None:
+    def forgetful(self: ClusterMember, *told: Any) -> None:
         init(self, *told[:6], None, *told[7:])  # type: ignore[call-arg]
 
-    return [(Mate, "__init__", forgetful)]
+    return [(ClusterMember, "__init__", forgetful)]
 
 
 @plant("a fence keeps the last ticket and not the highest")
 def _() -> list[Patch]:
-    def last(self: Fences, claim: str, ticket: int) -> tuple[bool, list[Any]]:
+    def last(self: FencingTokens, claim: str, ticket: int) -> tuple[bool, list[Any]]:
         good = ticket >= self.seen.get(claim, 0) or ticket % 2 == 0
         self.seen[claim] = ticket
         return good, []
 
-    return [(Fences, "pass_through", last)]
+    return [(FencingTokens, "pass_through", last)]
 
 
 # ---- holders ----
@@ -74,75 +74,75 @@
 
 @plant("the term counts from the answer")
 def _() -> list[Patch]:
-    real = Claim.granted
+    real = LeaseClient.granted
 
-    def late(self: Claim, now: float, message: Granted) -> list[Any]:
+    def late(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
         if round_ := self._rounds.get(message.serial):
             round_.at = now
         return real(self, now, message)
 
-    return [(Claim, "granted", late)]
+    return [(LeaseClient, "granted", late)]
 
 
 @plant("may_act does not look at the time")
 def _() -> list[Patch]:
-    return [(Claim, "may_act", lambda self, now: self.stage is Stage.HELD)]
+    return [(LeaseClient, "may_act", lambda self, now: self.stage is LeaseState.HELD)]
 
 
 @plant("may_act holds while it is asked for again")
 def _() -> list[Patch]:
-    return [(Claim, "may_act", lambda self, now: self.ticket > 0 and self.stage is not Stage.RESTING)]
+    return [(LeaseClient, "may_act", lambda self, now: self.ticket > 0 and self.stage is not LeaseState.IDLE)]
 
 
 @plant("drift is not reckoned with")
 def _() -> list[Patch]:
     same = property(lambda self: self.term_s)
     keeps = lambda self, promise: max(promise.term_s, self.terms.term_s)  # noqa: E731
-    return [(Terms, "held_s", same), (Voter, "_keeps", keeps)]
+    return [(LeaseTimings, "held_s", same), (Voter, "_keeps", keeps)]
 
 
 @plant("late answers count for the newest round")
 def _() -> list[Patch]:
-    real = Claim.granted
+    real = LeaseClient.granted
 
-    def newest(self: Claim, now: float, message: Granted) -> list[Any]:
+    def newest(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
         if self._rounds and message.ticket == self.ticket:
             serial = next(reversed(self._rounds))
-            message = Granted(message.claim, message.voter, message.ticket, serial, message.mark)
+            message = LeaseGranted(message.claim, message.voter, message.ticket, serial, message.mark)
         return real(self, now, message)
 
-    return [(Claim, "granted", newest)]
+    return [(LeaseClient, "granted", newest)]
 
 
 @plant("less than a majority is enough for the holder")
 def _() -> list[Patch]:
-    return [(Claim, "majority", property(lambda self: len(self.voters) // 2))]
+    return [(LeaseClient, "majority", property(lambda self: len(self.voters) // 2))]
 
 
 @plant("the ticket is not raised")
 def _() -> list[Patch]:
-    real = Claim._ask
+    real = LeaseClient._ask
 
-    def same(self: Claim, now: float) -> list[Any]:
-        if self.stage is Stage.ASKING:
+    def same(self: LeaseClient, now: float) -> list[Any]:
+        if self.stage is LeaseState.REQUESTING:
             self.highest = max(0, self.highest - 1)
         return real(self, now)
 
-    return [(Claim, "_ask", same)]
+    return [(LeaseClient, "_ask", same)]
 
 
 @plant("who gives back goes on")
 def _() -> list[Patch]:
-    real = Claim.give_back
+    real = LeaseClient.give_back
 
-    def goes_on(self: Claim, now: float, successor: str = "") -> list[Any]:
+    def goes_on(self: LeaseClient, now: float, successor: str = "") -> list[Any]:
         was = self.stage, self.until, self.due
         out = real(self, now, successor)
-        if was[0] is Stage.HELD:
+        if was[0] is LeaseState.HELD:
             self.stage, self.until, self.due = was
-        return [each for each in out if isinstance(each, Send)]
+        return [each for each in out if isinstance(each, SendMessage)]
 
-    return [(Claim, "give_back", goes_on)]
+    return [(LeaseClient, "give_back", goes_on)]
 
 
 # ---- voters ----
@@ -155,7 +155,7 @@
     def early(self: Voter, *told: Any) -> list[Any]:
         out = real(self, *told)
         sender, message, _ = self._answers.pop(self._number)
-        return [*out, Send(sender, message)]
+        return [*out, SendMessage(sender, message)]
 
     return [(Voter, "_promise", early)]
 
@@ -164,9 +164,9 @@
 def _() -> list[Patch]:
     real = Voter.asked
 
-    def eager(self: Voter, now: float, sender: Any, ask: Ask) -> list[Any]:
+    def eager(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
         under_way = self._writing
-        if self.promises.get(ask.claim) == Promise(
+        if self.promises.get(ask.claim) == Vote(
             ask.claim, ask.ticket, ask.holder, ask.incarnation, ask.term_ms / 1000
         ):
             self._writing = {}
@@ -187,7 +187,7 @@
 def _() -> list[Patch]:
     real = Voter._against
 
-    def generous(self: Voter, now: float, ask: Ask) -> Any:
+    def generous(self: Voter, now: float, ask: LeaseRequest) -> Any:
         found = real(self, now, ask)
         held = found[0] == "held" and ask.ticket > found[1]
         return ("low", found[1], "", 0.0) if found[0] == "held" and not held else (
@@ -211,7 +211,7 @@
 def _() -> list[Patch]:
     real = Voter.asked
 
-    def short(self: Voter, now: float, sender: Any, ask: Ask) -> list[Any]:
+    def short(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
         until, old = self.until.get(ask.claim), self.promises.get(ask.claim)
         out = real(self, now, sender, ask)
         if old is not None and until is not None and old.ticket == ask.ticket:
@@ -238,7 +238,7 @@
 
     def trusting(self: Voter, *told: Any) -> None:
         init(self, *told)
-        self.standing, self.fresh = Standing.VOTES, False
+        self.standing, self.fresh = VoterState.VOTING, False
 
     return [(Voter, "__init__", trusting)]
 
@@ -278,7 +278,7 @@
     real = Voter._judge
 
     def hasty(self: Voter, now: float) -> list[Any]:
-        if self.standing is Standing.NEW and self.heard:
+        if self.standing is VoterState.NEW_STORAGE and self.heard:
             return self._wait(now)
         return real(self, now)
 
@@ -289,10 +289,10 @@
 def _() -> list[Patch]:
     real = Voter.given_back
 
-    def open_to_all(self: Voter, now: float, back: GiveBack) -> list[Any]:
+    def open_to_all(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
         old = self.promises.get(back.claim)
         if old is not None:
-            back = GiveBack(back.claim, old.holder or "-", old.incarnation, old.ticket, back.successor)
+            back = LeaseRelease(back.claim, old.holder or "-", old.incarnation, old.ticket, back.successor)
         return real(self, now, back)
 
     return [(Voter, "given_back", open_to_all)]
@@ -302,11 +302,11 @@
 def _() -> list[Patch]:
     real = Voter.given_back
 
-    def forgotten(self: Voter, now: float, back: GiveBack) -> list[Any]:
+    def forgotten(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
         old = self.promises.get(back.claim)
         out = real(self, now, back)
         if old is not None and old != self.promises.get(back.claim):
-            self.promises[back.claim] = Promise(back.claim, 0)
+            self.promises[back.claim] = Vote(back.claim, 0)
         return out
 
     return [(Voter, "given_back", forgotten)]
@@ -329,26 +329,26 @@
 
 @plant("any list of voters is served")
 def _() -> list[Patch]:
-    return [(Roll, "serves", lambda self, epoch, told: True)]
+    return [(VoterSet, "serves", lambda self, epoch, told: True)]
 
 
 @plant("a list stays open while the second after it is gone on to")
 def _() -> list[Patch]:
-    real = Roll.next
+    real = VoterSet.next
     wide = lambda self, voters: replace(real(self, voters), floor=0)  # noqa: E731
     serves = lambda self, epoch, told: epoch <= self.epoch  # noqa: E731
     agree = lambda self, told: replace(self, agreed=self.agreed or told)  # noqa: E731
-    ready = lambda roll, wish, said, me: may_go_on(  # noqa: E731
+    ready = lambda roll, wish, said, me: may_advance(  # noqa: E731
         replace(roll, floor=roll.epoch), wish,
         {name: replace(each, floor=roll.epoch) for name, each in said.items()}, me,
     )  # fmt: skip
-    return [(Roll, "next", wide), (Roll, "serves", serves), (Roll, "agree", agree),
-            (voting, "may_go_on", ready)]  # fmt: skip
+    return [(VoterSet, "next", wide), (VoterSet, "serves", serves), (VoterSet, "agree", agree),
+            (voter, "may_advance", ready)]  # fmt: skip
 
 
 @plant("a voter goes on to its file's list by itself")
 def _() -> list[Patch]:
-    return [(voting, "may_go_on", lambda roll, wish, said, me: True)]
+    return [(voter, "may_advance", lambda roll, wish, said, me: True)]
 
 
 @plant("who goes on to the next list takes over no tickets")
--- a/stairhatch/fault_injection/processes.py
+++ b/stairhatch/fault_injection/processes.py
@@ -31,7 +31,7 @@
 from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
 from stairhatch.fault_injection.ways import Ways
 from stairhatch.fault_injection.world import LIST
-from stairhatch.fleet.effects import What
+from stairhatch.fleet.effects import LeaseEventKind
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -433,7 +433,7 @@
         full = sum("No space left" in each.why for each in lines)
         self.bites["disk full"] += full
         self.bites["disk read-only"] += sum("Read-only" in each.why for each in lines)
-        self.bites["went on"] += sum(each.what == What.WENT_ON.value for each in lines)
+        self.bites["went on"] += sum(each.what == LeaseEventKind.WENT_ON.value for each in lines)
         self.bites["disk slow"] += self.slow_disks
         self.bites.update(self.ways.bites)
         never = [name for name in schedule.must_bite if not self.bites[name]]
--- a/stairhatch/fault_injection/rules.py
+++ b/stairhatch/fault_injection/rules.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from stairhatch.fault_injection.history import Line
-from stairhatch.fleet.effects import What
+from stairhatch.fleet.effects import LeaseEventKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +40,8 @@
     until: float
 
 
-BEGINS = (What.HELD.value, What.RENEWED.value)
-ENDS = (What.LOST.value, What.GIVEN_BACK.value, What.STOOD_DOWN.value)
+BEGINS = (LeaseEventKind.HELD.value, LeaseEventKind.RENEWED.value)
+ENDS = (LeaseEventKind.LOST.value, LeaseEventKind.GIVEN_BACK.value, LeaseEventKind.STOOD_DOWN.value)
 EPSILON_S = 1e-6
 
 
@@ -114,7 +114,7 @@
         if line.what == "folder":  # lost or put back old: what it had seen went with it
             for gone in [key for key in highest if key[0] == line.who]:
                 del highest[gone]
-        if line.what != What.TOOK.value:
+        if line.what != LeaseEventKind.TOOK.value:
             continue
         key = (line.who, line.claim)
         if line.ticket < highest.get(key, 0):
--- a/stairhatch/fault_injection/world.py
+++ b/stairhatch/fault_injection/world.py
@@ -17,12 +17,22 @@
 
 from stairhatch.fault_injection.history import Line
 from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
-from stairhatch.fleet.claims import Stage, Terms
-from stairhatch.fleet.effects import Effect, Fence, Kept, Note, Place, Promise, Send, What, Write
-from stairhatch.fleet.epochs import Roll
-from stairhatch.fleet.mate import Mate, Who
-from stairhatch.fleet.messages import Mark, Message, News
-from stairhatch.fleet.pick import Pick
+from stairhatch.fleet.effects import (
+    Effect,
+    LeaseEvent,
+    LeaseEventKind,
+    PeerAddress,
+    PersistedState,
+    PersistFencingToken,
+    PersistVotes,
+    SendMessage,
+    Vote,
+)
+from stairhatch.fleet.lease import LeaseState, LeaseTimings
+from stairhatch.fleet.lease_pool import LeasePool
+from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.messages import EndpointUpdate, FleetMessage, StorageVersion
+from stairhatch.fleet.voter_set import VoterSet
 
 LIST = "list"
 WORK_S = 0.15  # the mean time between two pieces of work of who holds the list
@@ -38,18 +48,18 @@
 
     folder: str = ""
     life: int = 0
-    promises: dict[str, Promise] = field(default_factory=dict)
+    promises: dict[str, Vote] = field(default_factory=dict)
     made: int = 0
-    known: dict[str, Mark] = field(default_factory=dict)
+    known: dict[str, StorageVersion] = field(default_factory=dict)
     admitted: bool = False
     fences: dict[str, int] = field(default_factory=dict)
-    roll: Roll | None = None
+    roll: VoterSet | None = None
 
     def copy(self) -> Disk:
         """As it is now."""
         return replace(self, promises=dict(self.promises), known=dict(self.known), fences=dict(self.fences))
 
-    def take(self, write: Write) -> None:
+    def take(self, write: PersistVotes) -> None:
         """Put a write on it, whole."""
         self.promises.update((each.claim, each) for each in write.promises)
         self.made = max(self.made, write.mark.promises)
@@ -67,13 +77,13 @@
         self.offset = world.chance.uniform(0, 1e5)
         self.disk = Disk()
         self.copies: list[tuple[float, Disk]] = []
-        self.mate: Mate | None = None
-        self.numbers: Pick
+        self.mate: ClusterMember | None = None
+        self.numbers: LeasePool
         self.starts = 0
         self.epoch = 1  # of the list of voters in its file
         self.stopped_until = 0.0
         self.waiting: list[Callable[[], None]] = []  # what comes while it is stopped
-        self.writes: list[Write] = []
+        self.writes: list[PersistVotes] = []
         self.full_until = self.slow_until = 0.0
         self.slow_s = 0.0
         self.full_by = Fault.DISK_FULL
@@ -100,15 +110,19 @@
             if not disk.folder:
                 disk.folder = f"{world.chance.getrandbits(64):016x}"
             disk.life += 1
-            mark = Mark(disk.folder, disk.life, disk.made)
-            kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        who = Who(self.name, world.chance.getrandbits(60))
+            mark = StorageVersion(disk.folder, disk.life, disk.made)
+            kept = PersistedState(
+                mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll
+            )
+        who = MemberId(self.name, world.chance.getrandbits(60))
         voters = {name: (name, 0) for name in listed}
-        terms = Terms(schedule.term_s, schedule.drift, world.round_s)
+        terms = LeaseTimings(schedule.term_s, schedule.drift, world.round_s)
         chance = random.Random(world.chance.getrandbits(64))
-        self.mate = Mate(who, voters, terms, chance, self.clock(), kept, dict(disk.fences), self.epoch)
+        self.mate = ClusterMember(
+            who, voters, terms, chance, self.clock(), kept, dict(disk.fences), self.epoch
+        )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.numbers = Pick(names, self.mate.claim, chance.randrange(len(names)))
+        self.numbers = LeasePool(names, self.mate.claim, chance.randrange(len(names)))
         self.numbers.want(self.clock())
         self.mate.claim(LIST).want(self.clock())
         self.note("started")
@@ -166,16 +180,16 @@
         due = min(mate.due(), self.numbers.due if self.numbers.due > now else float("inf"))
         self.later(min(max(0.001, (due - now) / self.rate), 0.5), self.look)
 
-    def take(self, sender: Place, message: Message) -> None:
+    def take(self, sender: PeerAddress, message: FleetMessage) -> None:
         """A datagram has come."""
         mate = self.mate
         if mate is None:
             return
-        if isinstance(message, News):
+        if isinstance(message, EndpointUpdate):
             good, out = mate.fences.take(LIST, message.ticket, sender)
             self.carry(out)
             if good:
-                self.note(What.TOOK.value, LIST, message.ticket)
+                self.note(LeaseEventKind.TOOK.value, LIST, message.ticket)
             return
         self.carry(mate.handle(self.clock(), sender, message))
         now = self.clock()  # what is due by now is done at once, as in the program
@@ -186,22 +200,22 @@
         world = self.world
         for effect in effects:
             match effect:
-                case Send():
+                case SendMessage():
                     world.counts["messages"] += 1
                     world.send(self.name, effect.to[0], effect.message)
-                case Write():
+                case PersistVotes():
                     world.counts["writes"] += 1
                     self.writes.append(effect)
                     took = world.chance.uniform(*SYNC_S)
                     took += self.slow_s if world.now < self.slow_until else 0.0
                     world.at(world.now + took, partial(self.synced, self.starts, effect))
-                case Fence():
+                case PersistFencingToken():
                     self.disk.fences[effect.claim] = effect.ticket
-                case Note():
+                case LeaseEvent():
                     until = self.true(effect.until) if effect.until else 0.0
                     self.note(effect.what.value, effect.claim, effect.ticket, until, effect.why)
 
-    def synced(self, start: int, write: Write) -> None:
+    def synced(self, start: int, write: PersistVotes) -> None:
         """The disk has done it, or has not."""
         if self.mate is None or self.starts != start:
             return
@@ -235,7 +249,7 @@
         """What the holder hands on goes to all."""
         for name in self.world.boxes:
             if name != self.name:
-                self.world.send(self.name, name, News(self.name, ticket, 0, 0, 1, b""))
+                self.world.send(self.name, name, EndpointUpdate(self.name, ticket, 0, 0, 1, b""))
 
     def note(self, what: str, claim: str = "", ticket: int = 0, until: float = 0.0, why: str = "") -> None:
         """A line of the history."""
@@ -360,7 +374,7 @@
         """Against the term as it is drawn."""
         return self.schedule.term_s / 3.0
 
-    def send(self, sender: str, to: str, message: Message) -> None:
+    def send(self, sender: str, to: str, message: FleetMessage) -> None:
         """A datagram on its way."""
         low, high = WAY_S
         times = [self.chance.uniform(low, high)]
@@ -382,7 +396,7 @@
         for each in times:
             self.at(self.now + each, partial(self.deliver, box, sender, message))
 
-    def deliver(self, box: Box, sender: str, message: Message) -> None:
+    def deliver(self, box: Box, sender: str, message: FleetMessage) -> None:
         """It arrives, wherever the process is by now."""
         box.run(box.starts, lambda: box.take((sender, 0), message))
 
@@ -391,6 +405,6 @@
         found: dict[str, list[str]] = {}
         for box in self.boxes.values():
             for name, claim in box.mate.claims.items() if box.mate is not None else ():
-                if claim.stage is Stage.HELD:
+                if claim.stage is LeaseState.HELD:
                     found.setdefault(name, []).append(box.name)
         return found
--- a/stairhatch/fleet/asking.py
+++ b/stairhatch/fleet/admin_client.py
@@ -10,67 +10,67 @@
 from collections.abc import Callable
 from typing import Any
 
-ANSWER_S = 5.0
-MOST_ANSWER = 1024 * 1024
-AGAIN_S = 0.3
+ANSWER_TIMEOUT_S = 5.0
+MAX_ANSWER_BYTES = 1024 * 1024
+RETRY_INTERVAL_S = 0.3
 
 
-class DoorError(Exception):
+class AdminClientError(Exception):
     """The door can't be asked, or said no; in one line."""
 
 
-def ask(door: tuple[str, int], order: str) -> str:
+def execute(door: tuple[str, int], order: str) -> str:
     """One order; what stands behind `ok`. DoorError: what stands behind `fail`, or why nobody answered."""
     data = b""
     try:
-        with socket.create_connection(door, ANSWER_S) as sock:
+        with socket.create_connection(door, ANSWER_TIMEOUT_S) as sock:
             sock.sendall(order.encode() + b"\n")
-            while len(data) < MOST_ANSWER and (piece := sock.recv(65536)):
+            while len(data) < MAX_ANSWER_BYTES and (piece := sock.recv(65536)):
                 data += piece
     except OSError as error:
-        raise DoorError(f"nobody answers at the door {door[0]}:{door[1]}: {error}") from None
+        raise AdminClientError(f"nobody answers at the door {door[0]}:{door[1]}: {error}") from None
     verdict, _, rest = data.decode("utf-8", "replace").strip().partition(" ")
     if verdict != "ok":
-        raise DoorError(rest or "no answer")
+        raise AdminClientError(rest or "no answer")
     return rest
 
 
-def wait_for(door: tuple[str, int], order: str, seconds: float) -> str:
+def execute_until_ready(door: tuple[str, int], order: str, seconds: float) -> str:
     """The same until it says ok, for so many seconds at the most."""
     end = time.monotonic() + seconds
     while True:
         try:
-            return ask(door, order)
-        except DoorError as error:
-            if time.monotonic() + AGAIN_S > end or not str(error).startswith("not yet"):
+            return execute(door, order)
+        except AdminClientError as error:
+            if time.monotonic() + RETRY_INTERVAL_S > end or not str(error).startswith("not yet"):
                 raise
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_INTERVAL_S)
 
 
-def claims(door: tuple[str, int]) -> dict[str, Any]:
+def lease_report(door: tuple[str, int]) -> dict[str, Any]:
     """What a softswitch says of its claims and its vote."""
     try:
-        found = json.loads(ask(door, "claims"))
+        found = json.loads(execute(door, "claims"))
     except ValueError:
-        raise DoorError("an answer that can't be read") from None
+        raise AdminClientError("an answer that can't be read") from None
     assert isinstance(found, dict)
     return found
 
 
-def watch(door: tuple[str, int], claim: str, seconds: float, show: Callable[[str], None]) -> None:
+def observe_lease(door: tuple[str, int], claim: str, seconds: float, show: Callable[[str], None]) -> None:
     """Who holds a claim, a line at each change, for so long. DoorError as with `ask`."""
     end, last = time.monotonic() + seconds, None
     while time.monotonic() < end:
-        seen = json.loads(ask(door, f"watch {claim}"))
+        seen = json.loads(execute(door, f"watch {claim}"))
         now = seen["holder"], seen["ticket"], seen["voters"]
         if seen["voters"] and now != last:
             last = now
             left = f"{seen['holder']}, {seen['left_s']:.1f} s left" if seen["holder"] else "nobody"
             show(f"{claim}: held by {left}, ticket {seen['ticket']}, by {seen['voters']} voters")
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_INTERVAL_S)
 
 
-def table(told: dict[str, Any]) -> str:
+def format_report(told: dict[str, Any]) -> str:
     """The same for people."""
     out = f"fleet {told['fleet']}, softswitch {told['name']}, voters {' '.join(told['voters'])}\n"
     if "number" in told:
--- a/stairhatch/fleet/config.py
+++ b/stairhatch/fleet/config.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.effects import Place
+from stairhatch.fleet.effects import PeerAddress
+from stairhatch.fleet.lease import LeaseTimings
 
-MOST_VOTERS = 9
+MAX_VOTERS = 9
 
 
 @dataclass(frozen=True)
@@ -17,13 +17,13 @@
 
     fleet: str
     name: str  # this softswitch's
-    listen: Place
-    voters: dict[str, Place]
+    listen: PeerAddress
+    voters: dict[str, PeerAddress]
     epoch: int = 1  # of that list, counted up with each change
     secret: bytes = field(default=b"", repr=False)
     folder: Path | None = None
     history: Path | None = None
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseTimings = field(default_factory=LeaseTimings)
     numbers: bool = True  # which of `balancers` this one is, is claimed
     list: bool = False  # one follows the coordinator for all
     restarts: int = 0  # so many may be in a planned restart at a time; 0: nobody asks
--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from stairhatch.fleet.epochs import Roll
-from stairhatch.fleet.messages import Mark, Message
+from stairhatch.fleet.messages import FleetMessage, StorageVersion
+from stairhatch.fleet.voter_set import VoterSet
 
-Place = tuple[str, int]  # host and port; on the virtual clock a name and 0
+PeerAddress = tuple[str, int]  # host and port; on the virtual clock a name and 0
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class Vote:
     """What a voter has promised of one claim. Without a holder only the ticket counts."""
 
     claim: str
@@ -25,45 +25,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class PersistedState:
     """Everything of a voter that must outlive it."""
 
-    mark: Mark
+    mark: StorageVersion
     admitted: bool = False  # this folder has voted, or been let in
-    promises: tuple[Promise, ...] = ()
-    known: dict[str, Mark] = field(default_factory=dict)  # of the other voters
-    roll: Roll | None = None  # the list of voters that it goes by
+    promises: tuple[Vote, ...] = ()
+    known: dict[str, StorageVersion] = field(default_factory=dict)  # of the other voters
+    roll: VoterSet | None = None  # the list of voters that it goes by
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     """A message to a place."""
 
-    to: Place
-    message: Message
+    to: PeerAddress
+    message: FleetMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Write:
+class PersistVotes:
     """Put this on disk, synced, and say so by its number."""
 
     number: int
-    mark: Mark
-    promises: tuple[Promise, ...] = ()
-    known: dict[str, Mark] = field(default_factory=dict)
+    mark: StorageVersion
+    promises: tuple[Vote, ...] = ()
+    known: dict[str, StorageVersion] = field(default_factory=dict)
     admitted: bool = False
-    roll: Roll | None = None
+    roll: VoterSet | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Fence:
+class PersistFencingToken:
     """Keep this as the highest ticket seen of a claim."""
 
     claim: str
     ticket: int
 
 
-class What(Enum):
+class LeaseEventKind(Enum):
     """What a history tells, once a change and not once a message."""
 
     HELD = "held"
@@ -80,14 +80,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LeaseEvent:
     """Something for the log and the history."""
 
-    what: What
+    what: LeaseEventKind
     claim: str = ""
     ticket: int = 0
     until: float = 0.0
     why: str = ""
 
 
-Effect = Send | Write | Fence | Note
+Effect = SendMessage | PersistVotes | PersistFencingToken | LeaseEvent
--- a/stairhatch/fleet/listing.py
+++ b/stairhatch/fleet/endpoint_relay.py
@@ -16,15 +16,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stairhatch.fleet.messages import News
+from stairhatch.fleet.messages import EndpointUpdate
 
 PART_BYTES = 1000
-MOST_PARTS = 256
-MOST_LIST = 4 * 1024 * 1024
+MAX_PARTS = 256
+MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointList:
     """The list as one softswitch has it: the number of the last event, and a line for each server."""
 
     index: int = 0
@@ -51,26 +51,27 @@
         return {"index": self.index, "updates": [{"index": self.index, "endpoints": told}]}
 
 
-def pack(listed: Listed, holder: str, ticket: int) -> list[News]:
+def to_updates(listed: EndpointList, holder: str, ticket: int) -> list[EndpointUpdate]:
     """The list in messages."""
     data = zlib.compress(json.dumps(listed.answer()).encode(), 6)
     pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
     return [
-        News(holder, ticket, listed.index, number, len(pieces), piece) for number, piece in enumerate(pieces)
+        EndpointUpdate(holder, ticket, listed.index, number, len(pieces), piece)
+        for number, piece in enumerate(pieces)
     ]
 
 
-class Parts:
+class EndpointListAssembler:
     """Collects the parts of one list after the other; one that is newer puts the older out."""
 
     def __init__(self) -> None:
         self._key: tuple[int, int] = (0, 0)
         self._found: dict[int, bytes] = {}
 
-    def add(self, news: News) -> Any:
+    def add(self, news: EndpointUpdate) -> Any:
         """The whole answer once all parts are there; None before that, and for what is no list."""
         key = (news.ticket, news.after)
-        if key < self._key or news.parts > MOST_PARTS or news.part >= news.parts:
+        if key < self._key or news.parts > MAX_PARTS or news.part >= news.parts:
             return None
         if key > self._key:
             self._key, self._found = key, {}
@@ -80,14 +81,14 @@
         data, self._found = b"".join(self._found[n] for n in sorted(self._found)), {}
         try:
             unpacker = zlib.decompressobj()
-            text = unpacker.decompress(data, MOST_LIST)
+            text = unpacker.decompress(data, MAX_LIST_BYTES)
             return json.loads(text) if unpacker.eof else None
         except (zlib.error, ValueError):
             return None
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class RelayTimings:
     """When a softswitch asks for news, in seconds."""
 
     tune_s: float = 0.4  # of a voter
@@ -95,10 +96,10 @@
     quiet_s: float = 2.0  # nothing heard for so long: it asks the coordinator itself
 
 
-class Follow:
+class EndpointListFollower:
     """Whether this softswitch asks the coordinator, and which voter it asks for news."""
 
-    def __init__(self, voters: list[str], pace: Pace, now: float) -> None:
+    def __init__(self, voters: list[str], pace: RelayTimings, now: float) -> None:
         self.voters, self.pace = voters, pace
         self.heard = now
         self.tuned = now - pace.tune_s
--- a/stairhatch/fleet/fence.py
+++ b/stairhatch/fleet/fencing.py
@@ -7,13 +7,20 @@
 
 from __future__ import annotations
 
-from stairhatch.fleet.effects import Effect, Fence, Note, Place, Send, What
-from stairhatch.fleet.messages import Stale
+from stairhatch.fleet.effects import (
+    Effect,
+    LeaseEvent,
+    LeaseEventKind,
+    PeerAddress,
+    PersistFencingToken,
+    SendMessage,
+)
+from stairhatch.fleet.messages import Superseded
 
-MOST_FENCES = 4096
+MAX_FENCED_LEASES = 4096
 
 
-class Fences:
+class FencingTokens:
     """The highest tickets that one receiver has seen."""
 
     def __init__(self, seen: dict[str, int] | None = None) -> None:
@@ -23,21 +30,21 @@
     def pass_through(self, claim: str, ticket: int) -> tuple[bool, list[Effect]]:
         """Whether work under this ticket may be taken; what has to be kept where it is a new highest."""
         highest = self.seen.get(claim, 0)
-        if ticket < highest or (claim not in self.seen and len(self.seen) >= MOST_FENCES):
+        if ticket < highest or (claim not in self.seen and len(self.seen) >= MAX_FENCED_LEASES):
             self.refused += 1
             return False, []
         if ticket == highest:
             return True, []
         self.seen[claim] = ticket
-        return True, [Fence(claim, ticket)]
+        return True, [PersistFencingToken(claim, ticket)]
 
-    def take(self, claim: str, ticket: int, sender: Place) -> tuple[bool, list[Effect]]:
+    def take(self, claim: str, ticket: int, sender: PeerAddress) -> tuple[bool, list[Effect]]:
         """The same, with the answer that tells an old owner to stand down."""
         good, out = self.pass_through(claim, ticket)
         if not good:
             highest = self.seen.get(claim, 0)
             out = [
-                Note(What.REFUSED, claim, ticket, why=f"{highest} was seen"),
-                Send(sender, Stale(claim, highest)),
+                LeaseEvent(LeaseEventKind.REFUSED, claim, ticket, why=f"{highest} was seen"),
+                SendMessage(sender, Superseded(claim, highest)),
             ]
         return good, out
--- a/stairhatch/fleet/numbers.py
+++ b/stairhatch/fleet/instance_index.py
@@ -8,27 +8,27 @@
 from __future__ import annotations
 
 from stairhatch.fleet.effects import Effect
-from stairhatch.fleet.pick import Pick
+from stairhatch.fleet.lease_pool import LeasePool
 
-NONE = -1
+NO_INDEX = -1
 
 
-def names(balancers: int) -> list[str]:
+def lease_names(balancers: int) -> list[str]:
     """The claims of that many numbers."""
     return [f"number/{index}" for index in range(balancers)]
 
 
-class Numbers:
+class InstanceIndexLease:
     """One softswitch's number."""
 
-    def __init__(self, pick: Pick, settle_s: float) -> None:
+    def __init__(self, pick: LeasePool, settle_s: float) -> None:
         self.pick, self.settle_s = pick, settle_s
-        self.in_use = NONE
+        self.in_use = NO_INDEX
 
     def usable(self, now: float) -> int:
         """The number that may be used at this moment; NONE for none. Ask right before a turn is used."""
         held = self.pick.held(now)
-        return held if held >= 0 and now >= self.pick.now_asked.since + self.settle_s else NONE
+        return held if held >= 0 and now >= self.pick.now_asked.since + self.settle_s else NO_INDEX
 
     def look(self, now: float) -> int | None:
         """The number to go by from now on, where that has changed."""
@@ -45,5 +45,6 @@
     def due(self, now: float) -> float:
         """When `look` may have something new, should nothing else happen."""
         settled = self.pick.now_asked.since + self.settle_s
-        return min(self.pick.due if self.pick.due > now else float("inf"),
-                   settled if settled > now else float("inf"))  # fmt: skip
+        return min(
+            self.pick.due if self.pick.due > now else float("inf"), settled if settled > now else float("inf")
+        )
--- a/stairhatch/fleet/watching.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -11,16 +11,16 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from stairhatch.fleet.effects import Effect, Place, Send
-from stairhatch.fleet.messages import Look, Shown
+from stairhatch.fleet.effects import Effect, PeerAddress, SendMessage
+from stairhatch.fleet.messages import LeaseQuery, LeaseStatus
 
-LOOK_S = 0.5  # between two looks
-WATCHED_S = 5.0  # so long after the last wish
-OLD_S = 2.0  # what a voter said longer ago counts no longer
+QUERY_INTERVAL_S = 0.5  # between two looks
+OBSERVATION_S = 5.0  # so long after the last wish
+STATUS_VALID_S = 2.0  # what a voter said longer ago counts no longer
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ObservedLease:
     """What the voters say of a claim together."""
 
     holder: str = ""  # "" for nobody
@@ -30,21 +30,21 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class LeaseObserver:
     """One claim that is watched."""
 
     claim: str
-    voters: dict[str, Place]
+    voters: dict[str, PeerAddress]
     until: float = -math.inf
     due: float = math.inf
     _serial: int = 0
-    _said: dict[str, tuple[float, Shown]] = field(default_factory=dict)
+    _said: dict[str, tuple[float, LeaseStatus]] = field(default_factory=dict)
 
     def wish(self, now: float) -> None:
         """Somebody watches, from here on for a while."""
         if now >= self.until:
             self.due = now
-        self.until = now + WATCHED_S
+        self.until = now + OBSERVATION_S
 
     def tick(self, now: float) -> list[Effect]:
         """Ask all voters, where that is due."""
@@ -52,26 +52,26 @@
             self.due = math.inf
         if now < self.due:
             return []
-        self.due = now + LOOK_S
+        self.due = now + QUERY_INTERVAL_S
         self._serial += 1
-        look = Look(self.claim, self._serial)
-        return [Send(place, look) for place in self.voters.values()]
+        look = LeaseQuery(self.claim, self._serial)
+        return [SendMessage(place, look) for place in self.voters.values()]
 
-    def shown(self, now: float, message: Shown) -> None:
+    def shown(self, now: float, message: LeaseStatus) -> None:
         """A voter has answered; a late answer does not go over a newer one."""
         old = self._said.get(message.voter)
         if message.voter in self.voters and (old is None or old[1].serial <= message.serial):
             self._said[message.voter] = now, message
 
-    def seen(self, now: float) -> Seen:
+    def seen(self, now: float) -> ObservedLease:
         """What the answers come to at this moment."""
-        said = {name: (at, each) for name, (at, each) in self._said.items() if now - at <= OLD_S}
+        said = {name: (at, each) for name, (at, each) in self._said.items() if now - at <= STATUS_VALID_S}
         ticket = max((each.ticket for _, each in said.values()), default=0)
         left = {name: each.left_ms / 1000 - (now - at) for name, (at, each) in said.items()}
         held = Counter((each.holder, each.ticket) for name, (_, each) in said.items() if left[name] > 0)
         (holder, its), count = held.most_common(1)[0] if held else (("", 0), 0)
         if not holder or count < len(self.voters) // 2 + 1:
-            return Seen("", ticket, 0.0, len(said))
+            return ObservedLease("", ticket, 0.0, len(said))
         same = [name for name, (_, each) in said.items() if (each.holder, each.ticket) == (holder, its)]
         least = min(left[name] for name in same)
-        return Seen(holder, its, least, len(said))
+        return ObservedLease(holder, its, least, len(said))
--- a/stairhatch/fleet/pick.py
+++ b/stairhatch/fleet/lease_pool.py
@@ -7,17 +7,19 @@
 import math
 from collections.abc import Callable
 
-from stairhatch.fleet.claims import Claim, Stage
 from stairhatch.fleet.effects import Effect
+from stairhatch.fleet.lease import LeaseClient, LeaseState
 
-MOST_ROUNDS = 4  # the pause doubles so often
-FULL_S = 0.5  # all were held by others: so long until they are gone through once more, as a share of a term
+MAX_PAUSE_DOUBLINGS = 4  # the pause doubles so often
+EXHAUSTED_PAUSE_TERMS = (
+    0.5  # all were held by others: so long until they are gone through once more, as a share of a term
+)
 
 
-class Pick:
+class LeasePool:
     """Asks for one after the other until one is held, and keeps to it."""
 
-    def __init__(self, names: list[str], claim: Callable[[str], Claim], first: int) -> None:
+    def __init__(self, names: list[str], claim: Callable[[str], LeaseClient], first: int) -> None:
         if not names:
             raise ValueError("there is nothing to pick from")
         self.names, self.claim = names, claim
@@ -28,7 +30,7 @@
         self._rounds = 0  # in which all were held by others
 
     @property
-    def now_asked(self) -> Claim:
+    def now_asked(self) -> LeaseClient:
         """The claim that is held, or asked for."""
         return self.claim(self.names[self.at])
 
@@ -50,11 +52,11 @@
     def tick(self, now: float) -> list[Effect]:
         """Go on to the next where another holds the one that was asked for."""
         claim = self.now_asked
-        if not self.wanted or now < self.due or claim.stage is Stage.HELD:
-            if claim.stage is Stage.HELD:
+        if not self.wanted or now < self.due or claim.stage is LeaseState.HELD:
+            if claim.stage is LeaseState.HELD:
                 self._refusals = self._rounds = 0
             return []
-        if claim.stage is Stage.RESTING:
+        if claim.stage is LeaseState.IDLE:
             claim.want(now)
         if not claim.held_by_other or len(self.names) == 1:
             return []
@@ -64,8 +66,13 @@
         self._refusals += 1
         pause = 0.0
         if self._refusals >= len(self.names):
-            self._refusals, self._rounds = 0, min(self._rounds + 1, MOST_ROUNDS)
-            pause = claim.terms.term_s * FULL_S * 2 ** (self._rounds - 1) * (0.5 + claim.chance.random())
+            self._refusals, self._rounds = 0, min(self._rounds + 1, MAX_PAUSE_DOUBLINGS)
+            pause = (
+                claim.terms.term_s
+                * EXHAUSTED_PAUSE_TERMS
+                * 2 ** (self._rounds - 1)
+                * (0.5 + claim.chance.random())
+            )
         self.due = now + pause
         self.now_asked.want(now, pause)
         return out
--- a/stairhatch/fleet/mate.py
+++ b/stairhatch/fleet/member.py
@@ -9,75 +9,77 @@
 import random
 from dataclasses import dataclass
 
-from stairhatch.fleet.claims import Claim, Stage, Terms
-from stairhatch.fleet.effects import Effect, Kept, Place
-from stairhatch.fleet.fence import Fences
+from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState
+from stairhatch.fleet.fencing import FencingTokens
+from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
+from stairhatch.fleet.lease_observer import LeaseObserver
 from stairhatch.fleet.messages import (
-    Ask,
-    GiveBack,
-    Granted,
-    Look,
-    Mark,
-    Message,
-    Refused,
-    RollAnswer,
-    RollCall,
-    Shown,
-    Stale,
+    FleetMessage,
+    LeaseGranted,
+    LeaseQuery,
+    LeaseRejected,
+    LeaseRelease,
+    LeaseRequest,
+    LeaseStatus,
+    StatusReply,
+    StatusRequest,
+    StorageVersion,
+    Superseded,
 )
-from stairhatch.fleet.voting import Voter
-from stairhatch.fleet.watching import Watch
+from stairhatch.fleet.voter import Voter
 
-MOST_WATCHES = 64
+MAX_OBSERVED_LEASES = 64
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
+class MemberId:
     """Which process this is: the name that the operators gave it, and this start of it."""
 
     name: str
     incarnation: int
 
 
-class Mate:
+class ClusterMember:
     """The decisions of one softswitch about shared work."""
 
     def __init__(
         self,
-        who: Who,
-        voters: dict[str, Place],
-        terms: Terms,
+        who: MemberId,
+        voters: dict[str, PeerAddress],
+        terms: LeaseTimings,
         chance: random.Random,
         now: float,
-        kept: Kept | None = None,
+        kept: PersistedState | None = None,
         fences: dict[str, int] | None = None,
         epoch: int = 1,
     ) -> None:
         """`epoch`: of this list of voters, counted up with each change of it."""
         self.epoch = epoch
         self.who, self.voters, self.terms, self.chance = who, voters, terms, chance
-        self.claims: dict[str, Claim] = {}
-        self.marks: dict[str, Mark] = {}
-        self.fences = Fences(fences)
-        self.watches: dict[str, Watch] = {}
+        self.claims: dict[str, LeaseClient] = {}
+        self.marks: dict[str, StorageVersion] = {}
+        self.fences = FencingTokens(fences)
+        self.watches: dict[str, LeaseObserver] = {}
         self.voter = Voter(who.name, voters, terms, kept, now, 1, epoch) if kept is not None else None
 
-    def claim(self, name: str) -> Claim:
+    def claim(self, name: str) -> LeaseClient:
         """A claim as this softswitch asks for it; made at the first call."""
         if name not in self.claims:
             me = self.who.name, self.who.incarnation
-            self.claims[name] = Claim(name, me, self.voters, self.terms, self.chance, self.marks, self.epoch)
+            self.claims[name] = LeaseClient(
+                name, me, self.voters, self.terms, self.chance, self.marks, self.epoch
+            )
         return self.claims[name]
 
-    def watch(self, now: float, name: str) -> Watch | None:
+    def watch(self, now: float, name: str) -> LeaseObserver | None:
         """A claim is watched, whoever holds it; None where too many are."""
         if name not in self.watches:
-            if len(self.watches) >= MOST_WATCHES:
+            if len(self.watches) >= MAX_OBSERVED_LEASES:
                 for old in [each for each, watch in self.watches.items() if now >= watch.until]:
                     del self.watches[old]
-            if len(self.watches) >= MOST_WATCHES:
+            if len(self.watches) >= MAX_OBSERVED_LEASES:
                 return None
-            self.watches[name] = Watch(name, self.voters)
+            self.watches[name] = LeaseObserver(name, self.voters)
         self.watches[name].wish(now)
         return self.watches[name]
 
@@ -88,8 +90,8 @@
 
     def due(self) -> float:
         """When `tick` should be called next."""
-        dues = [each.due for each in self.claims.values() if each.stage is not Stage.RESTING]
-        dues += [each.until for each in self.claims.values() if each.stage is Stage.HELD]
+        dues = [each.due for each in self.claims.values() if each.stage is not LeaseState.IDLE]
+        dues += [each.until for each in self.claims.values() if each.stage is LeaseState.HELD]
         dues += [each.due for each in self.watches.values()]
         if self.voter is not None:
             dues.append(self.voter.due)
@@ -108,29 +110,29 @@
         """A `Write` has ended."""
         return self.voter.written(now, number, fault) if self.voter is not None else []
 
-    def handle(self, now: float, sender: Place, message: Message) -> list[Effect]:
+    def handle(self, now: float, sender: PeerAddress, message: FleetMessage) -> list[Effect]:
         """A message has come."""
         match message:
-            case Granted() if message.claim in self.claims:
+            case LeaseGranted() if message.claim in self.claims:
                 return self.claims[message.claim].granted(now, message)
-            case Refused() if message.claim in self.claims:
+            case LeaseRejected() if message.claim in self.claims:
                 return self.claims[message.claim].refused(now, message)
-            case Stale() if message.claim in self.claims:
+            case Superseded() if message.claim in self.claims:
                 return self.claims[message.claim].stand_down(now, message.highest)
-            case Shown() if message.claim in self.watches:
+            case LeaseStatus() if message.claim in self.watches:
                 self.watches[message.claim].shown(now, message)
                 return []
         if self.voter is None:
             return []
         match message:
-            case Ask():
+            case LeaseRequest():
                 return self.voter.asked(now, sender, message)
-            case GiveBack():
+            case LeaseRelease():
                 return self.voter.given_back(now, message)
-            case Look():
+            case LeaseQuery():
                 return self.voter.look(now, message, sender)
-            case RollCall():
+            case StatusRequest():
                 return self.voter.called(now, message)
-            case RollAnswer():
+            case StatusReply():
                 return self.voter.answered(now, message)
         return []
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -14,15 +14,15 @@
 from msgspec import Meta, Struct
 
 TAG_BYTES = 16
-MOST_BYTES = 1400
-PAGE = 8  # promises in one answer to a roll call: names have 48 bytes at most
+MAX_DATAGRAM_BYTES = 1400
+VOTES_PER_PAGE = 8  # promises in one answer to a roll call: names have 48 bytes at most
 
 Name = Annotated[str, Meta(min_length=1, max_length=48)]
 Number = Annotated[int, Meta(ge=0, le=2**62)]
 Millis = Annotated[int, Meta(ge=0, le=3_600_000)]
 
 
-class Mark(Struct, frozen=True, array_like=True):
+class StorageVersion(Struct, frozen=True, array_like=True):
     """How far a voter's folder had come when somebody heard of it: which folder, its start, its promises."""
 
     folder: Annotated[str, Meta(max_length=32)]
@@ -30,11 +30,11 @@
     promises: Number
 
 
-class Message(Struct, frozen=True, tag_field="t", omit_defaults=True, forbid_unknown_fields=True):
+class FleetMessage(Struct, frozen=True, tag_field="t", omit_defaults=True, forbid_unknown_fields=True):
     """What every message is."""
 
 
-class Ask(Message, frozen=True, tag="ask"):
+class LeaseRequest(FleetMessage, frozen=True, tag="ask"):
     """Promise me this claim: anew, or for another term where the ticket is the one promised."""
 
     claim: Name
@@ -43,22 +43,22 @@
     ticket: Number
     term_ms: Millis
     serial: Number
-    marks: dict[Name, Mark] = {}  # of the voters, as the asker has heard
+    marks: dict[Name, StorageVersion] = {}  # of the voters, as the asker has heard
     epoch: Number = 1  # of the list of voters that are asked
     roll: Number = 0  # that list's digest
 
 
-class Granted(Message, frozen=True, tag="yes"):
+class LeaseGranted(FleetMessage, frozen=True, tag="yes"):
     """Promised, and on disk."""
 
     claim: Name
     voter: Name
     ticket: Number
     serial: Number
-    mark: Mark
+    mark: StorageVersion
 
 
-class Refused(Message, frozen=True, tag="no"):
+class LeaseRejected(FleetMessage, frozen=True, tag="no"):
     """Not promised: what stands in the way, and for how long."""
 
     claim: Name
@@ -70,7 +70,7 @@
     left_ms: Millis = 0
 
 
-class GiveBack(Message, frozen=True, tag="back"):
+class LeaseRelease(FleetMessage, frozen=True, tag="back"):
     """The asker wants it no longer; a successor that is named goes first for a while."""
 
     claim: Name
@@ -80,14 +80,14 @@
     successor: Annotated[str, Meta(max_length=48)] = ""
 
 
-class Look(Message, frozen=True, tag="look"):
+class LeaseQuery(FleetMessage, frozen=True, tag="look"):
     """Who holds it?"""
 
     claim: Name
     serial: Number
 
 
-class Shown(Message, frozen=True, tag="shown"):
+class LeaseStatus(FleetMessage, frozen=True, tag="shown"):
     """What a voter has promised."""
 
     claim: Name
@@ -98,11 +98,11 @@
     left_ms: Millis = 0
 
 
-class RollCall(Message, frozen=True, tag="roll"):
+class StatusRequest(FleetMessage, frozen=True, tag="roll"):
     """A voter that has started asks the others what they know of it, page by page."""
 
     voter: Name
-    mark: Mark
+    mark: StorageVersion
     fresh: bool  # its folder was empty
     good: bool = False  # it votes
     after: Annotated[str, Meta(max_length=48)] = ""
@@ -111,7 +111,7 @@
     wish: Number = 0  # the digest of the next list that it would go by
 
 
-class Kept(Struct, frozen=True, array_like=True):
+class VoteReport(Struct, frozen=True, array_like=True):
     """A promise as it is told."""
 
     claim: Name
@@ -121,17 +121,17 @@
     term_ms: Millis
 
 
-class RollAnswer(Message, frozen=True, tag="here"):
+class StatusReply(FleetMessage, frozen=True, tag="here"):
     """What another voter knows of the one that asked, and some of its own promises, by name."""
 
     voter: Name
-    mark: Mark
+    mark: StorageVersion
     fresh: bool
     good: bool
     out: bool = False
-    known: Mark | None = None  # of the one that asked
+    known: StorageVersion | None = None  # of the one that asked
     after: Annotated[str, Meta(max_length=48)] = ""
-    kept: Annotated[tuple[Kept, ...], Meta(max_length=PAGE)] = ()
+    kept: Annotated[tuple[VoteReport, ...], Meta(max_length=VOTES_PER_PAGE)] = ()
     more: bool = False
     serial: Number = 0  # of the call
     epoch: Number = 1  # of the list that it goes by, and its digest
@@ -140,13 +140,13 @@
     agreed: Number = 0  # the digest of the next list that it agreed to
 
 
-class Tune(Message, frozen=True, tag="tune"):
+class Subscribe(FleetMessage, frozen=True, tag="tune"):
     """What is new in the list after this number?"""
 
     after: Number
 
 
-class News(Message, frozen=True, tag="news"):
+class EndpointUpdate(FleetMessage, frozen=True, tag="news"):
     """Events of the list from its owner, one part of them."""
 
     holder: Name
@@ -157,40 +157,52 @@
     data: Annotated[bytes, Meta(max_length=1024)]
 
 
-class Stale(Message, frozen=True, tag="stale"):
+class Superseded(FleetMessage, frozen=True, tag="stale"):
     """A receiver's answer to a ticket below the highest it has seen: stand down."""
 
     claim: Name
     highest: Number
 
 
-Any = (
-    Ask | Granted | Refused | GiveBack | Look | Shown | RollCall | RollAnswer | Tune | News | Stale
+AnyMessage = (
+    LeaseRequest
+    | LeaseGranted
+    | LeaseRejected
+    | LeaseRelease
+    | LeaseQuery
+    | LeaseStatus
+    | StatusRequest
+    | StatusReply
+    | Subscribe
+    | EndpointUpdate
+    | Superseded
 )  # what may come
 
 
-class Codec:
+class FleetCodec:
     """Messages to datagrams and back, for one fleet."""
 
     def __init__(self, fleet: str, secret: bytes = b"") -> None:
         self._key = hashlib.blake2b(secret, key=hashlib.blake2b(fleet.encode()).digest()).digest()
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(Any)
+        self._decoder = msgspec.msgpack.Decoder(AnyMessage)
 
     def _tag(self, body: bytes) -> bytes:
         return hashlib.blake2b(body, key=self._key, digest_size=TAG_BYTES).digest()
 
-    def encode(self, message: Message) -> bytes:
+    def encode(self, message: FleetMessage) -> bytes:
         """A datagram."""
         body = self._encoder.encode(message)
         return self._tag(body) + body
 
-    def decode(self, data: bytes) -> Message | None:
+    def decode(self, data: bytes) -> FleetMessage | None:
         """The message in a datagram; None where it is no one of this fleet's."""
-        if len(data) > MOST_BYTES or not hmac.compare_digest(data[:TAG_BYTES], self._tag(data[TAG_BYTES:])):
+        if len(data) > MAX_DATAGRAM_BYTES or not hmac.compare_digest(
+            data[:TAG_BYTES], self._tag(data[TAG_BYTES:])
+        ):
             return None
         try:
-            found: Message = self._decoder.decode(data[TAG_BYTES:])
+            found: FleetMessage = self._decoder.decode(data[TAG_BYTES:])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return None
         return found
--- a/stairhatch/fleet/restarts.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -8,20 +8,20 @@
 
 from __future__ import annotations
 
-from stairhatch.fleet.claims import Stage
 from stairhatch.fleet.effects import Effect
-from stairhatch.fleet.pick import Pick
+from stairhatch.fleet.lease import LeaseState
+from stairhatch.fleet.lease_pool import LeasePool
 
 
-def names(slots: int) -> list[str]:
+def lease_names(slots: int) -> list[str]:
     """The claims of that many slots."""
     return [f"restart/{index}" for index in range(slots)]
 
 
-class Restarts:
+class RestartSlotLease:
     """One softswitch's wish to be restarted."""
 
-    def __init__(self, pick: Pick | None) -> None:
+    def __init__(self, pick: LeasePool | None) -> None:
         self.pick = pick
 
     def ask(self, now: float) -> str:
@@ -40,7 +40,7 @@
         """The answer to `restart-give`, and what comes of it."""
         if self.pick is None or not self.pick.wanted:
             return "ok no slot was held or asked for", []
-        was = self.pick.now_asked.stage is Stage.HELD
+        was = self.pick.now_asked.stage is LeaseState.HELD
         return f"ok {'given back' if was else 'no longer asked for'}", self.pick.give_back(now)
 
     def tick(self, now: float) -> list[Effect]:
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/runtime.py
@@ -17,31 +17,51 @@
 from dataclasses import asdict, replace
 from typing import Any
 
-from stairhatch.fleet import numbers, restarts
-from stairhatch.fleet.claims import Stage
+from stairhatch.fleet import instance_index, restart_slots
 from stairhatch.fleet.config import FleetConfig
-from stairhatch.fleet.effects import Effect, Fence, Note, Place, Send, What, Write
-from stairhatch.fleet.listing import Follow, Listed, Pace, Parts, pack
-from stairhatch.fleet.mate import Mate, Who
-from stairhatch.fleet.messages import Codec, Message, News, Tune
-from stairhatch.fleet.numbers import Numbers
-from stairhatch.fleet.pick import Pick
-from stairhatch.fleet.restarts import Restarts
-from stairhatch.fleet.store import Store, StoreError
+from stairhatch.fleet.effects import (
+    Effect,
+    LeaseEvent,
+    LeaseEventKind,
+    PeerAddress,
+    PersistFencingToken,
+    PersistVotes,
+    SendMessage,
+)
+from stairhatch.fleet.endpoint_relay import (
+    EndpointList,
+    EndpointListAssembler,
+    EndpointListFollower,
+    RelayTimings,
+    to_updates,
+)
+from stairhatch.fleet.instance_index import InstanceIndexLease
+from stairhatch.fleet.lease import LeaseState
+from stairhatch.fleet.lease_pool import LeasePool
+from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.messages import EndpointUpdate, FleetCodec, FleetMessage, Subscribe
+from stairhatch.fleet.restart_slots import RestartSlotLease
+from stairhatch.fleet.store import StoreError, VoterStore
 from stairhatch.node.core import CallManager, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.net import Network
 from stairhatch.overload.settings import Settings
 
-LIST = "list"
-LONGEST_S, SHORTEST_S = 0.25, 0.001  # between two looks at what is due
-SPAN_PART = 1.25  # the span in which a turn at a cold server opens and lapses, in `fall_s`
-LOGGED = (
-    What.HELD, What.LOST, What.GIVEN_BACK, What.STOOD_DOWN, What.VOTES, What.SILENT, What.WENT_ON,
-)  # fmt: skip
-GAUGES_S = 1.0
-MOST_NAME = 48  # bytes of a claim's
-REFUSALS_S = 1.0  # late news that is refused is logged so often at the most
+ENDPOINT_LIST_LEASE = "list"
+MAX_TICK_S, MIN_TICK_S = 0.25, 0.001  # between two looks at what is due
+SETTLE_WINDOWS = 1.25  # the span in which a turn at a cold server opens and lapses, in `fall_s`
+LOGGED_EVENTS = (
+    LeaseEventKind.HELD,
+    LeaseEventKind.LOST,
+    LeaseEventKind.GIVEN_BACK,
+    LeaseEventKind.STOOD_DOWN,
+    LeaseEventKind.VOTES,
+    LeaseEventKind.SILENT,
+    LeaseEventKind.WENT_ON,
+)
+GAUGE_INTERVAL_S = 1.0
+MAX_LEASE_NAME_BYTES = 48  # bytes of a claim's
+REJECTION_LOG_INTERVAL_S = 1.0  # late news that is refused is logged so often at the most
 
 
 def clock() -> float:
@@ -53,7 +73,7 @@
     """Stands at the one place where a stop does most harm, for a lab to stop the process there."""
 
 
-class History:
+class HistoryFile:
     """What this process did, one JSON object a line, for whoever checks a run from outside."""
 
     def __init__(self, config: FleetConfig) -> None:
@@ -71,36 +91,41 @@
             self.file = -1
 
 
-class Fleet:
+class FleetRuntime:
     """One softswitch's part in shared work."""
 
     def __init__(self, core: CallManager, network: Network, config: FleetConfig, settings: Settings) -> None:
         """StoreError where the folder can't be used, OSError where the address can't."""
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
-        self.output: deque[tuple[bytes, Place]] = deque()
+        self.output: deque[tuple[bytes, PeerAddress]] = deque()
         self.wake: Callable[[], None] = idle  # set by the driver: there is something to send
-        self.codec = Codec(config.fleet, config.secret)
-        self.history = History(config)
+        self.codec = FleetCodec(config.fleet, config.secret)
+        self.history = HistoryFile(config)
         self.chance = random.Random(secrets.randbits(64))
         now = clock()
-        self.store = Store(config.folder, self._on_loop) if config.folder is not None else None
+        self.store = VoterStore(config.folder, self._on_loop) if config.folder is not None else None
         found = self.store.found if self.store is not None else None
         if found is not None and found.put_aside:
             self.log("fleet", what="folder put aside", why=found.put_aside)
-        self.mate = Mate(
-            Who(config.name, secrets.randbits(62)), config.voters, config.terms, self.chance, now,
-            found.kept if found is not None and config.votes else None, found.fences if found else {},
+        self.mate = ClusterMember(
+            MemberId(config.name, secrets.randbits(62)),
+            config.voters,
+            config.terms,
+            self.chance,
+            now,
+            found.kept if found is not None and config.votes else None,
+            found.fences if found else {},
             config.epoch,
-        )  # fmt: skip
+        )
         self.settings = settings  # as the file has them
         self.numbers = self._numbers(settings)
-        slots = restarts.names(config.restarts)
-        pick = Pick(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
-        self.restarts = Restarts(pick)
+        slots = restart_slots.lease_names(config.restarts)
+        pick = LeasePool(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
+        self.restarts = RestartSlotLease(pick)
         self.directory: Directory | None = None
-        self.listed, self.parts = Listed(), Parts()
-        self.follow = Follow(list(config.voters), Pace(), now)
+        self.listed, self.parts = EndpointList(), EndpointListAssembler()
+        self.follow = EndpointListFollower(list(config.voters), RelayTimings(), now)
         self._owner_heard = self._beaten = -math.inf
         self._asking = False
         self._handed = 0  # the number of the list that was handed on last
@@ -108,21 +133,25 @@
         self._refusal_at = self._gauged = -math.inf
         self._ended = False
         network.datagrams(config.listen, self)
-        core.orders.update({
-            "claims": lambda: "ok " + json.dumps(self.told()),
-            "restart-ask": lambda: self._order(self.restarts.ask),
-            "restart-give": self._give,
-            "hand-over": self._hand_over,
-            "watch": self._watch,
-        })  # fmt: skip
+        core.orders.update(
+            {
+                "claims": lambda: "ok " + json.dumps(self.told()),
+                "restart-ask": lambda: self._order(self.restarts.ask),
+                "restart-give": self._give,
+                "hand-over": self._hand_over,
+                "watch": self._watch,
+            }
+        )
         self.history("started", name=config.name, voter=config.votes)
 
-    def _numbers(self, settings: Settings) -> Numbers | None:
+    def _numbers(self, settings: Settings) -> InstanceIndexLease | None:
         if not self.config.numbers or settings.instance_count < 2:
             return None
-        names = numbers.names(settings.instance_count)
+        names = instance_index.lease_names(settings.instance_count)
         first = settings.instance_index if settings.instance_index >= 0 else self.chance.randrange(len(names))
-        return Numbers(Pick(names, self.mate.claim, first), SPAN_PART * settings.safety.overload_window_s)
+        return InstanceIndexLease(
+            LeasePool(names, self.mate.claim, first), SETTLE_WINDOWS * settings.safety.overload_window_s
+        )
 
     # ---- life ----
 
@@ -134,7 +163,7 @@
             self.core.retune(self.tuned(self.settings))
             self.numbers.pick.want(now)
         if self.config.list and self.directory is not None:
-            self.mate.claim(LIST).want(now)
+            self.mate.claim(ENDPOINT_LIST_LEASE).want(now)
         self._tick()
 
     def end(self) -> None:
@@ -168,7 +197,7 @@
 
     # ---- the wire ----
 
-    def receive(self, data: bytes, peer: Place) -> None:
+    def receive(self, data: bytes, peer: PeerAddress) -> None:
         """A datagram."""
         message = self.codec.decode(data)
         if message is None:
@@ -181,11 +210,11 @@
             self._fault(error)
         self._tick()
 
-    def _take(self, now: float, peer: Place, message: Message) -> None:
+    def _take(self, now: float, peer: PeerAddress, message: FleetMessage) -> None:
         match message:
-            case News():
+            case EndpointUpdate():
                 self._news(now, peer, message)
-            case Tune():
+            case Subscribe():
                 self._tuned_in(peer, message)
             case _:
                 self.carry(self.mate.handle(now, peer, message))
@@ -194,7 +223,7 @@
         self.counters.add("fleet_faults")
         self.log("fault", why=f"{type(error).__name__}: {error}", machine="Fleet")
 
-    def send(self, to: Place, message: Message) -> None:
+    def send(self, to: PeerAddress, message: FleetMessage) -> None:
         """A message on its way."""
         data = self.codec.encode(message)
         self.counters.add("fleet_sent")
@@ -206,16 +235,16 @@
         """Do what the decisions ask, in their order."""
         for effect in effects:
             match effect:
-                case Send():
+                case SendMessage():
                     self.send(effect.to, effect.message)
-                case Write():
+                case PersistVotes():
                     self._write(effect)
-                case Fence() if self.store is not None:
+                case PersistFencingToken() if self.store is not None:
                     self.store.keep(effect, self._fence_kept)
-                case Note():
+                case LeaseEvent():
                     self._note(effect)
 
-    def _write(self, write: Write) -> None:
+    def _write(self, write: PersistVotes) -> None:
         if self.store is None:
             return
         self.counters.add("fleet_syncs")
@@ -231,13 +260,17 @@
         if fault:
             self.counters.add("fleet_fences_not_kept")
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: LeaseEvent) -> None:
         self.history(
-            note.what.value, claim=note.claim, ticket=note.ticket, until=note.until, why=note.why,
-        )  # fmt: skip
+            note.what.value,
+            claim=note.claim,
+            ticket=note.ticket,
+            until=note.until,
+            why=note.why,
+        )
         name = f"fleet_{note.what.name.lower()}"
         self.counters.add(name)
-        if note.what in LOGGED:
+        if note.what in LOGGED_EVENTS:
             self.log(
                 "fleet",
                 what=note.what.value,
@@ -245,7 +278,7 @@
                 ticket=note.ticket,
                 why=note.why or "-",
             )
-        elif note.what is What.REFUSED and clock() - self._refusal_at > REFUSALS_S:
+        elif note.what is LeaseEventKind.REFUSED and clock() - self._refusal_at > REJECTION_LOG_INTERVAL_S:
             self._refusal_at = clock()
             self.log("fleet", what="refused", claim=note.claim, ticket=note.ticket, why=note.why)
 
@@ -256,14 +289,14 @@
         if self._ended:
             return
         now = clock()
-        due = now + LONGEST_S
+        due = now + MAX_TICK_S
         try:
             due = self._due(now)
         except Exception as error:  # noqa: BLE001 - without this look no claim would be renewed any more
             self._fault(error)
         if self._timer is not None:
             self._timer.cancel()
-        wait = min(LONGEST_S, max(SHORTEST_S, due - now))
+        wait = min(MAX_TICK_S, max(MIN_TICK_S, due - now))
         self._timer = self.network.loop.call_later(wait, self._tick)
 
     def _due(self, now: float) -> float:
@@ -273,7 +306,7 @@
         self.carry(self.restarts.tick(now))
         self._look()
         self._list(now)
-        if now - self._gauged >= GAUGES_S:
+        if now - self._gauged >= GAUGE_INTERVAL_S:
             self._gauged = now
             self._gauges(now)
         return min(self.mate.due(), self.numbers.due(now) if self.numbers is not None else math.inf)
@@ -296,7 +329,7 @@
     def may_ask(self) -> bool:
         """Whether the coordinator is to be asked by this softswitch now."""
         now = clock()
-        return self.follow.asks(now, self.mate.may_act(now, LIST), self.listed.index > 0)
+        return self.follow.asks(now, self.mate.may_act(now, ENDPOINT_LIST_LEASE), self.listed.index > 0)
 
     def heard(self, answer: Any) -> None:
         """The coordinator has answered this softswitch."""
@@ -306,20 +339,20 @@
     def _list(self, now: float) -> None:
         if self.directory is None or not self.config.list:
             return
-        owner = self.mate.may_act(clock(), LIST)
+        owner = self.mate.may_act(clock(), ENDPOINT_LIST_LEASE)
         if owner and now - self._beaten >= self.follow.pace.tune_s:
             self._beaten = now
-            claim = self.mate.claims[LIST]
-            self._to_voters([News(self.config.name, claim.ticket, self.listed.index, 0, 1, b"")])
+            claim = self.mate.claims[ENDPOINT_LIST_LEASE]
+            self._to_voters([EndpointUpdate(self.config.name, claim.ticket, self.listed.index, 0, 1, b"")])
         to = self.follow.tune(now, owner, self._owner_heard)
         if to and to != self.config.name:
-            self.send(self.config.voters[to], Tune(self.listed.index))
+            self.send(self.config.voters[to], Subscribe(self.listed.index))
         asks = self.may_ask()
         if asks and not self._asking:
             self.directory.hurry()
         self._asking = asks
 
-    def _to_voters(self, news: list[News]) -> None:
+    def _to_voters(self, news: list[EndpointUpdate]) -> None:
         for name, place in self.config.voters.items():
             if name != self.config.name:
                 for each in news:
@@ -328,35 +361,35 @@
     def _hand_on(self) -> None:
         """The owner tells the voters, once a number, with its ticket; the check stands right before."""
         checked = clock()
-        if not self.mate.may_act(checked, LIST) or self.listed.index == self._handed:
+        if not self.mate.may_act(checked, ENDPOINT_LIST_LEASE) or self.listed.index == self._handed:
             return
         self._handed = self.listed.index
-        claim = self.mate.claims[LIST]
-        news = pack(self.listed, self.config.name, claim.ticket)
-        self.history("acted", claim=LIST, ticket=claim.ticket, checked=checked)
+        claim = self.mate.claims[ENDPOINT_LIST_LEASE]
+        news = to_updates(self.listed, self.config.name, claim.ticket)
+        self.history("acted", claim=ENDPOINT_LIST_LEASE, ticket=claim.ticket, checked=checked)
         between_check_and_write()
         self._to_voters(news)
 
-    def _tuned_in(self, peer: Place, tune: Tune) -> None:
+    def _tuned_in(self, peer: PeerAddress, tune: Subscribe) -> None:
         """Somebody asks for news: of the list that the owner handed on, under the owner's ticket."""
-        ticket = self.mate.fences.seen.get(LIST, 0)
+        ticket = self.mate.fences.seen.get(ENDPOINT_LIST_LEASE, 0)
         holder = ""
         now = clock()
-        if self.mate.may_act(now, LIST):
-            ticket, holder = self.mate.claims[LIST].ticket, self.config.name
+        if self.mate.may_act(now, ENDPOINT_LIST_LEASE):
+            ticket, holder = self.mate.claims[ENDPOINT_LIST_LEASE].ticket, self.config.name
         elif not ticket or now - self._owner_heard > self.follow.pace.quiet_s:
             return  # the owner is not heard here either; what another voter says is not passed on again
         if tune.after >= self.listed.index:
-            self.send(peer, News(holder or "-", ticket, self.listed.index, 0, 1, b""))
+            self.send(peer, EndpointUpdate(holder or "-", ticket, self.listed.index, 0, 1, b""))
             return
-        for each in pack(self.listed, holder or "-", ticket):
+        for each in to_updates(self.listed, holder or "-", ticket):
             self.send(peer, each)
 
-    def _news(self, now: float, peer: Place, news: News) -> None:
+    def _news(self, now: float, peer: PeerAddress, news: EndpointUpdate) -> None:
         """The list as its owner has it, or the word that nothing is new."""
         if self.directory is None:
             return
-        good, out = self.mate.fences.take(LIST, news.ticket, peer)
+        good, out = self.mate.fences.take(ENDPOINT_LIST_LEASE, news.ticket, peer)
         self.carry(out)
         if not good:
             return
@@ -365,10 +398,12 @@
             self._owner_heard = now
         if not news.data:
             if news.after > self.listed.index:  # what it handed on was lost
-                self.send(peer, Tune(self.listed.index))
+                self.send(peer, Subscribe(self.listed.index))
             return
         if not news.part:  # let through by the fence, whatever comes of it
-            self.history(What.TOOK.value, claim=LIST, ticket=news.ticket, index=news.after)
+            self.history(
+                LeaseEventKind.TOOK.value, claim=ENDPOINT_LIST_LEASE, ticket=news.ticket, index=news.after
+            )
         answer = self.parts.add(news)
         if answer is None or news.after <= self.listed.index:
             return
@@ -401,7 +436,7 @@
     def _watch(self, name: str) -> str:
         """Who holds a claim, by the voters' answers; the first answer comes before any of theirs has."""
         now = clock()
-        watch = self.mate.watch(now, name) if 0 < len(name.encode()) <= MOST_NAME else None
+        watch = self.mate.watch(now, name) if 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES else None
         if watch is None:
             return "fail no claim can have that name, or too many are watched"
         self.network.loop.call_soon(self._tick)
@@ -415,7 +450,7 @@
         if voter is not None:
             counts["fleet_votes_now"], counts["fleet_list_of_voters"] = int(voter.votes), voter.roll.epoch
         for name, claim in self.mate.claims.items():
-            left = max(0.0, claim.until - now) if claim.stage is Stage.HELD else 0.0
+            left = max(0.0, claim.until - now) if claim.stage is LeaseState.HELD else 0.0
             gauge = f"fleet_left_ms_{name}"
             if left or gauge in counts:
                 counts[gauge], counts[f"fleet_ticket_{name}"] = int(1000 * left), claim.ticket
@@ -425,30 +460,47 @@
         now, mate, voter = clock(), self.mate, self.mate.voter
         claims = [
             {
-                "claim": name, "stage": claim.stage.value, "ticket": claim.ticket if claim.stage is Stage.HELD
-                else 0, "left_s": round(max(0.0, claim.until - now), 3) if claim.stage is Stage.HELD else 0.0,
-                "holder": claim.holder, "why": claim.why,
+                "claim": name,
+                "stage": claim.stage.value,
+                "ticket": claim.ticket if claim.stage is LeaseState.HELD else 0,
+                "left_s": round(max(0.0, claim.until - now), 3) if claim.stage is LeaseState.HELD else 0.0,
+                "holder": claim.holder,
+                "why": claim.why,
             }
-            for name, claim in mate.claims.items() if claim.stage is not Stage.RESTING
-        ]  # fmt: skip
+            for name, claim in mate.claims.items()
+            if claim.stage is not LeaseState.IDLE
+        ]
         told: dict[str, Any] = {
-            "fleet": self.config.fleet, "name": self.config.name, "voters": list(self.config.voters),
-            "claims": claims, "fences": mate.fences.seen, "refused": mate.fences.refused, "vote": None,
-        }  # fmt: skip
+            "fleet": self.config.fleet,
+            "name": self.config.name,
+            "voters": list(self.config.voters),
+            "claims": claims,
+            "fences": mate.fences.seen,
+            "refused": mate.fences.refused,
+            "vote": None,
+        }
         if self.numbers is not None:
             told["number"] = self.numbers.in_use
         if voter is not None:
             promised = [
-                {"claim": p.claim, "ticket": p.ticket, "holder": p.holder,
-                 "left_s": round(max(0.0, voter.until.get(p.claim, 0.0) - now), 3)}
+                {
+                    "claim": p.claim,
+                    "ticket": p.ticket,
+                    "holder": p.holder,
+                    "left_s": round(max(0.0, voter.until.get(p.claim, 0.0) - now), 3),
+                }
                 for p in voter.promises.values()
-            ]  # fmt: skip
+            ]
             told["vote"] = {
-                "votes": voter.votes, "why": "" if voter.votes else voter.why or voter.standing.value,
-                "promises": promised, "epoch": voter.roll.epoch, "list": list(voter.roll.voters),
-                "wishes": voter.listed if voter.wish else [], "agreed": bool(voter.roll.agreed),
-            }  # fmt: skip
+                "votes": voter.votes,
+                "why": "" if voter.votes else voter.why or voter.standing.value,
+                "promises": promised,
+                "epoch": voter.roll.epoch,
+                "list": list(voter.roll.voters),
+                "wishes": voter.listed if voter.wish else [],
+                "agreed": bool(voter.roll.agreed),
+            }
         return told
 
 
-__all__ = ["Fleet", "StoreError", "clock"]
+__all__ = ["FleetRuntime", "StoreError", "clock"]
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -25,12 +25,12 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fleet.effects import Fence, Kept, Promise, Write
-from stairhatch.fleet.epochs import Roll
-from stairhatch.fleet.messages import Mark
+from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes, Vote
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.voter_set import VoterSet
 
-FILE = "claims.db"
-VERSION = 2
+FILE_NAME = "claims.db"
+SCHEMA_VERSION = 2
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS own (key TEXT PRIMARY KEY, value TEXT NOT NULL, sum INTEGER) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS promises (claim TEXT PRIMARY KEY, ticket INTEGER NOT NULL, holder TEXT NOT NULL,
@@ -49,10 +49,10 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class StoredState:
     """What a folder held."""
 
-    kept: Kept
+    kept: PersistedState
     fences: dict[str, int]
     put_aside: str = ""  # under which name, and why
 
@@ -62,12 +62,12 @@
     return zlib.crc32(repr(row).encode())
 
 
-def _roll(own: dict[str, str]) -> Roll | None:
+def _roll(own: dict[str, str]) -> VoterSet | None:
     """The list of voters in a folder; None in one from before lists were kept."""
     if "roll" not in own:
         return None
     told = json.loads(own["roll"])
-    return Roll(**{**told, "voters": tuple(told["voters"])})
+    return VoterSet(**{**told, "voters": tuple(told["voters"])})
 
 
 Done = Callable[[str], None]  # hears "" or what went wrong, on the loop
@@ -78,15 +78,17 @@
     """Before a commit nothing happens. A lab puts a disk that fails in its place."""
 
 
-class Store:
+class VoterStore:
     """One folder, open."""
 
     before_commit: Hook = staticmethod(no_fault)
 
     def __init__(self, folder: Path, call: Callable[[Callable[[], None]], object]) -> None:
         """`call` has something done on the loop, from any thread. StoreError: the folder can't be used."""
-        self.path, self._call = folder / FILE, call
-        self._work: queue.SimpleQueue[tuple[Write | Fence, Done] | None] = queue.SimpleQueue()
+        self.path, self._call = folder / FILE_NAME, call
+        self._work: queue.SimpleQueue[tuple[PersistVotes | PersistFencingToken, Done] | None] = (
+            queue.SimpleQueue()
+        )
         self._base: sqlite3.Connection
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -97,23 +99,23 @@
         self._thread = threading.Thread(target=self._run, name="fleet-store", daemon=True)
         self._thread.start()
 
-    def _open(self) -> Found:
+    def _open(self) -> StoredState:
         aside = ""
         try:
             return self._read()
         except sqlite3.DatabaseError as error:
             if isinstance(error, sqlite3.OperationalError):
                 raise  # locked, read-only or full: the file itself may be well
-            aside = f"{FILE}.unreadable-{secrets.token_hex(4)}"
+            aside = f"{FILE_NAME}.unreadable-{secrets.token_hex(4)}"
             with contextlib.suppress(sqlite3.Error):
                 self._base.close()
             os.replace(self.path, self.path.with_name(aside))
             for end in ("-wal", "-shm"):
-                self.path.with_name(FILE + end).unlink(missing_ok=True)
+                self.path.with_name(FILE_NAME + end).unlink(missing_ok=True)
             found = self._read()
-            return Found(found.kept, found.fences, f"{aside}: {error}")
+            return StoredState(found.kept, found.fences, f"{aside}: {error}")
 
-    def _read(self) -> Found:
+    def _read(self) -> StoredState:
         base = self._base = sqlite3.connect(
             self.path, timeout=0.0, isolation_level=None, check_same_thread=False
         )
@@ -125,7 +127,7 @@
         if problem != "ok":
             raise sqlite3.DatabaseError(problem)
         version = base.execute("PRAGMA user_version").fetchone()[0]
-        if version > VERSION:
+        if version > SCHEMA_VERSION:
             raise StoreError(f"{self.path}: written by a later version of the program ({version})")
         for statement in SCHEMA.split(";"):
             base.execute(statement)
@@ -133,20 +135,20 @@
             for table in TABLES:
                 base.execute(f"ALTER TABLE {table} ADD COLUMN sum INTEGER")
                 self._rows(table, [row[:-1] for row in base.execute(f"SELECT * FROM {table}").fetchall()])
-        base.execute(f"PRAGMA user_version={VERSION}")
+        base.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
         found = {table: self._checked(table) for table in TABLES}
         own: dict[str, str] = {str(key): str(value) for key, value in found["own"]}
         folder, life = own.get("folder") or secrets.token_hex(8), int(own.get("life", 0)) + 1
         self._put({"folder": folder, "life": life, "promises": own.get("promises", 0)})
-        kept = Kept(
-            Mark(folder, life, int(own.get("promises", 0))),
+        kept = PersistedState(
+            StorageVersion(folder, life, int(own.get("promises", 0))),
             bool(int(own.get("admitted", 0))),
-            tuple(Promise(*row) for row in found["promises"]),
-            {row[0]: Mark(*row[1:]) for row in found["known"]},
+            tuple(Vote(*row) for row in found["promises"]),
+            {row[0]: StorageVersion(*row[1:]) for row in found["known"]},
             _roll(own),
         )
         base.execute("COMMIT")
-        return Found(kept, dict(found["fences"]))
+        return StoredState(kept, dict(found["fences"]))
 
     def _checked(self, table: str) -> list[Row]:
         """All rows, without their sums."""
@@ -167,7 +169,7 @@
     def _put(self, own: dict[str, object]) -> None:
         self._rows("own", [(key, str(value)) for key, value in own.items()])
 
-    def keep(self, what: Write | Fence, done: Done) -> None:
+    def keep(self, what: PersistVotes | PersistFencingToken, done: Done) -> None:
         """Put it on disk; `done` hears of it on the loop."""
         self._work.put((what, done))
 
@@ -193,14 +195,14 @@
                 self._base.close()
                 return
 
-    def _commit(self, work: list[Write | Fence]) -> str:
+    def _commit(self, work: list[PersistVotes | PersistFencingToken]) -> str:
         """All of them in one transaction; what went wrong, or ""."""
         base = self._base
         try:
             self.before_commit()
             base.execute("BEGIN IMMEDIATE")
             for each in work:
-                if isinstance(each, Fence):
+                if isinstance(each, PersistFencingToken):
                     self._rows("fences", [(each.claim, each.ticket)])
                     continue
                 promises = [(p.claim, p.ticket, p.holder, p.incarnation, p.term_s) for p in each.promises]
--- a/stairhatch/fleet/epochs.py
+++ b/stairhatch/fleet/voter_set.py
@@ -18,14 +18,14 @@
 from enum import Enum
 
 
-def digest(voters: Iterable[str]) -> int:
+def digest_of(voters: Iterable[str]) -> int:
     """A list of voters as one number: of their names, since each may be reached at several addresses."""
     text = "\n".join(sorted(voters)).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=7).digest())
 
 
 @dataclass(frozen=True, slots=True)
-class Roll:
+class VoterSet:
     """The list of voters as a folder has it."""
 
     epoch: int
@@ -37,7 +37,7 @@
     @property
     def digest(self) -> int:
         """Of its names."""
-        return digest(self.voters)
+        return digest_of(self.voters)
 
     @property
     def majority(self) -> int:
@@ -50,17 +50,17 @@
             return told == self.digest
         return self.floor <= epoch == self.epoch - 1 and told == self.before
 
-    def agree(self, told: int) -> Roll:
+    def agree(self, told: int) -> VoterSet:
         """Agreed to a next list, the first that was heard of, and closed for the one before."""
         return replace(self, floor=self.epoch, agreed=self.agreed or told)
 
-    def next(self, voters: tuple[str, ...]) -> Roll:
+    def next(self, voters: tuple[str, ...]) -> VoterSet:
         """The next one, once a majority has agreed to it."""
-        return Roll(self.epoch + 1, voters, self.digest, self.epoch)
+        return VoterSet(self.epoch + 1, voters, self.digest, self.epoch)
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class VoterSetStatus:
     """What another voter says of its list."""
 
     epoch: int
@@ -69,7 +69,7 @@
     agreed: int
 
 
-class Kind(Enum):
+class VoterSetRelation(Enum):
     """What a folder's list and the file's come to."""
 
     SAME = "same"
@@ -78,29 +78,38 @@
     WRONG = "wrong"
 
 
-def compare(roll: Roll, epoch: int, voters: tuple[str, ...]) -> tuple[Kind, str]:
+def compare(roll: VoterSet, epoch: int, voters: tuple[str, ...]) -> tuple[VoterSetRelation, str]:
     """The kind, and why a voter can't go by its file."""
     if roll.epoch == epoch:
-        if roll.digest == digest(voters):
-            return Kind.SAME, ""
-        return Kind.WRONG, f"its folder has list {epoch} as {' '.join(roll.voters)}: a change needs an epoch"
+        if roll.digest == digest_of(voters):
+            return VoterSetRelation.SAME, ""
+        return (
+            VoterSetRelation.WRONG,
+            f"its folder has list {epoch} as {' '.join(roll.voters)}: a change needs an epoch",
+        )
     if epoch < roll.epoch:
-        return Kind.WRONG, f"its folder has list {roll.epoch} already, its file list {epoch}"
+        return VoterSetRelation.WRONG, f"its folder has list {roll.epoch} already, its file list {epoch}"
     if epoch > roll.epoch + 1:
-        return Kind.BEHIND, f"its folder has list {roll.epoch}, its file list {epoch}"
+        return VoterSetRelation.BEHIND, f"its folder has list {roll.epoch}, its file list {epoch}"
     if len(set(roll.voters) ^ set(voters)) != 1:
-        return Kind.WRONG, f"list {epoch} differs from {' '.join(roll.voters)} by more than one voter"
-    return Kind.NEXT, ""
+        return (
+            VoterSetRelation.WRONG,
+            f"list {epoch} differs from {' '.join(roll.voters)} by more than one voter",
+        )
+    return VoterSetRelation.NEXT, ""
 
 
-def may_go_on(roll: Roll, wish: int, said: dict[str, Said], me: str) -> bool:
+def may_advance(roll: VoterSet, wish: int, said: dict[str, VoterSetStatus], me: str) -> bool:
     """Whether a majority of this list has agreed to the one wished for, and is closed for the one before."""
     ready = {
-        name for name, each in said.items()
-        if name in roll.voters and name != me and (
+        name
+        for name, each in said.items()
+        if name in roll.voters
+        and name != me
+        and (
             (each.epoch == roll.epoch and each.floor == roll.epoch and each.agreed == wish)
             or (each.epoch == roll.epoch + 1 and each.digest == wish)
         )
-    }  # fmt: skip
+    }
     mine = me in roll.voters and roll.agreed == wish and roll.floor == roll.epoch
     return len(ready) + mine >= roll.majority
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 from stairhatch.fault_injection.world import SYNC_S, Disk
-from stairhatch.fleet import service as fleet_service
-from stairhatch.fleet.claims import Terms
+from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
-from stairhatch.fleet.effects import Fence, Kept, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.service import Fleet
-from stairhatch.fleet.store import Found
+from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.runtime import FleetRuntime
+from stairhatch.fleet.store import StoredState
 from stairhatch.node.core import ENDED, Call, CallManager, CallRequest, ConnectionProtocol, Counters, idle
 from stairhatch.node.directory import Directory
 from stairhatch.node.message import called_number
@@ -229,18 +229,18 @@
         if not disk.folder:
             disk.folder = f"{world.chance.getrandbits(64):016x}"
         disk.life += 1
-        mark = Mark(disk.folder, disk.life, disk.made)
-        kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = Found(kept, dict(disk.fences))
+        mark = StorageVersion(disk.folder, disk.life, disk.made)
+        kept = PersistedState(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
+        self.found = StoredState(kept, dict(disk.fences))
 
-    def keep(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def keep(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
         self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
 
-    def _kept(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def _kept(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         if self.closed:
             return
-        if isinstance(what, Write):
+        if isinstance(what, PersistVotes):
             self.disk.take(what)
         else:
             self.disk.fences[what.claim] = what.ticket
@@ -551,7 +551,7 @@
         self.numbered = False  # it goes by a number that it holds
         self.heard: dict[str, int] = {}  # how many changes of each line have come
         self.core: CallManager
-        self.fleet: Fleet | None = None
+        self.fleet: FleetRuntime | None = None
         self.process: Life
         self.store: HollowStore | None = None
         self._timer: Due | None = None
@@ -602,10 +602,10 @@
         assert told is not None
         config = FleetConfig(
             "scale", self.name, self.place, voters, folder=Path(self.name) if self.name in voters else None,
-            terms=Terms(told.term_s, told.drift), numbers=told.numbers, list=told.list,
+            terms=LeaseTimings(told.term_s, told.drift), numbers=told.numbers, list=told.list,
         )  # fmt: skip
         self.process = Life(self)
-        self.fleet = Fleet(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
+        self.fleet = FleetRuntime(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
             directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
@@ -963,19 +963,19 @@
     @contextmanager
     def in_place(self) -> Iterator[None]:
         """The virtual clock, folders and dice in place of the machine's own, where the fleet has them."""
-        names = ("clock", "Store", "secrets")
-        was = {name: getattr(fleet_service, name) for name in names}
+        names = ("clock", "VoterStore", "secrets")
+        was = {name: getattr(fleet_runtime, name) for name in names}
         ours = {
             "clock": self.clock.time, "secrets": Dice(self.chance),
-            "Store": lambda folder, call: self.by_name[str(folder)].open_store(),
+            "VoterStore": lambda folder, call: self.by_name[str(folder)].open_store(),
         }  # fmt: skip
         try:
             for name in names:
-                setattr(fleet_service, name, ours[name])
+                setattr(fleet_runtime, name, ours[name])
             yield
         finally:
             for name in names:
-                setattr(fleet_service, name, was[name])
+                setattr(fleet_runtime, name, was[name])
 
     # what is counted
 
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -32,7 +32,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.fleet.service import Fleet
+    from stairhatch.fleet.runtime import FleetRuntime
     from stairhatch.scope.decisions import ScopedController
     from stairhatch.scope.sets import Numbers, ScopeConfig
     from stairhatch.sip.front import SipConfig, SipFront
@@ -134,7 +134,7 @@
         self.trunk: TrunkFront | None = None
         self.front: SipFront | None = None
         self.directory: Directory | None = None
-        self.fleet: Fleet | None = None
+        self.fleet: FleetRuntime | None = None
         self.callers: list[Listening] = []
         self.after = 0  # the number of the last event, where no directory counts
         self.reloaded = "never"
@@ -217,10 +217,10 @@
 
     def _join(self, config: FleetConfig) -> None:
         """Take part in shared work. What can't be used ends the start, as with any address or file."""
-        from stairhatch.fleet.service import Fleet, StoreError
+        from stairhatch.fleet.runtime import FleetRuntime, StoreError
 
         try:
-            self.fleet = Fleet(self.core, self.network, config, self.config.settings)
+            self.fleet = FleetRuntime(self.core, self.network, config, self.config.settings)
         except StoreError as error:
             raise ConfigError(f"fleet.folder: {error}") from None
         except OSError as error:
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -17,10 +17,10 @@
 from stairhatch.fault_injection import rules, runs
 from stairhatch.fault_injection.history import Line
 from stairhatch.fault_injection.schedule import draw, read_schedule
-from stairhatch.fleet import asking
-from stairhatch.fleet.effects import Fence, Promise, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.store import FILE, Store, StoreError
+from stairhatch.fleet import admin_client
+from stairhatch.fleet.effects import PersistFencingToken, PersistVotes, Vote
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.store import FILE_NAME, StoreError, VoterStore
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, until
@@ -143,8 +143,8 @@
 def told(door):
     """What a softswitch says of its claims, or None while it can't be asked."""
     try:
-        return asking.claims(("127.0.0.1", door))
-    except asking.DoorError:
+        return admin_client.lease_report(("127.0.0.1", door))
+    except admin_client.AdminClientError:
         return None
 
 
@@ -235,22 +235,25 @@
 def test_a_folder_keeps_what_was_said_to_be_kept(tmp_path):
     """Guards against promises that a restart forgets, a torn file that ends the start, two on one folder."""
     kept = []
-    store = Store(tmp_path, direct)
+    store = VoterStore(tmp_path, direct)
     assert not store.found.kept.admitted and store.found.kept.mark.life == 1
-    mark = Mark(store.found.kept.mark.folder, 1, 7)
-    store.keep(Write(1, mark, (Promise("list", 4, "a", 9, 3.0),), {"b": Mark("f", 2, 3)}, True), kept.append)
-    store.keep(Fence("list", 4), kept.append)
+    mark = StorageVersion(store.found.kept.mark.folder, 1, 7)
+    store.keep(
+        PersistVotes(1, mark, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
+        kept.append,
+    )
+    store.keep(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept == ["", ""], "both kept")
     with pytest.raises(StoreError, match="another process"):
-        Store(tmp_path, direct)
+        VoterStore(tmp_path, direct)
     store.close()
-    again = Store(tmp_path, direct)
-    assert again.found.kept.promises == (Promise("list", 4, "a", 9, 3.0),)
-    assert again.found.kept.mark == Mark(mark.folder, 2, 7) and again.found.kept.admitted
-    assert again.found.fences == {"list": 4} and again.found.kept.known == {"b": Mark("f", 2, 3)}
+    again = VoterStore(tmp_path, direct)
+    assert again.found.kept.promises == (Vote("list", 4, "a", 9, 3.0),)
+    assert again.found.kept.mark == StorageVersion(mark.folder, 2, 7) and again.found.kept.admitted
+    assert again.found.fences == {"list": 4} and again.found.kept.known == {"b": StorageVersion("f", 2, 3)}
     again.close()
-    (tmp_path / FILE).write_bytes(b"torn" * 2000)
-    torn = Store(tmp_path, direct)
+    (tmp_path / FILE_NAME).write_bytes(b"torn" * 2000)
+    torn = VoterStore(tmp_path, direct)
     assert torn.found.put_aside and not torn.found.kept.admitted
     assert list(tmp_path.glob("*.unreadable-*"))
     torn.close()
@@ -259,13 +262,13 @@
 def test_a_disk_that_takes_no_write_says_so(tmp_path, monkeypatch):
     """Guards against an answer that stands for nothing on the disk."""
     kept = []
-    store = Store(tmp_path, direct)
+    store = VoterStore(tmp_path, direct)
 
     def full():
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(Store, "before_commit", staticmethod(full))
-    store.keep(Fence("list", 4), kept.append)
+    monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
+    store.keep(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept, "an answer")
     assert "No space left" in kept[0]
     store.close()
@@ -274,22 +277,22 @@
 def test_a_bit_that_turned_in_a_folder_is_never_taken_for_a_promise(tmp_path):
     """Guards against a lower ticket read off a disk whose pages have no sums: each row has its own."""
     kept = []
-    store = Store(tmp_path, direct)
-    mark = Mark(store.found.kept.mark.folder, 1, 7)
-    store.keep(Write(1, mark, (Promise("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append)
+    store = VoterStore(tmp_path, direct)
+    mark = StorageVersion(store.found.kept.mark.folder, 1, 7)
+    store.keep(PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append)
     until(lambda: kept == [""], "it is kept")
     store.close()
-    path = tmp_path / FILE
+    path = tmp_path / FILE_NAME
     data = path.read_bytes()
     at = data.index(b"the-owner")
     aside = 0
     for place in range(at - 8, at + 16):
         folder = tmp_path / str(place)
         folder.mkdir()
-        (folder / FILE).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
-        turned = Store(folder, direct)
+        (folder / FILE_NAME).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
+        turned = VoterStore(folder, direct)
         promises = turned.found.kept.promises
-        assert promises in ((), (Promise("list", 4_000_000, "the-owner", 9, 3.0),))
+        assert promises in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
         aside += bool(turned.found.put_aside)
         turned.close()
     assert aside > 10  # others turned nothing that is read
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,11 +9,18 @@
 from stairhatch.fault_injection.schedule import draw
 from stairhatch.fault_injection.trial import run_seeds
 from stairhatch.fault_injection.world import World
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.effects import Kept, Send, Write
-from stairhatch.fleet.epochs import Kind, Roll, Said, compare, digest, may_go_on
-from stairhatch.fleet.messages import Ask, Mark, RollCall
-from stairhatch.fleet.voting import Standing, Voter
+from stairhatch.fleet.effects import PersistedState, PersistVotes, SendMessage
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.messages import LeaseRequest, StatusRequest, StorageVersion
+from stairhatch.fleet.voter import Voter, VoterState
+from stairhatch.fleet.voter_set import (
+    VoterSet,
+    VoterSetRelation,
+    VoterSetStatus,
+    compare,
+    digest_of,
+    may_advance,
+)
 
 
 def test_forty_seeds_break_no_rule_and_every_fault_bites():
@@ -63,20 +70,20 @@
 def test_the_first_list_of_three_is_closed_before_the_third_is_gone_on_to():
     """Guards against a majority of the first list and one of the third that share no voter."""
     first, second, third = ("a", "b", "c"), ("a", "b", "c", "d"), ("a", "b", "c", "d", "e")
-    roll = Roll(1, first, 0, 1).next(second)
-    assert roll.serves(1, digest(first)) and roll.serves(2, digest(second))
-    assert not roll.serves(1, digest(third)) and not roll.serves(2, digest(first))
-    wish = digest(third)
+    roll = VoterSet(1, first, 0, 1).next(second)
+    assert roll.serves(1, digest_of(first)) and roll.serves(2, digest_of(second))
+    assert not roll.serves(1, digest_of(third)) and not roll.serves(2, digest_of(first))
+    wish = digest_of(third)
     agreed = roll.agree(wish)
-    assert not agreed.serves(1, digest(first)) and agreed.agree(7).agreed == wish
-    open_still = Said(2, digest(second), 1, wish)
-    closed, gone = Said(2, digest(second), 2, wish), Said(3, wish, 2, 0)
-    assert not may_go_on(agreed, wish, {"b": closed}, "a")  # two of four
-    assert not may_go_on(agreed, wish, {"b": closed, "c": open_still}, "a")
-    assert not may_go_on(agreed, wish, {"b": closed, "e": closed}, "a")  # not one of its voters
-    assert not may_go_on(roll, wish, {"b": closed, "c": gone}, "a")  # has not agreed itself
-    assert may_go_on(agreed, wish, {"b": closed, "c": gone}, "a")
-    assert not agreed.next(third).serves(1, digest(first))
+    assert not agreed.serves(1, digest_of(first)) and agreed.agree(7).agreed == wish
+    open_still = VoterSetStatus(2, digest_of(second), 1, wish)
+    closed, gone = VoterSetStatus(2, digest_of(second), 2, wish), VoterSetStatus(3, wish, 2, 0)
+    assert not may_advance(agreed, wish, {"b": closed}, "a")  # two of four
+    assert not may_advance(agreed, wish, {"b": closed, "c": open_still}, "a")
+    assert not may_advance(agreed, wish, {"b": closed, "e": closed}, "a")  # not one of its voters
+    assert not may_advance(roll, wish, {"b": closed, "c": gone}, "a")  # has not agreed itself
+    assert may_advance(agreed, wish, {"b": closed, "c": gone}, "a")
+    assert not agreed.next(third).serves(1, digest_of(first))
 
 
 @pytest.mark.parametrize(
@@ -113,9 +120,9 @@
     waiting = voter.tick(now)
     while waiting:
         each = waiting.pop(0)
-        if isinstance(each, Write):
+        if isinstance(each, PersistVotes):
             waiting += voter.written(now, each.number, "")
-        elif isinstance(each, Send) and isinstance(each.message, RollCall):
+        elif isinstance(each, SendMessage) and isinstance(each.message, StatusRequest):
             for back in others[each.to[0]].called(now, each.message):
                 waiting += voter.answered(now, back.message)
 
@@ -127,55 +134,59 @@
     voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
 
     def voter(name, folder, admitted, now):
-        kept = Kept(Mark(folder, 1, 0), admitted, roll=Roll(1, tuple(voters), 0, 1) if admitted else None)
-        return Voter(name, voters, Terms(), kept, now)
+        kept = PersistedState(
+            StorageVersion(folder, 1, 0),
+            admitted,
+            roll=VoterSet(1, tuple(voters), 0, 1) if admitted else None,
+        )
+        return Voter(name, voters, LeaseTimings(), kept, now)
 
     others = {name: voter(name, name, True, 0.0) for name in ("v1", "v2")}
     for each in others.values():
-        each.standing = Standing.VOTES
+        each.standing = VoterState.VOTING
     lost = voter("v0", "empty", False, 0.1)
     answers(lost, 0.1, others)
-    assert lost.standing is Standing.WAITING
-    ask = Ask("work", "a", 1, 5, 3000, 1, roll=digest(voters))
+    assert lost.standing is VoterState.WAITING
+    ask = LeaseRequest("work", "a", 1, 5, 3000, 1, roll=digest_of(voters))
     late = others["v1"]
-    writes = [each for each in late.asked(0.5, ("a", 0), ask) if isinstance(each, Write)]
+    writes = [each for each in late.asked(0.5, ("a", 0), ask) if isinstance(each, PersistVotes)]
     late.written(0.5, writes[0].number, "")
     for tenth in range(2, 60):
         answers(lost, tenth / 10, others)
     assert lost.votes
-    again = lost.asked(9.0, ("b", 0), Ask("work", "b", 2, 5, 3000, 1, roll=digest(voters)))
+    again = lost.asked(9.0, ("b", 0), LeaseRequest("work", "b", 2, 5, 3000, 1, roll=digest_of(voters)))
     assert again[0].message.why == "low" and again[0].message.highest == 5
 
 
 def test_a_disk_that_fails_gives_no_vote_back_to_who_has_lost_it():
     """Guards against a voter with an old folder that votes since its disk failed and was well again."""
     voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
-    voter = Voter("v0", voters, Terms(), Kept(Mark("f", 1, 0), True), 0.0)
-    voter.standing = Standing.VOTES
-    ask = Ask("work", "a", 1, 1, 3000, 1, {"v1": Mark("v1", 1, 1)}, roll=digest(voters))
-    write = next(each for each in voter.asked(0.1, ("a", 0), ask) if isinstance(each, Write))
-    voter.asked(0.2, ("b", 0), Ask("other", "b", 1, 1, 3000, 1, {"v0": Mark("f", 9, 9)}))
-    assert voter.standing is Standing.OUT
+    voter = Voter("v0", voters, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
+    voter.standing = VoterState.VOTING
+    ask = LeaseRequest("work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, roll=digest_of(voters))
+    write = next(each for each in voter.asked(0.1, ("a", 0), ask) if isinstance(each, PersistVotes))
+    voter.asked(0.2, ("b", 0), LeaseRequest("other", "b", 1, 1, 3000, 1, {"v0": StorageVersion("f", 9, 9)}))
+    assert voter.standing is VoterState.EXCLUDED
     voter.written(0.3, write.number, "full")
     for each in voter.tick(2.0):
-        if isinstance(each, Write):
+        if isinstance(each, PersistVotes):
             voter.written(2.1, each.number, "")
-    assert voter.standing is Standing.OUT
+    assert voter.standing is VoterState.EXCLUDED
 
 
 @pytest.mark.parametrize(
     ("epoch", "voters", "kind", "why"),
     [
-        (2, ("a", "b", "c"), Kind.SAME, ""),
-        (3, ("a", "b", "c", "d"), Kind.NEXT, ""),
-        (3, ("a", "b"), Kind.NEXT, ""),
-        (2, ("a", "b", "d"), Kind.WRONG, "a change needs an epoch"),
-        (3, ("a", "b", "d"), Kind.WRONG, "more than one voter"),
-        (1, ("a", "b", "c"), Kind.WRONG, "list 2 already"),
-        (4, ("a", "b"), Kind.BEHIND, "list 2, its file list 4"),
+        (2, ("a", "b", "c"), VoterSetRelation.SAME, ""),
+        (3, ("a", "b", "c", "d"), VoterSetRelation.NEXT, ""),
+        (3, ("a", "b"), VoterSetRelation.NEXT, ""),
+        (2, ("a", "b", "d"), VoterSetRelation.WRONG, "a change needs an epoch"),
+        (3, ("a", "b", "d"), VoterSetRelation.WRONG, "more than one voter"),
+        (1, ("a", "b", "c"), VoterSetRelation.WRONG, "list 2 already"),
+        (4, ("a", "b"), VoterSetRelation.BEHIND, "list 2, its file list 4"),
     ],
 )
 def test_a_file_is_held_against_the_list_in_the_folder(epoch, voters, kind, why):
     """Guards against a list of voters that is mistyped and makes a second majority."""
-    found, told = compare(Roll(2, ("a", "b", "c")), epoch, voters)
+    found, told = compare(VoterSet(2, ("a", "b", "c")), epoch, voters)
     assert found is kind and why in told and bool(why) == bool(told)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -273,9 +273,9 @@
 
 def test_a_hollow_world_puts_the_programs_own_things_back():
     """Guards against a process whose fleet goes on by a virtual clock after a run."""
-    from stairhatch.fleet import service
+    from stairhatch.fleet import runtime
 
-    was = service.clock, service.Store, service.secrets
+    was = runtime.clock, runtime.VoterStore, runtime.secrets
     with World(plan_from(SMALL)).in_place():
-        assert service.clock is not was[0]
-    assert (service.clock, service.Store, service.secrets) == was
+        assert runtime.clock is not was[0]
+    assert (runtime.clock, runtime.VoterStore, runtime.secrets) == was
