--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -42,9 +42,10 @@
 from stairhatch.fleet.messages import EndpointUpdate, FleetCodec, FleetMessage, Subscribe
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
-from stairhatch.node.core import CallManager, idle
+from stairhatch.node.call_manager import CallManager
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
+from stairhatch.node.protocol import do_nothing
 from stairhatch.overload.settings import Settings
 
 ENDPOINT_LIST_LEASE = "list"
@@ -99,7 +100,7 @@
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
-        self.wake: Callable[[], None] = idle  # set by the driver: there is something to send
+        self.wake: Callable[[], None] = do_nothing  # set by the driver: there is something to send
         self.codec = FleetCodec(config.fleet, config.secret)
         self.history = HistoryFile(config)
         self.chance = random.Random(secrets.randbits(64))
