--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -388,16 +388,16 @@
     heard: dict[int, tuple[int, float]] = {}
     for index in range(count):
         core = bare_core()
-        core.side = Beside()  # type: ignore[assignment]
+        core.servers.pool = Beside()  # type: ignore[assignment]
         network = Network(core)
         directory = Directory(core, place, 0)
-        inner = core.list_servers
+        inner = core.update_servers
 
         def listed(lines: Any, complete: bool, index: int = index, inner: Any = inner) -> None:
             inner(lines, complete)
             heard[index] = heard.get(index, (0, 0.0))[0] + 1, time.time()
 
-        core.list_servers = listed  # type: ignore[method-assign]
+        core.update_servers = listed  # type: ignore[method-assign]
         network.spawn(network.follow(directory))
 
     def answer(what: str) -> Any:
@@ -414,11 +414,11 @@
     for _ in range(count):
         core = bare_core()
         RosterSide(core, Network(core).dial)
-        core.list_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
+        core.update_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
         cores.append(core)
 
     def answer(what: str) -> Any:
-        return sum(core.servers[1].connected for core in cores)
+        return sum(core.servers.by_id[1].connected for core in cores)
 
     return None, answer
 
@@ -829,7 +829,10 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
+    from stairhatch.node.attempts import AttemptManager
     from stairhatch.node.roster import RosterLink
+    from stairhatch.node.server_responses import ServerResponses
+    from stairhatch.node.timer_wheel import TimerWheel
     from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
@@ -853,8 +856,12 @@
 
     timed(TrunkConnection, "receive", "parse")
     timed(Controller, "handle", "decide", whole=True)
-    for method in ("offer", "answered", "finished", "caller_released", "tick", "may_write"):
-        timed(CallManager, method, "core")
+    timed(CallManager, "offer_call", "core")
+    timed(CallManager, "release", "core")
+    timed(ServerResponses, "call_established", "core")
+    timed(ServerResponses, "call_released", "core")
+    timed(TimerWheel, "run_due", "core")
+    timed(AttemptManager, "claim_transmission", "core")
     timed(RosterLink, "pull", "ask")
     timed(TrunkConnection, "pull", "answer")
     timed(RosterLink, "receive", "states")
@@ -868,9 +875,9 @@
             other = path.with_suffix(".new")
             other.write_text(json.dumps({**spent, "at": time.monotonic()}))
             other.replace(path)
-            self.at(self.clock() + 0.25, tell)
+            self.timers.schedule(self.clock() + 0.25, tell)
 
-        self.at(self.clock() + 0.25, tell)
+        self.timers.schedule(self.clock() + 0.25, tell)
 
     CallManager.__init__ = begin  # type: ignore[method-assign]
     sys.argv[1:] = []
--- a/stairhatch/conform/faults.py
+++ b/stairhatch/conform/faults.py
@@ -37,7 +37,9 @@
     transaction = self.servers.get(key)
     if transaction is not None and transaction.state is transactions.State.COMPLETED:
         transaction.flow.send(transaction.last)
-        self.clockwork.at(self.clockwork.clock() + 4.0, lambda: _no_resend_end(self, key, gap, passed))
+        self.clockwork.timers.schedule(
+            self.clockwork.clock() + 4.0, lambda: _no_resend_end(self, key, gap, passed)
+        )
 
 
 def _ack_any(self: leg.Leg, cseq: int, message: sip.Message) -> None:
@@ -46,7 +48,7 @@
 
 def _final_held(self: leg.Leg, description: bytes) -> None:
     if self.ringing is not None and not self.ringing.heard:
-        self.front.core.at(self.front.core.clock() + 0.5, lambda: _final_held(self, description))
+        self.front.core.timers.schedule(self.front.core.clock() + 0.5, lambda: _final_held(self, description))
     else:
         WHOLE["established"](self, description)
 
@@ -137,7 +139,9 @@
     client = self.clients.get((branch, method))
     if client is not None:
         client.flow.send(client.data)
-        self.clockwork.at(self.clockwork.clock() + 4.0, lambda: _bye_twice(self, branch, method, gap, passed))
+        self.clockwork.timers.schedule(
+            self.clockwork.clock() + 4.0, lambda: _bye_twice(self, branch, method, gap, passed)
+        )
 
 
 def _provisional_first(self: front.SipFront, transaction: Any, head: heads.Head) -> None:
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -93,10 +93,10 @@
         self.core = CallManager(
             settings, random.Random(1), self.now, lambda e, **f: self.logged.append((e, f)), Counters()
         )
-        self.core.side = self
-        self.core.list_servers([ServerRecord("stand-in", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.listening = self.core.list_known = True
-        for server in self.core.servers.values():
+        self.core.servers.pool = self
+        self.core.update_servers([ServerRecord("stand-in", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.readiness.listening = self.core.readiness.list_known = True
+        for server in self.core.servers.by_id.values():
             server.dial_attempted = server.connected = True
         at = (Listener(("127.0.0.1", 5060)),)
         told: dict[str, Any] = {
@@ -122,11 +122,11 @@
 
     def send_setup(self, attempt: Attempt) -> None:
         """A set-up is written at once, and the stand-in does as it does."""
-        if self.core.may_write(attempt) is None:
+        if not self.core.attempts.claim_transmission(attempt):
             return
-        ident = attempt.call.offer.ident
+        ident = attempt.call.request.ident
         self.set_ups.append(ident)
-        for each in script_for(attempt.call.offer.called_uri):
+        for each in script_for(attempt.call.request.called_uri):
             act = self._saying(attempt.server, ident, each)
             heapq.heappush(self._later, (self.time + each.after_s, next(self._order), act))
 
@@ -136,11 +136,11 @@
                 return
             match what.verb:
                 case "PENDING":
-                    self.core.pending(server, ident)
+                    self.core.responses.setup_progressing(server, ident)
                 case "STARTED":
-                    self.core.answered(server, ident, what.blob)
+                    self.core.responses.call_established(server, ident, what.blob)
                 case _:
-                    self.core.finished(server, ident, what.cause, "", LoadReport())
+                    self.core.responses.call_released(server, ident, what.cause, "", LoadReport())
 
         return act
 
@@ -195,14 +195,14 @@
         end = self.time + seconds
         while True:
             dues = [self._later[0][0]] if self._later else []
-            if (due := self.core.next_due()) is not None:
+            if (due := self.core.timers.next_due()) is not None:
                 dues.append(due)
             if not dues or min(dues) > end:
                 break
             self.time = max(self.time, min(dues))
             while self._later and self._later[0][0] <= self.time:
                 heapq.heappop(self._later)[2]()
-            self.core.tick()
+            self.core.timers.run_due()
             self.carry()
         self.time = end
         self.carry()
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -97,8 +97,9 @@
         told = (
             ", ".join(f"{count} {name}" for name, count in sorted(self.ends.items())) or "no call ended yet"
         )
-        standing = len(service.core.calls) - service.core.unanswered
-        return f"{self.placed} placed: {told}; {standing} stand now, {service.core.unanswered} being set up"
+        calls = service.core.calls
+        standing = len(calls.by_number) - calls.unanswered
+        return f"{self.placed} placed: {told}; {standing} stand now, {calls.unanswered} being set up"
 
 
 async def demonstrate(demo: Demo, say: Callable[[str], None]) -> int:
@@ -111,7 +112,7 @@
     stop = asyncio.Event()
     for name in (signal.SIGTERM, signal.SIGINT):
         service.network.loop.add_signal_handler(name, stop.set)
-    while service.core.awaits():
+    while not service.core.readiness.startup_health().is_ready:
         await asyncio.sleep(0.01)
     await service.begin()
     say(f"the appliance listens on {listening}; two stand-in roster servers answer")
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -109,7 +109,7 @@
         self._refusal_at = self._gauged = -math.inf
         self._ended = False
         network.datagrams(config.listen, self)
-        core.orders.update({
+        core.admin_commands.update({
             "claims": lambda: "ok " + json.dumps(self.told()),
             "restart-ask": lambda: self._order(self.restarts.ask),
             "restart-give": self._give,
@@ -131,7 +131,7 @@
         """Start to ask."""
         now = clock()
         if self.numbers is not None:
-            self.core.before_cold = self._look
+            self.core.attempts.check_instance_index = self._look
             self.core.retune(self.tuned(self.settings))
             self.numbers.pick.want(now)
         if self.config.list and self.directory is not None:
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -1,18 +1,37 @@
-"""The records of calls, attempts and roster servers that the call manager and its neighbours share."""
+"""The records of calls, attempts and roster servers that the call manager and its neighbours share, and the
+registry of the calls that are open.
+"""
 
 from __future__ import annotations
 
+from collections import OrderedDict
+from collections.abc import Callable
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, IntEnum
+from itertools import count
 from typing import Protocol
 
 from stairhatch.overload.events import Availability
 from stairhatch.overload.settings import CallClass
 
+TERMINATED_KEPT_S = 40.0  # how long the id of a call that is over is remembered: late messages are no news
+MAX_TERMINATED_KEPT = 20_000  # how many of them
+
+
+class ReleaseCause(IntEnum):
+    """Causes of a release that mean something here (ITU-T Q.850)."""
+
+    NORMAL_CLEARING = 16
+    USER_BUSY = 17
+    NO_CIRCUIT_AVAILABLE = 34
+    TEMPORARY_FAILURE = 41
+    RESOURCE_UNAVAILABLE = 47
+    RECOVERY_ON_TIMER_EXPIRY = 102
+
 
 class CallerSession(Protocol):
-    """One call as its front holds it. Exactly one of `stood`, `refused` and `failed` is called, once; before
-    it `rang` any number of times, where a front asked for that (`Offer.rings`).
+    """One call as its front holds it. Exactly one of `established`, `rejected` and `failed` is called, once;
+    before it `progressing` any number of times, where its front asked for that.
     """
 
     def progressing(self) -> None: ...
@@ -26,7 +45,7 @@
     """Where a call is in its life."""
 
     OFFERED = "offered"
-    ESTABLISHED = "standing"
+    ESTABLISHED = "standing"  # the console's word
     TERMINATED = "over"
 
 
@@ -62,7 +81,7 @@
 
     id: int
     record: ServerRecord
-    connected: bool = False  # these two are kept by the roster side
+    connected: bool = False  # these two are kept by the server pool
     dial_attempted: bool = False  # a connection has come up, or failed to
 
 
@@ -71,7 +90,7 @@
     """A call from its offer to its end."""
 
     number: int
-    offer: CallRequest
+    request: CallRequest
     caller_session: CallerSession
     deadline: float
     max_attempts: int  # on its attempts
@@ -82,6 +101,10 @@
     established_at: float = 0.0
     caller_gone: bool = False  # its caller can't be heard any more: nothing new is sent for it
 
+    def is_retry_safe(self) -> bool:
+        """Whether its caller may be told that trying again does no harm."""
+        return self.attempts == 0 or self.request.call_class.idempotent
+
 
 @dataclass(eq=False, slots=True)
 class Attempt:
@@ -94,4 +117,84 @@
     deadline: float
     written: bool = False
     written_at: float = 0.0
+    remaining_ms: int = 0  # how long its answer was awaited from then on
     ended: bool = False
+
+
+class CallRegistry:
+    """The calls that are open, by the number given to them here and by their id, and the ids of calls that
+    have ended lately. Only its methods change the state of a call.
+    """
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        self.by_number: dict[int, Call] = {}
+        self.by_ident: dict[str, Call] = {}
+        self.unanswered = 0  # how many are OFFERED
+        self._clock = clock
+        self._numbers = count(1)
+        self._terminated: OrderedDict[str, float] = OrderedDict()  # id -> when it ended, oldest first
+
+    def add(self, request: CallRequest, session: CallerSession, deadline: float, max_attempts: int) -> Call:
+        """Register a call that is offered. Its id must not be in use."""
+        call = Call(next(self._numbers), request, session, deadline, max_attempts)
+        self.by_number[call.number] = call
+        self.by_ident[request.ident] = call
+        self.unanswered += 1
+        return call
+
+    def establish(self, call: Call, now: float) -> None:
+        """An offered call is established."""
+        call.state = CallState.ESTABLISHED
+        call.established_at = now
+        self.unanswered -= 1
+
+    def remove(self, call: Call) -> None:
+        """The call is over. Its id is remembered."""
+        if call.state is CallState.OFFERED:
+            self.unanswered -= 1
+        call.state = CallState.TERMINATED
+        del self.by_number[call.number]
+        del self.by_ident[call.request.ident]
+        self.remember_terminated(call.request.ident)
+
+    def offered(self) -> list[Call]:
+        """The calls whose callers still wait for an answer."""
+        return [call for call in self.by_number.values() if call.state is CallState.OFFERED]
+
+    def is_established(self, ident: str) -> bool:
+        """Whether a call of that id is established."""
+        call = self.by_ident.get(ident)
+        return call is not None and call.state is CallState.ESTABLISHED
+
+    def has_established_at(self, server: RosterServer) -> bool:
+        """Whether any call is established at a server."""
+        return any(
+            call.state is CallState.ESTABLISHED and call.attempt is not None and call.attempt.server is server
+            for call in self.by_number.values()
+        )
+
+    def established_at(self, server: RosterServer, before: float) -> list[Call]:
+        """The calls that were established at a server before a time."""
+        return [
+            call
+            for call in self.by_number.values()
+            if call.state is CallState.ESTABLISHED
+            and call.attempt is not None
+            and call.attempt.server is server
+            and call.established_at < before
+        ]
+
+    def was_terminated(self, ident: str) -> bool:
+        """Whether a call of that id has ended lately."""
+        return ident in self._terminated
+
+    def remember_terminated(self, ident: str) -> None:
+        """Keep the id of a call that has ended for `TERMINATED_KEPT_S`."""
+        now = self._clock()
+        self._terminated[ident] = now
+        self._terminated.move_to_end(ident)
+        while (
+            len(self._terminated) > MAX_TERMINATED_KEPT
+            or next(iter(self._terminated.values())) < now - TERMINATED_KEPT_S
+        ):
+            self._terminated.popitem(last=False)
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -40,27 +40,29 @@
         case "check":
             pass
         case "drain-on" | "drain-off":
-            if core.ending:
+            if core.readiness.shutting_down:
                 return "fail the program is ending"
-            core.drain(line == "drain-on")
+            core.readiness.drain(line == "drain-on")
             if line == "drain-on":
-                return f"ok draining, {core.unanswered} calls are still to be answered"
-        case _ if line and line.split()[0] in core.orders:
+                return f"ok draining, {core.calls.unanswered} calls are still to be answered"
+        case _ if line and line.split()[0] in core.admin_commands:
             try:
-                return core.orders[line.split()[0]](*line.split()[1:])
+                return core.admin_commands[line.split()[0]](*line.split()[1:])
             except TypeError:
                 return "fail the order has more words or fewer than it takes"
         case "":
             return "fail an empty line; known are check, drain-on and drain-off"
         case _:
             shown = "".join(c if c.isascii() and c.isprintable() else "?" for c in line[:40])
-            more = "".join(f", {each}" for each in core.orders)
+            more = "".join(f", {each}" for each in core.admin_commands)
             return f"fail unknown order {shown}; known are check, drain-on and drain-off{more}"
-    why = core.why_not()
-    if why:
-        return f"fail {why}"
+    health = core.readiness.health()
+    if not health.is_ready:
+        return f"fail {health.reason}"
     ready = [
-        s for s in core.servers.values() if s.record.availability is Availability.READY and core.links_to(s)
+        s
+        for s in core.servers.by_id.values()
+        if s.record.availability is Availability.READY and core.servers.is_in_scope(s)
     ]
     return f"ok serving, {sum(s.connected for s in ready)} of {len(ready)} roster servers connected"
 
@@ -105,10 +107,10 @@
         self.core.counters.add("orders_done" if text.startswith("ok") else "orders_failed")
         order = self.data[:40].decode("ascii", "replace").strip()
         said = "ok" if text.startswith("ok") else text
-        if order != "check" or said != self.core.check_said:  # a front asks ten times a second
+        if order != "check" or said != self.core.last_health_answer:  # a front asks ten times a second
             self.core.log("order", line=order, answer=text[:MOST_LOGGED])
         if order == "check":
-            self.core.check_said = said
+            self.core.last_health_answer = said
         self.answer, self.request_received, self.closing = text.encode() + b"\n", True, True
         self.notify_writable()
 
@@ -143,7 +145,7 @@
             return ""
         match words:
             case ["help" | "?"]:
-                orders = self.core.orders
+                orders = self.core.admin_commands
                 return HELP + "".join(f"{name:9} an order of the door's, with its words\n" for name in orders)
             case ["status"]:
                 return self._status()
@@ -157,37 +159,38 @@
                 counts = sorted(self.core.counters.counts.items())
                 return "".join(f"{name:32} {count}\n" for name, count in counts) or "nothing counted yet\n"
             case ["trace", "on" | "off"]:
-                self.core.tracing = words[1] == "on"
+                self.core.context.tracing = words[1] == "on"
                 return f"trace is {words[1]}\n"
             case ["check" | "drain-on" | "drain-off" as order]:
                 return obey(self.core, order) + "\n"
             case ["quit" | "exit"]:
                 self.end()
-                return f"ending: {self.core.unanswered} calls are still to be answered\n"
-            case [first, *_] if first in self.core.orders:
+                return f"ending: {self.core.calls.unanswered} calls are still to be answered\n"
+            case [first, *_] if first in self.core.admin_commands:
                 return obey(self.core, " ".join(line.split())) + "\n"
         return f"unknown command {line.strip()[:40]!r}; try help\n"
 
     def _status(self) -> str:
         core = self.core
-        stages = [call.state for call in core.calls.values()]
+        stages = [call.state for call in core.calls.by_number.values()]
         setting_up, standing = stages.count(CallState.OFFERED), stages.count(CallState.ESTABLISHED)
-        ready = sum(s.record.availability is Availability.READY for s in core.servers.values())
-        connected = sum(server.connected for server in core.servers.values())
+        ready = sum(s.record.availability is Availability.READY for s in core.servers.by_id.values())
+        connected = sum(server.connected for server in core.servers.by_id.values())
         counts = core.counters.counts
         named = ("answers_stood", "answers_refused", "answers_failed", "calls_given_up")
         unusable = counts.get("requests_unusable", 0) + counts.get("malformed_from_callers", 0)
         stood, refused, failed, given_up = (counts.get(name, 0) for name in named)
-        why = core.why_not() or "serving"
-        if core.drain_since is not None:
-            why += f" for {core.clock() - core.drain_since:.1f} s, {core.unanswered} calls to be answered"
-            why += ", then the program ends" if core.ending else ""
+        why = core.readiness.health().reason or "serving"
+        if core.readiness.drain_since is not None:
+            drained_s = core.clock() - core.readiness.drain_since
+            why += f" for {drained_s:.1f} s, {core.calls.unanswered} calls to be answered"
+            why += ", then the program ends" if core.readiness.shutting_down else ""
         return (
             f"up {int(core.clock() - self.started)} s\n"
             f"state      {why}\n"
             f"calls      {setting_up} being set up, {standing} standing\n"
             f"answered   {stood} stood, {refused} refused, {failed} failed, {given_up} given up by callers\n"
-            f"servers    {ready} of {len(core.servers)} in service, {connected} connected\n"
+            f"servers    {ready} of {len(core.servers.by_id)} in service, {connected} connected\n"
             f"callers    {counts.get('connections_evicted', 0)} connections put out for others, "
             f"{counts.get('connections_expired', 0)} ended as silent, "
             f"{unusable} requests unusable\n"
@@ -198,22 +201,22 @@
 
     def _servers(self) -> str:
         core = self.core
-        if not core.servers:
+        if not core.servers.by_id:
             return "the directory names no servers\n"
         now = core.clock()
         text = (
             f"{'name':20} {'address':22} {'number':>6} {'state':9} link  out held standing  "
             " wait   age marks\n"
         )
-        for server in core.servers.values():
+        for server in core.servers.by_id.values():
             line = server.record
             here = [
                 call.state
-                for call in core.calls.values()
+                for call in core.calls.by_number.values()
                 if call.attempt is not None and call.attempt.server is server
             ]
             address = f"{line.address[0]}:{line.address[1]}"
-            link = "up" if server.connected else "down" if core.links_to(server) else "-"
+            link = "up" if server.connected else "down" if core.servers.is_in_scope(server) else "-"
             seen = core.controller.servers.get(server.id)  # what the decisions go by
             held, wait, age, marks = 0, "-", "-", []
             if seen is not None:
@@ -233,9 +236,9 @@
     def _classes(self) -> str:
         core = self.core
         text = f"{'class':16} {'worth':>6} {'aim':>7} {'limit':>7} {'again':5} {'attempts':>8} {'open':>5}"
-        text += "\n" if core.in_scope is None else "  scope\n"
-        near = {s.record.number for s in core.servers.values() if core.links_to(s)}
-        open_ones = [call.offer.call_class for call in core.calls.values()]
+        text += "\n" if core.servers.in_scope is None else "  scope\n"
+        near = {s.record.number for s in core.servers.by_id.values() if core.servers.is_in_scope(s)}
+        open_ones = [call.request.call_class for call in core.calls.by_number.values()]
         going = [kind for kind in dict.fromkeys(open_ones) if kind not in core.settings.classes]
         for kind in [*core.settings.classes, *going]:
             text += (
@@ -244,7 +247,7 @@
                 f"{core.settings.max_attempts:8} {open_ones.count(kind):5}"
                 f"{' as it was before a reload' if kind in going else ''}"
             )
-            if core.in_scope is not None:
+            if core.servers.in_scope is not None:
                 known = near if kind.allowed_servers is None else near.intersection(kind.allowed_servers)
                 text += "  in" if known else "  out"
             text += "\n"
@@ -252,16 +255,16 @@
 
     def _calls(self) -> str:
         core = self.core
-        if not core.calls:
+        if not core.calls.by_number:
             return "no calls\n"
         text = f"{'call':17} {'number called':18} {'class':12} {'state':9} {'tries':>5} server\n"
-        for index, call in enumerate(core.calls.values()):
+        for index, call in enumerate(core.calls.by_number.values()):
             if index == MOST_SHOWN:
-                return text + f"and {len(core.calls) - MOST_SHOWN} more\n"
-            kind = call.offer.call_class.name
+                return text + f"and {len(core.calls.by_number) - MOST_SHOWN} more\n"
+            kind = call.request.call_class.name
             server = call.attempt.server.record.instance if call.attempt is not None else "-"
             text += (
-                f"{call.offer.ident:17} {call.offer.called_uri:18} {kind:12} {call.state.value:9} "
+                f"{call.request.ident:17} {call.request.called_uri:18} {kind:12} {call.state.value:9} "
                 f"{call.attempts:5} {server}\n"
             )
         return text
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/directory.py
@@ -94,7 +94,7 @@
     """
     known = {
         name: _raw(server.record)
-        for name, server in core.by_instance.items()
+        for name, server in core.servers.by_instance.items()
         if server.record.availability is not Availability.GONE
     }
     events, said = [], []
@@ -132,7 +132,7 @@
     """Tell the core what is new; returns the number of the last event. An odd answer changes nothing."""
     last, changes = read_events(answer, after)
     for _, lines, complete in changes:
-        core.list_servers(lines, complete)
+        core.update_servers(lines, complete)
     return last
 
 
@@ -153,11 +153,11 @@
         self._parser: Any = None
         self._output = b""
         self._body = bytearray()
-        core.at(core.clock() + HEARD_S, self._unheard)
+        core.timers.schedule(core.clock() + HEARD_S, self._unheard)
 
     def _unheard(self) -> None:
         """No answer so far: what was known at the start has to do."""
-        self.core.list_known = True
+        self.core.readiness.list_known = True
 
     def move(self, address: tuple[str, int]) -> None:
         """Another coordinator goes on with the same numbers: leave the old one, whatever it still holds."""
@@ -176,7 +176,7 @@
         except DirectoryError as error:
             self.core.log("directory", why=f"handed on: {error}")
             return
-        self.core.list_known = True
+        self.core.readiness.list_known = True
         self.told_at = self.core.clock()
 
     def connected(self) -> None:
@@ -199,8 +199,8 @@
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._asked, self._asked_at = self._asked + 1, self.core.clock()
-        self.core.at(self._asked_at + WHOLE_S, partial(self._stalled, self._asked))
-        wait_ms = WAIT_MS if self.core.list_known else FIRST_WAIT_MS
+        self.core.timers.schedule(self._asked_at + WHOLE_S, partial(self._stalled, self._asked))
+        wait_ms = WAIT_MS if self.core.readiness.list_known else FIRST_WAIT_MS
         path = f"/v2/stream?follow={self.after}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._output = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
@@ -279,14 +279,14 @@
         answer = self._take(answer, pass_over=self._odd >= TRIES - 1)
         self._look_at_number(int(answer["index"]))
         self.answers, self.told_at = self.answers + 1, self.core.clock()
-        self.core.list_known = True
+        self.core.readiness.list_known = True
         self.core.counters.add("directory_answers")
         if self.told is not None:
             self.told(answer)
         now = self.core.clock()
         idle_turn = self.after == before and now < self._asked_at + SOON_S and self.answers > 1
         if keep and not self.rests() and idle_turn:
-            self.core.at(now + PACE_S, partial(self._ask_again, self._asked))
+            self.core.timers.schedule(now + PACE_S, partial(self._ask_again, self._asked))
         elif keep and not self.rests():
             self._ask()
         else:
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -244,19 +244,19 @@
         self._to_shrink = False
         self._dialled: set[RosterLink] = set()  # with a descriptor
         self.emptying: asyncio.Task[None] | None = None
-        core.on_drain = self.empty
+        core.readiness.on_drain_started = self.empty
         self.looked: Callable[[float], None] | None = None  # who watches the load
         self.ears = Ears(self._fault)
         self.inbox = memoryview(bytearray(BUFFER_BYTES))  # of callers: what is read is used at once
-        core.hear_callers = self.ears.hear
+        core.read_callers = self.ears.hear
         self._timer: asyncio.TimerHandle | None = None
-        core.wake = self._arm
+        core.timers.on_earlier_due = self._arm
         self._arm()
 
     # ---- the core's timers ----
 
     def _arm(self) -> None:
-        due = self.core.next_due()
+        due = self.core.timers.next_due()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -266,7 +266,7 @@
     def _tick(self) -> None:
         self._timer = None
         try:
-            self.core.tick()
+            self.core.timers.run_due()
         finally:
             self._arm()
 
@@ -359,7 +359,7 @@
             self.emptying = self.spawn(self._empty())
 
     async def _empty(self) -> None:
-        while self.core.drain_since is not None:
+        while self.core.readiness.drain_since is not None:
             for listening in self.listeners:
                 listening.end_idle()
             await asyncio.sleep(DRAIN_SWEEP_S)
--- a/stairhatch/node/roster.py
+++ b/stairhatch/node/roster.py
@@ -84,8 +84,8 @@
         self.over = False  # another process goes on
         self.left: list[RosterLink] = []  # passed over for a spare; what is open there may still be answered
         self.leaving: set[int] = set()  # servers out of scope whose links are looked at until they may end
-        core.side = self
-        core.at(core.clock() + LOOK_S, self._look)
+        core.servers.pool = self
+        core.timers.schedule(core.clock() + LOOK_S, self._look)
 
     def record_changed(self, server: RosterServer) -> None:
         """News of a server: keep a connection while it is of use."""
@@ -94,11 +94,11 @@
             for each in self.all_to(server):
                 each.retire()
             if link is None:  # it never was in scope; not now, since the list is being gone through
-                self.core.at(self.core.clock(), partial(self.core.forget_server, server))
+                self.core.timers.schedule(self.core.clock(), partial(self.core.servers.forget, server))
             return
         if self.over:
             return
-        if not self.core.links_to(server):
+        if not self.core.servers.is_in_scope(server):
             self._let_go(server)
             return
         if link is None:
@@ -117,10 +117,12 @@
         """
         if server.id in self.leaving or not self.all_to(server):
             return
-        attempts = (call.attempt for call in self.core.calls.values())
+        attempts = (call.attempt for call in self.core.calls.by_number.values())
         if any(attempt is not None and attempt.server is server for attempt in attempts):
             self.leaving.add(server.id)
-            self.core.at(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_leaving, server))
+            self.core.timers.schedule(
+                self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_leaving, server)
+            )
             return
         for each in self.all_to(server):
             each.retire()
@@ -134,7 +136,7 @@
         """Queue a set-up; it is rendered when it can be written."""
         link = self.links.get(attempt.server.id)
         if link is None or len(link.queue) >= MOST_WAITING:
-            self.core.not_written(attempt, reached=True)
+            self.core.attempts.transmission_failed(attempt, reached=True)
             return
         link.queue.append(attempt)
         link.notify_writable()
@@ -182,7 +184,7 @@
         given up for the suspicion alone: a server may merely be slow.
         """
         now = self.core.clock()
-        self.core.at(now + LOOK_S, self._look)
+        self.core.timers.schedule(now + LOOK_S, self._look)
         spare: list[RosterLink] = []
         for ident, link in self.links.items():
             if ident in self.spares or link.retired or not link.suspect(now):
@@ -224,7 +226,7 @@
             return
         self.left.append(old)
         old.retired, old.left_at = True, self.core.clock()
-        self.core.at(old.left_at + LEFT_S + 0.01, partial(self._look_at_left, old))
+        self.core.timers.schedule(old.left_at + LEFT_S + 0.01, partial(self._look_at_left, old))
         link.queue.extend(old.queue)
         link.queue.extend(old.unsure())
         old.queue.clear()
@@ -234,7 +236,7 @@
         """A link passed over ends once nothing is due on it; it is looked at until then."""
         if old in self.left:
             old.notify_writable()
-            self.core.at(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_left, old))
+            self.core.timers.schedule(self.core.clock() + LOOK_AT_LEFT_S, partial(self._look_at_left, old))
 
     def _make_room(self, server: RosterServer) -> None:
         """Before one more is dialled: of those passed over the oldest ends that has nothing open, since a
@@ -258,7 +260,7 @@
             silent = max(old.heard_at, link.up_at, old.up_at) < now - APART_S
             if old.server is link.server and silent and not old.ending:
                 old.ending = True
-                self.core.at(now + APART_S, partial(self._end_dead, old, now))
+                self.core.timers.schedule(now + APART_S, partial(self._end_dead, old, now))
 
     def _end_dead(self, old: RosterLink, since: float) -> None:
         """End a link that was passed over and has kept silent: it had been doubted and was right to be. Its
@@ -273,7 +275,7 @@
             in_use = self.links.get(old.server.id)
             if in_use is not None:  # the doubt was right: the next one need not wait
                 in_use.doubt_s, in_use.doubt_from = DOUBT_S, -math.inf
-            self.core.at(self.core.clock() + AGAIN_S, partial(self._again, old.server))
+            self.core.timers.schedule(self.core.clock() + AGAIN_S, partial(self._again, old.server))
 
     def _again(self, server: RosterServer) -> None:
         """A dead link has ended. What the server released on it before it knew comes on the next one opened.
@@ -283,7 +285,7 @@
         """
         link = self.links.get(server.id)
         if server.id in self.spares:  # dialled before: it may have been opened before the end was sent
-            self.core.at(self.core.clock() + AGAIN_S, partial(self._again, server))
+            self.core.timers.schedule(self.core.clock() + AGAIN_S, partial(self._again, server))
         elif link is not None and link.up_at < math.inf:
             self._second(link)
 
@@ -298,7 +300,7 @@
             if link.server.record.availability is not Availability.GONE:
                 self.record_changed(link.server)  # it was listed again in the meantime
             else:
-                self.core.forget_server(link.server)
+                self.core.servers.forget(link.server)
 
 
 @dataclass(slots=True)
@@ -346,7 +348,7 @@
         if not self.retired or self.open or self.queue or self.side.core.clock() - self.left_at <= LEFT_S:
             return False
         if self.left_at > -math.inf:
-            self.stood = {ident for ident in self.stood if self.side.core.stands(ident)}
+            self.stood = {ident for ident in self.stood if self.side.core.calls.is_established(ident)}
         return not self.stood or self.left_at == -math.inf
 
     @property
@@ -364,7 +366,9 @@
         for attempt in self.open.values():  # the first is the one written first
             return now - max(last, attempt.written_at) > SILENT_S
         gap = (last - self.up_at) / self.states if self.states > 2 else math.inf
-        return now - last > max(QUIET_S, QUIET_GAPS * gap) and self.side.core.stands_at(self.server)
+        return now - last > max(QUIET_S, QUIET_GAPS * gap) and self.side.core.calls.has_established_at(
+            self.server
+        )
 
     def unsure(self) -> list[Release]:
         """Releases that were written, perhaps to nobody."""
@@ -380,8 +384,8 @@
         waiting = [item for item in self.queue if isinstance(item, Attempt)]
         self.queue = deque(item for item in self.queue if not isinstance(item, Attempt))
         for attempt in waiting:
-            self.side.core.not_written(attempt, reached=True)
-        self.side.core.at(self.side.core.clock() + RETIRED_S, self._overdue)
+            self.side.core.attempts.transmission_failed(attempt, reached=True)
+        self.side.core.timers.schedule(self.side.core.clock() + RETIRED_S, self._overdue)
         self.notify_writable()
 
     def _overdue(self) -> None:
@@ -418,10 +422,10 @@
         kept = () if refused or self.retired else (i for i in self.queue if not isinstance(i, Attempt))
         self.queue = deque(kept)
         for attempt in waiting:
-            core.not_written(attempt, reached=False)
+            core.attempts.transmission_failed(attempt, reached=False)
         others = (link for link in self.side.left if link.server is self.server)
         if refused and not any(link.up_at < math.inf for link in others):
-            core.cut_standing(self.server, before=core.clock() + 1)
+            core.responses.terminate_established_at(self.server, before=core.clock() + 1)
 
     def connection_lost(self) -> None:
         """The connection broke: the set-ups open on it are reset.
@@ -437,12 +441,18 @@
         if in_use is not None and self.server.record.availability is not Availability.GONE:
             in_use.queue.extendleft(reversed(unsure))
             in_use.notify_writable()
-        if self in self.side.left and not self.can_close() and any(map(self.side.core.stands, self.stood)):
-            self.side.core.at(self.side.core.clock() + AGAIN_S, partial(self.side._again, self.server))
+        if (
+            self in self.side.left
+            and not self.can_close()
+            and any(map(self.side.core.calls.is_established, self.stood))
+        ):
+            self.side.core.timers.schedule(
+                self.side.core.clock() + AGAIN_S, partial(self.side._again, self.server)
+            )
         broken, self.open = list(self.open.values()), {}
         self.side.core.log("link_lost", server=self.server.record.instance, open=len(broken))
         for attempt in broken:
-            self.side.core.connection_lost(attempt)
+            self.side.core.attempts.connection_lost(attempt)
 
     def data_to_send(self) -> bytes:
         """What is to be written now. Where this process stood still meanwhile, it looks again who left."""
@@ -465,8 +475,8 @@
             item, length = self.pulled.pop()
             size -= length
             if isinstance(item, Attempt):
-                self.open.pop(item.call.offer.ident, None)
-                self.side.core.not_sent(item)
+                self.open.pop(item.call.request.ident, None)
+                self.side.core.attempts.retract_transmission(item)
             elif isinstance(item, Release):
                 item.times -= 1
                 self.written.pop()
@@ -484,17 +494,16 @@
             item = self.queue.popleft()
             if isinstance(item, Attempt):
                 if self.looked_at == math.inf:
-                    core.hear_callers()
+                    core.read_callers()
                     self.looked_at = core.clock()
-                left_ms = core.may_write(item)
-                if left_ms is None:
+                if not core.attempts.claim_transmission(item):
                     continue
-                offer = item.call.offer
+                offer = item.call.request
                 if self.asked_at <= max(self.heard_at, self.up_at):
                     self.asked_at = core.clock()
                 self.open[offer.ident] = item
                 line = start_line(
-                    offer.ident, offer.call_class.name, offer.called_uri, offer.description, left_ms
+                    offer.ident, offer.call_class.name, offer.called_uri, offer.description, item.remaining_ms
                 )
             elif isinstance(item, Release):
                 item.times += 1
@@ -559,21 +568,21 @@
         core.counters.add(f"got_{verb if verb in VERBS else 'other_verb'}")
         self.side.heard(self, state=verb == "LOAD")
         if verb == "STARTED":
-            core.load_told(self.server, report)
+            core.responses.load_reported(self.server, report)
             self.open.pop(ident, None)
-            core.answered(self.server, ident, blob)
-            if core.stands(ident):
+            core.responses.call_established(self.server, ident, blob)
+            if core.calls.is_established(ident):
                 self.stood.add(ident)
         elif verb == "PENDING":
             if isinstance(ident, str):
-                core.pending(self.server, ident)
+                core.responses.setup_progressing(self.server, ident)
         elif verb == "FINISH":
             self.open.pop(ident, None)
-            core.finished(self.server, ident, cause, note, report)
+            core.responses.call_released(self.server, ident, cause, note, report)
             for each in self.side.all_to(self.server):
                 each.stood.discard(ident)
         elif verb == "LOAD":
-            core.load_told(self.server, report)
+            core.responses.load_reported(self.server, report)
         elif verb == "ECHO":
             self.queue.append(_line({"verb": "ECHOED", "tag": ident, "opts": {}, "rc": 1}))
             self.notify_writable()
--- /dev/null
+++ b/stairhatch/node/server_responses.py
@@ -0,0 +1,137 @@
+"""What roster servers say of calls and of their load: progress, an established call, a rejection, a release.
+Everything that comes late, twice or from the wrong server is told apart here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from stairhatch.node.attempts import AttemptManager
+from stairhatch.node.calls import Attempt, Call, CallRegistry, CallState, ReleaseCause, RosterServer
+from stairhatch.node.context import NodeContext
+from stairhatch.node.event_dispatcher import EventDispatcher
+from stairhatch.node.final_answers import FinalAnswers
+from stairhatch.node.server_registry import ServerRegistry
+from stairhatch.overload.actions import FailCall
+from stairhatch.overload.events import AttemptOutcome, CallEstablished, LoadReport, LoadReported
+
+OUTCOMES: dict[int, AttemptOutcome] = {  # of an attempt, by its rejection's cause; RESET for all others
+    ReleaseCause.NO_CIRCUIT_AVAILABLE: AttemptOutcome.REJECTED,
+    ReleaseCause.RECOVERY_ON_TIMER_EXPIRY: AttemptOutcome.NOT_SENT,
+    ReleaseCause.USER_BUSY: AttemptOutcome.ERROR,
+    ReleaseCause.RESOURCE_UNAVAILABLE: AttemptOutcome.ERROR,
+}
+
+
+@dataclass(eq=False, kw_only=True)
+class ServerResponses:
+    """Takes what roster servers say. `cause` is a Q.850 cause, also one that `ReleaseCause` does not name."""
+
+    context: NodeContext
+    calls: CallRegistry
+    servers: ServerRegistry
+    dispatcher: EventDispatcher
+    answers: FinalAnswers
+    attempts: AttemptManager
+    unknown_release_listeners: list[Callable[[str, int], None]] = field(default_factory=list)
+
+    def setup_progressing(self, server: RosterServer, ident: str) -> None:
+        """A roster server is at work on a set-up."""
+        call = self.calls.by_ident.get(ident)
+        attempt = call.attempt if call is not None and call.state is CallState.OFFERED else None
+        if call is None or attempt is None or not call.request.reports_progress:
+            return
+        if attempt.server is server and attempt.written:
+            call.caller_session.progressing()
+
+    def call_established(self, server: RosterServer, ident: str, description: str) -> None:
+        """A roster server says that the call is established."""
+        context = self.context
+        call = self.calls.by_ident.get(ident)
+        attempt = call.attempt if call is not None else None
+        if call is None and not self.calls.was_terminated(ident):
+            context.counters.add("answers_of_unknown_calls")  # none of ours: nothing to release
+            return
+        if call is None or attempt is None or attempt.server is not server or not attempt.written:
+            context.counters.add("late_answers")
+            if context.tracing:
+                context.log("late", call=ident, server=server.record.instance)
+            self.servers.pool.send_release(server, ident, ReleaseCause.NORMAL_CLEARING)
+            return
+        if call.state is not CallState.OFFERED:
+            return
+        now = context.clock()
+        self.calls.establish(call, now)
+        context.counters.add("answers_stood")
+        if context.tracing:
+            context.log("answer", call=ident, result="stood", n=attempt.number)
+        call.caller_session.established(description.encode("utf-8", "surrogateescape"))
+        self.dispatcher.dispatch(CallEstablished(call.number, server.id, now - attempt.started_at))
+
+    def call_released(
+        self, server: RosterServer, ident: str, cause: int, note: str, report: LoadReport
+    ) -> None:
+        """A roster server rejects a set-up or releases a call."""
+        call = self.calls.by_ident.get(ident)
+        attempt = call.attempt if call is not None else None
+        if call is None or attempt is None or attempt.server is not server or not attempt.written:
+            self.load_reported(server, report)
+            if call is None:
+                self._unknown_released(ident, cause)
+            return
+        if call.state is CallState.ESTABLISHED:
+            self._terminate(call, attempt, cause, report)
+        elif cause == ReleaseCause.NORMAL_CLEARING:
+            self._terminate_unanswered(call, attempt, report)
+        else:
+            outcome = OUTCOMES.get(cause, AttemptOutcome.RESET)
+            self.attempts.end(attempt, outcome, report, note)
+
+    def load_reported(self, server: RosterServer, report: LoadReport) -> None:
+        """A roster server's load, unasked."""
+        if report != LoadReport():
+            self.dispatcher.dispatch(LoadReported(server.id, report))
+
+    def terminate_established_at(self, server: RosterServer, before: float) -> None:
+        """A server's process has gone, and with it the calls that were established there before that time."""
+        for call in self.calls.established_at(server, before):
+            attempt = call.attempt
+            assert attempt is not None
+            self._terminate(call, attempt, ReleaseCause.TEMPORARY_FAILURE, LoadReport())
+
+    def _unknown_released(self, ident: str, cause: int) -> None:
+        """A call ends that is not open here: news, if it has not ended here lately."""
+        if self.calls.was_terminated(ident):
+            return
+        self.context.counters.add("releases_of_unknown_calls")
+        if self.context.tracing:
+            self.context.log("release", call=ident, side="server", cause=cause, known=False)
+        self.calls.remember_terminated(ident)
+        for listener in self.unknown_release_listeners:
+            listener(ident, cause)
+
+    def _terminate_unanswered(self, call: Call, attempt: Attempt, report: LoadReport) -> None:
+        """The call was established and has come to its end, but the answer has not been heard.
+
+        It is not set up a second time: it has run its course, and its end is owed to the caller
+        (rate+silent+leave, where answers come late).
+        """
+        self.context.counters.add("calls_ended_unheard")
+        if self.context.tracing:
+            cause = int(ReleaseCause.NORMAL_CLEARING)
+            self.context.log("release", call=call.request.ident, side="server", cause=cause)
+        call.attempt = None
+        self.answers.give(call, FailCall(call.number))
+        self.attempts.end(attempt, AttemptOutcome.RESET, report)
+
+    def _terminate(self, call: Call, attempt: Attempt, cause: int, report: LoadReport) -> None:
+        """An established call is over by the roster server's doing: its caller is released."""
+        is_normal = cause == ReleaseCause.NORMAL_CLEARING
+        self.context.counters.add("calls_ended" if is_normal else "calls_cut")
+        if self.context.tracing:
+            self.context.log("release", call=call.request.ident, side="server", cause=int(cause))
+        self.calls.remove(call)
+        call.caller_session.released(cause)
+        outcome = AttemptOutcome.COMPLETED if is_normal else AttemptOutcome.RESET
+        self.attempts.end(attempt, outcome, report)
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -12,10 +12,11 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.call_manager import AWAY_S, ENDED, CallManager
-from stairhatch.node.calls import Call, CallRequest
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.message import called_number, release_cause
 from stairhatch.node.protocol import ConnectionProtocol
+from stairhatch.node.readiness import RETRY_AFTER_S
 
 MOST_OUTPUT = 128 * 1024  # a caller that reads so much too slowly is cut off
 RELEASE_KEPT_S = 30.0  # how long a release waits for a caller to connect
@@ -70,13 +71,13 @@
         self.releases: dict[str, Release] = {}
         self.given_up: OrderedDict[str, None] = OrderedDict()
         self.branch = 0
-        core.orphan.append(self.release)
+        core.responses.unknown_release_listeners.append(self.release)
 
     def connect(self, peer: tuple[str, int] = ("", 0)) -> TrunkConnection:
         """Somebody has connected: a caller, or a front that asks for a test and goes again."""
         connection = TrunkConnection(self)
         self.connections[connection] = None
-        self.core.at(self.core.clock() + GREET_S, partial(self.greet, connection, False))
+        self.core.timers.schedule(self.core.clock() + GREET_S, partial(self.greet, connection, False))
         return connection
 
     def greet(self, connection: TrunkConnection, spoken: bool = True) -> None:
@@ -108,7 +109,7 @@
         that asks once, and 161 ends of calls were told to such alone (churn).
         """
         now = self.core.clock()
-        if self.core.drain_since is not None:
+        if self.core.readiness.drain_since is not None:
             release.since = now  # kept for the next caller, however long the drain
         if now - release.since > RELEASE_KEPT_S:
             self.releases.pop(ident, None)
@@ -116,17 +117,19 @@
             return
         if len(release.tried) >= MOST_TRIES:  # nobody here reads: kept for whoever connects next
             release.tried.clear()
-            self.core.at(release.since + RELEASE_KEPT_S + 0.01, partial(self._check, ident, release, 0))
+            self.core.timers.schedule(
+                release.since + RELEASE_KEPT_S + 0.01, partial(self._check, ident, release, 0)
+            )
             return
         own = first is not None and first in self.connections and not first.closing
         connection = first if own else self._listener(release)
         if connection is not None:
             release.tried.append(connection)
             connection.bye(ident, release.cause)
-            self.core.at(now + HEARD_S, partial(self._check, ident, release, len(release.tried)))
+            self.core.timers.schedule(now + HEARD_S, partial(self._check, ident, release, len(release.tried)))
         else:
             release.tried.clear()  # the next connection gets it
-            self.core.at(now + RELEASE_KEPT_S, partial(self._check, ident, release, 0))
+            self.core.timers.schedule(now + RELEASE_KEPT_S, partial(self._check, ident, release, 0))
 
     def _check(self, ident: str, release: Release, tries: int) -> None:
         if self.releases.get(ident) is release and len(release.tried) == tries:
@@ -229,7 +232,11 @@
         """
         told = (self.front.releases.get(ident) for ident in self.byes)
         unheard = any(r is not None and r.tried and r.tried[-1] is self for r in told)
-        return super().is_idle() and not unheard and not (self.front.core.holds() and self._last_ear())
+        return (
+            super().is_idle()
+            and not unheard
+            and not (self.front.core.readiness.keeps_release_path() and self._last_ear())
+        )
 
     def _last_ear(self) -> bool:
         """Whether no other connection is as likely to be read."""
@@ -286,7 +293,7 @@
         for held in list(self.open.values()):
             call = held.call
             self._give_up(held)
-            held._answer(480 if call is None or self.front.core.harmless(call) else 500, [])
+            held._answer(480 if call is None or call.is_retry_safe() else 500, [])
 
     def _give_up(self, held: TrunkCall) -> None:
         """Nobody waits for this set-up any more."""
@@ -294,7 +301,7 @@
         self.front.calls.pop(ident, None)
         self.open.pop(ident, None)
         if held.call is not None:
-            self.front.core.caller_left(held.call)
+            self.front.core.abandon(held.call)
 
     def connection_lost(self) -> None:
         """The connection has ended: what was open on it is given up, what stands on lives on."""
@@ -360,25 +367,25 @@
             case "CANCEL":
                 held = front.calls.get(ident)
                 if held is not None:
-                    stood = front.core.stands(ident)
+                    stood = front.core.calls.is_established(ident)
                     held.connection._give_up(held)
                     held.connection.notify_writable()  # it may have ended but for this
                     if stood:  # it crossed the answer: its caller may take the call to stand, and is told
                         front.core.counters.add("cancels_crossed")
-                        front.release(ident, ENDED, held.connection)
-                elif not front.core.was_over(ident):
+                        front.release(ident, ReleaseCause.NORMAL_CLEARING, held.connection)
+                elif not front.core.calls.was_terminated(ident):
                     front.cancelled_early(ident)
                 self.respond(message, 200 if held is not None else 481, [])
             case "BYE":
                 held = front.calls.pop(ident, None)
                 if held is not None and held.call is not None:
                     held.connection.open.pop(ident, None)
-                    front.core.caller_released(held.call, release_cause(message))
+                    front.core.release(held.call, release_cause(message))
                 elif front.releases.pop(ident, None) is None:
                     front.core.release_unknown(ident, release_cause(message))
                 self.respond(message, 200, [])
             case "OPTIONS":
-                self.respond(message, 503 if front.core.why_not() else 200, [])
+                self.respond(message, 200 if front.core.readiness.health().is_ready else 503, [])
             case "ACK" | "NOTIFY":
                 pass
             case _:
@@ -406,7 +413,7 @@
     def _invite(self, message: sip.Message, ident: str) -> None:
         """A set-up. One that can't be understood, or no roster server could read, is answered at once."""
         front = self.front
-        kind = front.core.class_named(message.get("call-kind"))
+        kind = front.core.classes.named(message.get("call-kind"))
         within = message.get("answer-within")
         key = sip.user_of(message.uri)
         try:
@@ -419,13 +426,13 @@
         if kind is None or not key:
             self._unusable(message, 400)
             return
-        if not 0 < patience_s <= PATIENCE_SLACK * front.core.longest_wait(kind):
+        if not 0 < patience_s <= PATIENCE_SLACK * front.core.classes.longest_deadline_s(kind):
             self._unusable(message, 400)
             return
         if roster.too_long(ident, message.get("call-kind"), key, description):
             self._unusable(message, 413)
             return
-        if ident in front.calls or front.core.was_over(ident):
+        if ident in front.calls or front.core.calls.was_terminated(ident):
             self._unusable(message, 482)  # every set-up has an id of its own, a repeat too
             return
         if self.gone or ident in front.given_up:
@@ -433,9 +440,9 @@
             front.core.counters.add("calls_given_up_before")
             self.respond(message, 480, [])
             return
-        if front.core.turns_away():
+        if front.core.readiness.rejects_new_calls():
             front.core.counters.add("calls_turned_away")
-            advice = [("come-back-ms", str(int(AWAY_S * 1000)))]
+            advice = [("come-back-ms", str(int(RETRY_AFTER_S * 1000)))]
             self.respond(message, 503, advice if front.core.settings.may_send_retry_after else [])
             return
         offer = CallRequest(
@@ -451,7 +458,7 @@
         held = TrunkCall(self, message)
         message.body = b""  # not needed any more
         front.calls[ident] = self.open[ident] = held
-        call = front.core.offer(offer, held)
+        call = front.core.offer_call(offer, held)
         if call is None:
             held._answer(482, [])
         if ident in front.calls:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -23,8 +23,8 @@
 from stairhatch.fleet.messages import Mark
 from stairhatch.fleet.service import Fleet
 from stairhatch.fleet.store import Found
-from stairhatch.node.call_manager import ENDED, CallManager
-from stairhatch.node.calls import Call, CallRequest
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import (
@@ -496,11 +496,11 @@
     def released(self, cause: int) -> None:
         """The other side has ended it."""
         self.over = True
-        self.softswitch.world.traffic.tally.cut += cause != ENDED
+        self.softswitch.world.traffic.tally.cut += cause != ReleaseCause.NORMAL_CLEARING
 
     def _hang_up(self, life: int) -> None:
         if not self.over and self.call is not None and self.softswitch.life == life:
-            self.softswitch.core.caller_released(self.call, ENDED)
+            self.softswitch.core.release(self.call, ReleaseCause.NORMAL_CLEARING)
 
     def lose(self) -> None:
         """Its softswitch has gone."""
@@ -587,9 +587,9 @@
         chance = random.Random(world.chance.getrandbits(64))
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
-        core.wake = self._arm
+        core.timers.on_earlier_due = self._arm
         RosterSide(core, lambda link: self._keep(link))
-        core.listening = True
+        core.readiness.listening = True
         region = world.places.region(self.index)
         directory = Directory(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
@@ -632,7 +632,7 @@
         core.controller.handle = handle  # type: ignore[method-assign]
 
     def _arm(self) -> None:
-        due = self.core.next_due()
+        due = self.core.timers.next_due()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -642,16 +642,18 @@
     def _tick(self) -> None:
         self._timer = None
         with self.world.meter.of("timers"):
-            self.core.tick()
+            self.core.timers.run_due()
         self._arm()
 
     def offer(self, wanted: Wanted) -> None:
         """A call comes to its front."""
         traffic, world = self.world.traffic, self.world
-        if not self.running or self.core.awaits() or (self.core.ending and self.core.turns_away()):
+        readiness = self.core.readiness
+        started = self.running and readiness.startup_health().is_ready
+        if not started or (readiness.shutting_down and readiness.rejects_new_calls()):
             traffic.ended(wanted, End.UNREACHED, world.passed)
             return
-        if self.core.turns_away():
+        if readiness.rejects_new_calls():
             traffic.ended(wanted, End.REFUSED, world.passed)
             return
         caller = HollowCaller(self, wanted)
@@ -666,19 +668,19 @@
         )
         self.callers[wanted.serial] = caller
         with world.meter.of("calls"):
-            caller.call = self.core.offer(offer, caller)
-        if len(self.callers) > 2 * len(self.core.calls) + 64:
+            caller.call = self.core.offer_call(offer, caller)
+        if len(self.callers) > 2 * len(self.core.calls.by_number) + 64:
             self.callers = {n: each for n, each in self.callers.items() if self._open(each)}
 
     def _open(self, caller: HollowCaller) -> bool:
-        return caller.call is not None and caller.call.number in self.core.calls
+        return caller.call is not None and caller.call.number in self.core.calls.by_number
 
     def restart(self) -> bool:
         """A planned one: it drains, ends and comes again. Whether there was anything to restart."""
-        if not self.running or self.core.ending:
+        if not self.running or self.core.readiness.shutting_down:
             return False
-        self.core.ending = True
-        self.core.drain(True)
+        self.core.readiness.shutting_down = True
+        self.core.readiness.drain(True)
         self._drained(self.life, self.world.clock.now + self.world.plan.drain_s)
         return True
 
@@ -686,7 +688,7 @@
         if self.life != life:
             return
         clock = self.world.clock
-        if clock.now < last and not (self.core.settled() and not self.core.calls):
+        if clock.now < last and not (self.core.is_settled() and not self.core.calls.by_number):
             clock.call_later(SETTLE_S, self._drained, life, last)
             return
         if self.fleet is not None:
@@ -706,7 +708,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.core.wake = do_nothing
+        self.core.timers.on_earlier_due = do_nothing
         if self.fleet is not None:
             self.process.over = True
             if self.store is not None:
@@ -832,7 +834,7 @@
         for each in self.softswitches:
             if each.running:
                 coordinator = self.coordinators[self.places.region(each.index)]
-                servers = each.core.by_instance.values()
+                servers = each.core.servers.by_instance.values()
                 ours = {s.record.instance for s in servers if s.record.availability is Availability.READY}
                 found += ours != coordinator.in_service()
         return found
@@ -931,7 +933,7 @@
         """Whether all serve, each by a number of its own where numbers are claimed."""
         numbered = self.plan.fleet is not None and self.plan.fleet.numbers
         return all(
-            each.running and not each.core.awaits() and (each.numbered or not numbered)
+            each.running and each.core.readiness.startup_health().is_ready and (each.numbered or not numbered)
             for each in self.softswitches
         )
 
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -133,7 +133,7 @@
         self.network = Network(self.core)
         RosterSide(self.core, self.network.dial)
         if self.scoped is not None:
-            self.core.in_scope, self.scoped.changed = self.scoped.in_scope, self._scope_changed
+            self.core.servers.in_scope, self.scoped.changed = self.scoped.in_scope, self._scope_changed
         self.trunk: TrunkFront | None = None
         self.front: SipFront | None = None
         self.directory: Directory | None = None
@@ -150,11 +150,11 @@
 
     def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], came: bool) -> None:
         """A set of servers has come into scope or left: links are opened, or ended when nothing is due."""
-        mine = [s for s in self.core.servers.values() if numbers is None or s.record.number in numbers]
+        mine = [s for s in self.core.servers.by_id.values() if numbers is None or s.record.number in numbers]
         self.counters.add("scopes_in" if came else "scopes_out")
         self.log("scope", state="in" if came else "out", classes=",".join(classes), servers=len(mine))
         for server in mine:
-            self.core.side.record_changed(server)
+            self.core.servers.pool.record_changed(server)
 
     def listen(self) -> str:
         """Open the fronts; returns their addresses."""
@@ -179,7 +179,7 @@
         network.descriptors = Descriptors(most_descriptors(config), kept)
         if config.listen is not None and network.descriptors.most < config.sockets:
             self.log("descriptors", told=config.sockets, limit=network.descriptors.most)
-        core.listening = config.inherited is None
+        core.readiness.listening = config.inherited is None
         return ",".join(listening)
 
     def _listen_sip(self, config: SipConfig) -> list[str]:
@@ -212,7 +212,7 @@
         if self.config.coordinator is not None:
             self.directory = Directory(self.core, self.config.coordinator, self.after)
         else:
-            self.core.list_known = True
+            self.core.readiness.list_known = True
         if self.config.fleet is not None:
             self._join(self.config.fleet)
         if self.directory is not None:
@@ -237,38 +237,38 @@
         """Once the list is known and each link has been tried: accept on a socket shared with another
         process, and say that callers are served.
         """
-        while self.core.awaits():
+        while not self.core.readiness.startup_health().is_ready:
             await asyncio.sleep(0.01)
-        if not self.core.ending:
+        if not self.core.readiness.shutting_down:
             for listening in self.callers:
                 listening.open()
-            self.core.listening = True
-            self.log("serving", servers=len(self.core.servers))
+            self.core.readiness.listening = True
+            self.log("serving", servers=len(self.core.servers.by_id))
 
     async def end(self, hurry: asyncio.Event) -> None:
         """SIGTERM: drain for good, until nothing is owed. The drain is that of `drain-on`. The appliance
         waits for calls that stand too, until its figure is up or `hurry` is set.
         """
         core, started = self.core, self.network.loop.time()
-        self.log("stopping", unanswered=core.unanswered)
-        core.ending = True
+        self.log("stopping", unanswered=core.calls.unanswered)
+        core.readiness.shutting_down = True
         if self.config.inherited is not None:  # the next process takes who comes from now on
-            core.listening, core.turn_away_s = False, HAND_OVER_S
+            core.readiness.listening, core.readiness.reject_after_s = False, HAND_OVER_S
             for listening in self.callers:
                 listening.close()
-        core.drain(True)
+        core.readiness.drain(True)
         longest = max((kind.deadline_s for kind in core.settings.classes), default=0.0)
         last = started + min(longest, self.config.drain_s) + LEAVE_S if self.trunk else math.inf
         if self.config.inherited is None:
             await asyncio.sleep(STAY_S)
         fronts = [each for each in (self.trunk, self.front) if each is not None]
         answered = math.inf  # since when
-        while not await self._quiet(lambda: core.settled() and all(each.is_flushed() for each in fronts)):
+        while not await self._quiet(lambda: core.is_settled() and all(each.is_flushed() for each in fronts)):
             now = self.network.loop.time()
-            if core.unanswered and now >= last:
-                self.log("drained", unanswered=core.unanswered)
-                core.answer_all()
-            answered = math.inf if core.unanswered else min(answered, now)
+            if core.calls.unanswered and now >= last:
+                self.log("drained", unanswered=core.calls.unanswered)
+                core.answer_pending()
+            answered = math.inf if core.calls.unanswered else min(answered, now)
             if now > answered + FLUSHED_S:
                 self.log("unread", why="a peer does not read what it is owed")
                 break
@@ -276,7 +276,7 @@
         if self.front is not None:
             await self._end_dialogs(self.front, hurry)
         if self.config.inherited is not None:
-            core.leave()
+            core.complete_shutdown()
             while not self.network.emptied() and self.network.loop.time() < last:
                 await asyncio.sleep(0.01)
 
@@ -309,7 +309,7 @@
             await asyncio.sleep(0.02)
         if front.end_dialogs():
             last = loop.time() + FLUSHED_S
-            while not (front.is_flushed() and self.core.settled()) and loop.time() < last:
+            while not (front.is_flushed() and self.core.is_settled()) and loop.time() < last:
                 await asyncio.sleep(0.01)
 
     def state(self) -> str:
@@ -336,13 +336,15 @@
             self.log("reload", result="refused", why=str(error))
             return
         old, self.config = self.config, new
-        self.core.tracing = new.tracing if new.tracing is not old.tracing else self.core.tracing
+        self.core.context.tracing = (
+            new.tracing if new.tracing is not old.tracing else self.core.context.tracing
+        )
         if self.directory is not None and new.coordinator is not None:
             self.directory.after = apply_events(self.core, new.known, self.directory.after)
             if new.coordinator != old.coordinator:
                 self.directory.move(new.coordinator)
         elif new.known != old.known:  # the list in the file is the whole list
-            self.core.list_servers(listed[0][1], complete=True)
+            self.core.update_servers(listed[0][1], complete=True)
         if self.scoped is not None and new.scope is not None and new.scope != old.scope:
             self.scoped.retune(self.scoped.settings, new.scope)
         if new.settings != old.settings:
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -15,10 +15,11 @@
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import message as sip
 from stairhatch.node import roster
-from stairhatch.node.call_manager import AWAY_S, CUT, CallManager
-from stairhatch.node.calls import CallRequest
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import CallRequest, ReleaseCause
 from stairhatch.node.message import called_number, release_cause
 from stairhatch.node.protocol import ConnectionProtocol
+from stairhatch.node.readiness import RETRY_AFTER_S
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.dialogs import Order, Stage, key_of
@@ -212,7 +213,7 @@
             transaction = self.transactions.find(key)
             leg = transaction.user if transaction is not None else None
             if isinstance(leg, Leg) and leg.invite is transaction and leg.call is not None:
-                self.core.caller_away(leg.call)
+                self.core.caller_disconnected(leg.call)
 
     def flow_lost(self, flow: Flow) -> None:
         """A connection has ended, or is to be used no more."""
@@ -282,8 +283,8 @@
         """Whether a new request may open a transaction; else it is answered without one."""
         status, extra = 0, ""
         judged = self._gated(flow, head)
-        if head.method == "INVITE" and not head.to_tag and self.core.turns_away():
-            status, extra = 503, f"Retry-After: {max(1, math.ceil(AWAY_S))}\r\n"
+        if head.method == "INVITE" and not head.to_tag and self.core.readiness.rejects_new_calls():
+            status, extra = 503, f"Retry-After: {max(1, math.ceil(RETRY_AFTER_S))}\r\n"
             self.counters.add("calls_turned_away")
         elif judged.verdict is not Verdict.SERVE:
             status, extra = 503, f"Retry-After: {judged.return_s}\r\n"
@@ -364,7 +365,7 @@
         elif method == "INVITE":
             self._invite(transaction, head, user)
         elif method == "OPTIONS":
-            self.final(transaction, 503 if self.core.why_not() else 200, CAPABILITIES)
+            self.final(transaction, 200 if self.core.readiness.health().is_ready else 503, CAPABILITIES)
         elif method == "INFO":
             self.final(transaction, 469, [("recv-info", "")])
         else:
@@ -393,7 +394,7 @@
             if user.startswith(prefix):
                 name, choice = listed, first
                 break
-        return self.core.class_named(named or name), choice
+        return self.core.classes.named(named or name), choice
 
     @staticmethod
     def _patience(message: sip.Message, kind: CallClass) -> float:
@@ -407,7 +408,7 @@
     def _invite(self, transaction: Server, head: Head, user: str) -> None:
         message, uri = head.message, grammar.read_uri(head.message.uri)
         ident = head.ident
-        if ident in self.core.by_ident:  # it is here already, by another way
+        if ident in self.core.calls.by_ident:  # it is here already, by another way
             self.final(transaction, 482, [])
             return
         kind, choice = self.class_of(uri.user, message.get("call-kind"))
@@ -435,7 +436,7 @@
             self.counters.add("table_full")
             self.final(transaction, 503, [("retry-after", "2")])
             return
-        if self.core.was_over(ident):  # a copy that comes after its call has ended
+        if self.core.calls.was_terminated(ident):  # a copy that comes after its call has ended
             self.counters.add("retransmissions")
             self.transactions.forget(transaction)
             return
@@ -453,7 +454,7 @@
             called_number=called_number(uri.user),
             reports_progress=True,
         )
-        call = self.core.offer(offer, leg)
+        call = self.core.offer_call(offer, leg)
         if leg.invite is not None or leg.dialog is not None:
             leg.call = call
 
@@ -583,9 +584,9 @@
             self.core.log("ended", call=leg.ident, callid=leg.dialog.call_id if leg.dialog else "-")
             call, leg.call = leg.call, None
             leg.answer = b""  # its ACK is not waited for
-            leg.bye(CUT)
+            leg.bye(ReleaseCause.TEMPORARY_FAILURE)
             if call is not None:
-                self.core.caller_released(call, CUT)
+                self.core.release(call, ReleaseCause.TEMPORARY_FAILURE)
         return len(legs)
 
     # ---- the ways back ----
@@ -669,7 +670,7 @@
     ) -> None:
         """Count and trace an answer."""
         self.counters.add(f"sent_{status}")
-        if self.core.tracing:
+        if self.core.context.tracing:
             self.core.log(
                 "response", callid=call_id, cseq=f"{cseq}_{method}", status=status,
                 transport=transaction.flow.transport.lower(),
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import ENDED, CallManager
-from stairhatch.node.calls import Call
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.sip import grammar, sessions
 from stairhatch.sip.dialogs import Dialog, Key, Stage, open_dialog
 from stairhatch.sip.flows import Flow, Place, SipConnection
@@ -98,9 +98,9 @@
         now = front.core.clock()
         if self.ringing is not None:
             self.ringing.data = data
-            front.core.at(now + T1, partial(self._ring_again, T1, T1))
+            front.core.timers.schedule(now + T1, partial(self._ring_again, T1, T1))
         else:
-            front.core.at(now + AGAIN_S, self._still_ringing)
+            front.core.timers.schedule(now + AGAIN_S, self._still_ringing)
 
     def _ring_again(self, gap: float, passed: float) -> None:
         """The reliable 180 is sent until its PRACK; a caller that never sends one is refused in the end
@@ -114,17 +114,19 @@
             call, self.call = self.call, None
             self._refuse(504, [])
             if call is not None:
-                self.front.core.caller_left(call)
+                self.front.core.abandon(call)
             return
         self._put(ringing.data)
         self.front.core.counters.add("resent")
         gap = min(2 * gap, LAST - passed)
-        self.front.core.at(self.front.core.clock() + gap, partial(self._ring_again, gap, passed + gap))
+        self.front.core.timers.schedule(
+            self.front.core.clock() + gap, partial(self._ring_again, gap, passed + gap)
+        )
 
     def _still_ringing(self) -> None:
         if self.invite is not None and self.invite.last:
             self._put(self.invite.last)
-            self.front.core.at(self.front.core.clock() + AGAIN_S, self._still_ringing)
+            self.front.core.timers.schedule(self.front.core.clock() + AGAIN_S, self._still_ringing)
 
     def established(self, description: bytes) -> None:
         """The call stands: 200 is sent until the ACK comes, and the dialog is confirmed."""
@@ -151,7 +153,7 @@
         self.flow, self.place = invite.flow, invite.place
         self._stands_on(self.flow, 1)
         now = front.core.clock()
-        front.core.at(now + T1, partial(self._answer_again, self.answer, T1, T1))
+        front.core.timers.schedule(now + T1, partial(self._answer_again, self.answer, T1, T1))
         self.lease.agree(self.timer, now)
         self._watch()
 
@@ -164,14 +166,16 @@
             front.core.counters.add("answers_never_acked")
             self.answer = b""
             call, self.call = self.call, None
-            self.bye(self.closing or ENDED)
+            self.bye(self.closing or ReleaseCause.NORMAL_CLEARING)
             if call is not None:
-                front.core.caller_released(call, ENDED)
+                front.core.release(call, ReleaseCause.NORMAL_CLEARING)
             return
         self._put(self.answer)
         front.core.counters.add("resent")
         gap = min(2 * gap, T2, LAST - passed)
-        front.core.at(front.core.clock() + gap, partial(self._answer_again, sent, gap, passed + gap))
+        front.core.timers.schedule(
+            front.core.clock() + gap, partial(self._answer_again, sent, gap, passed + gap)
+        )
 
     def rejected(self, return_s: float) -> None:
         self._refuse(503, [("retry-after", str(max(1, math.ceil(return_s))))])
@@ -212,7 +216,7 @@
         """The caller gives the set-up up: CANCEL, or a BYE in the early dialog."""
         call, self.call = self.call, None
         if call is not None:
-            self.front.core.caller_left(call)
+            self.front.core.abandon(call)
         self._refuse(487, [])
 
     def hung_up(self, cause: int) -> None:
@@ -220,7 +224,7 @@
         call, self.call = self.call, None
         self._over()
         if call is not None:
-            self.front.core.caller_released(call, cause)
+            self.front.core.release(call, cause)
 
     def answer_refresh(self, transaction: Server, extra: sip.Headers, own: bytes, awaits: bool) -> None:
         """200 to a re-INVITE: sent until its ACK, as the first was."""
@@ -231,7 +235,7 @@
         self.place = transaction.place
         self.descriptions.awaits_answer = awaits
         now = front.core.clock()
-        front.core.at(now + T1, partial(self._answer_again, self.answer, T1, T1))
+        front.core.timers.schedule(now + T1, partial(self._answer_again, self.answer, T1, T1))
 
     # ---- the dialog ----
 
@@ -289,7 +293,7 @@
     def _watch(self) -> None:
         due = self.lease.next_at()
         if due is not None:
-            self.front.core.at(due, partial(self._look, self.lease.turn))
+            self.front.core.timers.schedule(due, partial(self._look, self.lease.turn))
 
     def _look(self, turn: int) -> None:
         """Refresh the session, or release it."""
@@ -303,9 +307,9 @@
                 front.core.counters.add("sessions_expired")
                 front.core.log("session_expired", call=self.ident)
                 call, self.call = self.call, None
-                self.bye(ENDED)
+                self.bye(ReleaseCause.NORMAL_CLEARING)
                 if call is not None:
-                    front.core.caller_released(call, ENDED)
+                    front.core.release(call, ReleaseCause.NORMAL_CLEARING)
                 return
         self._watch()
 
@@ -336,9 +340,9 @@
         front.core.counters.add("refreshes_failed")
         if status in (408, 481) or message is None:
             call, self.call = self.call, None
-            self.bye(ENDED)
+            self.bye(ReleaseCause.NORMAL_CLEARING)
             if call is not None:
-                front.core.caller_released(call, ENDED)
+                front.core.release(call, ReleaseCause.NORMAL_CLEARING)
             return
         wait = LATER_S
         if status == 491:
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -16,6 +16,7 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node.counters import Counters
+from stairhatch.node.timer_wheel import TimerWheel
 from stairhatch.sip.flows import Flow, Place, SipConnection, UdpFlow
 from stairhatch.sip.heads import HERE, Head, render
 
@@ -43,8 +44,7 @@
 
     clock: Callable[[], float]
     counters: Counters
-
-    def at(self, due: float, act: Callable[[], None]) -> None: ...
+    timers: TimerWheel
 
 
 class Server:
@@ -231,7 +231,7 @@
             flow.owed.discard(transaction.key)
         if transaction.invite and status >= 300:
             transaction.state = State.COMPLETED  # until the ACK
-            self.clockwork.at(now + T1, partial(self._unacked, transaction.key, T1, T1))
+            self.clockwork.timers.schedule(now + T1, partial(self._unacked, transaction.key, T1, T1))
         else:
             transaction.state = State.ACCEPTED if transaction.invite else State.TERMINATED
             self._close(transaction)
@@ -261,7 +261,9 @@
             transaction.flow.send(transaction.last)
             self._count("resent")
         gap = min(2 * gap, T2, LAST - passed)
-        self.clockwork.at(self.clockwork.clock() + gap, partial(self._unacked, key, gap, passed + gap))
+        self.clockwork.timers.schedule(
+            self.clockwork.clock() + gap, partial(self._unacked, key, gap, passed + gap)
+        )
 
     def _copy(self, transaction: Server, flow: Flow) -> None:
         """A request sent again: the same transaction, the same answer."""
@@ -304,13 +306,13 @@
         self.memory.keep(key, answer, self.clockwork.clock() + for_s)
         if not self._sweeping:
             self._sweeping = True
-            self.clockwork.at(self.clockwork.clock() + SPAN_S, self._sweep)
+            self.clockwork.timers.schedule(self.clockwork.clock() + SPAN_S, self._sweep)
 
     def _sweep(self) -> None:
         self.memory.sweep(self.clockwork.clock())
         self._sweeping = bool(self.memory.records)
         if self._sweeping:
-            self.clockwork.at(self.clockwork.clock() + SPAN_S, self._sweep)
+            self.clockwork.timers.schedule(self.clockwork.clock() + SPAN_S, self._sweep)
 
     # ---- client ----
 
@@ -319,7 +321,9 @@
         client = self.clients[(branch, method)] = Client(branch, method, data, flow, user)
         self.clockwork.counters.add(f"sent_{method}")
         flow.send(data)
-        self.clockwork.at(self.clockwork.clock() + T1, partial(self._unheard, client.branch, method, T1, T1))
+        self.clockwork.timers.schedule(
+            self.clockwork.clock() + T1, partial(self._unheard, client.branch, method, T1, T1)
+        )
         return client
 
     def _unheard(self, branch: str, method: str, gap: float, passed: float) -> None:
@@ -341,7 +345,7 @@
         gap = T2 if client.state is State.PROCEEDING else min(2 * gap, slow)
         gap = min(gap, LAST - passed) if passed < LAST else LAST
         due = self.clockwork.clock() + gap
-        self.clockwork.at(due, partial(self._unheard, branch, method, gap, passed + gap))
+        self.clockwork.timers.schedule(due, partial(self._unheard, branch, method, gap, passed + gap))
 
     def response(self, message: sip.Message) -> bool:
         """A response; whether it belongs to a request of ours. Copies of a final one end here."""
@@ -371,7 +375,7 @@
             client.flow.send(client.ack)
         if keep:
             over = partial(self._client_over, client.branch, client.method)
-            self.clockwork.at(self.clockwork.clock() + keep, over)
+            self.clockwork.timers.schedule(self.clockwork.clock() + keep, over)
         else:
             del self.clients[(client.branch, client.method)]
         client.data = b""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -482,10 +482,16 @@
     def __init__(self, **config: Any) -> None:
         self.now = 1000.0
         self.settings = settings_from(SETTINGS)[0]
+        self.clock = lambda: self.now
+        self.log = lambda *args, **fields: None
         self.core = CallManager(
-            self.settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
+            self.settings,
+            random.Random(1),
+            lambda: self.clock(),
+            lambda *args, **fields: self.log(*args, **fields),
+            Counters(),
         )
-        self.core.side = self
+        self.core.servers.pool = self
         self.written: list[Attempt] = []
         self.finishes: list[tuple[str, int]] = []
         at = (Listener(("127.0.0.1", 1)),)
@@ -493,22 +499,24 @@
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
         self.front = SipFront(self.core, config, lambda: next(tokens), chance.random, b"secret")
-        self.core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.listening = self.core.list_known = self.core.servers[1].dial_attempted = True
+        self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.readiness.listening = self.core.readiness.list_known = self.core.servers.by_id[
+            1
+        ].dial_attempted = True
 
     def follow(self, loop: asyncio.AbstractEventLoop) -> None:
         """From here on the clock runs with a loop's, onwards from where it stands: never back, however short
         the machine has been up.
         """
         offset_s = self.now - loop.time()
-        self.core.clock = lambda: loop.time() + offset_s
+        self.clock = lambda: loop.time() + offset_s
 
     def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
 
     def send_setup(self, attempt: Attempt) -> None:
         """A set-up is written at once."""
-        if self.core.may_write(attempt) is not None:
+        if self.core.attempts.claim_transmission(attempt):
             self.written.append(attempt)
 
     def shut_down(self) -> None:
@@ -525,7 +533,7 @@
     def stand(self) -> None:
         """The roster server answers the set-up written last."""
         attempt = self.written[-1]
-        self.core.answered(attempt.server, attempt.call.offer.ident, "v=0 æ")
+        self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
 
     @staticmethod
     def report() -> LoadReport:
@@ -535,9 +543,9 @@
     def run(self, seconds: float) -> None:
         """Let time pass, timer by timer."""
         end = self.now + seconds
-        while (due := self.core.next_due()) is not None and due <= end:
+        while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.tick()
+            self.core.timers.run_due()
         self.now = end
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -336,7 +336,7 @@
         for _ in range(2):
             (answer,) = ask(inside, number=number)
             assert answer.status == 503 and 1 <= int(answer.get("retry-after")) <= 5
-    assert not inside.written and not inside.front.transactions.servers and not inside.core.calls
+    assert not inside.written and not inside.front.transactions.servers and not inside.core.calls.by_number
     assert not inside.front.transactions.memory.records
     counts = inside.core.counters.counts
     assert counts["shed_load"] == 100 and "malformed_from_callers" not in counts
@@ -381,7 +381,7 @@
     """Guards against a log that says at every look that we are pressed."""
     told = []
     inside = Inside(gate=GatePolicy())
-    inside.core.log = lambda event, **fields: told.append((event, fields.get("level")))
+    inside.log = lambda event, **fields: told.append((event, fields.get("level")))
     for delay in [0.08] * 20 + [0.0] * 100:
         inside.now += SPAN_S
         inside.front.looked(delay)
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -181,7 +181,7 @@
     inside.stand()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     attempt = inside.written[0]
-    inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", inside.report())
+    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", inside.report())
     assert not inside.front.ports[0].output and dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from stairhatch.node.call_manager import HOLD_S
 from stairhatch.node.calls import CallRequest
+from stairhatch.node.readiness import RELEASE_PATH_S
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import LoadReport, TimerExpired
 
@@ -40,17 +40,17 @@
     """A call whose set-up has been written."""
     caller = Told()
     kind = inside.settings.classes[0]
-    call = inside.core.offer(CallRequest(IDENT, kind, "1000", "d", patience_s), caller)
+    call = inside.core.offer_call(CallRequest(IDENT, kind, "1000", "d", patience_s), caller)
     assert len(inside.written) == 1
     return call, caller
 
 
 ENDINGS = {
     "stands": lambda inside, call: inside.stand(),
-    "given up": lambda inside, call: inside.core.caller_left(call),
-    "the process ends": lambda inside, call: inside.core.answer_all(),
-    "over before it was heard": lambda inside, call: inside.core.finished(
-        inside.core.servers[1], IDENT, 16, "", LoadReport()
+    "given up": lambda inside, call: inside.core.abandon(call),
+    "the process ends": lambda inside, call: inside.core.answer_pending(),
+    "over before it was heard": lambda inside, call: inside.core.responses.call_released(
+        inside.core.servers.by_id[1], IDENT, 16, "", LoadReport()
     ),
     "its time is up": lambda inside, call: inside.run(3.5),
 }
@@ -77,13 +77,13 @@
     """Guards against a call that hangs until its caller's time is up since its attempt never was one."""
     inside = Inside()
     call, caller = offered(inside)
-    inside.core.finished(
-        inside.core.servers[1], IDENT, 34, "", LoadReport()
+    inside.core.responses.call_released(
+        inside.core.servers.by_id[1], IDENT, 34, "", LoadReport()
     )  # full: it is held for another try
     inside.core.controller.wait_no_more(call.number)
-    inside.core._act(SendSetup(call.number, 99))
+    inside.core.attempts.start(SendSetup(call.number, 99))
     assert inside.core.counters.counts["guards"] == 1
-    inside.core._tell(TimerExpired(1))  # the next event, whatever it is
+    inside.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
     assert call.number in inside.core.controller.waiting, "the decisions have not heard that it never left"
     inside.run(3.5)
     assert len(caller.said) == 1
@@ -94,14 +94,14 @@
     inside = Inside()
     offered(inside)
     inside.stand()
-    assert not inside.core.holds()
-    inside.core.drain(True)
-    inside.run(HOLD_S - 0.1)
-    assert inside.core.holds()
+    assert not inside.core.readiness.keeps_release_path()
+    inside.core.readiness.drain(True)
+    inside.run(RELEASE_PATH_S - 0.1)
+    assert inside.core.readiness.keeps_release_path()
     inside.run(0.2)
-    assert not inside.core.holds()
-    inside.core.drain(False)
-    inside.core.drain(True)
-    assert inside.core.holds()
-    inside.core.finished(inside.core.servers[1], IDENT, 16, "", LoadReport())
-    assert not inside.core.holds(), "no call stands"
+    assert not inside.core.readiness.keeps_release_path()
+    inside.core.readiness.drain(False)
+    inside.core.readiness.drain(True)
+    assert inside.core.readiness.keeps_release_path()
+    inside.core.responses.call_released(inside.core.servers.by_id[1], IDENT, 16, "", LoadReport())
+    assert not inside.core.readiness.keeps_release_path(), "no call stands"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -366,7 +366,7 @@
             await asyncio.sleep(0.001)
             if inside.written or one not in listening.taken:
                 break
-        assert [each.call.offer.ident for each in inside.written] == [ident]
+        assert [each.call.request.ident for each in inside.written] == [ident]
         assert one in listening.taken and not one.machine.closing
         old.close()
         new.close()
@@ -385,7 +385,7 @@
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
     inside.stand()
-    inside.core.finished(inside.written[-1].server, ident, 16, "", inside.report())
+    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.report())
     inside.run(3.0)
     assert deaf.data_to_send().count(b"BYE sip:") == 4
     late = front.connect()
@@ -398,8 +398,8 @@
 def test_a_fault_in_a_timer_takes_no_other_with_it():
     """Guards against answers that are never given since something else, due in the same 4 ms, went wrong."""
     inside, done = Inside(), []
-    inside.core.at(inside.now + 0.1, lambda: 1 // 0)
-    inside.core.at(inside.now + 0.1, lambda: done.append("the answer"))
+    inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
+    inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
     inside.run(0.2)
     assert done == ["the answer"] and inside.core.counters.counts["timer_faults"] == 1
 
@@ -419,7 +419,7 @@
         machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
         side = RosterSide(inside.core, links.append)
-        side.record_changed(inside.core.servers[1])
+        side.record_changed(inside.core.servers.by_id[1])
         machine = links[0]
         machine.connected()
     assert side.is_flushed()
@@ -441,11 +441,11 @@
         service = Service(config, lambda: config)
         service.listen()
         service.follow()
-        service.core.turn_away_s = 0.0
+        service.core.readiness.reject_after_s = 0.0
         caller = socket.create_connection(service.callers[0].sock.getsockname())
         while not service.callers[0].taken:
             await asyncio.sleep(0.001)
-        settled, found = service.core.settled, []
+        settled, found = service.core.is_settled, []
 
         def watched():
             found.append(settled())
@@ -453,7 +453,7 @@
                 caller.sendall(trunk_invite(next(IDS)))
             return found[-1]
 
-        service.core.settled = watched
+        service.core.is_settled = watched
         await asyncio.wait_for(service.end(asyncio.Event()), PATIENCE_S)
         assert found.count(True) > 2, "the crossing took place"
         caller.setblocking(False)
@@ -571,7 +571,7 @@
     memory; and against a core spent on one that answers at once with nothing new.
     """
     inside, told = Inside(), []
-    inside.core.log = lambda event, **fields: told.append((event, fields))
+    inside.log = lambda event, **fields: told.append((event, fields))
     directory = Directory(inside.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -264,9 +264,8 @@
         server = RosterServer(RosterServer.silent)
         core = inside.core
         inside.follow(asyncio.get_running_loop())
-        core.log = lambda *args, **fields: None
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
-        core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
+        core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
@@ -282,7 +281,7 @@
 
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster"))
-        await come(lambda: core.unanswered == len(idents))
+        await come(lambda: core.calls.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
             connected = link.connected
@@ -306,7 +305,7 @@
             for ident in idents:
                 server.say("FINISH", ident, rc=41)
             before = len(gone)
-        await come(lambda: core.stands(stays))
+        await come(lambda: core.calls.is_established(stays))
         late = next(IDS)
         callers[-1].sendall(trunk_invite(late, "read-roster"))
         await come(lambda: late in asked({late}))
@@ -348,7 +347,7 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        core.list_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
+        core.update_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
         connect = network._connect
 
         async def narrow(address, within_s):
@@ -364,7 +363,7 @@
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster", b"d" * 12_000))
-        await come(lambda: core.unanswered == len(idents))
+        await come(lambda: core.calls.unanswered == len(idents))
         network.dial(link)
         await come(lambda: link.writing)
         for _ in range(20):  # the kernel has taken what it can
@@ -374,7 +373,7 @@
         assert core.counters.counts["attempts_taken_back"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             go_now(caller, ident, way)
-        await come(lambda: core.unanswered == 1)
+        await come(lambda: core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
         lines, data = [], b""
@@ -415,7 +414,7 @@
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
     inside, links = Inside(), []
     side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
-    side.record_changed(inside.core.servers[1])
+    side.record_changed(inside.core.servers.by_id[1])
     (link,) = links
     link.connected()
     callers, looks = [front.connect() for _ in range(3)], []
@@ -426,17 +425,17 @@
             callers[0].eof_received()
         looks.append(inside.now)
 
-    inside.core.hear_callers = look
+    inside.core.read_callers = look
     idents = [next(IDS) for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(trunk_invite(ident, "read-roster"))
-    may_write, stops = inside.core.may_write, [0.3]
+    may_write, stops = inside.core.attempts.claim_transmission, [0.3]
 
     def slow(attempt):
         inside.now += stops.pop() if stops else 0.0
         return may_write(attempt)
 
-    inside.core.may_write = slow
+    inside.core.attempts.claim_transmission = slow
     started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
     assert len(looks) == 2 and started == idents[1:] and set(link.open) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -17,12 +17,13 @@
 import stairhatch.service as program_module
 from stairhatch.config import Config
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import HOLD_S, OLD_CLASS_S, TURN_AWAY_S
+from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
 from stairhatch.node.io.network import FRESH_S, Listening, Network
+from stairhatch.node.readiness import REJECT_AFTER_S, RELEASE_PATH_S
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
@@ -131,26 +132,26 @@
     inside, links = Inside(), []
     core = inside.core
     side = RosterSide(core, links.append)
-    core.servers.clear()
-    core.by_instance.clear()
-    core.listening = core.list_known = False
-    assert "list" in core.why_not()
-    core.list_known = True
-    assert "no roster server" in core.why_not()
+    core.servers.by_id.clear()
+    core.servers.by_instance.clear()
+    core.readiness.listening = core.readiness.list_known = False
+    assert "list" in core.readiness.health().reason
+    core.readiness.list_known = True
+    assert "no roster server" in core.readiness.health().reason
     lines = [
         ServerRecord(name, ("127.0.0.1", 9), n, Availability.READY) for n, name in enumerate(("live", "dead"))
     ]
-    core.list_servers(lines, True)
-    assert "live dead" in core.why_not()
+    core.update_servers(lines, True)
+    assert "live dead" in core.readiness.health().reason
     links[0].connected()
-    assert "tried yet: dead" in core.why_not()
+    assert "tried yet: dead" in core.readiness.health().reason
     links[1].failed(refused=False)
-    assert "not listening" in core.why_not()
-    core.listening = True
-    assert core.why_not() == ""
-    core.list_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
+    assert "not listening" in core.readiness.health().reason
+    core.readiness.listening = True
+    assert core.readiness.health().reason == ""
+    core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     links[0].connection_lost()
-    assert core.why_not() == "", "what comes and goes later is for the decisions"
+    assert core.readiness.health().reason == "", "what comes and goes later is for the decisions"
     assert side.links
 
 
@@ -202,9 +203,9 @@
 def test_a_check_is_logged_when_its_answer_changes():
     """Guards against a log full of checks: a front asks ten times a second, for as long as a drain lasts."""
     inside, lines = Inside(), []
-    inside.core.log = lambda event, **fields: lines.append(fields.get("answer"))
+    inside.log = lambda event, **fields: lines.append(fields.get("answer"))
     for on in (False, True, False):
-        inside.core.drain(on)
+        inside.core.readiness.drain(on)
         lines.clear()
         for _ in range(10):
             Door(inside.core).receive_data(b"check\n")
@@ -309,25 +310,25 @@
     """
     inside = Inside()
     _, one, two, _ = front_of(inside)
-    inside.core.drain(True)
+    inside.core.readiness.drain(True)
     assert one.is_idle() and two.is_idle(), "each may go while the other stays"
     two.close_when_idle()
     assert not one.is_idle(), "the last one is kept for the call that stands"
-    inside.run(HOLD_S - 0.1)
+    inside.run(RELEASE_PATH_S - 0.1)
     assert not one.is_idle()
     inside.run(0.2)
-    assert one.is_idle() and HOLD_S < 3.8
+    assert one.is_idle() and RELEASE_PATH_S < 3.8
 
 
 def test_an_ending_program_keeps_no_connection_for_calls_that_live_on():
     """Guards against a restart that waits for calls which the next process will be told of."""
     inside = Inside()
     _, one, two, _ = front_of(inside)
-    inside.core.ending = True
-    inside.core.drain(True)
+    inside.core.readiness.shutting_down = True
+    inside.core.readiness.drain(True)
     two.close_when_idle()
     assert not one.is_idle(), "ends of calls may come until it leaves"
-    inside.core.leave()
+    inside.core.complete_shutdown()
     assert one.is_idle()
 
 
@@ -337,11 +338,11 @@
     """
     inside = Inside()
     _, one, two, ident = front_of(inside)
-    inside.core.drain(True)
+    inside.core.readiness.drain(True)
     for each in (one, two):
         each.close_when_idle()
         each.connection_lost()
-    inside.core.finished(inside.core.servers[1], ident, 16, "", inside.report())
+    inside.core.responses.call_released(inside.core.servers.by_id[1], ident, 16, "", inside.report())
     inside.run(120.0)
     tests = inside.written[0].call.caller_session.connection.front.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
@@ -358,7 +359,7 @@
     inside = Inside()
     ours, theirs = socket.socketpair()
     listening, (one,) = listening_of(inside, 4, ours)
-    inside.core.drain(True)
+    inside.core.readiness.drain(True)
     listening.end_idle()
     assert not one.machine.closing, "it is new and has not asked yet"
     inside.run(FRESH_S + 0.1)
@@ -366,13 +367,13 @@
     listening.end_idle()
     assert not one.machine.closing
     one.machine.receive_data(ours.recv(4096))
-    assert inside.core.unanswered == 1
+    assert inside.core.calls.unanswered == 1
     inside.run(0.1)
     listening.end_idle()
     assert not one.machine.closing, "an answer is owed"
     inside.stand()
     assert statuses(one.machine, ident) == [200]
-    inside.core.caller_released(inside.core.by_ident[ident], 16)
+    inside.core.release(inside.core.calls.by_ident[ident], 16)
     listening.end_idle()
     assert one.machine.closing and theirs.recv(1) == b"", "it ends cleanly"
 
@@ -381,15 +382,15 @@
     """Guards against refusing callers who come before the front has heard the no."""
     inside = Inside()
     connection = TrunkFront(inside.core).connect()
-    inside.core.drain(True)
-    inside.run(TURN_AWAY_S - 0.1)
+    inside.core.readiness.drain(True)
+    inside.run(REJECT_AFTER_S - 0.1)
     connection.receive_data(trunk_invite(early := next(IDS)))
     inside.run(0.2)
     connection.receive_data(trunk_invite(late := next(IDS)))
-    assert statuses(connection, late) == [503] and early in inside.core.by_ident
-    inside.core.drain(False)
+    assert statuses(connection, late) == [503] and early in inside.core.calls.by_ident
+    inside.core.readiness.drain(False)
     connection.receive_data(trunk_invite(again := next(IDS)))
-    assert again in inside.core.by_ident
+    assert again in inside.core.calls.by_ident
 
 
 def test_a_door_reads_one_line_and_no_more():
@@ -399,7 +400,7 @@
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         door.receive_data(piece)
     assert door.data_to_send().startswith(b"ok draining") and door.can_close()
-    assert inside.core.drain_since is not None
+    assert inside.core.readiness.drain_since is not None
 
 
 # ---- new settings ----
@@ -533,25 +534,25 @@
     inside = Inside()
     connection = TrunkFront(inside.core).connect()
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
-    kept = inside.core.by_ident[old].offer.call_class
+    kept = inside.core.calls.by_ident[old].request.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
     inside.core.retune(settings_from(tuned(lines, cap=1))[0])
     connection.receive_data(trunk_invite(new := next(IDS), "3000"))
-    call, other = inside.core.by_ident[old], inside.core.by_ident[new]
+    call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
     assert (
-        call.offer.call_class is kept
+        call.request.call_class is kept
         and kept.idempotent
         and (call.max_attempts, other.max_attempts) == (6, 1)
     )
-    assert not other.offer.call_class.idempotent
-    server = inside.core.servers[1]
+    assert not other.request.call_class.idempotent
+    server = inside.core.servers.by_id[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
-            inside.core.finished(server, ident, 41, "", inside.report())
+            inside.core.responses.call_released(server, ident, 41, "", inside.report())
         inside.run(2.0)
     assert statuses(connection, new) == [500] and statuses(connection, old) == []
-    assert call.attempts > 1 and old in inside.core.by_ident
+    assert call.attempts > 1 and old in inside.core.calls.by_ident
 
 
 def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
@@ -562,8 +563,8 @@
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
         connection.receive_data(trunk_invite(ident, "9000", kind))
-        assert ident in inside.core.by_ident
-    inside.run(OLD_CLASS_S)
+        assert ident in inside.core.calls.by_ident
+    inside.run(FORMER_CLASS_S)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
         connection.receive_data(trunk_invite(ident, "9000", kind))
         assert statuses(connection, ident) == [400]
@@ -718,23 +719,26 @@
 def test_the_first_question_to_the_coordinator_is_answered_at_once():
     """Guards against a new process that is not ready before a whole wait for news is over."""
     inside = Inside()
-    inside.core.list_known = False
+    inside.core.readiness.list_known = False
     directory = Directory(inside.core, ("127.0.0.1", 1), 4)
     directory.connected()
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
     directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert inside.core.list_known and int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
+    assert (
+        inside.core.readiness.list_known
+        and int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
+    )
 
 
 def test_a_coordinator_that_says_nothing_does_not_keep_a_known_list_from_serving():
     """Guards against a softswitch that waits for news though it was told a list at its start."""
     inside = Inside()
-    inside.core.list_known = False
+    inside.core.readiness.list_known = False
     Directory(inside.core, ("127.0.0.1", 1), 4).connected()
-    assert inside.core.why_not()
+    assert not inside.core.readiness.health().is_ready
     inside.run(2.0)
-    assert not inside.core.why_not()
+    assert inside.core.readiness.health().is_ready
 
 
 def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch, tmp_path):
@@ -778,7 +782,7 @@
     """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
+    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     links[0].connected()
     side.send_release(links[0].server, next(IDS), 16)
     assert not side.is_flushed()
@@ -836,7 +840,7 @@
         listening.end_late()
         assert not usual.machine.closing
         assert silent.machine.closing is (inside.now > 1000 + FIRST_S) is never_ends.machine.closing
-    assert late in inside.core.by_ident and FIRST_S + 0.25 < 4.0 and FIRST_S + 0.25 < 3.0
+    assert late in inside.core.calls.by_ident and FIRST_S + 0.25 < 4.0 and FIRST_S + 0.25 < 3.0
 
 
 def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
@@ -869,7 +873,7 @@
     """
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].connected()
     connection = TrunkFront(inside.core).connect()
     for _ in range(4):
@@ -889,7 +893,7 @@
     """
     inside, links = Inside(), []
     side = RosterSide(inside.core, links.append)
-    inside.core.list_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     connection = TrunkFront(inside.core).connect()
     began = inside.now
     while len(links) < 4:
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -18,11 +18,11 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import TRY_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.io.descriptor_budget import Descriptors
 from stairhatch.node.io.network import Network
+from stairhatch.node.readiness import FIRST_CONNECT_WAIT_S
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.events import Availability
 
@@ -250,16 +250,16 @@
 def test_a_start_waits_for_links_and_not_for_good():
     """Guards against a start that waits for no link, or for each server that is listed while it waits."""
     inside = Inside()
-    inside.core._able = False
+    inside.core.readiness._started = False
     RosterSide(inside.core, lambda link: None)
     for number in range(20):
         name = f"s-{number}"
         line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
-        inside.core.list_servers([line], False)
-        waits = inside.core.awaits()
-        assert (name in waits) is (number * 0.1 < TRY_S), "the newest has not been tried"
+        inside.core.update_servers([line], False)
+        waits = inside.core.readiness.startup_health().reason
+        assert (name in waits) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest has not been tried"
         inside.run(0.1)
-    assert not inside.core.awaits()
+    assert inside.core.readiness.startup_health().is_ready
 
 
 # ---- a list that can't be read in part ----
@@ -301,17 +301,19 @@
     """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
     inside = Inside()
     RosterSide(inside.core, lambda link: None)
-    inside.core.servers.clear()
-    inside.core.by_instance.clear()
+    inside.core.servers.by_id.clear()
+    inside.core.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
-    inside.core.list_servers(listed, True)
+    inside.core.update_servers(listed, True)
     directory, told = Directory(inside.core, ("127.0.0.1", 1), 4), []
     directory.told = told.append
     for event in events:
         directory.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
         directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    standings = {s.record.instance: s.record.availability.value for s in inside.core.by_instance.values()}
+    standings = {
+        s.record.instance: s.record.availability.value for s in inside.core.servers.by_instance.values()
+    }
     return directory, standings, told
 
 
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -565,28 +565,28 @@
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
-        self.core.in_scope = self.scoped.in_scope
+        self.core.servers.in_scope = self.scoped.in_scope
         self.side = RosterSide(self.core, self.dialled.append)
-        self.core.list_known = self.core.listening = True
+        self.core.readiness.list_known = self.core.readiness.listening = True
 
     def changed(self, numbers, classes, came):
-        for server in list(self.core.servers.values()):
+        for server in list(self.core.servers.by_id.values()):
             self.side.record_changed(server)
 
     def listing(self, name, number, standing=Availability.READY):
-        self.core.list_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
+        self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
 
     def offer(self, what):
         self.calls += 1
         caller = Heard()
-        call = self.core.offer(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
+        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
         return call, caller
 
     def run(self, seconds):
         end = self.now + seconds
-        while (due := self.core.next_due()) is not None and due <= end:
+        while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.tick()
+            self.core.timers.run_due()
         self.now = end
 
 
@@ -598,14 +598,16 @@
     inside = Linked(a, b)
     for name, number in (("x", 1), ("y", 2), ("z", 3)):
         inside.listing(name, number)
-    assert not inside.dialled and inside.core.awaits() == "", "it waits for what is out of scope"
+    assert (
+        not inside.dialled and inside.core.readiness.startup_health().is_ready
+    ), "it waits for what is out of scope"
     call, caller = inside.offer(a)
     assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
     for link in inside.dialled:
         link.connected()
     link = inside.side.links[call.attempt.server.id]
     assert b'"START"' in link.data_to_send()
-    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.offer.ident.encode())
+    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode())
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
@@ -614,7 +616,7 @@
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
     assert not link.retired and not link.can_close()
-    inside.core.caller_released(call, 16)
+    inside.core.release(call, 16)
     assert not link.can_close(), "the release has not been written"
     assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
@@ -639,7 +641,7 @@
 
     def leaves(call):
         assert b'"START"' in link.data_to_send()
-        inside.core.caller_left(call)
+        inside.core.abandon(call)
         assert b'"FINISH"' in link.data_to_send()
         link.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
@@ -665,12 +667,12 @@
     inside.offer(kind("a", 1))
     inside.listing("z", 2, Availability.GONE)
     inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
+    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
     assert list(inside.scoped.lines) == [1]
     inside.listing("z", 2)
-    inside.core.list_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
+    inside.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
     inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
+    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
 
 
 PER, SERVICES = 3, 4
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -331,10 +331,10 @@
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
         )
-        self.core.side = self
+        self.core.servers.pool = self
         pools = told["family_info"]["allowed_pools"][0]
         lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
-        self.core.list_servers(lines, True)
+        self.core.update_servers(lines, True)
         self.caller = TrunkFront(self.core).connect()
 
     def record_changed(self, server: object) -> None:
@@ -345,9 +345,9 @@
 
     def send_setup(self, attempt: Any) -> None:
         """A set-up is written, and stands."""
-        if self.core.may_write(attempt) is not None:
+        if self.core.attempts.claim_transmission(attempt):
             self.sent += 1
-            self.core.answered(attempt.server, attempt.call.offer.ident, "d")
+            self.core.responses.call_established(attempt.server, attempt.call.request.ident, "d")
 
     def ask(self, kind: str, **more: str) -> int:
         """The final answer to a set-up."""
@@ -360,7 +360,7 @@
         self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
-            self.core.tick()
+            self.core.timers.run_due()
         parser = sip.StreamParser()
         parser.feed(self.caller.data_to_send())
         found = []
@@ -381,7 +381,7 @@
     assert stage.ask(kind, charged_party="region-nord") == 200
     assert stage.ask(kind, charged_party="no-such-tenant") == 200
     assert stage.ask(kind, charged_party="") == 200
-    assert stage.sent == 4 and not stage.core.calls.keys() - {1, 2, 3, 4}
+    assert stage.sent == 4 and not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
@@ -410,5 +410,5 @@
     assert parse_load(text) == report
     stage = Stage(TENDERS)
     stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
-    stage.core.load_told(next(iter(stage.core.servers.values())), parse_load(text))
+    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load(text))
     assert len(stage.told) == (report != LoadReport())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,8 +11,8 @@
 import pytest
 
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import REMEMBERED_S, CallManager
-from stairhatch.node.calls import ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import TERMINATED_KEPT_S, ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import WHOLE_S, Directory
 from stairhatch.node.roster import RosterSide
@@ -415,7 +415,7 @@
     )
     links, aborted = [], []
     side = RosterSide(core, links.append)
-    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].abort = lambda: aborted.append(now[0])
     links[0].connected()
     return core, side, links[0], aborted
@@ -435,18 +435,18 @@
         caller.receive_data(invite(ident=next(IDS), within="9000"))
         while not link.data_to_send():
             now[0] += 0.01
-            core.tick()
+            core.timers.run_due()
         since = now[0]
         while not side.spares:
             now[0] += 0.01
-            core.tick()
+            core.timers.run_due()
             assert now[0] < since + 5, "it was not doubted"
         spare = side.spares[1]
         spare.connected()
         for _ in range(3):
             now[0] += 0.3
             spare.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
-            core.tick()
+            core.timers.run_due()
         for each in list(side.left):  # as the driver does
             each.connection_lost()
             side.drop(each)
@@ -455,7 +455,7 @@
     first = silent_until_doubted()
     for _ in range(3):
         now[0] += 0.2
-        core.tick()
+        core.timers.run_due()
         for spare in list(side.spares.values()):
             spare.connected()
         assert silent_until_doubted() < first + 0.2
@@ -469,7 +469,7 @@
         if b"START" in side.links[1].data_to_send():
             return ident
         now[0] += 0.01
-        core.tick()
+        core.timers.run_due()
     raise AssertionError("no set-up")
 
 
@@ -478,7 +478,7 @@
     end = now[0] + seconds
     while now[0] < end:
         now[0] += 0.01
-        core.tick()
+        core.timers.run_due()
 
 
 @pytest.mark.parametrize("ends", ["by the server", "by the caller"])
@@ -495,12 +495,12 @@
     pass_time(core, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     pass_time(core, now, 20.0)
-    assert core.stands(ident) and not old.can_close()
+    assert core.calls.is_established(ident) and not old.can_close()
     if ends == "by the server":
         old.receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     else:
-        core.caller_released(core.by_ident[ident], 16)
-    assert not core.stands(ident) and old.can_close()
+        core.release(core.calls.by_ident[ident], 16)
+    assert not core.calls.is_established(ident) and old.can_close()
 
 
 def test_a_link_passed_over_that_breaks_under_calls_is_followed_by_another():
@@ -513,7 +513,7 @@
     pass_time(core, now, 0.6)
     side.spares[1].connected()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    assert core.stands(ident) and side.left == [old] and not side.spares
+    assert core.calls.is_established(ident) and side.left == [old] and not side.spares
     old.connection_lost()  # as the driver does
     side.drop(old)
     pass_time(core, now, 0.2)
@@ -547,7 +547,7 @@
     now = [1000.0]
     core, _, _, aborted = a_link(now)
     now[0] = 1010.0
-    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
+    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
     assert bool(aborted) is ends
 
 
@@ -556,10 +556,10 @@
     now = [1000.0]
     core, side, link, aborted = a_link(now)
     side.send_release(link.server, "00000000005e0001", 16)
-    core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
+    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
     assert not link.can_close()
     now[0] += 11
-    core.tick()
+    core.timers.run_due()
     assert aborted and link.can_close()
 
 
@@ -582,10 +582,10 @@
 def test_timers_that_are_due_together_wake_the_loop_once():
     """Guards against a loop that is woken, and its timer set, for each call anew."""
     inside, woken, rung = Inside(), [], []
-    inside.core.wake = lambda: woken.append(1)
+    inside.core.timers.on_earlier_due = lambda: woken.append(1)
     for n in range(1000):
         due = 1000.5 + n / 1e6
-        inside.core.at(due, lambda due=due: rung.append(inside.now >= due))
+        inside.core.timers.schedule(due, lambda due=due: rung.append(inside.now >= due))
     assert len(woken) <= 2
     inside.run(0.49)
     assert not rung
@@ -604,17 +604,17 @@
     front = TrunkFront(core)
     connection = front.connect()
     for n in range(200):
-        core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
+        core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
         connection.receive_data(invite(ident=f"{n:016x}", call_kind="read-roster"))
         connection.receive_data(sip.request(f"MADE{n}", "sip:x@net", [], b"") if n < 7 else b"")
-        core.list_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
+        core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
         for link in [link for link in links if link.can_close()]:
             links.remove(link)
             side.drop(link)  # as the driver does when a link has ended
         now[0] += 5
-        core.tick()
-    assert not core.servers and not core.by_instance and not side.links
-    assert not core.calls and not front.calls and not core.by_ident
-    assert len(core._over) <= REMEMBERED_S / 5 + 1
+        core.timers.run_due()
+    assert not core.servers.by_id and not core.servers.by_instance and not side.links
+    assert not core.calls.by_number and not front.calls and not core.calls.by_ident
+    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1
     assert len(core.controller.servers) <= 10 and len(core._timers) <= 10
     assert not any("MADE" in name for name in core.counters.counts)
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -83,7 +83,9 @@
     answer = line.sent[-1]
     assert answer.body == "v=0 æ".encode() and answer.get("content-type") == "application/sdp"
     assert answer.all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"] and answer.get("contact")
-    assert line.inside.written[0].call.offer.call_class.name == "save-roster"  # by the prefix 7 of the number
+    assert (
+        line.inside.written[0].call.request.call_class.name == "save-roster"
+    )  # by the prefix 7 of the number
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.inside.run(60)
     assert len(line.statuses()) == 5 and not line.inside.front.transactions.servers
@@ -95,7 +97,7 @@
     line.inside.stand()
     line.inside.run(33)
     assert line.sent[-1].method == "BYE" or "BYE" in [m.method for m in line.sent]
-    assert line.inside.finishes and not line.inside.core.calls
+    assert line.inside.finishes and not line.inside.core.calls.by_number
     line.inside.run(40)
     assert not line.inside.front.transactions.servers and not line.inside.front.dialogs
 
@@ -132,9 +134,9 @@
     line.ask("CANCEL", branch="z9hG4bKINVITE1")
     assert line.statuses("CANCEL") == [200]
     if after == "after the answer":
-        assert line.statuses() == [100, 200] and line.inside.core.calls
+        assert line.statuses() == [100, 200] and line.inside.core.calls.by_number
     else:
-        assert line.statuses() == [100, 487] and not line.inside.core.calls
+        assert line.statuses() == [100, 487] and not line.inside.core.calls.by_number
         assert len(line.inside.finishes) == 1
 
 
@@ -159,9 +161,9 @@
     line, other = Line(inside, reliable=True), Line(inside)
     tag = standing(line)
     line.alive = False
-    assert inside.core.calls
+    assert inside.core.calls.by_number
     assert other.ask("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
-    assert len(inside.finishes) == 1 and not inside.core.calls and not inside.front.dialogs
+    assert len(inside.finishes) == 1 and not inside.core.calls.by_number and not inside.front.dialogs
 
 
 @pytest.mark.parametrize("transport", ["", ";transport=tcp"])
@@ -175,7 +177,7 @@
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.alive = False
     attempt = inside.written[0]
-    inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", REPORT)
+    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
     if transport:
         data, peer = dialled[0].data_to_send(), dialled[0].peer
     else:
@@ -193,7 +195,7 @@
     assert line.ask(number="3", to=to).status == 200  # a refresh
     line.ask("ACK", number="3", branch="z9hG4bKa3", to=to)
     assert line.ask("BYE", number="2", to=to).status == 500
-    assert line.inside.core.calls
+    assert line.inside.core.calls.by_number
     assert line.ask("BYE", number="4", to=to).status == 200
     assert line.ask("BYE", number="5", to=to).status == 481
 
@@ -202,7 +204,7 @@
     """Guards against a lost release (timers E and F)."""
     standing(line)
     attempt = line.inside.written[0]
-    line.inside.core.finished(attempt.server, attempt.call.offer.ident, 41, "", REPORT)
+    line.inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 41, "", REPORT)
     line.inside.run(2.0)
     byes = [m for m in line.sent if m.method == "BYE"]
     assert len(byes) == (1 if line.reliable else 3) and byes[0].get("reason") == "Q.850;cause=41"
@@ -302,7 +304,7 @@
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.alive = False
     attempt = inside.written[0]
-    inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", REPORT)
+    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
     assert inside.front.ports[0].output[0][1] == line.peer
 
 
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -31,17 +31,18 @@
     """A clock set by hand and its timers."""
 
     def __init__(self):
-        self.now, self.timers, self.counters = 100.0, [], Counters()
+        self.now, self.pending, self.counters = 100.0, [], Counters()
         self.clock = lambda: self.now
+        self.timers = self
 
-    def at(self, due, act):
-        self.timers.append((due, len(self.timers), act))
+    def schedule(self, due, act):
+        self.pending.append((due, len(self.pending), act))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.timers and min(self.timers)[0] <= end:
-            first = min(self.timers)
-            self.timers.remove(first)
+        while self.pending and min(self.pending)[0] <= end:
+            first = min(self.pending)
+            self.pending.remove(first)
             self.now = max(self.now, first[0])
             first[2]()
         self.now = end
@@ -161,7 +162,7 @@
     flow = Kept()
     assert table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow) and flow.sent
     clock.run(LAST + 5)
-    assert not table.memory.records and table.memory.bytes == 0 and not clock.timers
+    assert not table.memory.records and table.memory.bytes == 0 and not clock.pending
     assert not table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow)
 
 
@@ -231,7 +232,7 @@
         clock.run(0.3)
         assert not table.clients and user.told == [408]
         clock.run(LAST)
-        assert user.told == [408] and not clock.timers
+        assert user.told == [408] and not clock.pending
         return
     answer = sip.parse_datagram(sip.response(status, [*lines.items()]))
     assert table.response(answer) and user.told == [status]
@@ -425,7 +426,11 @@
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     assert line.inside.front.end_dialogs() == 1
     assert line.sent[-1].method == "BYE" and "cause=41" in line.sent[-1].get("reason")
-    assert len(line.inside.finishes) == 1 and not line.inside.core.calls and not line.inside.front.dialogs
+    assert (
+        len(line.inside.finishes) == 1
+        and not line.inside.core.calls.by_number
+        and not line.inside.front.dialogs
+    )
 
 
 def test_a_bye_whose_connection_dies_goes_another_way():
@@ -437,7 +442,7 @@
     inside.stand()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     attempt = inside.written[0]
-    inside.core.finished(attempt.server, attempt.call.offer.ident, 16, "", inside.report())
+    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", inside.report())
     assert line.sent[-1].method == "BYE"
     line.alive = False
     inside.front.flow_lost(line)
