--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -189,12 +189,12 @@
         by now: both would use the same slots.
         """
         controller = self.dispatcher.controller
-        endpoint = controller.servers.get(server.id)
+        endpoint = controller.endpoints.get(server.id)
         now = self.context.clock()
-        if endpoint is None or not controller.is_cold(now, endpoint):
+        if endpoint is None or not controller.is_warming_up(now, endpoint):
             return True
         check_instance_index()
-        return controller.turns_in_span(now, endpoint) > 0
+        return controller.slow_start_slots(now, endpoint) > 0
 
     def _log_violation(self, **fields: str) -> None:
         self.context.log("guard", **fields)
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -105,7 +105,7 @@
         """Other settings hold from now on. Calls that are open keep their class and their cap on attempts."""
         self.classes.replace(settings.classes)
         self.context.settings = settings
-        self.controller.retune(settings)
+        self.controller.update_settings(settings)
 
     def update_servers(self, records: Iterable[ServerRecord], complete: bool) -> None:
         """Take in what the directory tells; `complete` says that it names every server there is. Calls at a
