--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import SETTINGS, Caller, Coordinator, Inside, Program, RosterServer, instance, until
 
@@ -65,7 +65,7 @@
     new.events = list(old.events)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "coordinator": f"127.0.0.1:{new.port}"}))
-    assert line["result"] == "taken" and line["wants_restart"] == "-"
+    assert line["result"] == "applied" and line["restart_required"] == "-"
     new.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
     assert new.asked[0] == 1, "the number of the last event was not kept"
     served(program)
@@ -81,12 +81,12 @@
     program, coordinator, (server,) = stage(None)
     text = program.path.read_text()
     bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
-    assert program.reload(bad)["result"] == "refused"
+    assert program.reload(bad)["result"] == "rejected"
     other = RosterServer()
     coordinator.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
     served(program)
     assert other.of("START")
-    assert program.reload(text)["result"] == "taken"
+    assert program.reload(text)["result"] == "applied"
 
 
 def test_a_reload_says_what_wants_a_restart(stage):
@@ -94,7 +94,7 @@
     program, _, _ = stage(None)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
-    assert line["wants_restart"] == "listen,console"
+    assert line["restart_required"] == "listen,console"
     served(program)
 
 
@@ -105,7 +105,7 @@
     stage.started.append(program)
     text = program.path.read_text().replace(f"127.0.0.1:{one.port}", f"127.0.0.1:{two.port}")
     text = text.replace('"roster-a"', '"roster-c"').replace('"roster-b"', '"roster-d"')
-    assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "taken"
+    assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "applied"
     caller = Caller(program.address, udp=True)
     headers = {
         "via": f"SIP/2.0/UDP {caller.host};branch=z9hG4bKr", "from": "<sip:a@net>;tag=1",
@@ -126,7 +126,7 @@
     until(lambda: server.of("START"))
     assert program.stop() == 0
     until(lambda: caller.closed)
-    assert caller.finals(ident) == [503] and program.lines("drained")
+    assert caller.finals(ident) == [503] and program.lines("drain_deadline_reached")
 
 
 # ---- the coordinator ----
@@ -411,7 +411,11 @@
 def a_link(now):
     """A link to a listed server, connected, and what the driver was asked to end."""
     core = CallManager(
-        settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
+        settings_from_object(SETTINGS).settings,
+        random.Random(1),
+        lambda: now[0],
+        lambda *a, **k: None,
+        Counters(),
     )
     links, aborted = [], []
     side = RosterSide(core, links.append)
@@ -597,7 +601,11 @@
     """Guards against memory that grows with each server and call that ever was."""
     now = [1000.0]
     core = CallManager(
-        settings_from(SETTINGS)[0], random.Random(1), lambda: now[0], lambda *a, **k: None, Counters()
+        settings_from_object(SETTINGS).settings,
+        random.Random(1),
+        lambda: now[0],
+        lambda *a, **k: None,
+        Counters(),
     )
     links = []
     side = RosterSide(core, links.append)
