--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -608,7 +608,8 @@
             terms=LeaseTimings(told.term_s, told.drift), numbers=told.numbers, list=told.list,
         )  # fmt: skip
         self.process = Life(self)
-        self.fleet = FleetRuntime(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
+        settings = self.world.settings
+        self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
             directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
