--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -19,7 +19,7 @@
 from stairhatch.node.syslog import Log
 
 if TYPE_CHECKING:
-    from stairhatch.fleet.service import Fleet
+    from stairhatch.fleet.runtime import FleetRuntime
     from stairhatch.scope.decisions import ScopedController
     from stairhatch.sip.front import SipFront
 
@@ -47,5 +47,5 @@
     trunk: PlatformFrontend | None = None
     sip: SipFront | None = None
     directory: Directory | None = None
-    fleet: Fleet | None = None
+    fleet: FleetRuntime | None = None
     caller_listeners: list[Listening] = field(default_factory=list)
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import AWAY_S, ENDED, CallManager
-from stairhatch.node.calls import Call
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.node.platform_request import (
     ALLOW,
     METHODS,
@@ -20,6 +20,7 @@
     read_call_request,
 )
 from stairhatch.node.protocol import ConnectionProtocol
+from stairhatch.node.readiness import RETRY_AFTER_S
 from stairhatch.node.release_delivery import ReleaseDelivery
 
 MAX_OUTPUT_BYTES = 128 * 1024  # a caller that reads so much too slowly is cut off
@@ -80,7 +81,7 @@
         self.deliveries = ReleaseDelivery(core, self.connections)
         self._cancelled_early: OrderedDict[str, None] = OrderedDict()
         self._last_branch = 0
-        core.orphan.append(self.release)
+        core.responses.unknown_release_listeners.append(self.release)
 
     def release(self, call_id: str, cause: int, own: PlatformConnection | None = None) -> None:
         """Tell the caller that a call is over: on the call's own connection while that is open."""
@@ -155,7 +156,7 @@
         return (
             super().is_idle()
             and not deliveries.awaits_acknowledgement(self, self._releases_sent)
-            and not (self.core.holds() and deliveries.is_only_listener(self))
+            and not (self.core.readiness.keeps_release_path() and deliveries.is_only_listener(self))
         )
 
     def read_timed_out(self) -> None:
@@ -205,7 +206,7 @@
         for held in list(self.pending.values()):
             call = held.call
             self.abandon(held)
-            held.respond(480 if call is None or self.core.harmless(call) else 500, [])
+            held.respond(480 if call is None or call.is_retry_safe() else 500, [])
 
     def connection_lost(self) -> None:
         """The connection has ended: what was open on it is given up, what stands on lives on."""
@@ -263,7 +264,7 @@
         self.registry.calls.pop(call_id, None)
         self.pending.pop(call_id, None)
         if held.call is not None:
-            self.core.caller_left(held.call)
+            self.core.abandon(held.call)
 
     def _message_received(self, message: sip.Message) -> None:
         call_id, method = message.get("call-id"), message.method
@@ -285,7 +286,7 @@
             case "BYE":
                 self._bye_received(message, call_id)
             case "OPTIONS":
-                self.respond(message, 503 if self.core.why_not() else 200, [])
+                self.respond(message, 200 if self.core.readiness.health().is_ready else 503, [])
             case "ACK" | "NOTIFY":
                 pass
             case _:
@@ -301,13 +302,13 @@
     def _cancel_received(self, message: sip.Message, call_id: str) -> None:
         held = self.registry.calls.get(call_id)
         if held is not None:
-            is_established = self.core.stands(call_id)
+            is_established = self.core.calls.is_established(call_id)
             held.connection.abandon(held)
             held.connection.notify_writable()  # it may have ended but for this
             if is_established:  # it crossed the answer: its caller may take the call to stand, and is told
                 self.core.counters.add("cancels_crossed")
-                self.registry.release(call_id, ENDED, held.connection)
-        elif not self.core.was_over(call_id):
+                self.registry.release(call_id, ReleaseCause.NORMAL_CLEARING, held.connection)
+        elif not self.core.calls.was_terminated(call_id):
             self.registry.cancelled_early(call_id)
         self.respond(message, 200 if held is not None else 481, [])
 
@@ -315,7 +316,7 @@
         held = self.registry.calls.pop(call_id, None)
         if held is not None and held.call is not None:
             held.connection.pending.pop(call_id, None)
-            self.core.caller_released(held.call, sip.release_cause(message))
+            self.core.release(held.call, sip.release_cause(message))
         elif not self.registry.deliveries.acknowledged(call_id):
             self.core.release_unknown(call_id, sip.release_cause(message))
         self.respond(message, 200, [])
@@ -337,22 +338,22 @@
         except UnusableRequestError as error:
             self._reject_unusable(message, error.status)
             return
-        if call_id in registry.calls or core.was_over(call_id):
+        if call_id in registry.calls or core.calls.was_terminated(call_id):
             self._reject_unusable(message, 482)  # every set-up has an id of its own, a repeat too
             return
         if registry.was_cancelled_early(call_id) or self._peer_closed:
             core.counters.add("calls_given_up_before")
             self.respond(message, 480, [])
             return
-        if core.turns_away():
+        if core.readiness.rejects_new_calls():
             core.counters.add("calls_turned_away")
-            advice = [("come-back-ms", str(int(AWAY_S * 1000)))]
+            advice = [("come-back-ms", str(int(RETRY_AFTER_S * 1000)))]
             self.respond(message, 503, advice if core.settings.may_send_retry_after else [])
             return
         held = PlatformCall(self, message)
         message.body = b""  # not needed any more
         registry.calls[call_id] = self.pending[call_id] = held
-        call = core.offer(request, held)
+        call = core.offer_call(request, held)
         if call is None:
             held.respond(482, [])
         if call_id in registry.calls:
--- a/stairhatch/node/platform_frontend.py
+++ b/stairhatch/node/platform_frontend.py
@@ -27,7 +27,7 @@
         """Somebody has connected: a caller, or a frontend that asks for a health check and goes again."""
         connection = PlatformConnection(self.registry)
         self.registry.mark_active(connection)
-        self.core.at(self.core.clock() + CALLER_AFTER_S, partial(self._check_silent, connection))
+        self.core.timers.schedule(self.core.clock() + CALLER_AFTER_S, partial(self._check_silent, connection))
         return connection
 
     def is_flushed(self) -> bool:
--- a/stairhatch/node/platform_request.py
+++ b/stairhatch/node/platform_request.py
@@ -72,7 +72,7 @@
         UnusableRequestError: it can't be understood (400), or would not fit into a server's line (413).
     """
     class_name, answer_within = message.get("call-kind"), message.get("answer-within")
-    call_class = core.class_named(class_name)
+    call_class = core.classes.named(class_name)
     called_uri = sip.user_of(message.uri)
     try:
         description = message.body.decode()  # what is no UTF-8 would be no JSON either
@@ -83,7 +83,7 @@
         raise UnusableRequestError(400) from error
     if call_class is None or not called_uri:
         raise UnusableRequestError(400)
-    if not 0 < timeout_s <= TIMEOUT_SLACK * core.longest_wait(call_class):
+    if not 0 < timeout_s <= TIMEOUT_SLACK * core.classes.longest_deadline_s(call_class):
         raise UnusableRequestError(400)
     if exceeds_line_limit(call_id, class_name, called_uri, description):
         raise UnusableRequestError(413)
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -109,7 +109,7 @@
         """
         core = self._core
         now = core.clock()
-        if core.drain_since is not None:
+        if core.readiness.drain_since is not None:
             release.since = now  # kept for the next caller, however long the drain
         if now - release.since > RELEASE_KEPT_S:
             self._drop(call_id)
@@ -117,7 +117,7 @@
         if len(release.tried) >= MAX_ATTEMPTS:  # nobody here reads: kept for whoever connects next
             release.tried.clear()
             expires_at = release.since + RELEASE_KEPT_S + EXPIRY_MARGIN_S
-            core.at(expires_at, partial(self._check, call_id, release, 0))
+            core.timers.schedule(expires_at, partial(self._check, call_id, release, 0))
             return
         is_usable = preferred is not None and preferred in self._channels and not preferred.closing
         channel = preferred if is_usable else self._likeliest_listener(release)
@@ -125,10 +125,12 @@
             release.tried.append(channel)
             channel.send_release(call_id, release.cause)
             attempts = len(release.tried)
-            core.at(now + ACKNOWLEDGED_WITHIN_S, partial(self._check, call_id, release, attempts))
+            core.timers.schedule(
+                now + ACKNOWLEDGED_WITHIN_S, partial(self._check, call_id, release, attempts)
+            )
         else:
             release.tried.clear()  # the next connection gets it
-            core.at(now + RELEASE_KEPT_S, partial(self._check, call_id, release, 0))
+            core.timers.schedule(now + RELEASE_KEPT_S, partial(self._check, call_id, release, 0))
 
     def _check(self, call_id: str, release: UnacknowledgedRelease, attempts: int) -> None:
         """Send it again unless it was acknowledged, or sent, meanwhile."""
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -135,8 +135,8 @@
             item, length = self._unsent.pop()
             size -= length
             if isinstance(item, Attempt):
-                self.pending_setups.pop(item.call.offer.ident, None)
-                self._core.not_sent(item)
+                self.pending_setups.pop(item.call.request.ident, None)
+                self._core.attempts.retract_transmission(item)
             elif isinstance(item, PendingRelease):
                 item.writes -= 1
                 self._written_releases.pop()
@@ -155,7 +155,7 @@
             item = self._items.popleft()
             if isinstance(item, Attempt):
                 if self._callers_read_at == math.inf:
-                    core.hear_callers()
+                    core.read_callers()
                     self._callers_read_at = core.clock()
                 line = self._render_setup(item)
                 if line is None:
@@ -174,13 +174,16 @@
     def _render_setup(self, attempt: Attempt) -> bytes | None:
         """A set-up that is about to be written; None: it must not be sent any more."""
         core, liveness = self._core, self._liveness
-        time_left_ms = core.may_write(attempt)
-        if time_left_ms is None:
+        if not core.attempts.claim_transmission(attempt):
             return None
-        request = attempt.call.offer
+        request = attempt.call.request
         if liveness.response_due_since <= liveness.last_activity_at:
             liveness.response_due_since = core.clock()
         self.pending_setups[request.ident] = attempt
         return render_setup(
-            request.ident, request.call_class.name, request.called_uri, request.description, time_left_ms
+            request.ident,
+            request.call_class.name,
+            request.called_uri,
+            request.description,
+            attempt.remaining_ms,
         )
--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -132,7 +132,7 @@
             return True
         for attempt in self.pending_setups.values():  # the first is the one written first
             return liveness.is_silent_since(now, attempt.written_at)
-        return liveness.is_load_report_overdue(now) and self.pool.core.stands_at(self.server)
+        return liveness.is_load_report_overdue(now) and self.pool.core.calls.has_established_at(self.server)
 
     # ---- its end ----
 
@@ -148,8 +148,7 @@
         if self.pool.core.clock() - self.superseded_at <= SUPERSEDED_S:
             return False
         if self.superseded_at > -math.inf:
-            stands = self.pool.core.stands
-            self.established_calls = {call_id for call_id in self.established_calls if stands(call_id)}
+            self.established_calls = set(filter(self.pool.core.calls.is_established, self.established_calls))
         return not self.established_calls or self.superseded_at == -math.inf
 
     def drain(self) -> None:
@@ -157,8 +156,8 @@
         self.draining, self.superseded_at = True, -math.inf
         core = self.pool.core
         for attempt in self.send_queue.take_setups():
-            core.not_written(attempt, reached=True)
-        core.at(core.clock() + DRAIN_TIMEOUT_S, self._drain_timed_out)
+            core.attempts.transmission_failed(attempt, reached=True)
+        core.timers.schedule(core.clock() + DRAIN_TIMEOUT_S, self._drain_timed_out)
         self.notify_writable()
 
     def _drain_timed_out(self) -> None:
@@ -231,9 +230,9 @@
         if refused or self.draining:
             self.send_queue.clear()
         for attempt in setups:
-            core.not_written(attempt, reached=False)
+            core.attempts.transmission_failed(attempt, reached=False)
         if refused and not self.pool.reads_superseded(self.server):
-            core.cut_standing(self.server, before=core.clock() + 1)
+            core.responses.terminate_established_at(self.server, before=core.clock() + 1)
 
     def connection_lost(self) -> None:
         """The connection broke: the set-ups pending on it are reset.
@@ -255,10 +254,10 @@
         broken = self.send_queue.take_pending()
         core.log("server_connection_lost", server=self.server.record.instance, open=len(broken))
         for attempt in broken:
-            core.connection_lost(attempt)
+            core.attempts.connection_lost(attempt)
 
     def _has_established(self) -> bool:
-        return any(map(self.pool.core.stands, self.established_calls))
+        return any(map(self.pool.core.calls.is_established, self.established_calls))
 
     def data_to_send(self) -> bytes:
         """What is to be written now; nothing once something came that can't be read."""
@@ -303,6 +302,7 @@
 
     def _message_received(self, message: ServerMessage) -> None:
         core, verb, call_id = self.pool.core, message.verb, message.call_id
+        responses, report = core.responses, message.load_report
         core.counters.add(RECEIVED_COUNTERS.get(verb, "got_other_verb"))
         is_load_report = verb == Verb.LOAD
         self.liveness.message_received(core.clock(), is_load_report)
@@ -310,21 +310,21 @@
             self.pool.message_received(self, is_load_report)
         match verb:
             case Verb.STARTED:
-                core.load_told(self.server, message.load_report)
+                responses.load_reported(self.server, report)
                 self.pending_setups.pop(call_id, None)
-                core.answered(self.server, call_id, message.description)
-                if core.stands(call_id):
+                responses.call_established(self.server, call_id, message.description)
+                if core.calls.is_established(call_id):
                     self.established_calls.add(call_id)
             case Verb.PENDING:
                 if isinstance(call_id, str):
-                    core.pending(self.server, call_id)
+                    responses.setup_progressing(self.server, call_id)
             case Verb.FINISH:
                 self.pending_setups.pop(call_id, None)
-                core.finished(self.server, call_id, message.cause, message.note, message.load_report)
+                responses.call_released(self.server, call_id, message.cause, message.note, report)
                 for each in self.pool.connections_to(self.server):
                     each.established_calls.discard(call_id)
             case Verb.LOAD:
-                core.load_told(self.server, message.load_report)
+                responses.load_reported(self.server, report)
             case Verb.ECHO:
                 self.send_queue.append(render_echo_reply(call_id))
                 self.notify_writable()
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -36,8 +36,8 @@
         self.superseded: list[ServerConnection] = []  # what is pending there may still be answered
         self.draining: set[int] = set()  # servers out of scope, looked at until their connections may end
         self.handed_over = False  # another process goes on
-        core.side = self
-        core.at(core.clock() + LIVENESS_CHECK_S, self._check_liveness)
+        core.servers.pool = self
+        core.timers.schedule(core.clock() + LIVENESS_CHECK_S, self._check_liveness)
 
     # ---- the endpoint list ----
 
@@ -48,11 +48,11 @@
             for each in self.connections_to(server):
                 each.drain()
             if connection is None:  # never in scope; not at once, since the list is being gone through
-                self.core.at(self.core.clock(), partial(self.core.forget_server, server))
+                self.core.timers.schedule(self.core.clock(), partial(self.core.servers.forget, server))
             return
         if self.handed_over:
             return
-        if not self.core.links_to(server):
+        if not self.core.servers.is_in_scope(server):
             self._drain_server(server)
             return
         if connection is None:
@@ -71,10 +71,12 @@
         """
         if server.id in self.draining or not self.connections_to(server):
             return
-        attempts = (call.attempt for call in self.core.calls.values())
+        attempts = (call.attempt for call in self.core.calls.by_number.values())
         if any(attempt is not None and attempt.server is server for attempt in attempts):
             self.draining.add(server.id)
-            self.core.at(self.core.clock() + CLOSE_CHECK_S, partial(self._check_draining, server))
+            self.core.timers.schedule(
+                self.core.clock() + CLOSE_CHECK_S, partial(self._check_draining, server)
+            )
             return
         for each in self.connections_to(server):
             each.drain()
@@ -90,7 +92,7 @@
         """Queue a set-up; it is rendered when it can be written."""
         connection = self.active.get(attempt.server.id)
         if connection is None or not connection.send_setup(attempt):
-            self.core.not_written(attempt, reached=True)
+            self.core.attempts.transmission_failed(attempt, reached=True)
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
         """Give a set-up up, or release a call that stands."""
@@ -155,7 +157,7 @@
             if server.record.availability is not Availability.GONE:
                 self.record_changed(server)  # it was listed again in the meantime
             else:
-                self.core.forget_server(server)
+                self.core.servers.forget(server)
 
     # ---- unresponsive connections, and their standbys ----
 
@@ -166,7 +168,7 @@
         back. Nothing is given up for the suspicion alone, since a server may merely be slow.
         """
         now = self.core.clock()
-        self.core.at(now + LIVENESS_CHECK_S, self._check_liveness)
+        self.core.timers.schedule(now + LIVENESS_CHECK_S, self._check_liveness)
         unresponsive: list[ServerConnection] = []
         for server_id, connection in self.active.items():
             if server_id in self.standby or connection.draining or not connection.is_unresponsive(now):
@@ -220,7 +222,7 @@
         self.superseded.append(old)
         old.mark_superseded()
         first_check_at = old.superseded_at + SUPERSEDED_S + CLOSE_CHECK_MARGIN_S
-        self.core.at(first_check_at, partial(self._check_superseded, old))
+        self.core.timers.schedule(first_check_at, partial(self._check_superseded, old))
         old.hand_queue_to(connection)
 
     # ---- superseded connections ----
@@ -229,7 +231,7 @@
         """A superseded connection ends once nothing is due on it; it is looked at until then."""
         if old in self.superseded:
             old.notify_writable()
-            self.core.at(self.core.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old))
+            self.core.timers.schedule(self.core.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old))
 
     def _close_oldest_superseded(self, server: RosterServer) -> None:
         """Before one more is dialled: of those superseded the oldest ends that has nothing pending.
@@ -254,7 +256,7 @@
             both_up_at = max(connection.liveness.connected_at, old.liveness.connected_at)
             if max(old.liveness.last_received_at, both_up_at) < now - SIMULTANEOUS_S:
                 old.dead_check_pending = True
-                self.core.at(now + SIMULTANEOUS_S, partial(self._close_dead, old, now))
+                self.core.timers.schedule(now + SIMULTANEOUS_S, partial(self._close_dead, old, now))
 
     def _close_dead(self, old: ServerConnection, since: float) -> None:
         """End a superseded connection that has kept silent: it was suspected and rightly so.
@@ -275,7 +277,7 @@
 
     def dial_again_later(self, server: RosterServer) -> None:
         """A connection has ended on which ends of calls may have been lost: they come on the next opened."""
-        self.core.at(self.core.clock() + REDIAL_DELAY_S, partial(self._dial_again, server))
+        self.core.timers.schedule(self.core.clock() + REDIAL_DELAY_S, partial(self._dial_again, server))
 
     def _dial_again(self, server: RosterServer) -> None:
         """Dial once more, for ends of calls that were sent on a dead connection.
