--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -38,7 +38,7 @@
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
 from stairhatch.fault_injection.processes import at, own_host
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -29,7 +29,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.standin.coordinator import line
 from stairhatch.standin.ports import free_port
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,7 +42,7 @@
 from stairhatch.fault_injection.schedule import Schedule
 from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import FleetCodec
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -16,7 +16,7 @@
 
 from stairhatch.conform.run import OFFER
 from stairhatch.conform.stage import Inside
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip.heads import Head
 
 
--- a/stairhatch/conform/faults.py
+++ b/stairhatch/conform/faults.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, cast
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import auth, dialogs, flows, front, grammar, heads, leg, sessions, transactions
 
 Change = tuple[Any, str, Any]
--- a/stairhatch/conform/run.py
+++ b/stairhatch/conform/run.py
@@ -13,7 +13,7 @@
 
 from stairhatch.conform.cases import Case
 from stairhatch.conform.stage import Stage, Wire, messages
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import auth, grammar
 
 USER, PASSWORD, REALM = "office", "a long word", "stairhatch"  # where a case needs one that may call
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -15,7 +15,7 @@
 from itertools import count
 from typing import Any, Protocol
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Attempt, RosterServer, ServerRecord
 from stairhatch.node.counters import Counters
--- a/stairhatch/load/office.py
+++ b/stairhatch/load/office.py
@@ -14,7 +14,7 @@
 from stairhatch.load.habit import Throttle, Try, redial_after
 from stairhatch.load.plan import Due, Office, Plan, Transport, calls, offices
 from stairhatch.load.tally import Tally
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 from stairhatch.standin.caller import Caller, End, Placed
 
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.node.platform_request import (
--- a/stairhatch/node/platform_request.py
+++ b/stairhatch/node/platform_request.py
@@ -9,7 +9,7 @@
 import re
 from functools import lru_cache
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest
 from stairhatch.node.server_messages import exceeds_line_limit
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -34,10 +34,10 @@
     LONGEST_POLL_BACKOFF_S,
     REST_S,
 )
-from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.server_connection import ServerConnection
 from stairhatch.node.server_pool import ServerConnectionPool
+from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 from stairhatch.sip.heads import Head
 
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.counters import Counters
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -13,13 +13,13 @@
 from stairhatch.admission.budget import Level
 from stairhatch.admission.feedback import algorithm_for
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ReleaseCause
-from stairhatch.node.message import called_number, release_cause
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.readiness import RETRY_AFTER_S
 from stairhatch.node.server_messages import exceeds_line_limit
+from stairhatch.node.sip_message import called_number, release_cause
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.dialogs import Order, Stage, key_of
--- a/stairhatch/sip/heads.py
+++ b/stairhatch/sip/heads.py
@@ -8,7 +8,7 @@
 import re
 from hashlib import blake2b
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 from stairhatch.sip.grammar import GrammarError, Via
 
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Protocol
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.sip import grammar, sessions
--- a/stairhatch/sip/sessions.py
+++ b/stairhatch/sip/sessions.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from hashlib import blake2b
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 
 MEDIA = "application/sdp"
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Protocol
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.counters import Counters
 from stairhatch.node.timer_wheel import TimerWheel
 from stairhatch.sip.flows import Flow, Place, SipConnection, UdpFlow
--- a/stairhatch/standin/caller.py
+++ b/stairhatch/standin/caller.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 
 T1, T2, MOST_COPIES = 0.5, 4.0, 7
 RECONNECTS, RECONNECT_S = 50, 0.1
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Attempt, ServerRecord
 from stairhatch.node.counters import Counters
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 from stairhatch.admission.budget import Budget, BudgetPolicy, Level
 from stairhatch.admission.feedback import Algorithm, Feedback, algorithm_for
 from stairhatch.admission.gate import Gate, GatePolicy, Kind, Verdict, shed_by_worth
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.sip.heads import Head
 from stairhatch.sip.peek import peek
 
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -13,7 +13,7 @@
 from stairhatch.cli import main_group
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 
 from .peers import ROOT, Caller, Inside, Line, Program, RosterServer, sip_headers, until
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 from stairhatch import shutdown as shutdown_module
 from stairhatch.application import Application
 from stairhatch.config import Config
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,7 @@
 import pytest
 import uvloop
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
 from stairhatch.application import Application
 from stairhatch.config import Config
 from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.server_messages import parse_load_report
 from stairhatch.node.syslog import Log, rfc5424, structured
 
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -17,7 +17,7 @@
 import pytest
 import uvloop
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.io.descriptor_budget import Descriptors
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -14,7 +14,7 @@
 
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ServerRecord
 from stairhatch.node.counters import Counters
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -15,7 +15,7 @@
 
 from stairhatch.config import ConfigError
 from stairhatch.config.platform import read_platform
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import TERMINATED_KEPT_S, ServerRecord
 from stairhatch.node.counters import Counters
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.overload.events import LoadReport
 
 from .peers import Caller, Inside, Line, Program, RosterServer, sip_headers, until
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.counters import Counters
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.flows import Flow, Networks
