--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -39,6 +39,7 @@
 
 from stairhatch.fault_injection.processes import at, own_host
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -503,10 +504,10 @@
 
     async def answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Take what comes, and answer each release."""
-        parser = sip.StreamParser()
+        parser = sip_parser.StreamParser()
         while data := await reader.read(65536):
             parser.feed(data)
-            while (message := parser.next()) is not None:
+            while (message := parser.next_message()) is not None:
                 self.served += message.status == 200
                 if message.method == "BYE":
                     writer.write(sip.response(200, sip.echoed(message)))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -43,6 +43,7 @@
 from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import FleetCodec
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
@@ -576,7 +577,7 @@
     """A caller's connection to the softswitch."""
 
     def __init__(self, hold_s: float) -> None:
-        self.hold_s, self.parser = hold_s, sip.StreamParser()
+        self.hold_s, self.parser = hold_s, sip_parser.StreamParser()
         self.sent: dict[str, float] = {}
         self.took: list[float] = []
         self.other = 0  # answers that are no 200
@@ -602,7 +603,7 @@
         """Answers."""
         now = time.perf_counter()
         self.parser.feed(data)
-        while (message := self.parser.next()) is not None:
+        while (message := self.parser.next_message()) is not None:
             ident = message.get("call-id")
             if message.cseq()[1] == "INVITE" and ident in self.sent and message.status >= 200:
                 self.took.append(now - self.sent.pop(ident))
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -17,6 +17,7 @@
 from stairhatch.conform.run import OFFER
 from stairhatch.conform.stage import Inside
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.sip.heads import Head
 
 
@@ -38,7 +39,7 @@
     port.receive(invite(number, host), peer)
     stage.wait(step_s)
     stage.carry()
-    answer = sip.parse_datagram(stage.outside[-1][2])
+    answer = sip_parser.parse_datagram(stage.outside[-1][2])
     stage.outside.clear()
     later = [
         ("via", f"SIP/2.0/UDP {host};branch=z9hG4bKa{number};rport"), ("max-forwards", "70"),
@@ -66,12 +67,12 @@
     begun = time.process_time()
     for _ in range(5):
         for each in data:
-            sip.parse_datagram(each)
+            sip_parser.parse_datagram(each)
     print(f"parser alone: {5 * size / (time.process_time() - begun) / 1e6:.1f} MB/s of processor time")
     begun = time.process_time()
     for _ in range(5):
         for each in data:
-            Head(sip.parse_datagram(each), ("127.0.0.1", 40000))
+            Head(sip_parser.parse_datagram(each), ("127.0.0.1", 40000))
     print(f"parser and heads: {5 * size / (time.process_time() - begun) / 1e6:.1f} MB/s of processor time")
     stage = Inside(dialogs=10**6)
     begun = time.process_time()
--- a/stairhatch/conform/faults.py
+++ b/stairhatch/conform/faults.py
@@ -42,7 +42,7 @@
         )
 
 
-def _ack_any(self: leg.Leg, cseq: int, message: sip.Message) -> None:
+def _ack_any(self: leg.Leg, cseq: int, message: sip.SipMessage) -> None:
     WHOLE["acked"](self, self.awaited, message)
 
 
@@ -105,7 +105,7 @@
     return grammar.Address(whole.display, whole.uri, {**whole.parameters, "tag": tag})
 
 
-def _negotiate_swapped(message: sip.Message, policy: Any) -> Any:
+def _negotiate_swapped(message: sip.SipMessage, policy: Any) -> Any:
     timer = WHOLE["negotiate"](message, policy)
     if not isinstance(timer, sessions.SessionTimer):
         return timer
@@ -114,7 +114,7 @@
     return sessions.SessionTimer(timer.interval_s, other, timer.required)
 
 
-def _negotiate_any(message: sip.Message, policy: Any) -> Any:
+def _negotiate_any(message: sip.SipMessage, policy: Any) -> Any:
     told = WHOLE["negotiate"](message, policy)
     is_short = isinstance(told, sessions.Refusal) and told.status == 422
     return sessions.SessionTimer(60, sessions.Refresher.CALLER, True) if is_short else told
@@ -155,7 +155,7 @@
     self.bye(cause)
 
 
-def _unmarked(message: sip.Message, index: int, peer: Any) -> grammar.Via:
+def _unmarked(message: sip.SipMessage, index: int, peer: Any) -> grammar.Via:
     return grammar.read_via(sip.split_list(message.headers[index][1])[0])
 
 
--- a/stairhatch/conform/run.py
+++ b/stairhatch/conform/run.py
@@ -14,6 +14,7 @@
 from stairhatch.conform.cases import Case
 from stairhatch.conform.stage import Stage, Wire, messages
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.sip import auth, grammar
 
 USER, PASSWORD, REALM = "office", "a long word", "stairhatch"  # where a case needs one that may call
@@ -46,9 +47,9 @@
     flow: str = "1"
     last: bytes = b""
     last_method: str = "INVITE"
-    final: sip.Message | None = None
+    final: sip.SipMessage | None = None
     rseq: str = ""
-    challenge: sip.Message | None = None
+    challenge: sip.SipMessage | None = None
 
 
 @dataclass
@@ -57,7 +58,7 @@
 
     at: float
     flow: str
-    message: sip.Message
+    message: sip.SipMessage
     taken: bool = False
 
 
@@ -86,7 +87,7 @@
         self.serial = next(_serials)
         self.begun = stage.now()
         self.wires: dict[str, Wire] = {}
-        self.parsers: dict[str, sip.StreamParser | None] = {}
+        self.parsers: dict[str, sip_parser.StreamParser | None] = {}
         self.calls: dict[str, Held] = {}
         self.came: list[Came] = []
         self.pongs = 0
@@ -101,7 +102,7 @@
                 self._step(step)
         except FailedError as error:
             why = str(error)
-        except (sip.SipError, grammar.GrammarError, OSError, ValueError) as error:
+        except (sip_parser.SipError, grammar.GrammarError, OSError, ValueError) as error:
             why = f"{type(error).__name__}: {error}"
         return Result(self.case, why, number, self.stage.now() - self.begun, "", self.transcript)
 
@@ -112,7 +113,7 @@
             other = {"tcp": "udp", "udp": "tcp"}[self.case.transport]
             transport = other if name.startswith("other") else self.case.transport
             self.wires[name] = self.stage.open(transport)
-            self.parsers[name] = sip.StreamParser() if transport == "tcp" else None
+            self.parsers[name] = sip_parser.StreamParser() if transport == "tcp" else None
         return self.wires[name]
 
     def _call(self, name: str) -> Held:
@@ -210,7 +211,7 @@
         if call.challenge is None:
             raise FailedError("there was no challenge")
         given = {}
-        for value in call.challenge.all_lines("www-authenticate"):
+        for value in call.challenge.get_lines("www-authenticate"):
             scheme, found = grammar.read_credentials(value)
             if found.get("algorithm") == algorithm:
                 given = found
@@ -347,9 +348,9 @@
             raise FailedError("it has another To tag")
         self._compare(step, came.message)
 
-    def _compare(self, step: dict[str, Any], message: sip.Message) -> None:
+    def _compare(self, step: dict[str, Any], message: sip.SipMessage) -> None:
         for name, wanted in step.get("headers", {}).items():
-            got = ", ".join(message.all_lines(name.lower()))
+            got = ", ".join(message.get_lines(name.lower()))
             for each in wanted if isinstance(wanted, list) else [wanted]:
                 if each[:1] == "~" and not re.search(each[1:], got):
                     raise FailedError(f"{name} is {got!r}, without {each[1:]!r}")
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -16,6 +16,7 @@
 from typing import Any, Protocol
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Attempt, RosterServer, ServerRecord
 from stairhatch.node.counters import Counters
@@ -308,12 +309,12 @@
             wire.close()
 
 
-def messages(parser: sip.StreamParser | None, data: bytes) -> list[sip.Message]:
+def messages(parser: sip_parser.StreamParser | None, data: bytes) -> list[sip.SipMessage]:
     """What a piece of what came holds."""
     if parser is None:
-        return [sip.parse_datagram(data)] if data.strip() else []
+        return [sip_parser.parse_datagram(data)] if data.strip() else []
     parser.feed(data)
     found = []
-    while (message := parser.next()) is not None:
+    while (message := parser.next_message()) is not None:
         found.append(message)
     return found
--- a/stairhatch/load/office.py
+++ b/stairhatch/load/office.py
@@ -147,7 +147,7 @@
 
     # ---- what is heard ----
 
-    def _heard(self, office: Office, message: sip.Message) -> None:
+    def _heard(self, office: Office, message: sip.SipMessage) -> None:
         """Overload control in an answer's topmost Via."""
         told = grammar.read_via(sip.split_list(message.get("via"))[0]).parameters
 
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.node.platform_request import (
@@ -33,7 +34,7 @@
     """A caller's set-up, as the call manager sees it (`CallerSession`)."""
 
     connection: PlatformConnection
-    request: sip.Message
+    request: sip.SipMessage
     call: Call | None = None
 
     @property
@@ -129,7 +130,7 @@
         self._faults = 0  # requests that could not be used
         self._peer_closed = False  # what came before may still be unread
         self._releases_sent: set[str] = set()  # here, and not yet acknowledged
-        self._parser = sip.StreamParser()
+        self._parser = sip_parser.StreamParser()
         self._output: list[bytes] = []
         self._output_bytes = 0
 
@@ -145,7 +146,7 @@
 
     def has_partial_message(self) -> bool:
         """Whether the rest of a message is awaited."""
-        return self._parser.partial()
+        return self._parser.has_partial_message()
 
     def is_idle(self) -> bool:
         """Also that no release sent on it is unacknowledged, and that another is left for established calls.
@@ -161,7 +162,7 @@
 
     def read_timed_out(self) -> None:
         """A message has not come whole in time: its request is answered, if its head could be read."""
-        begun = self._parser.begun
+        begun = self._parser.pending_request
         if begun is not None and begun.method not in ("", "ACK"):
             self.respond(begun, 408, [])
         super().read_timed_out()
@@ -173,11 +174,11 @@
         self.registry.mark_active(self)
         self._parser.feed(data)
         try:
-            while not self.closing and (message := self._parser.next()) is not None:
+            while not self.closing and (message := self._parser.next_message()) is not None:
                 self.request_received = True
                 self.request_count += 1
                 self._message_received(message)
-        except sip.SipError as error:
+        except sip_parser.SipError as error:
             self.core.counters.add("malformed_from_callers")
             self.core.log("malformed", side="caller", why=str(error))
             if error.partial is not None and error.partial.method not in ("", "ACK"):
@@ -218,7 +219,7 @@
 
     # ---- what goes to the caller ----
 
-    def respond(self, request: sip.Message, status: int, extra: sip.Headers, body: bytes = b"") -> None:
+    def respond(self, request: sip.SipMessage, status: int, extra: sip.Headers, body: bytes = b"") -> None:
         """Queue a response."""
         self.core.counters.add(f"sent_{status}")
         self._queue_output(sip.response(status, sip.echoed(request) + extra, body))
@@ -266,7 +267,7 @@
         if held.call is not None:
             self.core.abandon(held.call)
 
-    def _message_received(self, message: sip.Message) -> None:
+    def _message_received(self, message: sip.SipMessage) -> None:
         call_id, method = message.get("call-id"), message.method
         is_known = method in METHODS
         kind = method if is_known else "other" if method else "response"
@@ -292,14 +293,14 @@
             case _:
                 self._reject_unusable(message, 405, [("allow", ALLOW)])
 
-    def _response_received(self, message: sip.Message, call_id: str) -> None:
+    def _response_received(self, message: sip.SipMessage, call_id: str) -> None:
         """The answer to a release."""
         if message.cseq()[1] == "BYE" and call_id in self._releases_sent:
             self._releases_sent.discard(call_id)
             self.has_acknowledged = True
             self.registry.deliveries.acknowledged(call_id)
 
-    def _cancel_received(self, message: sip.Message, call_id: str) -> None:
+    def _cancel_received(self, message: sip.SipMessage, call_id: str) -> None:
         held = self.registry.calls.get(call_id)
         if held is not None:
             is_established = self.core.calls.is_established(call_id)
@@ -312,7 +313,7 @@
             self.registry.cancelled_early(call_id)
         self.respond(message, 200 if held is not None else 481, [])
 
-    def _bye_received(self, message: sip.Message, call_id: str) -> None:
+    def _bye_received(self, message: sip.SipMessage, call_id: str) -> None:
         held = self.registry.calls.pop(call_id, None)
         if held is not None and held.call is not None:
             held.connection.pending.pop(call_id, None)
@@ -321,7 +322,9 @@
             self.core.release_unknown(call_id, sip.release_cause(message))
         self.respond(message, 200, [])
 
-    def _reject_unusable(self, message: sip.Message, status: int, extra: sip.Headers | None = None) -> None:
+    def _reject_unusable(
+        self, message: sip.SipMessage, status: int, extra: sip.Headers | None = None
+    ) -> None:
         """Answer a request that can't be used; a connection that brings only such is ended."""
         self._faults += 1
         self.core.counters.add("requests_unusable")
@@ -330,7 +333,7 @@
             self.core.counters.add("faulty_callers_cut")
             self._close_when_written()
 
-    def _invite_received(self, message: sip.Message, call_id: str) -> None:
+    def _invite_received(self, message: sip.SipMessage, call_id: str) -> None:
         """A set-up. One that can't be understood, or no roster server could read, is answered at once."""
         core, registry = self.core, self.registry
         try:
--- a/stairhatch/node/platform_request.py
+++ b/stairhatch/node/platform_request.py
@@ -56,7 +56,7 @@
     return preferred
 
 
-def names_its_call(message: sip.Message, call_id: str) -> bool:
+def names_its_call(message: sip.SipMessage, call_id: str) -> bool:
     """Whether a request names its call in a form that a roster server can read."""
     if message.method in METHODS_WITHOUT_CALL:
         return True
@@ -65,7 +65,7 @@
     return CALL_ID.match(call_id) is not None and not has_repeated and message.cseq()[1] == message.method
 
 
-def read_call_request(core: CallManager, message: sip.Message, call_id: str) -> CallRequest:
+def read_call_request(core: CallManager, message: sip.SipMessage, call_id: str) -> CallRequest:
     """The set-up that an INVITE asks for.
 
     Raises:
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -56,7 +56,7 @@
         self.remote_cseq = cseq
         return Order.NEXT
 
-    def retarget(self, message: sip.Message) -> None:
+    def retarget(self, message: sip.SipMessage) -> None:
         """A target refresh request names a new Contact (12.2.2); one that can't be read changes nothing."""
         self.target = contact_of(message) or self.target
 
@@ -88,11 +88,11 @@
         return sip.request(method, uri, headers, body), hop
 
 
-def contact_of(message: sip.Message) -> str:
+def contact_of(message: sip.SipMessage) -> str:
     """The URI in the one Contact of a request that makes or refreshes a dialog, "" where there is none that
     can be used.
     """
-    values = message.all("contact")
+    values = message.get_all("contact")
     if len(values) != 1:
         return ""
     try:
@@ -106,7 +106,7 @@
     """The dialog of an INVITE that is being answered; `fallback` is its target where Contact names none."""
     message = head.message
     routes = []
-    for value in message.all("record-route"):
+    for value in message.get_all("record-route"):
         try:
             grammar.read_uri(grammar.read_address(value).uri)
         except grammar.GrammarError:
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -12,6 +12,7 @@
 from typing import Protocol
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
@@ -65,9 +66,9 @@
 
     counters: Counters
 
-    def receive(self, flow: Flow, message: sip.Message) -> None: ...
+    def receive(self, flow: Flow, message: sip.SipMessage) -> None: ...
     def settle(self, flow: UdpFlow, data: bytes) -> bool: ...
-    def malformed(self, flow: Flow, error: sip.SipError) -> None: ...
+    def malformed(self, flow: Flow, error: sip_parser.SipError) -> None: ...
     def caller_gone(self, flow: SipConnection) -> None: ...
     def flow_lost(self, flow: Flow) -> None: ...
 
@@ -114,8 +115,8 @@
         if self.owner.settle(flow, data):
             return
         try:
-            message = sip.parse_datagram(data)
-        except sip.SipError as error:
+            message = sip_parser.parse_datagram(data)
+        except sip_parser.SipError as error:
             self.owner.malformed(flow, error)
             return
         self.owner.receive(flow, message)
@@ -150,7 +151,7 @@
         self.output: list[bytes] = []
         self.size = 0
         self.faults = 0
-        self.parser = sip.StreamParser(stays=True)
+        self.parser = sip_parser.StreamParser(resynchronizes=True)
         self.gone = False  # its peer has closed it; what came before may still be unread
         self.owed: set[bytes] = set()  # transactions that await their final answer here
         self.dialogs = 0  # that stand on it
@@ -161,7 +162,7 @@
 
     def has_partial_message(self) -> bool:
         """Whether the rest of a message is awaited."""
-        return self.parser.partial()
+        return self.parser.has_partial_message()
 
     def is_idle(self) -> bool:
         """Also that no dialog stands on it: a drain lets those end, and their BYE come by it."""
@@ -169,8 +170,8 @@
 
     def read_timed_out(self) -> None:
         """A message has not come whole in time: its request is answered, if its head could be read."""
-        if (begun := self.parser.begun) is not None:
-            self.owner.malformed(self, sip.SipError(408, "the rest of a message never came", begun))
+        if (begun := self.parser.pending_request) is not None:
+            self.owner.malformed(self, sip_parser.SipError(408, "the rest of a message never came", begun))
         super().read_timed_out()
 
     def close_when_idle(self) -> None:
@@ -194,11 +195,11 @@
         self.parser.feed(data)
         while not self.closing:
             try:
-                message = self.parser.next()
-            except sip.SipError as error:
+                message = self.parser.next_message()
+            except sip_parser.SipError as error:
                 self.faults += 1
                 self.owner.malformed(self, error)
-                if not error.in_step or self.faults >= MOST_FAULTS:
+                if not error.is_synchronized or self.faults >= MOST_FAULTS:
                     self.closing = True
                     self.notify_writable()
                 continue
@@ -211,10 +212,10 @@
             self.owner.caller_gone(self)
 
     def _pong(self) -> None:
-        if self.parser.pings:
+        if self.parser.unanswered_keepalives:
             self.request_received = True
-            self.owner.counters.add("pings", self.parser.pings)
-            self.parser.pings = 0
+            self.owner.counters.add("pings", self.parser.unanswered_keepalives)
+            self.parser.unanswered_keepalives = 0
             self.send(PONG)  # one for all that came at once
 
     def data_to_send(self) -> bytes:
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -14,6 +14,7 @@
 from stairhatch.admission.feedback import algorithm_for
 from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ReleaseCause
 from stairhatch.node.protocol import ConnectionProtocol
@@ -223,7 +224,7 @@
             self.caller_gone(flow)
         self.transactions.flow_lost(flow)
 
-    def malformed(self, flow: Flow, error: sip.SipError) -> None:
+    def malformed(self, flow: Flow, error: sip_parser.SipError) -> None:
         """Count what can't be read; answer it if enough of it could be."""
         self.counters.add("malformed_from_callers")
         partial = error.partial
@@ -241,7 +242,7 @@
             return
         place = (flow.peer[0], SIP_PORT)
         try:
-            via = grammar.read_via(partial.all("via")[0])
+            via = grammar.read_via(partial.get_all("via")[0])
             place = (flow.peer[0], flow.peer[1] if "rport" in via.parameters else via.port or SIP_PORT)
         except grammar.GrammarError:
             place = flow.peer  # where it came from is all that is known
@@ -250,10 +251,10 @@
             flow, place, render(error.status, echo(partial), self._tag_for(partial), extra), error.status
         )
 
-    def _tag_for(self, message: sip.Message) -> str:
+    def _tag_for(self, message: sip.SipMessage) -> str:
         return "" if "tag" in sip.parameters(message.get("to")) else self.token()
 
-    def receive(self, flow: Flow, message: sip.Message) -> None:
+    def receive(self, flow: Flow, message: sip.SipMessage) -> None:
         """One message, on any transport."""
         method = message.method
         kind = method if method in METHODS else "other" if method else "response"
@@ -264,7 +265,7 @@
             return
         try:
             head = Head(message, flow.peer)
-        except sip.SipError as error:
+        except sip_parser.SipError as error:
             self.malformed(flow, error)
             return
         if self.transactions.known(head, flow):
@@ -330,7 +331,7 @@
         if method not in METHODS:
             return 405, [ALLOW]
         if method != "CANCEL" and "require" in head.names:
-            unknown = [each for each in message.all("require") if each.lower() not in sessions.SUPPORTED]
+            unknown = [each for each in message.get_all("require") if each.lower() not in sessions.SUPPORTED]
             if unknown:
                 return 420, [("unsupported", ", ".join(unknown)), SUPPORTED]
         if head.hops == 0 and method != "CANCEL":
@@ -374,7 +375,7 @@
     def _who(self, transaction: Server, head: Head) -> str | None:
         """Who sends a request; None where that is not proved, and the request is answered."""
         assert self.guard is not None
-        judged = self.guard.judge(head.method, head.message.uri, head.message.all_lines("authorization"))
+        judged = self.guard.judge(head.method, head.message.uri, head.message.get_lines("authorization"))
         if judged.verdict is auth.Verdict.GOOD:
             return judged.user
         if judged.verdict is not auth.Verdict.NONE:
@@ -397,7 +398,7 @@
         return self.core.classes.named(named or name), choice
 
     @staticmethod
-    def _patience(message: sip.Message, kind: CallClass) -> float:
+    def _patience(message: sip.SipMessage, kind: CallClass) -> float:
         """How long the caller waits: as its class says, or less if Expires does."""
         patience = kind.deadline_s
         expires = message.get("expires")
@@ -412,7 +413,7 @@
             self.final(transaction, 482, [])
             return
         kind, choice = self.class_of(uri.user, message.get("call-kind"))
-        if kind is None or not uri.user or ("contact" in head.names and len(message.all("contact")) != 1):
+        if kind is None or not uri.user or ("contact" in head.names and len(message.get_all("contact")) != 1):
             self.final(transaction, 400, [])
             return
         body = sessions.read_description(message)
@@ -548,7 +549,7 @@
         assert leg.dialog is not None
         leg.dialog.retarget(message)
         if "allow" in dict(message.headers):
-            leg.methods = ", ".join(message.all("allow"))
+            leg.methods = ", ".join(message.get_all("allow"))
         says_own = refusable or offered is Offered.SAME
         own = leg.descriptions.own if says_own else b""
         extra = timer.headers() if timer is not None else []
--- a/stairhatch/sip/heads.py
+++ b/stairhatch/sip/heads.py
@@ -9,6 +9,7 @@
 from hashlib import blake2b
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.sip import grammar
 from stairhatch.sip.grammar import GrammarError, Via
 
@@ -46,7 +47,7 @@
         "via",
     )  # fmt: skip
 
-    def __init__(self, message: sip.Message, peer: tuple[str, int]) -> None:
+    def __init__(self, message: sip.SipMessage, peer: tuple[str, int]) -> None:
         """Read them; SipError with its status for one that is missing, repeated or malformed."""
         self.message, self.method = message, message.method
         found: dict[str, str] = {}
@@ -55,7 +56,7 @@
             if name == "via" and top < 0:
                 top = index
             elif name in ONCE and found.get(name, value) != value:
-                raise sip.SipError(400, f"two {name}", message)
+                raise sip_parser.SipError(400, f"two {name}", message)
             found[name] = value
         self.names = found.keys()  # of all its headers, to know at once what it has not
         try:
@@ -80,7 +81,7 @@
             hops = found.get("max-forwards", "70")
             self.hops = 70 if hops == "70" else grammar.whole(hops, 999)
         except GrammarError as error:
-            raise sip.SipError(400, str(error), message) from None
+            raise sip_parser.SipError(400, str(error), message) from None
         # An ACK belongs to its INVITE's transaction (17.2.3).
         self.key = self.key_of("INVITE" if self.method == "ACK" else self.method)
         self.echo = "" if self.method == "ACK" else echo(message)
@@ -119,7 +120,7 @@
 HERE = "\x01"  # in an answer's topmost Via: what overload control says comes here, or nothing does
 
 
-def _mark(message: sip.Message, index: int, peer: tuple[str, int]) -> Via:
+def _mark(message: sip.SipMessage, index: int, peer: tuple[str, int]) -> Via:
     """Note in the topmost Via where the request came from (RFC 3261, 18.2.1; RFC 3581, 4). What it says of
     that itself is passed over: a third party would get the answers.
     """
@@ -149,7 +150,7 @@
     return Via(via.transport, via.host, via.port, parameters)
 
 
-def echo(message: sip.Message) -> str:
+def echo(message: sip.SipMessage) -> str:
     """The lines that every answer repeats (8.2.6), To last so that its tag can follow."""
     lines, to = [], ""
     for name, value in message.headers:
@@ -158,13 +159,13 @@
         elif name == "to" and not to:
             to = f"To: {value}"
         elif name in ("from", "call-id", "cseq"):
-            lines.append(f"{sip.NAMES.get(name) or name.title()}: {value}\r\n")
+            lines.append(f"{sip.WRITTEN_NAMES.get(name) or name.title()}: {value}\r\n")
     return "".join(lines) + to
 
 
 def render(status: int, echoed: str, tag: str, extra: str = "", body: bytes = b"") -> bytes:
     """The bytes of a response; `extra` is whole header lines, `tag` ours if To has none yet."""
-    reason = sip.REASONS.get(status, "Unknown")
+    reason = sip.REASON_PHRASES.get(status, "Unknown")
     if HERE in echoed:
         echoed = echoed.replace(HERE, "")
     mark = f";tag={tag}" if tag else ""
@@ -174,4 +175,4 @@
 
 def lines(headers: sip.Headers) -> str:
     """Header lines for `render`."""
-    return "".join(f"{sip.NAMES.get(name) or name.title()}: {value}\r\n" for name, value in headers)
+    return "".join(f"{sip.WRITTEN_NAMES.get(name) or name.title()}: {value}\r\n" for name, value in headers)
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -199,7 +199,7 @@
 
     # ---- what the caller says ----
 
-    def acked(self, cseq: int, message: sip.Message) -> None:
+    def acked(self, cseq: int, message: sip.SipMessage) -> None:
         """The ACK to the 2xx, with the caller's answer where the offer was ours."""
         if not self.answer or cseq != self.awaited:
             return
@@ -328,7 +328,7 @@
         elif not self.front.asking(self, "INVITE"):
             self.front.ask(self, "INVITE", [*extra, ALLOW], self.descriptions.own)
 
-    def refresh_answered(self, status: int, message: sip.Message | None) -> None:
+    def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
         """What came of our refresh (RFC 4028, 7.4 and 10)."""
         if self.dialog is None or self.dialog.stage is Stage.OVER:
             return
@@ -401,10 +401,10 @@
         data, _ = dialog.request(self.method, self.cseq, via, extra, self.body)
         self.client = front.transactions.begin(branch, self.method, data, flow, self)
 
-    def provisional(self, status: int, message: sip.Message) -> None:
+    def provisional(self, status: int, message: sip.SipMessage) -> None:
         """It is on its way."""
 
-    def final(self, status: int, message: sip.Message | None) -> None:
+    def final(self, status: int, message: sip.SipMessage | None) -> None:
         """It is answered, or won't be."""
         front, leg, dialog = self.front, self.leg, self.leg.dialog
         front.ours.pop((leg, self.method), None)
--- a/stairhatch/sip/sessions.py
+++ b/stairhatch/sip/sessions.py
@@ -32,14 +32,14 @@
     extra: tuple[tuple[str, str], ...] = ()
 
 
-def read_description(message: sip.Message) -> bytes | Refusal:
+def read_description(message: sip.SipMessage) -> bytes | Refusal:
     """The one session description of a message, b"" if it has none (RFC 3261, 8.2.3; RFC 5621)."""
     if not message.body:
         return b""
     names = {name for name, _ in message.headers}
     if BODY_HEADERS.isdisjoint(names) and message.get("content-type", MEDIA) == MEDIA:
         return message.body  # as nearly all have it
-    for coding in message.all("content-encoding"):
+    for coding in message.get_all("content-encoding"):
         if coding.strip().lower() != "identity":
             return Refusal(415, "content encoding", (("accept-encoding", "identity"),))
     try:
@@ -180,10 +180,10 @@
         return [*found, ("require", "timer")] if self.required else found
 
 
-def negotiate(message: sip.Message, policy: TimerPolicy) -> SessionTimer | Refusal | None:
+def negotiate(message: sip.SipMessage, policy: TimerPolicy) -> SessionTimer | Refusal | None:
     """Agree on a session timer with an INVITE or UPDATE (RFC 4028, section 9). None: the session has none."""
     knows = any(
-        option.lower() == "timer" for name in ("supported", "require") for option in message.all(name)
+        option.lower() == "timer" for name in ("supported", "require") for option in message.get_all(name)
     )
     try:
         least = max(LEAST_SE_S, grammar.seconds_and_parameters(message.get("min-se", "0"))[0])
@@ -206,7 +206,7 @@
     return SessionTimer(min(interval, MOST_SE_S), Refresher(refresher or "uac"), True)
 
 
-def agreed(message: sip.Message) -> SessionTimer | None:
+def agreed(message: sip.SipMessage) -> SessionTimer | None:
     """What the answer to a refresh of ours says. None: the session has no timer any more (7.2)."""
     try:
         interval, told = grammar.seconds_and_parameters(message.get("session-expires"))
@@ -282,7 +282,7 @@
     data: bytes = b""
     heard: bool = False
 
-    def prack(self, message: sip.Message) -> Prack:
+    def prack(self, message: sip.SipMessage) -> Prack:
         """A PRACK has come; one for another answer, or for one that was heard, matches nothing (3262, 3)."""
         try:
             rseq, cseq, method = grammar.read_rack(message.get("rack"))
@@ -294,10 +294,10 @@
         return Prack.HEARD
 
 
-def wants_reliable(message: sip.Message) -> bool:
+def wants_reliable(message: sip.SipMessage) -> bool:
     """Whether a caller can be sent provisional answers reliably."""
     return any(
-        option.lower() == "100rel" for name in ("supported", "require") for option in message.all(name)
+        option.lower() == "100rel" for name in ("supported", "require") for option in message.get_all(name)
     )
 
 
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -15,6 +15,7 @@
 from typing import Protocol
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
 from stairhatch.node.timer_wheel import TimerWheel
 from stairhatch.sip.flows import Flow, Place, SipConnection, UdpFlow
@@ -75,8 +76,8 @@
 class User(Protocol):
     """Whoever began a client transaction."""
 
-    def provisional(self, status: int, message: sip.Message) -> None: ...
-    def final(self, status: int, message: sip.Message | None) -> None: ...  # None: no answer came in time
+    def provisional(self, status: int, message: sip.SipMessage) -> None: ...
+    def final(self, status: int, message: sip.SipMessage | None) -> None: ...  # None: no answer came in time
     def unreachable(self) -> None: ...  # its flow died before an answer
 
 
@@ -347,9 +348,9 @@
         due = self.clockwork.clock() + gap
         self.clockwork.timers.schedule(due, partial(self._unheard, branch, method, gap, passed + gap))
 
-    def response(self, message: sip.Message) -> bool:
+    def response(self, message: sip.SipMessage) -> bool:
         """A response; whether it belongs to a request of ours. Copies of a final one end here."""
-        vias = message.all("via")
+        vias = message.get_all("via")
         method = message.cseq()[1]
         client = self.clients.get((sip.parameters(vias[0]).get("branch", "") if vias else "", method))
         if client is None or len(vias) != 1:  # one with another Via below was not for us (8.1.3.3)
@@ -364,7 +365,7 @@
             client.flow.send(client.ack)  # a copy: the ACK was lost
         return True
 
-    def _heard(self, client: Client, message: sip.Message) -> None:
+    def _heard(self, client: Client, message: sip.SipMessage) -> None:
         accepted = message.status < 300
         client.state = State.ACCEPTED if accepted else State.COMPLETED
         keep = LAST if client.method == "INVITE" else T4  # timers D and M, and K
@@ -385,10 +386,10 @@
         self.clients.pop((branch, method), None)
 
     @staticmethod
-    def ack_to_refusal(client: Client, answer: sip.Message) -> bytes:
+    def ack_to_refusal(client: Client, answer: sip.SipMessage) -> bytes:
         """The ACK that belongs to the same transaction (17.1.1.3)."""
-        sent = sip.parse_datagram(client.data)
-        headers = [("via", sent.all("via")[0]), ("max-forwards", "70")]
+        sent = sip_parser.parse_datagram(client.data)
+        headers = [("via", sent.get_all("via")[0]), ("max-forwards", "70")]
         headers += [(name, value) for name, value in sent.headers if name == "route"]
         headers += [("from", sent.get("from")), ("to", answer.get("to")), ("call-id", sent.get("call-id"))]
         headers.append(("cseq", f"{sent.cseq()[0]} ACK"))
--- a/stairhatch/standin/caller.py
+++ b/stairhatch/standin/caller.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 
 T1, T2, MOST_COPIES = 0.5, 4.0, 7
 RECONNECTS, RECONNECT_S = 50, 0.1
@@ -69,11 +70,11 @@
         self.counts = {"copies": 0, "byes_heard": 0, "byes_sent": 0, "rings": 0}
         self.loop = asyncio.get_running_loop()
         self.host, self.lost = "", False
-        self._parser = sip.StreamParser()
+        self._parser = sip_parser.StreamParser()
         self._serial = 0
         self._send: Callable[[bytes], None] = lambda data: None
         self.via = ""  # what its Via says beside branch and rport
-        self.heard: Callable[[sip.Message], None] = lambda message: None  # each final answer to an INVITE
+        self.heard: Callable[[sip.SipMessage], None] = lambda message: None  # each final answer to an INVITE
         # For whoever checks: what was asked, answered or ended, the status and what tells answers apart.
         self.seen: Callable[[str, Placed, int, str], None] = lambda what, call, status, text: None
 
@@ -109,7 +110,7 @@
     def datagram_received(self, data: bytes, addr: object) -> None:
         """A datagram."""
         if data.strip():
-            self._message(sip.parse_datagram(data))
+            self._message(sip_parser.parse_datagram(data))
 
     def error_received(self, exc: Exception) -> None:
         """Nobody listens: the copies will tell."""
@@ -117,7 +118,7 @@
     def data_received(self, data: bytes) -> None:
         """Bytes of the connection."""
         self._parser.feed(data)
-        while (message := self._parser.next()) is not None:
+        while (message := self._parser.next_message()) is not None:
             self._message(message)
 
     def close(self) -> None:
@@ -133,7 +134,7 @@
         self.transport.abort()
         while not self.lost:
             await asyncio.sleep(0)
-        self._parser = sip.StreamParser()
+        self._parser = sip_parser.StreamParser()
         for _ in range(RECONNECTS):
             try:
                 await self.loop.create_connection(lambda: self, *place)
@@ -228,7 +229,7 @@
         call.data = b""
         call.told(call, end, self.loop.time() - call.due, status)
 
-    def _message(self, message: sip.Message) -> None:
+    def _message(self, message: sip.SipMessage) -> None:
         call = self.calls.get(message.get("call-id"))
         if message.method:
             if message.method != "ACK":
@@ -251,7 +252,7 @@
         elif method == "INVITE":
             self._answered(call, message)
 
-    def _answered(self, call: Placed, message: sip.Message) -> None:
+    def _answered(self, call: Placed, message: sip.SipMessage) -> None:
         call.to = message.get("to")
         self.heard(message)
         self.seen("final", call, message.status, message.get("to") + message.body.decode("utf-8", "replace"))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -23,6 +23,7 @@
 from typing import Any
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Attempt, ServerRecord
 from stairhatch.node.counters import Counters
@@ -243,19 +244,19 @@
             self.sock = socket.create_connection(address)
         name = self.sock.getsockname()
         self.host = f"[{name[0]}]:{name[1]}" if six else f"{name[0]}:{name[1]}"
-        self.got: list[tuple[float, sip.Message]] = []
+        self.got: list[tuple[float, sip.SipMessage]] = []
         self.closed = False
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
-        parser = sip.StreamParser()
+        parser = sip_parser.StreamParser()
         try:
             while data := self._recv():
                 if self.udp:
-                    self.got.append((time.monotonic(), sip.parse_datagram(data)))
+                    self.got.append((time.monotonic(), sip_parser.parse_datagram(data)))
                     continue
                 parser.feed(data)
-                while (message := parser.next()) is not None:
+                while (message := parser.next_message()) is not None:
                     self.got.append((time.monotonic(), message))
         except OSError:
             pass
@@ -289,7 +290,7 @@
         headers.update({name.replace("_", "-"): value for name, value in more.items()})
         return self.send("INVITE", "sip:7f3a9c21e0b4d655@net", headers, body)
 
-    def of(self, ident: str, what: int | str) -> list[sip.Message]:
+    def of(self, ident: str, what: int | str) -> list[sip.SipMessage]:
         """Responses with a status, or requests with a method, of one call."""
         return [m for _, m in list(self.got) if m.get("call-id") == ident and what in (m.status, m.method)]
 
@@ -298,11 +299,11 @@
         found = [m for _, m in list(self.got) if m.get("call-id") == ident and m.status >= 200]
         return [m.status for m in found if m.cseq()[1] == "INVITE"]
 
-    def expect(self, ident: str, what: int | str) -> sip.Message:
+    def expect(self, ident: str, what: int | str) -> sip.SipMessage:
         """Wait for a response or a request."""
         return until(lambda: self.of(ident, what), f"{what} of {ident}")[0]
 
-    def answer(self, request: sip.Message, status: int) -> None:
+    def answer(self, request: sip.SipMessage, status: int) -> None:
         """Answer a request of the program's."""
         self.sock.sendall(sip.response(status, sip.echoed(request)))
 
@@ -554,20 +555,20 @@
 
     def __init__(self, inside: Inside, reliable: bool = False) -> None:
         self.inside, self.reliable, self.peer = inside, reliable, ("127.0.0.1", 4000)
-        self.sent: list[sip.Message] = []
+        self.sent: list[sip.SipMessage] = []
 
     def send(self, data: bytes) -> None:
-        self.sent.append(sip.parse_datagram(data))
+        self.sent.append(sip_parser.parse_datagram(data))
 
-    def ask(self, method: str = "INVITE", **change: str | None) -> sip.Message:
+    def ask(self, method: str = "INVITE", **change: str | None) -> sip.SipMessage:
         """Send a plain request, with some headers changed or left out (None); returns the last answer."""
         number = change.pop("number", "1")
         headers = sip_headers(method, number or "1", change.pop("branch", None) or f"z9hG4bK{method}{number}")
         headers.update({name.replace("_", "-"): value for name, value in change.items()})  # type: ignore[misc]
         uri = headers.pop("uri", "sip:7@net")
         lines = [(name, value) for name, value in headers.items() if value is not None]
-        self.inside.front.receive(self, sip.parse_datagram(sip.request(method, str(uri), lines, b"")))
-        return self.sent[-1] if self.sent else sip.Message()
+        self.inside.front.receive(self, sip_parser.parse_datagram(sip.request(method, str(uri), lines, b"")))
+        return self.sent[-1] if self.sent else sip.SipMessage()
 
     def statuses(self, method: str = "INVITE") -> list[int]:
         """The responses to a method, in order."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -16,6 +16,7 @@
 from stairhatch.admission.feedback import Algorithm, Feedback, algorithm_for
 from stairhatch.admission.gate import Gate, GatePolicy, Kind, Verdict, shed_by_worth
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.sip.heads import Head
 from stairhatch.sip.peek import peek
 
@@ -269,12 +270,12 @@
     lines = sip_headers(method, "1", "z9hG4bKlook", to_tag="t" if tag else "")
     lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKlook{rport}"
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
-    seen, head = peek(data), Head(sip.parse_datagram(data), ("127.0.0.1", 4000))
+    seen, head = peek(data), Head(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
     if seen is not None:
         assert (seen.method, seen.user, seen.key) == (method, "712", head.key)
         assert seen.within is bool(head.to_tag)
         assert seen.place(("127.0.0.1", 4000)) == head.place(("127.0.0.1", 4000), False)
-        answer = sip.parse_datagram(seen.unavailable(("127.0.0.1", 4000), "mine", 3))
+        answer = sip_parser.parse_datagram(seen.unavailable(("127.0.0.1", 4000), "mine", 3))
         assert answer.status == 503 and answer.get("retry-after") == "3"
         for name in ("call-id", "cseq", "from"):
             assert answer.get(name) == lines[name]
@@ -312,7 +313,7 @@
     data = sip.request(method, uri, list(lines.items()))
     port = inside.front.ports[0]
     port.receive(data, peer)
-    sent = [sip.parse_datagram(each) for each, _ in port.output]
+    sent = [sip_parser.parse_datagram(each) for each, _ in port.output]
     port.output.clear()
     return sent
 
@@ -347,7 +348,7 @@
     inside = pressed(0.0, 1)
     ask(inside, number=1)
     inside.stand()
-    tag = sip.parameters(sip.parse_datagram(inside.front.ports[0].output[-1][0]).get("to"))["tag"]
+    tag = sip.parameters(sip_parser.parse_datagram(inside.front.ports[0].output[-1][0]).get("to"))["tag"]
     inside.front.ports[0].output.clear()
     for _ in range(5):
         inside.now += SPAN_S
@@ -359,7 +360,7 @@
     assert not inside.front.ports[0].output
     lines = sip_headers("BYE", "2", "z9hG4bKbye", "c1", to_tag=tag)
     inside.front.ports[0].receive(sip.request("BYE", "sip:x@net", list(lines.items())), ("127.0.0.1", 4000))
-    assert sip.parse_datagram(inside.front.ports[0].output[-1][0]).status == 200
+    assert sip_parser.parse_datagram(inside.front.ports[0].output[-1][0]).status == 200
 
 
 def test_callers_that_know_overload_control_are_told_in_their_via():
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,6 +19,7 @@
 from stairhatch.config import Config
 from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
@@ -78,9 +79,9 @@
 
 def statuses(connection, ident):
     """The answers that a connection of the platform's front has queued for a call; takes them off it."""
-    parser, found = sip.StreamParser(), []
+    parser, found = sip_parser.StreamParser(), []
     parser.feed(connection.data_to_send())
-    while (message := parser.next()) is not None:
+    while (message := parser.next_message()) is not None:
         if message.get("call-id") == ident:
             found.append(message.status or message.method)
     return found
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -18,6 +18,7 @@
 import uvloop
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.io.descriptor_budget import Descriptors
@@ -382,11 +383,11 @@
     other = here.caller()
     other.invite(ident := next(IDS), within=9000)
     other.expect(ident, 200)
-    parser, got = sip.StreamParser(), Counter()
+    parser, got = sip_parser.StreamParser(), Counter()
     flood.settimeout(20)
     while sum(got.values()) < len(idents):
         parser.feed(flood.recv(65536))
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             got[message.get("call-id")] += message.status >= 200
     assert got == Counter(idents), "one final answer each"
     flood.close()
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -16,6 +16,7 @@
 from stairhatch.config import ConfigError
 from stairhatch.config.platform import read_platform
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
@@ -375,10 +376,10 @@
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
             self.core.timers.run_due()
-        parser = sip.StreamParser()
+        parser = sip_parser.StreamParser()
         parser.feed(self.caller.data_to_send())
         found = []
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             found.append(message.status)
         assert len(found) == 1, found
         return found[0]
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -10,6 +10,7 @@
 import pytest
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.overload.events import LoadReport
 
 from .peers import Caller, Inside, Line, Program, RosterServer, sip_headers, until
@@ -82,7 +83,7 @@
     assert line.statuses() == [100, 200, 200, 200, 200]  # after 0.5, 1.5 and 3.5 s
     answer = line.sent[-1]
     assert answer.body == "v=0 æ".encode() and answer.get("content-type") == "application/sdp"
-    assert answer.all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"] and answer.get("contact")
+    assert answer.get_all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"] and answer.get("contact")
     assert (
         line.inside.written[0].call.request.call_class.name == "save-roster"
     )  # by the prefix 7 of the number
@@ -183,7 +184,7 @@
     else:
         data, peer = inside.front.ports[0].output[0]
     assert peer == ("127.0.0.1", 4010)
-    bye = sip.parse_datagram(data)
+    bye = sip_parser.parse_datagram(data)
     assert bye.method == "BYE" and bye.get("to") == "<sip:office@net>;tag=f1"
     assert sip.parameters(bye.get("from"))["tag"] and bye.cseq() == (1, "BYE")
 
@@ -208,7 +209,7 @@
     line.inside.run(2.0)
     byes = [m for m in line.sent if m.method == "BYE"]
     assert len(byes) == (1 if line.reliable else 3) and byes[0].get("reason") == "Q.850;cause=41"
-    line.inside.front.receive(line, sip.parse_datagram(sip.response(200, sip.echoed(byes[0]))))
+    line.inside.front.receive(line, sip_parser.parse_datagram(sip.response(200, sip.echoed(byes[0]))))
     line.inside.run(40)
     assert len([m for m in line.sent if m.method == "BYE"]) == len(byes)
 
@@ -270,7 +271,7 @@
     """Guards against a datagram that stops the program or is answered to nobody."""
     inside = Inside()
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
-    sent = [sip.parse_datagram(piece) for piece, _ in inside.front.ports[0].output]
+    sent = [sip_parser.parse_datagram(piece) for piece, _ in inside.front.ports[0].output]
     assert [m.status for m in sent] == ([status] if status else [])
     at_once = b'"' not in data and b"\xff" not in data
     assert inside.core.counters.counts.get("malformed_from_callers", 0) == at_once
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.flows import Flow, Networks
@@ -60,7 +61,7 @@
 
 def head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
     lines = sip_headers(method, "1", branch, call)
-    return Head(sip.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
+    return Head(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
 
 
 # ---- grammar ----
@@ -136,12 +137,12 @@
         for n, (method, body) in enumerate(told)
     )
     for pieces in (cuts, [1], [len(data)]):
-        parser, found, at, turn = sip.StreamParser(stays=True), [], 0, 0
+        parser, found, at, turn = sip_parser.StreamParser(resynchronizes=True), [], 0, 0
         while at < len(data):
             size = pieces[turn % len(pieces)]
             parser.feed(data[at : at + size])
             at, turn = at + size, turn + 1
-            while (message := parser.next()) is not None:
+            while (message := parser.next_message()) is not None:
                 found.append((message.method, message.body))
         assert found == told
 
@@ -234,9 +235,9 @@
         clock.run(LAST)
         assert user.told == [408] and not clock.pending
         return
-    answer = sip.parse_datagram(sip.response(status, [*lines.items()]))
+    answer = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
     assert table.response(answer) and user.told == [status]
-    acks = [sip.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
+    acks = [sip_parser.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
     assert [m.cseq() for m in acks] == ([(7, "ACK")] if method == "INVITE" and status >= 300 else [])
     for at in (0.0, kept_s - 0.2):
         clock.run(max(0.0, at))
@@ -266,7 +267,7 @@
                 table.respond(transaction, 200 if stood else 486, "t")
             case _:
                 table.respond(transaction, 180, "t")
-    finals = {data for data in flow.sent if sip.parse_datagram(data).status >= 200}
+    finals = {data for data in flow.sent if sip_parser.parse_datagram(data).status >= 200}
     assert len(finals) == ("final" in steps)
     clock.run(80)
     assert not table.servers or "final" not in steps
@@ -303,7 +304,7 @@
 )
 def test_no_session_time_under_either_sides_least_is_agreed(asked, least, who, knows, ours):
     """Guards against a timer that one side takes for too short (RFC 4028, section 9)."""
-    message = sip.Message("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
+    message = sip.SipMessage("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
     if knows:
         message.headers.append(("supported", "timer"))
     got = sessions.negotiate(message, TimerPolicy(1800, ours))
