--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -124,7 +124,7 @@
         self.registry = registry
         self.core = registry.core
         self.pending: dict[str, PlatformCall] = {}  # set-ups without a final answer
-        self.request_count = 0
+        self.requests = 0
         self.is_caller = False  # something other than a health check has come on it, or nothing for a while
         self.has_acknowledged = False  # a release was acknowledged on it
         self._faults = 0  # requests that could not be used
@@ -176,7 +176,7 @@
         try:
             while not self.closing and (message := self._parser.next_message()) is not None:
                 self.request_received = True
-                self.request_count += 1
+                self.requests += 1
                 self._message_received(message)
         except sip_parser.SipError as error:
             self.core.counters.add("malformed_from_callers")
--- a/stairhatch/node/platform_frontend.py
+++ b/stairhatch/node/platform_frontend.py
@@ -45,5 +45,5 @@
 
         One that asks for a health check must not get releases: it would take them for the answer.
         """
-        if not connection.request_count:
+        if not connection.requests:
             connection.identify_as_caller()
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -27,7 +27,7 @@
 
     closing: bool
     is_caller: bool  # a caller's, and no health check's
-    request_count: int
+    requests: int
     has_acknowledged: bool  # a release was acknowledged on it
 
     def send_release(self, call_id: str, cause: int) -> None:
@@ -145,7 +145,7 @@
         """
         best, found = (False, -1), None
         for channel in self._channels:  # of equals the one that spoke last
-            value = (channel.has_acknowledged, min(channel.request_count, MAX_REQUESTS_RANKED))
+            value = (channel.has_acknowledged, min(channel.requests, MAX_REQUESTS_RANKED))
             fit = channel.is_caller and not channel.closing
             if fit and channel not in release.tried and value >= best:
                 best, found = value, channel
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -622,7 +622,7 @@
         now[0] += 5
         core.timers.run_due()
     assert not core.servers.by_id and not core.servers.by_instance and not side.active
-    assert not core.calls.by_number and not front.calls and not core.calls.by_ident
+    assert not core.calls.by_number and not front.registry.calls and not core.calls.by_ident
     assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1
     assert len(core.controller.endpoints) <= 10 and len(core.timers._slots) <= 10
     assert not any("MADE" in name for name in core.counters.counts)
