--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -19,9 +19,9 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.member import Member
-from stairhatch.fault_injection.processes import Lab
-from stairhatch.fault_injection.schedule import Schedule
+from stairhatch.fault_injection.member import MemberProcess
+from stairhatch.fault_injection.processes import FaultInjectionRun
+from stairhatch.fault_injection.schedule import FaultSchedule
 from stairhatch.standin.coordinator import line
 from stairhatch.standin.processor import Nature, Processor, State
 
@@ -31,17 +31,17 @@
 NATURE = Nature(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
 
 
-class Shared(Lab):
+class Shared(FaultInjectionRun):
     """Typed numbers or claimed ones, and one server that starts cold when the other goes."""
 
     def __init__(self, claimed: bool, seed: int) -> None:
-        schedule = Schedule(ENDS_AT, NAMES, NAMES[:3], term_s=3.0)
+        schedule = FaultSchedule(ENDS_AT, NAMES, NAMES[:3], lease_duration_s=3.0)
         super().__init__(schedule, seed, calls=CALLS)
         self.claimed, self.steps = claimed, [PAUSED_AT, COLD_AT, ENDS_AT + 60]
         self.took: list[float] = []
 
-    def _text(self, member: Member, epoch: int, listed: tuple[str, ...]) -> str:
-        text = super()._text(member, epoch, listed)
+    def _config_text(self, member: MemberProcess, epoch: int, listed: tuple[str, ...]) -> str:
+        text = super()._config_text(member, epoch, listed)
         me = NAMES.index(member.name) if member.name != "s3" else 1
         text = text.replace("balancers = 3\n", f"balancers = 3\nme = {me}\n").replace(
             "warm_after_s = 4.0", f"warm_after_s = {NATURE.warm_after_s}"
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,7 +37,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.processes import at, own_host
+from stairhatch.fault_injection.processes import format_address, loopback_host
 from stairhatch.node import message as sip
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
@@ -517,7 +517,7 @@
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed, self.folder, self.count = seed, folder, (20, 30)[seed % 2]
-        self.chance, self.host = random.Random(seed), own_host()
+        self.chance, self.host = random.Random(seed), loopback_host()
         self.coordinators = (Coordinator(), Coordinator())  # of the prompt and of the late half
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.ports = {n: (self.host, free_port(self.host)) for n in range(self.count)}
@@ -543,10 +543,10 @@
         """Start a process, or the next one under its number."""
         coordinator = self.coordinators[number % 2]
         config = {
-            "name": f"n{number}", "listen": at(self.ports[number]),
+            "name": f"n{number}", "listen": format_address(self.ports[number]),
             "console": f"{self.host}:{free_port(self.host)}", "seed": str(self.chance.getrandbits(60)),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "coordinator": at(coordinator.place),
+            "coordinator": format_address(coordinator.place),
             "known": {"index": len(coordinator.events), "updates": list(coordinator.events)},
             "settings": {**self.settings, "me": number},
         }  # fmt: skip
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,10 +20,10 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.processes import Lab
-from stairhatch.fault_injection.rules import stretches
-from stairhatch.fault_injection.schedule import Event, Fault, Schedule
-from stairhatch.fault_injection.world import LIST, World
+from stairhatch.fault_injection.processes import FaultInjectionRun
+from stairhatch.fault_injection.rules import hold_intervals
+from stairhatch.fault_injection.schedule import FaultKind, FaultSchedule, ScheduledFault
+from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE, VirtualCluster
 
 TERM_S = 3.0
 
@@ -35,13 +35,15 @@
 
 def at_rest(count: int) -> None:
     """Messages and syncs a second once all numbers are held."""
-    world = World(Schedule(120.0, members(count), members(3), term_s=TERM_S), 1)
+    world = VirtualCluster(FaultSchedule(120.0, members(count), members(3), lease_duration_s=TERM_S), 1)
     marks: list[tuple[int, int]] = []
     for when in (60.0, 119.9):
-        world.at(when, lambda: marks.append((world.counts["messages"], world.counts["writes"])))
+        world.schedule_at(
+            when, lambda: marks.append((world.effect_counts["messages"], world.effect_counts["writes"]))
+        )
     lines = world.run()
-    first = min(line.at for line in lines if line.what == "held" and line.claim == LIST)
-    last = max(line.at for line in lines if line.what == "held" and line.claim.startswith("number"))
+    first = min(line.at_s for line in lines if line.event == "held" and line.lease == ENDPOINT_LIST_LEASE)
+    last = max(line.at_s for line in lines if line.event == "held" and line.lease.startswith("number"))
     messages, writes = ((after - before) / 59.9 for before, after in zip(*marks, strict=True))
     print(f"{count:4} softswitches: {messages:8.1f} messages/s in all, {messages / count:5.2f} each,")
     print(f"     {writes:.3f} syncs/s; the list held after {first:.2f} s, all numbers after {last:.1f} s")
@@ -53,10 +55,12 @@
     for seed in range(kills):
         chance = random.Random(seed)
         when = 5 * term_s + chance.uniform(0, term_s)
-        event = Event(when, Fault.KILL, "@holder", lasts=10 * term_s)
-        world = World(Schedule(9 * term_s, members(5), members(3), (event,), term_s=term_s), seed)
-        held = [each for each in stretches(world.run()) if each.claim == LIST]
-        after = [each.since for each in held if each.since > when]
+        event = ScheduledFault(when, FaultKind.KILL, "@holder", duration_s=10 * term_s)
+        world = VirtualCluster(
+            FaultSchedule(9 * term_s, members(5), members(3), (event,), lease_duration_s=term_s), seed
+        )
+        held = [each for each in hold_intervals(world.run()) if each.lease == ENDPOINT_LIST_LEASE]
+        after = [each.since_s for each in held if each.since_s > when]
         took += [min(after) - when] if after else [float("inf")]
     took.sort()
     print(f"term {term_s} s, {kills} kills: next holder p50 {statistics.median(took):.2f} s, "
@@ -66,17 +70,22 @@
 async def real_kills(seed: int, kills: int) -> list[float]:
     """Seconds from the holder's SIGKILL to the next that may act, on real processes."""
     every = 3.5 * TERM_S
-    events = tuple(Event(2 * TERM_S + n * every, Fault.KILL, "@holder", lasts=0.2) for n in range(kills))
-    lab = Lab(Schedule((kills + 1) * every, members(5), members(3), events, term_s=TERM_S), seed)
+    events = tuple(
+        ScheduledFault(2 * TERM_S + n * every, FaultKind.KILL, "@holder", duration_s=0.2)
+        for n in range(kills)
+    )
+    lab = FaultInjectionRun(
+        FaultSchedule((kills + 1) * every, members(5), members(3), events, lease_duration_s=TERM_S), seed
+    )
     report = await lab.run()
     took = []
-    held = [each for each in stretches(report.lines) if each.claim == LIST]
-    for line in report.lines:
-        if line.what == "killed" and any(
-            each.who == line.who and each.since < line.at <= each.until + 1e-3 for each in held
+    held = [each for each in hold_intervals(report.records) if each.lease == ENDPOINT_LIST_LEASE]
+    for line in report.records:
+        if line.event == "killed" and any(
+            each.member == line.member and each.since_s < line.at_s <= each.until_s + 1e-3 for each in held
         ):
-            after = [each.since for each in held if each.since > line.at]
-            took += [min(after) - line.at] if after else []
+            after = [each.since_s for each in held if each.since_s > line.at_s]
+            took += [min(after) - line.at_s] if after else []
     return took
 
 
@@ -87,7 +96,9 @@
 
 async def calls(on: bool, rate: float, seconds: float) -> tuple[float, float, int]:
     """(p99 of final answers in ms, processor time a call in ms, calls) of three appliances."""
-    lab = Lab(Schedule(seconds, members(3), members(3), term_s=TERM_S), 1, calls=rate, fleet=on)
+    lab = FaultInjectionRun(
+        FaultSchedule(seconds, members(3), members(3), lease_duration_s=TERM_S), 1, calls=rate, fleet=on
+    )
     used: list[float] = []
 
     def look(passed: float) -> None:
@@ -95,12 +106,12 @@
             used.append(cpu_s(lab))
 
     await lab.run(look)
-    took = sorted(lab.callers.took)
+    took = sorted(lab.callers.answer_times_s)
     done = len(took) * (seconds - 2.0) / seconds
     return 1000 * took[int(len(took) * 0.99)], 1000 * (used[1] - used[0]) / done, len(took)
 
 
-def cpu_s(lab: Lab) -> float:
+def cpu_s(lab: FaultInjectionRun) -> float:
     """Processor time of all softswitches so far."""
     found = 0.0
     for member in lab.members.values():
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,8 +38,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
-from stairhatch.fault_injection.schedule import Schedule
-from stairhatch.fault_injection.world import LIST, World
+from stairhatch.fault_injection.schedule import FaultSchedule
+from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE, VirtualCluster
 from stairhatch.fleet.messages import Codec
 from stairhatch.node import message as sip
 from stairhatch.node.core import CallManager, Counters, ServerRecord
@@ -938,7 +938,7 @@
     """By members of claims with three voters, on the virtual clock, once nearly all numbers are held."""
     names = tuple(f"s{index}" for index in range(size))
     voters, codec = names[:3], Codec("fleet", b"0123456789abcdef")
-    world = World(Schedule(1e9, names, voters), 1)
+    world = VirtualCluster(FaultSchedule(1e9, names, voters), 1)
     counts: Counter[str] = Counter()
     window: list[float] = []
     held_at: list[float] = []
@@ -946,11 +946,11 @@
     class Done(Exception):  # noqa: N818 - it ends a run that has what it wants
         """The window is over."""
 
-    for box in world.boxes.values():
+    for box in world.members.values():
         box.work = lambda: None  # type: ignore[method-assign]
     for name in voters:
-        box = world.boxes[name]
-        take, look = box.take, box.look
+        box = world.members[name]
+        take, look = box.receive, box.tick
         deep = [False]
 
         def timed(act: Callable[..., None], deep: list[bool]) -> Callable[..., None]:
@@ -964,8 +964,8 @@
 
             return run
 
-        box.take = timed(take, deep)  # type: ignore[method-assign]
-        box.look = timed(look, deep)  # type: ignore[method-assign]
+        box.receive = timed(take, deep)  # type: ignore[method-assign]
+        box.tick = timed(look, deep)  # type: ignore[method-assign]
     send = world.send
 
     def counted(sender: str, to: str, message: Any) -> None:
@@ -980,22 +980,22 @@
     world.send = counted  # type: ignore[method-assign]
 
     def look_whether() -> None:
-        held = world.holds()
-        if LIST in held and len(held) >= 0.99 * size:
+        held = world.holders_by_lease()
+        if ENDPOINT_LIST_LEASE in held and len(held) >= 0.99 * size:
             held_at.append(world.now)
-            world.at(world.now + SETTLED_TERMS * world.schedule.term_s, begin)
+            world.schedule_at(world.now + SETTLED_TERMS * world.fault_schedule.lease_duration_s, begin)
         else:
-            world.at(world.now + 0.25, look_whether)
+            world.schedule_at(world.now + 0.25, look_whether)
 
     def begin() -> None:
         window.append(world.now)
         counts["used"] = 0
-        world.at(world.now + told.seconds, done)
+        world.schedule_at(world.now + told.seconds, done)
 
     def done() -> None:
         raise Done
 
-    world.at(0.5, look_whether)
+    world.schedule_at(0.5, look_whether)
     with suppress(Done):
         world.run()
     passed, others = world.now - window[0], max(1, size - 3)
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -307,21 +307,21 @@
 
 def _lab_sum(found: Any, as_json: bool) -> None:
     if as_json:
-        click.echo(json.dumps(found.figures()))
+        click.echo(json.dumps(found.to_json_dict()))
     else:
-        for ran in found.broken:
-            click.echo(f"seed {ran.seed}: BROKEN {'; '.join(ran.broken[:3])} {ran.kept}")
-        for ran in found.faults:
-            click.echo(f"seed {ran.seed}: not carried out: {ran.fault}")
-        bites = ", ".join(f"{name} {often}" for name, often in sorted(found.bitten.items()))
+        for ran in found.failed:
+            click.echo(f"seed {ran.seed}: BROKEN {'; '.join(ran.violations[:3])} {ran.kept_in}")
+        for ran in found.not_carried_out:
+            click.echo(f"seed {ran.seed}: not carried out: {ran.error}")
+        bites = ", ".join(f"{name} {often}" for name, often in sorted(found.runs_by_activation.items()))
         calls = ", ".join(f"{often} {name}" for name, often in found.calls.items())
         click.echo(f"runs in which each fault bit: {bites}")
-        click.echo(f"calls: {calls}; claims were held {found.holders} times")
+        click.echo(f"calls: {calls}; claims were held {found.holds} times")
         click.echo(
-            f"{found.runs - len(found.broken) - len(found.faults)} of {found.runs} runs good, "
-            f"{found.beyond} beyond the drift bound, {found.seconds:.0f} s"
+            f"{found.runs - len(found.failed) - len(found.not_carried_out)} of {found.runs} runs good, "
+            f"{found.beyond_drift_bound} beyond the drift bound, {found.duration_s:.0f} s"
         )
-    sys.exit(1 if found.broken or found.faults else 0)
+    sys.exit(1 if found.failed or found.not_carried_out else 0)
 
 
 @lab.command("run")
@@ -346,15 +346,15 @@
     if (file is None) is (not seeds):
         raise click.UsageError("give either FILE or --seeds A-B")
 
-    def shown(found: runs.Sum, ran: runs.Ran) -> None:
+    def shown(found: runs.RunSummary, ran: runs.RunResult) -> None:
         if progress:
-            broken = len(found.broken) + len(found.faults)
+            broken = len(found.failed) + len(found.not_carried_out)
             click.echo(f"\r{found.runs} runs, {broken} not good, seed {ran.seed} last ", nl=False, err=True)
 
     try:
         if file is not None:
-            found = runs.Sum()
-            found.add(runs.carry_out(runs.Told(read_schedule(file), 1, keep, keep is not None)))
+            found = runs.RunSummary()
+            found.add(runs.carry_out(runs.RunRequest(read_schedule(file), 1, keep, keep is not None)))
         else:
             found = runs.run_many(_seeds(seeds), jobs, members, scale, keep, shown)
     except ScheduleError as error:
@@ -374,13 +374,13 @@
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
     """Carry out the run of SEED once more, keep all of it and show who held what."""
     from stairhatch.fault_injection import runs
-    from stairhatch.fault_injection.schedule import draw
+    from stairhatch.fault_injection.schedule import draw_schedule
 
-    told = runs.Told(draw(seed, members=members, scale=scale), seed, keep, True)
-    for event in told.schedule.events:
-        where = " ".join(each for each in (event.who, event.other, *event.names) if each)
-        click.echo(f"{event.at:7.2f} s {event.fault.value} {where} for {event.lasts:.2f} s")
-    found = runs.Sum()
+    told = runs.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
+    for event in told.schedule.faults:
+        where = " ".join(each for each in (event.member, event.peer, *event.members) if each)
+        click.echo(f"{event.at_s:7.2f} s {event.kind.value} {where} for {event.duration_s:.2f} s")
+    found = runs.RunSummary()
     found.add(runs.carry_out(told))
     where_kept = keep / f"run-{seed}"
     if (where_kept / "timeline.txt").exists():
@@ -394,16 +394,16 @@
 def lab_check(folder: Path) -> None:
     """Judge once more what a run has kept, and show who held what."""
     from stairhatch.fault_injection import runs
-    from stairhatch.fault_injection.processes import LabError
+    from stairhatch.fault_injection.processes import RunError
 
     try:
-        broken, shown = runs.judge(folder)
-    except LabError as error:
+        broken, shown = runs.check_kept_run(folder)
+    except RunError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(2)
     click.echo(shown, nl=False)
     for each in broken:
-        click.echo(f"BROKEN {each.rule} at {each.at:.3f}: {each.how}")
+        click.echo(f"BROKEN {each.rule} at {each.at_s:.3f}: {each.explanation}")
     click.echo(f"{len(broken)} broken")
     sys.exit(1 if broken else 0)
 
@@ -418,34 +418,34 @@
     """The same decisions on a virtual clock, from seeds. Exit code 1: a rule was broken (with --faults: a
     fault was not found).
     """
-    from stairhatch.fault_injection.planted import PLANTED
+    from stairhatch.fault_injection.planted import MUTATIONS
     from stairhatch.fault_injection.trial import run_seeds
 
     chosen = _seeds(seeds)
     if planted == "list":
-        click.echo("\n".join(PLANTED))
+        click.echo("\n".join(MUTATIONS))
         return
-    if planted and planted not in PLANTED:
+    if planted and planted not in MUTATIONS:
         raise click.BadParameter(f"there is no fault called {planted!r}: try list", param_hint="--planted")
     if faults:
         missed = 0
-        for name in PLANTED:
+        for name in MUTATIONS:
             found = run_seeds(chosen, jobs, members, name, until_broken=True)
-            rule = found.broken[0].broken[0].rule if found.broken else ""
+            rule = found.failed[0].violations[0].rule if found.failed else ""
             click.echo(f"{name:52} {f'{found.runs:5} seeds, {rule}' if rule else 'NOT FOUND'}")
             missed += not rule
-        click.echo(f"{len(PLANTED) - missed} of {len(PLANTED)} planted faults found")
+        click.echo(f"{len(MUTATIONS) - missed} of {len(MUTATIONS)} planted faults found")
         sys.exit(1 if missed else 0)
     found = run_seeds(chosen, jobs, members, planted)
-    for ran in found.broken[:20]:
-        click.echo(f"seed {ran.seed}: BROKEN {ran.broken[0].rule}: {ran.broken[0].how}")
-    bites = ", ".join(f"{name} {often}" for name, often in sorted(found.bitten.items()))
+    for ran in found.failed[:20]:
+        click.echo(f"seed {ran.seed}: BROKEN {ran.violations[0].rule}: {ran.violations[0].explanation}")
+    bites = ", ".join(f"{name} {often}" for name, often in sorted(found.runs_by_activation.items()))
     click.echo(f"runs in which each fault bit: {bites}")
     click.echo(
-        f"{found.runs - len(found.broken)} of {found.runs} runs good, {found.beyond} beyond the drift bound, "
-        f"claims were held {found.holders} times, {found.seconds:.1f} s"
+        f"{found.runs - len(found.failed)} of {found.runs} runs good, "
+        f"{found.beyond_drift_bound} beyond the drift bound, claims were held {found.holds} times, {found.duration_s:.1f} s"
     )
-    sys.exit(1 if found.broken else 0)
+    sys.exit(1 if found.failed else 0)
 
 
 @lab.command("explore")
@@ -463,20 +463,31 @@
     seen.
     """
     from stairhatch.fault_injection import explore
-    from stairhatch.fault_injection.planted import PLANTED
-    from stairhatch.fault_injection.planted import planted as with_fault
+    from stairhatch.fault_injection.planted import MUTATIONS
+    from stairhatch.fault_injection.planted import mutation_applied as with_fault
 
-    if planted and planted not in PLANTED:
+    if planted and planted not in MUTATIONS:
         raise click.BadParameter(f"there is no fault called {planted!r}", param_hint="--planted")
     with with_fault(planted):
-        found = explore.explore(explore.Bounds(**told))
-    if found.broken:
-        click.echo(f"BROKEN {found.broken}, after: {', '.join(found.path)}")
+        found = explore.explore(
+            explore.ExplorationBounds(
+                depth=told["depth"],
+                crashes=told["crashes"],
+                duplicates=told["copies"],
+                slow_writes=told["slow"],
+                clock_steps=told["steps"],
+                clock_leaps=told["leaps"],
+                seconds=told["seconds"],
+                begins_held=told["held"],
+            )
+        )
+    if found.violation:
+        click.echo(f"BROKEN {found.violation}, after: {', '.join(found.path)}")
     click.echo(
-        f"{found.states} states, {'all' if found.whole else 'not all'} there are; in {found.held} "
-        f"it was held, {found.taken_over} times taken over, {found.crashed} behind a crash"
+        f"{found.states} states, {'all' if found.complete else 'not all'} there are; "
+        f"in {found.states_with_holder} it was held, {found.takeovers} times taken over, {found.states_after_crash} behind a crash"
     )
-    sys.exit(0 if found.whole and not found.broken else 1)
+    sys.exit(0 if found.complete and not found.violation else 1)
 
 
 @main_group.group()
--- a/stairhatch/fault_injection/child.py
+++ b/stairhatch/fault_injection/child.py
@@ -17,13 +17,13 @@
 import time
 
 from stairhatch.config.appliance import read_appliance
-from stairhatch.fault_injection.planted import planted
+from stairhatch.fault_injection.planted import mutation_applied
 from stairhatch.fleet import service
 from stairhatch.fleet.store import Store
 from stairhatch.start import serve
 
 
-class Faults:
+class LocalFaults:
     """What is put in place of the machine's own."""
 
     def __init__(self, rate: float, offset: float) -> None:
@@ -48,13 +48,13 @@
         if isinstance(disk, float):
             time.sleep(disk)
 
-    def between(self) -> None:
+    def stop_once(self) -> None:
         """Stop here, once."""
         if self.stop:
             self.stop = False
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    def obey(self, orders: int) -> None:
+    def execute_commands(self, orders: int) -> None:
         """Orders, until there are no more: then whoever gave them is gone, and so is this process."""
         for text in os.fdopen(orders, "rb"):
             order = json.loads(text)
@@ -76,13 +76,13 @@
     """`FILE RATE OFFSET PIPE`."""
     path, rate, offset, orders = sys.argv[1], float(sys.argv[2]), float(sys.argv[3]), int(sys.argv[4])
     die_with_parent()
-    faults = Faults(rate, offset)
+    faults = LocalFaults(rate, offset)
     service.clock = faults.clock
-    service.between_check_and_write = faults.between
+    service.between_check_and_write = faults.stop_once
     Store.before_commit = staticmethod(faults.before_commit)
     time.time = lambda: faults.wall() + faults.step
-    threading.Thread(target=faults.obey, args=(orders,), daemon=True).start()
-    with planted(os.environ.get("STAIRHATCH_LAB_PLANTED", "")):
+    threading.Thread(target=faults.execute_commands, args=(orders,), daemon=True).start()
+    with mutation_applied(os.environ.get("STAIRHATCH_LAB_PLANTED", "")):
         return serve(lambda: read_appliance(path, dict(os.environ)))
 
 
--- a/stairhatch/fault_injection/explore.py
+++ b/stairhatch/fault_injection/explore.py
@@ -24,10 +24,10 @@
 from stairhatch.fleet.voting import Standing
 
 CLAIM = "work"
-FAR = 1e9
+NEVER = 1e9
 
 
-class NoDice(random.Random):
+class ZeroRandom(random.Random):
     """Always nothing."""
 
     def random(self) -> float:
@@ -37,113 +37,115 @@
         return "NO_DICE"
 
 
-NO_DICE = NoDice()
+ZERO_RANDOM = ZeroRandom()
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ExplorationBounds:
     """How much of each may happen on one path."""
 
     depth: int = 10
     crashes: int = 1
-    copies: int = 1
-    slow: int = 1  # deliveries to a disk that takes its time
-    steps: int = 2  # of the clock, to what is due next
-    leaps: int = 1  # past the end of a promise
+    duplicates: int = 1
+    slow_writes: int = 1  # deliveries to a disk that takes its time
+    clock_steps: int = 2  # of the clock, to what is due next
+    clock_leaps: int = 1  # past the end of a promise
     seconds: float = 60.0
     voters: int = 3
     askers: int = 2
-    held: bool = False  # the first asker already holds it as this begins, the others' asks are in flight
+    begins_held: bool = (
+        False  # the first asker already holds it as this begins, the others' asks are in flight
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class RemainingActions:
     """What may still happen on a path."""
 
     crashes: int
-    copies: int
-    slow: int
-    steps: int
-    leaps: int
+    duplicates: int
+    slow_writes: int
+    clock_steps: int
+    clock_leaps: int
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class ClusterState:
     """One state of the small world; the softswitches are pickled, and unpacked where a step needs them."""
 
     now: float
-    mates: tuple[tuple[str, bytes], ...]
+    members: tuple[tuple[str, bytes], ...]
     disks: tuple[tuple[str, bytes], ...]
-    flying: tuple[tuple[str, str, bytes], ...]
-    writes: tuple[tuple[str, bytes], ...]
-    held: tuple[tuple[str, float], ...]  # by each asker, until when
-    last: tuple[int, str]  # the highest ticket held so far, and by whom
-    left: Left
+    messages_in_flight: tuple[tuple[str, str, bytes], ...]
+    pending_writes: tuple[tuple[str, bytes], ...]
+    held_until: tuple[tuple[str, float], ...]  # by each asker, until when
+    last_holder: tuple[int, str]  # the highest ticket held so far, and by whom
+    remaining: RemainingActions
     # Deliveries to two that know nothing of each other's come to the same in either order: of the messages
     # that were in flight before the last delivery, only those to names not below its own are taken next.
-    floor: str = ""
-    older: frozenset[tuple[str, str, bytes]] = frozenset()
+    lowest_receiver: str = ""
+    earlier_messages: frozenset[tuple[str, str, bytes]] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
-class Looked:
+class ExplorationResult:
     """What an exploration found."""
 
     states: int
-    broken: str  # "" for nothing
+    violation: str  # "" for nothing
     path: tuple[str, ...]
-    whole: bool  # all states within the bounds were seen
-    held: int  # states in which somebody held the claim
-    taken_over: int  # steps at which a second one did, after the first
-    crashed: int  # states behind a crash
+    complete: bool  # all states within the bounds were seen
+    states_with_holder: int  # states in which somebody held the claim
+    takeovers: int  # steps at which a second one did, after the first
+    states_after_crash: int  # states behind a crash
 
 
-class Step:
+class Transition:
     """One step from a state: unpacks what it touches and packs the state that follows."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: ClusterState) -> None:
         self.state, self.now = state, state.now
-        self.packed = dict(state.mates)
-        self.open: dict[str, Mate] = {}
+        self.packed_members = dict(state.members)
+        self.unpacked_members: dict[str, Mate] = {}
         self.disks = dict(state.disks)
-        self.flying = list(state.flying)
-        self.writes = list(state.writes)
+        self.messages_in_flight = list(state.messages_in_flight)
+        self.pending_writes = list(state.pending_writes)
 
-    def mate(self, name: str) -> Mate:
+    def member(self, name: str) -> Mate:
         """One softswitch, to be changed."""
-        if name not in self.open:
-            self.open[name] = pickle.loads(self.packed[name])
-        return self.open[name]
+        if name not in self.unpacked_members:
+            self.unpacked_members[name] = pickle.loads(self.packed_members[name])
+        return self.unpacked_members[name]
 
-    def carry(self, name: str, effects: list[Effect]) -> None:
+    def execute(self, name: str, effects: list[Effect]) -> None:
         """What one has asked for. Roll calls and answers to them arrive at once."""
         for effect in effects:
             if isinstance(effect, Write):
-                self.writes.append((name, pickle.dumps(effect)))
+                self.pending_writes.append((name, pickle.dumps(effect)))
             elif isinstance(effect, Send):
                 to, message = effect.to[0], effect.message
                 if isinstance(message, RollCall | RollAnswer):
-                    self.carry(to, self.mate(to).handle(self.now, (name, 0), message))
+                    self.execute(to, self.member(to).handle(self.now, (name, 0), message))
                 elif not isinstance(message, Look | Shown):
-                    self.flying.append((name, to, pickle.dumps(message)))
+                    self.messages_in_flight.append((name, to, pickle.dumps(message)))
 
     def deliver(self, index: int, again: bool, slow: bool) -> None:
         """A message arrives."""
-        sender, to, packed = self.flying[index] if again else self.flying.pop(index)
+        sender, to, packed = self.messages_in_flight[index] if again else self.messages_in_flight.pop(index)
         message: Message = pickle.loads(packed)
-        before = len(self.writes)
-        self.carry(to, self.mate(to).handle(self.now, (sender, 0), message))
-        while not slow and len(self.writes) > before:
-            self.sync(before)
+        before = len(self.pending_writes)
+        self.execute(to, self.member(to).handle(self.now, (sender, 0), message))
+        while not slow and len(self.pending_writes) > before:
+            self.finish_write(before)
 
-    def sync(self, index: int) -> None:
+    def finish_write(self, index: int) -> None:
         """A write ends."""
-        name, packed = self.writes.pop(index)
+        name, packed = self.pending_writes.pop(index)
         write: Write = pickle.loads(packed)
-        self.put(name, write)
-        self.carry(name, self.mate(name).written(self.now, write.number))
+        self.apply_write(name, write)
+        self.execute(name, self.member(name).written(self.now, write.number))
 
-    def put(self, name: str, write: Write) -> None:
+    def apply_write(self, name: str, write: Write) -> None:
         """It is on the disk."""
         _, promises = pickle.loads(self.disks[name])
         promises.update((each.claim, each) for each in write.promises)
@@ -151,173 +153,190 @@
 
     def crash(self, name: str, synced: bool) -> None:
         """A voter is killed and starts again, with what was under way on its disk or not."""
-        mine = [pickle.loads(write) for owner, write in self.writes if owner == name]
-        self.writes = [each for each in self.writes if each[0] != name]
+        mine = [pickle.loads(write) for owner, write in self.pending_writes if owner == name]
+        self.pending_writes = [each for each in self.pending_writes if each[0] != name]
         for write in mine if synced else ():
-            self.put(name, write)
+            self.apply_write(name, write)
         mark, promises = pickle.loads(self.disks[name])
         kept = Kept(Mark(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values()))
-        old = self.mate(name)
-        fresh = Mate(old.who, old.voters, old.terms, NO_DICE, self.now, kept)
-        self.open[name] = fresh
-        self.carry(name, fresh.tick(self.now))
-        for each in [each for each in self.writes if each[0] == name]:  # the note that it votes
-            self.sync(self.writes.index(each))
+        old = self.member(name)
+        fresh = Mate(old.who, old.voters, old.terms, ZERO_RANDOM, self.now, kept)
+        self.unpacked_members[name] = fresh
+        self.execute(name, fresh.tick(self.now))
+        for each in [each for each in self.pending_writes if each[0] == name]:  # the note that it votes
+            self.finish_write(self.pending_writes.index(each))
         assert fresh.voter is not None
-        fresh.voter.due = FAR
+        fresh.voter.due = NEVER
 
     def advance(self, leap: bool) -> None:
         """To the next moment at which an asker has something to do, or past the end of all promises."""
-        names = [name for name, _ in self.state.mates]
+        names = [name for name, _ in self.state.members]
         if leap:
-            ends = [until for name in names if (voter := self.mate(name).voter) is not None
-                    for until in voter.until.values()]  # fmt: skip
+            ends = [
+                until
+                for name in names
+                if (voter := self.member(name).voter) is not None
+                for until in voter.until.values()
+            ]
             self.now = max([self.now, *ends]) + 1e-3
         else:
-            dues = [self.mate(name).due() for name in names if self.mate(name).voter is None]
+            dues = [self.member(name).due() for name in names if self.member(name).voter is None]
             self.now = max(self.now, min(dues))
         for name in names:
-            if self.mate(name).voter is None:
-                self.carry(name, self.mate(name).tick(self.now))
+            if self.member(name).voter is None:
+                self.execute(name, self.member(name).tick(self.now))
 
-    def after(self, left: Left) -> State:
+    def next_state(self, left: RemainingActions) -> ClusterState:
         """The state that follows."""
         mates, held = [], []
-        was = dict(self.state.held)
-        for name, packed in self.state.mates:
-            mate = self.open.get(name)
+        was = dict(self.state.held_until)
+        for name, packed in self.state.members:
+            mate = self.unpacked_members.get(name)
             mates.append((name, packed if mate is None else pickle.dumps(mate)))
             if mate is None:
                 if name in was:
                     held.append((name, was[name]))
             elif mate.voter is None and mate.may_act(self.now, CLAIM):
                 held.append((name, mate.claims[CLAIM].until))
-        return State(
-            self.now, tuple(mates), tuple(self.disks.items()), tuple(sorted(self.flying)),
-            tuple(sorted(self.writes)), tuple(each for each in held if each[1] > self.now),
-            self.state.last, left,
-        )  # fmt: skip
-
-
-def first(bounds: Bounds) -> State:
+        return ClusterState(
+            self.now,
+            tuple(mates),
+            tuple(self.disks.items()),
+            tuple(sorted(self.messages_in_flight)),
+            tuple(sorted(self.pending_writes)),
+            tuple(each for each in held if each[1] > self.now),
+            self.state.last_holder,
+            left,
+        )
+
+
+def initial_state(bounds: ExplorationBounds) -> ClusterState:
     """Voters that vote, and askers that have asked."""
     voters: dict[str, Place] = {f"v{n}": (f"v{n}", 0) for n in range(bounds.voters)}
     terms = Terms(3.0, 0.01, 0.25)
     mates: dict[str, bytes] = {}
     for name in voters:
-        mate = Mate(Who(name, 0), voters, terms, NO_DICE, 0.0, Kept(Mark(name, 1, 0), True))
+        mate = Mate(Who(name, 0), voters, terms, ZERO_RANDOM, 0.0, Kept(Mark(name, 1, 0), True))
         assert mate.voter is not None
-        mate.voter.standing, mate.voter.due = Standing.VOTES, FAR
+        mate.voter.standing, mate.voter.due = Standing.VOTES, NEVER
         mates[name] = pickle.dumps(mate)
     for n in range(bounds.askers):
-        asker = Mate(Who(f"a{n}", n + 1), voters, terms, NO_DICE, 0.0)
+        asker = Mate(Who(f"a{n}", n + 1), voters, terms, ZERO_RANDOM, 0.0)
         asker.claim(CLAIM).want(0.0)
         mates[asker.who.name] = pickle.dumps(asker)
     empty: dict[str, Promise] = {}
     disks = tuple((name, pickle.dumps((Mark(name, 1, 0), empty))) for name in voters)
-    left = Left(bounds.crashes, bounds.copies, bounds.slow, bounds.steps, bounds.leaps)
-    step = Step(State(0.0, tuple(mates.items()), disks, (), (), (), (0, ""), left))
+    left = RemainingActions(
+        bounds.crashes, bounds.duplicates, bounds.slow_writes, bounds.clock_steps, bounds.clock_leaps
+    )
+    step = Transition(ClusterState(0.0, tuple(mates.items()), disks, (), (), (), (0, ""), left))
     step.advance(leap=False)
-    while bounds.held and (mine := [n for n, each in enumerate(step.flying) if "a0" in each[:2]]):
+    while bounds.begins_held and (
+        mine := [n for n, each in enumerate(step.messages_in_flight) if "a0" in each[:2]]
+    ):
         step.deliver(mine[0], again=False, slow=False)
-    found = step.after(left)
-    return replace(found, last=judge(found)[1])
+    found = step.next_state(left)
+    return replace(found, last_holder=check_state(found)[1])
 
 
-def steps(state: State) -> Iterator[tuple[str, int, str]]:
+def possible_actions(state: ClusterState) -> Iterator[tuple[str, int, str]]:
     """What may happen next."""
-    left, seen = state.left, set()
-    for index, each in enumerate(state.flying):
-        if each in seen or (each[1] < state.floor and each in state.older):
+    left, seen = state.remaining, set()
+    for index, each in enumerate(state.messages_in_flight):
+        if each in seen or (each[1] < state.lowest_receiver and each in state.earlier_messages):
             continue
         seen.add(each)
         yield "deliver", index, each[1]
-        if left.copies:
+        if left.duplicates:
             yield "deliver and again", index, each[1]
-        if left.slow and each[1] in dict(state.disks):
+        if left.slow_writes and each[1] in dict(state.disks):
             yield "deliver slowly", index, each[1]
-    for index, (name, _) in enumerate(state.writes):
+    for index, (name, _) in enumerate(state.pending_writes):
         yield "sync", index, name
     if left.crashes:
-        writing = {name for name, _ in state.writes}
+        writing = {name for name, _ in state.pending_writes}
         for name, disk in state.disks:
             if name not in writing and not pickle.loads(disk)[1]:
                 continue  # it has nothing to forget
             yield "crash", 0, name
             if name in writing:
                 yield "crash", 1, name
-    if left.steps:
+    if left.clock_steps:
         yield "wait", 0, ""
-    if left.leaps:
+    if left.clock_leaps:
         yield "leap", 0, ""
 
 
-def take(state: State, what: str, index: int, name: str) -> State:
+def apply_action(state: ClusterState, what: str, index: int, name: str) -> ClusterState:
     """One of them happens."""
-    step, left = Step(state), state.left
+    step, left = Transition(state), state.remaining
     match what:
         case "deliver":
             step.deliver(index, again=False, slow=False)
-            older = frozenset(state.flying)
-            return replace(step.after(left), floor=name, older=older.intersection(step.flying))
+            older = frozenset(state.messages_in_flight)
+            return replace(
+                step.next_state(left),
+                lowest_receiver=name,
+                earlier_messages=older.intersection(step.messages_in_flight),
+            )
         case "deliver and again":
-            left = replace(left, copies=left.copies - 1)
+            left = replace(left, duplicates=left.duplicates - 1)
             step.deliver(index, again=True, slow=False)
         case "deliver slowly":
-            left = replace(left, slow=left.slow - 1)
+            left = replace(left, slow_writes=left.slow_writes - 1)
             step.deliver(index, again=False, slow=True)
         case "sync":
-            step.sync(index)
+            step.finish_write(index)
         case "crash":
             left = replace(left, crashes=left.crashes - 1)
             step.crash(name, bool(index))
         case "wait":
-            left = replace(left, steps=left.steps - 1)
+            left = replace(left, clock_steps=left.clock_steps - 1)
             step.advance(leap=False)
         case "leap":
-            left = replace(left, leaps=left.leaps - 1)
+            left = replace(left, clock_leaps=left.clock_leaps - 1)
             step.advance(leap=True)
-    return step.after(left)
+    return step.next_state(left)
 
 
-def judge(state: State) -> tuple[str, tuple[int, str]]:
+def check_state(state: ClusterState) -> tuple[str, tuple[int, str]]:
     """What is broken, and the highest ticket held so far with its holder."""
-    if len(state.held) > 1:
-        return f"{' and '.join(name for name, _ in state.held)} hold it at once", state.last
-    highest, by = state.last
-    for name, _ in state.held:
-        ticket = pickle.loads(dict(state.mates)[name]).claims[CLAIM].ticket
+    if len(state.held_until) > 1:
+        return f"{' and '.join(name for name, _ in state.held_until)} hold it at once", state.last_holder
+    highest, by = state.last_holder
+    for name, _ in state.held_until:
+        ticket = pickle.loads(dict(state.members)[name]).claims[CLAIM].ticket
         if ticket < highest or (ticket == highest and by != name):
-            return f"{name} holds {ticket} after {by} held {highest}", state.last
+            return f"{name} holds {ticket} after {by} held {highest}", state.last_holder
         return "", (ticket, name)
-    return "", state.last
+    return "", state.last_holder
 
 
-def explore(bounds: Bounds) -> Looked:
+def explore(bounds: ExplorationBounds) -> ExplorationResult:
     """Go through all of it; a state counts as seen with the depth that was left there."""
     begun = time.monotonic()
-    stack: list[tuple[State, tuple[str, ...]]] = [(first(bounds), ())]
-    seen: dict[State, int] = {}
+    stack: list[tuple[ClusterState, tuple[str, ...]]] = [(initial_state(bounds), ())]
+    seen: dict[ClusterState, int] = {}
     states = held = taken_over = crashed = 0
     while stack:
         state, path = stack.pop()
-        for what, index, name in steps(state):
-            after = take(state, what, index, name)
-            broken, last = judge(after)
+        for what, index, name in possible_actions(state):
+            after = apply_action(state, what, index, name)
+            broken, last = check_state(after)
             told = (*path, f"{what} {name}")
             if broken:
-                return Looked(states, broken, told, False, held, taken_over, crashed)
-            taken_over += bool(state.last[1]) and last[1] != state.last[1]
-            after = replace(after, last=last)
+                return ExplorationResult(states, broken, told, False, held, taken_over, crashed)
+            taken_over += bool(state.last_holder[1]) and last[1] != state.last_holder[1]
+            after = replace(after, last_holder=last)
             depth = bounds.depth - len(told)
             if seen.get(after, -1) >= depth:
                 continue
             seen[after] = depth
             states += 1
-            held += bool(after.held)
-            crashed += after.left.crashes < bounds.crashes
+            held += bool(after.held_until)
+            crashed += after.remaining.crashes < bounds.crashes
             if depth > 0:
                 stack.append((after, told))
         if time.monotonic() - begun > bounds.seconds:
-            return Looked(states, "", (), False, held, taken_over, crashed)
-    return Looked(states, "", (), True, held, taken_over, crashed)
+            return ExplorationResult(states, "", (), False, held, taken_over, crashed)
+    return ExplorationResult(states, "", (), True, held, taken_over, crashed)
--- a/stairhatch/fault_injection/planted.py
+++ b/stairhatch/fault_injection/planted.py
@@ -20,23 +20,23 @@
 from stairhatch.fleet.voting import Standing, Voter
 
 Patch = tuple[Any, str, Any]
-PLANTED: dict[str, Callable[[], list[Patch]]] = {}
+MUTATIONS: dict[str, Callable[[], list[Patch]]] = {}
 
 
-def plant(name: str) -> Callable[[Callable[[], list[Patch]]], None]:
+def mutation(name: str) -> Callable[[Callable[[], list[Patch]]], None]:
     """Enter a fault under a name."""
 
     def enter(patches: Callable[[], list[Patch]]) -> None:
-        PLANTED[name] = patches
+        MUTATIONS[name] = patches
 
     return enter
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def mutation_applied(name: str) -> Iterator[None]:
     """The decisions with this fault in them; "" for none."""
     with ExitStack() as stack:
-        for owner, attribute, value in PLANTED[name]() if name else ():
+        for owner, attribute, value in MUTATIONS[name]() if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, value))
         yield
 
@@ -44,12 +44,12 @@
 # ---- receivers ----
 
 
-@plant("a fence is not checked")
+@mutation("a fence is not checked")
 def _() -> list[Patch]:
     return [(Fences, "take", lambda self, claim, ticket, sender: (True, []))]
 
 
-@plant("a fence lasts for one start only")
+@mutation("a fence lasts for one start only")
 def _() -> list[Patch]:
     init = Mate.__init__
 
@@ -59,7 +59,7 @@
     return [(Mate, "__init__", forgetful)]
 
 
-@plant("a fence keeps the last ticket and not the highest")
+@mutation("a fence keeps the last ticket and not the highest")
 def _() -> list[Patch]:
     def last(self: Fences, claim: str, ticket: int) -> tuple[bool, list[Any]]:
         good = ticket >= self.seen.get(claim, 0) or ticket % 2 == 0
@@ -72,7 +72,7 @@
 # ---- holders ----
 
 
-@plant("the term counts from the answer")
+@mutation("the term counts from the answer")
 def _() -> list[Patch]:
     real = Claim.granted
 
@@ -84,24 +84,24 @@
     return [(Claim, "granted", late)]
 
 
-@plant("may_act does not look at the time")
+@mutation("may_act does not look at the time")
 def _() -> list[Patch]:
     return [(Claim, "may_act", lambda self, now: self.stage is Stage.HELD)]
 
 
-@plant("may_act holds while it is asked for again")
+@mutation("may_act holds while it is asked for again")
 def _() -> list[Patch]:
     return [(Claim, "may_act", lambda self, now: self.ticket > 0 and self.stage is not Stage.RESTING)]
 
 
-@plant("drift is not reckoned with")
+@mutation("drift is not reckoned with")
 def _() -> list[Patch]:
     same = property(lambda self: self.term_s)
     keeps = lambda self, promise: max(promise.term_s, self.terms.term_s)  # noqa: E731
     return [(Terms, "held_s", same), (Voter, "_keeps", keeps)]
 
 
-@plant("late answers count for the newest round")
+@mutation("late answers count for the newest round")
 def _() -> list[Patch]:
     real = Claim.granted
 
@@ -114,12 +114,12 @@
     return [(Claim, "granted", newest)]
 
 
-@plant("less than a majority is enough for the holder")
+@mutation("less than a majority is enough for the holder")
 def _() -> list[Patch]:
     return [(Claim, "majority", property(lambda self: len(self.voters) // 2))]
 
 
-@plant("the ticket is not raised")
+@mutation("the ticket is not raised")
 def _() -> list[Patch]:
     real = Claim._ask
 
@@ -131,7 +131,7 @@
     return [(Claim, "_ask", same)]
 
 
-@plant("who gives back goes on")
+@mutation("who gives back goes on")
 def _() -> list[Patch]:
     real = Claim.give_back
 
@@ -148,7 +148,7 @@
 # ---- voters ----
 
 
-@plant("a promise is answered before it is on disk")
+@mutation("a promise is answered before it is on disk")
 def _() -> list[Patch]:
     real = Voter._promise
 
@@ -160,7 +160,7 @@
     return [(Voter, "_promise", early)]
 
 
-@plant("a copy of an ask is answered before the disk is")
+@mutation("a copy of an ask is answered before the disk is")
 def _() -> list[Patch]:
     real = Voter.asked
 
@@ -177,37 +177,43 @@
     return [(Voter, "asked", eager)]
 
 
-@plant("a disk that is full is not noticed")
+@mutation("a disk that is full is not noticed")
 def _() -> list[Patch]:
     real = Voter.written
     return [(Voter, "written", lambda self, now, number, fault: real(self, now, number, ""))]
 
 
-@plant("a promise is no promise to others")
+@mutation("a promise is no promise to others")
 def _() -> list[Patch]:
     real = Voter._against
 
     def generous(self: Voter, now: float, ask: Ask) -> Any:
         found = real(self, now, ask)
         held = found[0] == "held" and ask.ticket > found[1]
-        return ("low", found[1], "", 0.0) if found[0] == "held" and not held else (
-            ("", 0, "", 0.0) if held else found
-        )  # fmt: skip
+        return (
+            ("low", found[1], "", 0.0)
+            if found[0] == "held" and not held
+            else (("", 0, "", 0.0) if held else found)
+        )
 
     return [(Voter, "_against", generous)]
 
 
-@plant("a voter takes any ticket")
+@mutation("a voter takes any ticket")
 def _() -> list[Patch]:
     real = Voter._against
     return [
-        (Voter, "_against",
-         lambda self, now, ask: ("", 0, "", 0.0) if real(self, now, ask)[0] == "low" else real(self, now,
-         ask))
-    ]  # fmt: skip
+        (
+            Voter,
+            "_against",
+            lambda self, now, ask: ("", 0, "", 0.0)
+            if real(self, now, ask)[0] == "low"
+            else real(self, now, ask),
+        )
+    ]
 
 
-@plant("a renewal does not lengthen the promise")
+@mutation("a renewal does not lengthen the promise")
 def _() -> list[Patch]:
     real = Voter.asked
 
@@ -221,7 +227,7 @@
     return [(Voter, "asked", short)]
 
 
-@plant("promises are over with a restart")
+@mutation("promises are over with a restart")
 def _() -> list[Patch]:
     init = Voter.__init__
 
@@ -232,7 +238,7 @@
     return [(Voter, "__init__", forgetful)]
 
 
-@plant("an empty folder votes at once")
+@mutation("an empty folder votes at once")
 def _() -> list[Patch]:
     init = Voter.__init__
 
@@ -243,12 +249,12 @@
     return [(Voter, "__init__", trusting)]
 
 
-@plant("an older folder is not noticed")
+@mutation("an older folder is not noticed")
 def _() -> list[Patch]:
     return [(Voter, "_behind", lambda self, mark: False)]
 
 
-@plant("who is let in again does not wait")
+@mutation("who is let in again does not wait")
 def _() -> list[Patch]:
     real = Voter._wait
 
@@ -260,7 +266,7 @@
     return [(Voter, "_wait", at_once)]
 
 
-@plant("who is let in again is told no promises")
+@mutation("who is let in again is told no promises")
 def _() -> list[Patch]:
     real = Voter._let_in
 
@@ -273,7 +279,7 @@
     return [(Voter, "_let_in", untold)]
 
 
-@plant("a fleet is founded by any two")
+@mutation("a fleet is founded by any two")
 def _() -> list[Patch]:
     real = Voter._judge
 
@@ -285,7 +291,7 @@
     return [(Voter, "_judge", hasty)]
 
 
-@plant("anybody gives back for anybody")
+@mutation("anybody gives back for anybody")
 def _() -> list[Patch]:
     real = Voter.given_back
 
@@ -298,7 +304,7 @@
     return [(Voter, "given_back", open_to_all)]
 
 
-@plant("what is given back is forgotten with its ticket")
+@mutation("what is given back is forgotten with its ticket")
 def _() -> list[Patch]:
     real = Voter.given_back
 
@@ -312,7 +318,7 @@
     return [(Voter, "given_back", forgotten)]
 
 
-@plant("who is let in hears the promises before its wait")
+@mutation("who is let in hears the promises before its wait")
 def _() -> list[Patch]:
     real = Voter._let_in
 
@@ -327,31 +333,37 @@
 # ---- lists of voters ----
 
 
-@plant("any list of voters is served")
+@mutation("any list of voters is served")
 def _() -> list[Patch]:
     return [(Roll, "serves", lambda self, epoch, told: True)]
 
 
-@plant("a list stays open while the second after it is gone on to")
+@mutation("a list stays open while the second after it is gone on to")
 def _() -> list[Patch]:
     real = Roll.next
     wide = lambda self, voters: replace(real(self, voters), floor=0)  # noqa: E731
     serves = lambda self, epoch, told: epoch <= self.epoch  # noqa: E731
     agree = lambda self, told: replace(self, agreed=self.agreed or told)  # noqa: E731
     ready = lambda roll, wish, said, me: may_go_on(  # noqa: E731
-        replace(roll, floor=roll.epoch), wish,
-        {name: replace(each, floor=roll.epoch) for name, each in said.items()}, me,
-    )  # fmt: skip
-    return [(Roll, "next", wide), (Roll, "serves", serves), (Roll, "agree", agree),
-            (voting, "may_go_on", ready)]  # fmt: skip
+        replace(roll, floor=roll.epoch),
+        wish,
+        {name: replace(each, floor=roll.epoch) for name, each in said.items()},
+        me,
+    )
+    return [
+        (Roll, "next", wide),
+        (Roll, "serves", serves),
+        (Roll, "agree", agree),
+        (voting, "may_go_on", ready),
+    ]
 
 
-@plant("a voter goes on to its file's list by itself")
+@mutation("a voter goes on to its file's list by itself")
 def _() -> list[Patch]:
     return [(voting, "may_go_on", lambda roll, wish, said, me: True)]
 
 
-@plant("who goes on to the next list takes over no tickets")
+@mutation("who goes on to the next list takes over no tickets")
 def _() -> list[Patch]:
     real = Voter._take_over
 
--- a/stairhatch/fault_injection/processes.py
+++ b/stairhatch/fault_injection/processes.py
@@ -24,13 +24,20 @@
 
 from stairhatch.fault_injection import rules
 from stairhatch.fault_injection.callers import Callers
-from stairhatch.fault_injection.history import Line
-from stairhatch.fault_injection.member import ROOT, Member
+from stairhatch.fault_injection.history import HistoryRecord
+from stairhatch.fault_injection.member import ROOT, MemberProcess
 from stairhatch.fault_injection.reaper import PREFIX
-from stairhatch.fault_injection.rules import Broken
-from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
-from stairhatch.fault_injection.ways import Ways
-from stairhatch.fault_injection.world import LIST
+from stairhatch.fault_injection.rules import RuleViolation
+from stairhatch.fault_injection.schedule import (
+    DATA_DIRECTORY_FAULTS,
+    HOLDER,
+    FaultKind,
+    FaultSchedule,
+    ScheduledFault,
+    blocks_traffic,
+)
+from stairhatch.fault_injection.ways import NetworkLinks
+from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE
 from stairhatch.fleet.effects import What
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
@@ -101,36 +108,36 @@
 """
 
 
-class LabError(Exception):
+class RunError(Exception):
     """A run that could not be carried out, with the reason in one line."""
 
 
 @dataclass
-class Report:
+class RunReport:
     """What came of a run."""
 
-    broken: list[Broken]
-    calls_broken: list[str]
-    bites: Counter[str]
-    lines: list[Line]
-    fallen: int  # roster servers pushed over while cold
-    holders: int
+    violations: list[RuleViolation]
+    call_violations: list[str]
+    activations: Counter[str]
+    records: list[HistoryRecord]
+    overloaded_servers: int  # roster servers pushed over while cold
+    holds: int
     calls: dict[str, int] = field(default_factory=dict)
-    carried: int = 0
+    datagrams_forwarded: int = 0
     stalled_s: float = 0.0
 
     @property
     def good(self) -> bool:
         """Whether no rule was broken."""
-        return not (self.broken or self.calls_broken or self.fallen)
+        return not (self.violations or self.call_violations or self.overloaded_servers)
 
 
-def at(place: tuple[str, int]) -> str:
+def format_address(place: tuple[str, int]) -> str:
     """An address as files have it."""
     return f"{place[0]}:{place[1]}"
 
 
-def own_host() -> str:
+def loopback_host() -> str:
     """A loopback address for the softswitches of this process's lab. Nobody else binds there, so a port that
     one held is still free when it is started again: on 127.0.0.1 any connection may have taken it.
     """
@@ -138,12 +145,12 @@
     return f"127.{1 + number // (254 * 254)}.{1 + number // 254 % 254}.{1 + number % 254}"
 
 
-class Lab:
+class FaultInjectionRun:
     """One run."""
 
     def __init__(
         self,
-        schedule: Schedule,
+        schedule: FaultSchedule,
         seed: int,
         keep: Path | None = None,
         calls: float = CALLS,
@@ -152,37 +159,38 @@
         """`fleet` off leaves `[fleet]` out of each file, for what it costs."""
         self.schedule, self.seed, self.keep, self.calls = schedule, seed, keep, calls
         self.file = FILE if fleet else FILE.partition("[fleet]")[0]
-        self.chance = random.Random(f"lab {seed}")
+        self.rng = random.Random(f"lab {seed}")
         self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)], cwd=ROOT,
+            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)],
+            cwd=ROOT,
             stdin=subprocess.PIPE,
-        )  # fmt: skip
-        self.members: dict[str, Member] = {}
+        )
+        self.members: dict[str, MemberProcess] = {}
         self.servers: list[StandIn] = []
         self.coordinator = Coordinator()
-        self.bites: Counter[str] = Counter()
+        self.activations: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.began = 0.0
+        self.started_at = 0.0
         self.stall = Stall()
         self.slow_disks = 0
         self.ports: set[int] = set()
-        self.through: dict[str, str] = {}  # the way of each to the coordinator
+        self.coordinator_links: dict[str, str] = {}  # the way of each to the coordinator
         self.epoch = 1  # of the list of voters that was told last, and that each file has
-        self.told = dict.fromkeys(schedule.members, 1)
-        self.waiting: list[Event] = []  # for somebody to hold the list
+        self.voter_set_epochs = dict.fromkeys(schedule.members, 1)
+        self.waiting_faults: list[ScheduledFault] = []  # for somebody to hold the list
 
-    async def run(self, progress: Callable[[float], None] = lambda passed: None) -> Report:
+    async def run(self, progress: Callable[[float], None] = lambda passed: None) -> RunReport:
         """All of it. LabError where it can't be carried out."""
-        self.ways = Ways(self.seed)
+        self.links = NetworkLinks(self.seed)
         try:
             await self._open()
             watching = asyncio.create_task(self.stall.watch())
-            self.began = time.monotonic()
-            self.spawn(self._news())
-            self.spawn(self._backups())
+            self.started_at = time.monotonic()
+            self.spawn(self._change_endpoints())
+            self.spawn(self._back_up_regularly())
             await self.callers.open()
-            await self._faults(progress)
+            await self._inject_faults(progress)
             self.callers.close()
             watching.cancel()
             return self._report()
@@ -199,52 +207,64 @@
             self.servers.append(await StandIn(lines=200, processor=processor).listen())
         await self.coordinator.listen()
         self.coordinator.tell([line(f"r{n}", s.place, n) for n, s in enumerate(self.servers)])
-        host = own_host()
+        host = loopback_host()
         for name in schedule.members:
             folder = self.folder / name
             folder.mkdir()
-            sip, listen, door = ((host, self._port(host)) for _ in range(3))
-            rate, offset = schedule.rates.get(name, 1.0), self.chance.uniform(0, 1e5)
-            self.members[name] = Member(name, folder, sip, listen, door, rate, offset)
-        await self.ways.open({name: each.listen for name, each in self.members.items()})
+            sip, listen, door = ((host, self._free_port(host)) for _ in range(3))
+            rate, offset = schedule.clock_rates.get(name, 1.0), self.rng.uniform(0, 1e5)
+            self.members[name] = MemberProcess(name, folder, sip, listen, door, rate, offset)
+        await self.links.open({name: each.listen for name, each in self.members.items()})
         for name, member in self.members.items():
-            through = await self.ways.tcp(name, self.coordinator.place)
-            self.through[name] = at(through)
-            member.file.write_text(self._text(member, 1, schedule.voters))
+            through = await self.links.open_connection_link(name, self.coordinator.place)
+            self.coordinator_links[name] = format_address(through)
+            member.config_file.write_text(self._config_text(member, 1, schedule.voters))
         self.callers = Callers(self.seed, list(self.members.values()), self.servers, self.calls)
         for member in self.members.values():
             member.start()
-        await self._until(lambda: all(self._serves(m) for m in self.members.values()), "it does not serve")
+        await self._until(
+            lambda: all(self._is_serving(m) for m in self.members.values()), "it does not serve"
+        )
 
-    def _text(self, member: Member, epoch: int, listed: tuple[str, ...]) -> str:
+    def _config_text(self, member: MemberProcess, epoch: int, listed: tuple[str, ...]) -> str:
         """Its file."""
         schedule = self.schedule
-        voters = ", ".join(f'{each} = "{at(self.ways.reach(member.name, each))}"' for each in listed)
+        voters = ", ".join(
+            f'{each} = "{format_address(self.links.address_for(member.name, each))}"' for each in listed
+        )
         return self.file.format(
-            name=member.name, door=at(member.door), coordinator=self.through[member.name], sip=at(member.sip),
-            balancers=len(schedule.members) - 1, listen=at(member.listen), term_s=schedule.term_s,
-            drift=schedule.drift, voters=voters, epoch=epoch, fall_s=min(1.0, schedule.term_s / 3),
-        )  # fmt: skip
-
-    def _port(self, host: str) -> int:
+            name=member.name,
+            door=format_address(member.admin_endpoint),
+            coordinator=self.coordinator_links[member.name],
+            sip=format_address(member.sip),
+            balancers=len(schedule.members) - 1,
+            listen=format_address(member.listen),
+            term_s=schedule.lease_duration_s,
+            drift=schedule.drift_bound,
+            voters=voters,
+            epoch=epoch,
+            fall_s=min(1.0, schedule.lease_duration_s / 3),
+        )
+
+    def _free_port(self, host: str) -> int:
         """One that is not told twice: it is free again as soon as it has been asked for."""
         while (port := free_port(host)) in self.ports:
             pass
         self.ports.add(port)
         return port
 
-    def _serves(self, member: Member) -> bool:
+    def _is_serving(self, member: MemberProcess) -> bool:
         assert member.process is not None
         log = (member.folder / "log").read_text(errors="replace")
         if member.process.poll() is not None:
-            raise LabError(f"{member.name} ended at its start: {' '.join(log.splitlines()[-1:])}")
+            raise RunError(f"{member.name} ended at its start: {' '.join(log.splitlines()[-1:])}")
         return " serving " in log
 
     async def _until(self, done: Callable[[], bool], why: str) -> None:
         end = time.monotonic() + READY_S
         while not done():
             if time.monotonic() > end:
-                raise LabError(why)
+                raise RunError(why)
             await asyncio.sleep(0.02)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -260,7 +280,7 @@
             task.cancel()
         if hasattr(self, "callers"):
             self.callers.close()
-        self.ways.close()
+        self.links.close()
         self.coordinator.close()
         for server in self.servers:
             if server._server is not None:
@@ -275,189 +295,222 @@
 
     # ---- what goes on ----
 
-    async def _news(self) -> None:
+    async def _change_endpoints(self) -> None:
         """The list changes now and then: a server that nobody calls comes and goes."""
         serial = 0
         while True:
-            await asyncio.sleep(self.schedule.term_s * NEWS_PART)
+            await asyncio.sleep(self.schedule.lease_duration_s * NEWS_PART)
             serial += 1
             state = "terminated" if serial % 2 else "terminating"
             self.coordinator.tell([line("ghost", ("127.0.0.1", 9), 9, state)])
 
-    async def _backups(self) -> None:
+    async def _back_up_regularly(self) -> None:
         while True:
             await asyncio.sleep(COPY_S)
             for member in self.members.values():
-                member.copy()
+                member.back_up()
 
-    def passed(self) -> float:
+    def elapsed_s(self) -> float:
         """Seconds of the run."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
-    async def _faults(self, progress: Callable[[float], None]) -> None:
-        events = sorted(self.schedule.events, key=lambda each: each.at)
-        while (passed := self.passed()) < self.schedule.seconds:
-            due, self.waiting = self.waiting, []
-            while events and events[0].at <= passed:
+    async def _inject_faults(self, progress: Callable[[float], None]) -> None:
+        events = sorted(self.schedule.faults, key=lambda each: each.at_s)
+        while (passed := self.elapsed_s()) < self.schedule.duration_s:
+            due, self.waiting_faults = self.waiting_faults, []
+            while events and events[0].at_s <= passed:
                 due.append(events.pop(0))
             for event in due:
-                self._strike(event)
-            for event in [each for each in self.ways.faults if each.at + each.lasts <= passed]:
-                self.ways.faults.remove(event)
+                self._inject(event)
+            for event in [each for each in self.links.active_faults if each.at_s + each.duration_s <= passed]:
+                self.links.active_faults.remove(event)
             for member in self.members.values():
-                member.go_on()
+                member.resume_if_due()
             progress(passed)
             await asyncio.sleep(LOOK_S)
 
-    def holder(self) -> Member | None:
+    def holder(self) -> MemberProcess | None:
         """Whoever holds the list now, by the histories."""
         now = time.monotonic()
-        held = rules.stretches(self._lines())
-        last = next((each for each in reversed(held) if each.claim == LIST and each.until > now), None)
-        return self.members[last.who] if last is not None else None
-
-    def _strike(self, event: Event) -> None:
-        if event.who == HOLDER or event.fault in (Fault.HAND, Fault.AT_WORK):
+        held = rules.hold_intervals(self._records())
+        last = next(
+            (each for each in reversed(held) if each.lease == ENDPOINT_LIST_LEASE and each.until_s > now),
+            None,
+        )
+        return self.members[last.member] if last is not None else None
+
+    def _inject(self, event: ScheduledFault) -> None:
+        if event.member == HOLDER or event.kind in (FaultKind.HAND_OVER, FaultKind.STOP_BEFORE_WRITE):
             holder = self.holder()
             if holder is None:  # nobody holds it just now: wait for who does
-                if self.passed() < event.at + WAIT_TERMS * self.schedule.term_s:
-                    self.waiting.append(event)
+                if self.elapsed_s() < event.at_s + WAIT_TERMS * self.schedule.lease_duration_s:
+                    self.waiting_faults.append(event)
                 return
-            event = replace(event, who=holder.name)
-        member = self.members.get(event.who)
-        match event.fault:
-            case Fault.STOP if member is not None:
-                self.bites["stop"] += member.stop(event.lasts)
-            case Fault.KILL | Fault.LOSE | Fault.OLD | Fault.FLIP if member is not None:
-                self.spawn(self._again(event, member))
-            case Fault.KILL_ALL:
+            event = replace(event, member=holder.name)
+        member = self.members.get(event.member)
+        match event.kind:
+            case FaultKind.STOP if member is not None:
+                self.activations["stop"] += member.stop(event.duration_s)
+            case (
+                FaultKind.KILL
+                | FaultKind.LOSE_DATA_DIRECTORY
+                | FaultKind.RESTORE_OLD_DATA_DIRECTORY
+                | FaultKind.FLIP_BIT
+            ) if member is not None:
+                self.spawn(self._restart(event, member))
+            case FaultKind.KILL_ALL:
                 for each in self.members.values():
-                    self.bites["kill all"] += each.kill()
+                    self.activations["kill all"] += each.kill()
                 for each in self.members.values():
-                    self.spawn(self._start(each, self.chance.uniform(0, event.lasts)))
-            case Fault.DISK_FULL if member is not None:
-                self.spawn(self._disk(event, member, "full"))
-            case Fault.READ_ONLY if member is not None:
-                self.spawn(self._disk(event, member, "read-only"))
-            case Fault.DISK_SLOW if member is not None:
-                self.spawn(self._disk(event, member, event.amount))
-            case Fault.STEP if member is not None and member.process is not None:
-                self.bites["step"] += 1
-                member.order(step=event.amount)
-            case Fault.AT_WORK if member is not None:
-                self.spawn(self._at_work(event, member))
-            case Fault.VOTERS:
+                    self.spawn(self._start_later(each, self.rng.uniform(0, event.duration_s)))
+            case FaultKind.DISK_FULL if member is not None:
+                self.spawn(self._fail_disk(event, member, "full"))
+            case FaultKind.DISK_READ_ONLY if member is not None:
+                self.spawn(self._fail_disk(event, member, "read-only"))
+            case FaultKind.DISK_SLOW if member is not None:
+                self.spawn(self._fail_disk(event, member, event.amount))
+            case FaultKind.STEP_WALL_CLOCK if member is not None and member.process is not None:
+                self.activations["step"] += 1
+                member.send_command(step=event.amount)
+            case FaultKind.STOP_BEFORE_WRITE if member is not None:
+                self.spawn(self._stop_before_write(event, member))
+            case FaultKind.CHANGE_VOTERS:
                 self.epoch += 1
-                holder = self.holder() if HOLDER in event.stays else None
-                stays = {*event.stays, *([holder.name] if holder is not None else [])}
+                holder = self.holder() if HOLDER in event.unchanged_members else None
+                stays = {*event.unchanged_members, *([holder.name] if holder is not None else [])}
                 for each in [each for name, each in self.members.items() if name not in stays]:
-                    self.spawn(self._changed(each, self.epoch, event))
-            case Fault.HAND if member is not None:
-                self.spawn(self._hand(event, member))
+                    self.spawn(self._change_voters(each, self.epoch, event))
+            case FaultKind.HAND_OVER if member is not None:
+                self.spawn(self._hand_over(event, member))
             case _:
-                if any(cuts(event, a, b) for a in self.members for b in self.members) or event.amount:
-                    self.ways.faults.append(event)
+                if (
+                    any(blocks_traffic(event, a, b) for a in self.members for b in self.members)
+                    or event.amount
+                ):
+                    self.links.active_faults.append(event)
 
-    async def _start(self, member: Member, after: float) -> None:
+    async def _start_later(self, member: MemberProcess, after: float) -> None:
         await asyncio.sleep(after)
         member.start()
 
-    async def _again(self, event: Event, member: Member) -> None:
-        self.bites[event.fault.value] += member.kill() or event.fault in FOLDERS
-        old = event.fault is Fault.OLD and member.put_back(time.monotonic() - max(COPY_S, event.amount))
-        if event.fault is Fault.FLIP:
-            member.flip(self.chance)
-        elif event.fault in FOLDERS and not old:
-            member.lose()
-        await self._start(member, event.lasts)
-
-    async def _changed(self, member: Member, epoch: int, event: Event) -> None:
+    async def _restart(self, event: ScheduledFault, member: MemberProcess) -> None:
+        self.activations[event.kind.value] += member.kill() or event.kind in DATA_DIRECTORY_FAULTS
+        old = event.kind is FaultKind.RESTORE_OLD_DATA_DIRECTORY and member.restore_backup(
+            time.monotonic() - max(COPY_S, event.amount)
+        )
+        if event.kind is FaultKind.FLIP_BIT:
+            member.flip_bit(self.rng)
+        elif event.kind in DATA_DIRECTORY_FAULTS and not old:
+            member.delete_data_directory()
+        await self._start_later(member, event.duration_s)
+
+    async def _change_voters(self, member: MemberProcess, epoch: int, event: ScheduledFault) -> None:
         """Its file has the next list of voters some time after the others', and it is started again."""
-        await asyncio.sleep(self.chance.uniform(0, event.lasts))
-        if epoch < self.told[member.name]:
+        await asyncio.sleep(self.rng.uniform(0, event.duration_s))
+        if epoch < self.voter_set_epochs[member.name]:
             return  # a later one was quicker
-        self.told[member.name] = epoch
-        member.file.write_text(self._text(member, epoch, event.names))
-        self.bites["voters"] += 1
+        self.voter_set_epochs[member.name] = epoch
+        member.config_file.write_text(self._config_text(member, epoch, event.members))
+        self.activations["voters"] += 1
         if member.process is not None:
             member.kill()
-            await self._start(member, self.chance.uniform(0.05, 0.3) * self.schedule.term_s)
+            await self._start_later(member, self.rng.uniform(0.05, 0.3) * self.schedule.lease_duration_s)
 
-    async def _disk(self, event: Event, member: Member, disk: str | float) -> None:
-        member.order(disk=disk)
+    async def _fail_disk(self, event: ScheduledFault, member: MemberProcess, disk: str | float) -> None:
+        member.send_command(disk=disk)
         self.slow_disks += isinstance(disk, float)
-        await asyncio.sleep(event.lasts)
-        member.order(disk="well")
+        await asyncio.sleep(event.duration_s)
+        member.send_command(disk="well")
 
-    async def _hand(self, event: Event, member: Member) -> None:
+    async def _hand_over(self, event: ScheduledFault, member: MemberProcess) -> None:
         """The door's order; a holder that is stopped or dead does not answer, and who lost it says no."""
         answer = b""
         with contextlib.suppress(OSError, TimeoutError):
-            reader, writer = await asyncio.open_connection(*member.door)
-            writer.write(f"hand-over {LIST} {event.other}\n".encode())
+            reader, writer = await asyncio.open_connection(*member.admin_endpoint)
+            writer.write(f"hand-over {ENDPOINT_LIST_LEASE} {event.peer}\n".encode())
             answer = await asyncio.wait_for(reader.read(), 1.0)
             writer.close()
         if answer.startswith(b"ok"):
-            self.bites["hand over"] += 1
-        elif self.passed() < event.at + WAIT_TERMS * self.schedule.term_s:
-            self.waiting.append(event)
+            self.activations["hand over"] += 1
+        elif self.elapsed_s() < event.at_s + WAIT_TERMS * self.schedule.lease_duration_s:
+            self.waiting_faults.append(event)
 
-    async def _at_work(self, event: Event, member: Member) -> None:
+    async def _stop_before_write(self, event: ScheduledFault, member: MemberProcess) -> None:
         """The holder stops itself at its next piece of work, and goes on after that time."""
-        member.order(stop=True)
-        until = time.monotonic() + 2 * self.schedule.term_s
+        member.send_command(stop=True)
+        until = time.monotonic() + 2 * self.schedule.lease_duration_s
         while time.monotonic() < until and not member.stopped_until:
             if member.is_stopped():
-                self.bites["stopped at work"] += 1
-                member.stop(event.lasts)
+                self.activations["stopped at work"] += 1
+                member.stop(event.duration_s)
             await asyncio.sleep(LOOK_S)
-        member.order(stop=False)
+        member.send_command(stop=False)
 
     # ---- what came of it ----
 
-    def _lines(self) -> list[Line]:
+    def _records(self) -> list[HistoryRecord]:
         return [each for member in self.members.values() for each in member.history()]
 
-    def _report(self) -> Report:
-        lines = sorted(self._lines(), key=lambda each: each.at)
+    def _report(self) -> RunReport:
+        lines = sorted(self._records(), key=lambda each: each.at_s)
         schedule = self.schedule
-        broken = rules.check(lines, within_drift=schedule.within_drift)
-        last = self.began + schedule.seconds
-        if not schedule.rests and schedule.heals:
-            broken += rules.unheld(lines, [LIST], last - schedule.quiet_s / 2, last)
-        quiet = last - schedule.quiet_s / 2
-        if schedule.rests:
-            held = [each for each in rules.stretches(lines) if each.since < last and each.until > quiet]
-            broken += [Broken("rests", each.since, f"{each.who} holds {each.claim}") for each in held]
-        owners = {(each.who, each.start) for each in rules.stretches(lines) if each.claim == LIST}
-        full = sum("No space left" in each.why for each in lines)
-        self.bites["disk full"] += full
-        self.bites["disk read-only"] += sum("Read-only" in each.why for each in lines)
-        self.bites["went on"] += sum(each.what == What.WENT_ON.value for each in lines)
-        self.bites["disk slow"] += self.slow_disks
-        self.bites.update(self.ways.bites)
-        never = [name for name in schedule.must_bite if not self.bites[name]]
-        broken += [Broken("void", last, f"{name} never bit") for name in never]
-        if len(owners) < schedule.owners:
-            broken.append(Broken("void", last, f"{len(owners)} owners, and not {schedule.owners}"))
-        if self.calls and not self.callers.stood_since(quiet):
-            broken.append(Broken("calls", last, "none stood at the end"))
-        calls = self.callers.broken(0.05 + self.stall.longest_s)
+        broken = rules.find_violations(lines, within_drift=schedule.within_drift_bound)
+        last = self.started_at + schedule.duration_s
+        if not schedule.expects_no_holder and schedule.expects_recovery:
+            broken += rules.find_unheld(lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last)
+        quiet = last - schedule.fault_free_s / 2
+        if schedule.expects_no_holder:
+            held = [
+                each for each in rules.hold_intervals(lines) if each.since_s < last and each.until_s > quiet
+            ]
+            broken += [
+                RuleViolation("rests", each.since_s, f"{each.member} holds {each.lease}") for each in held
+            ]
+        owners = {
+            (each.member, each.start_number)
+            for each in rules.hold_intervals(lines)
+            if each.lease == ENDPOINT_LIST_LEASE
+        }
+        full = sum("No space left" in each.reason for each in lines)
+        self.activations["disk full"] += full
+        self.activations["disk read-only"] += sum("Read-only" in each.reason for each in lines)
+        self.activations["went on"] += sum(each.event == What.WENT_ON.value for each in lines)
+        self.activations["disk slow"] += self.slow_disks
+        self.activations.update(self.links.activations)
+        never = [name for name in schedule.required_activations if not self.activations[name]]
+        broken += [RuleViolation("void", last, f"{name} never bit") for name in never]
+        if len(owners) < schedule.min_holders:
+            broken.append(
+                RuleViolation("void", last, f"{len(owners)} owners, and not {schedule.min_holders}")
+            )
+        if self.calls and not self.callers.count_established_since(quiet):
+            broken.append(RuleViolation("calls", last, "none stood at the end"))
+        calls = self.callers.find_violations(0.05 + self.stall.longest_s)
         fallen = sum(s.processor is not None and s.processor.state is State.FALLEN for s in self.servers)
-        ends = {end.value: count for end, count in self.callers.ends.items()}
-        return Report(
-            broken, [each.line() for each in calls], self.bites, lines, fallen,
-            len(rules.stretches(lines)), ends, self.ways.carried, self.stall.longest_s,
-        )  # fmt: skip
-
-
-async def run_lab(
-    schedule: Schedule, seed: int, keep: Path | None = None, progress: Callable[[float], None] | None = None
-) -> Report:
+        ends = {end.value: count for end, count in self.callers.end_counts.items()}
+        return RunReport(
+            broken,
+            [each.line() for each in calls],
+            self.activations,
+            lines,
+            fallen,
+            len(rules.hold_intervals(lines)),
+            ends,
+            self.links.datagrams_forwarded,
+            self.stall.longest_s,
+        )
+
+
+async def run_schedule(
+    schedule: FaultSchedule,
+    seed: int,
+    keep: Path | None = None,
+    progress: Callable[[float], None] | None = None,
+) -> RunReport:
     """One run, and nothing left behind but `keep`."""
-    lab = Lab(schedule, seed, keep)
-    most = 2 * READY_S + schedule.seconds
+    lab = FaultInjectionRun(schedule, seed, keep)
+    most = 2 * READY_S + schedule.duration_s
     try:
         return await asyncio.wait_for(lab.run(progress or (lambda passed: None)), most)
     except TimeoutError:
-        raise LabError(f"not ended after {most:.0f} s") from None
+        raise RunError(f"not ended after {most:.0f} s") from None
--- a/stairhatch/fault_injection/rules.py
+++ b/stairhatch/fault_injection/rules.py
@@ -15,29 +15,29 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stairhatch.fault_injection.history import Line
+from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fleet.effects import What
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class RuleViolation:
     """A rule that was broken, and how."""
 
     rule: str
-    at: float
-    how: str
+    at_s: float
+    explanation: str
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HoldInterval:
     """One stretch for which one start of a process could act under a claim."""
 
-    claim: str
-    who: str
-    start: int
-    ticket: int
-    since: float
-    until: float
+    lease: str
+    member: str
+    start_number: int
+    fencing_token: int
+    since_s: float
+    until_s: float
 
 
 BEGINS = (What.HELD.value, What.RENEWED.value)
@@ -45,99 +45,118 @@
 EPSILON_S = 1e-6
 
 
-def stretches(lines: Iterable[Line]) -> list[Held]:
+def hold_intervals(lines: Iterable[HistoryRecord]) -> list[HoldInterval]:
     """Who could act when. A stop ends nothing: who is let go on within its term may act."""
-    found: list[Held] = []
-    open_ones: dict[tuple[str, str, int], Held] = {}
+    found: list[HoldInterval] = []
+    open_ones: dict[tuple[str, str, int], HoldInterval] = {}
 
     def close(key: tuple[str, str, int], at: float) -> None:
         held = open_ones.pop(key)
-        found.append(Held(held.claim, *key[1:], held.ticket, held.since, min(held.until, at)))
+        found.append(
+            HoldInterval(held.lease, *key[1:], held.fencing_token, held.since_s, min(held.until_s, at))
+        )
 
-    for line in sorted(lines, key=lambda each: each.at):
-        key = (line.claim, line.who, line.start)
-        if line.what in BEGINS:
+    for line in sorted(lines, key=lambda each: each.at_s):
+        key = (line.lease, line.member, line.start_number)
+        if line.event in BEGINS:
             old = open_ones.get(key)
-            if old is not None and (old.ticket != line.ticket or line.at > old.until + EPSILON_S):
-                close(key, line.at)
+            if old is not None and (
+                old.fencing_token != line.fencing_token or line.at_s > old.until_s + EPSILON_S
+            ):
+                close(key, line.at_s)
                 old = None
-            since = old.since if old is not None else line.at
-            open_ones[key] = Held(line.claim, line.who, line.start, line.ticket, since, line.until)
-        elif line.what in ENDS and key in open_ones:
-            close(key, line.at)
-        elif line.what == "killed":
-            for each in [k for k in open_ones if k[1] == line.who]:
-                close(each, line.at)
+            since = old.since_s if old is not None else line.at_s
+            open_ones[key] = HoldInterval(
+                line.lease, line.member, line.start_number, line.fencing_token, since, line.until_s
+            )
+        elif line.event in ENDS and key in open_ones:
+            close(key, line.at_s)
+        elif line.event == "killed":
+            for each in [k for k in open_ones if k[1] == line.member]:
+                close(each, line.at_s)
     for key in list(open_ones):
         close(key, float("inf"))
-    return sorted(found, key=lambda each: each.since)
+    return sorted(found, key=lambda each: each.since_s)
 
 
-def check(lines: list[Line], slack_s: float = 0.0, within_drift: bool = True) -> list[Broken]:
+def find_violations(
+    lines: list[HistoryRecord], slack_s: float = 0.0, within_drift: bool = True
+) -> list[RuleViolation]:
     """All that was broken. `slack_s`: so much two stretches may overlap, where processes read one clock at
     moments of their own. Beyond the drift bound only the fences are promised.
     """
     found = [*_fenced(lines)]
     if within_drift:
-        held = stretches(lines)
+        held = hold_intervals(lines)
         found += [*_one(held, slack_s), *_grows(held), *_acts(lines, held, slack_s)]
-    return sorted(found, key=lambda each: each.at)
+    return sorted(found, key=lambda each: each.at_s)
 
 
-def _one(held: list[Held], slack_s: float) -> Iterable[Broken]:
-    last: dict[str, Held] = {}
+def _one(held: list[HoldInterval], slack_s: float) -> Iterable[RuleViolation]:
+    last: dict[str, HoldInterval] = {}
     for each in held:
-        old = last.get(each.claim)
-        if old is not None and (old.who, old.start) != (each.who, each.start):
-            over = min(old.until, each.until) - each.since
+        old = last.get(each.lease)
+        if old is not None and (old.member, old.start_number) != (each.member, each.start_number):
+            over = min(old.until_s, each.until_s) - each.since_s
             if over > slack_s + EPSILON_S:
-                how = f"{each.claim}: {old.who} and {each.who} both held it for {over:.3f} s"
-                yield Broken("one", each.since, how)
-        if old is None or each.until >= old.until:
-            last[each.claim] = each
+                how = f"{each.lease}: {old.member} and {each.member} both held it for {over:.3f} s"
+                yield RuleViolation("one", each.since_s, how)
+        if old is None or each.until_s >= old.until_s:
+            last[each.lease] = each
 
 
-def _grows(held: list[Held]) -> Iterable[Broken]:
-    highest: dict[str, Held] = {}
+def _grows(held: list[HoldInterval]) -> Iterable[RuleViolation]:
+    highest: dict[str, HoldInterval] = {}
     for each in held:
-        old = highest.get(each.claim)
-        if old is not None and each.ticket <= old.ticket and (old.who, old.start) != (each.who, each.start):
-            how = f"{each.claim}: {each.who} holds {each.ticket} after {old.who} held {old.ticket}"
-            yield Broken("grows", each.since, how)
-        if old is None or each.ticket > old.ticket:
-            highest[each.claim] = each
-
-
-def _fenced(lines: list[Line]) -> Iterable[Broken]:
+        old = highest.get(each.lease)
+        if (
+            old is not None
+            and each.fencing_token <= old.fencing_token
+            and (old.member, old.start_number) != (each.member, each.start_number)
+        ):
+            how = (
+                f"{each.lease}: {each.member} holds {each.fencing_token} "
+                f"after {old.member} held {old.fencing_token}"
+            )
+            yield RuleViolation("grows", each.since_s, how)
+        if old is None or each.fencing_token > old.fencing_token:
+            highest[each.lease] = each
+
+
+def _fenced(lines: list[HistoryRecord]) -> Iterable[RuleViolation]:
     highest: dict[tuple[str, str], int] = {}
-    for line in sorted(lines, key=lambda each: each.at):
-        if line.what == "folder":  # lost or put back old: what it had seen went with it
-            for gone in [key for key in highest if key[0] == line.who]:
+    for line in sorted(lines, key=lambda each: each.at_s):
+        if line.event == "folder":  # lost or put back old: what it had seen went with it
+            for gone in [key for key in highest if key[0] == line.member]:
                 del highest[gone]
-        if line.what != What.TOOK.value:
+        if line.event != What.TOOK.value:
             continue
-        key = (line.who, line.claim)
-        if line.ticket < highest.get(key, 0):
-            how = f"{line.claim}: {line.who} took {line.ticket} after {highest[key]}"
-            yield Broken("fenced", line.at, how)
-        highest[key] = max(highest.get(key, 0), line.ticket)
+        key = (line.member, line.lease)
+        if line.fencing_token < highest.get(key, 0):
+            how = f"{line.lease}: {line.member} took {line.fencing_token} after {highest[key]}"
+            yield RuleViolation("fenced", line.at_s, how)
+        highest[key] = max(highest.get(key, 0), line.fencing_token)
 
 
-def _acts(lines: list[Line], held: list[Held], slack_s: float) -> Iterable[Broken]:
-    by_owner: dict[tuple[str, str, int], list[Held]] = {}
+def _acts(lines: list[HistoryRecord], held: list[HoldInterval], slack_s: float) -> Iterable[RuleViolation]:
+    by_owner: dict[tuple[str, str, int], list[HoldInterval]] = {}
     for each in held:
-        by_owner.setdefault((each.claim, each.who, each.start), []).append(each)
+        by_owner.setdefault((each.lease, each.member, each.start_number), []).append(each)
     for line in lines:
-        if line.what != "acted":
+        if line.event != "acted":
             continue
-        mine = by_owner.get((line.claim, line.who, line.start), [])
-        if not any(h.since - slack_s <= line.at <= h.until + slack_s + EPSILON_S for h in mine):
-            yield Broken("acts", line.at, f"{line.claim}: {line.who} acted under {line.ticket}, not held")
+        mine = by_owner.get((line.lease, line.member, line.start_number), [])
+        if not any(h.since_s - slack_s <= line.at_s <= h.until_s + slack_s + EPSILON_S for h in mine):
+            yield RuleViolation(
+                "acts", line.at_s, f"{line.lease}: {line.member} acted under {line.fencing_token}, not held"
+            )
 
 
-def unheld(lines: list[Line], claims: Iterable[str], since: float, until: float) -> Iterable[Broken]:
+def find_unheld(
+    lines: list[HistoryRecord], claims: Iterable[str], since: float, until: float
+) -> Iterable[RuleViolation]:
     """Claims that nobody holds all through a time in which somebody should."""
-    held = stretches(lines)
+    held = hold_intervals(lines)
     for claim in claims:
-        if not any(h.claim == claim and h.since < until and h.until > since for h in held):
-            yield Broken("held", until, f"{claim}: nobody holds it, long after the last fault")
+        if not any(h.lease == claim and h.since_s < until and h.until_s > since for h in held):
+            yield RuleViolation("held", until, f"{claim}: nobody holds it, long after the last fault")
--- a/stairhatch/fault_injection/runs.py
+++ b/stairhatch/fault_injection/runs.py
@@ -10,119 +10,154 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Iterable
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from pathlib import Path
 
 import msgspec
 import uvloop
 
 from stairhatch.fault_injection import history, rules, timeline
-from stairhatch.fault_injection.processes import LabError, Report, run_lab
-from stairhatch.fault_injection.rules import Broken
-from stairhatch.fault_injection.schedule import FOLDERS, Schedule, draw
+from stairhatch.fault_injection.processes import RunError, RunReport, run_schedule
+from stairhatch.fault_injection.rules import RuleViolation
+from stairhatch.fault_injection.schedule import DATA_DIRECTORY_FAULTS, FaultSchedule, draw_schedule
 
-SCHEDULE, HISTORY, REPORT = "schedule.json", "history.jsonl", "report.json"
+SCHEDULE_FILE, HISTORY_FILE, REPORT_FILE = "schedule.json", "history.jsonl", "report.json"
 
 
 @dataclass(frozen=True)
-class Told:
+class RunRequest:
     """One run to be carried out."""
 
-    schedule: Schedule
+    schedule: FaultSchedule
     seed: int
-    keep: Path | None = None
-    keep_good: bool = False
+    keep_in: Path | None = None
+    keep_successful: bool = False
 
 
 @dataclass
-class Ran:
+class RunResult:
     """What came of it, in a form that goes between processes."""
 
     seed: int
-    fault: str = ""  # it could not be carried out
-    broken: list[str] = field(default_factory=list)
-    bites: dict[str, int] = field(default_factory=dict)
-    holders: int = 0
+    error: str = ""  # it could not be carried out
+    violations: list[str] = field(default_factory=list)
+    activations: dict[str, int] = field(default_factory=dict)
+    holds: int = 0
     calls: dict[str, int] = field(default_factory=dict)
-    within_drift: bool = True
+    within_drift_bound: bool = True
     stalled_s: float = 0.0
-    kept: str = ""
+    kept_in: str = ""
 
 
 @dataclass
-class Sum:
+class RunSummary:
     """What came of many."""
 
     runs: int = 0
-    faults: list[Ran] = field(default_factory=list)
-    broken: list[Ran] = field(default_factory=list)
-    bitten: Counter[str] = field(default_factory=Counter)
-    holders: int = 0
-    beyond: int = 0
+    not_carried_out: list[RunResult] = field(default_factory=list)
+    failed: list[RunResult] = field(default_factory=list)
+    runs_by_activation: Counter[str] = field(default_factory=Counter)
+    holds: int = 0
+    beyond_drift_bound: int = 0
     calls: Counter[str] = field(default_factory=Counter)
-    seconds: float = 0.0
+    duration_s: float = 0.0
 
-    def add(self, ran: Ran) -> None:
+    def add(self, ran: RunResult) -> None:
         """One more."""
         self.runs += 1
-        self.holders += ran.holders
-        self.beyond += not ran.within_drift
+        self.holds += ran.holds
+        self.beyond_drift_bound += not ran.within_drift_bound
         self.calls.update(ran.calls)
-        self.bitten.update(name for name, often in ran.bites.items() if often)
-        if ran.fault:
-            self.faults.append(ran)
-        if ran.broken:
-            self.broken.append(ran)
+        self.runs_by_activation.update(name for name, often in ran.activations.items() if often)
+        if ran.error:
+            self.not_carried_out.append(ran)
+        if ran.violations:
+            self.failed.append(ran)
 
-    def figures(self) -> dict[str, object]:
+    def to_json_dict(self) -> dict[str, object]:
         """All of it, for JSON."""
-        return asdict(self)
-
-
-def keep(folder: Path, schedule: Schedule, report: Report) -> None:
+        return {
+            "runs": self.runs,
+            "faults": [_result_json(each) for each in self.not_carried_out],
+            "broken": [_result_json(each) for each in self.failed],
+            "bitten": dict(self.runs_by_activation),
+            "holders": self.holds,
+            "beyond": self.beyond_drift_bound,
+            "calls": dict(self.calls),
+            "seconds": self.duration_s,
+        }
+
+
+def _result_json(result: RunResult) -> dict[str, object]:
+    return {
+        "seed": result.seed,
+        "fault": result.error,
+        "broken": result.violations,
+        "bites": result.activations,
+        "holders": result.holds,
+        "calls": result.calls,
+        "within_drift": result.within_drift_bound,
+        "stalled_s": result.stalled_s,
+        "kept": result.kept_in,
+    }
+
+
+def write_run_files(folder: Path, schedule: FaultSchedule, report: RunReport) -> None:
     """What a run left, so that it can be looked at and judged again."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / SCHEDULE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
-    history.write(folder / HISTORY, report.lines)
-    (folder / "timeline.svg").write_text(timeline.svg(report.lines))
-    (folder / "timeline.txt").write_text(timeline.text(report.lines))
+    (folder / SCHEDULE_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
+    history.write_history(folder / HISTORY_FILE, report.records)
+    (folder / "timeline.svg").write_text(timeline.render_svg(report.records))
+    (folder / "timeline.txt").write_text(timeline.render_text(report.records))
     found = {
-        "broken": [asdict(each) for each in report.broken], "calls_broken": report.calls_broken,
-        "fallen": report.fallen, "bites": dict(report.bites), "calls": report.calls,
-    }  # fmt: skip
-    (folder / REPORT).write_text(json.dumps(found, indent=1) + "\n")
-
-
-def judge(folder: Path) -> tuple[list[Broken], str]:
+        "broken": [
+            {"rule": each.rule, "at": each.at_s, "how": each.explanation} for each in report.violations
+        ],
+        "calls_broken": report.call_violations,
+        "fallen": report.overloaded_servers,
+        "bites": dict(report.activations),
+        "calls": report.calls,
+    }
+    (folder / REPORT_FILE).write_text(json.dumps(found, indent=1) + "\n")
+
+
+def check_kept_run(folder: Path) -> tuple[list[RuleViolation], str]:
     """The rules once more over what was kept, and the time line."""
     try:
-        schedule = msgspec.json.decode((folder / SCHEDULE).read_bytes(), type=Schedule)
-        lines = history.read(folder / HISTORY)
+        schedule = msgspec.json.decode((folder / SCHEDULE_FILE).read_bytes(), type=FaultSchedule)
+        lines = history.read_history(folder / HISTORY_FILE)
     except (OSError, msgspec.DecodeError) as error:
-        raise LabError(f"{folder}: {error}") from None
-    broken = rules.check(lines, within_drift=schedule.within_drift)
-    return broken, timeline.text(lines)
+        raise RunError(f"{folder}: {error}") from None
+    broken = rules.find_violations(lines, within_drift=schedule.within_drift_bound)
+    return broken, timeline.render_text(lines)
 
 
-def carry_out(told: Told) -> Ran:
+def carry_out(told: RunRequest) -> RunResult:
     """One run in this process."""
     schedule, seed = told.schedule, told.seed
-    files = told.keep / f"run-{seed}" if told.keep is not None else None
+    files = told.keep_in / f"run-{seed}" if told.keep_in is not None else None
     try:
         report = uvloop.run(
-            run_lab(schedule, seed, files / "processes" if files and told.keep_good else None)
+            run_schedule(schedule, seed, files / "processes" if files and told.keep_successful else None)
         )
-    except (LabError, OSError, asyncio.CancelledError) as error:
-        return Ran(seed, fault=str(error) or type(error).__name__)
-    broken = [f"{each.rule} at {each.at:.3f}: {each.how}" for each in report.broken]
-    broken += report.calls_broken
-    broken += [f"{report.fallen} roster servers pushed over"] if report.fallen else []
-    if files is not None and (broken or told.keep_good):
-        keep(files, schedule, report)
-    return Ran(
-        seed, "", broken, dict(report.bites), report.holders, report.calls, schedule.within_drift,
-        report.stalled_s, str(files) if files is not None and broken else "",
-    )  # fmt: skip
+    except (RunError, OSError, asyncio.CancelledError) as error:
+        return RunResult(seed, error=str(error) or type(error).__name__)
+    broken = [f"{each.rule} at {each.at_s:.3f}: {each.explanation}" for each in report.violations]
+    broken += report.call_violations
+    broken += [f"{report.overloaded_servers} roster servers pushed over"] if report.overloaded_servers else []
+    if files is not None and (broken or told.keep_successful):
+        write_run_files(files, schedule, report)
+    return RunResult(
+        seed,
+        "",
+        broken,
+        dict(report.activations),
+        report.holds,
+        report.calls,
+        schedule.within_drift_bound,
+        report.stalled_s,
+        str(files) if files is not None and broken else "",
+    )
 
 
 def run_many(
@@ -131,20 +166,20 @@
     members: int = 5,
     scale: float = 0.2,
     keep_in: Path | None = None,
-    progress: Callable[[Sum, Ran], None] = lambda found, ran: None,
-) -> Sum:
+    progress: Callable[[RunSummary, RunResult], None] = lambda found, ran: None,
+) -> RunSummary:
     """Runs of drawn schedules, so many beside each other."""
-    found, begun = Sum(), time.monotonic()
-    told = [Told(draw(seed, members=members, scale=scale), seed, keep_in) for seed in seeds]
+    found, begun = RunSummary(), time.monotonic()
+    told = [RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep_in) for seed in seeds]
     context = multiprocessing.get_context("spawn")
     with context.Pool(max(1, min(jobs, len(told)))) as pool:
         for ran in pool.imap_unordered(carry_out, told, chunksize=1):
             found.add(ran)
             progress(found, ran)
-    found.seconds = time.monotonic() - begun
+    found.duration_s = time.monotonic() - begun
     return found
 
 
-def has_folder_fault(schedule: Schedule) -> bool:
+def has_folder_fault(schedule: FaultSchedule) -> bool:
     """Whether a folder is lost or put back old in it."""
-    return any(event.fault in FOLDERS for event in schedule.events)
+    return any(event.kind in DATA_DIRECTORY_FAULTS for event in schedule.faults)
--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -10,115 +10,128 @@
 from pathlib import Path
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 
-class Fault(Enum):
+class FaultKind(Enum):
     """What may happen."""
 
     STOP = "stop"  # SIGSTOP, and on after `lasts`
     KILL = "kill"  # SIGKILL, and started again after `lasts`
     KILL_ALL = "kill all"
-    LOSE = "lose folder"  # killed, and started again without its folder
-    OLD = "old folder"  # the same, with an older copy of its folder
+    LOSE_DATA_DIRECTORY = "lose folder"  # killed, and started again without its folder
+    RESTORE_OLD_DATA_DIRECTORY = "old folder"  # the same, with an older copy of its folder
     DISK_FULL = "disk full"
     DISK_SLOW = "disk slow"
-    READ_ONLY = "disk read-only"
-    FLIP = "bit turned"  # killed, and started again with one bit of its folder's file turned
+    DISK_READ_ONLY = "disk read-only"
+    FLIP_BIT = "bit turned"  # killed, and started again with one bit of its folder's file turned
     LOSS = "loss"  # of a share of all datagrams
     DELAY = "delay"  # late by up to `amount` seconds, so out of order too
-    COPIES = "copies"  # of a share, a moment later or up to a second
-    CUT = "cut"  # one way between two
-    MUTE = "mute"  # heard by none
-    DEAF = "deaf"  # hears none
-    ONLY = "only"  # heard by `other` alone
-    SPLIT = "split"  # `names` on one side, the rest on the other
-    STEP = "step"  # the wall clock of one steps by `amount` seconds
-    AT_WORK = "stopped at work"  # the holder stops between its check and its write, once
-    VOTERS = "voters"  # the files get another list, `names`, and each is started again
-    HAND = "hand over"  # the holder gives a claim back with a successor named, who may be dead
-
-
-FOLDERS = (Fault.LOSE, Fault.OLD, Fault.FLIP)
-OTHERS = (Fault.KILL_ALL, Fault.VOTERS, Fault.READ_ONLY)  # drawn by themselves
+    DUPLICATION = "copies"  # of a share, a moment later or up to a second
+    CUT_LINK = "cut"  # one way between two
+    CUT_OUTBOUND = "mute"  # heard by none
+    CUT_INBOUND = "deaf"  # hears none
+    CUT_ALL_BUT_ONE = "only"  # heard by `other` alone
+    PARTITION = "split"  # `names` on one side, the rest on the other
+    STEP_WALL_CLOCK = "step"  # the wall clock of one steps by `amount` seconds
+    STOP_BEFORE_WRITE = "stopped at work"  # the holder stops between its check and its write, once
+    CHANGE_VOTERS = "voters"  # the files get another list, `names`, and each is started again
+    HAND_OVER = "hand over"  # the holder gives a claim back with a successor named, who may be dead
+
+
+DATA_DIRECTORY_FAULTS = (
+    FaultKind.LOSE_DATA_DIRECTORY,
+    FaultKind.RESTORE_OLD_DATA_DIRECTORY,
+    FaultKind.FLIP_BIT,
+)
+SEPARATELY_DRAWN = (
+    FaultKind.KILL_ALL,
+    FaultKind.CHANGE_VOTERS,
+    FaultKind.DISK_READ_ONLY,
+)  # drawn by themselves
 HOLDER = "@holder"  # in place of a name: whoever holds the list at that moment
 
 
-Names = tuple[str, ...]
+MemberNames = tuple[str, ...]
 
 
-class Event(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class ScheduledFault(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """One fault."""
 
-    at: float
-    fault: Fault
-    who: str = ""
-    other: str = ""
-    lasts: float = 0.0
+    at_s: float = field(name="at")
+    kind: FaultKind = field(name="fault")
+    member: str = field(name="who", default="")
+    peer: str = field(name="other", default="")
+    duration_s: float = field(name="lasts", default=0.0)
     amount: float = 0.0
-    names: Names = ()
-    stays: Names = ()  # whose files keep the list of voters that they have
+    members: MemberNames = field(name="names", default=())
+    unchanged_members: MemberNames = field(name="stays", default=())  # whose files keep the old voter set
 
 
-def cuts(event: Event, sender: str, to: str) -> bool:
+def blocks_traffic(event: ScheduledFault, sender: str, to: str) -> bool:
     """Whether a fault takes all from one to another."""
     if sender == to:
         return False
-    match event.fault:
-        case Fault.CUT:
-            return (sender, to) == (event.who, event.other)
-        case Fault.MUTE:
-            return sender == event.who
-        case Fault.DEAF:
-            return to == event.who
-        case Fault.ONLY:
-            return sender == event.who and to != event.other
-        case Fault.SPLIT:
-            return (sender in event.names) is not (to in event.names)
+    match event.kind:
+        case FaultKind.CUT_LINK:
+            return (sender, to) == (event.member, event.peer)
+        case FaultKind.CUT_OUTBOUND:
+            return sender == event.member
+        case FaultKind.CUT_INBOUND:
+            return to == event.member
+        case FaultKind.CUT_ALL_BUT_ONE:
+            return sender == event.member and to != event.peer
+        case FaultKind.PARTITION:
+            return (sender in event.members) is not (to in event.members)
     return False
 
 
-class Schedule(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class FaultSchedule(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """One run."""
 
-    seconds: float
-    members: tuple[str, ...]
-    voters: tuple[str, ...]
-    events: tuple[Event, ...] = ()
-    rates: dict[str, float] = {}  # how fast each one's clock runs
-    drift: float = 0.01
-    term_s: float = 3.0
-    quiet_s: float = 20.0  # at the end, without a fault
-    must_bite: tuple[str, ...] = ()  # else the run proves nothing
-    owners: int = 0  # so many different ones the list must have had, at least
-    rests: bool = False  # in the quiet time nobody may hold anything, and calls go on
+    duration_s: float = field(name="seconds")
+    members: MemberNames
+    voters: MemberNames
+    faults: tuple[ScheduledFault, ...] = field(name="events", default=())
+    clock_rates: dict[str, float] = field(name="rates", default_factory=dict)
+    drift_bound: float = field(name="drift", default=0.01)
+    lease_duration_s: float = field(name="term_s", default=3.0)
+    fault_free_s: float = field(name="quiet_s", default=20.0)  # at the end
+    required_activations: tuple[str, ...] = field(name="must_bite", default=())  # else the run proves nothing
+    min_holders: int = field(name="owners", default=0)  # so many different ones of the endpoint list's lease
+    expects_no_holder: bool = field(
+        name="rests", default=False
+    )  # in the fault-free time, with calls going on
 
     @property
-    def within_drift(self) -> bool:
+    def within_drift_bound(self) -> bool:
         """Whether the clocks keep to the bound."""
-        return all(abs(rate - 1) <= self.drift + 1e-12 for rate in self.rates.values())
+        return all(abs(rate - 1) <= self.drift_bound + 1e-12 for rate in self.clock_rates.values())
 
     @property
-    def heals(self) -> bool:
+    def expects_recovery(self) -> bool:
         """Whether shared work must go on at the end: not where folders are lost with others away, nor where
         the voters change anew before the change before has come through.
         """
-        faults = [event.fault for event in self.events]
-        return not any(each in FOLDERS for each in faults) and faults.count(Fault.VOTERS) <= 1
+        faults = [event.kind for event in self.faults]
+        return (
+            not any(each in DATA_DIRECTORY_FAULTS for each in faults)
+            and faults.count(FaultKind.CHANGE_VOTERS) <= 1
+        )
 
 
 class ScheduleError(ValueError):
     """A schedule that can't be used, with the place in it."""
 
 
-def read_schedule(path: Path) -> Schedule:
+def read_schedule(path: Path) -> FaultSchedule:
     """A timeline in TOML; ScheduleError names what is wrong with it."""
     try:
-        found = msgspec.convert(tomllib.loads(path.read_text()), Schedule)
+        found = msgspec.convert(tomllib.loads(path.read_text()), FaultSchedule)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ScheduleError(f"{path}: {error}") from None
-    for index, event in enumerate(found.events):
-        for name in (event.who, event.other, *event.names, *event.stays):
+    for index, event in enumerate(found.faults):
+        for name in (event.member, event.peer, *event.members, *event.unchanged_members):
             if name and name not in (*found.members, HOLDER):
                 raise ScheduleError(f"{path}: events[{index}]: no member is called {name!r}")
     if not set(found.voters) <= set(found.members):
@@ -128,81 +141,115 @@
     return found
 
 
-def _single(chance: random.Random, names: Names, voters: Names, at: float) -> list[Event]:
+def _single(
+    chance: random.Random, names: MemberNames, voters: MemberNames, at: float
+) -> list[ScheduledFault]:
     """One fault by itself."""
-    fault = chance.choice([each for each in Fault if each not in (*FOLDERS, *OTHERS)])
+    fault = chance.choice(
+        [each for each in FaultKind if each not in (*DATA_DIRECTORY_FAULTS, *SEPARATELY_DRAWN)]
+    )
     who, other = chance.sample(names, 2)
     if chance.random() < 0.3:
         who = HOLDER
-    amount = {Fault.LOSS: chance.uniform(0.05, 0.6), Fault.DELAY: chance.choice((0.05, 0.5, 4.0)),
-              Fault.COPIES: 0.3, Fault.STEP: chance.choice((-3600.0, 3600.0)),
-              Fault.DISK_SLOW: chance.choice((0.1, 1.0, 4.0))}.get(fault, 0.0)  # fmt: skip
-    side = tuple(chance.sample(names, chance.randint(1, len(names) - 1))) if fault is Fault.SPLIT else ()
-    if fault in (Fault.DISK_FULL, Fault.DISK_SLOW):
+    amount = {
+        FaultKind.LOSS: chance.uniform(0.05, 0.6),
+        FaultKind.DELAY: chance.choice((0.05, 0.5, 4.0)),
+        FaultKind.DUPLICATION: 0.3,
+        FaultKind.STEP_WALL_CLOCK: chance.choice((-3600.0, 3600.0)),
+        FaultKind.DISK_SLOW: chance.choice((0.1, 1.0, 4.0)),
+    }.get(fault, 0.0)
+    side = (
+        tuple(chance.sample(names, chance.randint(1, len(names) - 1))) if fault is FaultKind.PARTITION else ()
+    )
+    if fault in (FaultKind.DISK_FULL, FaultKind.DISK_SLOW):
         who = chance.choice(voters)
     lasts = chance.choice((0.05, 0.3, 1.0, 2.0, 4.5, 8.0, 20.0))
-    return [Event(at, fault, who, other, min(lasts, 8.0) if fault is Fault.KILL else lasts, amount, side)]
+    return [
+        ScheduledFault(
+            at, fault, who, other, min(lasts, 8.0) if fault is FaultKind.KILL else lasts, amount, side
+        )
+    ]
 
 
-def _disks(chance: random.Random, names: Names, voters: Names, at: float) -> list[Event]:
+def _disks(chance: random.Random, names: MemberNames, voters: MemberNames, at: float) -> list[ScheduledFault]:
     """The disks of two voters are slow or full as the claim changes hands, and both are killed."""
     both = chance.sample(voters, 2)
-    fault = chance.choice((Fault.DISK_SLOW, Fault.DISK_FULL))
-    events = [Event(at, fault, each, lasts=6.0, amount=2.0) for each in both]
-    events.append(Event(at, Fault.COPIES, lasts=6.0, amount=0.9))
-    events.append(Event(at + 0.3, Fault.HAND, lasts=1.0))
+    fault = chance.choice((FaultKind.DISK_SLOW, FaultKind.DISK_FULL))
+    events = [ScheduledFault(at, fault, each, duration_s=6.0, amount=2.0) for each in both]
+    events.append(ScheduledFault(at, FaultKind.DUPLICATION, duration_s=6.0, amount=0.9))
+    events.append(ScheduledFault(at + 0.3, FaultKind.HAND_OVER, duration_s=1.0))
     late = chance.uniform(0.6, 2.0)
-    return events + [Event(at + late, Fault.KILL, each, lasts=0.05) for each in both]
+    return events + [ScheduledFault(at + late, FaultKind.KILL, each, duration_s=0.05) for each in both]
 
 
-def _late_writer(chance: random.Random, names: Names, voters: Names, at: float) -> list[Event]:
+def _late_writer(
+    chance: random.Random, names: MemberNames, voters: MemberNames, at: float
+) -> list[ScheduledFault]:
     """An owner is stopped at work until another has taken over, and a receiver starts again in between."""
     lasts = chance.uniform(4.0, 7.0)
-    events = [Event(at, Fault.AT_WORK, lasts=lasts)]
+    events = [ScheduledFault(at, FaultKind.STOP_BEFORE_WRITE, duration_s=lasts)]
     killed = chance.sample(names, 2)
-    return events + [Event(at + lasts - chance.uniform(0.05, 0.6), Fault.KILL, each, lasts=0.02)
-                     for each in killed]  # fmt: skip
+    return events + [
+        ScheduledFault(at + lasts - chance.uniform(0.05, 0.6), FaultKind.KILL, each, duration_s=0.02)
+        for each in killed
+    ]
 
 
-def _late_answers(chance: random.Random, names: Names, voters: Names, at: float) -> list[Event]:
+def _late_answers(
+    chance: random.Random, names: MemberNames, voters: MemberNames, at: float
+) -> list[ScheduledFault]:
     """Answers to a holder come late, and nothing that it says after that arrives."""
     return [
-        Event(at, Fault.DELAY, lasts=1.2, amount=4.0),
-        Event(at + chance.uniform(0.3, 1.2), Fault.MUTE, HOLDER, lasts=7.0),
+        ScheduledFault(at, FaultKind.DELAY, duration_s=1.2, amount=4.0),
+        ScheduledFault(at + chance.uniform(0.3, 1.2), FaultKind.CUT_OUTBOUND, HOLDER, duration_s=7.0),
     ]
 
 
-def _folder(chance: random.Random, names: Names, voters: Names, at: float) -> list[Event]:
+def _folder(
+    chance: random.Random, names: MemberNames, voters: MemberNames, at: float
+) -> list[ScheduledFault]:
     """The claim changes hands, one voter hears the new holder no more, and as its promise ends another voter
     loses its folder, or has one put back from before the change.
     """
     deaf, lost = chance.sample(voters, 2)
     begun = at + 0.6
-    events = [Event(at, Fault.HAND, lasts=1.0), Event(begun, Fault.CUT, HOLDER, deaf, 12.0)]
-    folder = chance.uniform(0.0, 3.6), chance.choice((Fault.LOSE, Fault.OLD))
-    events.append(Event(begun + folder[0], folder[1], lost, lasts=0.1))
+    events = [
+        ScheduledFault(at, FaultKind.HAND_OVER, duration_s=1.0),
+        ScheduledFault(begun, FaultKind.CUT_LINK, HOLDER, deaf, 12.0),
+    ]
+    folder = (
+        chance.uniform(0.0, 3.6),
+        chance.choice((FaultKind.LOSE_DATA_DIRECTORY, FaultKind.RESTORE_OLD_DATA_DIRECTORY)),
+    )
+    events.append(ScheduledFault(begun + folder[0], folder[1], lost, duration_s=0.1))
     if chance.random() < 0.3:
-        events.append(Event(begun, Fault.STOP, HOLDER, lasts=chance.uniform(1.0, 5.0)))
+        events.append(ScheduledFault(begun, FaultKind.STOP, HOLDER, duration_s=chance.uniform(1.0, 5.0)))
     if chance.random() < 0.3:
-        events.append(Event(begun + 4.5, Fault.KILL, HOLDER, lasts=0.5))
+        events.append(ScheduledFault(begun + 4.5, FaultKind.KILL, HOLDER, duration_s=0.5))
     return events
 
 
-def _voters(chance: random.Random, names: Names, voters: Names, last: float) -> list[Event]:
+def _voters(
+    chance: random.Random, names: MemberNames, voters: MemberNames, last: float
+) -> list[ScheduledFault]:
     """The voters change by one, and perhaps once more, by one who was one before or not."""
-    events: list[Event] = []
+    events: list[ScheduledFault] = []
     listed, at = set(voters), chance.uniform(10.0, last - 16.0)  # once the fleet stands
     for _ in range(chance.choice((1, 1, 2, 3))):
         out = [each for each in names if each not in listed]
         one = chance.choice(out if out and (len(listed) < 4 or chance.random() < 0.5) else sorted(listed))
         listed ^= {one}
         lasts = chance.choice((1.0, 4.0, 8.0))
-        events.append(Event(at, Fault.VOTERS, one, lasts=lasts, names=tuple(sorted(listed))))
+        events.append(
+            ScheduledFault(at, FaultKind.CHANGE_VOTERS, one, duration_s=lasts, members=tuple(sorted(listed)))
+        )
         at = min(last - 3.0, at + lasts + chance.choice((0.5, 4.0, 8.0)))
     return events
 
 
-def _lists(chance: random.Random, names: Names, voters: Names, last: float) -> list[Event]:
+def _lists(
+    chance: random.Random, names: MemberNames, voters: MemberNames, last: float
+) -> list[ScheduledFault]:
     """The voters change twice so that a majority of the first list and one of the third can be two. Who is
     to hold the list of servers keeps its file, and is not heard by one or two that stay voters; perhaps the
     others keep theirs too.
@@ -215,12 +262,21 @@
     stays = (heir,) if grow or chance.random() < 0.5 else (heir, *turned, kept)
     begun = chance.uniform(4.0, last - 24.0)
     deaf = [each for each in voters if each not in (*turned, kept)] if not grow else []
-    events = [Event(begun, Fault.HAND, other=heir, lasts=1.0)]
-    events += [Event(begun - 0.5, Fault.CUT, heir, each, 26.0) for each in deaf or [kept]]
+    events = [ScheduledFault(begun, FaultKind.HAND_OVER, peer=heir, duration_s=1.0)]
+    events += [ScheduledFault(begun - 0.5, FaultKind.CUT_LINK, heir, each, 26.0) for each in deaf or [kept]]
     listed, at = set(voters), begun + 1.0
     for one in turned:
         listed ^= {one}
-        events.append(Event(at, Fault.VOTERS, one, lasts=1.0, names=tuple(sorted(listed)), stays=stays))
+        events.append(
+            ScheduledFault(
+                at,
+                FaultKind.CHANGE_VOTERS,
+                one,
+                duration_s=1.0,
+                members=tuple(sorted(listed)),
+                unchanged_members=stays,
+            )
+        )
         at += chance.uniform(5.0, 8.0)
     return events
 
@@ -228,9 +284,9 @@
 EPISODES = (_disks, _late_writer, _late_answers)
 
 
-def draw(
+def draw_schedule(
     seed: int, seconds: float = 60.0, members: int = 5, scale: float = 1.0, lists_only: bool = False
-) -> Schedule:
+) -> FaultSchedule:
     """A schedule from a seed. Folders: at most one is lost or put back old a run, since what two voters of
     three have forgotten nobody can know. `scale` shortens all times, the term as well. `lists_only`: nothing
     but two changes of the voters.
@@ -248,22 +304,34 @@
         rates.update({name: 1 + drift for name in voters})
         rates[slow] = 1 - drift
     last = seconds - quiet
-    events: list[Event] = []
+    events: list[ScheduledFault] = []
     for _ in range(chance.randint(1, 6)):
         events += _single(chance, names, voters, chance.uniform(1.0, last - 1.0))
     for _ in range(chance.randint(0, 2)):
         events += chance.choice(EPISODES)(chance, names, voters, chance.uniform(2.0, last - 10.0))
     if chance.random() < 0.25:
-        events.append(Event(chance.uniform(2.0, last - 1.0), Fault.KILL_ALL, lasts=chance.uniform(0.1, 2.0)))
+        events.append(
+            ScheduledFault(
+                chance.uniform(2.0, last - 1.0), FaultKind.KILL_ALL, duration_s=chance.uniform(0.1, 2.0)
+            )
+        )
     if chance.random() < 0.6:
         events += _folder(chance, names, voters, chance.uniform(6.0, last - 13.0))
     disks = random.Random(f"disks {seed}")
     if disks.random() < 0.15:
         at = disks.uniform(2.0, last - 9.0)
-        events.append(Event(at, Fault.READ_ONLY, disks.choice(voters), lasts=disks.choice((0.3, 2.0, 8.0))))
+        events.append(
+            ScheduledFault(
+                at, FaultKind.DISK_READ_ONLY, disks.choice(voters), duration_s=disks.choice((0.3, 2.0, 8.0))
+            )
+        )
     if disks.random() < 0.25:  # a bit turned in place of a folder lost
-        events = [msgspec.structs.replace(each, fault=Fault.FLIP) if each.fault is Fault.LOSE else each
-                  for each in events]  # fmt: skip
+        events = [
+            msgspec.structs.replace(each, kind=FaultKind.FLIP_BIT)
+            if each.kind is FaultKind.LOSE_DATA_DIRECTORY
+            else each
+            for each in events
+        ]
     changes = random.Random(f"voters {seed}")  # dice of its own: the rest of a seed stays as it was
     if changes.random() < 0.35:
         events += changes.choice((_voters, _lists))(changes, names, voters, last)
@@ -271,11 +339,17 @@
         voters = names[: changes.choice((3, 5))]
         events = _lists(changes, names, voters, last)
     cut_off = [
-        msgspec.structs.replace(each, at=each.at * scale, lasts=min(each.lasts, last - each.at) * scale,
-                                amount=each.amount * (scale if each.fault in SECONDS else 1))
-        for each in sorted(events, key=lambda each: each.at)
-    ]  # fmt: skip
-    return Schedule(seconds * scale, names, voters, tuple(cut_off), rates, drift, term * scale, quiet * scale)
+        msgspec.structs.replace(
+            each,
+            at_s=each.at_s * scale,
+            duration_s=min(each.duration_s, last - each.at_s) * scale,
+            amount=each.amount * (scale if each.kind in SECONDS else 1),
+        )
+        for each in sorted(events, key=lambda each: each.at_s)
+    ]
+    return FaultSchedule(
+        seconds * scale, names, voters, tuple(cut_off), rates, drift, term * scale, quiet * scale
+    )
 
 
-SECONDS = (Fault.DELAY, Fault.DISK_SLOW)  # faults whose amount is a time
+SECONDS = (FaultKind.DELAY, FaultKind.DISK_SLOW)  # faults whose amount is a time
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -10,59 +10,59 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stairhatch.fault_injection.planted import planted
-from stairhatch.fault_injection.rules import Broken, check, stretches, unheld
-from stairhatch.fault_injection.schedule import draw
-from stairhatch.fault_injection.world import LIST, World
+from stairhatch.fault_injection.planted import mutation_applied
+from stairhatch.fault_injection.rules import RuleViolation, find_unheld, find_violations, hold_intervals
+from stairhatch.fault_injection.schedule import draw_schedule
+from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE, VirtualCluster
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class TrialResult:
     """What came of one seed."""
 
     seed: int
-    broken: tuple[Broken, ...]
-    bites: dict[str, int]
-    holders: int  # stretches of claims held
-    within_drift: bool
+    violations: tuple[RuleViolation, ...]
+    activations: dict[str, int]
+    holds: int  # stretches of claims held
+    within_drift_bound: bool
 
 
 @dataclass
-class Sum:
+class TrialSummary:
     """What came of many."""
 
     runs: int = 0
-    broken: list[Ran] = field(default_factory=list)
-    bitten: Counter[str] = field(default_factory=Counter)  # runs in which a fault did something
-    beyond: int = 0
-    holders: int = 0
-    seconds: float = 0.0
+    failed: list[TrialResult] = field(default_factory=list)
+    runs_by_activation: Counter[str] = field(default_factory=Counter)  # runs in which a fault did something
+    beyond_drift_bound: int = 0
+    holds: int = 0
+    duration_s: float = 0.0
 
-    def add(self, ran: Ran) -> None:
+    def add(self, ran: TrialResult) -> None:
         """One more."""
         self.runs += 1
-        self.beyond += not ran.within_drift
-        self.holders += ran.holders
-        self.bitten.update(name for name, often in ran.bites.items() if often)
-        if ran.broken:
-            self.broken.append(ran)
+        self.beyond_drift_bound += not ran.within_drift_bound
+        self.holds += ran.holds
+        self.runs_by_activation.update(name for name, often in ran.activations.items() if often)
+        if ran.violations:
+            self.failed.append(ran)
 
 
-def run_seed(seed: int, members: int = 5, fault: str = "", lists_only: bool = False) -> Ran:
+def run_seed(seed: int, members: int = 5, fault: str = "", lists_only: bool = False) -> TrialResult:
     """One run."""
-    with planted(fault):
-        schedule = draw(seed, members=members, lists_only=lists_only)
-        world = World(schedule, seed)
+    with mutation_applied(fault):
+        schedule = draw_schedule(seed, members=members, lists_only=lists_only)
+        world = VirtualCluster(schedule, seed)
         lines = world.run()
-    broken = check(lines, within_drift=schedule.within_drift)
-    if schedule.heals:
-        last = schedule.seconds
-        broken += unheld(lines, [LIST], last - schedule.quiet_s / 2, last)
-    held = len(stretches(lines))
-    return Ran(seed, tuple(broken), dict(world.bites), held, schedule.within_drift)
+    broken = find_violations(lines, within_drift=schedule.within_drift_bound)
+    if schedule.expects_recovery:
+        last = schedule.duration_s
+        broken += find_unheld(lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last)
+    held = len(hold_intervals(lines))
+    return TrialResult(seed, tuple(broken), dict(world.activations), held, schedule.within_drift_bound)
 
 
-def _one(told: tuple[int, int, str, bool]) -> Ran:
+def _one(told: tuple[int, int, str, bool]) -> TrialResult:
     return run_seed(*told)
 
 
@@ -72,25 +72,30 @@
     members: int = 5,
     fault: str = "",
     until_broken: bool = False,
-    progress: Callable[[Sum], None] = lambda found: None,
+    progress: Callable[[TrialSummary], None] = lambda found: None,
     lists_only: bool = False,
-) -> Sum:
+) -> TrialSummary:
     """All of them, in order of their end."""
-    found, begun = Sum(), time.monotonic()
+    found, begun = TrialSummary(), time.monotonic()
     told = [(seed, members, fault, lists_only) for seed in seeds]
     if jobs <= 1:
-        runs: Iterable[Ran] = map(_one, told)
+        runs: Iterable[TrialResult] = map(_one, told)
         _gather(found, runs, until_broken, progress)
     else:
         with multiprocessing.Pool(jobs) as pool:
             _gather(found, pool.imap(_one, told, chunksize=2), until_broken, progress)
-    found.seconds = time.monotonic() - begun
+    found.duration_s = time.monotonic() - begun
     return found
 
 
-def _gather(found: Sum, runs: Iterable[Ran], until_broken: bool, progress: Callable[[Sum], None]) -> None:
+def _gather(
+    found: TrialSummary,
+    runs: Iterable[TrialResult],
+    until_broken: bool,
+    progress: Callable[[TrialSummary], None],
+) -> None:
     for ran in runs:
         found.add(ran)
         progress(found)
-        if until_broken and ran.broken:
+        if until_broken and ran.violations:
             return
--- a/stairhatch/fault_injection/ways.py
+++ b/stairhatch/fault_injection/ways.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from functools import partial
 
-from stairhatch.fault_injection.schedule import Event, Fault, cuts
+from stairhatch.fault_injection.schedule import FaultKind, ScheduledFault, blocks_traffic
 
-Place = tuple[str, int]
-PIECE = 16 * 1024
-LOOK_S = 0.01
+Address = tuple[str, int]
+READ_SIZE_BYTES = 16 * 1024
+POLL_INTERVAL_S = 0.01
 COORDINATOR = "coordinator"
 
 
@@ -29,75 +29,75 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
-    def datagram_received(self, data: bytes, addr: Place) -> None:
+    def datagram_received(self, data: bytes, addr: Address) -> None:
         self.came(data)
 
 
-class Ways:
+class NetworkLinks:
     """All ways of one lab, and the faults on them."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(f"ways {seed}")
+        self.rng = random.Random(f"ways {seed}")
         self.loop = asyncio.get_running_loop()
-        self.faults: list[Event] = []
-        self.bites: Counter[str] = Counter()
-        self.carried = 0
-        self.places: dict[str, Place] = {}  # where each softswitch listens
+        self.active_faults: list[ScheduledFault] = []
+        self.activations: Counter[str] = Counter()
+        self.datagrams_forwarded = 0
+        self.addresses: dict[str, Address] = {}  # where each softswitch listens
         self.ports: dict[tuple[str, str], _Port] = {}
         self.servers: list[asyncio.Server] = []
-        self.pumps: set[asyncio.Task[None]] = set()
+        self.copy_tasks: set[asyncio.Task[None]] = set()
 
-    async def open(self, places: dict[str, Place]) -> None:
+    async def open(self, places: dict[str, Address]) -> None:
         """Ports for every ordered pair."""
-        self.places = places
+        self.addresses = places
         for a in places:
             for b in places:
                 if a != b:
-                    make = partial(_Port, self._carrier(a, b))
+                    make = partial(_Port, self._receiver(a, b))
                     _, port = await self.loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
                     self.ports[a, b] = port
 
-    def reach(self, a: str, b: str) -> Place:
+    def address_for(self, a: str, b: str) -> Address:
         """Where A reaches B."""
         if a == b:
-            return self.places[a]
+            return self.addresses[a]
         host, port = self.ports[a, b].transport.get_extra_info("sockname")[:2]
         return host, port
 
-    def _carrier(self, a: str, b: str) -> Callable[[bytes], None]:
+    def _receiver(self, a: str, b: str) -> Callable[[bytes], None]:
         def came(data: bytes) -> None:
-            for after in self._fate(a, b):
-                self.loop.call_later(after, self._carry, a, b, data)
+            for after in self._delivery_delays(a, b):
+                self.loop.call_later(after, self._forward, a, b, data)
 
         return came
 
-    def _carry(self, a: str, b: str, data: bytes) -> None:
-        self.carried += 1
+    def _forward(self, a: str, b: str, data: bytes) -> None:
+        self.datagrams_forwarded += 1
         port = self.ports[b, a].transport
         if not port.is_closing():
-            port.sendto(data, self.places[b])
+            port.sendto(data, self.addresses[b])
 
-    def _fate(self, a: str, b: str) -> list[float]:
+    def _delivery_delays(self, a: str, b: str) -> list[float]:
         times = [0.0]
-        for event in self.faults:
-            if cuts(event, a, b):
-                self.bites[event.fault.value] += 1
+        for event in self.active_faults:
+            if blocks_traffic(event, a, b):
+                self.activations[event.kind.value] += 1
                 return []
-            draw = self.chance.random()
-            if event.fault is Fault.LOSS and draw < event.amount:
-                self.bites["loss"] += 1
+            draw = self.rng.random()
+            if event.kind is FaultKind.LOSS and draw < event.amount:
+                self.activations["loss"] += 1
                 return []
-            if event.fault is Fault.DELAY:
-                self.bites["delay"] += 1
-                times = [each + event.amount * self.chance.random() for each in times]
-            if event.fault is Fault.COPIES and draw < event.amount:
-                self.bites["copies"] += 1
-                times.append(self.chance.random() * self.chance.choice((0.05, 0.5)))
+            if event.kind is FaultKind.DELAY:
+                self.activations["delay"] += 1
+                times = [each + event.amount * self.rng.random() for each in times]
+            if event.kind is FaultKind.DUPLICATION and draw < event.amount:
+                self.activations["copies"] += 1
+                times.append(self.rng.random() * self.rng.choice((0.05, 0.5)))
         return times
 
     # ---- connections ----
 
-    async def tcp(self, name: str, target: Place, to: str = COORDINATOR) -> Place:
+    async def open_connection_link(self, name: str, target: Address, to: str = COORDINATOR) -> Address:
         """Where a softswitch reaches something outside by a connection; a cut holds the bytes back."""
 
         async def took(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -106,25 +106,27 @@
             except OSError:
                 writer.close()
                 return
-            self._pump(reader, out, name, to)
-            self._pump(there, writer, to, name)
+            self._start_copying(reader, out, name, to)
+            self._start_copying(there, writer, to, name)
 
         server = await asyncio.start_server(took, "127.0.0.1", 0)
         self.servers.append(server)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
 
-    def _pump(self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str) -> None:
-        task = self.loop.create_task(self._pumping(source, to, a, b))
-        self.pumps.add(task)
-        task.add_done_callback(self.pumps.discard)
+    def _start_copying(self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str) -> None:
+        task = self.loop.create_task(self._copy_stream(source, to, a, b))
+        self.copy_tasks.add(task)
+        task.add_done_callback(self.copy_tasks.discard)
 
-    async def _pumping(self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str) -> None:
+    async def _copy_stream(
+        self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str
+    ) -> None:
         with contextlib.suppress(OSError):
-            while data := await source.read(PIECE):
-                while any(cuts(event, a, b) for event in self.faults):
-                    self.bites["connection held"] += 1
-                    await asyncio.sleep(LOOK_S)
+            while data := await source.read(READ_SIZE_BYTES):
+                while any(blocks_traffic(event, a, b) for event in self.active_faults):
+                    self.activations["connection held"] += 1
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 if to.is_closing():
                     break
                 to.write(data)
@@ -138,5 +140,5 @@
             port.transport.close()
         for server in self.servers:
             server.close()
-        for task in list(self.pumps):
+        for task in list(self.copy_tasks):
             task.cancel()
--- a/stairhatch/fault_injection/world.py
+++ b/stairhatch/fault_injection/world.py
@@ -15,8 +15,15 @@
 
 from msgspec.structs import replace as replace_fault
 
-from stairhatch.fault_injection.history import Line
-from stairhatch.fault_injection.schedule import FOLDERS, HOLDER, Event, Fault, Schedule, cuts
+from stairhatch.fault_injection.history import HistoryRecord
+from stairhatch.fault_injection.schedule import (
+    DATA_DIRECTORY_FAULTS,
+    HOLDER,
+    FaultKind,
+    FaultSchedule,
+    ScheduledFault,
+    blocks_traffic,
+)
 from stairhatch.fleet.claims import Stage, Terms
 from stairhatch.fleet.effects import Effect, Fence, Kept, Note, Place, Promise, Send, What, Write
 from stairhatch.fleet.epochs import Roll
@@ -24,373 +31,404 @@
 from stairhatch.fleet.messages import Mark, Message, News
 from stairhatch.fleet.pick import Pick
 
-LIST = "list"
-WORK_S = 0.15  # the mean time between two pieces of work of who holds the list
-WAY_S = (0.0005, 0.004)  # of a datagram
-SYNC_S = (0.0005, 0.006)
-CHECK_S = 0.02  # between the check and the write of a piece of work that is not stopped there
-TAKEN_S = 5.0  # an older copy of a folder is one taken so long ago or more
+ENDPOINT_LIST_LEASE = "list"
+MEAN_WORK_INTERVAL_S = 0.15  # the mean time between two pieces of work of who holds the list
+DATAGRAM_DELAY_S = (0.0005, 0.004)  # of a datagram
+DISK_SYNC_S = (0.0005, 0.006)
+MAX_CHECK_TO_WRITE_S = 0.02  # between the check and the write of a piece of work that is not stopped there
+MIN_BACKUP_AGE_S = 5.0  # an older copy of a folder is one taken so long ago or more
 
 
 @dataclass
-class Disk:
+class VirtualDisk:
     """A folder: what is synced."""
 
-    folder: str = ""
-    life: int = 0
-    promises: dict[str, Promise] = field(default_factory=dict)
-    made: int = 0
-    known: dict[str, Mark] = field(default_factory=dict)
+    storage_id: str = ""
+    incarnation: int = 0
+    votes: dict[str, Promise] = field(default_factory=dict)
+    vote_count: int = 0
+    known_versions: dict[str, Mark] = field(default_factory=dict)
     admitted: bool = False
-    fences: dict[str, int] = field(default_factory=dict)
-    roll: Roll | None = None
+    fencing_tokens: dict[str, int] = field(default_factory=dict)
+    voter_set: Roll | None = None
 
-    def copy(self) -> Disk:
+    def copy(self) -> VirtualDisk:
         """As it is now."""
-        return replace(self, promises=dict(self.promises), known=dict(self.known), fences=dict(self.fences))
+        return replace(
+            self,
+            votes=dict(self.votes),
+            known_versions=dict(self.known_versions),
+            fencing_tokens=dict(self.fencing_tokens),
+        )
 
-    def take(self, write: Write) -> None:
+    def apply(self, write: Write) -> None:
         """Put a write on it, whole."""
-        self.promises.update((each.claim, each) for each in write.promises)
-        self.made = max(self.made, write.mark.promises)
-        self.known.update(write.known)
+        self.votes.update((each.claim, each) for each in write.promises)
+        self.vote_count = max(self.vote_count, write.mark.promises)
+        self.known_versions.update(write.known)
         self.admitted = self.admitted or write.admitted
-        self.roll = write.roll or self.roll
+        self.voter_set = write.roll or self.voter_set
 
 
-class Box:
+class VirtualMember:
     """One softswitch with its clock and its disk."""
 
-    def __init__(self, world: World, name: str) -> None:
-        self.world, self.name = world, name
-        self.rate = world.schedule.rates.get(name, 1.0)
-        self.offset = world.chance.uniform(0, 1e5)
-        self.disk = Disk()
-        self.copies: list[tuple[float, Disk]] = []
-        self.mate: Mate | None = None
-        self.numbers: Pick
-        self.starts = 0
-        self.epoch = 1  # of the list of voters in its file
+    def __init__(self, world: VirtualCluster, name: str) -> None:
+        self.cluster, self.name = world, name
+        self.clock_rate = world.fault_schedule.clock_rates.get(name, 1.0)
+        self.clock_offset_s = world.rng.uniform(0, 1e5)
+        self.disk = VirtualDisk()
+        self.backups: list[tuple[float, VirtualDisk]] = []
+        self.decisions: Mate | None = None
+        self.index_pool: Pick
+        self.start_count = 0
+        self.configured_epoch = 1  # of the list of voters in its file
         self.stopped_until = 0.0
-        self.waiting: list[Callable[[], None]] = []  # what comes while it is stopped
-        self.writes: list[Write] = []
+        self.deferred: list[Callable[[], None]] = []  # what comes while it is stopped
+        self.pending_writes: list[Write] = []
         self.full_until = self.slow_until = 0.0
         self.slow_s = 0.0
-        self.full_by = Fault.DISK_FULL
+        self.full_by = FaultKind.DISK_FULL
         self.held: dict[str, int] = {}
 
     def clock(self) -> float:
         """Its own time."""
-        return self.offset + self.world.now * self.rate
+        return self.clock_offset_s + self.cluster.now * self.clock_rate
 
-    def true(self, local: float) -> float:
+    def to_true_time(self, local: float) -> float:
         """When its clock shows this."""
-        return (local - self.offset) / self.rate
+        return (local - self.clock_offset_s) / self.clock_rate
 
     def start(self) -> None:
         """Begin with what the disk holds."""
-        world, disk = self.world, self.disk
-        if self.mate is not None:
+        world, disk = self.cluster, self.disk
+        if self.decisions is not None:
             return
-        self.starts += 1
-        schedule = world.schedule
+        self.start_count += 1
+        schedule = world.fault_schedule
         kept = None
-        listed = world.lists[self.epoch - 1]
+        listed = world.voter_sets[self.configured_epoch - 1]
         if self.name in listed:
-            if not disk.folder:
-                disk.folder = f"{world.chance.getrandbits(64):016x}"
-            disk.life += 1
-            mark = Mark(disk.folder, disk.life, disk.made)
-            kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        who = Who(self.name, world.chance.getrandbits(60))
+            if not disk.storage_id:
+                disk.storage_id = f"{world.rng.getrandbits(64):016x}"
+            disk.incarnation += 1
+            mark = Mark(disk.storage_id, disk.incarnation, disk.vote_count)
+            kept = Kept(
+                mark, disk.admitted, tuple(disk.votes.values()), dict(disk.known_versions), disk.voter_set
+            )
+        who = Who(self.name, world.rng.getrandbits(60))
         voters = {name: (name, 0) for name in listed}
-        terms = Terms(schedule.term_s, schedule.drift, world.round_s)
-        chance = random.Random(world.chance.getrandbits(64))
-        self.mate = Mate(who, voters, terms, chance, self.clock(), kept, dict(disk.fences), self.epoch)
+        terms = Terms(schedule.lease_duration_s, schedule.drift_bound, world.round_s)
+        chance = random.Random(world.rng.getrandbits(64))
+        self.decisions = Mate(
+            who, voters, terms, chance, self.clock(), kept, dict(disk.fencing_tokens), self.configured_epoch
+        )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.numbers = Pick(names, self.mate.claim, chance.randrange(len(names)))
-        self.numbers.want(self.clock())
-        self.mate.claim(LIST).want(self.clock())
-        self.note("started")
-        self.look()
+        self.index_pool = Pick(names, self.decisions.claim, chance.randrange(len(names)))
+        self.index_pool.want(self.clock())
+        self.decisions.claim(ENDPOINT_LIST_LEASE).want(self.clock())
+        self.record("started")
+        self.tick()
         self.work()
 
     def kill(self) -> None:
         """SIGKILL: what was under way to the disk is there or is not."""
-        if self.mate is None:
+        if self.decisions is None:
             return
-        self.note("killed")
-        for write in self.writes:
-            if self.world.chance.random() < 0.5 and self.world.now >= self.full_until:
-                self.disk.take(write)
-        self.mate, self.writes, self.waiting, self.stopped_until = None, [], [], 0.0
+        self.record("killed")
+        for write in self.pending_writes:
+            if self.cluster.rng.random() < 0.5 and self.cluster.now >= self.full_until:
+                self.disk.apply(write)
+        self.decisions, self.pending_writes, self.deferred, self.stopped_until = None, [], [], 0.0
 
-    def later(self, after: float, act: Callable[[], None]) -> None:
+    def call_later(self, after: float, act: Callable[[], None]) -> None:
         """In this start of it, and not while it is stopped."""
-        start = self.starts
-        self.world.at(self.world.now + after, lambda: self.run(start, act))
+        start = self.start_count
+        self.cluster.schedule_at(self.cluster.now + after, lambda: self.run_when_resumed(start, act))
 
-    def run(self, start: int, act: Callable[[], None]) -> None:
+    def run_when_resumed(self, start: int, act: Callable[[], None]) -> None:
         """Do something as this process, once it is not stopped."""
-        if self.mate is None or self.starts != start:
+        if self.decisions is None or self.start_count != start:
             return
-        if self.world.now < self.stopped_until:
-            self.waiting.append(act)
+        if self.cluster.now < self.stopped_until:
+            self.deferred.append(act)
             return
         act()
 
     def stop(self, lasts: float) -> None:
         """SIGSTOP."""
-        if self.mate is not None:
-            self.note("stopped")
-            self.stopped_until = max(self.stopped_until, self.world.now + lasts)
-            start = self.starts
-            self.world.at(self.stopped_until, lambda: self.go_on(start))
+        if self.decisions is not None:
+            self.record("stopped")
+            self.stopped_until = max(self.stopped_until, self.cluster.now + lasts)
+            start = self.start_count
+            self.cluster.schedule_at(self.stopped_until, lambda: self.resume(start))
 
-    def go_on(self, start: int) -> None:
+    def resume(self, start: int) -> None:
         """SIGCONT: what has come is taken in, in any order of messages and timers."""
-        if self.mate is not None and self.starts == start and self.world.now >= self.stopped_until:
-            acts, self.waiting = self.waiting, []
-            if self.world.chance.random() < 0.5:
-                self.world.chance.shuffle(acts)
+        if (
+            self.decisions is not None
+            and self.start_count == start
+            and self.cluster.now >= self.stopped_until
+        ):
+            acts, self.deferred = self.deferred, []
+            if self.cluster.rng.random() < 0.5:
+                self.cluster.rng.shuffle(acts)
             for act in acts:
-                self.run(start, act)
+                self.run_when_resumed(start, act)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Tick, and come again when something is due."""
-        mate = self.mate
+        mate = self.decisions
         if mate is None:
             return
         now = self.clock()
-        self.carry(mate.tick(now) + self.numbers.tick(now))
-        due = min(mate.due(), self.numbers.due if self.numbers.due > now else float("inf"))
-        self.later(min(max(0.001, (due - now) / self.rate), 0.5), self.look)
+        self.execute(mate.tick(now) + self.index_pool.tick(now))
+        due = min(mate.due(), self.index_pool.due if self.index_pool.due > now else float("inf"))
+        self.call_later(min(max(0.001, (due - now) / self.clock_rate), 0.5), self.tick)
 
-    def take(self, sender: Place, message: Message) -> None:
+    def receive(self, sender: Place, message: Message) -> None:
         """A datagram has come."""
-        mate = self.mate
+        mate = self.decisions
         if mate is None:
             return
         if isinstance(message, News):
-            good, out = mate.fences.take(LIST, message.ticket, sender)
-            self.carry(out)
+            good, out = mate.fences.take(ENDPOINT_LIST_LEASE, message.ticket, sender)
+            self.execute(out)
             if good:
-                self.note(What.TOOK.value, LIST, message.ticket)
+                self.record(What.TOOK.value, ENDPOINT_LIST_LEASE, message.ticket)
             return
-        self.carry(mate.handle(self.clock(), sender, message))
+        self.execute(mate.handle(self.clock(), sender, message))
         now = self.clock()  # what is due by now is done at once, as in the program
-        self.carry(mate.tick(now) + self.numbers.tick(now) + mate.tick(now))
+        self.execute(mate.tick(now) + self.index_pool.tick(now) + mate.tick(now))
 
-    def carry(self, effects: list[Effect]) -> None:
+    def execute(self, effects: list[Effect]) -> None:
         """Do what the decisions ask."""
-        world = self.world
+        world = self.cluster
         for effect in effects:
             match effect:
                 case Send():
-                    world.counts["messages"] += 1
+                    world.effect_counts["messages"] += 1
                     world.send(self.name, effect.to[0], effect.message)
                 case Write():
-                    world.counts["writes"] += 1
-                    self.writes.append(effect)
-                    took = world.chance.uniform(*SYNC_S)
+                    world.effect_counts["writes"] += 1
+                    self.pending_writes.append(effect)
+                    took = world.rng.uniform(*DISK_SYNC_S)
                     took += self.slow_s if world.now < self.slow_until else 0.0
-                    world.at(world.now + took, partial(self.synced, self.starts, effect))
+                    world.schedule_at(
+                        world.now + took, partial(self.write_finished, self.start_count, effect)
+                    )
                 case Fence():
-                    self.disk.fences[effect.claim] = effect.ticket
+                    self.disk.fencing_tokens[effect.claim] = effect.ticket
                 case Note():
-                    until = self.true(effect.until) if effect.until else 0.0
-                    self.note(effect.what.value, effect.claim, effect.ticket, until, effect.why)
+                    until = self.to_true_time(effect.until) if effect.until else 0.0
+                    self.record(effect.what.value, effect.claim, effect.ticket, until, effect.why)
 
-    def synced(self, start: int, write: Write) -> None:
+    def write_finished(self, start: int, write: Write) -> None:
         """The disk has done it, or has not."""
-        if self.mate is None or self.starts != start:
+        if self.decisions is None or self.start_count != start:
             return
-        self.writes.remove(write)
-        fault = self.full_by.value if self.world.now < self.full_until else ""
+        self.pending_writes.remove(write)
+        fault = self.full_by.value if self.cluster.now < self.full_until else ""
         if fault:
-            self.world.bites[fault] += 1
+            self.cluster.activations[fault] += 1
         else:
-            self.disk.take(write)
-        mate = self.mate
-        self.run(start, lambda: self.carry(mate.written(self.clock(), write.number, fault)))
+            self.disk.apply(write)
+        mate = self.decisions
+        self.run_when_resumed(start, lambda: self.execute(mate.written(self.clock(), write.number, fault)))
 
     def work(self) -> None:
         """A piece of work under the list's claim: check, and write a moment later, wherever it is stopped."""
-        mate = self.mate
+        mate = self.decisions
         if mate is None:
             return
-        if mate.may_act(self.clock(), LIST):
-            ticket = mate.claims[LIST].ticket
-            self.note("acted", LIST, ticket)
-            if self.world.at_work:  # stopped right here
-                lasts, self.world.at_work = self.world.at_work, 0.0
-                self.world.bites["stopped at work"] += 1
+        if mate.may_act(self.clock(), ENDPOINT_LIST_LEASE):
+            ticket = mate.claims[ENDPOINT_LIST_LEASE].ticket
+            self.record("acted", ENDPOINT_LIST_LEASE, ticket)
+            if self.cluster.stop_before_write_s:  # stopped right here
+                lasts, self.cluster.stop_before_write_s = self.cluster.stop_before_write_s, 0.0
+                self.cluster.activations["stopped at work"] += 1
                 self.stop(lasts)
-                self.later(0.0, partial(self.write_out, ticket))
+                self.call_later(0.0, partial(self.send_update, ticket))
             else:
-                self.later(self.world.chance.uniform(0, CHECK_S), partial(self.write_out, ticket))
-        self.later(self.world.chance.uniform(0, 2 * WORK_S), self.work)
+                self.call_later(
+                    self.cluster.rng.uniform(0, MAX_CHECK_TO_WRITE_S), partial(self.send_update, ticket)
+                )
+        self.call_later(self.cluster.rng.uniform(0, 2 * MEAN_WORK_INTERVAL_S), self.work)
 
-    def write_out(self, ticket: int) -> None:
+    def send_update(self, ticket: int) -> None:
         """What the holder hands on goes to all."""
-        for name in self.world.boxes:
+        for name in self.cluster.members:
             if name != self.name:
-                self.world.send(self.name, name, News(self.name, ticket, 0, 0, 1, b""))
+                self.cluster.send(self.name, name, News(self.name, ticket, 0, 0, 1, b""))
 
-    def note(self, what: str, claim: str = "", ticket: int = 0, until: float = 0.0, why: str = "") -> None:
+    def record(self, what: str, claim: str = "", ticket: int = 0, until: float = 0.0, why: str = "") -> None:
         """A line of the history."""
-        self.world.lines.append(
-            Line(self.world.now, self.name, what, self.starts, claim, ticket, until, why=why)
+        self.cluster.records.append(
+            HistoryRecord(
+                self.cluster.now, self.name, what, self.start_count, claim, ticket, until, reason=why
+            )
         )
 
 
-class World:
+class VirtualCluster:
     """One run."""
 
-    def __init__(self, schedule: Schedule, seed: int) -> None:
-        self.schedule, self.chance = schedule, random.Random(f"world {seed}")
-        self.round_s = 0.25 * schedule.term_s / 3
+    def __init__(self, schedule: FaultSchedule, seed: int) -> None:
+        self.fault_schedule, self.rng = schedule, random.Random(f"world {seed}")
+        self.round_s = 0.25 * schedule.lease_duration_s / 3
         self.now = 0.0
-        self.lines: list[Line] = []
-        self.bites: Counter[str] = Counter()  # how often each fault did something
-        self.counts: Counter[str] = Counter()
+        self.records: list[HistoryRecord] = []
+        self.activations: Counter[str] = Counter()  # how often each fault did something
+        self.effect_counts: Counter[str] = Counter()
         self._order = count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.weather: list[Event] = []
-        self.lists = [schedule.voters]  # of voters, by their epochs
-        self.at_work = 0.0  # so long the holder stops at its next piece of work
-        self.boxes = {name: Box(self, name) for name in schedule.members}
+        self.network_conditions: list[ScheduledFault] = []
+        self.voter_sets = [schedule.voters]  # of voters, by their epochs
+        self.stop_before_write_s = 0.0  # so long the holder stops at its next piece of work
+        self.members = {name: VirtualMember(self, name) for name in schedule.members}
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
+    def schedule_at(self, when: float, act: Callable[[], None]) -> None:
         """Have something done."""
         heapq.heappush(self._queue, (when, next(self._order), act))
 
-    def run(self) -> list[Line]:
+    def run(self) -> list[HistoryRecord]:
         """All of it; returns the history."""
-        for box in self.boxes.values():
-            self.at(self.chance.uniform(0, 0.5), box.start)
-        for event in self.schedule.events:
-            self.at(event.at, partial(self.strike, event))
-        self.at(1.0, self.copy_folders)
-        while self._queue and self._queue[0][0] <= self.schedule.seconds:
+        for box in self.members.values():
+            self.schedule_at(self.rng.uniform(0, 0.5), box.start)
+        for event in self.fault_schedule.faults:
+            self.schedule_at(event.at_s, partial(self.inject, event))
+        self.schedule_at(1.0, self.back_up_regularly)
+        while self._queue and self._queue[0][0] <= self.fault_schedule.duration_s:
             self.now, _, act = heapq.heappop(self._queue)
             act()
-        return self.lines
+        return self.records
 
-    def copy_folders(self) -> None:
+    def back_up_regularly(self) -> None:
         """Somebody's backup."""
-        for box in self.boxes.values():
-            box.copies.append((self.now, box.disk.copy()))
-        self.at(self.now + 1.0, self.copy_folders)
+        for box in self.members.values():
+            box.backups.append((self.now, box.disk.copy()))
+        self.schedule_at(self.now + 1.0, self.back_up_regularly)
 
-    def strike(self, event: Event) -> None:
+    def inject(self, event: ScheduledFault) -> None:
         """Begin a fault."""
         held = self.holder()
-        if event.who == HOLDER:
+        if event.member == HOLDER:
             if held is None:
                 return
-            event = replace_fault(event, who=held.name)
-        box = self.boxes.get(event.who)
-        match event.fault:
-            case Fault.STOP if box is not None:
-                self.bites["stop"] += box.mate is not None
-                box.stop(event.lasts)
-            case Fault.KILL | Fault.LOSE | Fault.OLD | Fault.FLIP if box is not None:
-                self.bites[event.fault.value] += box.mate is not None
+            event = replace_fault(event, member=held.name)
+        box = self.members.get(event.member)
+        match event.kind:
+            case FaultKind.STOP if box is not None:
+                self.activations["stop"] += box.decisions is not None
+                box.stop(event.duration_s)
+            case (
+                FaultKind.KILL
+                | FaultKind.LOSE_DATA_DIRECTORY
+                | FaultKind.RESTORE_OLD_DATA_DIRECTORY
+                | FaultKind.FLIP_BIT
+            ) if box is not None:
+                self.activations[event.kind.value] += box.decisions is not None
                 box.kill()
-                if event.fault in FOLDERS:
-                    box.note("folder")
-                    old = [disk for at, disk in box.copies if at <= self.now - TAKEN_S * self.scale]
-                    if event.fault is not Fault.OLD or not old:
-                        box.disk = Disk()
+                if event.kind in DATA_DIRECTORY_FAULTS:
+                    box.record("folder")
+                    old = [
+                        disk
+                        for at, disk in box.backups
+                        if at <= self.now - MIN_BACKUP_AGE_S * self.time_scale
+                    ]
+                    if event.kind is not FaultKind.RESTORE_OLD_DATA_DIRECTORY or not old:
+                        box.disk = VirtualDisk()
                     else:
-                        box.disk = self.chance.choice(old).copy()
-                self.at(self.now + event.lasts, box.start)
-            case Fault.KILL_ALL:
-                self.bites["kill all"] += 1
-                for each in self.boxes.values():
+                        box.disk = self.rng.choice(old).copy()
+                self.schedule_at(self.now + event.duration_s, box.start)
+            case FaultKind.KILL_ALL:
+                self.activations["kill all"] += 1
+                for each in self.members.values():
                     each.kill()
-                    self.at(self.now + self.chance.uniform(0, event.lasts), each.start)
-            case Fault.DISK_FULL | Fault.READ_ONLY if box is not None:
-                box.full_until, box.full_by = self.now + event.lasts, event.fault
-            case Fault.DISK_SLOW if box is not None:
-                box.slow_until, box.slow_s = self.now + event.lasts, event.amount
-            case Fault.HAND:
-                self.hand(event)
-            case Fault.VOTERS:
-                self.lists.append(event.names)
-                stays = {held.name if each == HOLDER and held is not None else each for each in event.stays}
-                for each in [each for name, each in self.boxes.items() if name not in stays]:
-                    at = self.now + self.chance.uniform(0, event.lasts)
-                    self.at(at, partial(self.changed, each, len(self.lists)))
-            case Fault.AT_WORK:
-                self.at_work = event.lasts
-            case Fault.STEP:
-                self.bites["step"] += 1  # no wall clock is read: there is nothing to step
+                    self.schedule_at(self.now + self.rng.uniform(0, event.duration_s), each.start)
+            case FaultKind.DISK_FULL | FaultKind.DISK_READ_ONLY if box is not None:
+                box.full_until, box.full_by = self.now + event.duration_s, event.kind
+            case FaultKind.DISK_SLOW if box is not None:
+                box.slow_until, box.slow_s = self.now + event.duration_s, event.amount
+            case FaultKind.HAND_OVER:
+                self.hand_over(event)
+            case FaultKind.CHANGE_VOTERS:
+                self.voter_sets.append(event.members)
+                stays = {
+                    held.name if each == HOLDER and held is not None else each
+                    for each in event.unchanged_members
+                }
+                for each in [each for name, each in self.members.items() if name not in stays]:
+                    at = self.now + self.rng.uniform(0, event.duration_s)
+                    self.schedule_at(at, partial(self.change_voters, each, len(self.voter_sets)))
+            case FaultKind.STOP_BEFORE_WRITE:
+                self.stop_before_write_s = event.duration_s
+            case FaultKind.STEP_WALL_CLOCK:
+                self.activations["step"] += 1  # no wall clock is read: there is nothing to step
             case _:
-                self.weather.append(event)
-                self.at(event.at + event.lasts, lambda: self.weather.remove(event))
+                self.network_conditions.append(event)
+                self.schedule_at(event.at_s + event.duration_s, lambda: self.network_conditions.remove(event))
 
-    def changed(self, box: Box, epoch: int) -> None:
+    def change_voters(self, box: VirtualMember, epoch: int) -> None:
         """One file after the other has the new list of voters, and its softswitch is started again."""
-        self.bites["voters"] += 1
-        box.epoch = max(box.epoch, epoch)
-        if box.mate is not None:
+        self.activations["voters"] += 1
+        box.configured_epoch = max(box.configured_epoch, epoch)
+        if box.decisions is not None:
             box.kill()
-            self.at(self.now + self.chance.uniform(0.05, 0.5) * self.scale, box.start)
+            self.schedule_at(self.now + self.rng.uniform(0.05, 0.5) * self.time_scale, box.start)
 
-    def hand(self, event: Event) -> None:
+    def hand_over(self, event: ScheduledFault) -> None:
         """Whoever holds the list gives it back, for another to have."""
         box = self.holder()
-        if box is not None and box.mate is not None and self.now >= box.stopped_until:
-            self.bites["hand over"] += 1
-            claim = box.mate.claim(LIST)
-            box.carry(claim.give_back(box.clock(), event.other))
-            claim.want(box.clock(), self.schedule.term_s)
+        if box is not None and box.decisions is not None and self.now >= box.stopped_until:
+            self.activations["hand over"] += 1
+            claim = box.decisions.claim(ENDPOINT_LIST_LEASE)
+            box.execute(claim.give_back(box.clock(), event.peer))
+            claim.want(box.clock(), self.fault_schedule.lease_duration_s)
 
-    def holder(self) -> Box | None:
+    def holder(self) -> VirtualMember | None:
         """Who may act under the list's claim now."""
-        for box in self.boxes.values():
-            if box.mate is not None and box.mate.may_act(box.clock(), LIST):
+        for box in self.members.values():
+            if box.decisions is not None and box.decisions.may_act(box.clock(), ENDPOINT_LIST_LEASE):
                 return box
         return None
 
     @property
-    def scale(self) -> float:
+    def time_scale(self) -> float:
         """Against the term as it is drawn."""
-        return self.schedule.term_s / 3.0
+        return self.fault_schedule.lease_duration_s / 3.0
 
     def send(self, sender: str, to: str, message: Message) -> None:
         """A datagram on its way."""
-        low, high = WAY_S
-        times = [self.chance.uniform(low, high)]
-        for event in self.weather:
-            if cuts(event, sender, to):
-                self.bites[event.fault.value] += 1
+        low, high = DATAGRAM_DELAY_S
+        times = [self.rng.uniform(low, high)]
+        for event in self.network_conditions:
+            if blocks_traffic(event, sender, to):
+                self.activations[event.kind.value] += 1
                 return
-            draw = self.chance.random()
-            if event.fault is Fault.LOSS and draw < event.amount:
-                self.bites["loss"] += 1
+            draw = self.rng.random()
+            if event.kind is FaultKind.LOSS and draw < event.amount:
+                self.activations["loss"] += 1
                 return
-            if event.fault is Fault.DELAY:
-                self.bites["delay"] += 1
-                times = [each + event.amount * self.chance.random() for each in times]
-            if event.fault is Fault.COPIES and draw < event.amount:
-                self.bites["copies"] += 1
-                times.append(self.chance.uniform(low, self.chance.choice((0.1, 1.0))))
-        box = self.boxes[to]
+            if event.kind is FaultKind.DELAY:
+                self.activations["delay"] += 1
+                times = [each + event.amount * self.rng.random() for each in times]
+            if event.kind is FaultKind.DUPLICATION and draw < event.amount:
+                self.activations["copies"] += 1
+                times.append(self.rng.uniform(low, self.rng.choice((0.1, 1.0))))
+        box = self.members[to]
         for each in times:
-            self.at(self.now + each, partial(self.deliver, box, sender, message))
+            self.schedule_at(self.now + each, partial(self.deliver, box, sender, message))
 
-    def deliver(self, box: Box, sender: str, message: Message) -> None:
+    def deliver(self, box: VirtualMember, sender: str, message: Message) -> None:
         """It arrives, wherever the process is by now."""
-        box.run(box.starts, lambda: box.take((sender, 0), message))
+        box.run_when_resumed(box.start_count, lambda: box.receive((sender, 0), message))
 
-    def holds(self) -> dict[str, list[str]]:
+    def holders_by_lease(self) -> dict[str, list[str]]:
         """Who holds what by its own belief: for looking, not for the rules."""
         found: dict[str, list[str]] = {}
-        for box in self.boxes.values():
-            for name, claim in box.mate.claims.items() if box.mate is not None else ():
+        for box in self.members.values():
+            for name, claim in box.decisions.claims.items() if box.decisions is not None else ():
                 if claim.stage is Stage.HELD:
                     found.setdefault(name, []).append(box.name)
         return found
--- a/stairhatch/scale/clock.py
+++ b/stairhatch/scale/clock.py
@@ -14,7 +14,7 @@
 from itertools import count
 from typing import Any
 
-from stairhatch.fault_injection.schedule import Event as Cut
+from stairhatch.fault_injection.schedule import ScheduledFault as Cut
 from stairhatch.load.weather import Way, Weather
 from stairhatch.scale.plan import Happens, Places, Plan, What
 
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale/plan.py
@@ -19,8 +19,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from stairhatch.fault_injection.schedule import Event as Cut
-from stairhatch.fault_injection.schedule import Fault, cuts
+from stairhatch.fault_injection.schedule import FaultKind, blocks_traffic
+from stairhatch.fault_injection.schedule import ScheduledFault as Cut
 from stairhatch.load.weather import Weather
 from stairhatch.settings import settings_from
 
@@ -300,13 +300,13 @@
     def cut(self, event: Happens) -> Cut:
         """A cut as the lab has it, between zones or between regions."""
         if event.what is What.ZONE:
-            return Cut(event.at, Fault.SPLIT, lasts=event.lasts, names=(f"z{event.zone}",))
+            return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=(f"z{event.zone}",))
         side = tuple(f"z{z}" for z in range(self.plan.zones) if z % self.plan.regions == 0)
-        return Cut(event.at, Fault.SPLIT, lasts=event.lasts, names=side)
+        return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=side)
 
     def apart(self, cut: Cut, one: int, other: int) -> bool:
         """Whether a cut lies between two machines."""
-        return cuts(cut, f"z{self.zones[one]}", f"z{self.zones[other]}")
+        return blocks_traffic(cut, f"z{self.zones[one]}", f"z{self.zones[other]}")
 
 
 class Graph:
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.member import ROOT, Member
-from stairhatch.fault_injection.processes import READY_S, own_host
+from stairhatch.fault_injection.member import ROOT, MemberProcess
+from stairhatch.fault_injection.processes import READY_S, loopback_host
 from stairhatch.fault_injection.reaper import PREFIX
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
@@ -87,7 +87,7 @@
         )
         self.traffic = Traffic(plan)
         self.traffic.place = self._place
-        self.members: list[Member] = []
+        self.members: list[MemberProcess] = []
         self.servers: list[StandIn] = []
         self.callers: list[Caller] = []
         self.coordinator = Coordinator()
@@ -121,7 +121,7 @@
             self._close()
 
     async def _open(self) -> None:
-        plan, host = self.plan, own_host()
+        plan, host = self.plan, loopback_host()
         for index in range(plan.servers):
             processor = Processor(nature_of(plan), random.Random(plan.seed * 31 + index))
             server = StandIn(lines=plan.server.lines, processor=processor, state_s=plan.server.state_s)
@@ -136,9 +136,9 @@
             folder = self.folder / f"s{index}"
             folder.mkdir()
             sip, listen, door = ((host, ports.pop()) for _ in range(3))
-            self.members.append(Member(f"s{index}", folder, sip, listen, door))
+            self.members.append(MemberProcess(f"s{index}", folder, sip, listen, door))
         for member in self.members:
-            member.file.write_text(self._file(member))
+            member.config_file.write_text(self._file(member))
             member.start()
         await self._until(lambda: all(map(self._ready, self.members)), "a softswitch does not serve")
         for member in self.members:
@@ -147,7 +147,7 @@
     def _line(self, index: int) -> dict[str, Any]:
         return line(f"r{index}", self.servers[index].place, index)
 
-    def _file(self, member: Member) -> str:
+    def _file(self, member: MemberProcess) -> str:
         plan, index = self.plan, int(member.name[1:])
         text = HEAD.format(name=member.name, coordinator=at(self.coordinator.place), sip=at(member.sip))
         for service in range(plan.services):
@@ -165,10 +165,10 @@
             text += "[fleet]\n" + "".join(f"{name} = {toml_of(value)}\n" for name, value in fleet.items())
         return text
 
-    def _log(self, member: Member) -> list[str]:
+    def _log(self, member: MemberProcess) -> list[str]:
         return (member.folder / "log").read_text(errors="replace").splitlines()
 
-    def _ready(self, member: Member) -> bool:
+    def _ready(self, member: MemberProcess) -> bool:
         """Whether it serves, by a number of its own where numbers are claimed."""
         assert member.process is not None
         lines = self._log(member)
@@ -221,11 +221,11 @@
         """What grows. The counters come with a line in each log."""
         known = [sum(" counters " in each for each in self._log(member)) for member in self.members]
         for member in self.members:
-            member.signal(signal.SIGUSR1)
+            member.send_signal(signal.SIGUSR1)
         counters: dict[str, int] = defaultdict(int)
         for member, lines in zip(self.members, known, strict=True):
 
-            def told(member: Member = member, lines: int = lines) -> bool:
+            def told(member: MemberProcess = member, lines: int = lines) -> bool:
                 return sum(" counters " in each for each in self._log(member)) > lines
 
             await self._until(told, f"{member.name} tells no counters")
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.world import SYNC_S, Disk
+from stairhatch.fault_injection.world import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import service as fleet_service
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import FleetConfig
@@ -224,26 +224,28 @@
 class HollowStore:
     """A voter's folder: what it was asked to keep is there a moment later."""
 
-    def __init__(self, world: World, disk: Disk) -> None:
+    def __init__(self, world: World, disk: VirtualDisk) -> None:
         self.world, self.disk, self.closed = world, disk, False
-        if not disk.folder:
-            disk.folder = f"{world.chance.getrandbits(64):016x}"
-        disk.life += 1
-        mark = Mark(disk.folder, disk.life, disk.made)
-        kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = Found(kept, dict(disk.fences))
+        if not disk.storage_id:
+            disk.storage_id = f"{world.chance.getrandbits(64):016x}"
+        disk.incarnation += 1
+        mark = Mark(disk.storage_id, disk.incarnation, disk.vote_count)
+        kept = Kept(
+            mark, disk.admitted, tuple(disk.votes.values()), dict(disk.known_versions), disk.voter_set
+        )
+        self.found = Found(kept, dict(disk.fencing_tokens))
 
     def keep(self, what: Write | Fence, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
-        self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
+        self.world.clock.call_later(self.world.chance.uniform(*DISK_SYNC_S), self._kept, what, done)
 
     def _kept(self, what: Write | Fence, done: Callable[[str], None]) -> None:
         if self.closed:
             return
         if isinstance(what, Write):
-            self.disk.take(what)
+            self.disk.apply(what)
         else:
-            self.disk.fences[what.claim] = what.ticket
+            self.disk.fencing_tokens[what.claim] = what.ticket
         done("")
 
     def close(self) -> None:
@@ -541,7 +543,7 @@
     def __init__(self, world: World, index: int) -> None:
         self.world, self.index = world, index
         self.name, self.place = f"s{index}", (f"s{index}", 5090)
-        self.disk = Disk()
+        self.disk = VirtualDisk()
         self.life = 0  # counts up with each start and each end
         self.on = True  # its machine
         self.running = False
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from stairhatch.fault_injection.explore import Bounds, explore
-from stairhatch.fault_injection.planted import planted
-from stairhatch.fault_injection.schedule import draw
+from stairhatch.fault_injection.explore import ExplorationBounds, explore
+from stairhatch.fault_injection.planted import mutation_applied
+from stairhatch.fault_injection.schedule import draw_schedule
 from stairhatch.fault_injection.trial import run_seeds
-from stairhatch.fault_injection.world import World
+from stairhatch.fault_injection.world import VirtualCluster
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.effects import Kept, Send, Write
 from stairhatch.fleet.epochs import Kind, Roll, Said, compare, digest, may_go_on
@@ -19,16 +19,16 @@
 def test_forty_seeds_break_no_rule_and_every_fault_bites():
     """Guards against two owners at once, tickets that go back, and seeds whose faults do nothing."""
     found = run_seeds(range(40))
-    assert not found.broken
+    assert not found.failed
     never = {"kill", "stop", "loss", "delay", "cut", "mute", "kill all", "stopped at work"} - set(
-        found.bitten
+        found.runs_by_activation
     )
-    assert not never and found.holders > 200
+    assert not never and found.holds > 200
 
 
 def test_one_seed_is_one_history():
     """Guards against a run that can't be played again: the clock, dice and order are the run's own."""
-    first, second = (World(draw(7), 7).run() for _ in range(2))
+    first, second = (VirtualCluster(draw_schedule(7), 7).run() for _ in range(2))
     assert first == second and len(first) > 200
 
 
@@ -48,7 +48,7 @@
 )
 def test_a_planted_fault_is_found(fault):
     """Guards against rules that can't fail: without the fault such seeds are well, as shown above."""
-    assert run_seeds(range(200), fault=fault, until_broken=True).broken
+    assert run_seeds(range(200), fault=fault, until_broken=True).failed
 
 
 @pytest.mark.parametrize(
@@ -56,8 +56,8 @@
 )
 def test_a_fault_in_the_change_of_voters_is_found(fault):
     """Guards against two majorities while the list of voters changes twice."""
-    assert not run_seeds(range(20), lists_only=True).broken
-    assert run_seeds(range(100), fault=fault, until_broken=True, lists_only=True).broken
+    assert not run_seeds(range(20), lists_only=True).failed
+    assert run_seeds(range(100), fault=fault, until_broken=True, lists_only=True).failed
 
 
 def test_the_first_list_of_three_is_closed_before_the_third_is_gone_on_to():
@@ -82,30 +82,36 @@
 @pytest.mark.parametrize(
     "bounds",
     [
-        Bounds(depth=8, crashes=0, copies=0, slow=0, steps=0, leaps=0),
-        Bounds(depth=7, crashes=0, copies=0, slow=0, steps=0, leaps=1, held=True),
-        Bounds(depth=6, crashes=1, copies=0, slow=0, steps=1, leaps=0, held=True),
+        ExplorationBounds(depth=8, crashes=0, duplicates=0, slow_writes=0, clock_steps=0, clock_leaps=0),
+        ExplorationBounds(
+            depth=7, crashes=0, duplicates=0, slow_writes=0, clock_steps=0, clock_leaps=1, begins_held=True
+        ),
+        ExplorationBounds(
+            depth=6, crashes=1, duplicates=0, slow_writes=0, clock_steps=1, clock_leaps=0, begins_held=True
+        ),
     ],
     ids=["begin", "over the end of a term", "with a crash"],
 )
 def test_every_order_within_small_bounds(bounds):
     """Guards against an unlucky order that no seed draws: three voters, two askers, nothing left out."""
     found = explore(bounds)
-    assert not found.broken and found.whole and found.held > 100
+    assert not found.violation and found.complete and found.states_with_holder > 100
 
 
 def test_the_exhaustive_look_finds_a_promise_that_is_not_on_disk():
     """Guards against a search that looks at nothing."""
-    with planted("a promise is answered before it is on disk"):
-        found = explore(Bounds(depth=10, crashes=1, copies=0, slow=1, steps=0, leaps=0))
-    assert "at once" in found.broken and any(step.startswith("crash") for step in found.path)
+    with mutation_applied("a promise is answered before it is on disk"):
+        found = explore(
+            ExplorationBounds(depth=10, crashes=1, duplicates=0, slow_writes=1, clock_steps=0, clock_leaps=0)
+        )
+    assert "at once" in found.violation and any(step.startswith("crash") for step in found.path)
 
 
 def test_a_fleet_is_founded_though_one_starts_again_meanwhile():
     """Guards against a founding that stands still for good: one voter votes, is killed and starts again, and
     waits for others that wait for it.
     """
-    assert not run_seeds([1753, 2357, 2753]).broken
+    assert not run_seeds([1753, 2357, 2753]).failed
 
 
 def answers(voter, now, others):
