--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.member import MemberProcess
-from stairhatch.fault_injection.processes import FaultInjectionRun
+from stairhatch.fault_injection.member_process import MemberProcess
+from stairhatch.fault_injection.process_run import FaultInjectionRun
 from stairhatch.fault_injection.schedule import FaultSchedule
 from stairhatch.standin.coordinator import line
 from stairhatch.standin.processor import Nature, Processor, State
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -340,23 +340,25 @@
     """Start real softswitches with stand-ins around them and carry out the timeline of FILE, or those drawn
     from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
     """
-    from stairhatch.fault_injection import runs
+    from stairhatch.fault_injection import run_batch
     from stairhatch.fault_injection.schedule import ScheduleError, read_schedule
 
     if (file is None) is (not seeds):
         raise click.UsageError("give either FILE or --seeds A-B")
 
-    def shown(found: runs.RunSummary, ran: runs.RunResult) -> None:
+    def shown(found: run_batch.RunSummary, ran: run_batch.RunResult) -> None:
         if progress:
             broken = len(found.failed) + len(found.not_carried_out)
             click.echo(f"\r{found.runs} runs, {broken} not good, seed {ran.seed} last ", nl=False, err=True)
 
     try:
         if file is not None:
-            found = runs.RunSummary()
-            found.add(runs.carry_out(runs.RunRequest(read_schedule(file), 1, keep, keep is not None)))
+            found = run_batch.RunSummary()
+            found.add(
+                run_batch.carry_out(run_batch.RunRequest(read_schedule(file), 1, keep, keep is not None))
+            )
         else:
-            found = runs.run_many(_seeds(seeds), jobs, members, scale, keep, shown)
+            found = run_batch.run_many(_seeds(seeds), jobs, members, scale, keep, shown)
     except ScheduleError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(2)
@@ -373,15 +375,15 @@
 @click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
     """Carry out the run of SEED once more, keep all of it and show who held what."""
-    from stairhatch.fault_injection import runs
+    from stairhatch.fault_injection import run_batch
     from stairhatch.fault_injection.schedule import draw_schedule
 
-    told = runs.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
+    told = run_batch.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
     for event in told.schedule.faults:
         where = " ".join(each for each in (event.member, event.peer, *event.members) if each)
         click.echo(f"{event.at_s:7.2f} s {event.kind.value} {where} for {event.duration_s:.2f} s")
-    found = runs.RunSummary()
-    found.add(runs.carry_out(told))
+    found = run_batch.RunSummary()
+    found.add(run_batch.carry_out(told))
     where_kept = keep / f"run-{seed}"
     if (where_kept / "timeline.txt").exists():
         click.echo((where_kept / "timeline.txt").read_text(), nl=False)
@@ -393,11 +395,11 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def lab_check(folder: Path) -> None:
     """Judge once more what a run has kept, and show who held what."""
-    from stairhatch.fault_injection import runs
-    from stairhatch.fault_injection.processes import RunError
+    from stairhatch.fault_injection import run_batch
+    from stairhatch.fault_injection.process_run import RunError
 
     try:
-        broken, shown = runs.check_kept_run(folder)
+        broken, shown = run_batch.check_kept_run(folder)
     except RunError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(2)
@@ -418,7 +420,7 @@
     """The same decisions on a virtual clock, from seeds. Exit code 1: a rule was broken (with --faults: a
     fault was not found).
     """
-    from stairhatch.fault_injection.planted import MUTATIONS
+    from stairhatch.fault_injection.mutations import MUTATIONS
     from stairhatch.fault_injection.trial import run_seeds
 
     chosen = _seeds(seeds)
@@ -443,7 +445,8 @@
     click.echo(f"runs in which each fault bit: {bites}")
     click.echo(
         f"{found.runs - len(found.failed)} of {found.runs} runs good, "
-        f"{found.beyond_drift_bound} beyond the drift bound, claims were held {found.holds} times, {found.duration_s:.1f} s"
+        f"{found.beyond_drift_bound} beyond the drift bound, "
+        f"claims were held {found.holds} times, {found.duration_s:.1f} s"
     )
     sys.exit(1 if found.failed else 0)
 
@@ -462,15 +465,15 @@
     """Every order of events in a small world, to a depth. Exit code 1: a rule was broken, or not all was
     seen.
     """
-    from stairhatch.fault_injection import explore
-    from stairhatch.fault_injection.planted import MUTATIONS
-    from stairhatch.fault_injection.planted import mutation_applied as with_fault
+    from stairhatch.fault_injection import state_exploration
+    from stairhatch.fault_injection.mutations import MUTATIONS
+    from stairhatch.fault_injection.mutations import mutation_applied as with_fault
 
     if planted and planted not in MUTATIONS:
         raise click.BadParameter(f"there is no fault called {planted!r}", param_hint="--planted")
     with with_fault(planted):
-        found = explore.explore(
-            explore.ExplorationBounds(
+        found = state_exploration.explore(
+            state_exploration.ExplorationBounds(
                 depth=told["depth"],
                 crashes=told["crashes"],
                 duplicates=told["copies"],
@@ -485,7 +488,8 @@
         click.echo(f"BROKEN {found.violation}, after: {', '.join(found.path)}")
     click.echo(
         f"{found.states} states, {'all' if found.complete else 'not all'} there are; "
-        f"in {found.states_with_holder} it was held, {found.takeovers} times taken over, {found.states_after_crash} behind a crash"
+        f"in {found.states_with_holder} it was held, "
+        f"{found.takeovers} times taken over, {found.states_after_crash} behind a crash"
     )
     sys.exit(0 if found.complete and not found.violation else 1)
 
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from stairhatch.fault_injection.member import MemberProcess
+from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.load.rules import Broken, Checker, Seen, What
 from stairhatch.standin.caller import Caller, End, Placed
 from stairhatch.standin.roster import StandIn
--- a/stairhatch/fault_injection/child.py
+++ b/stairhatch/fault_injection/member_main.py
@@ -17,7 +17,7 @@
 import time
 
 from stairhatch.config.appliance import read_appliance
-from stairhatch.fault_injection.planted import mutation_applied
+from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fleet import service
 from stairhatch.fleet.store import Store
 from stairhatch.start import serve
--- a/stairhatch/fault_injection/member.py
+++ b/stairhatch/fault_injection/member_process.py
@@ -69,7 +69,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "stairhatch.fault_injection.child",
+                    "stairhatch.fault_injection.member_main",
                     str(self.config_file),
                     repr(self.clock_rate),
                     repr(self.clock_offset_s),
--- a/stairhatch/fault_injection/processes.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -22,12 +22,13 @@
 
 from msgspec.structs import replace
 
-from stairhatch.fault_injection import rules
+from stairhatch.fault_injection import lease_rules
 from stairhatch.fault_injection.callers import Callers
+from stairhatch.fault_injection.folder_cleanup import PREFIX
 from stairhatch.fault_injection.history import HistoryRecord
-from stairhatch.fault_injection.member import ROOT, MemberProcess
-from stairhatch.fault_injection.reaper import PREFIX
-from stairhatch.fault_injection.rules import RuleViolation
+from stairhatch.fault_injection.lease_rules import RuleViolation
+from stairhatch.fault_injection.member_process import ROOT, MemberProcess
+from stairhatch.fault_injection.network_links import NetworkLinks
 from stairhatch.fault_injection.schedule import (
     DATA_DIRECTORY_FAULTS,
     HOLDER,
@@ -36,8 +37,7 @@
     ScheduledFault,
     blocks_traffic,
 )
-from stairhatch.fault_injection.ways import NetworkLinks
-from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE
+from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE
 from stairhatch.fleet.effects import What
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
@@ -162,7 +162,7 @@
         self.rng = random.Random(f"lab {seed}")
         self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)],
+            [sys.executable, "-m", "stairhatch.fault_injection.folder_cleanup", str(self.folder)],
             cwd=ROOT,
             stdin=subprocess.PIPE,
         )
@@ -332,7 +332,7 @@
     def holder(self) -> MemberProcess | None:
         """Whoever holds the list now, by the histories."""
         now = time.monotonic()
-        held = rules.hold_intervals(self._records())
+        held = lease_rules.hold_intervals(self._records())
         last = next(
             (each for each in reversed(held) if each.lease == ENDPOINT_LIST_LEASE and each.until_s > now),
             None,
@@ -454,21 +454,25 @@
     def _report(self) -> RunReport:
         lines = sorted(self._records(), key=lambda each: each.at_s)
         schedule = self.schedule
-        broken = rules.find_violations(lines, within_drift=schedule.within_drift_bound)
+        broken = lease_rules.find_violations(lines, within_drift=schedule.within_drift_bound)
         last = self.started_at + schedule.duration_s
         if not schedule.expects_no_holder and schedule.expects_recovery:
-            broken += rules.find_unheld(lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last)
+            broken += lease_rules.find_unheld(
+                lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last
+            )
         quiet = last - schedule.fault_free_s / 2
         if schedule.expects_no_holder:
             held = [
-                each for each in rules.hold_intervals(lines) if each.since_s < last and each.until_s > quiet
+                each
+                for each in lease_rules.hold_intervals(lines)
+                if each.since_s < last and each.until_s > quiet
             ]
             broken += [
                 RuleViolation("rests", each.since_s, f"{each.member} holds {each.lease}") for each in held
             ]
         owners = {
             (each.member, each.start_number)
-            for each in rules.hold_intervals(lines)
+            for each in lease_rules.hold_intervals(lines)
             if each.lease == ENDPOINT_LIST_LEASE
         }
         full = sum("No space left" in each.reason for each in lines)
@@ -494,7 +498,7 @@
             self.activations,
             lines,
             fallen,
-            len(rules.hold_intervals(lines)),
+            len(lease_rules.hold_intervals(lines)),
             ends,
             self.links.datagrams_forwarded,
             self.stall.longest_s,
--- a/stairhatch/fault_injection/timeline.py
+++ b/stairhatch/fault_injection/timeline.py
@@ -6,7 +6,7 @@
 from xml.sax.saxutils import escape
 
 from stairhatch.fault_injection.history import HistoryRecord
-from stairhatch.fault_injection.rules import hold_intervals
+from stairhatch.fault_injection.lease_rules import hold_intervals
 
 COLUMNS = 100
 WIDTH, ROW, LEFT, TOP = 1000, 22, 110, 30
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from stairhatch.fault_injection.planted import mutation_applied
-from stairhatch.fault_injection.rules import RuleViolation, find_unheld, find_violations, hold_intervals
+from stairhatch.fault_injection.lease_rules import RuleViolation, find_unheld, find_violations, hold_intervals
+from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fault_injection.schedule import draw_schedule
-from stairhatch.fault_injection.world import ENDPOINT_LIST_LEASE, VirtualCluster
+from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.member import ROOT, MemberProcess
-from stairhatch.fault_injection.processes import READY_S, loopback_host
-from stairhatch.fault_injection.reaper import PREFIX
+from stairhatch.fault_injection.folder_cleanup import PREFIX
+from stairhatch.fault_injection.member_process import ROOT, MemberProcess
+from stairhatch.fault_injection.process_run import READY_S, loopback_host
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
     NUMBERS,
@@ -81,7 +81,7 @@
         self.plan, self.settle_s = plan, settle_s
         self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)],
+            [sys.executable, "-m", "stairhatch.fault_injection.folder_cleanup", str(self.folder)],
             cwd=ROOT,
             stdin=subprocess.PIPE,
         )
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.world import DISK_SYNC_S, VirtualDisk
+from stairhatch.fault_injection.virtual_cluster import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import service as fleet_service
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import FleetConfig
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -14,7 +14,7 @@
 
 from stairhatch.config import ConfigError
 from stairhatch.config.appliance import config_from
-from stairhatch.fault_injection import rules, runs
+from stairhatch.fault_injection import lease_rules, run_batch
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.schedule import draw_schedule, read_schedule
 from stairhatch.fleet import asking
@@ -43,7 +43,7 @@
     file says what has to bite and how many owners there have to be.
     """
     for _ in range(3):
-        ran = runs.carry_out(runs.RunRequest(read_schedule(path), 1))
+        ran = run_batch.carry_out(run_batch.RunRequest(read_schedule(path), 1))
         if not ran.violations or not all(each.startswith("void ") for each in ran.violations):
             break  # a fault that has not bitten, on a pressed machine, shows nothing: it is forced anew
     assert not ran.error and not ran.violations
@@ -60,14 +60,16 @@
 def test_a_fault_planted_in_real_processes_is_found(monkeypatch, fault, case, rule):
     """Guards against hard cases that hold whatever the program does: a fence and a check are taken out."""
     monkeypatch.setenv("STAIRHATCH_LAB_PLANTED", fault)
-    ran = runs.carry_out(runs.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1))
+    ran = run_batch.carry_out(
+        run_batch.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1)
+    )
     assert not ran.error and any(each.startswith(rule) for each in ran.violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_drawn_faults_on_real_processes(seed):
     """Guards against what only a mixture of faults brings out."""
-    ran = runs.carry_out(runs.RunRequest(draw_schedule(seed, scale=0.15), seed))
+    ran = run_batch.carry_out(run_batch.RunRequest(draw_schedule(seed, scale=0.15), seed))
     assert not ran.error and not ran.violations and ran.activations
 
 
@@ -78,14 +80,14 @@
         return HistoryRecord(at, who, what, 1, "list", ticket, until)
 
     both = [line(1.0, "a", "held", 1, 4.0), line(2.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in rules.find_violations(both)] == ["one"]
+    assert [each.rule for each in lease_rules.find_violations(both)] == ["one"]
     back = [line(1.0, "a", "held", 3, 2.0), line(3.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in rules.find_violations(back)] == ["grows"]
+    assert [each.rule for each in lease_rules.find_violations(back)] == ["grows"]
     taken = [line(1.0, "r", "took", 3), line(2.0, "r", "took", 2)]
-    assert [each.rule for each in rules.find_violations(taken)] == ["fenced"]
+    assert [each.rule for each in lease_rules.find_violations(taken)] == ["fenced"]
     late = [line(1.0, "a", "held", 1, 2.0), line(3.0, "a", "acted", 1)]
-    assert [each.rule for each in rules.find_violations(late)] == ["acts"]
-    assert not rules.find_violations(
+    assert [each.rule for each in lease_rules.find_violations(late)] == ["acts"]
+    assert not lease_rules.find_violations(
         [line(1.0, "a", "held", 1, 4.0), line(2.0, "a", "given back", 1), both[1]]
     )
 
@@ -107,7 +109,7 @@
             return []
 
     def members():
-        return [pid for pid in children() if "stairhatch.fault_injection.child" in arguments(pid)]
+        return [pid for pid in children() if "stairhatch.fault_injection.member_main" in arguments(pid)]
 
     try:
         pids = until(lambda: len(found := members()) == 5 and found, "five softswitches")
@@ -118,7 +120,10 @@
     finally:
         lab.kill()
         lab.wait()
-    until(lambda: not any("stairhatch.fault_injection.child" in arguments(pid) for pid in pids), "their end")
+    until(
+        lambda: not any("stairhatch.fault_injection.member_main" in arguments(pid) for pid in pids),
+        "their end",
+    )
     until(lambda: not folder.exists(), "the folder's end")
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from stairhatch.fault_injection.explore import ExplorationBounds, explore
-from stairhatch.fault_injection.planted import mutation_applied
+from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fault_injection.schedule import draw_schedule
+from stairhatch.fault_injection.state_exploration import ExplorationBounds, explore
 from stairhatch.fault_injection.trial import run_seeds
-from stairhatch.fault_injection.world import VirtualCluster
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.effects import Kept, Send, Write
 from stairhatch.fleet.epochs import Kind, Roll, Said, compare, digest, may_go_on
