--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,9 +42,11 @@
 from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
 from stairhatch.fleet.messages import Codec
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
