--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -341,7 +341,8 @@
     from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
     """
     from stairhatch.fault_injection import run_batch
-    from stairhatch.fault_injection.schedule import ScheduleError, read_schedule
+    from stairhatch.fault_injection.errors import ScheduleError
+    from stairhatch.fault_injection.schedule import read_schedule
 
     if (file is None) is (not seeds):
         raise click.UsageError("give either FILE or --seeds A-B")
@@ -376,7 +377,7 @@
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
     """Carry out the run of SEED once more, keep all of it and show who held what."""
     from stairhatch.fault_injection import run_batch
-    from stairhatch.fault_injection.schedule import draw_schedule
+    from stairhatch.fault_injection.schedule_generator import draw_schedule
 
     told = run_batch.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
     for event in told.schedule.faults:
@@ -396,7 +397,7 @@
 def lab_check(folder: Path) -> None:
     """Judge once more what a run has kept, and show who held what."""
     from stairhatch.fault_injection import run_batch
-    from stairhatch.fault_injection.process_run import RunError
+    from stairhatch.fault_injection.errors import RunError
 
     try:
         broken, shown = run_batch.check_kept_run(folder)
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -1,5 +1,7 @@
-"""Callers of a lab: owns a few calls a second to each softswitch and what both ends saw of each call. It must
-never choose a softswitch by how it fares.
+"""Callers of a run: a few SIP calls a second to each softswitch, and what both ends saw of each call.
+
+The rules of calls (`stairhatch.load.rules`) are checked over these observations. A softswitch is called at
+its rate however it fares.
 """
 
 from __future__ import annotations
@@ -16,29 +18,34 @@
 
 CALL_DURATION_S = 0.5
 ANSWER_LIMIT_S = 3.0
-OUTAGE_MARGIN_S = 4.0  # a call that began so long before its softswitch was away may have been under way
-RULES_DESPITE_OUTAGE = ("one attempt", "pause", "attempts", "drain")  # that hold for calls cut by a kill too
+OUTAGE_MARGIN_S = 4.0  # a call that began so long before an outage may have been under way in it
+RULES_DESPITE_OUTAGE = ("one attempt", "pause", "attempts", "drain")  # hold for interrupted calls too
+STATUS_OK = 200  # RFC 3261 section 21.2.1
 
 
 class Callers:
-    """The callers of all softswitches."""
-
-    def __init__(self, seed: int, members: list[MemberProcess], servers: list[StandIn], rate: float) -> None:
-        self.seed, self.members, self.calls_per_s = seed, members, rate
+    """The callers of all softswitches of a run."""
+
+    def __init__(
+        self, seed: int, members: list[MemberProcess], servers: list[StandIn], calls_per_s: float
+    ) -> None:
+        self.seed = seed
+        self.members = members
+        self.calls_per_s = calls_per_s  # to each softswitch
         self.rng = random.Random(f"callers {seed}")
         self.observations: list[Seen] = []
-        self.member_by_number: dict[str, MemberProcess] = {}  # the number called -> its softswitch
-        self.end_counts = {end: 0 for end in End}
-        self.answer_times_s: list[float] = []  # seconds to each final answer
+        self.member_by_number: dict[str, MemberProcess] = {}  # by the number called
+        self.end_counts = dict.fromkeys(End, 0)
+        self.answer_times_s: list[float] = []  # to each final answer
         self.tasks: list[asyncio.Task[None]] = []
         for index, server in enumerate(servers):
             server.seen = self._server_observer(f"r{index}")
 
-    def _server_observer(self, name: str) -> Callable[[str, str], None]:
-        def seen(what: str, number: str) -> None:
-            self.observations.append(Seen(time.monotonic(), What(what), number, name))
+    def _server_observer(self, server: str) -> Callable[[str, str], None]:
+        def observe(what: str, number: str) -> None:
+            self.observations.append(Seen(time.monotonic(), What(what), number, server))
 
-        return seen
+        return observe
 
     def _observe_caller(self, what: str, call: Placed, status: int, text: str) -> None:
         self.observations.append(Seen(time.monotonic(), What(what), call.number, value=status, text=text))
@@ -58,40 +65,43 @@
                 serial += 1
                 number = f"1{index}{serial:06d}"
                 self.member_by_number[number] = member
-                caller.place(number, CALL_DURATION_S, asyncio.get_running_loop().time(), self._ended)
+                caller.place(number, CALL_DURATION_S, asyncio.get_running_loop().time(), self._on_ended)
         finally:
             caller.close()
 
-    def _ended(self, call: Placed, end: End, took_s: float, status: int) -> None:
+    def _on_ended(self, call: Placed, end: End, took_s: float, status: int) -> None:
         self.end_counts[end] += 1
         self.answer_times_s.append(took_s)
 
     def close(self) -> None:
-        """No more calls."""
+        """Place no more calls."""
         for task in self.tasks:
             task.cancel()
 
-    def count_established_since(self, at: float) -> int:
-        """Calls that were answered 200 after that time."""
+    def count_established_since(self, at_s: float) -> int:
+        """Count the calls that were answered with 200 after that time."""
         return sum(
-            seen.what is What.FINAL and seen.value == 200 and seen.at > at for seen in self.observations
+            each.what is What.FINAL and each.value == STATUS_OK and each.at > at_s
+            for each in self.observations
         )
 
     def find_violations(self, slack_s: float) -> list[Broken]:
-        """The rules of calls, read off both ends. A call whose softswitch was killed or stopped under it is
-        owed no answer and no release, but no second set-up either.
+        """Check the rules of calls over what both ends saw.
+
+        A call whose softswitch was killed or stopped under it is owed no answer and no release, but it must
+        not be set up twice either.
         """
-        now = time.monotonic()
-        found = Checker(now, slack_s, ANSWER_LIMIT_S).check(self.observations)
-        begun = {seen.call: seen.at for seen in self.observations if seen.what is What.ASKED}
+        found = Checker(time.monotonic(), slack_s, ANSWER_LIMIT_S).check(self.observations)
+        begun = {each.call: each.at for each in self.observations if each.what is What.ASKED}
         return [
             each
             for each in found
             if each.rule in RULES_DESPITE_OUTAGE or not self._was_interrupted(each, begun)
         ]
 
-    def _was_interrupted(self, broken: Broken, begun: dict[str, float]) -> bool:
-        member, at = self.member_by_number.get(broken.call), begun.get(broken.call, broken.at)
+    def _was_interrupted(self, violation: Broken, begun: dict[str, float]) -> bool:
+        member = self.member_by_number.get(violation.call)
+        at_s = begun.get(violation.call, violation.at)
         return member is None or any(
-            since - OUTAGE_MARGIN_S < at < until + OUTAGE_MARGIN_S for since, until in member.outages
+            since - OUTAGE_MARGIN_S < at_s < until + OUTAGE_MARGIN_S for since, until in member.outages
         )
--- a/stairhatch/fault_injection/lease_rules.py
+++ b/stairhatch/fault_injection/lease_rules.py
@@ -1,13 +1,16 @@
-"""The rules of claims, read off a history: owns what counts as broken. It goes by when each process began and
-ceased to hold, what receivers took and when, and never by what a process says of the others.
-
-  one     no two starts of any process hold one claim at the same time
-  grows   whoever holds a claim after another does so with a higher ticket
-  fenced  no receiver takes work under a ticket below the highest that it has taken, unless its folder was
-  taken
-          away in between
-  acts    nothing is done under a claim by who did not hold it when it checked
-  held    long after the last fault, a claim that somebody wants is held
+"""The rules of leases, checked over a history.
+
+They go by when each process began and ceased to hold a lease, what receivers accepted and when; never by what
+one process says of the others. The rules, by the names that reports give them:
+
+  one     no two starts of any process hold one lease at the same time grows   whoever holds a lease after
+  another does so with a higher fencing token fenced  no receiver accepts work under a fencing token below the
+  highest that it has accepted, unless its data
+          directory was lost in between
+  acts    nothing is done under a lease by who did not hold it when it checked
+  held    long after the last fault, a lease that somebody wants is held
+
+Runs on real processes add rules of their own: `void`, `rests` and `calls` (`run_report`).
 """
 
 from __future__ import annotations
@@ -15,13 +18,17 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stairhatch.fault_injection.history import HistoryRecord
+from stairhatch.fault_injection.history import HistoryRecord, ProcessEvent
 from stairhatch.fleet.effects import What
 
+START_EVENTS = (What.HELD.value, What.RENEWED.value)
+END_EVENTS = (What.LOST.value, What.GIVEN_BACK.value, What.STOOD_DOWN.value)
+EPSILON_S = 1e-6
+
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """A rule that was broken, and how."""
+    """A rule that was broken, when in the run's time, and how."""
 
     rule: str
     at_s: float
@@ -30,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldInterval:
-    """One stretch for which one start of a process could act under a claim."""
+    """A time for which one start of a process could act under a lease."""
 
     lease: str
     member: str
@@ -39,124 +46,139 @@
     since_s: float
     until_s: float
 
+    def is_same_start(self, other: HoldInterval) -> bool:
+        """Whether both are of one start of one member."""
+        return (self.member, self.start_number) == (other.member, other.start_number)
 
-BEGINS = (What.HELD.value, What.RENEWED.value)
-ENDS = (What.LOST.value, What.GIVEN_BACK.value, What.STOOD_DOWN.value)
-EPSILON_S = 1e-6
 
+class _IntervalBuilder:
+    """Collects hold intervals from records in the order of their times."""
+
+    def __init__(self) -> None:
+        self.finished: list[HoldInterval] = []
+        self.open: dict[tuple[str, str, int], HoldInterval] = {}  # by lease, member and start
+
+    def add(self, record: HistoryRecord) -> None:
+        key = (record.lease, record.member, record.start_number)
+        if record.event in START_EVENTS:
+            self._begin_or_extend(key, record)
+        elif record.event in END_EVENTS and key in self.open:
+            self._close(key, record.at_s)
+        elif record.event == ProcessEvent.KILLED:
+            for each in [key for key in self.open if key[1] == record.member]:
+                self._close(each, record.at_s)
+
+    def finish(self) -> list[HoldInterval]:
+        for key in list(self.open):
+            self._close(key, float("inf"))
+        return sorted(self.finished, key=lambda each: each.since_s)
+
+    def _begin_or_extend(self, key: tuple[str, str, int], record: HistoryRecord) -> None:
+        since_s = record.at_s
+        if (old := self.open.get(key)) is not None:
+            if old.fencing_token != record.fencing_token or record.at_s > old.until_s + EPSILON_S:
+                self._close(key, record.at_s)
+            else:
+                since_s = old.since_s
+        self.open[key] = HoldInterval(*key, record.fencing_token, since_s, record.until_s)
 
-def hold_intervals(lines: Iterable[HistoryRecord]) -> list[HoldInterval]:
-    """Who could act when. A stop ends nothing: who is let go on within its term may act."""
-    found: list[HoldInterval] = []
-    open_ones: dict[tuple[str, str, int], HoldInterval] = {}
-
-    def close(key: tuple[str, str, int], at: float) -> None:
-        held = open_ones.pop(key)
-        found.append(
-            HoldInterval(held.lease, *key[1:], held.fencing_token, held.since_s, min(held.until_s, at))
-        )
-
-    for line in sorted(lines, key=lambda each: each.at_s):
-        key = (line.lease, line.member, line.start_number)
-        if line.event in BEGINS:
-            old = open_ones.get(key)
-            if old is not None and (
-                old.fencing_token != line.fencing_token or line.at_s > old.until_s + EPSILON_S
-            ):
-                close(key, line.at_s)
-                old = None
-            since = old.since_s if old is not None else line.at_s
-            open_ones[key] = HoldInterval(
-                line.lease, line.member, line.start_number, line.fencing_token, since, line.until_s
-            )
-        elif line.event in ENDS and key in open_ones:
-            close(key, line.at_s)
-        elif line.event == "killed":
-            for each in [k for k in open_ones if k[1] == line.member]:
-                close(each, line.at_s)
-    for key in list(open_ones):
-        close(key, float("inf"))
-    return sorted(found, key=lambda each: each.since_s)
+    def _close(self, key: tuple[str, str, int], at_s: float) -> None:
+        held = self.open.pop(key)
+        until_s = min(held.until_s, at_s)
+        self.finished.append(HoldInterval(*key, held.fencing_token, held.since_s, until_s))
+
+
+def hold_intervals(records: Iterable[HistoryRecord]) -> list[HoldInterval]:
+    """Who could act under which lease when, by the beginnings.
+
+    A stopped process still holds: once it is resumed within the lease's duration it may act.
+    """
+    builder = _IntervalBuilder()
+    for record in sorted(records, key=lambda each: each.at_s):
+        builder.add(record)
+    return builder.finish()
 
 
 def find_violations(
-    lines: list[HistoryRecord], slack_s: float = 0.0, within_drift: bool = True
+    records: list[HistoryRecord], slack_s: float = 0.0, within_drift_bound: bool = True
 ) -> list[RuleViolation]:
-    """All that was broken. `slack_s`: so much two stretches may overlap, where processes read one clock at
-    moments of their own. Beyond the drift bound only the fences are promised.
+    """Check all rules but `held`, and return the violations by their times.
+
+    `slack_s` is how much two intervals may overlap, where processes read one clock at moments of their own.
+    Where clocks went beyond the drift bound, only the fencing tokens are promised.
     """
-    found = [*_fenced(lines)]
-    if within_drift:
-        held = hold_intervals(lines)
-        found += [*_one(held, slack_s), *_grows(held), *_acts(lines, held, slack_s)]
+    found = [*_check_fenced(records)]
+    if within_drift_bound:
+        held = hold_intervals(records)
+        found += [*_check_one(held, slack_s), *_check_grows(held), *_check_acts(records, held, slack_s)]
     return sorted(found, key=lambda each: each.at_s)
 
 
-def _one(held: list[HoldInterval], slack_s: float) -> Iterable[RuleViolation]:
+def _check_one(held: list[HoldInterval], slack_s: float) -> Iterable[RuleViolation]:
     last: dict[str, HoldInterval] = {}
     for each in held:
         old = last.get(each.lease)
-        if old is not None and (old.member, old.start_number) != (each.member, each.start_number):
-            over = min(old.until_s, each.until_s) - each.since_s
-            if over > slack_s + EPSILON_S:
-                how = f"{each.lease}: {old.member} and {each.member} both held it for {over:.3f} s"
+        if old is not None and not each.is_same_start(old):
+            overlap_s = min(old.until_s, each.until_s) - each.since_s
+            if overlap_s > slack_s + EPSILON_S:
+                how = f"{each.lease}: {old.member} and {each.member} both held it for {overlap_s:.3f} s"
                 yield RuleViolation("one", each.since_s, how)
         if old is None or each.until_s >= old.until_s:
             last[each.lease] = each
 
 
-def _grows(held: list[HoldInterval]) -> Iterable[RuleViolation]:
+def _check_grows(held: list[HoldInterval]) -> Iterable[RuleViolation]:
     highest: dict[str, HoldInterval] = {}
     for each in held:
         old = highest.get(each.lease)
-        if (
-            old is not None
-            and each.fencing_token <= old.fencing_token
-            and (old.member, old.start_number) != (each.member, each.start_number)
-        ):
-            how = (
-                f"{each.lease}: {each.member} holds {each.fencing_token} "
-                f"after {old.member} held {old.fencing_token}"
-            )
+        if old is not None and each.fencing_token <= old.fencing_token and not each.is_same_start(old):
+            before = f"after {old.member} held {old.fencing_token}"
+            how = f"{each.lease}: {each.member} holds {each.fencing_token} {before}"
             yield RuleViolation("grows", each.since_s, how)
         if old is None or each.fencing_token > old.fencing_token:
             highest[each.lease] = each
 
 
-def _fenced(lines: list[HistoryRecord]) -> Iterable[RuleViolation]:
-    highest: dict[tuple[str, str], int] = {}
-    for line in sorted(lines, key=lambda each: each.at_s):
-        if line.event == "folder":  # lost or put back old: what it had seen went with it
-            for gone in [key for key in highest if key[0] == line.member]:
+def _check_fenced(records: list[HistoryRecord]) -> Iterable[RuleViolation]:
+    highest: dict[tuple[str, str], int] = {}  # fencing tokens accepted, by member and lease
+    for record in sorted(records, key=lambda each: each.at_s):
+        if record.event == ProcessEvent.DATA_DIRECTORY_CHANGED:
+            for gone in [key for key in highest if key[0] == record.member]:
                 del highest[gone]
-        if line.event != What.TOOK.value:
+        if record.event != What.TOOK.value:
             continue
-        key = (line.member, line.lease)
-        if line.fencing_token < highest.get(key, 0):
-            how = f"{line.lease}: {line.member} took {line.fencing_token} after {highest[key]}"
-            yield RuleViolation("fenced", line.at_s, how)
-        highest[key] = max(highest.get(key, 0), line.fencing_token)
+        key = (record.member, record.lease)
+        if record.fencing_token < highest.get(key, 0):
+            how = f"{record.lease}: {record.member} took {record.fencing_token} after {highest[key]}"
+            yield RuleViolation("fenced", record.at_s, how)
+        highest[key] = max(highest.get(key, 0), record.fencing_token)
 
 
-def _acts(lines: list[HistoryRecord], held: list[HoldInterval], slack_s: float) -> Iterable[RuleViolation]:
-    by_owner: dict[tuple[str, str, int], list[HoldInterval]] = {}
+def _check_acts(
+    records: list[HistoryRecord], held: list[HoldInterval], slack_s: float
+) -> Iterable[RuleViolation]:
+    by_start: dict[tuple[str, str, int], list[HoldInterval]] = {}
     for each in held:
-        by_owner.setdefault((each.lease, each.member, each.start_number), []).append(each)
-    for line in lines:
-        if line.event != "acted":
+        by_start.setdefault((each.lease, each.member, each.start_number), []).append(each)
+    for record in records:
+        if record.event != ProcessEvent.ACTED:
             continue
-        mine = by_owner.get((line.lease, line.member, line.start_number), [])
-        if not any(h.since_s - slack_s <= line.at_s <= h.until_s + slack_s + EPSILON_S for h in mine):
-            yield RuleViolation(
-                "acts", line.at_s, f"{line.lease}: {line.member} acted under {line.fencing_token}, not held"
-            )
+        own = by_start.get((record.lease, record.member, record.start_number), [])
+        if not any(
+            each.since_s - slack_s <= record.at_s <= each.until_s + slack_s + EPSILON_S for each in own
+        ):
+            how = f"{record.lease}: {record.member} acted under {record.fencing_token}, not held"
+            yield RuleViolation("acts", record.at_s, how)
 
 
 def find_unheld(
-    lines: list[HistoryRecord], claims: Iterable[str], since: float, until: float
+    records: list[HistoryRecord], leases: Iterable[str], since_s: float, until_s: float
 ) -> Iterable[RuleViolation]:
-    """Claims that nobody holds all through a time in which somebody should."""
-    held = hold_intervals(lines)
-    for claim in claims:
-        if not any(h.lease == claim and h.since_s < until and h.until_s > since for h in held):
-            yield RuleViolation("held", until, f"{claim}: nobody holds it, long after the last fault")
+    """Check the rule `held`: yield a violation for each lease that nobody holds at any time between the
+    two."""
+    held = hold_intervals(records)
+    for lease in leases:
+        if not any(
+            each.lease == lease and each.since_s < until_s and each.until_s > since_s for each in held
+        ):
+            yield RuleViolation("held", until_s, f"{lease}: nobody holds it, long after the last fault")
--- a/stairhatch/fault_injection/network_links.py
+++ b/stairhatch/fault_injection/network_links.py
@@ -1,7 +1,9 @@
-"""The ways between the processes of a lab: owns a port for each ordered pair of softswitches, and connections
-to what stands outside. What comes at the port by which A reaches B goes on to B from the port by which B
-reaches A, so that each knows the other under one address whatever the way does. It must never look into what
-it carries.
+"""The network links between the processes of a run, and the network conditions on them.
+
+Each ordered pair of softswitches has a UDP port of its own. What comes at the port by which A reaches B goes
+on to B from the port by which B reaches A, so each knows the other under one address whatever the link does.
+Connections to what stands outside (coordinator, roster servers) go through a TCP relay. The contents are
+never looked into.
 """
 
 from __future__ import annotations
@@ -19,22 +21,23 @@
 READ_SIZE_BYTES = 16 * 1024
 POLL_INTERVAL_S = 0.01
 COORDINATOR = "coordinator"
+HELD_CONNECTION = "connection held"  # the activation of a fault that holds back a connection's bytes
 
 
-class _Port(asyncio.DatagramProtocol):
-    def __init__(self, came: Callable[[bytes], None]) -> None:
-        self.came = came
+class _LinkPort(asyncio.DatagramProtocol):
+    def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
+        self.on_datagram = on_datagram
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.came(data)
+        self.on_datagram(data)
 
 
 class NetworkLinks:
-    """All ways of one lab, and the faults on them."""
+    """All links of one run. `active_faults` are the network conditions; whoever injects faults changes it."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(f"ways {seed}")
@@ -43,99 +46,101 @@
         self.activations: Counter[str] = Counter()
         self.datagrams_forwarded = 0
         self.addresses: dict[str, Address] = {}  # where each softswitch listens
-        self.ports: dict[tuple[str, str], _Port] = {}
+        self.ports: dict[tuple[str, str], _LinkPort] = {}
         self.servers: list[asyncio.Server] = []
         self.copy_tasks: set[asyncio.Task[None]] = set()
 
-    async def open(self, places: dict[str, Address]) -> None:
-        """Ports for every ordered pair."""
-        self.addresses = places
-        for a in places:
-            for b in places:
-                if a != b:
-                    make = partial(_Port, self._receiver(a, b))
+    async def open(self, addresses: dict[str, Address]) -> None:
+        """Open a port for every ordered pair of the softswitches that listen at these addresses."""
+        self.addresses = addresses
+        for sender in addresses:
+            for receiver in addresses:
+                if sender != receiver:
+                    make = partial(_LinkPort, partial(self._on_datagram, sender, receiver))
                     _, port = await self.loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
-                    self.ports[a, b] = port
+                    self.ports[sender, receiver] = port
 
-    def address_for(self, a: str, b: str) -> Address:
-        """Where A reaches B."""
-        if a == b:
-            return self.addresses[a]
-        host, port = self.ports[a, b].transport.get_extra_info("sockname")[:2]
+    def address_for(self, sender: str, receiver: str) -> Address:
+        """The address under which one softswitch reaches another."""
+        if sender == receiver:
+            return self.addresses[sender]
+        host, port = self.ports[sender, receiver].transport.get_extra_info("sockname")[:2]
         return host, port
 
-    def _receiver(self, a: str, b: str) -> Callable[[bytes], None]:
-        def came(data: bytes) -> None:
-            for after in self._delivery_delays(a, b):
-                self.loop.call_later(after, self._forward, a, b, data)
-
-        return came
+    def _on_datagram(self, sender: str, receiver: str, data: bytes) -> None:
+        for delay_s in self._delivery_delays_s(sender, receiver):
+            self.loop.call_later(delay_s, self._forward, sender, receiver, data)
 
-    def _forward(self, a: str, b: str, data: bytes) -> None:
+    def _forward(self, sender: str, receiver: str, data: bytes) -> None:
         self.datagrams_forwarded += 1
-        port = self.ports[b, a].transport
-        if not port.is_closing():
-            port.sendto(data, self.addresses[b])
-
-    def _delivery_delays(self, a: str, b: str) -> list[float]:
-        times = [0.0]
-        for event in self.active_faults:
-            if blocks_traffic(event, a, b):
-                self.activations[event.kind.value] += 1
+        transport = self.ports[receiver, sender].transport
+        if not transport.is_closing():
+            transport.sendto(data, self.addresses[receiver])
+
+    def _delivery_delays_s(self, sender: str, receiver: str) -> list[float]:
+        """When each copy of a datagram is delivered; empty where it is lost."""
+        delays_s = [0.0]
+        for fault in self.active_faults:
+            if blocks_traffic(fault, sender, receiver):
+                self.activations[fault.kind.value] += 1
                 return []
             draw = self.rng.random()
-            if event.kind is FaultKind.LOSS and draw < event.amount:
-                self.activations["loss"] += 1
-                return []
-            if event.kind is FaultKind.DELAY:
-                self.activations["delay"] += 1
-                times = [each + event.amount * self.rng.random() for each in times]
-            if event.kind is FaultKind.DUPLICATION and draw < event.amount:
-                self.activations["copies"] += 1
-                times.append(self.rng.random() * self.rng.choice((0.05, 0.5)))
-        return times
-
-    # ---- connections ----
-
-    async def open_connection_link(self, name: str, target: Address, to: str = COORDINATOR) -> Address:
-        """Where a softswitch reaches something outside by a connection; a cut holds the bytes back."""
-
-        async def took(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            match fault.kind:
+                case FaultKind.LOSS if draw < fault.amount:
+                    self.activations[fault.kind.value] += 1
+                    return []
+                case FaultKind.DELAY:
+                    self.activations[fault.kind.value] += 1
+                    delays_s = [each + fault.amount * self.rng.random() for each in delays_s]
+                case FaultKind.DUPLICATION if draw < fault.amount:
+                    self.activations[fault.kind.value] += 1
+                    delays_s.append(self.rng.random() * self.rng.choice((0.05, 0.5)))
+        return delays_s
+
+    async def open_connection_link(self, member: str, target: Address, peer: str = COORDINATOR) -> Address:
+        """Open a TCP relay by which a softswitch reaches something outside, and return its address.
+
+        A fault between the two holds the bytes back until it ends.
+        """
+
+        async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
-                there, out = await asyncio.open_connection(*target)
+                target_reader, target_writer = await asyncio.open_connection(*target)
             except OSError:
                 writer.close()
                 return
-            self._start_copying(reader, out, name, to)
-            self._start_copying(there, writer, to, name)
+            self._start_copying(reader, target_writer, member, peer)
+            self._start_copying(target_reader, writer, peer, member)
 
-        server = await asyncio.start_server(took, "127.0.0.1", 0)
+        server = await asyncio.start_server(on_connection, "127.0.0.1", 0)
         self.servers.append(server)
         host, port = server.sockets[0].getsockname()[:2]
         return host, port
 
-    def _start_copying(self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str) -> None:
-        task = self.loop.create_task(self._copy_stream(source, to, a, b))
+    def _start_copying(
+        self, source: asyncio.StreamReader, target: asyncio.StreamWriter, sender: str, receiver: str
+    ) -> None:
+        task = self.loop.create_task(self._copy_stream(source, target, sender, receiver))
         self.copy_tasks.add(task)
         task.add_done_callback(self.copy_tasks.discard)
 
     async def _copy_stream(
-        self, source: asyncio.StreamReader, to: asyncio.StreamWriter, a: str, b: str
+        self, source: asyncio.StreamReader, target: asyncio.StreamWriter, sender: str, receiver: str
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await source.read(READ_SIZE_BYTES):
-                while any(blocks_traffic(event, a, b) for event in self.active_faults):
-                    self.activations["connection held"] += 1
+                while any(blocks_traffic(fault, sender, receiver) for fault in self.active_faults):
+                    self.activations[HELD_CONNECTION] += 1
                     await asyncio.sleep(POLL_INTERVAL_S)
-                if to.is_closing():
+                if target.is_closing():
                     break
-                to.write(data)
-                await to.drain()
+                target.write(data)
+                await target.drain()
         with contextlib.suppress(OSError):
-            to.close()
+            target.close()
 
     def close(self) -> None:
-        """Carry no more."""
+        """Close all links; nothing is forwarded any more."""
         for port in self.ports.values():
             port.transport.close()
         for server in self.servers:
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -24,7 +24,7 @@
 
 from stairhatch.fault_injection import lease_rules
 from stairhatch.fault_injection.callers import Callers
-from stairhatch.fault_injection.folder_cleanup import PREFIX
+from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.lease_rules import RuleViolation
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
@@ -160,7 +160,7 @@
         self.schedule, self.seed, self.keep, self.calls = schedule, seed, keep, calls
         self.file = FILE if fleet else FILE.partition("[fleet]")[0]
         self.rng = random.Random(f"lab {seed}")
-        self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
+        self.folder = Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
         self.reaper = subprocess.Popen(
             [sys.executable, "-m", "stairhatch.fault_injection.folder_cleanup", str(self.folder)],
             cwd=ROOT,
@@ -454,7 +454,7 @@
     def _report(self) -> RunReport:
         lines = sorted(self._records(), key=lambda each: each.at_s)
         schedule = self.schedule
-        broken = lease_rules.find_violations(lines, within_drift=schedule.within_drift_bound)
+        broken = lease_rules.find_violations(lines, within_drift_bound=schedule.within_drift_bound)
         last = self.started_at + schedule.duration_s
         if not schedule.expects_no_holder and schedule.expects_recovery:
             broken += lease_rules.find_unheld(
--- a/stairhatch/fault_injection/run_batch.py
+++ b/stairhatch/fault_injection/run_batch.py
@@ -19,7 +19,8 @@
 from stairhatch.fault_injection import history, lease_rules, timeline
 from stairhatch.fault_injection.lease_rules import RuleViolation
 from stairhatch.fault_injection.process_run import RunError, RunReport, run_schedule
-from stairhatch.fault_injection.schedule import DATA_DIRECTORY_FAULTS, FaultSchedule, draw_schedule
+from stairhatch.fault_injection.schedule import DATA_DIRECTORY_FAULTS, FaultSchedule
+from stairhatch.fault_injection.schedule_generator import draw_schedule
 
 SCHEDULE_FILE, HISTORY_FILE, REPORT_FILE = "schedule.json", "history.jsonl", "report.json"
 
@@ -128,7 +129,7 @@
         lines = history.read_history(folder / HISTORY_FILE)
     except (OSError, msgspec.DecodeError) as error:
         raise RunError(f"{folder}: {error}") from None
-    broken = lease_rules.find_violations(lines, within_drift=schedule.within_drift_bound)
+    broken = lease_rules.find_violations(lines, within_drift_bound=schedule.within_drift_bound)
     return broken, timeline.render_text(lines)
 
 
--- a/stairhatch/fault_injection/timeline.py
+++ b/stairhatch/fault_injection/timeline.py
@@ -1,90 +1,147 @@
-"""Who held what when, for people: owns the picture of a run as text and SVG, drawn from its history alone."""
+"""Who held which lease when, drawn from a history for people to read: as text and as an SVG picture.
+
+Both have a row for each lease, with its holders over time, and a row for each member, with what was done to
+it.
+"""
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from xml.sax.saxutils import escape
 
-from stairhatch.fault_injection.history import HistoryRecord
-from stairhatch.fault_injection.lease_rules import hold_intervals
+from stairhatch.fault_injection.history import HistoryRecord, ProcessEvent
+from stairhatch.fault_injection.lease_rules import HoldInterval, hold_intervals
 
-COLUMNS = 100
-WIDTH, ROW, LEFT, TOP = 1000, 22, 110, 30
+MIN_SPAN_S = 1e-9  # so that a history of one moment can be drawn
+TEXT_COLUMNS = 100
+TEXT_LABEL_WIDTH = 12
+SVG_WIDTH, SVG_ROW_HEIGHT, SVG_LEFT, SVG_TOP = 1000, 22, 110, 30
+SVG_RIGHT_MARGIN, SVG_FOOT_HEIGHT = 10, 30
+SVG_TICKS = 10
+SVG_MIN_BAR = 0.5
 COLOURS = ("#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb", "#994400", "#000000")
-MARKS = {"killed": "x", "started": "o", "stopped": "|", "let go on": ">", "folder": "!"}
+MARKS: dict[str, str] = {
+    ProcessEvent.KILLED: "x",
+    ProcessEvent.STARTED: "o",
+    ProcessEvent.STOPPED: "|",
+    ProcessEvent.RESUMED: ">",
+    ProcessEvent.DATA_DIRECTORY_CHANGED: "!",
+}
+LEGEND = "x killed, o started, | stopped, > let go on, ! its folder lost or put back old, # two at once\n"
+
 
+def _span_s(records: list[HistoryRecord], intervals: list[HoldInterval]) -> tuple[float, float]:
+    ends = [each.until_s for each in intervals if math.isfinite(each.until_s)]
+    return min(each.at_s for each in records), max([each.at_s for each in records] + ends)
 
-def _span(lines: list[HistoryRecord]) -> tuple[float, float]:
-    ends = [each.until_s for each in hold_intervals(lines) if math.isfinite(each.until_s)]
-    return min(each.at_s for each in lines), max([each.at_s for each in lines] + ends)
 
+def render_text(records: list[HistoryRecord]) -> str:
+    """Draw a history as text, a column for each hundredth of its time.
 
-def render_text(lines: list[HistoryRecord]) -> str:
-    """A row for each claim with the holder's last character at each moment, and one for what was done to
-    each.
+    A lease's row shows the last character of its holder's name, a member's row the marks of what was done to
+    it.
     """
-    if not lines:
+    if not records:
         return "nothing happened\n"
-    begin, end = _span(lines)
-    step = max(1e-9, (end - begin) / COLUMNS)
-    names = sorted({each.member for each in lines})
-    out = f"{end - begin:.1f} s, a column is {step:.2f} s; holders by the end of their name\n"
-    held = hold_intervals(lines)
-    for claim in sorted({each.lease for each in held}):
-        row = [" "] * COLUMNS
-        for each in (h for h in held if h.lease == claim):
-            first = int((each.since_s - begin) / step)
-            last = int((min(each.until_s, end) - begin) / step)
-            for column in range(first, min(COLUMNS, last + 1)):
-                row[column] = each.member[-1] if row[column] in (" ", each.member[-1]) else "#"
-        out += f"{claim:>12} {''.join(row)}\n"
-    for name in names:
-        row = ["."] * COLUMNS
-        for line in lines:
-            if line.member == name and line.event in MARKS:
-                row[min(COLUMNS - 1, int((line.at_s - begin) / step))] = MARKS[line.event]
-        out += f"{name:>12} {''.join(row)}\n"
-    return (
-        out
-        + "x killed, o started, | stopped, > let go on, ! its folder lost or put back old, # two at once\n"
-    )
-
-
-def render_svg(lines: list[HistoryRecord]) -> str:
-    """The same as a picture."""
-    begin, end = _span(lines) if lines else (0.0, 1.0)
-    names = sorted({each.member for each in lines})
-    held = hold_intervals(lines)
-    claims = sorted({each.lease for each in held})
-    rows = [*claims, *names]
-    scale = (WIDTH - LEFT - 10) / max(1e-9, end - begin)
-    colour = {name: COLOURS[index % len(COLOURS)] for index, name in enumerate(names)}
-    height = TOP + ROW * len(rows) + 30
-    out = [
-        f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{height}" '
+    intervals = hold_intervals(records)
+    begin_s, end_s = _span_s(records, intervals)
+    column_s = max(MIN_SPAN_S, (end_s - begin_s) / TEXT_COLUMNS)
+    text = f"{end_s - begin_s:.1f} s, a column is {column_s:.2f} s; holders by the end of their name\n"
+    for lease in sorted({each.lease for each in intervals}):
+        row = [" "] * TEXT_COLUMNS
+        for interval in intervals:
+            if interval.lease != lease:
+                continue
+            letter = interval.member[-1]
+            first = int((interval.since_s - begin_s) / column_s)
+            last = int((min(interval.until_s, end_s) - begin_s) / column_s)
+            for column in range(first, min(TEXT_COLUMNS, last + 1)):
+                row[column] = letter if row[column] in (" ", letter) else "#"
+        text += f"{lease:>{TEXT_LABEL_WIDTH}} {''.join(row)}\n"
+    for member in sorted({each.member for each in records}):
+        row = ["."] * TEXT_COLUMNS
+        for record in records:
+            if record.member == member and record.event in MARKS:
+                row[min(TEXT_COLUMNS - 1, int((record.at_s - begin_s) / column_s))] = MARKS[record.event]
+        text += f"{member:>{TEXT_LABEL_WIDTH}} {''.join(row)}\n"
+    return text + LEGEND
+
+
+@dataclass(frozen=True, slots=True)
+class _Picture:
+    """Where times and rows lie in the SVG."""
+
+    begin_s: float
+    end_s: float
+    rows: list[str]
+    colours: dict[str, str]
+
+    @property
+    def height(self) -> int:
+        return SVG_TOP + SVG_ROW_HEIGHT * len(self.rows) + SVG_FOOT_HEIGHT
+
+    @property
+    def pixels_per_s(self) -> float:
+        return (SVG_WIDTH - SVG_LEFT - SVG_RIGHT_MARGIN) / max(MIN_SPAN_S, self.end_s - self.begin_s)
+
+    def x(self, at_s: float) -> float:
+        return SVG_LEFT + self.pixels_per_s * (at_s - self.begin_s)
+
+    def y(self, row: str) -> int:
+        return SVG_TOP + SVG_ROW_HEIGHT * self.rows.index(row)
+
+    def labels(self) -> list[str]:
+        shapes = []
+        for index, row in enumerate(self.rows):
+            y = SVG_TOP + SVG_ROW_HEIGHT * index
+            base = y + SVG_ROW_HEIGHT
+            label = f'<text x="{SVG_LEFT - 8}" y="{y + 15}" text-anchor="end">{escape(row)}</text>'
+            right = SVG_WIDTH - SVG_RIGHT_MARGIN
+            line = f'<line x1="{SVG_LEFT}" x2="{right}" y1="{base}" y2="{base}" stroke="#dddddd"/>'
+            shapes += [label, line]
+        return shapes
+
+    def bar(self, interval: HoldInterval) -> str:
+        width = max(SVG_MIN_BAR, self.pixels_per_s * (min(interval.until_s, self.end_s) - interval.since_s))
+        title = escape(f"{interval.member} start {interval.start_number} ticket {interval.fencing_token}")
+        return (
+            f'<rect x="{self.x(interval.since_s):.1f}" y="{self.y(interval.lease) + 3}" width="{width:.1f}" '
+            f'height="{SVG_ROW_HEIGHT - 6}" '
+            f'fill="{self.colours[interval.member]}"><title>{title}</title></rect>'
+        )
+
+    def mark(self, record: HistoryRecord) -> str:
+        x, y = self.x(record.at_s), self.y(record.member) + 15
+        return (
+            f'<text x="{x:.1f}" y="{y}" fill="{self.colours[record.member]}">{escape(MARKS[record.event])}'
+            f"<title>{escape(record.event)}</title></text>"
+        )
+
+    def ticks(self) -> list[str]:
+        span_s = self.end_s - self.begin_s
+        step_s = max(1, int(span_s / SVG_TICKS))
+        return [
+            f'<text x="{SVG_LEFT + self.pixels_per_s * tick:.1f}" y="{self.height - 10}">{tick} s</text>'
+            for tick in range(0, int(span_s) + 1, step_s)
+        ]
+
+
+def render_svg(records: list[HistoryRecord]) -> str:
+    """Draw a history as an SVG picture, a colour for each member."""
+    intervals = hold_intervals(records)
+    begin_s, end_s = _span_s(records, intervals) if records else (0.0, 1.0)
+    members = sorted({each.member for each in records})
+    leases = sorted({each.lease for each in intervals})
+    colours = {member: COLOURS[index % len(COLOURS)] for index, member in enumerate(members)}
+    picture = _Picture(begin_s, end_s, [*leases, *members], colours)
+    shapes = [
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="{SVG_WIDTH}" height="{picture.height}" '
         'font-family="sans-serif" font-size="12">',
-        f'<rect width="{WIDTH}" height="{height}" fill="white"/>',
+        f'<rect width="{SVG_WIDTH}" height="{picture.height}" fill="white"/>',
+        *picture.labels(),
+        *map(picture.bar, intervals),
+        *(picture.mark(record) for record in records if record.event in MARKS),
+        *picture.ticks(),
     ]
-    for index, row in enumerate(rows):
-        y = TOP + ROW * index
-        out.append(f'<text x="{LEFT - 8}" y="{y + 15}" text-anchor="end">{escape(row)}</text>')
-        out.append(f'<line x1="{LEFT}" x2="{WIDTH - 10}" y1="{y + ROW}" y2="{y + ROW}" stroke="#dddddd"/>')
-    for each in held:
-        x, y = LEFT + scale * (each.since_s - begin), TOP + ROW * rows.index(each.lease)
-        wide = max(0.5, scale * (min(each.until_s, end) - each.since_s))
-        told = escape(f"{each.member} start {each.start_number} ticket {each.fencing_token}")
-        out.append(
-            f'<rect x="{x:.1f}" y="{y + 3}" width="{wide:.1f}" height="{ROW - 6}" '
-            f'fill="{colour[each.member]}"><title>{told}</title></rect>'
-        )
-    for line in lines:
-        if line.event in MARKS:
-            x, y = LEFT + scale * (line.at_s - begin), TOP + ROW * rows.index(line.member) + 15
-            out.append(
-                f'<text x="{x:.1f}" y="{y}" fill="{colour[line.member]}">{escape(MARKS[line.event])}'
-                f"<title>{escape(line.event)}</title></text>"
-            )
-    seconds = max(1, int((end - begin) / 10))
-    for tick in range(0, int(end - begin) + 1, seconds):
-        out.append(f'<text x="{LEFT + scale * tick:.1f}" y="{height - 10}">{tick} s</text>')
-    return "\n".join([*out, "</svg>", ""])
+    return "\n".join([*shapes, "</svg>", ""])
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -12,7 +12,7 @@
 
 from stairhatch.fault_injection.lease_rules import RuleViolation, find_unheld, find_violations, hold_intervals
 from stairhatch.fault_injection.mutations import mutation_applied
-from stairhatch.fault_injection.schedule import draw_schedule
+from stairhatch.fault_injection.schedule_generator import draw_schedule
 from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
 
 
@@ -54,7 +54,7 @@
         schedule = draw_schedule(seed, members=members, lists_only=lists_only)
         world = VirtualCluster(schedule, seed)
         lines = world.run()
-    broken = find_violations(lines, within_drift=schedule.within_drift_bound)
+    broken = find_violations(lines, within_drift_bound=schedule.within_drift_bound)
     if schedule.expects_recovery:
         last = schedule.duration_s
         broken += find_unheld(lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last)
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.folder_cleanup import PREFIX
+from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.process_run import READY_S, loopback_host
 from stairhatch.load.clock import Stall
@@ -79,7 +79,7 @@
 
     def __init__(self, plan: Plan, settle_s: float) -> None:
         self.plan, self.settle_s = plan, settle_s
-        self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
+        self.folder = Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
         self.reaper = subprocess.Popen(
             [sys.executable, "-m", "stairhatch.fault_injection.folder_cleanup", str(self.folder)],
             cwd=ROOT,
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -16,7 +16,8 @@
 from stairhatch.config.appliance import config_from
 from stairhatch.fault_injection import lease_rules, run_batch
 from stairhatch.fault_injection.history import HistoryRecord
-from stairhatch.fault_injection.schedule import draw_schedule, read_schedule
+from stairhatch.fault_injection.schedule import read_schedule
+from stairhatch.fault_injection.schedule_generator import draw_schedule
 from stairhatch.fleet import asking
 from stairhatch.fleet.effects import Fence, Promise, Write
 from stairhatch.fleet.messages import Mark
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from stairhatch.fault_injection.mutations import mutation_applied
-from stairhatch.fault_injection.schedule import draw_schedule
+from stairhatch.fault_injection.schedule_generator import draw_schedule
 from stairhatch.fault_injection.state_exploration import ExplorationBounds, explore
 from stairhatch.fault_injection.trial import run_seeds
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
