--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -40,8 +40,8 @@
         self.claimed, self.steps = claimed, [PAUSED_AT, COLD_AT, ENDS_AT + 60]
         self.took: list[float] = []
 
-    def _config_text(self, member: MemberProcess, epoch: int, listed: tuple[str, ...]) -> str:
-        text = super()._config_text(member, epoch, listed)
+    def _config_text(self, member: MemberProcess, epoch: int, voters: tuple[str, ...]) -> str:
+        text = super()._config_text(member, epoch, voters)
         me = NAMES.index(member.name) if member.name != "s3" else 1
         text = text.replace("balancers = 3\n", f"balancers = 3\nme = {me}\n").replace(
             "warm_after_s = 4.0", f"warm_after_s = {NATURE.warm_after_s}"
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,7 +37,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.process_run import format_address, loopback_host
+from stairhatch.fault_injection.member_config import format_address, loopback_host
 from stairhatch.node import message as sip
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,8 +22,8 @@
 
 from stairhatch.fault_injection.lease_rules import hold_intervals
 from stairhatch.fault_injection.process_run import FaultInjectionRun
-from stairhatch.fault_injection.schedule import FaultKind, FaultSchedule, ScheduledFault
-from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultKind, FaultSchedule, ScheduledFault
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 
 TERM_S = 3.0
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,8 +38,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
-from stairhatch.fault_injection.schedule import FaultSchedule
-from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import Codec
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
--- /dev/null
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -0,0 +1,248 @@
+"""Carry out a fault schedule on real processes and the links between them.
+
+A fault that concerns the holder of the endpoint list's lease waits until somebody holds it. `activations`
+counts how often each fault took effect, since a run whose faults did nothing proves nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import random
+import time
+from collections import Counter
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from msgspec.structs import replace
+
+from stairhatch.fault_injection.history import HistoryRecord
+from stairhatch.fault_injection.lease_rules import hold_intervals
+from stairhatch.fault_injection.member_process import MemberProcess
+from stairhatch.fault_injection.network_links import NetworkLinks
+from stairhatch.fault_injection.schedule import (
+    DATA_DIRECTORY_FAULTS,
+    ENDPOINT_LIST_LEASE,
+    HOLDER,
+    FaultKind,
+    FaultSchedule,
+    MemberNames,
+    ScheduledFault,
+    blocks_traffic,
+)
+
+POLL_INTERVAL_S = 0.005
+BACKUP_INTERVAL_S = 0.5
+HOLDER_WAIT_LEASES = 2.0  # lease durations for which a fault that wants a holder waits for one
+STOP_WAIT_LEASES = 2.0  # lease durations for which a holder is given work at which to stop
+ADMIN_TIMEOUT_S = 1.0
+RESTART_LEASES = (0.05, 0.3)  # lease durations after which a member with another voter set is started again
+
+WriteConfig = Callable[[MemberProcess, int, MemberNames], None]  # of a member, for an epoch and its voters
+Spawn = Callable[[Coroutine[Any, Any, None]], None]
+
+
+class FaultInjector:
+    """Injects the faults of one schedule, each at its time.
+
+    Holds the faults that are under way or wait for a holder, and the epoch of the voter set in each member's
+    file: a file never goes back to an earlier epoch.
+    """
+
+    def __init__(
+        self,
+        schedule: FaultSchedule,
+        members: dict[str, MemberProcess],
+        links: NetworkLinks,
+        rng: random.Random,
+        write_config: WriteConfig,
+        spawn: Spawn,
+    ) -> None:
+        self.schedule = schedule
+        self.members = members
+        self.links = links
+        self.rng = rng
+        self.write_config = write_config
+        self.spawn = spawn
+        self.started_at = 0.0
+        self.activations: Counter[str] = Counter()
+        self.waiting_faults: list[ScheduledFault] = []
+        self.epoch = 1  # of the voter set that was announced last
+        self.member_epochs = dict.fromkeys(schedule.members, 1)  # of the voter set in each file
+
+    async def run(self, started_at: float, on_progress: Callable[[float], None]) -> None:
+        """Inject all faults, until the run's duration has passed since `started_at` (monotonic time).
+
+        `on_progress` is called with the seconds that have passed.
+        """
+        self.started_at = started_at
+        upcoming = sorted(self.schedule.faults, key=lambda each: each.at_s)
+        while (elapsed_s := self.elapsed_s()) < self.schedule.duration_s:
+            due, self.waiting_faults = self.waiting_faults, []
+            while upcoming and upcoming[0].at_s <= elapsed_s:
+                due.append(upcoming.pop(0))
+            for fault in due:
+                self._inject(fault)
+            for fault in [each for each in self.links.active_faults if _end_s(each) <= elapsed_s]:
+                self.links.active_faults.remove(fault)
+            for member in self.members.values():
+                member.resume_if_due()
+            on_progress(elapsed_s)
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def elapsed_s(self) -> float:
+        """Seconds since the run began."""
+        return time.monotonic() - self.started_at
+
+    def records(self) -> list[HistoryRecord]:
+        """The histories of all members so far, in no order."""
+        return [each for member in self.members.values() for each in member.history()]
+
+    def holder(self) -> MemberProcess | None:
+        """The member that holds the endpoint list's lease now, by the histories."""
+        now = time.monotonic()
+        for each in reversed(hold_intervals(self.records())):
+            if each.lease == ENDPOINT_LIST_LEASE and each.until_s > now:
+                return self.members[each.member]
+        return None
+
+    async def back_up_regularly(self) -> None:
+        """Copy the members' data directories now and then, as somebody's script would."""
+        while True:
+            await asyncio.sleep(BACKUP_INTERVAL_S)
+            for member in self.members.values():
+                member.back_up()
+
+    def _inject(self, fault: ScheduledFault) -> None:
+        if fault.member == HOLDER or fault.kind in (FaultKind.HAND_OVER, FaultKind.STOP_BEFORE_WRITE):
+            holder = self.holder()
+            if holder is None:
+                self._wait_for_holder(fault)
+                return
+            fault = replace(fault, member=holder.name)
+        member = self.members.get(fault.member)
+        if fault.kind is FaultKind.KILL_ALL:
+            self._kill_all(fault)
+        elif fault.kind is FaultKind.CHANGE_VOTERS:
+            self._change_voters(fault)
+        elif member is None or not self._inject_on_member(fault, member):
+            self._add_network_condition(fault)
+
+    def _wait_for_holder(self, fault: ScheduledFault) -> None:
+        if self.elapsed_s() < fault.at_s + HOLDER_WAIT_LEASES * self.schedule.lease_duration_s:
+            self.waiting_faults.append(fault)
+
+    def _inject_on_member(self, fault: ScheduledFault, member: MemberProcess) -> bool:
+        """Inject a fault of one process, its disk or its clock; whether it was one."""
+        match fault.kind:
+            case FaultKind.STOP:
+                self.activations[fault.kind.value] += member.stop(fault.duration_s)
+            case FaultKind.KILL:
+                self.spawn(self._kill_and_restart(fault, member))
+            case kind if kind in DATA_DIRECTORY_FAULTS:
+                self.spawn(self._kill_and_restart(fault, member))
+            case FaultKind.DISK_FULL:
+                self.spawn(self._fail_disk(fault, member, "full"))
+            case FaultKind.DISK_READ_ONLY:
+                self.spawn(self._fail_disk(fault, member, "read-only"))
+            case FaultKind.DISK_SLOW:
+                self.spawn(self._fail_disk(fault, member, fault.amount))
+            case FaultKind.STEP_WALL_CLOCK if member.process is not None:
+                self.activations[fault.kind.value] += 1
+                member.send_command(step=fault.amount)
+            case FaultKind.STOP_BEFORE_WRITE:
+                self.spawn(self._stop_before_write(fault, member))
+            case FaultKind.HAND_OVER:
+                self.spawn(self._hand_over(fault, member))
+            case _:
+                return False
+        return True
+
+    def _add_network_condition(self, fault: ScheduledFault) -> None:
+        blocks = any(blocks_traffic(fault, a, b) for a in self.members for b in self.members)
+        if blocks or fault.amount:
+            self.links.active_faults.append(fault)
+
+    def _kill_all(self, fault: ScheduledFault) -> None:
+        for member in self.members.values():
+            self.activations[fault.kind.value] += member.kill()
+        for member in self.members.values():
+            self.spawn(self._start_later(member, self.rng.uniform(0, fault.duration_s)))
+
+    async def _start_later(self, member: MemberProcess, delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
+        member.start()
+
+    async def _kill_and_restart(self, fault: ScheduledFault, member: MemberProcess) -> None:
+        kind = fault.kind
+        self.activations[kind.value] += member.kill() or kind in DATA_DIRECTORY_FAULTS
+        restored = kind is FaultKind.RESTORE_OLD_DATA_DIRECTORY and member.restore_backup(
+            time.monotonic() - max(BACKUP_INTERVAL_S, fault.amount)
+        )
+        if kind is FaultKind.FLIP_BIT:
+            member.flip_bit(self.rng)
+        elif kind in DATA_DIRECTORY_FAULTS and not restored:
+            member.delete_data_directory()
+        await self._start_later(member, fault.duration_s)
+
+    def _change_voters(self, fault: ScheduledFault) -> None:
+        self.epoch += 1
+        unchanged = set(fault.unchanged_members)
+        if HOLDER in unchanged and (holder := self.holder()) is not None:
+            unchanged.add(holder.name)
+        for name, member in self.members.items():
+            if name not in unchanged:
+                self.spawn(self._restart_with_voters(member, self.epoch, fault))
+
+    async def _restart_with_voters(self, member: MemberProcess, epoch: int, fault: ScheduledFault) -> None:
+        """Write the next voter set to a member's file, some time after the others', and start it again."""
+        await asyncio.sleep(self.rng.uniform(0, fault.duration_s))
+        if epoch < self.member_epochs[member.name]:
+            return  # a later one was quicker
+        self.member_epochs[member.name] = epoch
+        self.write_config(member, epoch, fault.members)
+        self.activations[fault.kind.value] += 1
+        if member.process is not None:
+            member.kill()
+            await self._start_later(
+                member, self.rng.uniform(*RESTART_LEASES) * self.schedule.lease_duration_s
+            )
+
+    async def _fail_disk(self, fault: ScheduledFault, member: MemberProcess, disk: str | float) -> None:
+        member.send_command(disk=disk)
+        if fault.kind is FaultKind.DISK_SLOW:  # a full disk is activated by a write that fails
+            self.activations[fault.kind.value] += 1
+        await asyncio.sleep(fault.duration_s)
+        member.send_command(disk="well")
+
+    async def _hand_over(self, fault: ScheduledFault, member: MemberProcess) -> None:
+        """Have the holder release the lease by its admin endpoint.
+
+        A holder that is stopped or dead does not answer, and one that has lost the lease rejects it: then the
+        fault waits for the next holder.
+        """
+        answer = b""
+        with contextlib.suppress(OSError, TimeoutError):
+            reader, writer = await asyncio.open_connection(*member.admin_endpoint)
+            writer.write(f"hand-over {ENDPOINT_LIST_LEASE} {fault.peer}\n".encode())
+            answer = await asyncio.wait_for(reader.read(), ADMIN_TIMEOUT_S)
+            writer.close()
+        if answer.startswith(b"ok"):
+            self.activations[fault.kind.value] += 1
+        else:
+            self._wait_for_holder(fault)
+
+    async def _stop_before_write(self, fault: ScheduledFault, member: MemberProcess) -> None:
+        """Have the holder stop itself at its next piece of work, and resume it after the duration."""
+        member.send_command(stop=True)
+        give_up_at = time.monotonic() + STOP_WAIT_LEASES * self.schedule.lease_duration_s
+        while time.monotonic() < give_up_at and not member.stopped_until:
+            if member.is_stopped():
+                self.activations[fault.kind.value] += 1
+                member.stop(fault.duration_s)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        member.send_command(stop=False)
+
+
+def _end_s(fault: ScheduledFault) -> float:
+    return fault.at_s + fault.duration_s
--- a/stairhatch/fault_injection/run_batch.py
+++ b/stairhatch/fault_injection/run_batch.py
@@ -17,8 +17,10 @@
 import uvloop
 
 from stairhatch.fault_injection import history, lease_rules, timeline
+from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.lease_rules import RuleViolation
-from stairhatch.fault_injection.process_run import RunError, RunReport, run_schedule
+from stairhatch.fault_injection.process_run import run_schedule
+from stairhatch.fault_injection.run_report import RunReport
 from stairhatch.fault_injection.schedule import DATA_DIRECTORY_FAULTS, FaultSchedule
 from stairhatch.fault_injection.schedule_generator import draw_schedule
 
--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -55,6 +55,7 @@
     FaultKind.RESTORE_OLD_DATA_DIRECTORY,
     FaultKind.FLIP_BIT,
 )
+ENDPOINT_LIST_LEASE = "list"
 HOLDER = "@holder"  # in place of a member: whoever holds the endpoint list's lease as the fault begins
 
 
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -12,8 +12,9 @@
 
 from stairhatch.fault_injection.lease_rules import RuleViolation, find_unheld, find_violations, hold_intervals
 from stairhatch.fault_injection.mutations import mutation_applied
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE
 from stairhatch.fault_injection.schedule_generator import draw_schedule
-from stairhatch.fault_injection.virtual_cluster import ENDPOINT_LIST_LEASE, VirtualCluster
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairhatch/fault_injection/virtual_cluster.py
+++ b/stairhatch/fault_injection/virtual_cluster.py
@@ -18,6 +18,7 @@
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.schedule import (
     DATA_DIRECTORY_FAULTS,
+    ENDPOINT_LIST_LEASE,
     HOLDER,
     FaultKind,
     FaultSchedule,
@@ -31,7 +32,6 @@
 from stairhatch.fleet.messages import Mark, Message, News
 from stairhatch.fleet.pick import Pick
 
-ENDPOINT_LIST_LEASE = "list"
 MEAN_WORK_INTERVAL_S = 0.15  # the mean time between two pieces of work of who holds the list
 DATAGRAM_DELAY_S = (0.0005, 0.004)  # of a datagram
 DISK_SYNC_S = (0.0005, 0.006)
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -20,8 +20,9 @@
 from typing import Any
 
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
+from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
-from stairhatch.fault_injection.process_run import READY_S, loopback_host
+from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
     NUMBERS,
@@ -179,7 +180,7 @@
         return numbered and any(" serving " in each for each in lines)
 
     async def _until(self, done: Callable[[], bool], why: str) -> None:
-        end = time.monotonic() + READY_S
+        end = time.monotonic() + READY_TIMEOUT_S
         while not done():
             if time.monotonic() > end:
                 raise ScaleError(f"real: {why}")
