--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -214,8 +214,7 @@
         self.links.close()
         self.coordinator.close()
         for server in self.servers:
-            if server._server is not None:
-                server._server.close()
+            server.stop_listening()
             server.cut()
         if self.keep is not None:
             with contextlib.suppress(shutil.Error):
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -277,8 +277,7 @@
             member.kill()
         self.coordinator.close()
         for server in self.servers:
-            if server._server is not None:
-                server._server.close()
+            server.stop_listening()
             server.cut()
         assert self.reaper.stdin is not None
         with contextlib.suppress(OSError):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,8 @@
 import pytest
 import uvloop
 
-from stairhatch import service as service_module
+from stairhatch import shutdown as shutdown_module
+from stairhatch.application import Application
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
@@ -27,8 +28,7 @@
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
-from stairhatch.service import Service
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
     PATIENCE_S,
@@ -366,7 +366,7 @@
             await asyncio.sleep(0.001)
             if inside.written or one not in listening.taken:
                 break
-        assert [each.call.offer.ident for each in inside.written] == [ident]
+        assert [each.call.request.ident for each in inside.written] == [ident]
         assert one in listening.taken and not one.machine.closing
         old.close()
         new.close()
@@ -385,7 +385,7 @@
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
     inside.stand()
-    inside.core.finished(inside.written[-1].server, ident, 16, "", inside.report())
+    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.report())
     inside.run(3.0)
     assert deaf.data_to_send().count(b"BYE sip:") == 4
     late = front.connect()
@@ -398,8 +398,8 @@
 def test_a_fault_in_a_timer_takes_no_other_with_it():
     """Guards against answers that are never given since something else, due in the same 4 ms, went wrong."""
     inside, done = Inside(), []
-    inside.core.at(inside.now + 0.1, lambda: 1 // 0)
-    inside.core.at(inside.now + 0.1, lambda: done.append("the answer"))
+    inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
+    inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
     inside.run(0.2)
     assert done == ["the answer"] and inside.core.counters.counts["timer_faults"] == 1
 
@@ -419,7 +419,7 @@
         machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
         side = RosterSide(inside.core, links.append)
-        side.record_changed(inside.core.servers[1])
+        side.record_changed(inside.core.servers.by_id[1])
         machine = links[0]
         machine.connected()
     assert side.is_flushed()
@@ -431,21 +431,21 @@
     """Guards against a connection reset by the end with a request unread on it. The caller sends when the
     program has found that nothing is owed, for the second time.
     """
-    monkeypatch.setattr(service_module, "STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
     answers = []
 
     async def story():
         known = {"index": 0, "updates": []}
         settings = {**TIDE, "permissions": {**TIDE["permissions"], "retry_after": False}}
-        config = Config("n", settings_from(settings)[0], listen=("127.0.0.1", 0), known=known)
-        service = Service(config, lambda: config)
-        service.listen()
-        service.follow()
-        service.core.turn_away_s = 0.0
-        caller = socket.create_connection(service.callers[0].sock.getsockname())
-        while not service.callers[0].taken:
+        config = Config("n", settings_from_object(settings).settings, listen=("127.0.0.1", 0), known=known)
+        application = Application(config, lambda: config)
+        application.open_listeners()
+        application.start_discovery()
+        application.parts.core.readiness.reject_after_s = 0.0
+        caller = socket.create_connection(application.parts.caller_listeners[0].sock.getsockname())
+        while not application.parts.caller_listeners[0].taken:
             await asyncio.sleep(0.001)
-        settled, found = service.core.settled, []
+        settled, found = application.parts.core.is_settled, []
 
         def watched():
             found.append(settled())
@@ -453,13 +453,13 @@
                 caller.sendall(trunk_invite(next(IDS)))
             return found[-1]
 
-        service.core.settled = watched
-        await asyncio.wait_for(service.end(asyncio.Event()), PATIENCE_S)
+        application.parts.core.is_settled = watched
+        await asyncio.wait_for(application.shut_down(asyncio.Event()), PATIENCE_S)
         assert found.count(True) > 2, "the crossing took place"
         caller.setblocking(False)
         answers.append(caller.recv(65536))
         caller.close()
-        service.log.close()
+        application.parts.log.close()
 
     asyncio.run(story())
     assert answers[0].startswith(b"SIP/2.0 503")
@@ -558,7 +558,7 @@
     settings["classes"] = [{**slack, "effect": "read_like"}]
     settings["family_info"] |= {"allowed_pools": [[31]], "call_length_s": [10.0], "clear_wait_s": 0.83}
     settings["permissions"] |= {"send_cap": 2}
-    assert program.reload(json.dumps(config))["result"] == "taken"
+    assert program.reload(json.dumps(config))["result"] == "applied"
     ident = next(IDS)
     caller.invite(ident, "slack", 20_000)
     until(lambda: caller.finals(ident))
@@ -571,7 +571,7 @@
     memory; and against a core spent on one that answers at once with nothing new.
     """
     inside, told = Inside(), []
-    inside.core.log = lambda event, **fields: told.append((event, fields))
+    inside.log = lambda event, **fields: told.append((event, fields))
     directory = Directory(inside.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
@@ -637,8 +637,10 @@
     assert all(len(each) == 1 for each in finals), finals
     assert finals.count([200]) == len(stand) + 1 and {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.text()
-    limit = text.find(" drained ")
-    assert text.count(" drained ") == (front == "platform"), "there the limit ends it, at once for all"
+    limit = text.find(" drain_deadline_reached ")
+    assert text.count(" drain_deadline_reached ") == (
+        front == "platform"
+    ), "there the limit ends it, at once for all"
     assert " attempt " not in text[limit:] or front != "platform", "nothing new after it"
     tags = [line["call"] for line in program.lines("attempt")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
