--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -41,7 +41,7 @@
 from stairhatch.components import steady_unix_clock
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
-from stairhatch.fleet.messages import Codec
+from stairhatch.fleet.messages import FleetCodec
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
@@ -950,7 +950,7 @@
 def of_voter(size: int, told: argparse.Namespace) -> dict[str, float]:
     """By members of claims with three voters, on the virtual clock, once nearly all numbers are held."""
     names = tuple(f"s{index}" for index in range(size))
-    voters, codec = names[:3], Codec("fleet", b"0123456789abcdef")
+    voters, codec = names[:3], FleetCodec("fleet", b"0123456789abcdef")
     world = VirtualCluster(FaultSchedule(1e9, names, voters), 1)
     counts: Counter[str] = Counter()
     window: list[float] = []
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -207,11 +207,11 @@
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
-        from stairhatch.fleet.service import Fleet, StoreError
+        from stairhatch.fleet.runtime import FleetRuntime, StoreError
 
         parts = self.parts
         try:
-            parts.fleet = Fleet(parts.core, parts.network, config, self.config.settings)
+            parts.fleet = FleetRuntime(parts.core, parts.network, config, self.config.settings)
         except StoreError as error:
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
--- a/stairhatch/fault_injection/run_report.py
+++ b/stairhatch/fault_injection/run_report.py
@@ -19,7 +19,7 @@
     hold_intervals,
 )
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultKind, FaultSchedule
-from stairhatch.fleet.effects import What
+from stairhatch.fleet.effects import LeaseEventKind
 
 WENT_ON = "went on"  # the activation of a voter that went on to the next voter set
 DISK_FULL_REASON, DISK_READ_ONLY_REASON = "No space left", "Read-only"  # parts of os.strerror's texts
@@ -90,7 +90,7 @@
         found = Counter(self.activations)
         found[FaultKind.DISK_FULL.value] += sum(DISK_FULL_REASON in each for each in reasons)
         found[FaultKind.DISK_READ_ONLY.value] += sum(DISK_READ_ONLY_REASON in each for each in reasons)
-        found[WENT_ON] += sum(each.event == What.WENT_ON.value for each in self.records)
+        found[WENT_ON] += sum(each.event == LeaseEventKind.WENT_ON.value for each in self.records)
         found[FaultKind.DISK_SLOW.value] += 0  # told also where there was none
         found.update(self.link_activations)
         return found
--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -17,11 +17,18 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.effects import Effect, Kept, Place, Promise, Send, Write
-from stairhatch.fleet.mate import Mate, Who
-from stairhatch.fleet.messages import Look, Mark, Message, RollAnswer, RollCall, Shown
-from stairhatch.fleet.voting import Standing
+from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState, PersistVotes, SendMessage, Vote
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.messages import (
+    FleetMessage,
+    LeaseQuery,
+    LeaseStatus,
+    StatusReply,
+    StatusRequest,
+    StorageVersion,
+)
+from stairhatch.fleet.voter import VoterState
 
 CLAIM = "work"
 NEVER = 1e9
@@ -106,12 +113,12 @@
     def __init__(self, state: ClusterState) -> None:
         self.state, self.now = state, state.now
         self.packed_members = dict(state.members)
-        self.unpacked_members: dict[str, Mate] = {}
+        self.unpacked_members: dict[str, ClusterMember] = {}
         self.disks = dict(state.disks)
         self.messages_in_flight = list(state.messages_in_flight)
         self.pending_writes = list(state.pending_writes)
 
-    def member(self, name: str) -> Mate:
+    def member(self, name: str) -> ClusterMember:
         """One softswitch, to be changed."""
         if name not in self.unpacked_members:
             self.unpacked_members[name] = pickle.loads(self.packed_members[name])
@@ -120,19 +127,19 @@
     def execute(self, name: str, effects: list[Effect]) -> None:
         """What one has asked for. Roll calls and answers to them arrive at once."""
         for effect in effects:
-            if isinstance(effect, Write):
+            if isinstance(effect, PersistVotes):
                 self.pending_writes.append((name, pickle.dumps(effect)))
-            elif isinstance(effect, Send):
+            elif isinstance(effect, SendMessage):
                 to, message = effect.to[0], effect.message
-                if isinstance(message, RollCall | RollAnswer):
+                if isinstance(message, StatusRequest | StatusReply):
                     self.execute(to, self.member(to).handle(self.now, (name, 0), message))
-                elif not isinstance(message, Look | Shown):
+                elif not isinstance(message, LeaseQuery | LeaseStatus):
                     self.messages_in_flight.append((name, to, pickle.dumps(message)))
 
     def deliver(self, index: int, again: bool, slow: bool) -> None:
         """A message arrives."""
         sender, to, packed = self.messages_in_flight[index] if again else self.messages_in_flight.pop(index)
-        message: Message = pickle.loads(packed)
+        message: FleetMessage = pickle.loads(packed)
         before = len(self.pending_writes)
         self.execute(to, self.member(to).handle(self.now, (sender, 0), message))
         while not slow and len(self.pending_writes) > before:
@@ -141,11 +148,11 @@
     def finish_write(self, index: int) -> None:
         """A write ends."""
         name, packed = self.pending_writes.pop(index)
-        write: Write = pickle.loads(packed)
+        write: PersistVotes = pickle.loads(packed)
         self.apply_write(name, write)
         self.execute(name, self.member(name).written(self.now, write.number))
 
-    def apply_write(self, name: str, write: Write) -> None:
+    def apply_write(self, name: str, write: PersistVotes) -> None:
         """It is on the disk."""
         _, promises = pickle.loads(self.disks[name])
         promises.update((each.claim, each) for each in write.promises)
@@ -158,9 +165,11 @@
         for write in mine if synced else ():
             self.apply_write(name, write)
         mark, promises = pickle.loads(self.disks[name])
-        kept = Kept(Mark(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values()))
+        kept = PersistedState(
+            StorageVersion(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values())
+        )
         old = self.member(name)
-        fresh = Mate(old.who, old.voters, old.terms, ZERO_RANDOM, self.now, kept)
+        fresh = ClusterMember(old.who, old.voters, old.terms, ZERO_RANDOM, self.now, kept)
         self.unpacked_members[name] = fresh
         self.execute(name, fresh.tick(self.now))
         for each in [each for each in self.pending_writes if each[0] == name]:  # the note that it votes
@@ -212,20 +221,27 @@
 
 def initial_state(bounds: ExplorationBounds) -> ClusterState:
     """Voters that vote, and askers that have asked."""
-    voters: dict[str, Place] = {f"v{n}": (f"v{n}", 0) for n in range(bounds.voters)}
-    terms = Terms(3.0, 0.01, 0.25)
+    voters: dict[str, PeerAddress] = {f"v{n}": (f"v{n}", 0) for n in range(bounds.voters)}
+    terms = LeaseTimings(3.0, 0.01, 0.25)
     mates: dict[str, bytes] = {}
     for name in voters:
-        mate = Mate(Who(name, 0), voters, terms, ZERO_RANDOM, 0.0, Kept(Mark(name, 1, 0), True))
+        mate = ClusterMember(
+            MemberId(name, 0),
+            voters,
+            terms,
+            ZERO_RANDOM,
+            0.0,
+            PersistedState(StorageVersion(name, 1, 0), True),
+        )
         assert mate.voter is not None
-        mate.voter.standing, mate.voter.due = Standing.VOTES, NEVER
+        mate.voter.standing, mate.voter.due = VoterState.VOTING, NEVER
         mates[name] = pickle.dumps(mate)
     for n in range(bounds.askers):
-        asker = Mate(Who(f"a{n}", n + 1), voters, terms, ZERO_RANDOM, 0.0)
+        asker = ClusterMember(MemberId(f"a{n}", n + 1), voters, terms, ZERO_RANDOM, 0.0)
         asker.claim(CLAIM).want(0.0)
         mates[asker.who.name] = pickle.dumps(asker)
-    empty: dict[str, Promise] = {}
-    disks = tuple((name, pickle.dumps((Mark(name, 1, 0), empty))) for name in voters)
+    empty: dict[str, Vote] = {}
+    disks = tuple((name, pickle.dumps((StorageVersion(name, 1, 0), empty))) for name in voters)
     left = RemainingActions(
         bounds.crashes, bounds.duplicates, bounds.slow_writes, bounds.clock_steps, bounds.clock_leaps
     )
--- a/stairhatch/fault_injection/virtual_cluster.py
+++ b/stairhatch/fault_injection/virtual_cluster.py
@@ -25,12 +25,22 @@
     ScheduledFault,
     blocks_traffic,
 )
-from stairhatch.fleet.claims import Stage, Terms
-from stairhatch.fleet.effects import Effect, Fence, Kept, Note, Place, Promise, Send, What, Write
-from stairhatch.fleet.epochs import Roll
-from stairhatch.fleet.mate import Mate, Who
-from stairhatch.fleet.messages import Mark, Message, News
-from stairhatch.fleet.pick import Pick
+from stairhatch.fleet.effects import (
+    Effect,
+    LeaseEvent,
+    LeaseEventKind,
+    PeerAddress,
+    PersistedState,
+    PersistFencingToken,
+    PersistVotes,
+    SendMessage,
+    Vote,
+)
+from stairhatch.fleet.lease import LeaseState, LeaseTimings
+from stairhatch.fleet.lease_pool import LeasePool
+from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.messages import EndpointUpdate, FleetMessage, StorageVersion
+from stairhatch.fleet.voter_set import VoterSet
 
 MEAN_WORK_INTERVAL_S = 0.15  # the mean time between two pieces of work of who holds the list
 DATAGRAM_DELAY_S = (0.0005, 0.004)  # of a datagram
@@ -45,12 +55,12 @@
 
     storage_id: str = ""
     incarnation: int = 0
-    votes: dict[str, Promise] = field(default_factory=dict)
+    votes: dict[str, Vote] = field(default_factory=dict)
     vote_count: int = 0
-    known_versions: dict[str, Mark] = field(default_factory=dict)
+    known_versions: dict[str, StorageVersion] = field(default_factory=dict)
     admitted: bool = False
     fencing_tokens: dict[str, int] = field(default_factory=dict)
-    voter_set: Roll | None = None
+    voter_set: VoterSet | None = None
 
     def copy(self) -> VirtualDisk:
         """As it is now."""
@@ -61,7 +71,7 @@
             fencing_tokens=dict(self.fencing_tokens),
         )
 
-    def apply(self, write: Write) -> None:
+    def apply(self, write: PersistVotes) -> None:
         """Put a write on it, whole."""
         self.votes.update((each.claim, each) for each in write.promises)
         self.vote_count = max(self.vote_count, write.mark.promises)
@@ -79,13 +89,13 @@
         self.clock_offset_s = world.rng.uniform(0, 1e5)
         self.disk = VirtualDisk()
         self.backups: list[tuple[float, VirtualDisk]] = []
-        self.decisions: Mate | None = None
-        self.index_pool: Pick
+        self.decisions: ClusterMember | None = None
+        self.index_pool: LeasePool
         self.start_count = 0
         self.configured_epoch = 1  # of the list of voters in its file
         self.stopped_until = 0.0
         self.deferred: list[Callable[[], None]] = []  # what comes while it is stopped
-        self.pending_writes: list[Write] = []
+        self.pending_writes: list[PersistVotes] = []
         self.full_until = self.slow_until = 0.0
         self.slow_s = 0.0
         self.full_by = FaultKind.DISK_FULL
@@ -112,19 +122,19 @@
             if not disk.storage_id:
                 disk.storage_id = f"{world.rng.getrandbits(64):016x}"
             disk.incarnation += 1
-            mark = Mark(disk.storage_id, disk.incarnation, disk.vote_count)
-            kept = Kept(
+            mark = StorageVersion(disk.storage_id, disk.incarnation, disk.vote_count)
+            kept = PersistedState(
                 mark, disk.admitted, tuple(disk.votes.values()), dict(disk.known_versions), disk.voter_set
             )
-        who = Who(self.name, world.rng.getrandbits(60))
+        who = MemberId(self.name, world.rng.getrandbits(60))
         voters = {name: (name, 0) for name in listed}
-        terms = Terms(schedule.lease_duration_s, schedule.drift_bound, world.round_s)
+        terms = LeaseTimings(schedule.lease_duration_s, schedule.drift_bound, world.round_s)
         chance = random.Random(world.rng.getrandbits(64))
-        self.decisions = Mate(
+        self.decisions = ClusterMember(
             who, voters, terms, chance, self.clock(), kept, dict(disk.fencing_tokens), self.configured_epoch
         )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.index_pool = Pick(names, self.decisions.claim, chance.randrange(len(names)))
+        self.index_pool = LeasePool(names, self.decisions.claim, chance.randrange(len(names)))
         self.index_pool.want(self.clock())
         self.decisions.claim(ENDPOINT_LIST_LEASE).want(self.clock())
         self.record("started")
@@ -186,16 +196,16 @@
         due = min(mate.due(), self.index_pool.due if self.index_pool.due > now else float("inf"))
         self.call_later(min(max(0.001, (due - now) / self.clock_rate), 0.5), self.tick)
 
-    def receive(self, sender: Place, message: Message) -> None:
+    def receive(self, sender: PeerAddress, message: FleetMessage) -> None:
         """A datagram has come."""
         mate = self.decisions
         if mate is None:
             return
-        if isinstance(message, News):
+        if isinstance(message, EndpointUpdate):
             good, out = mate.fences.take(ENDPOINT_LIST_LEASE, message.ticket, sender)
             self.execute(out)
             if good:
-                self.record(What.TOOK.value, ENDPOINT_LIST_LEASE, message.ticket)
+                self.record(LeaseEventKind.TOOK.value, ENDPOINT_LIST_LEASE, message.ticket)
             return
         self.execute(mate.handle(self.clock(), sender, message))
         now = self.clock()  # what is due by now is done at once, as in the program
@@ -206,10 +216,10 @@
         world = self.cluster
         for effect in effects:
             match effect:
-                case Send():
+                case SendMessage():
                     world.effect_counts["messages"] += 1
                     world.send(self.name, effect.to[0], effect.message)
-                case Write():
+                case PersistVotes():
                     world.effect_counts["writes"] += 1
                     self.pending_writes.append(effect)
                     took = world.rng.uniform(*DISK_SYNC_S)
@@ -217,13 +227,13 @@
                     world.schedule_at(
                         world.now + took, partial(self.write_finished, self.start_count, effect)
                     )
-                case Fence():
+                case PersistFencingToken():
                     self.disk.fencing_tokens[effect.claim] = effect.ticket
-                case Note():
+                case LeaseEvent():
                     until = self.to_true_time(effect.until) if effect.until else 0.0
                     self.record(effect.what.value, effect.claim, effect.ticket, until, effect.why)
 
-    def write_finished(self, start: int, write: Write) -> None:
+    def write_finished(self, start: int, write: PersistVotes) -> None:
         """The disk has done it, or has not."""
         if self.decisions is None or self.start_count != start:
             return
@@ -259,7 +269,7 @@
         """What the holder hands on goes to all."""
         for name in self.cluster.members:
             if name != self.name:
-                self.cluster.send(self.name, name, News(self.name, ticket, 0, 0, 1, b""))
+                self.cluster.send(self.name, name, EndpointUpdate(self.name, ticket, 0, 0, 1, b""))
 
     def record(self, what: str, claim: str = "", ticket: int = 0, until: float = 0.0, why: str = "") -> None:
         """A line of the history."""
@@ -398,7 +408,7 @@
         """Against the term as it is drawn."""
         return self.fault_schedule.lease_duration_s / 3.0
 
-    def send(self, sender: str, to: str, message: Message) -> None:
+    def send(self, sender: str, to: str, message: FleetMessage) -> None:
         """A datagram on its way."""
         low, high = DATAGRAM_DELAY_S
         times = [self.rng.uniform(low, high)]
@@ -420,7 +430,7 @@
         for each in times:
             self.schedule_at(self.now + each, partial(self.deliver, box, sender, message))
 
-    def deliver(self, box: VirtualMember, sender: str, message: Message) -> None:
+    def deliver(self, box: VirtualMember, sender: str, message: FleetMessage) -> None:
         """It arrives, wherever the process is by now."""
         box.run_when_resumed(box.start_count, lambda: box.receive((sender, 0), message))
 
@@ -429,6 +439,6 @@
         found: dict[str, list[str]] = {}
         for box in self.members.values():
             for name, claim in box.decisions.claims.items() if box.decisions is not None else ():
-                if claim.stage is Stage.HELD:
+                if claim.stage is LeaseState.HELD:
                     found.setdefault(name, []).append(box.name)
         return found
