--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -108,7 +108,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._refusal_at = self._gauged = -math.inf
         self._ended = False
-        network.datagrams(config.listen, self)
+        network.open_datagram_port(config.listen, self)
         core.orders.update({
             "claims": lambda: "ok " + json.dumps(self.told()),
             "restart-ask": lambda: self._order(self.restarts.ask),
--- /dev/null
+++ b/stairhatch/node/io/connection_runner.py
@@ -0,0 +1,104 @@
+"""Runs one connection: its reader and its writer, until either side ends, and its orderly close.
+
+Faults that a protocol raises end its connection only; they are counted (`connection_faults`) and logged
+(event `fault`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.buffer_pool import BufferPool
+from stairhatch.node.io.reader import CallerReader, IdleOrder, PooledReader
+from stairhatch.node.io.readiness_poller import ReadinessPoller
+from stairhatch.node.io.tasks import BackgroundTasks
+from stairhatch.node.io.writer import Writer
+from stairhatch.node.protocol import ConnectionProtocol, do_nothing
+
+FLUSH_TIMEOUT_S = 1.0  # so long the last words of a protocol that closes may take to be written
+
+
+class ConnectionRunner:
+    """What all connections of a softswitch share: loop, tasks, buffers, readers, writer."""
+
+    def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop, tasks: BackgroundTasks) -> None:
+        self.core = core
+        self.loop = loop
+        self.tasks = tasks
+        self.buffer_pool = BufferPool()
+        self.poller = ReadinessPoller(self._log_fault)
+        self._caller_reader = CallerReader(loop, self.poller, self._log_fault)
+        self._pooled_reader = PooledReader(loop, self.buffer_pool)
+        self._writer = Writer(loop, self._log_fault)
+
+    def start_reading(self, one: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
+        """Read a caller's connection from now on, not only once its task has begun."""
+        self._caller_reader.start(one, idle_order)
+
+    async def run(
+        self, sock: socket.socket, protocol: ConnectionProtocol, accepted: AcceptedConnection | None = None
+    ) -> None:
+        """Carry bytes both ways until either side ends, then close the socket and tell the protocol.
+
+        From a caller's connection, which `start_reading` reads, they are carried only to it.
+        """
+        sock.setblocking(False)
+        with contextlib.suppress(OSError):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        writable = asyncio.Event()
+
+        def abort() -> None:
+            with contextlib.suppress(OSError):
+                sock.shutdown(socket.SHUT_RDWR)
+
+        protocol.notify_writable = writable.set
+        protocol.abort = abort
+        writable.set()
+        writer = self.loop.create_task(self._writer.run(sock, protocol, writable, abort))
+        try:
+            if accepted is None or accepted.reading_ended is None:
+                peer_may_send = await self._pooled_reader.read(sock, protocol)
+            else:
+                peer_may_send = await accepted.reading_ended
+            lost = accepted is not None and accepted.loss_reported
+            if (protocol.closing or protocol.can_close()) and not lost:  # its last words
+                await asyncio.wait([writer], timeout=FLUSH_TIMEOUT_S)
+            if peer_may_send:
+                await self._pooled_reader.linger(sock, protocol)
+        except OSError:
+            pass
+        except Exception as error:  # noqa: BLE001 - bytes that upset a protocol end its connection only
+            self._log_fault(error, protocol)
+        finally:
+            await self._close(sock, protocol, accepted, writer)
+
+    async def _close(
+        self,
+        sock: socket.socket,
+        protocol: ConnectionProtocol,
+        accepted: AcceptedConnection | None,
+        writer: asyncio.Task[None],
+    ) -> None:
+        protocol.notify_writable = do_nothing
+        protocol.abort = do_nothing
+        writer.cancel()
+        try:
+            # Awaited itself, the writer's cancellation would hide that this task was cancelled meanwhile: a
+            # server connection would then be dialled on for ever, and the program never end.
+            await asyncio.wait([writer])
+        finally:
+            if accepted is not None:
+                self._caller_reader.stop(accepted, False)
+            sock.close()
+            if accepted is None:
+                protocol.connection_lost()
+            else:
+                accepted.report_loss()
+
+    def _log_fault(self, error: Exception, owner: object) -> None:
+        self.core.counters.add("connection_faults")
+        self.core.log("fault", why=f"{type(error).__name__}: {error}", machine=type(owner).__name__)
--- /dev/null
+++ b/stairhatch/node/io/persistent_connections.py
@@ -0,0 +1,129 @@
+"""The connections that a softswitch keeps up: one to each server, and the long poll of service discovery.
+
+Both are dialled again when they break, after a backoff that doubles up to a limit.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import errno
+import socket
+
+from stairhatch.node.directory import Directory
+from stairhatch.node.io.connection_runner import ConnectionRunner
+from stairhatch.node.io.connector import Connector
+from stairhatch.node.io.descriptor_budget import DESCRIPTORS_EXHAUSTED, CallerAdmission
+from stairhatch.node.roster import RosterLink
+
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+MAX_POLL_BACKOFF_S = 0.5  # what the coordinator would have told counts as told 2 s after a break
+POLL_TURN_CHECK_S = 1.0  # where another member polls for all: how often it is checked whose turn it is
+
+
+class ServerConnector:
+    """Keeps connections to servers up."""
+
+    def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
+        self._runner = runner
+        self._connector = connector
+        self._admission = admission
+        self._open: set[RosterLink] = set()  # those that hold a descriptor
+
+    async def keep_up(self, link: RosterLink) -> None:
+        """Dial and run a server connection until it is retired, then have its pool drop it."""
+        with self._admission.dialled_connection():
+            await self._dial_until_retired(link)
+        link.side.drop(link)
+
+    async def _dial_until_retired(self, link: RosterLink) -> None:
+        backoff_s = MIN_BACKOFF_S
+        while not link.can_close():
+            if link.retired and not link.urgent:
+                break
+            wanted = asyncio.Event()
+            link.notify_writable = wanted.set
+            try:
+                sock = await self._connect(link)
+            except (OSError, TimeoutError) as error:
+                self._report_failure(link, error)
+                if link.retired:
+                    break
+                if not link.urgent:
+                    wanted.clear()
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(wanted.wait(), backoff_s)
+                backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
+                continue
+            lasted_s = await self._run(link, sock)
+            if lasted_s > MAX_BACKOFF_S:
+                backoff_s = MIN_BACKOFF_S
+            elif not link.retired:  # it broke as soon as it had come up
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
+
+    async def _connect(self, link: RosterLink) -> socket.socket:
+        if len(self._open) >= self._admission.budget.available_to_servers():
+            raise OSError(errno.EMFILE, "no descriptor is left to a link")
+        self._open.add(link)
+        within_s = self._runner.core.settings.connect_timeout_s
+        return await self._connector.connect(link.server.record.address, within_s)
+
+    def _report_failure(self, link: RosterLink, error: OSError) -> None:
+        self._open.discard(link)
+        if error.errno in DESCRIPTORS_EXHAUSTED:
+            self._admission.log_exhaustion("descriptors", error)
+        link.failed(refused=isinstance(error, ConnectionRefusedError))
+
+    async def _run(self, link: RosterLink, sock: socket.socket) -> float:
+        """Run a connection that has come up until it ends; returns how long it was up, in seconds."""
+        up_at = self._runner.loop.time()
+        link.connected()
+        try:
+            await self._runner.run(sock, link)
+        finally:
+            self._open.discard(link)
+        return self._runner.loop.time() - up_at
+
+
+class DirectoryPoller:
+    """Keeps the long poll of service discovery going, wherever the coordinator is by now."""
+
+    def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
+        self._runner = runner
+        self._connector = connector
+        self._admission = admission
+
+    async def keep_polling(self, directory: Directory) -> None:
+        """Dial and run the long poll; it has no end of its own."""
+        with self._admission.dialled_connection():
+            await self._poll(directory)
+
+    async def _poll(self, directory: Directory) -> None:
+        backoff_s = MIN_BACKOFF_S
+        hurry = asyncio.Event()
+        directory.hurry = hurry.set
+        while True:
+            hurry.clear()
+            if directory.rests():  # another polls for all
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(hurry.wait(), POLL_TURN_CHECK_S)
+                continue
+            answers = directory.answers
+            address = directory.address
+            try:
+                sock = await self._connector.connect(address)
+            except (OSError, TimeoutError):
+                self._runner.core.counters.add("directory_unreached")
+            else:
+                if directory.address != address:  # it has moved in the meantime
+                    sock.close()
+                    continue
+                directory.connected()
+                await self._runner.run(sock, directory)
+            if hurry.is_set() or directory.answers > answers:
+                backoff_s = MIN_BACKOFF_S
+            with contextlib.suppress(TimeoutError):
+                await asyncio.wait_for(hurry.wait(), backoff_s)
+            backoff_s = min(MAX_POLL_BACKOFF_S, 2 * backoff_s)
--- /dev/null
+++ b/stairhatch/node/io/reader.py
@@ -0,0 +1,132 @@
+"""Reading from connections.
+
+Callers' connections are read by `CallerReader` as soon as the loop or the readiness poller finds bytes, and
+the bytes are used in the same step. Connections that this process dialled are read by `PooledReader`, which
+awaits the socket and needs a buffer of the pool only while it does.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import socket
+from collections import OrderedDict
+from functools import partial
+
+from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.buffer_pool import BUFFER_BYTES, BufferPool
+from stairhatch.node.io.readiness_poller import FaultHandler, ReadinessPoller
+from stairhatch.node.protocol import ConnectionProtocol
+
+LINGER_S = 0.2  # so long is read on after the last answer, so that the answer arrives
+MAX_LINGER_BYTES = 256 * 1024
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's have the same values
+
+IdleOrder = OrderedDict[AcceptedConnection, None]  # the longest idle comes first
+
+
+class CallerReader:
+    """Reads callers' connections in the loop's turns, and when the readiness poller is asked to."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, poller: ReadinessPoller, on_fault: FaultHandler
+    ) -> None:
+        self._loop = loop
+        self._poller = poller
+        self._on_fault = on_fault
+        self._buffer = memoryview(bytearray(BUFFER_BYTES))  # one for all: what is read is used at once
+
+    def start(self, one: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
+        """Read a connection from now on. It moves to the end of `idle_order` whenever bytes come."""
+        one.sock.setblocking(False)
+        one.reading_ended = self._loop.create_future()
+        self._loop.add_reader(one.sock, self._read, one, idle_order)
+        self._poller.register(one.sock, partial(self._read, one, idle_order))
+
+    def stop(self, one: AcceptedConnection, peer_may_send: bool) -> None:
+        """Read no more from a connection, at least not for its protocol."""
+        if one.reading_ended is not None and not one.reading_ended.done():
+            one.reading_ended.set_result(peer_may_send)
+            self._loop.remove_reader(one.sock)
+            self._poller.unregister(one.sock)
+
+    def _read(self, one: AcceptedConnection, idle_order: IdleOrder | None, events: int = 0) -> int:
+        """Give a protocol what has come from its caller, once; returns how many bytes that were.
+
+        `events` tell the end of a stream also where it lies behind more bytes than are read now. What is read
+        is used in the same step: a turn later it would come behind a timer, a set-up written or an eviction.
+        """
+        protocol = one.protocol
+        try:
+            if events & PEER_CLOSED_EVENTS and not one.peer_closed:
+                one.peer_closed = True
+                protocol.peer_closing()
+            size = one.sock.recv_into(self._buffer)
+            if size:
+                protocol.receive_data(self._buffer[:size])
+                now = one.received_at = self._loop.time()
+                one.partial_since = (one.partial_since or now) if protocol.has_partial_message() else 0.0
+                if idle_order is not None and one in idle_order:
+                    idle_order.move_to_end(one)
+                if protocol.can_close():
+                    self.stop(one, True)
+            else:
+                protocol.eof_received()
+                self.stop(one, False)
+        except (BlockingIOError, InterruptedError):
+            return 0
+        except OSError:
+            pass
+        except Exception as error:  # noqa: BLE001 - bytes that upset a protocol end its connection only
+            self._on_fault(error, protocol)
+        else:
+            return size
+        protocol.closing = True
+        self.stop(one, False)
+        one.report_loss()
+        return 0
+
+
+class PooledReader:
+    """Awaits what comes on one connection, into a buffer of the pool."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, pool: BufferPool) -> None:
+        self._loop = loop
+        self._pool = pool
+
+    async def read(self, sock: socket.socket, protocol: ConnectionProtocol) -> bool:
+        """Give a protocol what comes until its peer ends (False) or it has had its last word (True).
+
+        Raises OSError where the connection breaks.
+        """
+        buffer = self._pool.acquire()
+        try:
+            while size := await self._loop.sock_recv_into(sock, buffer):
+                protocol.receive_data(memoryview(buffer)[:size])
+                if protocol.can_close():
+                    return True
+        finally:
+            self._pool.release(buffer)
+        protocol.eof_received()
+        return False
+
+    async def linger(self, sock: socket.socket, protocol: ConnectionProtocol) -> None:
+        """Read on for a moment: closed with bytes unread, the connection would be reset under our answer.
+
+        Only a protocol that wants its peer's last words is given them.
+        """
+
+        async def discard() -> None:
+            left = MAX_LINGER_BYTES
+            while left > 0 and (size := await self._loop.sock_recv_into(sock, buffer)):
+                left -= size
+                if protocol.reads_until_eof:
+                    protocol.receive_data(memoryview(buffer)[:size])
+
+        buffer = self._pool.acquire()
+        try:
+            await asyncio.wait_for(discard(), LINGER_S)
+        except TimeoutError:
+            pass
+        finally:
+            self._pool.release(buffer)
--- a/stairhatch/node/io/readiness_poller.py
+++ b/stairhatch/node/io/readiness_poller.py
@@ -1,4 +1,9 @@
-"""Which sockets of callers have something to be read, beside the loop's own poll."""
+"""Reads what callers have sent at a given moment, outside of the event loop's turn.
+
+Before a set-up is written to a server, whatever its caller has sent until then must have been read, since it
+may be a CANCEL or the end of the connection. The loop reports readable sockets once a turn only, so the
+sockets of callers are registered with a second poll object as well.
+"""
 
 from __future__ import annotations
 
@@ -7,53 +12,56 @@
 import socket
 from collections.abc import Callable
 
-HEARD_ROUNDS = 4  # before set-ups are written: a buffer a round of each connection; timers wait meanwhile
-HEARD_BYTES = 512 * 1024  # of all: no further round is begun beyond so much
+MAX_POLL_ROUNDS = 4  # each reads up to a buffer of each connection; timers wait meanwhile
+MAX_POLLED_BYTES = 512 * 1024  # of all sockets together: no further round is begun beyond so much
+
+ReadyCallback = Callable[[int], int]  # is given the poll's event mask, returns how many bytes it has read
+FaultHandler = Callable[[Exception, object], None]  # an error and the object whose fault it is
+
 
+class ReadinessPoller:
+    """The sockets of callers, and one system call that tells which of them can be read.
 
-class Ears:
-    """Sockets of callers, and a look at which of them have something to be read: one system call for all,
-    by a poll of our own beside the loop's. Where that can't be had, nothing is heard here, and what comes is
-    read by the loop alone.
+    Where the system offers no poll object nothing is registered, and the event loop alone reads.
     """
 
-    def __init__(self, fault: Callable[[Exception, object], None]) -> None:
-        self.fault = fault
+    def __init__(self, on_fault: FaultHandler) -> None:
+        self.on_fault = on_fault
         self.poll: select.epoll | select.poll | None = None
         with contextlib.suppress(OSError):
             self.poll = select.epoll() if hasattr(select, "epoll") else select.poll()
-        self.by_descriptor: dict[int, Callable[[int], int]] = {}
+        self.readers: dict[int, ReadyCallback] = {}  # by descriptor
 
-    def add(self, sock: socket.socket, hear: Callable[[int], int]) -> None:
-        """Have `hear` called with the events, where there are any; it returns how many bytes it has read."""
+    def register(self, sock: socket.socket, read: ReadyCallback) -> None:
+        """Have `read` called by `read_ready` when the socket has something to be read or its peer is gone."""
         descriptor = sock.fileno()
         if self.poll is None or descriptor < 0:
             return
         for events in (select.POLLIN | select.POLLRDHUP, select.POLLIN):
             with contextlib.suppress(OSError, ValueError):
                 self.poll.register(descriptor, events)
-                self.by_descriptor[descriptor] = hear
+                self.readers[descriptor] = read
                 return
 
-    def drop(self, sock: socket.socket) -> None:
-        """Before it is closed."""
-        if self.poll is not None and self.by_descriptor.pop(sock.fileno(), None) is not None:
+    def unregister(self, sock: socket.socket) -> None:
+        """Forget a socket; to be called before it is closed."""
+        if self.poll is not None and self.readers.pop(sock.fileno(), None) is not None:
             with contextlib.suppress(OSError, ValueError, KeyError):
                 self.poll.unregister(sock.fileno())
 
-    def hear(self) -> None:
-        """Have all read what has come until now, within bounds."""
+    def read_ready(self) -> None:
+        """Have all sockets read what has come until now, within the limits above."""
         size = 0
-        for _ in range(HEARD_ROUNDS):
+        for _ in range(MAX_POLL_ROUNDS):
             try:
                 ready = self.poll.poll(0) if self.poll is not None else []
             except OSError:
                 return
-            if not ready or size >= HEARD_BYTES:
+            if not ready or size >= MAX_POLLED_BYTES:
                 return
             for descriptor, events in ready:
-                hear = self.by_descriptor.get(descriptor)
+                read = self.readers.get(descriptor)
                 try:
-                    size += hear(events) if hear is not None else 0
+                    size += read(events) if read is not None else 0
                 except Exception as error:  # noqa: BLE001 - the set-ups of others are to be written
-                    self.fault(error, hear)
+                    self.on_fault(error, read)
--- a/stairhatch/node/protocol.py
+++ b/stairhatch/node/protocol.py
@@ -1,5 +1,5 @@
 """The sans-I/O base of every protocol that runs on a connection: fed with bytes, it hands bytes out, and it
-knows neither socket nor event loop. The driver is `node/net.py`.
+knows neither socket nor event loop. The driver is `node/io/connection_runner.py`.
 """
 
 from __future__ import annotations
@@ -14,6 +14,9 @@
 class ConnectionProtocol:
     """A state machine at the end of a connection: it is fed bytes, hands bytes out and knows no socket."""
 
+    counts_requests = False  # whether `requests` is kept; only then does noise count as idleness
+    requests = 0  # whole requests that have come on the connection
+
     def __init__(self) -> None:
         self.notify_writable: Callable[[], None] = do_nothing  # data is ready; set by the driver
         self.abort: Callable[[], None] = do_nothing  # end the connection at once; set by the driver
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -198,6 +198,8 @@
 class TrunkConnection(ConnectionProtocol):
     """One connection of callers."""
 
+    counts_requests = True
+
     def __init__(self, front: TrunkFront) -> None:
         super().__init__()
         self.front = front
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -27,12 +27,12 @@
 from stairhatch.node.calls import Call, CallRequest
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.io.network import (
-    CONNECT_S,
-    FIRST_BACKOFF_S,
-    LONGEST_BACKOFF_S,
-    LONGEST_POLL_BACKOFF_S,
-    REST_S,
+from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
+from stairhatch.node.io.persistent_connections import (
+    MAX_BACKOFF_S,
+    MAX_POLL_BACKOFF_S,
+    MIN_BACKOFF_S,
+    POLL_TURN_CHECK_S,
 )
 from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
@@ -262,7 +262,7 @@
 
 
 class Driver:
-    """Carries bytes between one machine of a softswitch and a stream, as `Network._run` with a socket."""
+    """Carries bytes between one machine of a softswitch and a stream, as `ConnectionRunner` with a socket."""
 
     part = "rest"
 
@@ -271,7 +271,7 @@
         self.clock, self.meter = self.world.clock, self.world.meter
         self.stream: Stream | None = None
         self.stopped = False
-        self.backoff = FIRST_BACKOFF_S
+        self.backoff = MIN_BACKOFF_S
         self.up_at = 0.0
         self._pulls = False
         softswitch.drivers[self] = None
@@ -296,7 +296,7 @@
         self.meter.enter(self.part)
         try:
             self.machine.receive_data(data)
-        except Exception as error:  # noqa: BLE001 - as `Network._run`: it ends this connection only
+        except Exception as error:  # noqa: BLE001 - as `ConnectionRunner.run`: it ends this connection only
             self.softswitch.core.counters.add("connection_faults")
             self.softswitch.log("fault", why=f"{type(error).__name__}: {error}")
             self._abort()
@@ -346,7 +346,7 @@
 
 
 class Keeper(Driver):
-    """Keeps a connection to a roster server, as `Network._keep`."""
+    """Keeps a connection to a roster server, as `ServerConnector.keep_up`."""
 
     part = "links"
 
@@ -392,18 +392,18 @@
             return
         self._wanted = self._wanted and self.link.urgent
         self._later(0.0 if self._wanted else self.backoff)
-        self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def over(self) -> None:
         """Dial again, sooner where it had been up for long."""
-        if self.clock.now - self.up_at > LONGEST_BACKOFF_S:
-            self.backoff = FIRST_BACKOFF_S
+        if self.clock.now - self.up_at > MAX_BACKOFF_S:
+            self.backoff = MIN_BACKOFF_S
             self._later(0.0)
         elif self.link.retired:
             self._later(0.0)
         else:
             self._later(self.backoff)
-            self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+            self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def _drop(self) -> None:
         self.softswitch.drivers.pop(self, None)
@@ -411,7 +411,7 @@
 
 
 class Follower(Driver):
-    """Keeps the long poll going, as `Network.follow`."""
+    """Keeps the long poll going, as `Network.poll_directory`."""
 
     part = "list"
 
@@ -439,10 +439,10 @@
         if self.stopped:
             return
         if self.directory.rests():
-            self._later(REST_S)
+            self._later(POLL_TURN_CHECK_S)
             return
         self._answers = self.directory.answers
-        self.world.dial(self, self.directory.address, CONNECT_S, self._up, self._failed)
+        self.world.dial(self, self.directory.address, CONNECT_TIMEOUT_S, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
         self.directory.connected()
@@ -457,9 +457,9 @@
         if self.stopped:
             return
         if self._hurried or self.directory.answers > self._answers:
-            self.backoff = FIRST_BACKOFF_S
+            self.backoff = MIN_BACKOFF_S
         self._later(0.0 if self._hurried else self.backoff)
-        self.backoff = min(LONGEST_POLL_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_POLL_BACKOFF_S, 2 * self.backoff)
 
 
 class HollowCaller:
@@ -523,7 +523,7 @@
         """What its fleet takes for the loop."""
         return self
 
-    def datagrams(self, address: tuple[str, int], port: Any) -> None:
+    def open_datagram_port(self, address: tuple[str, int], port: Any) -> None:
         """What its fleet sends goes by the modelled wire."""
         own, world = self.softswitch, self.softswitch.world
 
--- a/stairhatch/service.py
+++ b/stairhatch/service.py
@@ -25,9 +25,9 @@
 from stairhatch.node.console import PROMPT, Console, Door
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events, read_events
-from stairhatch.node.io.accepted_connection import Bounds
-from stairhatch.node.io.descriptor_budget import UNLIMITED, Descriptors, descriptors_held
-from stairhatch.node.io.network import Listening, Network
+from stairhatch.node.io.descriptor_budget import UNLIMITED, DescriptorBudget, open_descriptor_count
+from stairhatch.node.io.listener import Listener, ListenerLimits
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
@@ -85,7 +85,8 @@
     return show
 
 
-OPERATORS = Bounds(most=12, first_s=3.0, young_s=0.05)  # connections at the door, in descriptors of its own
+# Connections at the door, in descriptors of its own.
+OPERATORS = ListenerLimits(max_connections=12, first_request_timeout_s=3.0, eviction_grace_s=0.05)
 
 
 def most_callers(config: Config) -> int:
@@ -94,7 +95,7 @@
     Half of that where another process may serve beside this one, since both count together.
     """
     most = min(config.sockets * 3 // 4, config.memory_mb * 8)
-    return max(16, most if config.inherited is None else most // 2 - OPERATORS.most)
+    return max(16, most if config.inherited is None else most // 2 - OPERATORS.max_connections)
 
 
 def most_descriptors(config: Config) -> int:
@@ -138,7 +139,7 @@
         self.front: SipFront | None = None
         self.directory: Directory | None = None
         self.fleet: Fleet | None = None
-        self.callers: list[Listening] = []
+        self.callers: list[Listener] = []
         self.after = 0  # the number of the last event, where no directory counts
         self.reloaded = "never"
         self.say: Callable[[str], None] = lambda text: None  # to the terminal, where there is one
@@ -164,7 +165,7 @@
             if config.listen is not None:
                 self.trunk = TrunkFront(core)
                 at = config.listen if config.inherited is None else inherit(config.inherited)
-                bounds = Bounds(most_callers(config))
+                bounds = ListenerLimits(most_callers(config))
                 self.callers.append(network.listen(at, self.trunk.connect, bounds, config.inherited is None))
                 listening.append(f"{config.listen[0]}:{config.listen[1]}")
             if config.sip is not None:
@@ -174,11 +175,11 @@
                 listening.append(f"console:{config.console[0]}:{config.console[1]}")
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from None
-        network.listeners = self.callers
-        kept = descriptors_held() + (OPERATORS.most if config.console is not None else 0)
-        network.descriptors = Descriptors(most_descriptors(config), kept)
-        if config.listen is not None and network.descriptors.most < config.sockets:
-            self.log("descriptors", told=config.sockets, limit=network.descriptors.most)
+        kept = open_descriptor_count() + (OPERATORS.max_connections if config.console is not None else 0)
+        budget = DescriptorBudget(most_descriptors(config), kept)
+        network.limit_callers(self.callers, budget)
+        if config.listen is not None and budget.limit < config.sockets:
+            self.log("descriptors", told=config.sockets, limit=budget.limit)
         core.listening = config.inherited is None
         return ",".join(listening)
 
@@ -191,14 +192,14 @@
             self.core, config, lambda: secrets.token_hex(8), chance.random, secrets.token_bytes(32)
         )
         if front.gate is not None:
-            network.watch(front.looked)
+            network.monitor_load(front.looked)
         front.dial = lambda connection: network.dial_caller(connection, connection.peer)
         told = []
         for port in front.ports:
-            network.datagrams(port.local, port, callers=True)
+            network.open_datagram_port(port.local, port, callers=True)
             told.append(f"udp:{host_port(port.local)}")
         for each in config.tcp:
-            bounds = Bounds(config.connections, idle_s=config.idle_s)
+            bounds = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.callers.append(network.listen(each.place, front.connector(each), bounds))
             told.append(f"tcp:{host_port(each.place)}")
         return told
@@ -216,7 +217,7 @@
         if self.config.fleet is not None:
             self._join(self.config.fleet)
         if self.directory is not None:
-            self.network.spawn(self.network.follow(self.directory))
+            self.network.spawn(self.network.poll_directory(self.directory))
 
     def _join(self, config: FleetConfig) -> None:
         """Take part in shared work. What can't be used ends the start, as with any address or file."""
@@ -277,7 +278,7 @@
             await self._end_dialogs(self.front, hurry)
         if self.config.inherited is not None:
             core.leave()
-            while not self.network.emptied() and self.network.loop.time() < last:
+            while not self.network.has_no_callers() and self.network.loop.time() < last:
                 await asyncio.sleep(0.01)
 
     async def _quiet(self, settled: Callable[[], bool]) -> bool:
@@ -286,10 +287,10 @@
         Guards against a request that comes in that moment, or lies unread: its connection was reset by the
         end of the process, with no answer.
         """
-        if not settled() or self.network.unseen():
+        if not settled() or self.network.has_unread():
             return False
         await asyncio.sleep(LAST_LOOK_S)
-        return settled() and not self.network.unseen()
+        return settled() and not self.network.has_unread()
 
     async def _end_dialogs(self, front: SipFront, hurry: asyncio.Event) -> None:
         """Wait for the dialogs that stand, and say for whom. What is left then is ended on both sides: the
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,7 +23,7 @@
 from stairhatch.config import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
-from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
@@ -342,12 +342,12 @@
         network = Network(inside.core)
         front = TrunkFront(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
-        listening = network.listen(sock, front.connect, Bounds(1, young_s=0.05))
+        listener = network.listen(sock, front.connect, ListenerLimits(1, eviction_grace_s=0.05))
         old = socket.create_connection(sock.getsockname())
-        while not listening.taken:
+        while not listener.connections:
             await asyncio.sleep(0.001)
-        one = next(iter(listening.taken))
-        while one.over is None or network.loop.time() <= one.last + 0.05:
+        one = next(iter(listener.connections))
+        while one.reading_ended is None or network.loop.time() <= one.received_at + 0.05:
             await asyncio.sleep(0.001)  # it is read, and old enough to be put out
         new = socket.socket()
         new.setblocking(False)
@@ -364,16 +364,16 @@
         both()
         for _ in range(500):
             await asyncio.sleep(0.001)
-            if inside.written or one not in listening.taken:
+            if inside.written or one not in listener.connections:
                 break
         assert [each.call.offer.ident for each in inside.written] == [ident]
-        assert one in listening.taken and not one.machine.closing
+        assert one in listener.connections and not one.protocol.closing
         old.close()
         new.close()
-        for task in list(network.tasks):
+        for task in list(network.tasks.running):
             task.cancel()
         await asyncio.sleep(0.01)
-        listening.close()
+        listener.close()
 
     uvloop.run(story())
 
@@ -443,7 +443,7 @@
         service.follow()
         service.core.turn_away_s = 0.0
         caller = socket.create_connection(service.callers[0].sock.getsockname())
-        while not service.callers[0].taken:
+        while not service.callers[0].connections:
             await asyncio.sleep(0.001)
         settled, found = service.core.settled, []
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,7 +19,7 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
@@ -268,7 +268,7 @@
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
         core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
         idents = [next(IDS) for _ in (*ways, "stays")]  # as many as may be open there at a time
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
@@ -349,15 +349,15 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         core.list_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
-        connect = network._connect
+        connect = network.connector.connect
 
         async def narrow(address, within_s):
             sock = await connect(address, within_s)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return sock
 
-        network._connect = narrow
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
+        network.connector.connect = narrow
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         (link,) = links
         idents = [next(IDS) for _ in range(10)]
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 3]
@@ -406,7 +406,7 @@
     """Nothing is left behind."""
     for each in socks:
         each.close()
-    for task in list(network.tasks):
+    for task in list(network.tasks.running):
         task.cancel()
     await asyncio.sleep(0.01)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -21,8 +21,14 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.directory import Directory
-from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
-from stairhatch.node.io.network import FRESH_S, Listening, Network
+from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.listener import (
+    DRAIN_FIRST_REQUEST_S,
+    FIRST_REQUEST_TIMEOUT_S,
+    Listener,
+    ListenerLimits,
+)
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
@@ -157,13 +163,13 @@
 def test_a_door_full_of_silent_operators_has_room_at_once():
     """Guards against an operator who waits until the silent ones' time is over: an answer is due in 1 s."""
     inside = Inside()
-    listening = Listening(SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core),
-                          None, None, OPERATORS)  # fmt: skip
+    runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core)
+    listener = Listener(runner, None, None, None, OPERATORS)
     with socket.socketpair()[0] as end:
-        for _ in range(OPERATORS.most):
-            listening.taken[Taken(Door(inside.core), end, inside.now)] = None
+        for _ in range(OPERATORS.max_connections):
+            listener.connections[AcceptedConnection(Door(inside.core), end, inside.now)] = None
         inside.run(0.1)
-        assert listening._put_out()
+        assert listener.evict()
 
 
 def test_the_door_answers_while_the_program_ends(stage):
@@ -357,24 +363,24 @@
     """Guards against a drain that resets a connection under a request which has come but was not read yet."""
     inside = Inside()
     ours, theirs = socket.socketpair()
-    listening, (one,) = listening_of(inside, 4, ours)
+    listener, (one,) = listener_of(inside, 4, ours)
     inside.core.drain(True)
-    listening.end_idle()
-    assert not one.machine.closing, "it is new and has not asked yet"
-    inside.run(FRESH_S + 0.1)
+    listener.close_idle()
+    assert not one.protocol.closing, "it is new and has not asked yet"
+    inside.run(DRAIN_FIRST_REQUEST_S + 0.1)
     theirs.send(trunk_invite(ident := next(IDS)))
-    listening.end_idle()
-    assert not one.machine.closing
-    one.machine.receive_data(ours.recv(4096))
+    listener.close_idle()
+    assert not one.protocol.closing
+    one.protocol.receive_data(ours.recv(4096))
     assert inside.core.unanswered == 1
     inside.run(0.1)
-    listening.end_idle()
-    assert not one.machine.closing, "an answer is owed"
+    listener.close_idle()
+    assert not one.protocol.closing, "an answer is owed"
     inside.stand()
-    assert statuses(one.machine, ident) == [200]
+    assert statuses(one.protocol, ident) == [200]
     inside.core.caller_released(inside.core.by_ident[ident], 16)
-    listening.end_idle()
-    assert one.machine.closing and theirs.recv(1) == b"", "it ends cleanly"
+    listener.close_idle()
+    assert one.protocol.closing and theirs.recv(1) == b"", "it ends cleanly"
 
 
 def test_new_set_ups_are_refused_only_some_time_into_a_drain():
@@ -806,50 +812,55 @@
         return self.unread[:size]
 
 
-def listening_of(inside, most, *ends):
-    """A listener of the platform's front with one connection taken for each given end of a pair."""
+def listener_of(inside, most, *ends):
+    """A listener of the platform's front with one connection accepted for each given end of a pair."""
     front = TrunkFront(inside.core)
     loop = SimpleNamespace(time=lambda: inside.now)
-    listening = Listening(SimpleNamespace(loop=loop, core=inside.core), None, front.connect, Bounds(most))
-    taken = [Taken(front.connect(), end, inside.now) for end in ends]
-    listening.taken.update((one, None) for one in taken)
-    return listening, taken
+    runner = SimpleNamespace(loop=loop, core=inside.core)
+    listener = Listener(runner, None, None, front.connect, ListenerLimits(most))
+    accepted = [AcceptedConnection(front.connect(), end, inside.now) for end in ends]
+    listener.connections.update((one, None) for one in accepted)
+    return listener, accepted
 
 
 def come(inside, one, data):
     """Bytes have come on a connection, as the driver notes them."""
-    one.machine.receive_data(data)
-    one.last = inside.now
-    one.begun = (one.begun or inside.now) if one.machine.has_partial_message() else 0.0
+    one.protocol.receive_data(data)
+    one.received_at = inside.now
+    one.partial_since = (one.partial_since or inside.now) if one.protocol.has_partial_message() else 0.0
 
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
     """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
     inside = Inside()
-    listening, (usual, silent, never_ends) = listening_of(inside, 9, End(), End(), End())
+    listener, (usual, silent, never_ends) = listener_of(inside, 9, End(), End(), End())
     come(inside, usual, trunk_invite(next(IDS)))
     come(inside, never_ends, b"INVITE sip:1@net")
     message = trunk_invite(late := next(IDS))
     for start in range(0, len(message), 40):
         come(inside, usual, message[start : start + 40])
         inside.run(0.7)
-        listening.end_late()
-        assert not usual.machine.closing
-        assert silent.machine.closing is (inside.now > 1000 + FIRST_S) is never_ends.machine.closing
-    assert late in inside.core.by_ident and FIRST_S + 0.25 < 4.0 and FIRST_S + 0.25 < 3.0
+        listener.close_overdue()
+        assert not usual.protocol.closing
+        overdue = inside.now > 1000 + FIRST_REQUEST_TIMEOUT_S
+        assert silent.protocol.closing is overdue is never_ends.protocol.closing
+    assert late in inside.core.by_ident
+    assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 4.0
+    assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 3.0
 
 
 def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
     """Guards against callers put out for newcomers between two pieces of a message."""
     inside = Inside()
-    listening, (under_way, silent, idle) = listening_of(inside, 3, End(), End(), End())
+    listener, (under_way, silent, idle) = listener_of(inside, 3, End(), End(), End())
     come(inside, under_way, trunk_invite(next(IDS))[:60])
     come(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
-    statuses(idle.machine, "p")
+    statuses(idle.protocol, "p")
     inside.run(1.0)
     for expected in (silent, idle, under_way):
-        assert listening._put_out() and expected.machine.closing
-        assert sum(one.machine.closing for one in (silent, idle, under_way)) == 3 - len(listening.taken)
+        assert listener.evict() and expected.protocol.closing
+        closing = sum(one.protocol.closing for one in (silent, idle, under_way))
+        assert closing == 3 - len(listener.connections)
 
 
 def test_a_newcomer_whose_set_up_has_not_been_read_is_not_put_out():
@@ -857,10 +868,10 @@
     loaded machine a newcomer among 60 callers who hold on was taken for one that says nothing.
     """
     inside = Inside()
-    listening, (newcomer, silent) = listening_of(inside, 2, End(trunk_invite(next(IDS))), End())
+    listener, (newcomer, silent) = listener_of(inside, 2, End(trunk_invite(next(IDS))), End())
     inside.run(1.0)
-    assert listening._put_out() and silent.machine.closing and not newcomer.machine.closing
-    assert not listening._put_out() and list(listening.taken) == [newcomer]
+    assert listener.evict() and silent.protocol.closing and not newcomer.protocol.closing
+    assert not listener.evict() and list(listener.connections) == [newcomer]
 
 
 def test_a_silent_link_is_doubted_though_its_set_ups_are_given_up_early():
@@ -918,8 +929,8 @@
             ends.append(theirs)  # stays open, as the old coordinator's does
             return ours
 
-        network._connect = connect
-        task = network.spawn(network.follow(directory))
+        network.connector.connect = connect
+        task = network.spawn(network.poll_directory(directory))
         for _ in range(20):
             await asyncio.sleep(0)
         task.cancel()
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -21,7 +21,7 @@
 from stairhatch.node.call_manager import TRY_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
-from stairhatch.node.io.descriptor_budget import Descriptors
+from stairhatch.node.io.descriptor_budget import DescriptorBudget
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.events import Availability
@@ -186,12 +186,16 @@
     list that fits leaves them what is over.
     """
     for most in (32, 64, 1024):
-        short = Descriptors(most, 26, 1901)
-        assert short.for_callers() == most // 3 and most // 4 <= short.for_links() < most - most // 3
-    long = Descriptors(4096, 26, 1901)
-    assert long.for_callers() > 4096 / 2 and long.for_links() > 1900
-    assert Descriptors(1024, 26, 25).for_callers() > 768, "three quarters, which the settings allow"
-    assert min(Descriptors().for_callers(), Descriptors().for_links()) > 10**6, "where no limit is set"
+        short = DescriptorBudget(most, 26, 1901)
+        assert short.available_to_callers() == most // 3
+        assert most // 4 <= short.available_to_servers() < most - most // 3
+    long = DescriptorBudget(4096, 26, 1901)
+    assert long.available_to_callers() > 4096 / 2 and long.available_to_servers() > 1900
+    few = DescriptorBudget(1024, 26, 25)
+    assert few.available_to_callers() > 768, "three quarters, which the settings allow"
+    unlimited = DescriptorBudget()
+    least = min(unlimited.available_to_callers(), unlimited.available_to_servers())
+    assert least > 10**6, "where no limit is set"
 
 
 class Unanswered:
@@ -396,7 +400,7 @@
     program does nothing (SIGSTOP) that it finds them all at once, also where others have to go first.
     """
     here = program(None, None, sockets=sockets)
-    room = Descriptors(sockets, 26, 3).for_callers()
+    room = DescriptorBudget(sockets, 26, 3).available_to_callers()
     assert (many > room) is (sockets == 64)
     here.process.send_signal(signal.SIGSTOP)
     callers = [(here.caller(), next(IDS)) for _ in range(many)]
@@ -470,7 +474,7 @@
         inside = Inside()
         inside.follow(asyncio.get_running_loop())
         network = Network(inside.core)
-        dial = asyncio.ensure_future(network._connect(("127.0.0.1", server.port), 0.2))
+        dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
             await asyncio.sleep(0)
         time.sleep(0.5)  # the loop stands still beyond the limit
