--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -83,7 +83,7 @@
         network = Network(core)
         RosterSide(core, network.dial)
         if scoped is not None:
-            core.in_scope = scoped.in_scope
+            core.servers.in_scope = scoped.in_scope
             scoped.changed = self._scope_changed
         return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
 
@@ -96,13 +96,15 @@
         """Open connections to servers that come into scope; those of servers that leave it end when idle."""
         parts = self.parts
         servers = [
-            each for each in parts.core.servers.values() if numbers is None or each.record.number in numbers
+            each
+            for each in parts.core.servers.by_id.values()
+            if numbers is None or each.record.number in numbers
         ]
         parts.counters.add("scopes_entered" if entered else "scopes_left")
         state = "in" if entered else "out"
         parts.log("scope", state=state, classes=",".join(classes), servers=len(servers))
         for server in servers:
-            parts.core.side.record_changed(server)
+            parts.core.servers.pool.record_changed(server)
 
     # ---- start ----
 
@@ -123,7 +125,7 @@
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from error
         self._limit_descriptors(config)
-        self.parts.core.listening = config.inherited is None
+        self.parts.core.readiness.listening = config.inherited is None
         return ",".join(opened)
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
@@ -176,9 +178,8 @@
 
     def _limit_descriptors(self, config: Config) -> None:
         """Divide the descriptors between callers and servers, what is open now set aside."""
-        reserved = open_descriptor_count() + (
-            ADMIN_LIMITS.max_connections if config.console is not None else 0
-        )
+        admin_connections = ADMIN_LIMITS.max_connections if config.console is not None else 0
+        reserved = open_descriptor_count() + admin_connections
         limit = descriptor_limit(config)
         budget = DescriptorBudget(limit, reserved)
         self.parts.network.limit_callers(self.parts.caller_listeners, budget)
@@ -199,7 +200,7 @@
         if config.coordinator is not None:
             parts.directory = Directory(parts.core, config.coordinator, last_event)
         else:
-            parts.core.list_known = True
+            parts.core.readiness.list_known = True
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.directory is not None:
@@ -228,14 +229,14 @@
         Only a socket that is shared with another process is not accepted on before.
         """
         core = self.parts.core
-        while core.awaits():
+        while not core.readiness.startup_health().is_ready:
             await asyncio.sleep(READY_POLL_S)
-        if core.ending:
+        if core.readiness.shutting_down:
             return
         for listener in self.parts.caller_listeners:
             listener.open()
-        core.listening = True
-        self.parts.log("serving", servers=len(core.servers))
+        core.readiness.listening = True
+        self.parts.log("serving", servers=len(core.servers.by_id))
 
     # ---- while it runs ----
 
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -98,8 +98,8 @@
             ", ".join(f"{count} {name}" for name, count in sorted(self.ends.items())) or "no call ended yet"
         )
         core = application.parts.core
-        standing = len(core.calls) - core.unanswered
-        return f"{self.placed} placed: {told}; {standing} stand now, {core.unanswered} being set up"
+        standing = len(core.calls.by_number) - core.calls.unanswered
+        return f"{self.placed} placed: {told}; {standing} stand now, {core.calls.unanswered} being set up"
 
 
 async def demonstrate(demo: Demo, say: Callable[[str], None]) -> int:
@@ -112,7 +112,7 @@
     stop = asyncio.Event()
     for name in (signal.SIGTERM, signal.SIGINT):
         application.parts.network.loop.add_signal_handler(name, stop.set)
-    while application.parts.core.awaits():
+    while not application.parts.core.readiness.startup_health().is_ready:
         await asyncio.sleep(0.01)
     await application.serve_when_ready()
     say(f"the appliance listens on {listening}; two stand-in roster servers answer")
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -46,10 +46,10 @@
         self._directory_poller = DirectoryPoller(self.runner, self.connector, self.admission)
         self._caller_listeners: Sequence[Listener] = ()
         self._drain_task: asyncio.Task[None] | None = None
-        core.on_drain = self._begin_drain
-        core.hear_callers = self.runner.poller.read_ready
+        core.readiness.on_drain_started = self._begin_drain
+        core.read_callers = self.runner.poller.read_ready
         timers = TimerDriver(core, self.loop)
-        core.wake = timers.arm
+        core.timers.on_earlier_due = timers.arm
         timers.arm()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -123,7 +123,7 @@
             self._drain_task = self.spawn(self._drain())
 
     async def _drain(self) -> None:
-        while self.core.drain_since is not None:
+        while self.core.readiness.drain_since is not None:
             for each in self._caller_listeners:
                 each.close_idle()
             await asyncio.sleep(DRAIN_CHECK_S)
--- a/stairhatch/node/io/timer_driver.py
+++ b/stairhatch/node/io/timer_driver.py
@@ -17,7 +17,7 @@
 
     def arm(self) -> None:
         """Have the loop call when the earliest timer is due."""
-        due = self._core.next_due()
+        due = self._core.timers.next_due()
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
@@ -27,6 +27,6 @@
     def _run_due(self) -> None:
         self._handle = None
         try:
-            self._core.tick()
+            self._core.timers.run_due()
         finally:
             self.arm()
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -98,7 +98,7 @@
         new = candidate.config
         self.config = new
         if new.tracing is not old.tracing:
-            self._parts.core.tracing = new.tracing
+            self._parts.core.context.tracing = new.tracing
         self._apply_servers(old, candidate)
         self._apply_settings(old, new)
         restart_keys = self._apply_sip(new) + self._unchangeable(old, new)
@@ -117,7 +117,7 @@
             if new.coordinator != old.coordinator:
                 directory.move(new.coordinator)
         elif new.known != old.known:  # the list in the file is the whole list
-            core.list_servers(candidate.servers, complete=True)
+            core.update_servers(candidate.servers, complete=True)
 
     def _apply_settings(self, old: Config, new: Config) -> None:
         """Give the decisions their new settings and scope."""
