--- a/stairhatch/admission/gate.py
+++ b/stairhatch/admission/admission_control.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from stairhatch.admission.buckets import BucketPolicy, Buckets
-from stairhatch.admission.budget import Budget, BudgetPolicy, Level
 from stairhatch.admission.feedback import Algorithm, Feedback, FeedbackPolicy, Told
+from stairhatch.admission.overload_detector import Budget, BudgetPolicy, Level
+from stairhatch.admission.rate_limits import BucketPolicy, Buckets
 
 
 class Verdict(Enum):
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -17,9 +17,9 @@
 import msgspec
 from msgspec import Meta, Struct, inspect
 
-from stairhatch.admission.buckets import BucketPolicy
-from stairhatch.admission.budget import BudgetPolicy
-from stairhatch.admission.gate import GatePolicy
+from stairhatch.admission.admission_control import GatePolicy
+from stairhatch.admission.overload_detector import BudgetPolicy
+from stairhatch.admission.rate_limits import BucketPolicy
 from stairhatch.config import Config, ConfigError, checked_settings, read_file
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import MOST_VOTERS, FleetConfig
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 
-from stairhatch.admission.budget import Level
+from stairhatch.admission.admission_control import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
 from stairhatch.admission.feedback import algorithm_for
-from stairhatch.admission.gate import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
+from stairhatch.admission.overload_detector import Level
 from stairhatch.node import message as sip
 from stairhatch.node import roster
 from stairhatch.node.call_manager import AWAY_S, CUT, CallManager
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,10 +11,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from stairhatch.admission.buckets import BucketPolicy, Buckets
-from stairhatch.admission.budget import Budget, BudgetPolicy, Level
+from stairhatch.admission.admission_control import Gate, GatePolicy, Kind, Verdict, shed_by_worth
 from stairhatch.admission.feedback import Algorithm, Feedback, algorithm_for
-from stairhatch.admission.gate import Gate, GatePolicy, Kind, Verdict, shed_by_worth
+from stairhatch.admission.overload_detector import Budget, BudgetPolicy, Level
+from stairhatch.admission.rate_limits import BucketPolicy, Buckets
 from stairhatch.node import message as sip
 from stairhatch.sip.heads import Head
 from stairhatch.sip.peek import peek
