--- a/stairhatch/admission/feedback.py
+++ b/stairhatch/admission/feedback.py
@@ -1,6 +1,8 @@
-"""What callers that know overload control are told: owns the figures of RFC 7339 (loss) and RFC 7415 (rate),
-their sequence and validity, and the notice of callers that are told and don't obey. Decisions and state
-alone: it is given the share that is shed and the time, and must never see a message.
+"""What callers that know overload control are told: RFC 7339 (loss) and RFC 7415 (rate).
+
+Holds each such caller's rate, the values of the Via parameters with their sequence and validity, and which
+callers don't comply with what they are told. It is given the fraction that is shed and the time, and never
+sees a message. Times are seconds, rates are new requests a second.
 """
 
 from __future__ import annotations
@@ -9,11 +11,14 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MOST_TOLD = 4096  # callers whose obedience is followed
+MAX_TRACKED_CALLERS = 4096
+COUNT_WINDOW_S = 1.0
+RATE_SMOOTHING = 0.5  # weight of a window in a caller's rate
+SEQUENCE_STEP = 0.001  # `oc-seq` has three decimals
 
 
-class Algorithm(Enum):
-    """What a figure means."""
+class FeedbackAlgorithm(Enum):
+    """What an `oc` value means; the values are the tokens of `oc-algo`."""
 
     LOSS = "loss"  # per cent of its requests that a caller is not to send
     RATE = "rate"  # requests a second that it may send
@@ -21,105 +26,118 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedbackPolicy:
-    """How callers are told."""
+    """How callers are told, and when one counts as non-compliant."""
 
-    validity_s: float = 1.0  # a figure holds so long; told anew in every answer
-    least_rate: float = 1.0  # nobody is told to stop altogether (RFC 7415, 3.4)
-    patience_s: float = 5.0  # a caller told for so long that still sends too much ignores it
-    slack: float = 1.5  # times what it may send
-    forgiven_s: float = 30.0  # after so long without excess it is believed again
+    validity_s: float = 1.0  # a value holds so long; told anew in every answer
+    min_rate: float = 1.0  # nobody is told to stop altogether (RFC 7415, 3.4)
+    violation_s: float = 5.0  # a caller that sends too much for so long is non-compliant
+    tolerance: float = 1.5  # times what it may send
+    compliance_s: float = 30.0  # after so long without excess it is compliant again
 
 
-def algorithm_for(asked: str) -> Algorithm | None:
+def algorithm_for(oc_algo: str) -> FeedbackAlgorithm | None:
     """The algorithm for a caller's `oc-algo`, loss where it knows both (RFC 7339, 5.2); None for others."""
-    names = [name.strip().lower() for name in asked.strip('"').split(",")]
-    if not asked or "loss" in names:
-        return Algorithm.LOSS
-    return Algorithm.RATE if "rate" in names else None
+    names = [name.strip().lower() for name in oc_algo.strip('"').split(",")]
+    if not oc_algo or "loss" in names:
+        return FeedbackAlgorithm.LOSS
+    return FeedbackAlgorithm.RATE if "rate" in names else None
 
 
 @dataclass(eq=False, slots=True)
-class Told:
-    """A caller that knows overload control, and how it takes it."""
-
-    algorithm: Algorithm
-    since: float  # how long it has been told to hold back; 0: it is not
-    window: float  # begin of the second that is counted
-    count: int = 0
-    rate: float = 0.0  # of its new requests a second, smoothed
-    usual: float = 0.0  # the same before it was told to hold back
+class CallerFeedback:
+    """A caller that knows overload control, and how it complies."""
+
+    algorithm: FeedbackAlgorithm
+    throttled_since: float  # since when it is told to send less; 0: it is not
+    window_started_at: float
+    count: int = 0  # requests in the window
+    rate: float = 0.0  # smoothed
+    unthrottled_rate: float = 0.0  # the same before it was told to send less
     excess_since: float = 0.0
-    ignores: bool = False
-    ignored_at: float = 0.0
+    is_non_compliant: bool = False
+    last_excess_at: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
-class Feedback:
+class OverloadFeedback:
     """All callers that know overload control."""
 
     policy: FeedbackPolicy = field(default_factory=FeedbackPolicy)
-    callers: OrderedDict[str, Told] = field(default_factory=OrderedDict)
-    ignoring: int = 0  # how often one was found to ignore it
-    _last: float = 0.0
-
-    def came(self, source: str, algorithm: Algorithm, share: float, now: float) -> Told:
-        """A new request of such a caller came while so much was to be held back."""
-        told = self.callers.get(source)
-        if told is None:
-            told = self.callers[source] = Told(algorithm, 0.0, now)
-            while len(self.callers) > MOST_TOLD:
+    callers: OrderedDict[str, CallerFeedback] = field(default_factory=OrderedDict)
+    non_compliant_count: int = 0  # how often a caller was found to be so
+    _last_sequence: float = 0.0
+
+    def count_request(
+        self, source: str, algorithm: FeedbackAlgorithm, shed_fraction: float, now: float
+    ) -> CallerFeedback:
+        """A new request of such a caller came while so much was shed."""
+        caller = self.callers.get(source)
+        if caller is None:
+            caller = self.callers[source] = CallerFeedback(algorithm, 0.0, now)
+            while len(self.callers) > MAX_TRACKED_CALLERS:
                 self.callers.popitem(last=False)
         else:
             self.callers.move_to_end(source)
-        told.algorithm = algorithm
-        if now - told.window >= 1.0:
-            self._count_window(told, share, now)
-        told.count += 1
-        return told
-
-    def _count_window(self, told: Told, share: float, now: float) -> None:
-        """A second is over: what was sent in it against what might have been."""
-        policy, passed = self.policy, now - told.window
-        rate = told.count / passed
-        told.rate = rate if told.rate == 0.0 else 0.5 * told.rate + 0.5 * rate
-        told.window, told.count = now, 0
-        if share <= 0.0:
-            told.usual, told.since, told.excess_since = told.rate, 0.0, 0.0
-        elif told.since == 0.0:
-            told.since, told.usual = now, max(told.usual, told.rate)
-        allowed = max(policy.least_rate, told.usual * (1.0 - share)) * policy.slack
-        if told.since and now - told.since > policy.validity_s and rate > allowed:
-            told.excess_since = told.excess_since or now
-            if now - told.excess_since >= policy.patience_s and not told.ignores:
-                told.ignores = True
-                self.ignoring += 1
-            told.ignored_at = now
-        else:
-            told.excess_since = 0.0
-            if told.ignores and now - told.ignored_at >= policy.forgiven_s:
-                told.ignores = False
+        caller.algorithm = algorithm
+        if now - caller.window_started_at >= COUNT_WINDOW_S:
+            self._end_window(caller, shed_fraction, now)
+        caller.count += 1
+        return caller
+
+    def is_non_compliant(self, source: str) -> bool:
+        """Whether a caller was found to ignore what it is told."""
+        caller = self.callers.get(source)
+        return caller is not None and caller.is_non_compliant
 
-    def figure(self, told: Told, share: float) -> int:
+    def oc_value(self, caller: CallerFeedback, shed_fraction: float) -> int:
         """The `oc` value for a caller now."""
-        if told.algorithm is Algorithm.LOSS:
-            return min(100, max(0, round(100 * share)))
-        usual = max(told.usual, told.rate, self.policy.least_rate)
-        return max(
-            1, int(usual * (1.0 - share) * self.policy.slack if share <= 0.0 else usual * (1.0 - share))
-        )
+        if caller.algorithm is FeedbackAlgorithm.LOSS:
+            return min(100, max(0, round(100 * shed_fraction)))
+        rate = max(caller.unthrottled_rate, caller.rate, self.policy.min_rate) * (1.0 - shed_fraction)
+        return max(1, int(rate * self.policy.tolerance if shed_fraction <= 0.0 else rate))
+
+    def via_parameters(self, caller: CallerFeedback, shed_fraction: float, now: float) -> str:
+        """The Via parameters of an answer (RFC 7339, 4 and 5).
 
-    def parameters(self, told: Told, share: float, now: float) -> str:
-        """The Via parameters of an answer (RFC 7339, 4 and 5). The sequence never goes back, also where the
-        clock does.
+        The sequence never goes back, also where the clock does.
         """
-        self._last = max(now, self._last + 0.001)
-        validity = int(1000 * self.policy.validity_s) if share > 0.0 else 0
+        self._last_sequence = max(now, self._last_sequence + SEQUENCE_STEP)
+        validity_ms = int(1000 * self.policy.validity_s) if shed_fraction > 0.0 else 0
         return (
-            f';oc={self.figure(told, share)};oc-algo="{told.algorithm.value}"'
-            f";oc-validity={validity};oc-seq={self._last:.3f}"
+            f';oc={self.oc_value(caller, shed_fraction)};oc-algo="{caller.algorithm.value}"'
+            f";oc-validity={validity_ms};oc-seq={self._last_sequence:.3f}"
         )
 
-    def ignores(self, source: str) -> bool:
-        """Whether a caller was found to ignore what it is told."""
-        told = self.callers.get(source)
-        return told is not None and told.ignores
+    def _end_window(self, caller: CallerFeedback, shed_fraction: float, now: float) -> None:
+        """Hold what was sent in the window against what might have been."""
+        rate = caller.count / (now - caller.window_started_at)
+        first = caller.rate == 0.0
+        caller.rate = rate if first else (1 - RATE_SMOOTHING) * caller.rate + RATE_SMOOTHING * rate
+        caller.window_started_at = now
+        caller.count = 0
+        if shed_fraction <= 0.0:
+            caller.unthrottled_rate = caller.rate
+            caller.throttled_since = 0.0
+            caller.excess_since = 0.0
+        elif caller.throttled_since == 0.0:
+            caller.throttled_since = now
+            caller.unthrottled_rate = max(caller.unthrottled_rate, caller.rate)
+        self._check_compliance(caller, rate, shed_fraction, now)
+
+    def _check_compliance(
+        self, caller: CallerFeedback, rate: float, shed_fraction: float, now: float
+    ) -> None:
+        """Whether the caller sends too much for what it is told, and for how long."""
+        policy = self.policy
+        allowed = max(policy.min_rate, caller.unthrottled_rate * (1.0 - shed_fraction)) * policy.tolerance
+        was_told = caller.throttled_since and now - caller.throttled_since > policy.validity_s
+        if was_told and rate > allowed:
+            caller.excess_since = caller.excess_since or now
+            if now - caller.excess_since >= policy.violation_s and not caller.is_non_compliant:
+                caller.is_non_compliant = True
+                self.non_compliant_count += 1
+            caller.last_excess_at = now
+            return
+        caller.excess_since = 0.0
+        if caller.is_non_compliant and now - caller.last_excess_at >= policy.compliance_s:
+            caller.is_non_compliant = False
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -17,9 +17,9 @@
 import msgspec
 from msgspec import Meta, Struct, inspect
 
-from stairhatch.admission.admission_control import GatePolicy
-from stairhatch.admission.overload_detector import BudgetPolicy
-from stairhatch.admission.rate_limits import BucketPolicy
+from stairhatch.admission.admission_control import AdmissionPolicy
+from stairhatch.admission.overload_detector import OverloadDetectorPolicy
+from stairhatch.admission.rate_limits import RateLimitPolicy
 from stairhatch.config import Config, ConfigError, checked_settings, read_file
 from stairhatch.fleet.claims import Terms
 from stairhatch.fleet.config import MOST_VOTERS, FleetConfig
@@ -363,29 +363,29 @@
     )
 
 
-def _gate(table: AdmissionTable) -> GatePolicy | None:
+def _gate(table: AdmissionTable) -> AdmissionPolicy | None:
     if not table.on:
         return None
     if not table.abatement_ms < table.onset_ms < table.full_ms:
         raise ConfigError("sip.admission: abatement_ms must lie under onset_ms, and that under full_ms")
     if table.return_s[0] > table.return_s[1]:
         raise ConfigError("sip.admission.return_s: the first must not be above the second")
-    return GatePolicy(
-        BudgetPolicy(
+    return AdmissionPolicy(
+        OverloadDetectorPolicy(
             onset_s=table.onset_ms / 1000,
             abatement_s=table.abatement_ms / 1000,
             target_s=table.target_ms / 1000,
-            full_s=table.full_ms / 1000,
+            saturation_s=table.full_ms / 1000,
         ),
-        BucketPolicy(
+        RateLimitPolicy(
             source_rate=table.source_rate,
             source_burst=table.source_burst,
             network_rate=table.network_rate,
             network_burst=table.network_burst,
-            network_v4=table.network_v4,
-            network_v6=table.network_v6,
+            ipv4_network_bits=table.network_v4,
+            ipv6_network_bits=table.network_v6,
         ),
-        return_s=table.return_s,
+        retry_after_range_s=table.return_s,
     )
 
 
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -10,9 +10,16 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
 
-from stairhatch.admission.admission_control import SERVED, Gate, GatePolicy, Judged, Kind, Verdict
+from stairhatch.admission.admission_control import (
+    ADMITTED,
+    AdmissionControl,
+    AdmissionDecision,
+    AdmissionOutcome,
+    AdmissionPolicy,
+    RequestKind,
+)
 from stairhatch.admission.feedback import algorithm_for
-from stairhatch.admission.overload_detector import Level
+from stairhatch.admission.overload_detector import OverloadLevel
 from stairhatch.node import message as sip
 from stairhatch.node import roster
 from stairhatch.node.call_manager import AWAY_S, CUT, CallManager
@@ -79,7 +86,7 @@
     restart_wait_s: float = 60.0  # so long a restart waits for calls that stand
     timers: TimerPolicy = field(default_factory=TimerPolicy)
     auth: AuthConfig | None = None
-    gate: GatePolicy | None = None  # what we can take ourselves; None: whatever comes is served
+    gate: AdmissionPolicy | None = None  # what we can take ourselves; None: whatever comes is served
 
 
 LIVE = ("numbers", "default_class", "timers", "auth", "restart_wait_s")  # what a reload takes over
@@ -103,7 +110,7 @@
         self.transactions = Transactions(core, config.memory_mb * 1024 * 1024)
         self.transactions.reroute = self._way_of_answer
         self.transactions.feedback = self._feedback
-        self.gate = Gate(part, config.gate) if config.gate is not None else None
+        self.gate = AdmissionControl(part, config.gate) if config.gate is not None else None
         self._admitted = b""  # the transaction that the gate has just let in by a look
         self.dialogs: dict[tuple[str, str, str], Leg] = {}
         self.ours: dict[tuple[Leg, str], Ours] = {}
@@ -146,7 +153,7 @@
         """Deal with a datagram by a look at it, while we are pressed: a copy is answered and a call that is
         shed is refused, before either costs a parse. False: it is to be parsed.
         """
-        if self.gate is None or self.gate.budget.level is Level.FREE:
+        if self.gate is None or self.gate.overload.level is OverloadLevel.NORMAL:
             return False
         if is_ack_to_shed(data):
             self.counters.add("got_ACK")
@@ -161,34 +168,39 @@
         if seen.method != "INVITE" or seen.within:
             return False
         judged = self._judge_call(flow.peer[0], seen.user, "")
-        if judged.verdict is Verdict.SERVE:
+        if judged.outcome is AdmissionOutcome.ADMITTED:
             self._admitted = seen.key
             return False
         self.counters.add("got_INVITE")
         self._note_shed(judged)
-        UdpFlow(flow.port, place).send(seen.unavailable(flow.peer, self.token(), judged.return_s))
+        UdpFlow(flow.port, place).send(seen.unavailable(flow.peer, self.token(), judged.retry_after_s))
         return True
 
-    def _judge_call(self, source: str, user: str, named: str) -> Judged:
+    def _judge_call(self, source: str, user: str, named: str) -> AdmissionDecision:
         """Whether we can take a new call of a source, by what its class is worth."""
         assert self.gate is not None
         kind, _ = self.class_of(user, named)
-        return self.gate.judge(Kind.CALL, source, kind.priority_weight if kind else 0.0, self.core.clock())
+        return self.gate.admit(
+            RequestKind.NEW_CALL, source, kind.priority_weight if kind else 0.0, self.core.clock()
+        )
 
-    def _note_shed(self, judged: Judged) -> None:
+    def _note_shed(self, judged: AdmissionDecision) -> None:
         self.counters.add("sent_503")
-        self.counters.add(judged.verdict.value)
+        self.counters.add(judged.outcome.value)
 
     def looked(self, delay_s: float) -> None:
         """The loop was late by so much, or a datagram has waited so long."""
         if self.gate is None:
             return
-        before, now = self.gate.budget.level, self.core.clock()
-        level = self.gate.budget.look(now, delay_s)
+        before, now = self.gate.overload.level, self.core.clock()
+        level = self.gate.overload.observe_delay(now, delay_s)
         if level is not before:
-            told = f"{1000 * self.gate.budget.delay_s:.0f}"
+            told = f"{1000 * self.gate.overload.delay_s:.0f}"
             self.core.log(
-                "load", level=level.name.lower(), delay_ms=told, shed=f"{self.gate.budget.share:.2f}"
+                "load",
+                level=level.name.lower(),
+                delay_ms=told,
+                shed=f"{self.gate.overload.shed_fraction:.2f}",
             )
 
     def _feedback(self, transaction: Server) -> str:
@@ -200,8 +212,8 @@
         if self.gate is None or algorithm is None:
             return ""
         now, feedback = self.core.clock(), self.gate.feedback
-        told = feedback.callers.get(source) or self.gate.told(source, algorithm, now)
-        return feedback.parameters(told, self.gate.budget.shed_share(now), now)
+        told = feedback.callers.get(source) or self.gate.track_feedback_caller(source, algorithm, now)
+        return feedback.via_parameters(told, self.gate.overload.current_shed_fraction(now), now)
 
     def caller_gone(self, flow: SipConnection) -> None:
         """The peer of a connection has ended it, with set-ups unanswered on it: none that waits is sent on.
@@ -285,9 +297,9 @@
         if head.method == "INVITE" and not head.to_tag and self.core.turns_away():
             status, extra = 503, f"Retry-After: {max(1, math.ceil(AWAY_S))}\r\n"
             self.counters.add("calls_turned_away")
-        elif judged.verdict is not Verdict.SERVE:
-            status, extra = 503, f"Retry-After: {judged.return_s}\r\n"
-            self.counters.add(judged.verdict.value)
+        elif judged.outcome is not AdmissionOutcome.ADMITTED:
+            status, extra = 503, f"Retry-After: {judged.retry_after_s}\r\n"
+            self.counters.add(judged.outcome.value)
         elif not self.transactions.room(flow.peer[0]) and not (head.to_tag and key_of(head) in self.dialogs):
             status, extra = 503, "Retry-After: 2\r\n"
             self.counters.add("table_full")
@@ -300,18 +312,18 @@
             self._stateless(flow, head.place(flow.peer, flow.reliable), data, status)
         return not status
 
-    def _gated(self, flow: Flow, head: Head) -> Judged:
+    def _gated(self, flow: Flow, head: Head) -> AdmissionDecision:
         """Whether we can take a new request ourselves."""
         admitted, self._admitted = self._admitted, b""
         if self.gate is None or head.to_tag or head.method in ("CANCEL", "PRACK", "BYE", "UPDATE"):
-            return SERVED
+            return ADMITTED
         source = flow.peer[0]
         if head.method != "INVITE":
-            return self.gate.judge(Kind.OTHER, source, 0.0, self.core.clock())
+            return self.gate.admit(RequestKind.OTHER, source, 0.0, self.core.clock())
         if head.oc and (algorithm := algorithm_for(head.oc)) is not None:
-            self.gate.told(source, algorithm, self.core.clock())
+            self.gate.track_feedback_caller(source, algorithm, self.core.clock())
         if admitted == head.key:
-            return SERVED
+            return ADMITTED
         user = sip.user_of(head.message.uri)
         return self._judge_call(source, user, head.message.get("call-kind"))
 
