--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,6 +38,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
+from stairhatch.components import steady_unix_clock
 from stairhatch.fault_injection.schedule import Schedule
 from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import Codec
@@ -65,7 +66,6 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
-from stairhatch.service import unix_clock
 from stairhatch.settings.parser import settings_from_object
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
@@ -381,7 +381,7 @@
     return CallManager(
         settings_from_object(raw_settings(24)).settings,
         random.Random(1),
-        unix_clock(),
+        steady_unix_clock(),
         lambda *a, **k: None,
         Counters(),
     )
