--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -16,15 +16,15 @@
 from typing import Any
 
 from stairhatch.fault_injection.world import SYNC_S, Disk
-from stairhatch.fleet import service as fleet_service
-from stairhatch.fleet.claims import Terms
+from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
-from stairhatch.fleet.effects import Fence, Kept, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.service import Fleet
-from stairhatch.fleet.store import Found
-from stairhatch.node.call_manager import ENDED, CallManager
-from stairhatch.node.calls import Call, CallRequest
+from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.runtime import FleetRuntime
+from stairhatch.fleet.store import StoredState
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import (
@@ -232,18 +232,18 @@
         if not disk.folder:
             disk.folder = f"{world.chance.getrandbits(64):016x}"
         disk.life += 1
-        mark = Mark(disk.folder, disk.life, disk.made)
-        kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = Found(kept, dict(disk.fences))
+        mark = StorageVersion(disk.folder, disk.life, disk.made)
+        kept = PersistedState(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
+        self.found = StoredState(kept, dict(disk.fences))
 
-    def keep(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def keep(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
         self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
 
-    def _kept(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def _kept(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         if self.closed:
             return
-        if isinstance(what, Write):
+        if isinstance(what, PersistVotes):
             self.disk.take(what)
         else:
             self.disk.fences[what.claim] = what.ticket
@@ -496,11 +496,11 @@
     def released(self, cause: int) -> None:
         """The other side has ended it."""
         self.over = True
-        self.softswitch.world.traffic.tally.cut += cause != ENDED
+        self.softswitch.world.traffic.tally.cut += cause != ReleaseCause.NORMAL_CLEARING
 
     def _hang_up(self, life: int) -> None:
         if not self.over and self.call is not None and self.softswitch.life == life:
-            self.softswitch.core.caller_released(self.call, ENDED)
+            self.softswitch.core.release(self.call, ReleaseCause.NORMAL_CLEARING)
 
     def lose(self) -> None:
         """Its softswitch has gone."""
@@ -554,7 +554,7 @@
         self.numbered = False  # it goes by a number that it holds
         self.heard: dict[str, int] = {}  # how many changes of each line have come
         self.core: CallManager
-        self.fleet: Fleet | None = None
+        self.fleet: FleetRuntime | None = None
         self.process: Life
         self.store: HollowStore | None = None
         self._timer: Due | None = None
@@ -587,9 +587,9 @@
         chance = random.Random(world.chance.getrandbits(64))
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
-        core.wake = self._arm
+        core.timers.on_earlier_due = self._arm
         RosterSide(core, lambda link: self._keep(link))
-        core.listening = True
+        core.readiness.listening = True
         region = world.places.region(self.index)
         directory = Directory(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
@@ -605,10 +605,11 @@
         assert told is not None
         config = FleetConfig(
             "scale", self.name, self.place, voters, folder=Path(self.name) if self.name in voters else None,
-            terms=Terms(told.term_s, told.drift), numbers=told.numbers, list=told.list,
+            terms=LeaseTimings(told.term_s, told.drift), numbers=told.numbers, list=told.list,
         )  # fmt: skip
         self.process = Life(self)
-        self.fleet = Fleet(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
+        settings = self.world.settings
+        self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
             directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
@@ -632,7 +633,7 @@
         core.controller.handle = handle  # type: ignore[method-assign]
 
     def _arm(self) -> None:
-        due = self.core.next_due()
+        due = self.core.timers.next_due()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -642,16 +643,18 @@
     def _tick(self) -> None:
         self._timer = None
         with self.world.meter.of("timers"):
-            self.core.tick()
+            self.core.timers.run_due()
         self._arm()
 
     def offer(self, wanted: Wanted) -> None:
         """A call comes to its front."""
         traffic, world = self.world.traffic, self.world
-        if not self.running or self.core.awaits() or (self.core.ending and self.core.turns_away()):
+        readiness = self.core.readiness
+        started = self.running and readiness.startup_health().is_ready
+        if not started or (readiness.shutting_down and readiness.rejects_new_calls()):
             traffic.ended(wanted, End.UNREACHED, world.passed)
             return
-        if self.core.turns_away():
+        if readiness.rejects_new_calls():
             traffic.ended(wanted, End.REFUSED, world.passed)
             return
         caller = HollowCaller(self, wanted)
@@ -666,19 +669,19 @@
         )
         self.callers[wanted.serial] = caller
         with world.meter.of("calls"):
-            caller.call = self.core.offer(offer, caller)
-        if len(self.callers) > 2 * len(self.core.calls) + 64:
+            caller.call = self.core.offer_call(offer, caller)
+        if len(self.callers) > 2 * len(self.core.calls.by_number) + 64:
             self.callers = {n: each for n, each in self.callers.items() if self._open(each)}
 
     def _open(self, caller: HollowCaller) -> bool:
-        return caller.call is not None and caller.call.number in self.core.calls
+        return caller.call is not None and caller.call.number in self.core.calls.by_number
 
     def restart(self) -> bool:
         """A planned one: it drains, ends and comes again. Whether there was anything to restart."""
-        if not self.running or self.core.ending:
+        if not self.running or self.core.readiness.shutting_down:
             return False
-        self.core.ending = True
-        self.core.drain(True)
+        self.core.readiness.shutting_down = True
+        self.core.readiness.drain(True)
         self._drained(self.life, self.world.clock.now + self.world.plan.drain_s)
         return True
 
@@ -686,7 +689,7 @@
         if self.life != life:
             return
         clock = self.world.clock
-        if clock.now < last and not (self.core.settled() and not self.core.calls):
+        if clock.now < last and not (self.core.is_settled() and not self.core.calls.by_number):
             clock.call_later(SETTLE_S, self._drained, life, last)
             return
         if self.fleet is not None:
@@ -706,7 +709,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.core.wake = do_nothing
+        self.core.timers.on_earlier_due = do_nothing
         if self.fleet is not None:
             self.process.over = True
             if self.store is not None:
@@ -832,7 +835,7 @@
         for each in self.softswitches:
             if each.running:
                 coordinator = self.coordinators[self.places.region(each.index)]
-                servers = each.core.by_instance.values()
+                servers = each.core.servers.by_instance.values()
                 ours = {s.record.instance for s in servers if s.record.availability is Availability.READY}
                 found += ours != coordinator.in_service()
         return found
@@ -931,7 +934,7 @@
         """Whether all serve, each by a number of its own where numbers are claimed."""
         numbered = self.plan.fleet is not None and self.plan.fleet.numbers
         return all(
-            each.running and not each.core.awaits() and (each.numbered or not numbered)
+            each.running and each.core.readiness.startup_health().is_ready and (each.numbered or not numbered)
             for each in self.softswitches
         )
 
@@ -968,19 +971,19 @@
     @contextmanager
     def in_place(self) -> Iterator[None]:
         """The virtual clock, folders and dice in place of the machine's own, where the fleet has them."""
-        names = ("clock", "Store", "secrets")
-        was = {name: getattr(fleet_service, name) for name in names}
+        names = ("clock", "VoterStore", "secrets")
+        was = {name: getattr(fleet_runtime, name) for name in names}
         ours = {
             "clock": self.clock.time, "secrets": Dice(self.chance),
-            "Store": lambda folder, call: self.by_name[str(folder)].open_store(),
+            "VoterStore": lambda folder, call: self.by_name[str(folder)].open_store(),
         }  # fmt: skip
         try:
             for name in names:
-                setattr(fleet_service, name, ours[name])
+                setattr(fleet_runtime, name, ours[name])
             yield
         finally:
             for name in names:
-                setattr(fleet_service, name, was[name])
+                setattr(fleet_runtime, name, was[name])
 
     # what is counted
 
