--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -20,7 +20,7 @@
 from stairhatch.node.trunk_front import TrunkFront
 
 if TYPE_CHECKING:
-    from stairhatch.fleet.service import Fleet
+    from stairhatch.fleet.runtime import FleetRuntime
     from stairhatch.scope.decisions import ScopedController
     from stairhatch.sip.front import SipFront
 
@@ -48,5 +48,5 @@
     trunk: TrunkFront | None = None
     sip: SipFront | None = None
     directory: Directory | None = None
-    fleet: Fleet | None = None
+    fleet: FleetRuntime | None = None
     caller_listeners: list[Listener] = field(default_factory=list)
