--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -18,13 +18,13 @@
 
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config import Config, ConfigError
-from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
+from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events
-from stairhatch.node.io.accepted_connection import Bounds
-from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
+from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
@@ -124,7 +124,6 @@
                 opened.append(self._listen_admin(config.console))
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from error
-        self.parts.network.listeners = self.parts.caller_listeners
         self._limit_descriptors(config)
         self.parts.core.readiness.listening = config.inherited is None
         return ",".join(opened)
@@ -133,8 +132,8 @@
         parts = self.parts
         parts.trunk = TrunkFront(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
-        bounds = Bounds(caller_connection_limit(config))
-        listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
+        limits = ListenerLimits(caller_connection_limit(config))
+        listener = parts.network.listen(at, parts.trunk.connect, limits, config.inherited is None)
         parts.caller_listeners.append(listener)
         return f"{address[0]}:{address[1]}"
 
@@ -145,12 +144,12 @@
         front = self.parts.sip = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
-            network.datagrams(port.local, port, callers=True)
+            network.open_datagram_port(port.local, port, callers=True)
             opened.append(f"udp:{host_port(port.local)}")
         for listener in config.tcp:
-            bounds = Bounds(config.connections, idle_s=config.idle_s)
+            limits = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.parts.caller_listeners.append(
-                network.listen(listener.place, front.connector(listener), bounds)
+                network.listen(listener.place, front.connector(listener), limits)
             )
             opened.append(f"tcp:{host_port(listener.place)}")
         return opened
@@ -168,20 +167,22 @@
             secrets.token_bytes(SECRET_BYTES),
         )
         if front.gate is not None:
-            network.watch(front.looked)
+            network.monitor_load(front.looked)
         front.dial = lambda connection: network.dial_caller(connection, connection.peer)
         return front
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_BOUNDS)
+        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
         """Divide the descriptors between callers and servers, what is open now set aside."""
-        reserved = descriptors_held() + (ADMIN_BOUNDS.most if config.console is not None else 0)
+        admin_connections = ADMIN_LIMITS.max_connections if config.console is not None else 0
+        reserved = open_descriptor_count() + admin_connections
         limit = descriptor_limit(config)
-        self.parts.network.descriptors = Descriptors(limit, reserved)
+        budget = DescriptorBudget(limit, reserved)
+        self.parts.network.limit_callers(self.parts.caller_listeners, budget)
         if config.listen is not None and limit < config.sockets:
             self.parts.log("descriptors", configured=config.sockets, limit=limit)
 
@@ -203,7 +204,7 @@
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.directory is not None:
-            parts.network.spawn(parts.network.follow(parts.directory))
+            parts.network.spawn(parts.network.poll_directory(parts.directory))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -14,7 +14,8 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.io.network import Listening, Network
+from stairhatch.node.io.listener import Listener
+from stairhatch.node.io.network import Network
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 
@@ -48,4 +49,4 @@
     sip: SipFront | None = None
     directory: Directory | None = None
     fleet: FleetRuntime | None = None
-    caller_listeners: list[Listening] = field(default_factory=list)
+    caller_listeners: list[Listener] = field(default_factory=list)
