--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -402,7 +402,7 @@
             heard[index] = heard.get(index, (0, 0.0))[0] + 1, time.time()
 
         core.update_servers = listed  # type: ignore[method-assign]
-        network.spawn(network.poll_directory(directory))
+        network.spawn(network.poll_service_discovery(directory))
 
     def answer(what: str) -> Any:
         return min((events for events, _ in heard.values()), default=0) if len(heard) == count else 0, max(
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -204,7 +204,7 @@
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.directory is not None:
-            parts.network.spawn(parts.network.poll_directory(parts.directory))
+            parts.network.spawn(parts.network.poll_service_discovery(parts.directory))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -100,7 +100,7 @@
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
-        self.wake: Callable[[], None] = do_nothing  # set by the driver: there is something to send
+        self.notify_writable: Callable[[], None] = do_nothing  # set by the driver: there is something to send
         self.codec = FleetCodec(config.fleet, config.secret)
         self.history = HistoryFile(config)
         self.chance = random.Random(secrets.randbits(64))
@@ -222,7 +222,7 @@
 
     def _fault(self, error: Exception) -> None:
         self.counters.add("fleet_faults")
-        self.log("fault", why=f"{type(error).__name__}: {error}", machine="Fleet")
+        self.log("fault", why=f"{type(error).__name__}: {error}", component="Fleet")
 
     def send(self, to: PeerAddress, message: FleetMessage) -> None:
         """A message on its way."""
@@ -230,7 +230,7 @@
         self.counters.add("fleet_sent")
         self.counters.add("fleet_sent_bytes", len(data))
         self.output.append((data, to))
-        self.wake()
+        self.notify_writable()
 
     def carry(self, effects: list[Effect]) -> None:
         """Do what the decisions ask, in their order."""
--- a/stairhatch/node/io/buffer_pool.py
+++ b/stairhatch/node/io/buffer_pool.py
@@ -10,6 +10,7 @@
     """Buffers of `BUFFER_BYTES`. Any number may be in use; at most `max_free` are kept unused."""
 
     def __init__(self, max_free: int = MAX_FREE_BUFFERS) -> None:
+        """Start without buffers: each is made when it is first needed."""
         self.free: list[bytearray] = []
         self.max_free = max_free
 
--- a/stairhatch/node/io/connection_runner.py
+++ b/stairhatch/node/io/connection_runner.py
@@ -26,6 +26,7 @@
     """What all connections of a softswitch share: loop, tasks, buffers, readers, writer."""
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop, tasks: BackgroundTasks) -> None:
+        """Make the readers, the writer and the buffers that the connections share."""
         self.core = core
         self.loop = loop
         self.tasks = tasks
@@ -35,9 +36,9 @@
         self._pooled_reader = PooledReader(loop, self.buffer_pool)
         self._writer = Writer(loop, self._log_fault)
 
-    def start_reading(self, one: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
+    def start_reading(self, connection: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
         """Read a caller's connection from now on, not only once its task has begun."""
-        self._caller_reader.start(one, idle_order)
+        self._caller_reader.start(connection, idle_order)
 
     async def run(
         self, sock: socket.socket, protocol: ConnectionProtocol, accepted: AcceptedConnection | None = None
@@ -101,4 +102,4 @@
 
     def _log_fault(self, error: Exception, owner: object) -> None:
         self.core.counters.add("connection_faults")
-        self.core.log("fault", why=f"{type(error).__name__}: {error}", machine=type(owner).__name__)
+        self.core.log("fault", why=f"{type(error).__name__}: {error}", component=type(owner).__name__)
--- a/stairhatch/node/io/connector.py
+++ b/stairhatch/node/io/connector.py
@@ -32,6 +32,7 @@
     """Opens connections within the descriptor budget."""
 
     def __init__(self, runner: ConnectionRunner, admission: CallerAdmission) -> None:
+        """Dial by the runner's loop, within the budget of `admission`."""
         self._runner = runner
         self._admission = admission
 
@@ -69,14 +70,14 @@
         await asyncio.sleep(EVICTION_DELAY_S)
         return socket.socket(address_family(address[0]), socket.SOCK_STREAM)
 
-    async def run_to_caller(self, connection: ConnectionProtocol, peer: SocketAddress) -> None:
+    async def run_to_caller(self, protocol: ConnectionProtocol, peer: SocketAddress) -> None:
         """Dial a caller and run the connection until it ends."""
         try:
             sock = await self.connect(peer)
         except (OSError, TimeoutError):
             self._runner.core.counters.add("callers_unreached")
-            connection.connection_lost()
+            protocol.connection_lost()
             return
-        one = AcceptedConnection(connection, sock, self._runner.loop.time())
-        self._runner.start_reading(one)
-        await self._runner.run(sock, connection, one)
+        connection = AcceptedConnection(protocol, sock, self._runner.loop.time())
+        self._runner.start_reading(connection)
+        await self._runner.run(sock, protocol, connection)
--- a/stairhatch/node/io/datagrams.py
+++ b/stairhatch/node/io/datagrams.py
@@ -30,7 +30,7 @@
     """The sans-I/O side of a UDP port: is fed datagrams, and queues those that are to be sent."""
 
     output: deque[tuple[bytes, SocketAddress]]
-    wake: Callable[[], None]  # there is output; set by the driver
+    notify_writable: Callable[[], None]  # there is output; set by the driver
 
     def receive(self, data: bytes, peer: SocketAddress) -> None:
         """Take one datagram."""
@@ -46,6 +46,7 @@
         runner: ConnectionRunner,
         monitor: LoadMonitor,
     ) -> None:
+        """Bind a port and read it from now on. Raises OSError where it can't be bound."""
         self._protocol = protocol
         self._core = runner.core
         self._loop = runner.loop
@@ -59,7 +60,7 @@
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         self._loop.add_reader(self.sock, self.read)
-        protocol.wake = self.send
+        protocol.notify_writable = self.send
 
     def read(self, _events: int = 0) -> int:
         """Give the protocol the datagrams that have come; returns how many bytes they were."""
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -79,6 +79,7 @@
     """The descriptor budget as it binds all listeners of callers together."""
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+        """Limit nothing until `share` names the listeners and the budget."""
         self.budget = DescriptorBudget()
         self._listeners: Sequence[EvictingListener] = ()
         self._core = core
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -64,6 +64,7 @@
         protocol_factory: ProtocolFactory,
         limits: ListenerLimits,
     ) -> None:
+        """Take over a socket that listens; nothing is accepted before `open`."""
         self.runner = runner
         self.admission = admission
         self.sock = sock
@@ -94,7 +95,7 @@
     def has_unread(self) -> bool:
         """Whether a connection waits to be accepted, or bytes lie unread on one that was."""
         waits = self.accepting and not self.closed and bool(select.select([self.sock], [], [], 0)[0])
-        return waits or any(one.has_unread() for one in self.connections if not one.protocol.closing)
+        return waits or any(each.has_unread() for each in self.connections if not each.protocol.closing)
 
     # ---- accepting ----
 
@@ -120,10 +121,10 @@
                 self._pause(EXHAUSTED_PAUSE_S)
                 return
             self.runner.core.counters.add("connections_accepted")
-            one = AcceptedConnection(self.protocol_factory(peer), sock, self.runner.loop.time())
-            self.connections[one] = None
-            self.runner.start_reading(one, self.connections)
-            self.runner.tasks.spawn(self._run_connection(one))
+            connection = AcceptedConnection(self.protocol_factory(peer), sock, self.runner.loop.time())
+            self.connections[connection] = None
+            self.runner.start_reading(connection, self.connections)
+            self.runner.tasks.spawn(self._run_connection(connection))
 
     def _make_room(self) -> bool:
         """Whether one more may be accepted, after an eviction if need be. If not, accepting pauses."""
@@ -148,12 +149,12 @@
         if not self.closed:
             self.runner.loop.add_reader(self.sock, self._accept_ready)
 
-    async def _run_connection(self, one: AcceptedConnection) -> None:
+    async def _run_connection(self, connection: AcceptedConnection) -> None:
         try:
-            await self.runner.run(one.sock, one.protocol, one)
+            await self.runner.run(connection.sock, connection.protocol, connection)
         finally:
-            self.connections.pop(one, None)
-            self.evicted.discard(one)
+            self.connections.pop(connection, None)
+            self.evicted.discard(connection)
 
     # ---- ending connections ----
 
@@ -167,12 +168,12 @@
         silence with its set-up.
         """
         evicted = 0
-        for one in self._idle_connections():
+        for connection in self._idle_connections():
             if evicted == count:
                 break
-            if one.has_unread():
+            if connection.has_unread():
                 continue
-            self._evict_connection(one)
+            self._evict_connection(connection)
             evicted += 1
         return evicted
 
@@ -180,25 +181,25 @@
         """Those that may be evicted, in the order in which they should be."""
         now = self.runner.loop.time()
         since = now - self.limits.eviction_grace_s
-        for one in self.connections:
-            one.note_requests(now)
+        for connection in self.connections:
+            connection.note_requests(now)
         idle = [
-            one
-            for one in self.connections
-            if one.is_idle_since(since, now) and not one.protocol.owes_response()
+            connection
+            for connection in self.connections
+            if connection.is_idle_since(since, now) and not connection.protocol.owes_response()
         ]
-        idle.sort(key=lambda one: (one.partial_since > 0, one.protocol.request_received))  # stable
+        idle.sort(key=lambda each: (each.partial_since > 0, each.protocol.request_received))  # stable
         return idle
 
-    def _evict_connection(self, one: AcceptedConnection) -> None:
-        del self.connections[one]
-        self.evicted.add(one)
+    def _evict_connection(self, connection: AcceptedConnection) -> None:
+        del self.connections[connection]
+        self.evicted.add(connection)
         self.runner.core.counters.add("connections_evicted")
-        if response := one.protocol.eviction_response():
+        if response := connection.protocol.eviction_response():
             with contextlib.suppress(OSError):
-                one.sock.send(response)
-        one.protocol.closing = True
-        one.protocol.abort()
+                connection.sock.send(response)
+        connection.protocol.closing = True
+        connection.protocol.abort()
 
     async def _check_timeouts(self) -> None:
         while not self.closed or self.connections:
@@ -208,19 +209,20 @@
     def close_overdue(self) -> None:
         """End the connections whose first request, or the rest of a message, has not come in time."""
         now = self.runner.loop.time()
-        for one in list(self.connections):
-            protocol = one.protocol
-            one.note_requests(now)
-            first_s = now - one.accepted_at
+        for connection in list(self.connections):
+            protocol = connection.protocol
+            connection.note_requests(now)
+            first_s = now - connection.accepted_at
             first_overdue = not protocol.request_received and first_s > self.limits.first_request_timeout_s
-            if one.has_unread():
+            if connection.has_unread():
                 continue  # it has come in time; the loop is late
-            idle_s = now - one.received_at
+            idle_s = now - connection.received_at
             if idle_s > self.limits.idle_timeout_s and not protocol.closing and protocol.is_idle():
                 self.runner.core.counters.add("connections_idle_closed")
                 protocol.close_when_idle()
                 continue
-            rest_overdue = bool(one.partial_since) and now - one.partial_since > MESSAGE_TIMEOUT_S
+            partial_s = now - connection.partial_since if connection.partial_since else 0.0
+            rest_overdue = partial_s > MESSAGE_TIMEOUT_S
             if protocol.closing or not (first_overdue or rest_overdue):
                 continue
             self.runner.core.counters.add("connections_expired")
@@ -229,17 +231,16 @@
     def close_idle(self) -> None:
         """A drain: close what is idle, unless something has come on it that has not been read."""
         now = self.runner.loop.time()
-        for one in reversed(
-            list(self.connections)
-        ):  # the busiest first: what stays for releases is used least
-            protocol = one.protocol
+        busiest_first = reversed(list(self.connections))  # what stays for releases is used least
+        for connection in busiest_first:
+            protocol = connection.protocol
             if protocol.request_received:
-                quiet = now - one.received_at >= DRAIN_QUIET_S
+                quiet = now - connection.received_at >= DRAIN_QUIET_S
             else:
-                quiet = now - one.accepted_at >= DRAIN_FIRST_REQUEST_S
-            if protocol.closing or not quiet or not protocol.is_idle() or one.has_unread():
+                quiet = now - connection.accepted_at >= DRAIN_FIRST_REQUEST_S
+            if protocol.closing or not quiet or not protocol.is_idle() or connection.has_unread():
                 continue
             self.runner.core.counters.add("connections_drained")
             with contextlib.suppress(OSError):
-                one.sock.shutdown(socket.SHUT_WR)  # at once, so that nothing can come in between
+                connection.sock.shutdown(socket.SHUT_WR)  # at once, so that nothing can come in between
             protocol.close_when_idle()
--- a/stairhatch/node/io/load_monitor.py
+++ b/stairhatch/node/io/load_monitor.py
@@ -14,6 +14,7 @@
     """Reports delays to an observer, if there is one (the admission control of the SIP front)."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Report nothing until an observer is set."""
         self.observer: DelayObserver | None = None
         self._loop = loop
 
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -21,7 +21,7 @@
 from stairhatch.node.io.descriptor_budget import CallerAdmission, DescriptorBudget
 from stairhatch.node.io.listener import Listener, ListenerLimits, ProtocolFactory, SocketAddress
 from stairhatch.node.io.load_monitor import DelayObserver, LoadMonitor
-from stairhatch.node.io.persistent_connections import DirectoryPoller, ServerConnector
+from stairhatch.node.io.persistent_connections import ServerConnector, ServiceDiscoveryPoller
 from stairhatch.node.io.tasks import BackgroundTasks
 from stairhatch.node.io.timer_driver import TimerDriver
 from stairhatch.node.protocol import ConnectionProtocol
@@ -35,6 +35,7 @@
     """All network I/O of one softswitch. To be made in a running event loop."""
 
     def __init__(self, core: CallManager) -> None:
+        """Tie the call manager's timers, reading and drain to the running loop."""
         self.core = core
         self.loop = asyncio.get_running_loop()
         self.tasks = BackgroundTasks(core, self.loop)
@@ -43,7 +44,7 @@
         self.connector = Connector(self.runner, self.admission)
         self.load_monitor = LoadMonitor(self.loop)
         self._server_connector = ServerConnector(self.runner, self.connector, self.admission)
-        self._directory_poller = DirectoryPoller(self.runner, self.connector, self.admission)
+        self._discovery_poller = ServiceDiscoveryPoller(self.runner, self.connector, self.admission)
         self._caller_listeners: Sequence[Listener] = ()
         self._drain_task: asyncio.Task[None] | None = None
         core.readiness.on_drain_started = self._begin_drain
@@ -89,9 +90,9 @@
         self._caller_listeners = listeners
         self.admission.share(listeners, budget)
 
-    def dial_caller(self, connection: ConnectionProtocol, peer: SocketAddress) -> None:
+    def dial_caller(self, protocol: ConnectionProtocol, peer: SocketAddress) -> None:
         """Open a connection to a caller, for what it has to be told."""
-        self.spawn(self.connector.run_to_caller(connection, peer))
+        self.spawn(self.connector.run_to_caller(protocol, peer))
 
     def open_datagram_port(
         self, address: SocketAddress, protocol: DatagramProtocol, callers: bool = False
@@ -130,10 +131,10 @@
 
     # ---- servers and service discovery ----
 
-    def dial(self, link: RosterLink) -> None:
+    def dial(self, connection: RosterLink) -> None:
         """Keep a connection to a server until it is retired."""
-        self.spawn(self._server_connector.keep_up(link))
+        self.spawn(self._server_connector.keep_up(connection))
 
-    async def poll_directory(self, directory: Directory) -> None:
+    async def poll_service_discovery(self, client: Directory) -> None:
         """Keep the long poll of service discovery going."""
-        await self._directory_poller.keep_polling(directory)
+        await self._discovery_poller.keep_polling(client)
--- a/stairhatch/node/io/persistent_connections.py
+++ b/stairhatch/node/io/persistent_connections.py
@@ -26,103 +26,105 @@
     """Keeps connections to servers up."""
 
     def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
+        """Dial by `connector`, each connection counted in the budget of `admission`."""
         self._runner = runner
         self._connector = connector
         self._admission = admission
         self._open: set[RosterLink] = set()  # those that hold a descriptor
 
-    async def keep_up(self, link: RosterLink) -> None:
+    async def keep_up(self, connection: RosterLink) -> None:
         """Dial and run a server connection until it is retired, then have its pool drop it."""
         with self._admission.dialled_connection():
-            await self._dial_until_retired(link)
-        link.side.drop(link)
+            await self._dial_until_retired(connection)
+        connection.side.drop(connection)
 
-    async def _dial_until_retired(self, link: RosterLink) -> None:
+    async def _dial_until_retired(self, connection: RosterLink) -> None:
         backoff_s = MIN_BACKOFF_S
-        while not link.can_close():
-            if link.retired and not link.urgent:
+        while not connection.can_close():
+            if connection.retired and not connection.urgent:
                 break
             wanted = asyncio.Event()
-            link.notify_writable = wanted.set
+            connection.notify_writable = wanted.set
             try:
-                sock = await self._connect(link)
+                sock = await self._connect(connection)
             except (OSError, TimeoutError) as error:
-                self._report_failure(link, error)
-                if link.retired:
+                self._report_failure(connection, error)
+                if connection.retired:
                     break
-                if not link.urgent:
+                if not connection.urgent:
                     wanted.clear()
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(wanted.wait(), backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
                 continue
-            lasted_s = await self._run(link, sock)
+            lasted_s = await self._run(connection, sock)
             if lasted_s > MAX_BACKOFF_S:
                 backoff_s = MIN_BACKOFF_S
-            elif not link.retired:  # it broke as soon as it had come up
+            elif not connection.retired:  # it broke as soon as it had come up
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
-    async def _connect(self, link: RosterLink) -> socket.socket:
+    async def _connect(self, connection: RosterLink) -> socket.socket:
         if len(self._open) >= self._admission.budget.available_to_servers():
-            raise OSError(errno.EMFILE, "no descriptor is left to a link")
-        self._open.add(link)
+            raise OSError(errno.EMFILE, "no descriptor is left for a server connection")
+        self._open.add(connection)
         within_s = self._runner.core.settings.connect_timeout_s
-        return await self._connector.connect(link.server.record.address, within_s)
+        return await self._connector.connect(connection.server.record.address, within_s)
 
-    def _report_failure(self, link: RosterLink, error: OSError) -> None:
-        self._open.discard(link)
+    def _report_failure(self, connection: RosterLink, error: OSError) -> None:
+        self._open.discard(connection)
         if error.errno in DESCRIPTORS_EXHAUSTED:
             self._admission.log_exhaustion("descriptors", error)
-        link.failed(refused=isinstance(error, ConnectionRefusedError))
+        connection.failed(refused=isinstance(error, ConnectionRefusedError))
 
-    async def _run(self, link: RosterLink, sock: socket.socket) -> float:
+    async def _run(self, connection: RosterLink, sock: socket.socket) -> float:
         """Run a connection that has come up until it ends; returns how long it was up, in seconds."""
         up_at = self._runner.loop.time()
-        link.connected()
+        connection.connected()
         try:
-            await self._runner.run(sock, link)
+            await self._runner.run(sock, connection)
         finally:
-            self._open.discard(link)
+            self._open.discard(connection)
         return self._runner.loop.time() - up_at
 
 
-class DirectoryPoller:
+class ServiceDiscoveryPoller:
     """Keeps the long poll of service discovery going, wherever the coordinator is by now."""
 
     def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
+        """Dial by `connector`, the connection counted in the budget of `admission`."""
         self._runner = runner
         self._connector = connector
         self._admission = admission
 
-    async def keep_polling(self, directory: Directory) -> None:
+    async def keep_polling(self, client: Directory) -> None:
         """Dial and run the long poll; it has no end of its own."""
         with self._admission.dialled_connection():
-            await self._poll(directory)
+            await self._poll(client)
 
-    async def _poll(self, directory: Directory) -> None:
+    async def _poll(self, client: Directory) -> None:
         backoff_s = MIN_BACKOFF_S
         hurry = asyncio.Event()
-        directory.hurry = hurry.set
+        client.hurry = hurry.set
         while True:
             hurry.clear()
-            if directory.rests():  # another polls for all
+            if client.rests():  # another polls for all
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(hurry.wait(), POLL_TURN_CHECK_S)
                 continue
-            answers = directory.answers
-            address = directory.address
+            answers = client.answers
+            address = client.address
             try:
                 sock = await self._connector.connect(address)
             except (OSError, TimeoutError):
                 self._runner.core.counters.add("directory_unreached")
             else:
-                if directory.address != address:  # it has moved in the meantime
+                if client.address != address:  # it has moved in the meantime
                     sock.close()
                     continue
-                directory.connected()
-                await self._runner.run(sock, directory)
-            if hurry.is_set() or directory.answers > answers:
+                client.connected()
+                await self._runner.run(sock, client)
+            if hurry.is_set() or client.answers > answers:
                 backoff_s = MIN_BACKOFF_S
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(hurry.wait(), backoff_s)
--- a/stairhatch/node/io/reader.py
+++ b/stairhatch/node/io/reader.py
@@ -31,48 +31,50 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, poller: ReadinessPoller, on_fault: FaultHandler
     ) -> None:
+        """Report the faults of protocols to `on_fault`."""
         self._loop = loop
         self._poller = poller
         self._on_fault = on_fault
         self._buffer = memoryview(bytearray(BUFFER_BYTES))  # one for all: what is read is used at once
 
-    def start(self, one: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
+    def start(self, connection: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
         """Read a connection from now on. It moves to the end of `idle_order` whenever bytes come."""
-        one.sock.setblocking(False)
-        one.reading_ended = self._loop.create_future()
-        self._loop.add_reader(one.sock, self._read, one, idle_order)
-        self._poller.register(one.sock, partial(self._read, one, idle_order))
+        connection.sock.setblocking(False)
+        connection.reading_ended = self._loop.create_future()
+        self._loop.add_reader(connection.sock, self._read, connection, idle_order)
+        self._poller.register(connection.sock, partial(self._read, connection, idle_order))
 
-    def stop(self, one: AcceptedConnection, peer_may_send: bool) -> None:
+    def stop(self, connection: AcceptedConnection, peer_may_send: bool) -> None:
         """Read no more from a connection, at least not for its protocol."""
-        if one.reading_ended is not None and not one.reading_ended.done():
-            one.reading_ended.set_result(peer_may_send)
-            self._loop.remove_reader(one.sock)
-            self._poller.unregister(one.sock)
+        if connection.reading_ended is not None and not connection.reading_ended.done():
+            connection.reading_ended.set_result(peer_may_send)
+            self._loop.remove_reader(connection.sock)
+            self._poller.unregister(connection.sock)
 
-    def _read(self, one: AcceptedConnection, idle_order: IdleOrder | None, events: int = 0) -> int:
+    def _read(self, connection: AcceptedConnection, idle_order: IdleOrder | None, events: int = 0) -> int:
         """Give a protocol what has come from its caller, once; returns how many bytes that were.
 
         `events` tell the end of a stream also where it lies behind more bytes than are read now. What is read
         is used in the same step: a turn later it would come behind a timer, a set-up written or an eviction.
         """
-        protocol = one.protocol
+        protocol = connection.protocol
         try:
-            if events & PEER_CLOSED_EVENTS and not one.peer_closed:
-                one.peer_closed = True
+            if events & PEER_CLOSED_EVENTS and not connection.peer_closed:
+                connection.peer_closed = True
                 protocol.peer_closing()
-            size = one.sock.recv_into(self._buffer)
+            size = connection.sock.recv_into(self._buffer)
             if size:
                 protocol.receive_data(self._buffer[:size])
-                now = one.received_at = self._loop.time()
-                one.partial_since = (one.partial_since or now) if protocol.has_partial_message() else 0.0
-                if idle_order is not None and one in idle_order:
-                    idle_order.move_to_end(one)
+                connection.received_at = now = self._loop.time()
+                is_partial = protocol.has_partial_message()
+                connection.partial_since = (connection.partial_since or now) if is_partial else 0.0
+                if idle_order is not None and connection in idle_order:
+                    idle_order.move_to_end(connection)
                 if protocol.can_close():
-                    self.stop(one, True)
+                    self.stop(connection, True)
             else:
                 protocol.eof_received()
-                self.stop(one, False)
+                self.stop(connection, False)
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError:
@@ -82,8 +84,8 @@
         else:
             return size
         protocol.closing = True
-        self.stop(one, False)
-        one.report_loss()
+        self.stop(connection, False)
+        connection.report_loss()
         return 0
 
 
@@ -91,6 +93,7 @@
     """Awaits what comes on one connection, into a buffer of the pool."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, pool: BufferPool) -> None:
+        """Read by the loop into buffers of the pool."""
         self._loop = loop
         self._pool = pool
 
--- a/stairhatch/node/io/readiness_poller.py
+++ b/stairhatch/node/io/readiness_poller.py
@@ -26,6 +26,7 @@
     """
 
     def __init__(self, on_fault: FaultHandler) -> None:
+        """Make the poll object; faults of what it calls go to `on_fault`."""
         self.on_fault = on_fault
         self.poll: select.epoll | select.poll | None = None
         with contextlib.suppress(OSError):
--- a/stairhatch/node/io/tasks.py
+++ b/stairhatch/node/io/tasks.py
@@ -18,6 +18,7 @@
     """
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+        """Run tasks on `loop`; faults go to the call manager's counters and log."""
         self.running: set[asyncio.Task[None]] = set()  # the loop itself holds weak references only
         self._core = core
         self._loop = loop
--- a/stairhatch/node/io/timer_driver.py
+++ b/stairhatch/node/io/timer_driver.py
@@ -11,6 +11,7 @@
     """Runs the call manager's timers when they are due; `arm` is called when the earliest has changed."""
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+        """Arm nothing before `arm` is called."""
         self._core = core
         self._loop = loop
         self._handle: asyncio.TimerHandle | None = None
--- a/stairhatch/node/io/writer.py
+++ b/stairhatch/node/io/writer.py
@@ -15,6 +15,7 @@
     """Writes for any number of connections; `run` is one connection's task."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_fault: FaultHandler) -> None:
+        """Report the faults of protocols to `on_fault`."""
         self._loop = loop
         self._on_fault = on_fault
 
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -413,7 +413,7 @@
 
 
 class Follower(Driver):
-    """Keeps the long poll going, as `Network.poll_directory`."""
+    """Keeps the long poll going, as `Network.poll_service_discovery`."""
 
     part = "list"
 
@@ -537,7 +537,7 @@
                     arrive = partial(other.datagram, data, own.place)
                     world.net.datagram(own.index, other.index, arrive)
 
-        port.wake = send
+        port.notify_writable = send
 
 
 class Softswitch:
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -101,7 +101,7 @@
         self.owner, self.local = owner, local
         self.networks = networks or Networks()
         self.output: deque[tuple[bytes, Place]] = deque(maxlen=MOST_DATAGRAMS)
-        self.wake: Callable[[], None] = do_nothing
+        self.notify_writable: Callable[[], None] = do_nothing
 
     def receive(self, data: bytes, peer: Place) -> None:
         """One datagram. What is malformed and can't be answered is counted and dropped."""
@@ -136,7 +136,7 @@
 
     def send(self, data: bytes) -> None:
         self.port.output.append((data, self.peer))
-        self.port.wake()
+        self.port.notify_writable()
 
 
 class SipConnection(ConnectionProtocol, Flow):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -935,7 +935,7 @@
             return ours
 
         network.connector.connect = connect
-        task = network.spawn(network.poll_directory(directory))
+        task = network.spawn(network.poll_service_discovery(directory))
         for _ in range(20):
             await asyncio.sleep(0)
         task.cancel()
