--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -215,14 +215,14 @@
     alone.answers = False
     for _ in range(40 * SERVICE):  # their windows are full, and are not moved by an answer
         alone.offer(1, grace_s=600.0)
-    waiting = alone.decisions.waiting
+    waiting = alone.decisions.pending
     while len(waiting) < size:
         alone.offer(1, grace_s=600.0)
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
-    for call in waiting.values():  # they are held through the run
+    for call in waiting.calls.values():  # they are held through the run
         call.queue_until = call.answer_by
-    alone.decisions.holds.clear()
+    waiting.deadlines.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
     if len(waiting) != size:
--- /dev/null
+++ b/stairhatch/overload/components.py
@@ -0,0 +1,44 @@
+"""The parts of one controller, wired to what they share. Nothing here decides anything."""
+
+import random
+
+from stairhatch.overload.averages import CallDurations
+from stairhatch.overload.caller_retry import CallerRetryDetector
+from stairhatch.overload.concurrency import ConcurrencyControl
+from stairhatch.overload.congestion import CongestionControl
+from stairhatch.overload.endpoint import Endpoint
+from stairhatch.overload.endpoint_list import EndpointList
+from stairhatch.overload.load_balancing import LoadBalancer
+from stairhatch.overload.load_reports import LoadEvidence
+from stairhatch.overload.outlier import DestinationBackoffs, OutlierDetection
+from stairhatch.overload.slow_start import SlowStart
+from stairhatch.overload.thresholds import MEMORY_S, Thresholds
+
+
+class Components:
+    """One of each part; they share the thresholds, the endpoints and the random source.
+
+    `messages` collects the lines that they have for the log.
+    """
+
+    def __init__(self, thresholds: Thresholds, rng: random.Random) -> None:
+        self.messages: list[str] = []
+        log = self.messages.append
+        self.thresholds = thresholds
+        self.durations = CallDurations()
+        self.endpoints: dict[int, Endpoint] = {}
+        self.caller_retries = CallerRetryDetector()
+        self.backoffs = DestinationBackoffs(rng, log)
+        self.congestion = CongestionControl(thresholds)
+        self.concurrency = ConcurrencyControl(thresholds, self.congestion, self.durations, rng)
+        self.slow_start = SlowStart(thresholds, self.endpoints, self.durations, rng, log)
+        self.endpoint_list = EndpointList(
+            self.endpoints, self.concurrency.new_endpoint, self.slow_start.note_start, MEMORY_S
+        )
+        self.load_balancer = LoadBalancer(
+            thresholds, self.endpoints, self.congestion, self.concurrency, self.slow_start, rng
+        )
+        self.outliers = OutlierDetection(
+            thresholds, self.endpoints, self.concurrency, self.slow_start, rng, log
+        )
+        self.evidence = LoadEvidence(thresholds, self.concurrency, self.slow_start, self.outliers, rng)
--- a/stairhatch/overload/endpoint.py
+++ b/stairhatch/overload/endpoint.py
@@ -52,3 +52,41 @@
         for sent in self.pending_setups.values():
             return now - sent
         return 0.0
+
+    def count_established(self, now: float, memory_s: float) -> None:
+        """Keep the rate of own set-ups that were established, averaged over the time given."""
+        gone = min(1.0, (now - self.established_at) / memory_s)
+        self.established_rate = self.established_rate * (1 - gone) + 1 / memory_s
+        self.established_at = now
+
+    def record_delay(self, now: float, delay_s: float) -> None:
+        """Keep the delay of the own set-up that was answered, or given up, last."""
+        self.measured_delay_s, self.measured_at = delay_s, now
+
+    def restarted(self, started_at: float) -> None:
+        """Forget the state that another process of this server was in."""
+        self.started_at = started_at
+        self.flagged = False
+        self.unreachable = False
+        self.readmit()
+        self.ejected_until = 0.0
+
+    def begin_slow_start(self, now: float, slot_progress: float, tokens: float) -> None:
+        """Another process warms up: its first slot has come so near; the tokens are for later."""
+        self.slot_progress = slot_progress
+        self.slot_progress_at = now
+        self.slot_open_until = now
+        self.admissible_rate = 0.0
+        self.lines_in_use = None
+        self.tokens = tokens
+
+    def latest_delay_s(self, now: float, lifetime_s: float) -> float:
+        """The fresher of measured and reported delay; 0 where it is older than its lifetime."""
+        if now - max(self.measured_at, self.reported_at) > lifetime_s:
+            return 0.0
+        return self.measured_delay_s if self.measured_at >= self.reported_at else self.reported_delay_s
+
+    def readmit(self) -> None:
+        """End its ejection. The next one begins with the shortest time."""
+        self.ejected = False
+        self.next_ejection_s = 0.0
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -31,6 +31,16 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"  # it never left the node
 
+    @property
+    def is_unclear(self) -> bool:
+        """Whether the server may still be at work on the set-up, or hold the call."""
+        return self in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
+
+    @property
+    def never_ran(self) -> bool:
+        """Whether the server certainly did nothing for the call."""
+        return self in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
+
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
--- /dev/null
+++ b/stairhatch/overload/outlier.py
@@ -0,0 +1,105 @@
+"""Extension: ejection of outliers, error attribution, and the backoff from called numbers that are busy."""
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from stairhatch.overload.concurrency import ConcurrencyControl
+from stairhatch.overload.endpoint import Endpoint
+from stairhatch.overload.events import AttemptOutcome
+from stairhatch.overload.pending_call import DestinationBackoff, PendingCall
+from stairhatch.overload.slow_start import SlowStart
+from stairhatch.overload.thresholds import Thresholds
+
+FIRST_EJECTION_S = 0.5  # doubling up to MAX_EJECTION_S
+MAX_EJECTION_S = 4.0
+MAX_TRIAL_INTERVAL_S = 16.0  # between trial calls of one node to a number that stays busy
+ERRORS_TO_EJECT = 2  # to calls that another endpoint established: a lone one may be chance
+
+
+@dataclass
+class OutlierDetection:
+    """Ejects an endpoint that rejects set-ups, fails them in a row or can't be reached."""
+
+    thresholds: Thresholds
+    endpoints: dict[int, Endpoint]
+    concurrency: ConcurrencyControl
+    slow_start: SlowStart
+    rng: random.Random
+    log: Callable[[str], None]
+
+    def eject(self, now: float, endpoint: Endpoint, cause: AttemptOutcome, asked_s: float = 0.0) -> None:
+        """Send it nothing for a while, and no less than it asked for."""
+        if not endpoint.ejected:
+            self.log(f"server {endpoint.id} ejected: {cause.value}")
+        if cause is AttemptOutcome.UNREACHABLE and not endpoint.unreachable:
+            endpoint.unreachable = True
+            self.slow_start.begin(now, endpoint)
+        endpoint.ejected = True
+        if now < endpoint.ejected_until:
+            return
+        self.concurrency.adapt_to_delay(now, endpoint, max(self.thresholds.objective_s, asked_s))
+        ejection_s = max(FIRST_EJECTION_S, endpoint.next_ejection_s)
+        endpoint.ejected_until = now + max(ejection_s * (0.5 + self.rng.random()), asked_s)
+        endpoint.next_ejection_s = min(MAX_EJECTION_S, 2 * ejection_s)
+
+    def readmit(self, now: float, endpoint: Endpoint) -> None:
+        """It has established a call."""
+        if not endpoint.ejected:
+            return
+        self.log(f"server {endpoint.id} readmitted")
+        endpoint.readmit()
+        endpoint.concurrency_limit = min(1.0, endpoint.concurrency_limit)
+        if endpoint.unreachable:  # it has been away, so it is warming up
+            endpoint.unreachable, endpoint.started_at = False, now
+
+    def attribute_errors(self, now: float, call: PendingCall, established_at: int) -> None:
+        """An error counts against an endpoint once the same call was established at another."""
+        for server_id in call.error_servers:
+            endpoint = self.endpoints.get(server_id)
+            if endpoint is not None and server_id != established_at:
+                endpoint.attributed_errors += 1
+                if endpoint.attributed_errors >= ERRORS_TO_EJECT:
+                    self.eject(now, endpoint, AttemptOutcome.ERROR)
+
+
+@dataclass
+class DestinationBackoffs:
+    """After 'busy' a called number gets one trial call an interval, which doubles with each new 'busy'."""
+
+    rng: random.Random
+    log: Callable[[str], None]
+    by_number: dict[int, DestinationBackoff] = field(default_factory=dict)
+
+    def is_backing_off(self, now: float, number: int) -> bool:
+        """Whether a call to the number is to be rejected; if not, it is the trial call of its interval."""
+        backoff = self.by_number.get(number)
+        if backoff is None:
+            return False
+        if now < backoff.next_trial_at:
+            return True
+        backoff.next_trial_at = now + backoff.interval_s * (0.5 + self.rng.random())
+        return False
+
+    def record_busy(self, now: float, number: int) -> None:
+        """Double the interval of a number."""
+        if not number:
+            return
+        backoff = self.by_number.get(number)
+        if backoff is None:
+            known = self.by_number.items()
+            self.by_number = {n: b for n, b in known if now <= b.next_trial_at + MAX_TRIAL_INTERVAL_S}
+            backoff = self.by_number[number] = DestinationBackoff()
+            self.log(f"number {number} busy: trial calls only")
+        backoff.interval_s = min(MAX_TRIAL_INTERVAL_S, max(FIRST_EJECTION_S, 2 * backoff.interval_s))
+        backoff.next_trial_at = now + backoff.interval_s * (0.5 + self.rng.random())
+
+    def record_established(self, now: float, number: int) -> None:
+        """Halve the interval of a number, and at last forget it."""
+        backoff = self.by_number.get(number)
+        if backoff is None:
+            return
+        backoff.interval_s /= 2
+        backoff.next_trial_at = min(backoff.next_trial_at, now + backoff.interval_s)
+        if backoff.interval_s < FIRST_EJECTION_S:
+            del self.by_number[number]
--- a/stairhatch/overload/settings.py
+++ b/stairhatch/overload/settings.py
@@ -100,3 +100,27 @@
         for name in ("retransmit_interval_s", "event_period_s", "max_retry_after_s", "connect_timeout_s"):
             _number(getattr(self, name), name)
         _require(self.connect_timeout_s > 0, "connect_timeout_s", "must be above 0")
+
+    @property
+    def strictest_objective_s(self) -> float:
+        """The shortest latency objective of all classes, or the retransmission interval if shorter."""
+        objectives = [each.latency_objective_s for each in self.classes]
+        if self.retransmit_interval_s > 0:
+            objectives.append(self.retransmit_interval_s)
+        return min(objectives, default=1.0)
+
+    @property
+    def max_weight(self) -> float:
+        """The greatest weight of all classes; 1 where none has any."""
+        return max((each.priority_weight for each in self.classes), default=1.0) or 1.0
+
+    @property
+    def min_weight(self) -> float:
+        """The least weight above 0 of all classes."""
+        return min((each.priority_weight for each in self.classes if each.priority_weight > 0), default=1.0)
+
+    @property
+    def mean_duration_s(self) -> float:
+        """The mean over the classes of the mean duration of their calls; 0 without classes."""
+        means = [each.mean_duration_s for each in self.classes]
+        return sum(means) / len(means) if means else 0.0
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -15,7 +15,7 @@
 from itertools import count
 
 from stairhatch.overload.actions import Action, FailCall, RejectCall, SetTimer
-from stairhatch.overload.controller import WAKE, Controller
+from stairhatch.overload.controller import PENDING_TIMER_ID, Controller
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import (
     AttemptEnded,
@@ -32,7 +32,7 @@
 from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.scope.sets import Numbers, ScopeConfig, ServerSet, server_sets
 
-LOOK = 0  # the label of the timer for what may leave; those of the sets begin at WAKE
+LOOK = 0  # the label of the timer for what may leave; those of the sets begin at PENDING_TIMER_ID
 LOOKS = 4  # in `idle_s`
 OVER_S = 1.0  # a call is over so long after it had to be answered, whatever the decisions still hold
 
@@ -98,7 +98,7 @@
         self.owner: dict[int, Scope] = {}  # of each call that is not answered
         self.used: dict[str, float] = {}  # class -> when its last call came
         self.timers: dict[int, tuple[Scope, ...]] = {}  # label -> whom it wakes
-        self.labels = count(WAKE)
+        self.labels = count(PENDING_TIMER_ID)
         self.look_set, self.may_leave = False, False
         self.now = 0.0  # of the last event
         self.endpoints: Mapping[int, Endpoint] = Seen(self)
@@ -226,7 +226,7 @@
                 self._look(now)
             case TimerExpired():
                 for scope in self.timers.pop(event.timer_id, ()):
-                    yield from self._tell(now, scope, TimerExpired(WAKE))
+                    yield from self._tell(now, scope, TimerExpired(PENDING_TIMER_ID))
             case _:
                 yield from self._tell(now, self.lone(), event)
         if self.may_leave and not self.look_set:
@@ -239,7 +239,7 @@
             return
         if scope.untold:
             lines, scope.untold = scope.untold, ()
-            scope.controller.servers_listed(now, EndpointsUpdated(lines, complete=False))
+            scope.controller.parts.endpoint_list.update(now, EndpointsUpdated(lines, complete=False))
         for action in scope.controller.handle(now, event):
             match action:
                 case SetTimer(delay_s, _):
@@ -375,8 +375,8 @@
                 servers = self._set_for(call.call_class, call.preferred_number, call.in_transit)
                 new = self.live.get(servers.numbers) or self._build(servers, parting)
                 new.controller.calls[call.id] = call
-                if call.id in old.controller.waiting:
-                    new.controller.wait(call)
+                if call.id in old.controller.pending:
+                    new.controller.pending.add(call)
                 self.owner[call.id] = new
         held = {number for old in parting for number in old.servers.numbers or ()}
         everything = any(old.servers.numbers is None for old in parting)
@@ -395,14 +395,15 @@
         ]  # fmt: skip
         for old in parting:  # a class may come from a set that shares no server with this one
             names = {kind.name for kind in servers.classes}
-            new.patience.update((n, s) for n, s in old.controller.patience.items() if n in names)
+            known_timeouts = old.controller.parts.caller_retries.usual_timeout_s.items()
+            new.parts.caller_retries.usual_timeout_s.update((n, s) for n, s in known_timeouts if n in names)
         for old in mine:
             scope.used_at = max(scope.used_at, old.used_at)
             for server, known in old.controller.endpoints.items():
                 if servers.numbers is None or known.number in servers.numbers:
                     new.endpoints[server] = known
-            for called, jam in old.controller.jams.items():
-                new.jams[called] = replace(jam)
+            for called, backoff in old.controller.parts.backoffs.by_number.items():
+                new.parts.backoffs.by_number[called] = replace(backoff)
         scope.untold = tuple(line for line in scope.untold if line.server_id not in new.endpoints)
         if mine:
             self._average(new, [old.controller for old in mine])
@@ -411,14 +412,10 @@
     @staticmethod
     def _average(new: Controller, olds: list[Controller]) -> None:
         """What was learnt of calls. Of the use of lines the least counts: it bounds cold servers."""
-        least = min(olds, key=lambda old: old.borne)
-        new.borne, new.borne_at = least.borne, least.borne_at
-        new.lengths = sum(old.lengths for old in olds)
-        if new.lengths:
-            new.length_s = sum(old.length_s * old.lengths for old in olds) / new.lengths
-        new.lasted = sum(old.lasted for old in olds)
-        if new.lasted:
-            new.lasted_s = sum(old.lasted_s * old.lasted for old in olds) / new.lasted
+        peaks = [old.parts.slow_start.peak_utilization for old in olds]
+        new.parts.slow_start.peak_utilization = replace(min(peaks, key=lambda peak: peak.value))
+        new.parts.durations.expected.merge(old.parts.durations.expected for old in olds)
+        new.parts.durations.observed.merge(old.parts.durations.observed for old in olds)
 
     def _hand_on_timers(self, parting: list[Scope]) -> None:
         """A timer that is out wakes those who took its set's calls."""
@@ -426,7 +423,7 @@
         for label, scopes in list(self.timers.items()):
             if not any(scope in parting for scope in scopes):
                 continue
-            heirs = [s for s in self.live.values() if s.controller.waiting and s.label not in woken]
+            heirs = [s for s in self.live.values() if s.controller.pending and s.label not in woken]
             heirs = [s for s in heirs if not s.controller.timer_set]
             self.timers[label] = tuple(heirs)
             for heir in heirs:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -109,7 +109,7 @@
             self.now += 0.5
             for node in self.fleet:
                 node.now = self.now
-                node.core.with_room(node.now)
+                node.core.parts.load_balancer.available(node.now)
 
     def lose_the_others(self, restarted: int) -> None:
         """Every other server is gone, and so many nodes have restarted."""
@@ -125,7 +125,7 @@
             self.now += STEP
             for node in self.fleet:
                 node.now = self.now
-                while len(node.core.waiting) < 2:
+                while len(node.core.pending) < 2:
                     before = len(node.core.calls)
                     self.take(node, node.offer(choice=1, kind=node.next_call % 2))
                     if len(node.core.calls) == before:
@@ -210,15 +210,18 @@
     fleet = Fleet(60, 300, 2.5, "quick")
     fleet.start_cold()
     dealt = [node.core.slow_start_slots(fleet.now, node.core.endpoints[COLD]) for node in fleet.fleet]
-    span = fleet.fleet[0].core.turn_span
+    span = fleet.fleet[0].core.parts.slow_start.slot_span_s
     assert (
         set(dealt) == {0.0, 1.0}
         and 0
         < sum(dealt)
-        <= fleet.fleet[0].core.cold_rate(fleet.now, fleet.fleet[0].core.endpoints[COLD]) * span
+        <= fleet.fleet[0].core.parts.slow_start.admissible_rate(
+            fleet.now, fleet.fleet[0].core.endpoints[COLD]
+        )
+        * span
     )
     unnumbered = Node(replace(fleet.settings, instance_index=-1), 1, fleet.now)
-    unnumbered.core.endpoints = fleet.fleet[0].core.endpoints
+    unnumbered.core.endpoints.update(fleet.fleet[0].core.endpoints)
     assert unnumbered.core.slow_start_slots(fleet.now, unnumbered.core.endpoints[COLD]) == 0.0
 
 
@@ -227,7 +230,9 @@
     fleet = Fleet(270, 0, 3.0, "quick")
     fleet.learn_by_own_calls()
     fleet.start_cold()
-    guesses = [node.core.warm_rate(fleet.now, node.core.endpoints[COLD]) for node in fleet.fleet]
+    guesses = [
+        node.core.parts.slow_start.warm_rate(fleet.now, node.core.endpoints[COLD]) for node in fleet.fleet
+    ]
     assert 0.3 * fleet.warm < sum(guesses) / len(guesses) < fleet.warm
 
 
@@ -238,7 +243,12 @@
         fleet = Fleet(270, 600, 3.0, "quick")
         fleet.start_cold()
         fleet.idle(idle)
-        ready.append(sum(COLD in [s.id for s, _ in node.core.with_room(fleet.now)] for node in fleet.fleet))
+        ready.append(
+            sum(
+                COLD in [s.id for s, _ in node.core.parts.load_balancer.available(fleet.now)]
+                for node in fleet.fleet
+            )
+        )
     assert 0 < max(ready) <= fleet.budget / 2
 
 
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -11,9 +11,9 @@
 import pytest
 
 from benchmarks.cold_ramp import COLD, Ramp, Result, Site, Story
-from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import EndpointRecord, EndpointsUpdated, LoadReport, LoadReported
 from stairhatch.overload.settings import SafetyLimits
+from stairhatch.overload.slow_start import SlowStart
 
 SMALL = Site(capacity=30.0, servers=3)
 
@@ -81,7 +81,7 @@
 
 def test_the_checker_tells_a_fleet_that_sends_too_much(monkeypatch):
     """Guards against a checker or a load under which any pace would pass: without turns it is broken."""
-    monkeypatch.setattr(Controller, "has_turn", lambda core, now, server: True)
+    monkeypatch.setattr(SlowStart, "has_slot", lambda slow_start, now, endpoint: True)
     assert Ramp(replace(Site(), capacity=15.0), Story.ALONE, 30, 1).run().fullest()[0] > 1.0
 
 
@@ -118,5 +118,5 @@
             )
         anew = EndpointRecord(COLD, 0, started_at=ramp.now)
         ramp.tell(process, EndpointsUpdated((anew,), False))
-        rates.append(process.core.cold_rate(ramp.now, process.core.endpoints[COLD]))
+        rates.append(process.core.parts.slow_start.admissible_rate(ramp.now, process.core.endpoints[COLD]))
     assert 0 < rates[1] < 1.1 * rates[0]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 import pytest
 
 from stairhatch.overload.actions import FailCall, LogMessage
-from stairhatch.overload.controller import AGEING_S, Controller
+from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
     AttemptOutcome,
     Availability,
@@ -23,6 +23,7 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits
+from stairhatch.overload.thresholds import EVIDENCE_LIFETIME_S
 from stairhatch.settings import SettingsError, settings_from
 
 from .conftest import SETTINGS, finals, sends
@@ -31,7 +32,7 @@
 
 
 def flagged(node, server=10):
-    return node.core.is_flagged(node.now, node.core.endpoints[server])
+    return node.core.parts.congestion.is_flagged(node.now, node.core.endpoints[server])
 
 
 def test_first_choice_while_clear(make_node):
@@ -43,14 +44,14 @@
 def test_hysteresis_between_onset_and_abatement(make_node):
     node = make_node()
     core = node.core
-    middle = (core.onset + core.abatement) / 2
+    middle = (core.thresholds.onset_s + core.thresholds.abatement_s) / 2
     node.pressed(10, middle)
     assert not flagged(node)
-    node.pressed(10, core.onset * 1.01)
+    node.pressed(10, core.thresholds.onset_s * 1.01)
     assert flagged(node)
     node.pressed(10, middle)
     assert flagged(node)
-    node.pressed(10, core.abatement)
+    node.pressed(10, core.thresholds.abatement_s)
     assert not flagged(node)
 
 
@@ -58,7 +59,7 @@
     node = make_node()
     node.pressed(10, 1.0)
     assert flagged(node)
-    node.now += AGEING_S + 0.1
+    node.now += EVIDENCE_LIFETIME_S + 0.1
     assert not flagged(node)
 
 
@@ -198,7 +199,7 @@
         node.now += 0.05
         for act in sends(node.offer(called_number=7)):
             node.stood(act.call_id, act.server_id)
-    assert not node.core.jams
+    assert not node.core.parts.backoffs.by_number
 
 
 def test_an_overtaken_set_up_no_longer_shuts_the_window(make_node):
@@ -313,7 +314,7 @@
     for _ in range(300):
         node.ring(0.02)
     core = node.core
-    assert not core.calls and not core.waiting
+    assert not core.calls and not core.pending
     assert all(not s.pending_setups for s in core.endpoints.values())
 
 
@@ -377,12 +378,12 @@
         node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
         node.tell(LoadReported(10, LoadReport(free_lines=lines, total_lines=lines)))
         server = node.core.endpoints[10]
-        rates[lines] = node.core.cold_rate(node.now, server)
+        rates[lines] = node.core.parts.slow_start.admissible_rate(node.now, server)
         node.stood(1, 10, 0.001)
-        assert node.core.cold_rate(node.now, server) == rates[lines]
+        assert node.core.parts.slow_start.admissible_rate(node.now, server) == rates[lines]
         server.pending_setups[2] = node.now
         node.ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)  # once read as an answer in no time at all
-        assert node.core.cold_rate(node.now, server) <= rates[lines]
+        assert node.core.parts.slow_start.admissible_rate(node.now, server) <= rates[lines]
     assert rates[1000] > 5 * rates[100] > 0
 
 
@@ -421,10 +422,14 @@
     node.list_servers(EndpointRecord(10, 0, started_at=node.now), complete=False)
     server = node.core.endpoints[10]
     fresh = make_node(servers=1)
-    assert node.core.cold_rate(node.now, server) > 3 * fresh.core.cold_rate(
-        node.now, fresh.core.endpoints[10]
+    assert node.core.parts.slow_start.admissible_rate(
+        node.now, server
+    ) > 3 * fresh.core.parts.slow_start.admissible_rate(node.now, fresh.core.endpoints[10])
+    assert (
+        0
+        < node.core.parts.slow_start.warm_rate(node.now + 30, server)
+        < node.core.parts.slow_start.warm_rate(node.now, server)
     )
-    assert 0 < node.core.warm_rate(node.now + 30, server) < node.core.warm_rate(node.now, server)
 
 
 def test_notes_are_one_line_for_each_change_and_no_more(make_node):
@@ -439,18 +444,18 @@
             )
         todo += sends(node.offer(choice=0))
     notes = [a.text for a in node.done if isinstance(a, LogMessage)]
-    assert notes == ["server 10 paused: rejected"]
+    assert notes == ["server 10 ejected: rejected"]
 
 
 def test_thousands_of_calls_at_once_are_looked_through_once(make_node):
     """Found by the bench's long batches: each event looked all waiting calls through."""
     node = make_node()
     core, looks = node.core, []
-    pick = core.pick
-    core.pick = lambda *args: looks.append(1) or pick(*args)  # type: ignore[method-assign]
+    balancer, choose = core.parts.load_balancer, core.parts.load_balancer.choose
+    balancer.choose = lambda *args: looks.append(1) or choose(*args)
     for _ in range(2000):
         node.offer()
-    assert len(core.waiting) > 1000
+    assert len(core.pending) > 1000
     assert len(looks) < 3 * 2000
 
 
@@ -465,14 +470,14 @@
         node.tell(LoadReported(server, few))
     for _ in range(500):
         node.offer()
-    pick = core.pick
-    core.pick = lambda *args: looks.append(1) or pick(*args)  # type: ignore[method-assign]
-    waiting = len(core.waiting)
+    balancer, choose = core.parts.load_balancer, core.parts.load_balancer.choose
+    balancer.choose = lambda *args: looks.append(1) or choose(*args)
+    waiting = len(core.pending)
     for _ in range(10):
         node.ring(0.01)
-    assert len(core.waiting) == waiting > 400 and not looks
+    assert len(core.pending) == waiting > 400 and not looks
     node.ring(1.2)
-    assert not core.waiting and len(finals(node.done)) == 500  # each is refused when its time is over
+    assert not core.pending and len(finals(node.done)) == 500  # each is refused when its time is over
 
 
 def test_reports_of_a_long_wait_cut_the_part_of_a_node_that_sends_seldom(make_node):
@@ -556,4 +561,7 @@
     node.list_servers(EndpointRecord(12, 0, started_at=node.now), complete=False)
     server = node.core.endpoints[12]
     node.tell(LoadReported(12, LoadReport(free_lines=1000, total_lines=1000)))
-    assert node.core.warm_rate(node.now, server) > 0.7 * 900 / node.core.length_s
+    assert (
+        node.core.parts.slow_start.warm_rate(node.now, server)
+        > 0.7 * 900 / node.core.parts.durations.expected.mean
+    )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -66,7 +66,7 @@
     decided = inside.core.controller
     assert decided.calls and decided.endpoints[1].pending_setups
     ENDINGS[how](inside, call)
-    assert not decided.calls and not decided.waiting and not decided.endpoints[1].pending_setups
+    assert not decided.calls and not decided.pending and not decided.endpoints[1].pending_setups
     assert len(caller.said) == (how != "given up")
     inside.run(20.0)
     assert len(inside.written) == 1 and len(caller.said) == (how != "given up")
@@ -80,11 +80,11 @@
     inside.core.finished(
         inside.core.servers[1], IDENT, 34, "", LoadReport()
     )  # full: it is held for another try
-    inside.core.controller.wait_no_more(call.number)
+    inside.core.controller.pending.remove(call.number)
     inside.core._act(SendSetup(call.number, 99))
     assert inside.core.counters.counts["guards"] == 1
     inside.core._tell(TimerExpired(1))  # the next event, whatever it is
-    assert call.number in inside.core.controller.waiting, "the decisions have not heard that it never left"
+    assert call.number in inside.core.controller.pending, "the decisions have not heard that it never left"
     inside.run(3.5)
     assert len(caller.said) == 1
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -577,15 +577,16 @@
         node.offer(kind=0, grace_s=3.0)
         node.offer(kind=1, grace_s=2.0)
     core.endpoints[10].concurrency_limit = 7.5
-    kept = dict(core.patience)
-    (_, vital), length = core.settings.classes, core.length_s
+    kept = dict(core.parts.caller_retries.usual_timeout_s)
+    (_, vital), length = core.settings.classes, core.parts.durations.expected.mean
     shorter = replace(vital, latency_objective_s=0.3, deadline_s=vital.deadline_s / 2, priority_weight=9)
     core.update_settings(replace(core.settings, classes=(shorter,), instance_count=10, max_attempts=1))
     fresh = Controller(core.settings, random.Random(1))
-    for name in ("settings", "safety", "first_window", "least_window", "scale_s", "most", "least", "onset"):
-        assert getattr(core, name) == getattr(fresh, name), name
-    assert core.endpoints[10].concurrency_limit == 7.5 and core.length_s == length
-    assert core.patience == {"vital": kept["vital"] / 2}, "by its name, and in proportion"
+    assert vars(core.thresholds) == vars(fresh.thresholds) and core.settings.max_attempts == 1
+    assert core.endpoints[10].concurrency_limit == 7.5 and core.parts.durations.expected.mean == length
+    assert core.parts.caller_retries.usual_timeout_s == {
+        "vital": kept["vital"] / 2
+    }, "by its name, and in proportion"
 
 
 # ---- upgrades ----
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,7 +34,7 @@
     node = make_node(servers=0)
     assert not finals(node.offer(grace_s=3.0))
     assert len(finals(run_out(node, 2.99))) == 1
-    assert not node.core.calls and not node.core.waiting
+    assert not node.core.calls and not node.core.pending
 
 
 @pytest.mark.parametrize("ending", [e for e in AttemptOutcome if e is not AttemptOutcome.COMPLETED])
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -328,14 +328,14 @@
     world.listed(*(line(n + 10, n) for n in range(7)))
     world.busy(6, 60, [A, B, C])
     for number, settings in enumerate([after, before] if there_and_back else [after]):
-        waiting = {call for each in decisions.live.values() for call in each.controller.waiting}
+        waiting = {call for each in decisions.live.values() for call in each.controller.pending}
         open_ones = {call for each in decisions.live.values() for call in each.controller.calls}
         known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
             assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
         decisions.update_settings(settings)
         assert {call for each in decisions.live.values() for call in each.controller.calls} == open_ones
-        assert {call for each in decisions.live.values() for call in each.controller.waiting} == waiting
+        assert {call for each in decisions.live.values() for call in each.controller.pending} == waiting
         assert set(decisions.owner) == open_ones
         assert all(decisions.owner[call] in decisions.live.values() for call in open_ones)
         kept = [server for server in known if decisions.in_scope(world.number_of[server])]
@@ -366,7 +366,7 @@
         decisions.update_settings(one if turn % 2 == 0 else two)
         world.run(world.now + 0.5)
         out = sum(world.timers[label] for label in world.timers if label != LOOK)
-        assert out == len([each for each in decisions.live.values() if each.controller.waiting])
+        assert out == len([each for each in decisions.live.values() if each.controller.pending])
     world.finish()
 
 
