--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -1,6 +1,6 @@
 """The controller: takes events, answers with actions, and carries each call to its one final answer.
 
-Its settings, events, actions and records stand beside this module, its parts are wired in `components`. The
+Its settings, events, actions and records stand beside this module, its parts are wired in `controller_parts`. The
 ordinary path is Roughan and Pearce's (`congestion`); "Extension" marks what their control does not have.
 """
 
@@ -9,7 +9,7 @@
 
 from stairhatch.overload import events
 from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
-from stairhatch.overload.components import Components
+from stairhatch.overload.controller_parts import ControllerParts
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import AttemptOutcome, Event
 from stairhatch.overload.load_balancing import Available
@@ -31,7 +31,7 @@
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.rng = rng
         self.thresholds = Thresholds(settings)
-        self.parts = Components(self.thresholds, rng)
+        self.parts = ControllerParts(self.thresholds, rng)
         self.endpoints = self.parts.endpoints
         self.calls: dict[int, PendingCall] = {}  # those that are owed an answer
         self.pending = PendingQueue()  # those of them that wait for an available endpoint
@@ -63,7 +63,7 @@
         """Take one event; yield what is to be done."""
         match event:
             case events.EndpointsUpdated():
-                self.parts.endpoint_list.update(now, event)
+                self.parts.registry.update(now, event)
             case events.CallOffered():
                 yield from self._offered(now, event)
             case events.CallEstablished():
--- a/stairhatch/overload/components.py
+++ b/stairhatch/overload/controller_parts.py
@@ -7,7 +7,7 @@
 from stairhatch.overload.concurrency import ConcurrencyControl
 from stairhatch.overload.congestion import CongestionControl
 from stairhatch.overload.endpoint import Endpoint
-from stairhatch.overload.endpoint_list import EndpointList
+from stairhatch.overload.endpoint_registry import EndpointRegistry
 from stairhatch.overload.load_balancing import LoadBalancer
 from stairhatch.overload.load_reports import LoadEvidence
 from stairhatch.overload.outlier import DestinationBackoffs, OutlierDetection
@@ -15,7 +15,7 @@
 from stairhatch.overload.thresholds import MEMORY_S, Thresholds
 
 
-class Components:
+class ControllerParts:
     """One of each part; they share the thresholds, the endpoints and the random source.
 
     `messages` collects the lines that they have for the log.
@@ -32,7 +32,7 @@
         self.congestion = CongestionControl(thresholds)
         self.concurrency = ConcurrencyControl(thresholds, self.congestion, self.durations, rng)
         self.slow_start = SlowStart(thresholds, self.endpoints, self.durations, rng, log)
-        self.endpoint_list = EndpointList(
+        self.registry = EndpointRegistry(
             self.endpoints, self.concurrency.new_endpoint, self.slow_start.note_start, MEMORY_S
         )
         self.load_balancer = LoadBalancer(
--- a/stairhatch/overload/endpoint_list.py
+++ b/stairhatch/overload/endpoint_registry.py
@@ -8,7 +8,7 @@
 
 
 @dataclass
-class EndpointList:
+class EndpointRegistry:
     """Adds endpoints that are listed, marks them as listed, and forgets those that are long gone."""
 
     endpoints: dict[int, Endpoint]
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/decisions.py
@@ -239,7 +239,7 @@
             return
         if scope.untold:
             lines, scope.untold = scope.untold, ()
-            scope.controller.parts.endpoint_list.update(now, EndpointsUpdated(lines, complete=False))
+            scope.controller.parts.registry.update(now, EndpointsUpdated(lines, complete=False))
         for action in scope.controller.handle(now, event):
             match action:
                 case SetTimer(delay_s, _):
