--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -18,13 +18,13 @@
 
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config import Config, ConfigError
-from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
+from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory, DirectoryError, apply_events
-from stairhatch.node.io.accepted_connection import Bounds
-from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
+from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.syslog import Log
@@ -83,7 +83,7 @@
         network = Network(core)
         RosterSide(core, network.dial)
         if scoped is not None:
-            core.in_scope = scoped.in_scope
+            core.servers.in_scope = scoped.in_scope
             scoped.changed = self._scope_changed
         return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
 
@@ -96,13 +96,15 @@
         """Open connections to servers that come into scope; those of servers that leave it end when idle."""
         parts = self.parts
         servers = [
-            each for each in parts.core.servers.values() if numbers is None or each.record.number in numbers
+            each
+            for each in parts.core.servers.by_id.values()
+            if numbers is None or each.record.number in numbers
         ]
         parts.counters.add("scopes_entered" if entered else "scopes_left")
         state = "in" if entered else "out"
         parts.log("scope", state=state, classes=",".join(classes), servers=len(servers))
         for server in servers:
-            parts.core.side.record_changed(server)
+            parts.core.servers.pool.record_changed(server)
 
     # ---- start ----
 
@@ -122,17 +124,16 @@
                 opened.append(self._listen_admin(config.console))
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from error
-        self.parts.network.listeners = self.parts.caller_listeners
         self._limit_descriptors(config)
-        self.parts.core.listening = config.inherited is None
+        self.parts.core.readiness.listening = config.inherited is None
         return ",".join(opened)
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
         parts.trunk = TrunkFront(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
-        bounds = Bounds(caller_connection_limit(config))
-        listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
+        limits = ListenerLimits(caller_connection_limit(config))
+        listener = parts.network.listen(at, parts.trunk.connect, limits, config.inherited is None)
         parts.caller_listeners.append(listener)
         return f"{address[0]}:{address[1]}"
 
@@ -143,12 +144,12 @@
         front = self.parts.sip = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
-            network.datagrams(port.local, port, callers=True)
+            network.open_datagram_port(port.local, port, callers=True)
             opened.append(f"udp:{host_port(port.local)}")
         for listener in config.tcp:
-            bounds = Bounds(config.connections, idle_s=config.idle_s)
+            limits = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.parts.caller_listeners.append(
-                network.listen(listener.place, front.connector(listener), bounds)
+                network.listen(listener.place, front.connector(listener), limits)
             )
             opened.append(f"tcp:{host_port(listener.place)}")
         return opened
@@ -166,20 +167,22 @@
             secrets.token_bytes(SECRET_BYTES),
         )
         if front.gate is not None:
-            network.watch(front.looked)
+            network.monitor_load(front.looked)
         front.dial = lambda connection: network.dial_caller(connection, connection.peer)
         return front
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_BOUNDS)
+        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
         """Divide the descriptors between callers and servers, what is open now set aside."""
-        reserved = descriptors_held() + (ADMIN_BOUNDS.most if config.console is not None else 0)
+        admin_connections = ADMIN_LIMITS.max_connections if config.console is not None else 0
+        reserved = open_descriptor_count() + admin_connections
         limit = descriptor_limit(config)
-        self.parts.network.descriptors = Descriptors(limit, reserved)
+        budget = DescriptorBudget(limit, reserved)
+        self.parts.network.limit_callers(self.parts.caller_listeners, budget)
         if config.listen is not None and limit < config.sockets:
             self.parts.log("descriptors", configured=config.sockets, limit=limit)
 
@@ -197,19 +200,19 @@
         if config.coordinator is not None:
             parts.directory = Directory(parts.core, config.coordinator, last_event)
         else:
-            parts.core.list_known = True
+            parts.core.readiness.list_known = True
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.directory is not None:
-            parts.network.spawn(parts.network.follow(parts.directory))
+            parts.network.spawn(parts.network.poll_directory(parts.directory))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
-        from stairhatch.fleet.service import Fleet, StoreError
+        from stairhatch.fleet.runtime import FleetRuntime, StoreError
 
         parts = self.parts
         try:
-            parts.fleet = Fleet(parts.core, parts.network, config, self.config.settings)
+            parts.fleet = FleetRuntime(parts.core, parts.network, config, self.config.settings)
         except StoreError as error:
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
@@ -226,14 +229,14 @@
         Only a socket that is shared with another process is not accepted on before.
         """
         core = self.parts.core
-        while core.awaits():
+        while not core.readiness.startup_health().is_ready:
             await asyncio.sleep(READY_POLL_S)
-        if core.ending:
+        if core.readiness.shutting_down:
             return
         for listener in self.parts.caller_listeners:
             listener.open()
-        core.listening = True
-        self.parts.log("serving", servers=len(core.servers))
+        core.readiness.listening = True
+        self.parts.log("serving", servers=len(core.servers.by_id))
 
     # ---- while it runs ----
 
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -18,11 +18,11 @@
 import uvloop
 
 from stairhatch.node import message as sip
-from stairhatch.node.call_manager import TRY_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import TRIES, Directory
-from stairhatch.node.io.descriptor_budget import Descriptors
+from stairhatch.node.io.descriptor_budget import DescriptorBudget
 from stairhatch.node.io.network import Network
+from stairhatch.node.readiness import FIRST_CONNECT_WAIT_S
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.events import Availability
 
@@ -186,12 +186,16 @@
     list that fits leaves them what is over.
     """
     for most in (32, 64, 1024):
-        short = Descriptors(most, 26, 1901)
-        assert short.for_callers() == most // 3 and most // 4 <= short.for_links() < most - most // 3
-    long = Descriptors(4096, 26, 1901)
-    assert long.for_callers() > 4096 / 2 and long.for_links() > 1900
-    assert Descriptors(1024, 26, 25).for_callers() > 768, "three quarters, which the settings allow"
-    assert min(Descriptors().for_callers(), Descriptors().for_links()) > 10**6, "where no limit is set"
+        short = DescriptorBudget(most, 26, 1901)
+        assert short.available_to_callers() == most // 3
+        assert most // 4 <= short.available_to_servers() < most - most // 3
+    long = DescriptorBudget(4096, 26, 1901)
+    assert long.available_to_callers() > 4096 / 2 and long.available_to_servers() > 1900
+    few = DescriptorBudget(1024, 26, 25)
+    assert few.available_to_callers() > 768, "three quarters, which the settings allow"
+    unlimited = DescriptorBudget()
+    least = min(unlimited.available_to_callers(), unlimited.available_to_servers())
+    assert least > 10**6, "where no limit is set"
 
 
 class Unanswered:
@@ -250,16 +254,16 @@
 def test_a_start_waits_for_links_and_not_for_good():
     """Guards against a start that waits for no link, or for each server that is listed while it waits."""
     inside = Inside()
-    inside.core._able = False
+    inside.core.readiness._started = False
     RosterSide(inside.core, lambda link: None)
     for number in range(20):
         name = f"s-{number}"
         line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
-        inside.core.list_servers([line], False)
-        waits = inside.core.awaits()
-        assert (name in waits) is (number * 0.1 < TRY_S), "the newest has not been tried"
+        inside.core.update_servers([line], False)
+        waits = inside.core.readiness.startup_health().reason
+        assert (name in waits) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest has not been tried"
         inside.run(0.1)
-    assert not inside.core.awaits()
+    assert inside.core.readiness.startup_health().is_ready
 
 
 # ---- a list that can't be read in part ----
@@ -301,17 +305,19 @@
     """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
     inside = Inside()
     RosterSide(inside.core, lambda link: None)
-    inside.core.servers.clear()
-    inside.core.by_instance.clear()
+    inside.core.servers.by_id.clear()
+    inside.core.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
-    inside.core.list_servers(listed, True)
+    inside.core.update_servers(listed, True)
     directory, told = Directory(inside.core, ("127.0.0.1", 1), 4), []
     directory.told = told.append
     for event in events:
         directory.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
         directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    standings = {s.record.instance: s.record.availability.value for s in inside.core.by_instance.values()}
+    standings = {
+        s.record.instance: s.record.availability.value for s in inside.core.servers.by_instance.values()
+    }
     return directory, standings, told
 
 
@@ -396,7 +402,7 @@
     program does nothing (SIGSTOP) that it finds them all at once, also where others have to go first.
     """
     here = program(None, None, sockets=sockets)
-    room = Descriptors(sockets, 26, 3).for_callers()
+    room = DescriptorBudget(sockets, 26, 3).available_to_callers()
     assert (many > room) is (sockets == 64)
     here.process.send_signal(signal.SIGSTOP)
     callers = [(here.caller(), next(IDS)) for _ in range(many)]
@@ -470,7 +476,7 @@
         inside = Inside()
         inside.follow(asyncio.get_running_loop())
         network = Network(inside.core)
-        dial = asyncio.ensure_future(network._connect(("127.0.0.1", server.port), 0.2))
+        dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
             await asyncio.sleep(0)
         time.sleep(0.5)  # the loop stands still beyond the limit
