--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -1,6 +1,6 @@
 """The controller: takes events, answers with actions, and carries each call to its one final answer.
 
-Its settings, events, actions and records stand beside this module, its parts too (see `controller_parts`). The
+Its settings, events, actions and records stand beside this module, as do its parts (`controller_parts`). The
 ordinary path is Roughan and Pearce's (`congestion`); "Extension" marks what their control does not have.
 """
 
