--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.components import Components, steady_unix_clock
-from stairhatch.config import Config, ConfigError
+from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
@@ -65,6 +65,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
+        """Build the parts that stand from the start. Needs a running event loop."""
         rng = random.Random(config.seed or None)
         self.parts = self._build(config, rng)
         self.reloader = ConfigReloader(config, read_config, self.parts)
@@ -172,7 +173,7 @@
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_BOUNDS)
+        self.parts.network.listen(address, lambda _: Door(core), ADMIN_BOUNDS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -14,8 +14,8 @@
 
 import click
 
-from stairhatch.config import Config, ConfigError
-from stairhatch.config.appliance import read_appliance
+from stairhatch.config.appliance.reader import read_appliance
+from stairhatch.config.model import Config, ConfigError
 
 LOAD_ONLY = ("hdrh", "matplotlib")  # of requirements-load.txt
 
--- /dev/null
+++ b/stairhatch/config/appliance/addresses.py
@@ -0,0 +1,56 @@
+"""Addresses, listeners and networks of the TOML file. Names are not looked up where the program listens."""
+
+from __future__ import annotations
+
+import ipaddress
+
+from stairhatch.config.appliance.schema import Listeners, ListenerTable
+from stairhatch.config.model import ConfigError
+from stairhatch.node.directory import DirectoryError, parse_address
+from stairhatch.sip.flows import Networks, Place, is_address
+from stairhatch.sip.front import Listener
+
+Network = ipaddress.IPv4Network | ipaddress.IPv6Network
+
+
+def address_at(path: str, text: str) -> Place:
+    """Return the address under a key. Raises ConfigError that names the key if it is none."""
+    try:
+        return parse_address(text)
+    except DirectoryError as error:
+        raise ConfigError(f"{path}: {error}") from error
+
+
+def listeners_at(path: str, value: Listeners | None) -> tuple[Listener, ...]:
+    """Return what stands under a key of listeners: one or several, each an address or a table.
+
+    Raises ConfigError for a name in place of an address, one that stands twice, or a network that is none.
+    """
+    if value is None or value == "":
+        return ()
+    if not isinstance(value, list):
+        return (_listener(path, value),)
+    listeners: list[Listener] = []
+    for index, each in enumerate(value):
+        listener = _listener(f"{path}[{index}]", each)
+        if any(listener.place == other.place for other in listeners):
+            address = each.address if isinstance(each, ListenerTable) else each
+            raise ConfigError(f"{path}[{index}]: {address} stands twice")
+        listeners.append(listener)
+    return tuple(listeners)
+
+
+def _listener(path: str, value: str | ListenerTable) -> Listener:
+    table = value if isinstance(value, ListenerTable) else ListenerTable(value)
+    place = address_at(path, table.address)
+    if not is_address(place[0]):
+        raise ConfigError(f"{path}: {place[0]!r} is a name; names are not looked up")
+    networks = (_network(f"{path}.allow[{order}]", text) for order, text in enumerate(table.allow))
+    return Listener(place, Networks(tuple(networks)))
+
+
+def _network(path: str, text: str) -> Network:
+    try:
+        return ipaddress.ip_network(text, strict=False)
+    except ValueError as error:
+        raise ConfigError(f"{path}: {error}") from error
--- /dev/null
+++ b/stairhatch/config/appliance/reader.py
@@ -0,0 +1,105 @@
+"""Reads the appliance's TOML file into a `Config`."""
+
+from __future__ import annotations
+
+import os
+import tomllib
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+from stairhatch.config.appliance.addresses import address_at
+from stairhatch.config.appliance.fleet import fleet_config
+from stairhatch.config.appliance.schema import ApplianceTable, ServerTable
+from stairhatch.config.appliance.scope import scope_config
+from stairhatch.config.appliance.sip import sip_config
+from stairhatch.config.appliance.validation import validate
+from stairhatch.config.model import Config, ConfigError
+from stairhatch.config.reading import checked_settings, read_text
+from stairhatch.settings.errors import SettingsError
+from stairhatch.sip.flows import Place
+
+SERVER_STATES = ("in_service", "terminating")
+
+
+def read_appliance(path: str, environ: Mapping[str, str]) -> Config:
+    """Read a file such as deploy/sip.toml. Raises ConfigError that names the file and the key."""
+    return parse_appliance(read_text(path), path, environ or os.environ)
+
+
+def parse_appliance(text: str, path: str, environ: Mapping[str, str]) -> Config:
+    """Return the configuration in a file's text.
+
+    `path` names the file in complaints, and the files that it names are relative to it. RELAY_CONSOLE and
+    STAIRHATCH_TRACE in `environ` go before the file's `console` and `trace`. Raises ConfigError.
+    """
+    try:
+        raw = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as error:
+        raise ConfigError(f"{path}: no TOML: {error}") from error
+    try:
+        return _config(raw, Path(path).resolve().parent, environ)
+    except (ConfigError, SettingsError) as error:
+        raise ConfigError(f"{path}: {error}") from error
+
+
+def _config(raw: dict[str, Any], folder: Path, environ: Mapping[str, str]) -> Config:
+    table = validate(raw)
+    settings = checked_settings(raw["settings"], complete=False)  # a key may be left out
+    known = _known_servers(table)
+    syslog = _syslog(table.syslog)
+    console = environ.get("RELAY_CONSOLE") or table.console
+    return Config(
+        name=table.name,
+        settings=settings,
+        sip=sip_config(table.sip, settings, folder),
+        coordinator=address_at("coordinator", table.coordinator) if table.coordinator else None,
+        known=known,
+        console=address_at("console", console) if console else None,
+        raw={"settings": raw["settings"]},  # the rest may lose what was optional
+        syslog=syslog,
+        tracing=environ.get("STAIRHATCH_TRACE") == "1" or table.trace,
+        fleet=fleet_config(table.fleet, table, folder) if table.fleet is not None else None,
+        scope=scope_config(table.scope, settings) if table.scope is not None else None,
+    )
+
+
+def _known_servers(table: ApplianceTable) -> dict[str, Any]:
+    """Return `[[servers]]` in the form of a coordinator's answer, empty where a coordinator is given."""
+    instances = _instances(table.servers)
+    if not instances and not table.coordinator:
+        raise ConfigError("neither [[servers]] nor a coordinator is given")
+    if instances and table.coordinator:
+        raise ConfigError("give either [[servers]] or a coordinator, not both")
+    if not instances:
+        return {"index": 0, "updates": []}
+    return {"index": 1, "updates": [{"index": 1, "endpoints": {"reset": True, "instances": instances}}]}
+
+
+def _instances(servers: list[ServerTable]) -> list[dict[str, Any]]:
+    """Return the servers as a coordinator lists them."""
+    names: set[str] = set()
+    instances: list[dict[str, Any]] = []
+    for index, server in enumerate(servers):
+        address_at(f"servers[{index}].address", server.address)
+        if server.state not in SERVER_STATES:
+            raise ConfigError(f"servers[{index}].state: in_service or terminating, not {server.state!r}")
+        if server.name in names:
+            raise ConfigError(f"servers[{index}].name: {server.name!r} stands twice")
+        names.add(server.name)
+        instances.append(
+            {
+                "instanceId": server.name,
+                "hostPort": server.address,
+                "cell": server.number,
+                "lifecycle": server.state,
+            }
+        )
+    return instances
+
+
+def _syslog(value: str | None) -> Place | str | None:
+    """Return the receiver's address, or the path of its socket."""
+    if not value or value.startswith("/"):
+        return value or None
+    return address_at("syslog", value)
--- /dev/null
+++ b/stairhatch/config/appliance/sip.py
@@ -0,0 +1,111 @@
+"""The table `[sip]`: where the SIP frontend listens, who may call, which class a number is of, admission."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+from stairhatch.admission.buckets import BucketPolicy
+from stairhatch.admission.budget import BudgetPolicy
+from stairhatch.admission.gate import GatePolicy
+from stairhatch.config.appliance.addresses import address_at, listeners_at
+from stairhatch.config.appliance.schema import AdmissionTable, AuthTable, SipTable
+from stairhatch.config.appliance.validation import suggestion
+from stairhatch.config.model import ConfigError
+from stairhatch.config.reading import read_text
+from stairhatch.overload.settings import Settings
+from stairhatch.sip import auth
+from stairhatch.sip.front import AuthConfig, SipConfig
+from stairhatch.sip.sessions import TimerPolicy
+
+ALGORITHM_SIMILARITY = 0.3  # names are short: a suggestion may be further off than that for a key
+MS_PER_S = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class KnownClasses:
+    """The names of the settings' classes, for the keys that name one."""
+
+    names: frozenset[str]
+
+    @classmethod
+    def of(cls, settings: Settings) -> KnownClasses:
+        """Return those of the settings."""
+        return cls(frozenset(each.name for each in settings.classes))
+
+    def require(self, path: str, name: str) -> str:
+        """Return a class's name. Raises ConfigError if there is no such class."""
+        if name not in self.names:
+            hint = suggestion(name, self.names)
+            raise ConfigError(f"{path}: the settings have no class {name!r}{hint}")
+        return name
+
+
+def sip_config(table: SipTable, settings: Settings, folder: Path) -> SipConfig:
+    """Convert the table; files are named relative to `folder`. Raises ConfigError."""
+    classes = KnownClasses.of(settings)
+    udp = listeners_at("sip.udp", table.udp)
+    tcp = listeners_at("sip.tcp", table.tcp)
+    if not udp and not tcp:
+        raise ConfigError("sip: names neither udp nor tcp to listen on")
+    if table.contact:
+        address_at("sip.contact", table.contact)
+    numbers = [
+        (each.prefix, classes.require(f"sip.numbers[{index}].class", each.class_), each.first_choice)
+        for index, each in enumerate(table.numbers)
+    ]
+    return SipConfig(
+        udp=udp,
+        tcp=tcp,
+        contact=table.contact,
+        default_class=classes.require("sip.default_class", table.default_class),
+        numbers=tuple(sorted(numbers, key=lambda line: -len(line[0]))),  # the longest prefix first
+        connections=table.connections,
+        idle_s=table.idle_s,
+        memory_mb=table.memory_mb,
+        dialogs=table.dialogs,
+        restart_wait_s=table.restart_wait_s,
+        timers=TimerPolicy(table.timers.session_expires_s, table.timers.min_se_s),
+        auth=_auth_config(table.auth, folder) if table.auth is not None else None,
+        gate=_gate_policy(table.admission) if table.admission.on else None,
+    )
+
+
+def _auth_config(table: AuthTable, folder: Path) -> AuthConfig:
+    for index, name in enumerate(table.algorithms):
+        if name not in auth.ALGORITHMS:
+            hint = suggestion(name, auth.ALGORITHMS, ALGORITHM_SIMILARITY)
+            raise ConfigError(f"sip.auth.algorithms[{index}]: unknown {name!r}{hint}")
+    path = str(folder / table.users)
+    try:
+        users = auth.read_users(read_text(path), table.realm, table.algorithms)
+    except auth.UsersError as error:
+        raise ConfigError(f"sip.auth.users: {path}: {error}") from error
+    except ConfigError as error:
+        raise ConfigError(f"sip.auth.users: {error}") from error
+    ordered = tuple(name for name in auth.ALGORITHMS if name in table.algorithms)
+    return AuthConfig(table.realm, users, ordered, table.nonce_s)
+
+
+def _gate_policy(table: AdmissionTable) -> GatePolicy:
+    if not table.abatement_ms < table.onset_ms < table.full_ms:
+        raise ConfigError("sip.admission: abatement_ms must lie under onset_ms, and that under full_ms")
+    if table.return_s[0] > table.return_s[1]:
+        raise ConfigError("sip.admission.return_s: the first must not be above the second")
+    return GatePolicy(
+        BudgetPolicy(
+            onset_s=table.onset_ms / MS_PER_S,
+            abatement_s=table.abatement_ms / MS_PER_S,
+            target_s=table.target_ms / MS_PER_S,
+            full_s=table.full_ms / MS_PER_S,
+        ),
+        BucketPolicy(
+            source_rate=table.source_rate,
+            source_burst=table.source_burst,
+            network_rate=table.network_rate,
+            network_burst=table.network_burst,
+            network_v4=table.network_v4,
+            network_v6=table.network_v6,
+        ),
+        return_s=table.return_s,
+    )
--- /dev/null
+++ b/stairhatch/config/appliance/validation.py
@@ -0,0 +1,83 @@
+"""Complaints about keys of the TOML file: unknown ones, with the nearest that is known, and wrong values."""
+
+from __future__ import annotations
+
+import difflib
+import re
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+from msgspec import inspect
+
+from stairhatch.config.appliance.schema import ApplianceTable
+from stairhatch.config.model import ConfigError
+
+KEY_SIMILARITY = 0.5  # of difflib, from 0 to 1: how near a suggestion has to be
+MSGSPEC_PATH = re.compile(r" - at `\$\.?([^`]*)`\Z")
+
+
+@dataclass(frozen=True, slots=True)
+class UnknownKey:
+    """A key that the schema lacks. `hint` names the nearest that it has, or is empty."""
+
+    path: str
+    hint: str
+
+
+def suggestion(word: str, known: Iterable[str], similarity: float = KEY_SIMILARITY) -> str:
+    """Return "; did you mean WORD?" for the nearest known word, or nothing if none is near."""
+    nearest = difflib.get_close_matches(word, list(known), 1, similarity)
+    return f"; did you mean {nearest[0]}?" if nearest else ""
+
+
+def unknown_keys(raw: Any, kind: inspect.Type, path: str = "") -> Iterator[UnknownKey]:
+    """Find each key of the decoded text that the schema lacks, in the order of the text."""
+    match kind:
+        case inspect.UnionType():
+            for each in kind.types:
+                if _has_shape(raw, each):
+                    yield from unknown_keys(raw, each, path)
+        case inspect.ListType() if isinstance(raw, list):
+            for index, item in enumerate(raw):
+                yield from unknown_keys(item, kind.item_type, f"{path}[{index}]")
+        case inspect.StructType() if isinstance(raw, dict):
+            known = {field.encode_name: field.type for field in kind.fields}
+            for key, value in raw.items():
+                key_path = f"{path}.{key}" if path else str(key)
+                if key in known:
+                    yield from unknown_keys(value, known[key], key_path)
+                else:
+                    yield UnknownKey(key_path, suggestion(str(key), known))
+        case _:
+            return
+
+
+def _has_shape(raw: Any, kind: inspect.Type) -> bool:
+    """Whether a value is a table where the schema has one, or a list."""
+    match kind:
+        case inspect.StructType():
+            return isinstance(raw, dict)
+        case inspect.ListType():
+            return isinstance(raw, list)
+        case _:
+            return False
+
+
+def validate(raw: Any) -> ApplianceTable:
+    """Return the decoded file as the schema has it. Raises ConfigError for the first thing that is wrong."""
+    for unknown in unknown_keys(raw, inspect.type_info(ApplianceTable)):
+        raise ConfigError(f"{unknown.path}: unknown key{unknown.hint}")
+    try:
+        return msgspec.convert(raw, ApplianceTable)
+    except msgspec.ValidationError as error:
+        raise ConfigError(_complaint(str(error))) from error
+
+
+def _complaint(text: str) -> str:
+    """Put msgspec's complaint into the form of ours: the key's path first."""
+    path = MSGSPEC_PATH.search(text)
+    reason = MSGSPEC_PATH.sub("", text)
+    reason = reason[:1].lower() + reason[1:].replace("`", "")
+    return f"{path.group(1)}: {reason}" if path else reason
--- a/stairhatch/connection_limits.py
+++ b/stairhatch/connection_limits.py
@@ -7,7 +7,7 @@
 
 import resource
 
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.descriptor_budget import UNLIMITED
 
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from stairhatch.application import Application
-from stairhatch.config import Config
-from stairhatch.config.appliance import config_from
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import Config
 from stairhatch.sip.flows import host_port
 from stairhatch.standin.caller import Caller, End, Placed
 from stairhatch.standin.roster import StandIn
@@ -76,7 +76,7 @@
     ]
     auth = f'\n[sip.auth]\nusers = "{demo.auth}"\nrealm = "stairhatch"\n' if demo.auth else ""
     text = FILE.format(listen=listen, servers="\n".join(lines)) + auth
-    return config_from(text, os.path.join(os.getcwd(), "demo"), {})
+    return parse_appliance(text, os.path.join(os.getcwd(), "demo"), {})
 
 
 class Show:
--- a/stairhatch/fault_injection/child.py
+++ b/stairhatch/fault_injection/child.py
@@ -16,7 +16,7 @@
 import threading
 import time
 
-from stairhatch.config.appliance import read_appliance
+from stairhatch.config.appliance.reader import read_appliance
 from stairhatch.fault_injection.planted import planted
 from stairhatch.fleet import service
 from stairhatch.fleet.store import Store
--- a/stairhatch/main.py
+++ b/stairhatch/main.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from stairhatch.application import run
-from stairhatch.config import Config, ConfigError
+from stairhatch.config.model import Config, ConfigError
 
 EXIT_OK = 0
 EXIT_BAD_CONFIG = 2
@@ -27,7 +27,7 @@
     honoured then. Ignored, it would leave the softswitch with a list and a coordinator that are out of date.
     """
     hang_ups: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, frame: hang_ups.append(number))
+    signal.signal(signal.SIGHUP, lambda number, _: hang_ups.append(number))
     try:
         uvloop.run(run(read_config(), read_config, lambda: bool(hang_ups)))
     except ConfigError as error:
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 
 from stairhatch.components import Components
-from stairhatch.config import Config, ConfigError
+from stairhatch.config.model import Config, ConfigError
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.directory import DirectoryError, apply_events, read_events
 from stairhatch.settings.errors import LostKeyError
@@ -29,6 +29,7 @@
     reason: str
 
     def __str__(self) -> str:
+        """Return what the console's `status` shows."""
         return f"refused: {self.reason}"
 
 
@@ -40,6 +41,7 @@
     restart_keys: tuple[str, ...]
 
     def __str__(self) -> str:
+        """Return what the console's `status` shows."""
         text = time.strftime("%F %T", time.gmtime(self.at))
         return text + (f", not taken over: {', '.join(self.restart_keys)}" if self.restart_keys else "")
 
@@ -66,6 +68,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config], parts: Components) -> None:
+        """`config` is in force; `parts` may still grow, and are used as they are at the reload."""
         self.config = config
         self.last_result: ReloadResult | None = None
         self._read_config = read_config
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.components import Components
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 
 if TYPE_CHECKING:
     from stairhatch.sip.front import SipFront
@@ -34,6 +34,7 @@
     """Brings one softswitch to its end. `print_text` writes to the operator's terminal."""
 
     def __init__(self, parts: Components, config: Config, print_text: Callable[[str], None]) -> None:
+        """`config` is the configuration in force at the end."""
         self._parts = parts
         self._print_text = print_text
         self._replaced = config.inherited is not None  # another process takes over the socket
@@ -121,9 +122,12 @@
             await asyncio.sleep(DIALOG_POLL_S)
         if front.end_dialogs():
             deadline = loop.time() + FLUSH_TIMEOUT_S
-            while not (front.is_flushed() and self._parts.core.settled()) and loop.time() < deadline:
+            while loop.time() < deadline and not self._is_sip_settled(front):
                 await asyncio.sleep(POLL_S)
 
+    def _is_sip_settled(self, front: SipFront) -> bool:
+        return front.is_flushed() and self._parts.core.settled()
+
     def _report_dialogs(self, front: SipFront, left_s: float) -> None:
         """Say in the log and on the terminal which calls the end waits for."""
         count = len(front.dialogs)
--- a/stairhatch/terminal.py
+++ b/stairhatch/terminal.py
@@ -20,6 +20,7 @@
     """Connects a console to standard input and output while the event loop runs."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """`loop` is the running event loop."""
         self._loop = loop
         self._console: Console | None = None
 
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -11,8 +11,8 @@
 from click.testing import CliRunner
 
 from stairhatch.cli import main_group
-from stairhatch.config import ConfigError
-from stairhatch.config.appliance import config_from
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import ConfigError
 from stairhatch.node import message as sip
 
 from .peers import ROOT, Caller, Inside, Line, Program, RosterServer, sip_headers, until
@@ -48,7 +48,7 @@
     """Guards against a typing error that takes a default without a word: a class once lost its worth so."""
     assert old in TEXT
     with pytest.raises(ConfigError, match=complaint):
-        config_from(TEXT.replace(old, new, 1), "x.toml", {})
+        parse_appliance(TEXT.replace(old, new, 1), "x.toml", {})
 
 
 def test_listeners_of_both_families_and_their_networks():
@@ -56,7 +56,7 @@
     text = TEXT.replace(
         'udp = "127.0.0.1:5060"', 'udp = ["127.0.0.1:5060", {address = "[::1]:5060", allow = ["::1"]}]'
     )
-    config = config_from(text, "x.toml", {})
+    config = parse_appliance(text, "x.toml", {})
     assert [each.place for each in config.sip.udp] == [("127.0.0.1", 5060), ("::1", 5060)]
     assert config.sip.udp[1].networks.admits("::1") and not config.sip.udp[1].networks.admits("::2")
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,7 +21,7 @@
 
 from stairhatch import shutdown as shutdown_module
 from stairhatch.application import Application
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 from stairhatch.node import message as sip
 from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.accepted_connection import Bounds
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
-from stairhatch.config.appliance import config_from
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import ConfigError
 from stairhatch.fault_injection import rules, runs
 from stairhatch.fault_injection.history import Line
 from stairhatch.fault_injection.schedule import draw, read_schedule
@@ -223,9 +223,9 @@
 def test_a_key_of_the_fleet_that_cannot_be_used_is_named(old, new, complaint):
     """Guards against a fleet that was mistyped and rests without a word."""
     assert old in FLEET
-    config_from(TEXT + FLEET, "x.toml", {})
+    parse_appliance(TEXT + FLEET, "x.toml", {})
     with pytest.raises(ConfigError, match=complaint):
-        config_from(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
+        parse_appliance(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
 
 
 def direct(act):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
 
 import stairhatch.shutdown as shutdown_module
 from stairhatch.application import Application
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import HOLD_S, OLD_CLASS_S, TURN_AWAY_S
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
-from stairhatch.config.appliance import config_from
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import ConfigError
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ServerRecord
@@ -533,15 +533,15 @@
 def test_a_scope_that_cannot_be_used_is_named(more, complaint):
     """Guards against a divisor that takes a default without a word: cold servers are pushed over by that."""
     with pytest.raises(ConfigError, match=complaint):
-        config_from(f"{TEXT}\n[scope]\n{more}\n", "x.toml", {})
+        parse_appliance(f"{TEXT}\n[scope]\n{more}\n", "x.toml", {})
 
 
 def test_a_scope_as_it_is_read():
     """Guards against keys that are checked and lost, and a table that counts where it does not stand."""
-    assert config_from(TEXT, "x.toml", {}).scope is None
-    assert config_from(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
+    assert parse_appliance(TEXT, "x.toml", {}).scope is None
+    assert parse_appliance(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
     both = '{ classes = ["read-roster", "save-roster"], softswitches = 1, keep = true }'
-    told = config_from(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
+    told = parse_appliance(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
     assert told == ScopeConfig(5.0, (Service(("read-roster", "save-roster"), 1, -1, True),))
 
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
+from stairhatch.config.model import ConfigError
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
