--- a/stairhatch/config/appliance/schema.py
+++ b/stairhatch/config/appliance/schema.py
@@ -1,8 +1,7 @@
 """The schema of the appliance's TOML file: a struct for each table, a field for each key.
 
-A key that stands in no struct is refused, so every key that any part needs is declared here. The pages on the
-keys:
-deploy/sip.toml, docs/overload.md, docs/fleet.md, docs/scope.md.
+A key that stands in no struct is refused, so every key that any part needs is declared here. What the
+keys mean is told in deploy/sip.toml, docs/sip.md, docs/overload.md, docs/fleet.md and docs/scope.md.
 """
 
 from __future__ import annotations
