--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -46,9 +46,9 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -394,7 +394,7 @@
         core = bare_core()
         core.side = Beside()  # type: ignore[assignment]
         network = Network(core)
-        directory = Directory(core, place, 0)
+        directory = ServiceDiscoveryClient(core, place, 0)
         inner = core.list_servers
 
         def listed(lines: Any, complete: bool, index: int = index, inner: Any = inner) -> None:
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -22,11 +22,11 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory, DirectoryError, apply_events
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient, ServiceDiscoveryError, apply_answer
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.reload import ConfigReloader
@@ -130,10 +130,10 @@
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.trunk = TrunkFront(parts.core)
+        parts.platform_frontend = TrunkFront(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
         bounds = Bounds(caller_connection_limit(config))
-        listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
+        listener = parts.network.listen(at, parts.platform_frontend.connect, bounds, config.inherited is None)
         parts.caller_listeners.append(listener)
         return f"{address[0]}:{address[1]}"
 
@@ -141,7 +141,7 @@
         from stairhatch.sip.flows import host_port
 
         network = self.parts.network
-        front = self.parts.sip = self._sip_frontend(config)
+        front = self.parts.sip_frontend = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
             network.datagrams(port.local, port, callers=True)
@@ -192,17 +192,17 @@
         parts = self.parts
         config = self.config
         try:
-            last_event = apply_events(parts.core, config.known, 0)
-        except DirectoryError as error:
+            last_event = apply_answer(parts.core, config.known, 0)
+        except ServiceDiscoveryError as error:
             raise ConfigError(str(error)) from error
         if config.coordinator is not None:
-            parts.directory = Directory(parts.core, config.coordinator, last_event)
+            parts.discovery = ServiceDiscoveryClient(parts.core, config.coordinator, last_event)
         else:
             parts.core.list_known = True
         if config.fleet is not None:
             self._join_cluster(config.fleet)
-        if parts.directory is not None:
-            parts.network.spawn(parts.network.follow(parts.directory))
+        if parts.discovery is not None:
+            parts.network.spawn(parts.network.follow(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
@@ -215,10 +215,10 @@
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
-        if parts.directory is not None and config.list:
-            parts.fleet.directory = parts.directory
-            parts.directory.told = parts.fleet.heard
-            parts.directory.may_ask = parts.fleet.may_ask
+        if parts.discovery is not None and config.list:
+            parts.fleet.directory = parts.discovery
+            parts.discovery.on_answer = parts.fleet.heard
+            parts.discovery.may_poll = parts.fleet.may_ask
         parts.fleet.begin()
 
     async def serve_when_ready(self) -> None:
@@ -241,11 +241,11 @@
     def status_text(self) -> str:
         """Return what the console's `status` shows of the configuration and of service discovery."""
         text = f"reload     {self.reloader.last_result or 'never'}\n"
-        directory = self.parts.directory
+        directory = self.parts.discovery
         if directory is not None:
             host, port = directory.address
-            age_s = self.parts.clock() - directory.told_at
-            text += f"directory  {host}:{port}, event {directory.after}, last heard {age_s:.1f} s ago\n"
+            age_s = self.parts.clock() - directory.last_answer_at
+            text += f"directory  {host}:{port}, event {directory.last_index}, last heard {age_s:.1f} s ago\n"
         return text
 
     async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -13,8 +13,8 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Listening, Network
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 
@@ -44,8 +44,8 @@
     core: CallManager
     network: Network
     scoped: ScopedController | None = None
-    trunk: TrunkFront | None = None
-    sip: SipFront | None = None
-    directory: Directory | None = None
+    platform_frontend: TrunkFront | None = None
+    sip_frontend: SipFront | None = None
+    discovery: ServiceDiscoveryClient | None = None
     fleet: Fleet | None = None
     caller_listeners: list[Listening] = field(default_factory=list)
--- a/stairhatch/config/platform.py
+++ b/stairhatch/config/platform.py
@@ -12,7 +12,7 @@
 
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.config.reading import checked_settings, read_text
-from stairhatch.node.directory import DirectoryError, parse_address, read_events
+from stairhatch.node.service_discovery import ServiceDiscoveryError, parse_address, parse_answer
 from stairhatch.settings.errors import SettingsError
 from stairhatch.settings.schema import MAX_COUNT, NumberShape, ObjectShape, TextShape, validate
 
@@ -81,7 +81,7 @@
         raise ConfigError(f"{key}: is missing")
     try:
         return parse_address(source[key])
-    except DirectoryError as error:
+    except ServiceDiscoveryError as error:
         raise ConfigError(f"{key}: {error}") from error
 
 
@@ -104,6 +104,6 @@
     Read there they would end the start in a traceback, as a number too large for any float did.
     """
     try:
-        read_events(known, 0)
-    except (DirectoryError, OverflowError) as error:
+        parse_answer(known, 0)
+    except (ServiceDiscoveryError, OverflowError) as error:
         raise ConfigError(f"known: {error}") from error
--- a/stairhatch/fleet/service.py
+++ b/stairhatch/fleet/service.py
@@ -29,9 +29,9 @@
 from stairhatch.fleet.restarts import Restarts
 from stairhatch.fleet.store import Store, StoreError
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.protocol import do_nothing
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
 LIST = "list"
@@ -99,7 +99,7 @@
         slots = restarts.names(config.restarts)
         pick = Pick(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
         self.restarts = Restarts(pick)
-        self.directory: Directory | None = None
+        self.directory: ServiceDiscoveryClient | None = None
         self.listed, self.parts = Listed(), Parts()
         self.follow = Follow(list(config.voters), Pace(), now)
         self._owner_heard = self._beaten = -math.inf
@@ -317,7 +317,7 @@
             self.send(self.config.voters[to], Tune(self.listed.index))
         asks = self.may_ask()
         if asks and not self._asking:
-            self.directory.hurry()
+            self.directory.reconnect_now()
         self._asking = asks
 
     def _to_voters(self, news: list[News]) -> None:
@@ -375,7 +375,7 @@
             return
         self.counters.add("fleet_lists_taken")
         self.listed.tell(answer)
-        self.directory.handed(self.listed.answer())
+        self.directory.accept_relayed(self.listed.answer())
 
     # ---- operators ----
 
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -20,13 +20,13 @@
 from typing import Any, Protocol
 
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import Bounds, Taken
 from stairhatch.node.io.buffer_pool import BUFFER_BYTES, Pool
 from stairhatch.node.io.descriptor_budget import Descriptors
 from stairhatch.node.io.readiness_poller import Ears
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 CONNECT_S = 0.5  # to a coordinator or a caller; to a roster server as the settings say
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 1.0
@@ -712,22 +712,22 @@
                 await asyncio.sleep(backoff)
                 backoff = min(LONGEST_BACKOFF_S, 2 * backoff)
 
-    async def follow(self, directory: Directory) -> None:
+    async def follow(self, directory: ServiceDiscoveryClient) -> None:
         """Keep the long poll going, wherever the coordinator is by now."""
         with self._kept():
             await self._follow(directory)
 
-    async def _follow(self, directory: Directory) -> None:
+    async def _follow(self, directory: ServiceDiscoveryClient) -> None:
         backoff = FIRST_BACKOFF_S
         hurry = asyncio.Event()
-        directory.hurry = hurry.set
+        directory.reconnect_now = hurry.set
         while True:
             hurry.clear()
-            if directory.rests():  # another asks for all
+            if directory.is_paused():  # another asks for all
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(hurry.wait(), REST_S)
                 continue
-            answers, address = directory.answers, directory.address
+            answers, address = directory.answers_received, directory.address
             try:
                 sock = await self._connect(address)
             except (OSError, TimeoutError):
@@ -738,7 +738,7 @@
                     continue
                 directory.connected()
                 await self._run(sock, directory)
-            if hurry.is_set() or directory.answers > answers:
+            if hurry.is_set() or directory.answers_received > answers:
                 backoff = FIRST_BACKOFF_S
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(hurry.wait(), backoff)
--- a/stairhatch/node/directory.py
+++ b/stairhatch/node/service_discovery.py
@@ -17,14 +17,27 @@
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.overload.events import Availability
 
-FIRST_WAIT_MS = 50  # the first answer tells at once whether what was known at the start is the whole list
-HEARD_S = 1.5  # a coordinator that is not heard does not keep a softswitch that knows a list from serving
-WAIT_MS = 2000  # what is missed by a silent stop is asked for again so much sooner than with the longest wait
-WHOLE_S = WAIT_MS / 1000 + 0.7  # an answer that is not whole by then will not come on this connection
-MOST_BODY = 4 * 1024 * 1024
-TRIES = 3  # so often an answer with a line that can't be read is asked for, before the others are taken
+FIRST_POLL_WAIT_MS = (
+    50  # the first answer tells at once whether what was known at the start is the whole list
+)
+FIRST_ANSWER_TIMEOUT_S = (
+    1.5  # a coordinator that is not heard does not keep a softswitch that knows a list from serving
+)
+POLL_WAIT_MS = (
+    2000  # what is missed by a silent stop is asked for again so much sooner than with the longest wait
+)
+ANSWER_TIMEOUT_S = (
+    POLL_WAIT_MS / 1000 + 0.7
+)  # an answer that is not whole by then will not come on this connection
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_REQUESTS = (
+    3  # so often an answer with a line that can't be read is asked for, before the others are taken
+)
 UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-SOON_S, PACE_S = 0.025, 0.1  # an answer that comes so soon and tells nothing new: the next question waits
+IMMEDIATE_ANSWER_S, EMPTY_ANSWER_PAUSE_S = (
+    0.025,
+    0.1,
+)  # an answer that comes so soon and tells nothing new: the next question waits
 STATES = {
     "in_service": Availability.READY,
     "terminating": Availability.DRAINING,
@@ -32,7 +45,7 @@
 }
 
 
-class DirectoryError(ValueError):
+class ServiceDiscoveryError(ValueError):
     """An answer that is not the directory's."""
 
 
@@ -42,7 +55,7 @@
     if ":" in host:
         host = host[1:-1] if host[0] == "[" and host[-1] == "]" else ""
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise DirectoryError(f"{text!r} is no address")
+        raise ServiceDiscoveryError(f"{text!r} is no address")
     return host, int(port)
 
 
@@ -59,7 +72,7 @@
 Change = tuple[int, list[ServerRecord], bool]
 
 
-def read_events(answer: Any, after: int) -> tuple[int, list[Change]]:
+def parse_answer(answer: Any, after: int) -> tuple[int, list[Change]]:
     """The number of the last event, and what is new in an answer or `known`; DirectoryError if it is odd."""
     try:
         last, changes = int(answer["index"]), []
@@ -70,7 +83,7 @@
                 changes.append((index, lines, bool(told.get("reset")) or after == 0))
             after = max(after, index)
     except UNREADABLE as error:
-        raise DirectoryError(f"directory event: {type(error).__name__}: {error}") from None
+        raise ServiceDiscoveryError(f"directory event: {type(error).__name__}: {error}") from None
     return max(last, after), changes
 
 
@@ -83,7 +96,7 @@
     }  # fmt: skip
 
 
-def pass_over_unread(core: CallManager, answer: Any, after: int) -> tuple[Any, str]:
+def skip_unreadable(core: CallManager, answer: Any, after: int) -> tuple[Any, str]:
     """An answer without the lines in it that can't be read, and what was passed over; DirectoryError if it is
     odd beyond that.
 
@@ -124,60 +137,60 @@
             events.append({**event, "endpoints": {**told, "instances": instances}})
             after = index
     except UNREADABLE as error:
-        raise DirectoryError(f"directory event: {type(error).__name__}: {error}") from None
+        raise ServiceDiscoveryError(f"directory event: {type(error).__name__}: {error}") from None
     return {**answer, "updates": events}, "; ".join(said[:4])
 
 
-def apply_events(core: CallManager, answer: Any, after: int) -> int:
+def apply_answer(core: CallManager, answer: Any, after: int) -> int:
     """Tell the core what is new; returns the number of the last event. An odd answer changes nothing."""
-    last, changes = read_events(answer, after)
+    last, changes = parse_answer(answer, after)
     for _, lines, complete in changes:
         core.list_servers(lines, complete)
     return last
 
 
-class Directory(ConnectionProtocol):
+class ServiceDiscoveryClient(ConnectionProtocol):
     """The subscription. A broken or odd answer ends the connection; the driver comes again."""
 
     def __init__(self, core: CallManager, address: tuple[str, int], after: int) -> None:
         super().__init__()
-        self.core, self.address, self.after = core, address, after
-        self.answers = 0
-        self.told_at = core.clock()  # when the last whole answer came
-        self.hurry: Callable[[], None] = do_nothing  # come at once, set by the driver
-        self.told: Callable[[Any], None] | None = None  # hears each answer that has been taken in
-        self.may_ask: Callable[[], bool] | None = None  # whether it is this softswitch's turn to ask
+        self.core, self.address, self.last_index = core, address, after
+        self.answers_received = 0
+        self.last_answer_at = core.clock()  # when the last whole answer came
+        self.reconnect_now: Callable[[], None] = do_nothing  # come at once, set by the driver
+        self.on_answer: Callable[[Any], None] | None = None  # hears each answer that has been taken in
+        self.may_poll: Callable[[], bool] | None = None  # whether it is this softswitch's turn to ask
         self._asked, self._asked_at = 0, 0.0
         self._odd = 0  # answers since the last that could be taken
         self._older = False  # the last answer's number was below what is known
         self._parser: Any = None
         self._output = b""
         self._body = bytearray()
-        core.at(core.clock() + HEARD_S, self._unheard)
+        core.at(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._unheard)
 
     def _unheard(self) -> None:
         """No answer so far: what was known at the start has to do."""
         self.core.list_known = True
 
-    def move(self, address: tuple[str, int]) -> None:
+    def switch_coordinator(self, address: tuple[str, int]) -> None:
         """Another coordinator goes on with the same numbers: leave the old one, whatever it still holds."""
         self.address = address
         self.abort()
-        self.hurry()
+        self.reconnect_now()
 
-    def rests(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether somebody else asks, and hands on what is new."""
-        return self.may_ask is not None and not self.may_ask()
+        return self.may_poll is not None and not self.may_poll()
 
-    def handed(self, answer: Any) -> None:
+    def accept_relayed(self, answer: Any) -> None:
         """The list came from whoever asks for all. What is odd changes nothing, what is old neither."""
         try:
             self._take(answer, pass_over=True)
-        except DirectoryError as error:
+        except ServiceDiscoveryError as error:
             self.core.log("directory", why=f"handed on: {error}")
             return
         self.core.list_known = True
-        self.told_at = self.core.clock()
+        self.last_answer_at = self.core.clock()
 
     def connected(self) -> None:
         """A connection has come up."""
@@ -199,9 +212,9 @@
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._asked, self._asked_at = self._asked + 1, self.core.clock()
-        self.core.at(self._asked_at + WHOLE_S, partial(self._stalled, self._asked))
-        wait_ms = WAIT_MS if self.core.list_known else FIRST_WAIT_MS
-        path = f"/v2/stream?follow={self.after}&wait_ms={wait_ms}"
+        self.core.at(self._asked_at + ANSWER_TIMEOUT_S, partial(self._stalled, self._asked))
+        wait_ms = POLL_WAIT_MS if self.core.list_known else FIRST_POLL_WAIT_MS
+        path = f"/v2/stream?follow={self.last_index}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._output = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
         self.notify_writable()
@@ -220,8 +233,8 @@
         self._odd += 1
         said = ""
         if pass_over:
-            answer, said = pass_over_unread(self.core, answer, self.after)
-        self.after = apply_events(self.core, answer, self.after)
+            answer, said = skip_unreadable(self.core, answer, self.last_index)
+        self.last_index = apply_answer(self.core, answer, self.last_index)
         self._odd = 0
         if said:
             self.core.counters.add("directory_lines_unread")
@@ -232,10 +245,12 @@
         """A coordinator that has lost its memory counts from an older number: what is known is kept, and the
         number asked for too, so that nothing is taken twice; whoever is on call is told.
         """
-        older = index < self.after
+        older = index < self.last_index
         if older and not self._older:
             self.core.counters.add("directory_older")
-            self.core.log("directory", why=f"its number {index} is older than {self.after}, which is kept")
+            self.core.log(
+                "directory", why=f"its number {index} is older than {self.last_index}, which is kept"
+            )
         self._older = older
 
     def data_to_send(self) -> bytes:
@@ -253,7 +268,7 @@
             return
         try:
             self._parser.feed_data(bytes(data))
-        except (httptools.HttpParserError, DirectoryError) as error:
+        except (httptools.HttpParserError, ServiceDiscoveryError) as error:
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else error
             self.core.counters.add("directory_faults")
             self.core.log("directory", why=str(cause or error))
@@ -263,31 +278,35 @@
     def on_body(self, body: bytes) -> None:
         """Part of an answer."""
         self._body += body
-        if len(self._body) > MOST_BODY:
-            raise DirectoryError("answer too long")
+        if len(self._body) > MAX_BODY_BYTES:
+            raise ServiceDiscoveryError("answer too long")
 
     def on_message_complete(self) -> None:
         """A whole answer: tell the news and ask for more."""
         status = self._parser.get_status_code()
         if status != 200:
-            raise DirectoryError(f"status {status}")
+            raise ServiceDiscoveryError(f"status {status}")
         try:
             answer = json.loads(self._body)
         except ValueError:
-            raise DirectoryError("answer is no JSON") from None
-        keep, before = self._parser.should_keep_alive(), self.after
-        answer = self._take(answer, pass_over=self._odd >= TRIES - 1)
+            raise ServiceDiscoveryError("answer is no JSON") from None
+        keep, before = self._parser.should_keep_alive(), self.last_index
+        answer = self._take(answer, pass_over=self._odd >= MAX_REQUESTS - 1)
         self._look_at_number(int(answer["index"]))
-        self.answers, self.told_at = self.answers + 1, self.core.clock()
+        self.answers_received, self.last_answer_at = self.answers_received + 1, self.core.clock()
         self.core.list_known = True
         self.core.counters.add("directory_answers")
-        if self.told is not None:
-            self.told(answer)
+        if self.on_answer is not None:
+            self.on_answer(answer)
         now = self.core.clock()
-        idle_turn = self.after == before and now < self._asked_at + SOON_S and self.answers > 1
-        if keep and not self.rests() and idle_turn:
-            self.core.at(now + PACE_S, partial(self._ask_again, self._asked))
-        elif keep and not self.rests():
+        idle_turn = (
+            self.last_index == before
+            and now < self._asked_at + IMMEDIATE_ANSWER_S
+            and self.answers_received > 1
+        )
+        if keep and not self.is_paused() and idle_turn:
+            self.core.at(now + EMPTY_ANSWER_PAUSE_S, partial(self._ask_again, self._asked))
+        elif keep and not self.is_paused():
             self._ask()
         else:
             self.closing = True
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -14,7 +14,7 @@
 from stairhatch.components import Components
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.directory import DirectoryError, apply_events, read_events
+from stairhatch.node.service_discovery import ServiceDiscoveryError, apply_answer, parse_answer
 from stairhatch.settings.errors import LostKeyError
 from stairhatch.settings.lost_keys import check_no_key_lost
 
@@ -78,7 +78,7 @@
         """Read the configuration and apply it, or reject it; the result is logged, counted and kept."""
         try:
             candidate = self._read()
-        except (ConfigError, LostKeyError, DirectoryError) as error:
+        except (ConfigError, LostKeyError, ServiceDiscoveryError) as error:
             result: ReloadResult = ReloadRejected(str(error))
             self._parts.counters.add("reloads_rejected")
             self._parts.log("reload", result="rejected", why=str(error))
@@ -90,7 +90,7 @@
     def _read(self) -> _Candidate:
         """Read and check a configuration before anything is changed."""
         new = self._read_config()
-        listed = read_events(new.known, 0)[1]
+        listed = parse_answer(new.known, 0)[1]
         check_no_key_lost(self.config.raw, new.raw)
         if (new.coordinator is None) is not (self.config.coordinator is None):
             raise ConfigError("a coordinator in place of listed servers, or the reverse, wants a restart")
@@ -113,12 +113,12 @@
     def _apply_servers(self, old: Config, candidate: _Candidate) -> None:
         """Take in the servers that the configuration lists, and another address of the coordinator."""
         core = self._parts.core
-        directory = self._parts.directory
+        directory = self._parts.discovery
         new = candidate.config
         if directory is not None and new.coordinator is not None:
-            directory.after = apply_events(core, new.known, directory.after)
+            directory.last_index = apply_answer(core, new.known, directory.last_index)
             if new.coordinator != old.coordinator:
-                directory.move(new.coordinator)
+                directory.switch_coordinator(new.coordinator)
         elif new.known != old.known:  # the list in the file is the whole list
             core.list_servers(candidate.servers, complete=True)
 
@@ -134,7 +134,7 @@
 
     def _apply_sip(self, new: Config) -> tuple[str, ...]:
         """Reconfigure the SIP frontend; return ("sip",) if something in that table wants a restart."""
-        front = self._parts.sip
+        front = self._parts.sip_frontend
         if front is None or new.sip is None or front.reconfigure(new.sip):
             return ()
         return ("sip",)
@@ -149,7 +149,7 @@
 
     def _in_force(self, old: Config, new: Config, restart_keys: tuple[str, ...]) -> Config:
         """Return the new configuration with the old values of the keys that were not applied."""
-        front = self._parts.sip
+        front = self._parts.sip_frontend
         kept = {key: getattr(old, key) for key in restart_keys if key != "sip"}
         return replace(new, sip=front.config if front is not None else new.sip, **kept)
 
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -26,7 +26,6 @@
 from stairhatch.node.call_manager import ENDED, CallManager
 from stairhatch.node.calls import Call, CallRequest
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import (
     CONNECT_S,
     FIRST_BACKOFF_S,
@@ -37,6 +36,7 @@
 from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
@@ -415,10 +415,10 @@
 
     part = "list"
 
-    def __init__(self, softswitch: Softswitch, directory: Directory) -> None:
+    def __init__(self, softswitch: Softswitch, directory: ServiceDiscoveryClient) -> None:
         super().__init__(softswitch, directory)
         self.directory = directory
-        directory.hurry = self._hurry
+        directory.reconnect_now = self._hurry
         self._hurried = False
         self._answers = 0
         self._again: Due | None = None
@@ -438,10 +438,10 @@
         self._again, self._hurried = None, False
         if self.stopped:
             return
-        if self.directory.rests():
+        if self.directory.is_paused():
             self._later(REST_S)
             return
-        self._answers = self.directory.answers
+        self._answers = self.directory.answers_received
         self.world.dial(self, self.directory.address, CONNECT_S, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
@@ -456,7 +456,7 @@
         """Ask again."""
         if self.stopped:
             return
-        if self._hurried or self.directory.answers > self._answers:
+        if self._hurried or self.directory.answers_received > self._answers:
             self.backoff = FIRST_BACKOFF_S
         self._later(0.0 if self._hurried else self.backoff)
         self.backoff = min(LONGEST_POLL_BACKOFF_S, 2 * self.backoff)
@@ -591,7 +591,7 @@
         RosterSide(core, lambda link: self._keep(link))
         core.listening = True
         region = world.places.region(self.index)
-        directory = Directory(core, world.coordinators[region].place, 0)
+        directory = ServiceDiscoveryClient(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
             self._join(plan, directory)
         Follower(self, directory)
@@ -600,7 +600,7 @@
     def _keep(self, link: RosterLink) -> None:
         Keeper(self, link)
 
-    def _join(self, plan: Plan, directory: Directory) -> None:
+    def _join(self, plan: Plan, directory: ServiceDiscoveryClient) -> None:
         told, voters = plan.fleet, self.world.voters
         assert told is not None
         config = FleetConfig(
@@ -611,7 +611,7 @@
         self.fleet = Fleet(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
-            directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
+            directory.on_answer, directory.may_poll = self.fleet.heard, self.fleet.may_ask
         self.fleet.begin()
 
     def open_store(self) -> HollowStore:
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -56,8 +56,8 @@
         if not self._replaced:
             await asyncio.sleep(MIN_STAY_S)
         await self._answer_callers(deadline)
-        if parts.sip is not None:
-            await self._finish_dialogs(parts.sip, skip_dialogs)
+        if parts.sip_frontend is not None:
+            await self._finish_dialogs(parts.sip_frontend, skip_dialogs)
         if self._replaced:
             await self._close_connections(deadline)
 
@@ -71,7 +71,7 @@
 
     def _deadline(self, started: float) -> float:
         """Return when the calls that still wait have to be answered, in the loop's time."""
-        if self._parts.trunk is None:
+        if self._parts.platform_frontend is None:
             return math.inf
         longest = max((each.deadline_s for each in self._parts.core.settings.classes), default=0.0)
         return started + min(longest, self._drain_s) + SIGKILL_MARGIN_S
@@ -93,7 +93,7 @@
             await asyncio.sleep(POLL_S)
 
     def _is_settled(self) -> bool:
-        frontends = (self._parts.trunk, self._parts.sip)
+        frontends = (self._parts.platform_frontend, self._parts.sip_frontend)
         return self._parts.core.settled() and all(each.is_flushed() for each in frontends if each is not None)
 
     async def _is_quiet(self) -> bool:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,10 +23,10 @@
 from stairhatch.application import Application
 from stairhatch.config.model import Config
 from stairhatch.node import message as sip
-from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import EMPTY_ANSWER_PAUSE_S, ServiceDiscoveryClient
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings.parser import settings_from_object
 
@@ -572,7 +572,7 @@
     """
     inside, told = Inside(), []
     inside.core.log = lambda event, **fields: told.append((event, fields))
-    directory = Directory(inside.core, ("127.0.0.1", 1), 9)
+    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
@@ -583,9 +583,9 @@
     answer(9)
     directory.data_to_send()
     answer(4)
-    assert directory.after == 9 and [fields["why"] for event, fields in told if event == "directory"]
+    assert directory.last_index == 9 and [fields["why"] for event, fields in told if event == "directory"]
     assert not directory.data_to_send(), "it answered at once: the next question waits"
-    inside.run(PACE_S + 0.01)
+    inside.run(EMPTY_ANSWER_PAUSE_S + 0.01)
     assert b"follow=9" in directory.data_to_send()
     answer(4)
     assert len([event for event, _ in told if event == "directory"]) == 1, "told once"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -22,10 +22,10 @@
 from stairhatch.node.call_manager import HOLD_S, OLD_CLASS_S, TURN_AWAY_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import FIRST_S, Bounds, Taken
 from stairhatch.node.io.network import FRESH_S, Listening, Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
@@ -720,7 +720,7 @@
     """Guards against a new process that is not ready before a whole wait for news is over."""
     inside = Inside()
     inside.core.list_known = False
-    directory = Directory(inside.core, ("127.0.0.1", 1), 4)
+    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
     directory.connected()
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
@@ -732,7 +732,7 @@
     """Guards against a softswitch that waits for news though it was told a list at its start."""
     inside = Inside()
     inside.core.list_known = False
-    Directory(inside.core, ("127.0.0.1", 1), 4).connected()
+    ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4).connected()
     assert inside.core.why_not()
     inside.run(2.0)
     assert not inside.core.why_not()
@@ -749,7 +749,7 @@
         application = Application(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
         application.open_listeners()
         application.start_discovery()
-        application.parts.trunk.is_flushed = lambda: False
+        application.parts.platform_frontend.is_flushed = lambda: False
         await asyncio.wait_for(application.shut_down(asyncio.Event()), 20)
 
     asyncio.run(story())
@@ -909,12 +909,12 @@
 
     async def story():
         inside, asked, ends = Inside(), [], []
-        network, directory = Network(inside.core), Directory(inside.core, ("127.0.0.1", 1), 4)
+        network, directory = Network(inside.core), ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
 
         async def connect(address):
             asked.append(address)
             if len(asked) == 1:
-                directory.move(("127.0.0.1", 2))
+                directory.switch_coordinator(("127.0.0.1", 2))
             ours, theirs = socket.socketpair()
             ends.append(theirs)  # stays open, as the old coordinator's does
             return ours
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -20,10 +20,10 @@
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import TRY_S
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.directory import TRIES, Directory
 from stairhatch.node.io.descriptor_budget import Descriptors
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import MAX_REQUESTS, ServiceDiscoveryClient
 from stairhatch.overload.events import Availability
 
 from .peers import SETTINGS, Coordinator, Inside, Program, RosterServer, instance, until
@@ -305,8 +305,8 @@
     inside.core.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
     inside.core.list_servers(listed, True)
-    directory, told = Directory(inside.core, ("127.0.0.1", 1), 4), []
-    directory.told = told.append
+    directory, told = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4), []
+    directory.on_answer = told.append
     for event in events:
         directory.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
@@ -319,12 +319,12 @@
     """Guards against a server that gets nothing more for a line that was spoilt once."""
     good = {"reset": False, "instances": [instance("a", 9, state="terminating"), instance("b", 9)]}
     odd = {"reset": False, "instances": [good["instances"][0], {**instance("b", 9), "hostPort": "?"}]}
-    directory, standings, _ = directory_of(*[odd] * (TRIES - 1))
-    assert directory.after == 4 and set(standings.values()) == {"ready"}
-    directory, standings, _ = directory_of(*[odd] * (TRIES - 1), good)
-    assert directory.after == 5 and standings == {"a": "draining", "b": "ready", "c": "ready"}
-    directory, standings, told = directory_of(*[odd] * TRIES)
-    assert directory.after == 5 and standings == {"a": "draining", "b": "draining", "c": "ready"}
+    directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1))
+    assert directory.last_index == 4 and set(standings.values()) == {"ready"}
+    directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1), good)
+    assert directory.last_index == 5 and standings == {"a": "draining", "b": "ready", "c": "ready"}
+    directory, standings, told = directory_of(*[odd] * MAX_REQUESTS)
+    assert directory.last_index == 5 and standings == {"a": "draining", "b": "draining", "c": "ready"}
     states = {raw["instanceId"]: raw["lifecycle"] for raw in told[0]["updates"][0]["endpoints"]["instances"]}
     assert states == {"a": "terminating", "b": "terminating"}, "whoever is handed the list is told the same"
 
@@ -343,8 +343,8 @@
 def test_a_whole_list_with_a_line_that_cannot_be_read_cuts_no_calls_for_it(line, left):
     """Guards against a server held to be gone, and its calls cut, as its line in a whole list is spoilt."""
     odd = {"reset": True, "instances": [instance("a", 9), line]}
-    directory, standings, _ = directory_of(*[odd] * TRIES)
-    assert directory.after == 5
+    directory, standings, _ = directory_of(*[odd] * MAX_REQUESTS)
+    assert directory.last_index == 5
     assert {name: state for name, state in standings.items() if state != "gone"} == left
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,8 +14,8 @@
 from stairhatch.node.call_manager import REMEMBERED_S, CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import WHOLE_S, Directory
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ANSWER_TIMEOUT_S, ServiceDiscoveryClient
 from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
@@ -149,14 +149,14 @@
 def test_a_silent_coordinator_is_left_within_the_time_that_changes_count_as_told():
     """Guards against waiting longer than 2 s after the end of the wait that was asked for."""
     inside = Inside()
-    directory, aborted = Directory(inside.core, ("127.0.0.1", 1), 4), []
+    directory, aborted = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4), []
     directory.abort = lambda: aborted.append(inside.now)
     directory.connected()
     assert b"follow=4" in directory.data_to_send()
     body = b'{"index":4,"updates":[]}'
-    inside.run(WHOLE_S - 0.1)
+    inside.run(ANSWER_TIMEOUT_S - 0.1)
     directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    inside.run(WHOLE_S - 0.1)
+    inside.run(ANSWER_TIMEOUT_S - 0.1)
     assert not aborted, "a whole answer begins the wait anew"
     inside.run(0.2)
     assert aborted
