--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -107,7 +107,7 @@
     """
     known = {
         name: _raw(server.record)
-        for name, server in core.by_instance.items()
+        for name, server in core.servers.by_instance.items()
         if server.record.availability is not Availability.GONE
     }
     events, said = [], []
@@ -145,7 +145,7 @@
     """Tell the core what is new; returns the number of the last event. An odd answer changes nothing."""
     last, changes = parse_answer(answer, after)
     for _, lines, complete in changes:
-        core.list_servers(lines, complete)
+        core.update_servers(lines, complete)
     return last
 
 
@@ -166,11 +166,11 @@
         self._parser: Any = None
         self._output = b""
         self._body = bytearray()
-        core.at(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._unheard)
+        core.timers.schedule(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._unheard)
 
     def _unheard(self) -> None:
         """No answer so far: what was known at the start has to do."""
-        self.core.list_known = True
+        self.core.readiness.list_known = True
 
     def switch_coordinator(self, address: tuple[str, int]) -> None:
         """Another coordinator goes on with the same numbers: leave the old one, whatever it still holds."""
@@ -189,7 +189,7 @@
         except ServiceDiscoveryError as error:
             self.core.log("directory", why=f"handed on: {error}")
             return
-        self.core.list_known = True
+        self.core.readiness.list_known = True
         self.last_answer_at = self.core.clock()
 
     def connected(self) -> None:
@@ -212,8 +212,8 @@
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._asked, self._asked_at = self._asked + 1, self.core.clock()
-        self.core.at(self._asked_at + ANSWER_TIMEOUT_S, partial(self._stalled, self._asked))
-        wait_ms = POLL_WAIT_MS if self.core.list_known else FIRST_POLL_WAIT_MS
+        self.core.timers.schedule(self._asked_at + ANSWER_TIMEOUT_S, partial(self._stalled, self._asked))
+        wait_ms = POLL_WAIT_MS if self.core.readiness.list_known else FIRST_POLL_WAIT_MS
         path = f"/v2/stream?follow={self.last_index}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._output = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
@@ -294,7 +294,7 @@
         answer = self._take(answer, pass_over=self._odd >= MAX_REQUESTS - 1)
         self._look_at_number(int(answer["index"]))
         self.answers_received, self.last_answer_at = self.answers_received + 1, self.core.clock()
-        self.core.list_known = True
+        self.core.readiness.list_known = True
         self.core.counters.add("directory_answers")
         if self.on_answer is not None:
             self.on_answer(answer)
@@ -305,7 +305,7 @@
             and self.answers_received > 1
         )
         if keep and not self.is_paused() and idle_turn:
-            self.core.at(now + EMPTY_ANSWER_PAUSE_S, partial(self._ask_again, self._asked))
+            self.core.timers.schedule(now + EMPTY_ANSWER_PAUSE_S, partial(self._ask_again, self._asked))
         elif keep and not self.is_paused():
             self._ask()
         else:
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -47,11 +47,11 @@
         """
         parts = self._parts
         started = parts.network.loop.time()
-        parts.log("stopping", unanswered=parts.core.unanswered)
-        parts.core.ending = True
+        parts.log("stopping", unanswered=parts.core.calls.unanswered)
+        parts.core.readiness.shutting_down = True
         if self._replaced:
             self._leave_newcomers()
-        parts.core.drain(True)
+        parts.core.readiness.drain(True)
         deadline = self._deadline(started)
         if not self._replaced:
             await asyncio.sleep(MIN_STAY_S)
@@ -64,8 +64,8 @@
     def _leave_newcomers(self) -> None:
         """Leave those who connect from now on to the next process."""
         core = self._parts.core
-        core.listening = False
-        core.turn_away_s = HANDOVER_S
+        core.readiness.listening = False
+        core.readiness.reject_after_s = HANDOVER_S
         for listener in self._parts.caller_listeners:
             listener.close()
 
@@ -83,10 +83,10 @@
         answered_at = math.inf
         while not await self._is_quiet():
             now = loop.time()
-            if core.unanswered and now >= deadline:
-                self._parts.log("drain_deadline_reached", unanswered=core.unanswered)
-                core.answer_all()
-            answered_at = math.inf if core.unanswered else min(answered_at, now)
+            if core.calls.unanswered and now >= deadline:
+                self._parts.log("drain_deadline_reached", unanswered=core.calls.unanswered)
+                core.answer_pending()
+            answered_at = math.inf if core.calls.unanswered else min(answered_at, now)
             if now > answered_at + FLUSH_TIMEOUT_S:
                 self._parts.log("flush_timeout", why="a peer does not read what it is owed")
                 return
@@ -94,7 +94,9 @@
 
     def _is_settled(self) -> bool:
         frontends = (self._parts.platform_frontend, self._parts.sip_frontend)
-        return self._parts.core.settled() and all(each.is_flushed() for each in frontends if each is not None)
+        return self._parts.core.is_settled() and all(
+            each.is_flushed() for each in frontends if each is not None
+        )
 
     async def _is_quiet(self) -> bool:
         """Return whether nothing is owed, now and a moment later, and nothing lies unread.
@@ -126,7 +128,7 @@
                 await asyncio.sleep(POLL_S)
 
     def _is_sip_settled(self, front: SipFront) -> bool:
-        return front.is_flushed() and self._parts.core.settled()
+        return front.is_flushed() and self._parts.core.is_settled()
 
     def _report_dialogs(self, front: SipFront, left_s: float) -> None:
         """Say in the log and on the terminal which calls the end waits for."""
@@ -140,6 +142,6 @@
     async def _close_connections(self, deadline: float) -> None:
         """Ask the callers' connections to end and wait until they have."""
         network = self._parts.network
-        self._parts.core.leave()
+        self._parts.core.complete_shutdown()
         while not network.emptied() and network.loop.time() < deadline:
             await asyncio.sleep(POLL_S)
