--- a/stairhatch/config/appliance/fleet.py
+++ b/stairhatch/config/appliance/fleet.py
@@ -8,8 +8,8 @@
 from stairhatch.config.appliance.schema import ApplianceTable, FleetTable
 from stairhatch.config.model import ConfigError
 from stairhatch.config.reading import read_text
-from stairhatch.fleet.claims import Terms
-from stairhatch.fleet.config import MOST_VOTERS, FleetConfig
+from stairhatch.fleet.config import MAX_VOTERS, FleetConfig
+from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.sip.flows import Place
 
 MAX_NAME_CHARACTERS = 48
@@ -20,8 +20,8 @@
 
 def fleet_config(table: FleetTable, whole: ApplianceTable, folder: Path) -> FleetConfig:
     """Convert the table; files are named relative to `folder`. Raises ConfigError."""
-    if not 1 <= len(table.voters) <= MOST_VOTERS:
-        raise ConfigError(f"fleet.voters: from 1 to {MOST_VOTERS} are needed, best 3 or 5")
+    if not 1 <= len(table.voters) <= MAX_VOTERS:
+        raise ConfigError(f"fleet.voters: from 1 to {MAX_VOTERS} are needed, best 3 or 5")
     if len(whole.name) > MAX_NAME_CHARACTERS:
         raise ConfigError(f"name: in a fleet it has {MAX_NAME_CHARACTERS} characters at most")
     listen = address_at("fleet.listen", table.listen)
@@ -38,7 +38,7 @@
         secret=_secret(folder / table.secret) if table.secret is not None else b"",
         folder=folder / table.folder if table.folder is not None else None,
         history=folder / table.history if table.history is not None else None,
-        terms=Terms(table.term_s, table.drift, min(MAX_ROUND_S, table.term_s / ROUNDS_PER_TERM)),
+        terms=LeaseTimings(table.term_s, table.drift, min(MAX_ROUND_S, table.term_s / ROUNDS_PER_TERM)),
         numbers=table.numbers,
         list=table.list,
         restarts=table.restarts,
--- a/stairhatch/config/appliance/sip.py
+++ b/stairhatch/config/appliance/sip.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from stairhatch.admission.buckets import BucketPolicy
-from stairhatch.admission.budget import BudgetPolicy
-from stairhatch.admission.gate import GatePolicy
+from stairhatch.admission.admission_control import AdmissionPolicy
+from stairhatch.admission.overload_detector import OverloadDetectorPolicy
+from stairhatch.admission.rate_limits import RateLimitPolicy
 from stairhatch.config.appliance.addresses import address_at, listeners_at
 from stairhatch.config.appliance.schema import AdmissionTable, AuthTable, SipTable
 from stairhatch.config.appliance.validation import suggestion
@@ -67,7 +67,7 @@
         restart_wait_s=table.restart_wait_s,
         timers=TimerPolicy(table.timers.session_expires_s, table.timers.min_se_s),
         auth=_auth_config(table.auth, folder) if table.auth is not None else None,
-        gate=_gate_policy(table.admission) if table.admission.on else None,
+        gate=_admission_policy(table.admission) if table.admission.on else None,
     )
 
 
@@ -87,25 +87,25 @@
     return AuthConfig(table.realm, users, ordered, table.nonce_s)
 
 
-def _gate_policy(table: AdmissionTable) -> GatePolicy:
+def _admission_policy(table: AdmissionTable) -> AdmissionPolicy:
     if not table.abatement_ms < table.onset_ms < table.full_ms:
         raise ConfigError("sip.admission: abatement_ms must lie under onset_ms, and that under full_ms")
     if table.return_s[0] > table.return_s[1]:
         raise ConfigError("sip.admission.return_s: the first must not be above the second")
-    return GatePolicy(
-        BudgetPolicy(
+    return AdmissionPolicy(
+        OverloadDetectorPolicy(
             onset_s=table.onset_ms / MS_PER_S,
             abatement_s=table.abatement_ms / MS_PER_S,
             target_s=table.target_ms / MS_PER_S,
-            full_s=table.full_ms / MS_PER_S,
+            saturation_s=table.full_ms / MS_PER_S,
         ),
-        BucketPolicy(
+        RateLimitPolicy(
             source_rate=table.source_rate,
             source_burst=table.source_burst,
             network_rate=table.network_rate,
             network_burst=table.network_burst,
-            network_v4=table.network_v4,
-            network_v6=table.network_v6,
+            ipv4_network_bits=table.network_v4,
+            ipv6_network_bits=table.network_v6,
         ),
-        return_s=table.return_s,
+        retry_after_range_s=table.return_s,
     )
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,23 +15,23 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.world import SYNC_S, Disk
-from stairhatch.fleet import service as fleet_service
-from stairhatch.fleet.claims import Terms
+from stairhatch.fault_injection.virtual_cluster import DISK_SYNC_S, VirtualDisk
+from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
-from stairhatch.fleet.effects import Fence, Kept, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.service import Fleet
-from stairhatch.fleet.store import Found
+from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.runtime import FleetRuntime
+from stairhatch.fleet.store import StoredState
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
-from stairhatch.node.io.network import (
-    CONNECT_S,
-    FIRST_BACKOFF_S,
-    LONGEST_BACKOFF_S,
-    LONGEST_POLL_BACKOFF_S,
-    REST_S,
+from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
+from stairhatch.node.io.persistent_connections import (
+    MAX_BACKOFF_S,
+    MAX_POLL_BACKOFF_S,
+    MIN_BACKOFF_S,
+    POLL_TURN_CHECK_S,
 )
 from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
@@ -227,26 +227,28 @@
 class HollowStore:
     """A voter's folder: what it was asked to keep is there a moment later."""
 
-    def __init__(self, world: World, disk: Disk) -> None:
+    def __init__(self, world: World, disk: VirtualDisk) -> None:
         self.world, self.disk, self.closed = world, disk, False
-        if not disk.folder:
-            disk.folder = f"{world.chance.getrandbits(64):016x}"
-        disk.life += 1
-        mark = Mark(disk.folder, disk.life, disk.made)
-        kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = Found(kept, dict(disk.fences))
-
-    def keep(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+        if not disk.storage_id:
+            disk.storage_id = f"{world.chance.getrandbits(64):016x}"
+        disk.incarnation += 1
+        mark = StorageVersion(disk.storage_id, disk.incarnation, disk.vote_count)
+        kept = PersistedState(
+            mark, disk.admitted, tuple(disk.votes.values()), dict(disk.known_versions), disk.voter_set
+        )
+        self.found = StoredState(kept, dict(disk.fencing_tokens))
+
+    def keep(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
-        self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
+        self.world.clock.call_later(self.world.chance.uniform(*DISK_SYNC_S), self._kept, what, done)
 
-    def _kept(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def _kept(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         if self.closed:
             return
-        if isinstance(what, Write):
-            self.disk.take(what)
+        if isinstance(what, PersistVotes):
+            self.disk.apply(what)
         else:
-            self.disk.fences[what.claim] = what.ticket
+            self.disk.fencing_tokens[what.claim] = what.ticket
         done("")
 
     def close(self) -> None:
@@ -262,7 +264,7 @@
 
 
 class Driver:
-    """Carries bytes between one machine of a softswitch and a stream, as `Network._run` with a socket."""
+    """Carries bytes between one machine of a softswitch and a stream, as `ConnectionRunner` with a socket."""
 
     part = "rest"
 
@@ -271,7 +273,7 @@
         self.clock, self.meter = self.world.clock, self.world.meter
         self.stream: Stream | None = None
         self.stopped = False
-        self.backoff = FIRST_BACKOFF_S
+        self.backoff = MIN_BACKOFF_S
         self.up_at = 0.0
         self._pulls = False
         softswitch.drivers[self] = None
@@ -296,7 +298,7 @@
         self.meter.enter(self.part)
         try:
             self.machine.receive_data(data)
-        except Exception as error:  # noqa: BLE001 - as `Network._run`: it ends this connection only
+        except Exception as error:  # noqa: BLE001 - as `ConnectionRunner.run`: it ends this connection only
             self.softswitch.core.counters.add("connection_faults")
             self.softswitch.log("fault", why=f"{type(error).__name__}: {error}")
             self._abort()
@@ -346,7 +348,7 @@
 
 
 class Keeper(Driver):
-    """Keeps a connection to a roster server, as `Network._keep`."""
+    """Keeps a connection to a roster server, as `ServerConnector.keep_up`."""
 
     part = "links"
 
@@ -392,18 +394,18 @@
             return
         self._wanted = self._wanted and self.link.urgent
         self._later(0.0 if self._wanted else self.backoff)
-        self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def over(self) -> None:
         """Dial again, sooner where it had been up for long."""
-        if self.clock.now - self.up_at > LONGEST_BACKOFF_S:
-            self.backoff = FIRST_BACKOFF_S
+        if self.clock.now - self.up_at > MAX_BACKOFF_S:
+            self.backoff = MIN_BACKOFF_S
             self._later(0.0)
         elif self.link.retired:
             self._later(0.0)
         else:
             self._later(self.backoff)
-            self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+            self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def _drop(self) -> None:
         self.softswitch.drivers.pop(self, None)
@@ -411,7 +413,7 @@
 
 
 class Follower(Driver):
-    """Keeps the long poll going, as `Network.follow`."""
+    """Keeps the long poll going, as `Network.poll_directory`."""
 
     part = "list"
 
@@ -439,10 +441,10 @@
         if self.stopped:
             return
         if self.directory.is_paused():
-            self._later(REST_S)
+            self._later(POLL_TURN_CHECK_S)
             return
         self._answers = self.directory.answers_received
-        self.world.dial(self, self.directory.address, CONNECT_S, self._up, self._failed)
+        self.world.dial(self, self.directory.address, CONNECT_TIMEOUT_S, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
         self.directory.connected()
@@ -457,9 +459,9 @@
         if self.stopped:
             return
         if self._hurried or self.directory.answers_received > self._answers:
-            self.backoff = FIRST_BACKOFF_S
+            self.backoff = MIN_BACKOFF_S
         self._later(0.0 if self._hurried else self.backoff)
-        self.backoff = min(LONGEST_POLL_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_POLL_BACKOFF_S, 2 * self.backoff)
 
 
 class HollowCaller:
@@ -523,7 +525,7 @@
         """What its fleet takes for the loop."""
         return self
 
-    def datagrams(self, address: tuple[str, int], port: Any) -> None:
+    def open_datagram_port(self, address: tuple[str, int], port: Any) -> None:
         """What its fleet sends goes by the modelled wire."""
         own, world = self.softswitch, self.softswitch.world
 
@@ -544,7 +546,7 @@
     def __init__(self, world: World, index: int) -> None:
         self.world, self.index = world, index
         self.name, self.place = f"s{index}", (f"s{index}", 5090)
-        self.disk = Disk()
+        self.disk = VirtualDisk()
         self.life = 0  # counts up with each start and each end
         self.on = True  # its machine
         self.running = False
@@ -554,7 +556,7 @@
         self.numbered = False  # it goes by a number that it holds
         self.heard: dict[str, int] = {}  # how many changes of each line have come
         self.core: CallManager
-        self.fleet: Fleet | None = None
+        self.fleet: FleetRuntime | None = None
         self.process: Life
         self.store: HollowStore | None = None
         self._timer: Due | None = None
@@ -605,10 +607,11 @@
         assert told is not None
         config = FleetConfig(
             "scale", self.name, self.place, voters, folder=Path(self.name) if self.name in voters else None,
-            terms=Terms(told.term_s, told.drift), numbers=told.numbers, list=told.list,
+            terms=LeaseTimings(told.term_s, told.drift), numbers=told.numbers, list=told.list,
         )  # fmt: skip
         self.process = Life(self)
-        self.fleet = Fleet(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
+        settings = self.world.settings
+        self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
             directory.on_answer, directory.may_poll = self.fleet.heard, self.fleet.may_ask
@@ -970,19 +973,19 @@
     @contextmanager
     def in_place(self) -> Iterator[None]:
         """The virtual clock, folders and dice in place of the machine's own, where the fleet has them."""
-        names = ("clock", "Store", "secrets")
-        was = {name: getattr(fleet_service, name) for name in names}
+        names = ("clock", "VoterStore", "secrets")
+        was = {name: getattr(fleet_runtime, name) for name in names}
         ours = {
             "clock": self.clock.time, "secrets": Dice(self.chance),
-            "Store": lambda folder, call: self.by_name[str(folder)].open_store(),
+            "VoterStore": lambda folder, call: self.by_name[str(folder)].open_store(),
         }  # fmt: skip
         try:
             for name in names:
-                setattr(fleet_service, name, ours[name])
+                setattr(fleet_runtime, name, ours[name])
             yield
         finally:
             for name in names:
-                setattr(fleet_service, name, was[name])
+                setattr(fleet_runtime, name, was[name])
 
     # what is counted
 
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -104,10 +104,10 @@
         The second look is for a request that comes in that moment: the end of the process would reset its
         connection with no answer.
         """
-        if not self._is_settled() or self._parts.network.unseen():
+        if not self._is_settled() or self._parts.network.has_unread():
             return False
         await asyncio.sleep(FINAL_CHECK_S)
-        return self._is_settled() and not self._parts.network.unseen()
+        return self._is_settled() and not self._parts.network.has_unread()
 
     async def _finish_dialogs(self, front: SipFront, skip: asyncio.Event) -> None:
         """Wait for the established dialogs, then end on both sides what is left.
@@ -143,5 +143,5 @@
         """Ask the callers' connections to end and wait until they have."""
         network = self._parts.network
         self._parts.core.complete_shutdown()
-        while not network.emptied() and network.loop.time() < deadline:
+        while not network.has_no_callers() and network.loop.time() < deadline:
             await asyncio.sleep(POLL_S)
--- a/stairhatch/standin/roster.py
+++ b/stairhatch/standin/roster.py
@@ -106,12 +106,16 @@
 
     async def close(self) -> None:
         """End at once."""
-        if self._server is not None:
-            self._server.close()
+        self.stop_listening()
         if self._due is not None:
             self._due.cancel()
         self.cut()
 
+    def stop_listening(self) -> None:
+        """Accept no new connections."""
+        if self._server is not None:
+            self._server.close()
+
     def cut(self) -> None:
         """Every connection ends, as where its process dies; what was open on them is lost."""
         for link in list(self.links):
