--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -728,7 +728,7 @@
     """Seconds from a change told by the coordinator until the softswitch has taken it in."""
     one = {**where.lines[-1 - turn], "lifecycle": "terminating"}
     at, words = where.directory.ask("tell", one), f"server={one['instanceId']}"
-    return float(until(lambda: max(0.0, where.when("listed", words) - at), "a change", SERVES_S))
+    return float(until(lambda: max(0.0, where.when("server_listed", words) - at), "a change", SERVES_S))
 
 
 def program_by_rate(size: int, told: argparse.Namespace) -> dict[str, float]:
--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -83,7 +83,7 @@
         if self.check_instance_index is not None and not self._holds_slot(
             attempt.server, self.check_instance_index
         ):
-            self.context.counters.add("turns_lost")
+            self.context.counters.add("slow_start_slots_lost")
             self.end(attempt, AttemptOutcome.NOT_SENT, NO_LOAD)
             return False
         attempt.written = True
@@ -92,9 +92,9 @@
         self.context.counters.add("attempts_sent")
         if self.context.tracing:
             self.context.log(
-                "attempt",
+                "attempt_sent",
                 call=attempt.call.request.ident,
-                n=attempt.number,
+                attempt=attempt.number,
                 server=attempt.server.record.instance,
             )
         return True
@@ -103,9 +103,9 @@
         """Nothing of a set-up was sent and it has been taken back: `claim_transmission` is asked again."""
         attempt.written = False
         self.context.counters.add("attempts_sent", -1)
-        self.context.counters.add("attempts_taken_back")
+        self.context.counters.add("attempts_retracted")
         if self.context.tracing:
-            self.context.log("taken_back", call=attempt.call.request.ident, n=attempt.number)
+            self.context.log("attempt_retracted", call=attempt.call.request.ident, attempt=attempt.number)
 
     def transmission_failed(self, attempt: Attempt, reached: bool) -> None:
         """The set-up never left: there was no connection, or (`reached`) no capacity on it."""
@@ -137,10 +137,10 @@
         self.context.counters.add("outcome_" + outcome.value.replace(" ", "_"))
         if self.context.tracing:
             self.context.log(
-                "outcome",
+                "attempt_ended",
                 call=call.request.ident,
-                n=attempt.number,
-                ending=outcome.value,
+                attempt=attempt.number,
+                outcome=outcome.value,
                 written=attempt.written,
                 note=note,
             )
@@ -197,5 +197,5 @@
         return controller.slow_start_slots(now, endpoint) > 0
 
     def _log_violation(self, **fields: str) -> None:
-        self.context.log("guard", **fields)
-        self.context.counters.add("guards")
+        self.context.log("rule_violated", **fields)
+        self.context.counters.add("rule_violations")
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -124,7 +124,7 @@
             self.servers.pool.record_changed(server)
             if change.is_listed:
                 state = record.availability.value
-                self.log("listed", server=record.instance, state=state, cell=record.number)
+                self.log("server_listed", server=record.instance, state=state, number=record.number)
         self.dispatcher.dispatch(EndpointsUpdated(tuple(listed), complete))
 
     # ---- what callers do ----
@@ -136,12 +136,12 @@
         now = self.clock()
         deadline = now + request.caller_timeout_s - ANSWER_EARLY_S
         call = self.calls.add(request, session, deadline, self.context.settings.max_attempts)
-        self.counters.add("calls_taken")
-        self.counters.add(f"calls_taken_{request.call_class.name}")
+        self.counters.add("calls_offered")
+        self.counters.add(f"calls_offered_{request.call_class.name}")
         if self.context.tracing:
-            patience_ms = int(request.caller_timeout_s * 1000)
-            kind = request.call_class.name
-            self.log("taken", call=request.ident, kind=kind, patience_ms=patience_ms)
+            caller_timeout_ms = int(request.caller_timeout_s * 1000)
+            name = request.call_class.name
+            self.log("call_offered", call=request.ident, call_class=name, caller_timeout_ms=caller_timeout_ms)
         self.timers.schedule(deadline + BACKSTOP_S, partial(self._fail_unanswered, call.number))
         self.dispatcher.dispatch(
             CallOffered(
@@ -163,9 +163,9 @@
             self.release(call, ReleaseCause.NORMAL_CLEARING)
         if call.state is not CallState.OFFERED:
             return
-        self.counters.add("calls_given_up")
+        self.counters.add("calls_abandoned")
         if self.context.tracing:
-            self.log("left", call=call.request.ident)
+            self.log("call_abandoned", call=call.request.ident)
         self.calls.remove(call)
         attempt = call.attempt
         self.dispatcher.dispatch(CallAbandoned(call.number))
@@ -180,7 +180,7 @@
         if call.state is not CallState.OFFERED or call.caller_gone:
             return
         call.caller_gone = True
-        self.counters.add("callers_away")
+        self.counters.add("callers_disconnected")
         if call.attempt is None or not call.attempt.written:
             self._answer_undecided(call)
 
@@ -190,7 +190,7 @@
             attempt = call.attempt
             self.counters.add("calls_released_by_caller")
             if self.context.tracing:
-                self.log("release", call=call.request.ident, side="caller", cause=int(cause))
+                self.log("call_released", call=call.request.ident, side="caller", cause=int(cause))
             self.servers.pool.send_release(attempt.server, call.request.ident, cause)
             self.calls.remove(call)
             self.attempts.end(attempt, AttemptOutcome.CANCELLED, LoadReport())
@@ -242,7 +242,7 @@
         """
         call = self.calls.by_number.get(number)
         if call is not None and call.state is CallState.OFFERED:
-            self.log("guard", call=call.request.ident, why="the decisions left it unanswered")
+            self.log("rule_violated", call=call.request.ident, why="the decisions left it unanswered")
             self._answer(call, FailCall(call.number))
             self.dispatcher.dispatch(CallAbandoned(call.number))
 
@@ -260,4 +260,4 @@
                 expired = partial(self.dispatcher.dispatch, TimerExpired(label))
                 self.timers.schedule(self.clock() + delay_s, expired)
             case LogMessage(text):
-                self.log("note", text=text)
+                self.log("decision_note", text=text)
--- a/stairhatch/node/console.py
+++ b/stairhatch/node/console.py
@@ -177,7 +177,7 @@
         ready = sum(s.record.availability is Availability.READY for s in core.servers.by_id.values())
         connected = sum(server.connected for server in core.servers.by_id.values())
         counts = core.counters.counts
-        named = ("answers_stood", "answers_refused", "answers_failed", "calls_given_up")
+        named = ("calls_established", "calls_rejected", "calls_failed", "calls_abandoned")
         unusable = counts.get("requests_unusable", 0) + counts.get("malformed_from_callers", 0)
         stood, refused, failed, given_up = (counts.get(name, 0) for name in named)
         why = core.readiness.health().reason or "serving"
--- a/stairhatch/node/final_answers.py
+++ b/stairhatch/node/final_answers.py
@@ -21,15 +21,17 @@
         context = self._context
         self._calls.remove(call)
         if isinstance(action, RejectCall):
-            context.counters.add("answers_refused")
+            context.counters.add("calls_rejected")
             if context.tracing:
-                return_ms = int(action.retry_after_s * 1000)
-                context.log("answer", call=call.request.ident, result="refused", return_ms=return_ms)
+                retry_after_ms = int(action.retry_after_s * 1000)
+                context.log(
+                    "call_answered", call=call.request.ident, result="rejected", retry_after_ms=retry_after_ms
+                )
             call.caller_session.rejected(action.retry_after_s)
         else:
-            context.counters.add("answers_failed")
+            context.counters.add("calls_failed")
             if context.tracing:
-                context.log("answer", call=call.request.ident, result="failed")
+                context.log("call_answered", call=call.request.ident, result="failed")
             call.caller_session.failed(timed_out=context.clock() >= call.deadline - ANSWER_EARLY_S)
 
     def give_undecided(self, call: Call) -> None:
--- a/stairhatch/node/readiness.py
+++ b/stairhatch/node/readiness.py
@@ -124,7 +124,7 @@
         if on is (self.drain_since is not None):
             return
         self.drain_since = self._context.clock() if on else None
-        self._context.counters.add("drains" if on else "drains_undone")
+        self._context.counters.add("drains_started" if on else "drains_cancelled")
         self._context.log("drain", state="on" if on else "off", unanswered=self._calls.unanswered)
         if on:
             self.on_drain_started()
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -56,16 +56,16 @@
         if call is None or attempt is None or attempt.server is not server or not attempt.written:
             context.counters.add("late_answers")
             if context.tracing:
-                context.log("late", call=ident, server=server.record.instance)
+                context.log("late_answer", call=ident, server=server.record.instance)
             self.servers.pool.send_release(server, ident, ReleaseCause.NORMAL_CLEARING)
             return
         if call.state is not CallState.OFFERED:
             return
         now = context.clock()
         self.calls.establish(call, now)
-        context.counters.add("answers_stood")
+        context.counters.add("calls_established")
         if context.tracing:
-            context.log("answer", call=ident, result="stood", n=attempt.number)
+            context.log("call_answered", call=ident, result="established", attempt=attempt.number)
         call.caller_session.established(description.encode("utf-8", "surrogateescape"))
         self.dispatcher.dispatch(CallEstablished(call.number, server.id, now - attempt.started_at))
 
@@ -106,7 +106,7 @@
             return
         self.context.counters.add("releases_of_unknown_calls")
         if self.context.tracing:
-            self.context.log("release", call=ident, side="server", cause=cause, known=False)
+            self.context.log("call_released", call=ident, side="server", cause=cause, known=False)
         self.calls.remember_terminated(ident)
         for listener in self.unknown_release_listeners:
             listener(ident, cause)
@@ -117,10 +117,10 @@
         It is not set up a second time: it has run its course, and its end is owed to the caller
         (rate+silent+leave, where answers come late).
         """
-        self.context.counters.add("calls_ended_unheard")
+        self.context.counters.add("calls_ended_unanswered")
         if self.context.tracing:
             cause = int(ReleaseCause.NORMAL_CLEARING)
-            self.context.log("release", call=call.request.ident, side="server", cause=cause)
+            self.context.log("call_released", call=call.request.ident, side="server", cause=cause)
         call.attempt = None
         self.answers.give(call, FailCall(call.number))
         self.attempts.end(attempt, AttemptOutcome.RESET, report)
@@ -128,9 +128,9 @@
     def _terminate(self, call: Call, attempt: Attempt, cause: int, report: LoadReport) -> None:
         """An established call is over by the roster server's doing: its caller is released."""
         is_normal = cause == ReleaseCause.NORMAL_CLEARING
-        self.context.counters.add("calls_ended" if is_normal else "calls_cut")
+        self.context.counters.add("calls_completed" if is_normal else "calls_lost")
         if self.context.tracing:
-            self.context.log("release", call=call.request.ident, side="server", cause=int(cause))
+            self.context.log("call_released", call=call.request.ident, side="server", cause=int(cause))
         self.calls.remove(call)
         call.caller_session.released(cause)
         outcome = AttemptOutcome.COMPLETED if is_normal else AttemptOutcome.RESET
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -24,8 +24,16 @@
 SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
 BOM = "\ufeff"
 WARNINGS = (
-    "fault", "guard", "malformed", "unreached", "directory", "accept", "link_lost", "link_dead", "doubted"
-)  # fmt: skip
+    "fault",
+    "rule_violated",
+    "malformed",
+    "unreached",
+    "directory",
+    "accept",
+    "link_lost",
+    "link_dead",
+    "doubted",
+)
 NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
 NOT_SD_NAME = re.compile(r'[^\x21-\x7e]|[=\]" ]')
 
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -246,7 +246,7 @@
             taken: dict[str, int] = defaultdict(int)
             for text in self._log(member):
                 words = text.split()
-                if len(words) > 2 and words[1] == "listed" and float(words[0]) >= since:
+                if len(words) > 2 and words[1] == "server_listed" and float(words[0]) >= since:
                     name = words[2].partition("=")[2]
                     if taken[name] < len(self.told[name]):
                         found.append(1000 * (float(words[0]) - self.told[name][taken[name]]))
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -568,7 +568,7 @@
 
     def log(self, event: str, **fields: object) -> None:
         """A line of its log."""
-        if event == "listed":
+        if event == "server_listed":
             self.world.listed(self, str(fields["server"]))
         elif event == "fleet" and fields.get("what") == "number":
             self.numbered = fields["number"] != "none"
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -82,7 +82,7 @@
     )  # full: it is held for another try
     inside.core.controller.wait_no_more(call.number)
     inside.core.attempts.start(SendSetup(call.number, 99))
-    assert inside.core.counters.counts["guards"] == 1
+    assert inside.core.counters.counts["rule_violations"] == 1
     inside.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
     assert call.number in inside.core.controller.waiting, "the decisions have not heard that it never left"
     inside.run(3.5)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -145,11 +145,16 @@
     """
     program, servers = stage(RESET, front=front)
     caller, _ = ask(program, front)
-    until(lambda: [line for line in program.lines("outcome") if line["ending"] == "reset"], "the pause")
+    until(
+        lambda: [line for line in program.lines("attempt_ended") if line["outcome"] == "reset"], "the pause"
+    )
     (first,) = starts(*servers)
     leave(caller, next(iter([m.get("call-id") for _, m in caller.got] or [first])), by, front)
-    until(lambda: program.lines("left") or program.lines("answer"), "that it is known to have left")
-    assert len(program.lines("outcome")) == 1, "it left within the pause"
+    until(
+        lambda: program.lines("call_abandoned") or program.lines("call_answered"),
+        "that it is known to have left",
+    )
+    assert len(program.lines("attempt_ended")) == 1, "it left within the pause"
     ask(program, front)
     until(lambda: len([tag for tag in starts(*servers) if tag != first]) == 2, "the other sent again")
     assert starts(*servers).count(first) == 1
@@ -181,12 +186,12 @@
     until(lambda: starts(*servers))
     (first,) = starts(*servers)
     leave(caller, first, by, "appliance")
-    until(lambda: "callers_away" in counted(program), "that it is known to have gone")
+    until(lambda: "callers_disconnected" in counted(program), "that it is known to have gone")
     for server in servers:
         server.script = RESET
     server = next(each for each in servers if starts(each))
     server.say("FINISH", first, rc=41)
-    until(lambda: program.lines("answer"), "its final answer")
+    until(lambda: program.lines("call_answered"), "its final answer")
     ask(program, "appliance")
     until(lambda: len(starts(*servers)) >= 3, "the other sent again")
     assert starts(*servers).count(first) == 1
@@ -235,12 +240,13 @@
     shut.script = RosterServer.answers
     program, _ = stage(servers=[shut])
     caller, ident = ask(program, "platform")
-    until(lambda: program.lines("taken"))
+    until(lambda: program.lines("call_offered"))
     leave(caller, ident, by)
-    until(lambda: program.lines("left"))
-    assert not program.lines("attempt") and not program.lines("reached"), "it left before the link was up"
+    until(lambda: program.lines("call_abandoned"))
+    assert not program.lines("attempt_sent"), "it left before the link was up"
+    assert not program.lines("reached"), "it left before the link was up"
     other, stays = ask(program, "platform")
-    until(lambda: len(program.lines("taken")) == 2)
+    until(lambda: len(program.lines("call_offered")) == 2)
     threading.Thread(target=shut._accept, daemon=True).start()
     other.expect(stays, 200)
     assert starts(shut) == [stays]
@@ -271,7 +277,7 @@
     caller.send("INVITE", "sip:75@net", sip_headers("INVITE", "1", f"z9hG4bK{call}", call, host, "TCP"), b"d")
     until(lambda: starts(*servers))
     caller.close()
-    until(lambda: "callers_away" in counted(program), "that it is known to have gone")
+    until(lambda: "callers_disconnected" in counted(program), "that it is known to have gone")
     server = next(each for each in servers if starts(each))
     server.say("STARTED", starts(server)[0], blob="late")
     home.settimeout(PATIENCE_S)
@@ -617,12 +623,14 @@
     calls = [(Caller(program.address), next(IDS)) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
         place(caller, ident, front, (31, 47)[number % 2])
-    until(lambda: len(program.lines("taken")) == len(calls) and len(starts(*servers)) >= len(stand) + 3)
+    until(
+        lambda: len(program.lines("call_offered")) == len(calls) and len(starts(*servers)) >= len(stand) + 3
+    )
     until(lambda: sum(200 in caller.finals(ident) for caller, ident in calls) == len(stand))
     answered, paused, *_ = (tag for tag in starts(*servers) if tag not in stand)
     say = {m["tag"]: each.say for each in servers for m in each.of("START")}
     say[paused]("FINISH", paused, rc=41)
-    until(lambda: paused in [line["call"] for line in program.lines("outcome")])
+    until(lambda: paused in [line["call"] for line in program.lines("attempt_ended")])
     program.process.send_signal(signal.SIGSTOP)
     say[answered]("STARTED", answered, blob="late")
     assert len(set(starts(*servers))) < len(calls), "some wait"
@@ -642,7 +650,7 @@
         front == "platform"
     ), "there the limit ends it, at once for all"
     assert " attempt " not in text[limit:] or front != "platform", "nothing new after it"
-    tags = [line["call"] for line in program.lines("attempt")]
+    tags = [line["call"] for line in program.lines("attempt_sent")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
     ended = [m["tag"] for each in servers for m in each.of("FINISH")]
     assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -129,7 +129,7 @@
     """Wait until the first attempt of each has been reset; returns their ids."""
     until(lambda: all(each.attempts(servers) for each in callers), "the first attempts")
     tags = {each.attempts(servers)[0] for each in callers}
-    until(lambda: tags <= set(told(program, "outcome")), "their resets")
+    until(lambda: tags <= set(told(program, "attempt_ended")), "their resets")
     return tags
 
 
@@ -141,7 +141,7 @@
         callers = [Leaver(program, front, way) for way in ways]
         tags = reset(program, servers, callers)
         stop(program)
-        if sum(tag in tags for tag in told(program, "attempt")) == len(callers):
+        if sum(tag in tags for tag in told(program, "attempt_sent")) == len(callers):
             return callers
         go_on(program)  # one was sent again already
         for each in callers:
@@ -164,7 +164,10 @@
     go_on(program)
     until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
     tags = {each.attempts(servers)[0] for each in gone}
-    until(lambda: tags <= {*told(program, "left"), *told(program, "answer")}, "that the others have left")
+    until(
+        lambda: tags <= {*told(program, "call_abandoned"), *told(program, "call_answered")},
+        "that the others have left",
+    )
     later = Leaver(program, front)
     until(lambda: len(later.attempts(servers)) > 1, "one who came after")
     sent_on = [each.way for each in gone if len(each.attempts(servers)) > 1]
@@ -249,7 +252,7 @@
     """
     if front == "appliance":
         return 487 in leaver.caller.finals(leaver.ident)
-    known = set(told(leaver.program, "left"))
+    known = set(told(leaver.program, "call_abandoned"))
     return leaver.ident in known
 
 
@@ -370,7 +373,7 @@
             await asyncio.sleep(0.001)
         begun = set(link.open)
         assert len(begun) <= 3, "the link is slow"
-        assert core.counters.counts["attempts_taken_back"] >= 5, "they had left its queue"
+        assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             go_now(caller, ident, way)
         await come(lambda: core.calls.unanswered == 1)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -655,7 +655,7 @@
     waits.expect(open_one, 200)
     assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
     counted = [program.lines("counters")[-1] for program in (old,)]
-    assert counted[0]["answers_stood"] == "2", "what came after SIGTERM is the new process's"
+    assert counted[0]["calls_established"] == "2", "what came after SIGTERM is the new process's"
     for link in server.links:  # the old process may have dialled more than one, all closed by now
         with contextlib.suppress(OSError):
             server.say("FINISH", standing, link, rc=16)
@@ -681,7 +681,7 @@
     caller.invite(ident)
     for _ in range(20):  # each is one more round of its loop
         assert program.order("check").startswith("fail ")
-    assert not program.lines("taken")
+    assert not program.lines("call_offered")
     platform.coordinator.release()
     caller.expect(ident, 200)
     assert program.order("check").startswith("ok")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -86,7 +86,7 @@
     caller.expect(ident, 200)
     caller.close()
     server.say("FINISH", ident, rc=16)
-    until(lambda: program.lines("release"))
+    until(lambda: program.lines("call_released"))
     program.caller().expect(ident, "BYE")
 
 
@@ -179,7 +179,7 @@
     assert program.process.wait(20) == 0
     assert caller.finals(early) == [200] and newcomer.finals(late) == [200]
     counted = program.lines("counters")[-1]
-    assert counted["calls_taken"] == "2" and counted["answers_stood"] == "2"
+    assert counted["calls_offered"] == "2" and counted["calls_established"] == "2"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -144,7 +144,7 @@
     until(lambda: len(program.lines("reached")) >= 12, "the roster servers, reached again")
     until(lambda: len(coordinator.asked) > asked, "the coordinator, asked again")
     coordinator.tell(instance("s-0", back[0].port, 0, "terminating"))
-    until(lambda: program.lines("listed")[-1]["state"] == "draining", "its news")
+    until(lambda: program.lines("server_listed")[-1]["state"] == "draining", "its news")
     assert program.order("check").startswith("ok")
     ident, newcomer = next(IDS), program.caller()
     newcomer.invite(ident, within=9000)
@@ -283,7 +283,7 @@
     lines[at]["lifecycle"] = "napping"
     lines[drained]["lifecycle"] = "terminating"
     coordinator.tell(lines[at], {"cell": "no name"}, lines[drained])  # returns once the next number is asked
-    states = {line["server"]: line["state"] for line in program.lines("listed")}
+    states = {line["server"]: line["state"] for line in program.lines("server_listed")}
     assert states == {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{open_}": "ready"}
     passed = [line for line in program.lines("directory") if line["why"].startswith("passed")]
     assert len(passed) == 1, "said once"
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -613,7 +613,7 @@
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
-    assert not inside.scoped.live and inside.core.counters.counts["calls_taken"] == 1
+    assert not inside.scoped.live and inside.core.counters.counts["calls_offered"] == 1
     assert other.can_close() and not link.retired and not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -150,7 +150,7 @@
         if wait == 40.0:
             line.ask("ACK", branch="z9hG4bKINVITE1")
         line.ask()
-    assert line.inside.core.counters.counts["calls_taken"] == 1
+    assert line.inside.core.counters.counts["calls_offered"] == 1
     assert len(line.inside.written) == 1
     assert set(line.statuses()) == {100, 487}
 
@@ -225,7 +225,7 @@
     for _ in range(2):
         line.ask(via="SIP/2.0/UDP 127.0.0.1:4000")
     line.ask("CANCEL", via="SIP/2.0/UDP 127.0.0.1:4000")
-    assert line.inside.core.counters.counts["calls_taken"] == 1
+    assert line.inside.core.counters.counts["calls_offered"] == 1
     assert line.statuses()[-1] == 487
 
 
@@ -321,19 +321,19 @@
         at, event = float(words[0]), words[1]
         fields = dict(word.split("=", 1) for word in words[2:] if "=" in word)
         call = fields.get("call", "")
-        if event in ("answer", "left"):
+        if event in ("call_answered", "call_abandoned"):
             finals[call] = finals.get(call, 0) + 1
-        elif event == "taken":
+        elif event == "call_offered":
             finals.setdefault(call, 0)
-        elif event == "attempt":
+        elif event == "attempt_sent":
             if out.get(call):
                 broken.append(f"{call}: two attempts at once")
             if at - ended.get(call, 0.0) < PAUSE_S:
                 broken.append(f"{call}: sent within the pause")
             out[call] = True
-        elif event == "outcome" and fields.get("written") == "True":
+        elif event == "attempt_ended" and fields.get("written") == "True":
             out[call] = False
-            if fields["ending"] in ("timed", "reset", "cancelled"):
+            if fields["outcome"] in ("timed", "reset", "cancelled"):
                 ended[call] = at
     return broken + [f"{call}: {count} final answers" for call, count in finals.items() if count != 1]
 
@@ -393,7 +393,7 @@
     assert program.stop() == 0
     lines = program.text().splitlines()
     assert check(lines) == []
-    assert len(program.lines("taken")) == 24
+    assert len(program.lines("call_offered")) == 24
     attempt = next(line for line in lines if " attempt " in line)
     answer = next(line for line in lines if " answer " in line)
     reset = next(line for line in lines if "ending=reset" in line)
@@ -432,7 +432,7 @@
     for command, shows in [
         ("help", "drain"), ("status", "1 standing"), ("status", "reload     never"), ("status", "links "),
         ("servers", "ready     up"), ("servers", "held standing"), ("calls", "save-roster"),
-        ("counters", "answers_stood"), ("wrong", "try help"),
+        ("counters", "calls_established"), ("wrong", "try help"),
     ]:  # fmt: skip
         stdin.write(command.encode() + b"\n")
         stdin.flush()
