--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -68,11 +68,10 @@
             self._send(attempt)
 
     def claim_transmission(self, attempt: Attempt) -> bool:
-        """Asked when a set-up is really written: whether it may go. Then `remaining_ms` is set and it counts
-        as written.
+        """Asked when a set-up is really written: whether it may go.
 
-        A set-up that has waited for its connection may have been overtaken by its caller, its time-out or
-        the directory.
+        If so, it counts as written and `remaining_ms` is set. A set-up that has waited for its connection may
+        have been overtaken by its caller, its time-out or the directory.
         """
         if attempt.ended or attempt.written:
             return False
@@ -144,7 +143,7 @@
                 written=attempt.written,
                 note=note,
             )
-        if call.caller_gone and call.state is CallState.OFFERED:
+        if call.caller_disconnected and call.state is CallState.OFFERED:
             self.answers.give_undecided(call)
         self.dispatcher.dispatch(
             AttemptEnded(
@@ -182,8 +181,7 @@
             self.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
     def _holds_slot(self, server: RosterServer, check_instance_index: Callable[[], None]) -> bool:
-        """Whether this softswitch still has a slow-start slot at a server that is warming up, where its
-        instance index is one that is leased.
+        """Whether this softswitch still has a slow-start slot at a server, if its index is leased.
 
         A process may have been stopped between its decision and its write, and another may have its index
         by now: both would use the same slots.
--- a/stairhatch/node/call_classes.py
+++ b/stairhatch/node/call_classes.py
@@ -19,11 +19,14 @@
 
 
 class CallClasses:
-    """The call classes by name. A class that a reload took away or changed is remembered for
-    `FORMER_CLASS_S`: its callers have not heard of it yet.
+    """The call classes by name.
+
+    A class that a reload took away or changed is remembered for `FORMER_CLASS_S`: its callers have not heard
+    of it yet.
     """
 
     def __init__(self, classes: Iterable[CallClass], clock: Callable[[], float]) -> None:
+        """Put these classes in force."""
         self._clock = clock
         self._by_name = {call_class.name: call_class for call_class in classes}
         self._former: dict[str, _FormerClass] = {}
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -1,10 +1,10 @@
-"""The calls of one softswitch, from their offer to their final answer and their end. `CallManager` is what
-the fronts, the server connections and the admin endpoint hold; the parts it composes are reached by name.
+"""The calls of one softswitch, from their offer to their final answer and their end.
 
-It feeds the overload control and turns its actions into effects, and it keeps the rules that bind whatever
-the decisions say: one final answer a call, and an answer before the caller's time is up. Those on attempts
-stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire, socket or event loop
-(the clock is passed in), and never decides where a call goes or whether it is rejected.
+`CallManager` is what the fronts, the server connections and the admin endpoint hold; the parts it composes
+are reached by name. It feeds the overload control and turns its actions into effects, and it keeps the rules
+that bind whatever the decisions say: one final answer a call, and an answer before the caller's time is up.
+Those on attempts stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire, socket
+or event loop (the clock is passed in), and never decides where a call goes or whether it is rejected.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class CallManager:
-    """All calls of one softswitch."""
+    """All calls of one softswitch, and the parts that serve them."""
 
     def __init__(
         self,
@@ -64,6 +64,7 @@
         tracing: bool = False,
         decisions: OverloadControl | None = None,
     ) -> None:
+        """Compose the parts. Without `decisions` a `Controller` is made, which draws from `rng`."""
         self.clock = clock
         self.log = log
         self.counters = counters
@@ -108,8 +109,9 @@
         self.controller.update_settings(settings)
 
     def update_servers(self, records: Iterable[ServerRecord], complete: bool) -> None:
-        """Take in what the directory tells; `complete` says that it names every server there is. Calls at a
-        server that is gone, or was restarted, are over.
+        """Take in what the directory tells; `complete` says that it names every server there is.
+
+        Calls at a server that is gone, or was restarted, are over.
         """
         listed = []
         for change in self.servers.update(records, complete):
@@ -156,8 +158,9 @@
         return call
 
     def abandon(self, call: Call) -> None:
-        """The caller gave the set-up up; no answer is owed any more. A call that is established by now is
-        released.
+        """The caller gave the set-up up; no answer is owed any more.
+
+        A call that is established by now is released.
         """
         if call.state is CallState.ESTABLISHED:
             self.release(call, ReleaseCause.NORMAL_CLEARING)
@@ -173,13 +176,14 @@
             self.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
 
     def caller_disconnected(self, call: Call) -> None:
-        """The caller's connection has ended, and an answer would have to be brought to it by another. What is
-        pending is answered now and not forwarded, for nobody waits for it; a set-up that is out may be
+        """The caller's connection has ended, and an answer would have to be brought to it by another.
+
+        A pending call is answered now and not forwarded, for nobody waits for it; a set-up that is out may be
         established, and is the last.
         """
-        if call.state is not CallState.OFFERED or call.caller_gone:
+        if call.state is not CallState.OFFERED or call.caller_disconnected:
             return
-        call.caller_gone = True
+        call.caller_disconnected = True
         self.counters.add("callers_disconnected")
         if call.attempt is None or not call.attempt.written:
             self._answer_undecided(call)
@@ -237,8 +241,10 @@
         self.dispatcher.dispatch(CallAbandoned(call.number))
 
     def _fail_unanswered(self, number: int) -> None:
-        """By the call's number: a timer that held the call kept it, its caller and its description until the
-        longest wait was over, long after its end.
+        """Fail a call that is still unanswered when its time is up.
+
+        It is named by its number: a timer that held the call kept it, its caller and its description until
+        the longest wait was over, long after its end.
         """
         call = self.calls.by_number.get(number)
         if call is not None and call.state is CallState.OFFERED:
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -1,5 +1,6 @@
-"""The records of calls, attempts and roster servers that the call manager and its neighbours share, and the
-registry of the calls that are open.
+"""The records of calls, attempts and roster servers, and the registry of the calls that are open.
+
+They are shared by the call manager, the fronts and the server connections.
 """
 
 from __future__ import annotations
@@ -30,15 +31,26 @@
 
 
 class CallerSession(Protocol):
-    """One call as its front holds it. Exactly one of `established`, `rejected` and `failed` is called, once;
-    before it `progressing` any number of times, where its front asked for that.
+    """One call as its front holds it.
+
+    Exactly one of `established`, `rejected` and `failed` is called, once; before it `progressing` any number
+    of times, where its front asked for that.
     """
 
-    def progressing(self) -> None: ...
-    def established(self, description: bytes) -> None: ...
-    def rejected(self, return_s: float) -> None: ...
-    def failed(self, timed_out: bool) -> None: ...
-    def released(self, cause: int) -> None: ...
+    def progressing(self) -> None:
+        """A roster server is at work on it."""
+
+    def established(self, description: bytes) -> None:
+        """It is established; `description` is the server's session description."""
+
+    def rejected(self, return_s: float) -> None:
+        """It is rejected and may be tried again, after so many seconds; 0 where none are told."""
+
+    def failed(self, timed_out: bool) -> None:
+        """It has failed, because its time is up or for another reason."""
+
+    def released(self, cause: int) -> None:
+        """Its server has ended the established call, by a Q.850 cause."""
 
 
 class CallState(Enum):
@@ -93,13 +105,13 @@
     request: CallRequest
     caller_session: CallerSession
     deadline: float
-    max_attempts: int  # on its attempts
+    max_attempts: int
     state: CallState = CallState.OFFERED
     attempt: Attempt | None = None
     attempts: int = 0
-    pause_until: float = 0.0
+    pause_until: float = 0.0  # no attempt is sent before
     established_at: float = 0.0
-    caller_gone: bool = False  # its caller can't be heard any more: nothing new is sent for it
+    caller_disconnected: bool = False  # its caller can't be heard any more: nothing new is sent for it
 
     def is_retry_safe(self) -> bool:
         """Whether its caller may be told that trying again does no harm."""
@@ -122,11 +134,13 @@
 
 
 class CallRegistry:
-    """The calls that are open, by the number given to them here and by their id, and the ids of calls that
-    have ended lately. Only its methods change the state of a call.
+    """The calls that are open, by the number given to them here and by their id.
+
+    It remembers the ids of calls that have ended lately. Only its methods change the state of a call.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
+        """Begin with no call."""
         self.by_number: dict[int, Call] = {}
         self.by_ident: dict[str, Call] = {}
         self.unanswered = 0  # how many are OFFERED
--- a/stairhatch/node/counters.py
+++ b/stairhatch/node/counters.py
@@ -7,9 +7,10 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What was taken in, sent and answered, by kind."""
+    """Counts by name."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, name: str, by: int = 1) -> None:
+        """Count something once, or `by` times."""
         self.counts[name] = self.counts.get(name, 0) + by
--- a/stairhatch/node/event_dispatcher.py
+++ b/stairhatch/node/event_dispatcher.py
@@ -13,8 +13,9 @@
 
 
 class EventDispatcher:
-    """The only caller of the overload control's `handle`. An event that an action leads to is handled after
-    all actions on the event before it.
+    """The only caller of the overload control's `handle`.
+
+    An event that an action leads to is handled after all actions on the event before it.
     """
 
     def __init__(
@@ -24,6 +25,7 @@
         controller: OverloadControl,
         execute: Callable[[Action], None],
     ) -> None:
+        """Begin with no event; `execute` is called with each action."""
         self.controller = controller
         self._context = context
         self._calls = calls
--- a/stairhatch/node/final_answers.py
+++ b/stairhatch/node/final_answers.py
@@ -13,6 +13,7 @@
     """Ends calls that were offered and not established by rejecting or failing them."""
 
     def __init__(self, context: NodeContext, calls: CallRegistry) -> None:
+        """Answer the calls of this registry."""
         self._context = context
         self._calls = calls
 
--- a/stairhatch/node/ports.py
+++ b/stairhatch/node/ports.py
@@ -11,25 +11,43 @@
 from stairhatch.overload.events import Event
 from stairhatch.overload.settings import Settings
 
-Logger = Callable[..., None]
+Logger = Callable[..., None]  # (event, **fields)
 
 
 class ServerPool(Protocol):
-    """What the core asks of the side that speaks to the roster servers."""
+    """The connections to the roster servers."""
 
-    def record_changed(self, server: RosterServer) -> None: ...
-    def send_setup(self, attempt: Attempt) -> None: ...
-    def send_release(self, server: RosterServer, ident: str, cause: int) -> None: ...
-    def shut_down(self) -> None: ...
-    def is_flushed(self) -> bool: ...
+    def record_changed(self, server: RosterServer) -> None:
+        """The directory has told something of a server."""
+
+    def send_setup(self, attempt: Attempt) -> None:
+        """Write a set-up once there is a connection, if `AttemptManager.claim_transmission` permits."""
+
+    def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
+        """Have a server release a call, or give a set-up up."""
+
+    def shut_down(self) -> None:
+        """Another process goes on: what servers say from now on comes on its connections."""
+
+    def is_flushed(self) -> bool:
+        """Whether the servers have been sent all they have to hear."""
 
 
 class OverloadControl(Protocol):
-    """What decides: a Controller, or what stands in its place."""
+    """What decides where calls go: a `Controller`, or what stands in its place. Times are the clock's."""
 
     @property
-    def endpoints(self) -> Mapping[int, endpoint.Endpoint]: ...
-    def handle(self, now: float, event: Event) -> Iterator[Action]: ...
-    def update_settings(self, settings: Settings) -> None: ...
-    def is_warming_up(self, now: float, server: endpoint.Endpoint) -> bool: ...
-    def slow_start_slots(self, now: float, server: endpoint.Endpoint) -> float: ...
+    def endpoints(self) -> Mapping[int, endpoint.Endpoint]:
+        """What it knows of each server, by the server's id."""
+
+    def handle(self, now: float, event: Event) -> Iterator[Action]:
+        """Take an event in and yield what is to be done."""
+
+    def update_settings(self, settings: Settings) -> None:
+        """Go by other settings from now on."""
+
+    def is_warming_up(self, now: float, server: endpoint.Endpoint) -> bool:
+        """Whether a server is in its slow start."""
+
+    def slow_start_slots(self, now: float, server: endpoint.Endpoint) -> float:
+        """How many set-ups this instance may send to a server in its slow start, now."""
--- a/stairhatch/node/protocol.py
+++ b/stairhatch/node/protocol.py
@@ -1,5 +1,7 @@
-"""The sans-I/O base of every protocol that runs on a connection: fed with bytes, it hands bytes out, and it
-knows neither socket nor event loop. The driver is `node/net.py`.
+"""The sans-I/O base of every protocol on a connection.
+
+A protocol is fed bytes and hands bytes out; it knows neither socket nor event loop. Its driver, which reads and
+writes the socket, is in `node/io/`.
 """
 
 from __future__ import annotations
@@ -12,18 +14,19 @@
 
 
 class ConnectionProtocol:
-    """A state machine at the end of a connection: it is fed bytes, hands bytes out and knows no socket."""
+    """One end of a connection. The driver calls it, and sets `notify_writable` and `abort`."""
 
     def __init__(self) -> None:
-        self.notify_writable: Callable[[], None] = do_nothing  # data is ready; set by the driver
-        self.abort: Callable[[], None] = do_nothing  # end the connection at once; set by the driver
+        """Begin with nothing read, nothing to write and no driver."""
+        self.notify_writable: Callable[[], None] = do_nothing  # `data_to_send` has something
+        self.abort: Callable[[], None] = do_nothing  # end the connection at once
         self.closing = False
-        self.request_received = False  # a whole request has come on it
-        self.writing = False  # what was pulled is on its way; kept by the driver
+        self.request_received = False  # a complete request has come on it
+        self.writing = False  # what was taken for sending is on its way; kept by the driver
         self.reads_until_eof = False  # what comes after its own last word is of use
 
     def owes_response(self) -> bool:
-        """Whether an answer is owed on this connection, so that it must not be closed."""
+        """Whether a response is owed on this connection, so that it must not be closed."""
         return False
 
     def has_partial_message(self) -> bool:
@@ -36,12 +39,13 @@
         self.notify_writable()
 
     def peer_closing(self) -> None:
-        """The peer has closed its side, or reset the connection. What it sent before may still lie unread: it
-        comes by `receive`, and then `ended`. The peer waits for no call any more.
+        """The peer has closed its side, or reset the connection, and waits for no call any more.
+
+        What it sent before may still lie unread: it comes by `receive_data`, and then `eof_received`.
         """
 
     def eof_received(self) -> None:
-        """The peer will send no more. A machine with something left to say sets `closing`: it is written."""
+        """The peer will send no more. A protocol with something left to say sets `closing`: it is written."""
 
     def eviction_response(self) -> bytes:
         """The last word on a connection that has to go for a newcomer."""
@@ -57,23 +61,24 @@
         self.notify_writable()
 
     def can_close(self) -> bool:
-        """Whether the connection may be closed once all is written. Never while an answer is owed on it.
+        """Whether the connection may be closed once all is written.
 
-        Guards against a good set-up that goes down with a bad message behind it on the same connection.
+        Never while a response is owed on it: a good set-up must not go down with a bad message behind it.
         """
         return self.closing and not self.owes_response()
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the peer."""
+        """Take bytes from the peer."""
         raise NotImplementedError
 
     def data_to_send(self) -> bytes:
-        """What is to be written now."""
+        """Hand out what is to be written now."""
         raise NotImplementedError
 
     def reclaim_unsent(self, rest: bytes) -> bytes:
-        """The peer does not take what was pulled last, from `rest` on. Returns how much of that must go yet;
-        the machine hands the others out again once there is room.
+        """Take back what the peer does not read: `rest` of what `data_to_send` gave last.
+
+        Returns how much of that must still go; the protocol hands the others out again once there is room.
         """
         return rest
 
--- a/stairhatch/node/readiness.py
+++ b/stairhatch/node/readiness.py
@@ -1,5 +1,6 @@
-"""Whether this process takes calls: its health as the fronts and the admin endpoint tell it, a drain, and the
-end of the process (graceful shutdown).
+"""Whether this process takes calls: its health, drains, and its end (graceful shutdown).
+
+The fronts answer health checks by it, and so does the admin endpoint.
 """
 
 from __future__ import annotations
@@ -64,6 +65,7 @@
     """One process from its start through drains to its end. What was taken is served throughout."""
 
     def __init__(self, context: NodeContext, calls: CallRegistry, servers: ServerRegistry) -> None:
+        """Begin as a process that does not listen yet and knows no list."""
         self.listening = False  # the fronts take calls
         self.list_known = False  # the directory has been heard
         self.drain_since: float | None = None
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -25,6 +25,7 @@
     """Roster servers by the number given to them here and by the directory's instance id."""
 
     def __init__(self) -> None:
+        """Begin with no server, all numbers being in scope."""
         self.by_id: dict[int, RosterServer] = {}
         self.by_instance: dict[str, RosterServer] = {}
         self.in_scope: Callable[[int], bool] | None = None  # whether a number is connected to; None: all are
@@ -36,8 +37,9 @@
         return self.in_scope is None or self.in_scope(server.record.number)
 
     def update(self, records: Iterable[ServerRecord], complete: bool) -> Iterator[ServerChange]:
-        """Take in what the directory tells, and yield each change as it is made. A `complete` list makes
-        those that it does not name GONE.
+        """Take in what the directory tells, and yield each change as it is made.
+
+        A `complete` list makes those servers GONE that it does not name.
         """
         named = set()
         for record in records:
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -1,5 +1,6 @@
 """What roster servers say of calls and of their load: progress, an established call, a rejection, a release.
-Everything that comes late, twice or from the wrong server is told apart here.
+
+Whatever comes late, twice or from the wrong server is told apart here.
 """
 
 from __future__ import annotations
--- a/stairhatch/node/timer_wheel.py
+++ b/stairhatch/node/timer_wheel.py
@@ -1,5 +1,7 @@
-"""The timers of one process, on a grid: what is to be called when. The driver (`node/net.py`) asks `next_due`
-when to call `run_due`, and sets `on_earlier_due` to hear of a timer that falls due before all others.
+"""The timers of one process, on a grid: what is to be called when.
+
+The driver (`node/io/network.py`) asks `next_due` when to call `run_due`, and sets `on_earlier_due` to hear of a
+timer that falls due before all others.
 """
 
 from __future__ import annotations
@@ -19,6 +21,7 @@
     """Calls that are due at a time of the clock; those of one slot of the grid are called together."""
 
     def __init__(self, context: NodeContext) -> None:
+        """Begin with no timer; the clock is the context's."""
         self.on_earlier_due: Callable[[], None] = do_nothing  # the earliest timer has changed
         self._context = context
         self._slots: dict[float, list[Callable[[], None]]] = {}  # by the time that they are due
@@ -44,8 +47,10 @@
             self.on_earlier_due()
 
     def run_due(self) -> None:
-        """Call what is due. An error in one callback is logged and stops no other: hundreds of answers and
-        pauses may be due in the same 4 ms.
+        """Call what is due.
+
+        An error in one callback is logged and stops no other: hundreds of answers and pauses may be due in the
+        same 4 ms.
         """
         now = self._context.clock()
         while self._due and self._due[0] <= now:
