--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -3,8 +3,8 @@
 `CallManager` is what the fronts, the server connections and the admin endpoint hold; the parts it composes
 are reached by name. It feeds the overload control and turns its actions into effects, and it keeps the rules
 that bind whatever the decisions say: one final answer a call, and an answer before the caller's time is up.
-Those on attempts stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire, socket
-or event loop (the clock is passed in), and never decides where a call goes or whether it is rejected.
+Those on attempts stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire or
+event loop (the clock is passed in), and never decides where a call goes or whether it is rejected.
 """
 
 from __future__ import annotations
--- a/stairhatch/node/protocol.py
+++ b/stairhatch/node/protocol.py
@@ -1,7 +1,7 @@
 """The sans-I/O base of every protocol on a connection.
 
-A protocol is fed bytes and hands bytes out; it knows neither socket nor event loop. Its driver, which reads and
-writes the socket, is in `node/io/`.
+A protocol is fed bytes and hands bytes out; it knows neither socket nor event loop. Its driver, which reads
+and writes the socket, is in `node/io/`.
 """
 
 from __future__ import annotations
--- a/stairhatch/node/timer_wheel.py
+++ b/stairhatch/node/timer_wheel.py
@@ -1,7 +1,7 @@
 """The timers of one process, on a grid: what is to be called when.
 
-The driver (`node/io/network.py`) asks `next_due` when to call `run_due`, and sets `on_earlier_due` to hear of a
-timer that falls due before all others.
+The driver (`node/io/network.py`) asks `next_due` when to call `run_due`, and sets `on_earlier_due` to hear of
+a timer that falls due before all others.
 """
 
 from __future__ import annotations
@@ -49,8 +49,8 @@
     def run_due(self) -> None:
         """Call what is due.
 
-        An error in one callback is logged and stops no other: hundreds of answers and pauses may be due in the
-        same 4 ms.
+        An error in one callback is logged and stops no other: hundreds of answers and pauses may be due in
+        the same 4 ms.
         """
         now = self._context.clock()
         while self._due and self._due[0] <= now:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -649,7 +649,7 @@
     assert text.count(" drain_deadline_reached ") == (
         front == "platform"
     ), "there the limit ends it, at once for all"
-    assert " attempt " not in text[limit:] or front != "platform", "nothing new after it"
+    assert " attempt_sent " not in text[limit:] or front != "platform", "nothing new after it"
     tags = [line["call"] for line in program.lines("attempt_sent")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
     ended = [m["tag"] for each in servers for m in each.of("FINISH")]
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -394,11 +394,11 @@
     lines = program.text().splitlines()
     assert check(lines) == []
     assert len(program.lines("call_offered")) == 24
-    attempt = next(line for line in lines if " attempt " in line)
-    answer = next(line for line in lines if " answer " in line)
-    reset = next(line for line in lines if "ending=reset" in line)
+    attempt = next(line for line in lines if " attempt_sent " in line)
+    answer = next(line for line in lines if " call_answered " in line)
+    reset = next(line for line in lines if "outcome=reset" in line)
     call = next(word for word in reset.split(" ") if word.startswith("call="))
-    hasty = f"{reset.split(' ')[0]} attempt {call} n=9 server=s"
+    hasty = f"{reset.split(' ')[0]} attempt_sent {call} attempt=9 server=s"
     for extra in ([attempt, attempt], [answer], [reset, hasty]):
         assert check(lines + extra), "the check must tell"
     assert check([line for line in lines if line is not answer]), "the check must tell a missing answer"
