--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -14,12 +14,13 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.io.network import Listening, Network
+from stairhatch.node.io.listener import Listener
+from stairhatch.node.io.network import Network
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 
 if TYPE_CHECKING:
-    from stairhatch.fleet.service import Fleet
+    from stairhatch.fleet.runtime import FleetRuntime
     from stairhatch.scope.decisions import ScopedController
     from stairhatch.sip.front import SipFront
 
@@ -47,5 +48,5 @@
     trunk: TrunkFront | None = None
     sip: SipFront | None = None
     directory: Directory | None = None
-    fleet: Fleet | None = None
-    caller_listeners: list[Listening] = field(default_factory=list)
+    fleet: FleetRuntime | None = None
+    caller_listeners: list[Listener] = field(default_factory=list)
--- a/stairhatch/connection_limits.py
+++ b/stairhatch/connection_limits.py
@@ -8,11 +8,11 @@
 import resource
 
 from stairhatch.config import Config
-from stairhatch.node.io.accepted_connection import Bounds
 from stairhatch.node.io.descriptor_budget import UNLIMITED
+from stairhatch.node.io.listener import ListenerLimits
 
 # At the admin endpoint. Its descriptors are set aside: callers cannot use them up.
-ADMIN_BOUNDS = Bounds(most=12, first_s=3.0, young_s=0.05)
+ADMIN_LIMITS = ListenerLimits(max_connections=12, first_request_timeout_s=3.0, eviction_grace_s=0.05)
 CALLERS_PER_MEMORY_MB = 8  # connections; they fill a quarter of the memory at most
 MIN_CALLERS = 16
 
@@ -25,7 +25,7 @@
     one (an inherited socket), since both count together.
     """
     limit = min(config.sockets * 3 // 4, config.memory_mb * CALLERS_PER_MEMORY_MB)
-    return max(MIN_CALLERS, limit if config.inherited is None else limit // 2 - ADMIN_BOUNDS.most)
+    return max(MIN_CALLERS, limit if config.inherited is None else limit // 2 - ADMIN_LIMITS.max_connections)
 
 
 def descriptor_limit(config: Config) -> int:
--- a/stairhatch/node/protocol.py
+++ b/stairhatch/node/protocol.py
@@ -1,7 +1,7 @@
 """The sans-I/O base of every protocol on a connection.
 
 A protocol is fed bytes and hands bytes out; it knows neither socket nor event loop. Its driver, which reads
-and writes the socket, is in `node/io/`.
+and writes the socket, is `node/io/connection_runner.py`.
 """
 
 from __future__ import annotations
@@ -16,6 +16,9 @@
 class ConnectionProtocol:
     """One end of a connection. The driver calls it, and sets `notify_writable` and `abort`."""
 
+    counts_requests = False  # whether `requests` is kept; only then does noise count as idleness
+    requests = 0  # complete requests that have come on the connection
+
     def __init__(self) -> None:
         """Begin with nothing read, nothing to write and no driver."""
         self.notify_writable: Callable[[], None] = do_nothing  # `data_to_send` has something
