--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -22,11 +22,12 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
 from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
-from stairhatch.node.service_discovery import ServiceDiscoveryClient, ServiceDiscoveryError, apply_answer
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.reload import ConfigReloader
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -93,11 +93,11 @@
 
 
 def _place(text: str, option: str) -> tuple[str, int] | None:
-    from stairhatch.node.service_discovery import ServiceDiscoveryError, parse_address
+    from stairhatch.node.address import AddressError, parse_address
 
     try:
         return parse_address(text) if text else None
-    except ServiceDiscoveryError as error:
+    except AddressError as error:
         raise click.BadParameter(str(error), param_hint=option) from None
 
 
--- a/stairhatch/config/appliance/addresses.py
+++ b/stairhatch/config/appliance/addresses.py
@@ -6,7 +6,7 @@
 
 from stairhatch.config.appliance.schema import Listeners, ListenerTable
 from stairhatch.config.model import ConfigError
-from stairhatch.node.service_discovery import ServiceDiscoveryError, parse_address
+from stairhatch.node.address import AddressError, parse_address
 from stairhatch.sip.flows import Networks, Place, is_address
 from stairhatch.sip.front import Listener
 
@@ -17,7 +17,7 @@
     """Return the address under a key. Raises ConfigError that names the key if it is none."""
     try:
         return parse_address(text)
-    except ServiceDiscoveryError as error:
+    except AddressError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
--- a/stairhatch/config/platform.py
+++ b/stairhatch/config/platform.py
@@ -12,7 +12,8 @@
 
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.config.reading import checked_settings, read_text
-from stairhatch.node.service_discovery import ServiceDiscoveryError, parse_address, parse_answer
+from stairhatch.node.address import AddressError, parse_address
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, parse_answer
 from stairhatch.settings.errors import SettingsError
 from stairhatch.settings.schema import MAX_COUNT, NumberShape, ObjectShape, TextShape, validate
 
@@ -81,7 +82,7 @@
         raise ConfigError(f"{key}: is missing")
     try:
         return parse_address(source[key])
-    except ServiceDiscoveryError as error:
+    except AddressError as error:
         raise ConfigError(f"{key}: {error}") from error
 
 
--- a/stairhatch/node/io/persistent_connections.py
+++ b/stairhatch/node/io/persistent_connections.py
@@ -115,7 +115,7 @@
             try:
                 sock = await self._connector.connect(address)
             except (OSError, TimeoutError):
-                self._runner.core.counters.add("directory_unreached")
+                self._runner.core.counters.add("discovery_unreachable")
             else:
                 if directory.address != address:  # it has moved in the meantime
                     sock.close()
--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -1,6 +1,9 @@
-"""The coordinator's directory: owns the long poll for changes of the list of roster servers and its HTTP, as
-a state machine that is fed bytes and hands bytes out. It must never know a socket, never skip an event, and
-never judge a server: it only says what the list says.
+"""The service discovery client: long polls of the coordinator for changes of the list of call servers.
+
+A sans-I/O protocol of HTTP/1.1: the driver (`stairhatch.node.io`) connects and carries the bytes. A stalled or
+odd answer ends the connection, and the driver connects again; what was known stays in force meanwhile. What an
+answer holds is read in `stairhatch.node.endpoint_list`. Log event: `service_discovery`; counters:
+`discovery_...`.
 """
 
 from __future__ import annotations
@@ -13,301 +16,214 @@
 import httptools
 
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.calls import ServerRecord
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, skip_unreadable
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
-from stairhatch.overload.events import Availability
 
 FIRST_POLL_WAIT_MS = (
-    50  # the first answer tells at once whether what was known at the start is the whole list
-)
-FIRST_ANSWER_TIMEOUT_S = (
-    1.5  # a coordinator that is not heard does not keep a softswitch that knows a list from serving
-)
-POLL_WAIT_MS = (
-    2000  # what is missed by a silent stop is asked for again so much sooner than with the longest wait
+    50  # the first answer tells at once whether the servers known at the start are the whole list
 )
-ANSWER_TIMEOUT_S = (
-    POLL_WAIT_MS / 1000 + 0.7
-)  # an answer that is not whole by then will not come on this connection
+POLL_WAIT_MS = 2000  # shorter than the coordinator allows: what a silent stop hid is asked for so much sooner
+ANSWER_MARGIN_S = 0.7  # beyond that wait; a whole answer that takes longer will not come on this connection
+ANSWER_TIMEOUT_S = POLL_WAIT_MS / 1000 + ANSWER_MARGIN_S
+FIRST_ANSWER_TIMEOUT_S = 1.5  # then a softswitch that knows some servers serves without a coordinator
+IMMEDIATE_ANSWER_S = 0.025  # an answer that comes so soon, and brings nothing new,
+EMPTY_ANSWER_PAUSE_S = 0.1  # makes the next request wait: the coordinator does not hold polls back
+HTTP_OK = 200
 MAX_BODY_BYTES = 4 * 1024 * 1024
-MAX_REQUESTS = (
-    3  # so often an answer with a line that can't be read is asked for, before the others are taken
-)
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-IMMEDIATE_ANSWER_S, EMPTY_ANSWER_PAUSE_S = (
-    0.025,
-    0.1,
-)  # an answer that comes so soon and tells nothing new: the next question waits
-STATES = {
-    "in_service": Availability.READY,
-    "terminating": Availability.DRAINING,
-    "terminated": Availability.GONE,
-}
-
-
-class ServiceDiscoveryError(ValueError):
-    """An answer that is not the directory's."""
-
-
-def parse_address(text: object) -> tuple[str, int]:
-    """`host:port`, with IPv6 in brackets."""
-    host, _, port = str(text).rpartition(":")
-    if ":" in host:
-        host = host[1:-1] if host[0] == "[" and host[-1] == "]" else ""
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ServiceDiscoveryError(f"{text!r} is no address")
-    return host, int(port)
-
-
-def _listing(raw: dict[str, Any]) -> ServerRecord:
-    return ServerRecord(
-        instance=str(raw["instanceId"]),
-        address=parse_address(str(raw["hostPort"])),
-        number=int(raw["cell"]),
-        availability=STATES[raw["lifecycle"]],
-        started_at=float(raw.get("startedAtMs") or 0) / 1000,
-    )
-
-
-Change = tuple[int, list[ServerRecord], bool]
-
-
-def parse_answer(answer: Any, after: int) -> tuple[int, list[Change]]:
-    """The number of the last event, and what is new in an answer or `known`; DirectoryError if it is odd."""
-    try:
-        last, changes = int(answer["index"]), []
-        for event in answer["updates"]:
-            index, told = int(event["index"]), event.get("endpoints")
-            if index > after and told is not None:
-                lines = [_listing(raw) for raw in told["instances"]]
-                changes.append((index, lines, bool(told.get("reset")) or after == 0))
-            after = max(after, index)
-    except UNREADABLE as error:
-        raise ServiceDiscoveryError(f"directory event: {type(error).__name__}: {error}") from None
-    return max(last, after), changes
-
-
-def _raw(line: ServerRecord) -> dict[str, Any]:
-    """A line as the coordinator tells it."""
-    host, port = line.address
-    return {
-        "instanceId": line.instance, "hostPort": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
-        "cell": line.number, "lifecycle": "in_service", "startedAtMs": round(line.started_at * 1000),
-    }  # fmt: skip
-
-
-def skip_unreadable(core: CallManager, answer: Any, after: int) -> tuple[Any, str]:
-    """An answer without the lines in it that can't be read, and what was passed over; DirectoryError if it is
-    odd beyond that.
-
-    In their place stands that their servers get nothing new until a line says so, and that what stands there
-    goes on; only that a server is gone is believed of such a line. In a whole list a line without a name may
-    be that of any server not named. Guards against set-ups to a server whose drain was told in such a line,
-    which no rule allows; where it told that one is ready, the others bear its share meanwhile.
-    """
-    known = {
-        name: _raw(server.record)
-        for name, server in core.servers.by_instance.items()
-        if server.record.availability is not Availability.GONE
-    }
-    events, said = [], []
-    try:
-        for event in answer["updates"]:
-            index, told = int(event["index"]), event.get("endpoints")
-            if index <= after or told is None:
-                events.append(event)
-                continue
-            lines: dict[str, Any] = {}
-            unread: dict[str, str] = {}
-            for raw in told["instances"]:
-                try:
-                    lines[_listing(raw).instance] = raw
-                except UNREADABLE as error:
-                    name = raw.get("instanceId") if isinstance(raw, dict) else None
-                    name = name if isinstance(name, str) else ""
-                    gone = bool(name) and raw.get("lifecycle") == "terminated"
-                    unread[name] = "terminated" if gone else "terminating"
-                    said.append(f"{name or 'a line'}: {type(error).__name__}: {error}"[:80])
-            complete = bool(told.get("reset")) or after == 0
-            if complete and "" in unread:
-                unread = {**dict.fromkeys(known, "terminating"), **unread}
-            held = {n: {**known[n], "lifecycle": unread[n]} for n in unread if n in known and n not in lines}
-            known = {**({} if complete else known), **lines, **held}
-            instances = [*lines.values(), *held.values()]
-            events.append({**event, "endpoints": {**told, "instances": instances}})
-            after = index
-    except UNREADABLE as error:
-        raise ServiceDiscoveryError(f"directory event: {type(error).__name__}: {error}") from None
-    return {**answer, "updates": events}, "; ".join(said[:4])
-
-
-def apply_answer(core: CallManager, answer: Any, after: int) -> int:
-    """Tell the core what is new; returns the number of the last event. An odd answer changes nothing."""
-    last, changes = parse_answer(answer, after)
-    for _, lines, complete in changes:
-        core.update_servers(lines, complete)
-    return last
+MAX_REQUESTS = 3  # for an answer with an unreadable line; then its other lines are taken
 
 
 class ServiceDiscoveryClient(ConnectionProtocol):
-    """The subscription. A broken or odd answer ends the connection; the driver comes again."""
+    """The subscription to one coordinator.
+
+    The driver sets `reconnect_now`; `on_answer` and `may_poll` are set where one softswitch polls for several
+    (`stairhatch.fleet`).
+    """
 
     def __init__(self, core: CallManager, address: tuple[str, int], after: int) -> None:
+        """`after` is the index of the last event that is known."""
         super().__init__()
-        self.core, self.address, self.last_index = core, address, after
+        self.core = core
+        self.address = address
+        self.last_index = after
         self.answers_received = 0
-        self.last_answer_at = core.clock()  # when the last whole answer came
-        self.reconnect_now: Callable[[], None] = do_nothing  # come at once, set by the driver
-        self.on_answer: Callable[[Any], None] | None = None  # hears each answer that has been taken in
-        self.may_poll: Callable[[], bool] | None = None  # whether it is this softswitch's turn to ask
-        self._asked, self._asked_at = 0, 0.0
-        self._odd = 0  # answers since the last that could be taken
-        self._older = False  # the last answer's number was below what is known
-        self._parser: Any = None
-        self._output = b""
+        self.last_answer_at = core.clock()
+        self.reconnect_now: Callable[[], None] = do_nothing
+        self.on_answer: Callable[[Any], None] | None = None  # called with each answer that has been applied
+        self.may_poll: Callable[[], bool] | None = None  # whether it is this softswitch that polls
+        self._request_number = 0
+        self._requested_at = 0.0
+        self._unusable_answers = 0  # since the last one that could be applied
+        self._is_behind = False  # the last answer's index was below what is known
+        self._parser: Any = None  # of the answer under way; None: not connected
         self._body = bytearray()
-        core.timers.schedule(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._unheard)
+        self._output = b""
+        core.timers.schedule(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._first_answer_overdue)
 
-    def _unheard(self) -> None:
-        """No answer so far: what was known at the start has to do."""
+    def _first_answer_overdue(self) -> None:
+        """What was known at the start has to do."""
         self.core.readiness.list_known = True
 
+    # ---- what others ask of it ----
+
     def switch_coordinator(self, address: tuple[str, int]) -> None:
-        """Another coordinator goes on with the same numbers: leave the old one, whatever it still holds."""
+        """Go on at another coordinator, which counts events alike; the old one is left at once."""
         self.address = address
         self.abort()
         self.reconnect_now()
 
     def is_paused(self) -> bool:
-        """Whether somebody else asks, and hands on what is new."""
+        """Return whether another softswitch polls, and relays what is new."""
         return self.may_poll is not None and not self.may_poll()
 
     def accept_relayed(self, answer: Any) -> None:
-        """The list came from whoever asks for all. What is odd changes nothing, what is old neither."""
+        """Apply an answer that another softswitch has polled. An odd or old one changes nothing."""
         try:
-            self._take(answer, pass_over=True)
+            self._apply(answer, skip_lines=True)
         except ServiceDiscoveryError as error:
-            self.core.log("directory", why=f"handed on: {error}")
+            self._log(f"handed on: {error}")
             return
         self.core.readiness.list_known = True
         self.last_answer_at = self.core.clock()
 
+    # ---- requests ----
+
     def connected(self) -> None:
-        """A connection has come up."""
+        """Begin to poll on a new connection."""
         self.closing = False
-        self._ask()
-
-    def _stalled(self, asked: int) -> None:
-        """No whole answer came in time.
-
-        Guards against a coordinator that stops, also in mid-event, and leaves the connection open: changes
-        count as told 2 s after the wait that was asked for.
-        """
-        if asked == self._asked and self._parser is not None:
-            self.core.counters.add("directory_stalls")
-            self.core.log("directory", why="no whole answer in time")
-            self.abort()
+        self._request()
 
-    def _ask(self) -> None:
+    def _request(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
-        self._asked, self._asked_at = self._asked + 1, self.core.clock()
-        self.core.timers.schedule(self._asked_at + ANSWER_TIMEOUT_S, partial(self._stalled, self._asked))
+        self._request_number += 1
+        self._requested_at = self.core.clock()
+        deadline = self._requested_at + ANSWER_TIMEOUT_S
+        self.core.timers.schedule(deadline, partial(self._answer_overdue, self._request_number))
         wait_ms = POLL_WAIT_MS if self.core.readiness.list_known else FIRST_POLL_WAIT_MS
         path = f"/v2/stream?follow={self.last_index}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
         self._output = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
         self.notify_writable()
 
-    def _ask_again(self, asked: int) -> None:
-        """Guards against a coordinator that answers at once though nothing is new: a core went to that."""
-        if asked == self._asked and self._parser is not None and not self.closing:
-            self._ask()
+    def _is_awaiting(self, request_number: int) -> bool:
+        return request_number == self._request_number and self._parser is not None
+
+    def _answer_overdue(self, request_number: int) -> None:
+        """End the connection if a request has no whole answer yet.
+
+        A coordinator may stop, also in mid-event, and leave the connection open, while changes count as
+        notified 2 s after the wait that was asked for.
+        """
+        if self._is_awaiting(request_number):
+            self.core.counters.add("discovery_stalls")
+            self._log("no whole answer in time")
+            self.abort()
+
+    def _request_after_pause(self, request_number: int) -> None:
+        if self._is_awaiting(request_number) and not self.closing:
+            self._request()
+
+    # ---- answers ----
 
-    def _take(self, answer: Any, pass_over: bool) -> Any:
-        """Take an answer in, and return it as it was taken. One with a line that can't be read is asked for
-        again, since it may have been spoilt on its way; where it stays so the other lines are taken.
+    def _apply(self, answer: Any, skip_lines: bool) -> Any:
+        """Apply an answer; return it as it was applied.
 
-        Guards against a list that stands still for one line of it: drains told in the others went unheard.
+        One with an unreadable line is requested again, since it may have been spoilt on its way. Where it stays
+        so the other lines are taken (`skip_lines`): drains that they tell must not wait for one bad line.
         """
-        self._odd += 1
-        said = ""
-        if pass_over:
-            answer, said = skip_unreadable(self.core, answer, self.last_index)
+        self._unusable_answers += 1
+        skipped = ""
+        if skip_lines:
+            readable = skip_unreadable(self.core, answer, self.last_index)
+            answer = readable.answer
+            skipped = readable.skipped
         self.last_index = apply_answer(self.core, answer, self.last_index)
-        self._odd = 0
-        if said:
-            self.core.counters.add("directory_lines_unread")
-            self.core.log("directory", why=f"passed over, nothing new goes there: {said}")
+        self._unusable_answers = 0
+        if skipped:
+            self.core.counters.add("discovery_lines_skipped")
+            self._log(f"passed over, nothing new goes there: {skipped}")
         return answer
 
-    def _look_at_number(self, index: int) -> None:
-        """A coordinator that has lost its memory counts from an older number: what is known is kept, and the
-        number asked for too, so that nothing is taken twice; whoever is on call is told.
+    def _check_index(self, index: int) -> None:
+        """Say once if the coordinator has lost its memory and counts from an older index.
+
+        What is known stays, and so does the index that is polled for: nothing is taken twice.
         """
-        older = index < self.last_index
-        if older and not self._older:
-            self.core.counters.add("directory_older")
-            self.core.log(
-                "directory", why=f"its number {index} is older than {self.last_index}, which is kept"
-            )
-        self._older = older
+        is_behind = index < self.last_index
+        if is_behind and not self._is_behind:
+            self.core.counters.add("discovery_index_behind")
+            self._log(f"its number {index} is older than {self.last_index}, which is kept")
+        self._is_behind = is_behind
+
+    def _log(self, reason: str) -> None:
+        self.core.log("service_discovery", why=reason)
+
+    # ---- the connection ----
 
     def data_to_send(self) -> bytes:
-        """What is to be written."""
-        data, self._output = self._output, b""
+        """Return the request that has not been written yet."""
+        data = self._output
+        self._output = b""
         return data
 
     def connection_lost(self) -> None:
-        """The connection has ended."""
+        """Forget the answer under way."""
         self._parser = None
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the coordinator."""
+        """Take bytes of an answer. What is no answer of a coordinator ends the connection."""
         if self.closing:
             return
         try:
             self._parser.feed_data(bytes(data))
         except (httptools.HttpParserError, ServiceDiscoveryError) as error:
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else error
-            self.core.counters.add("directory_faults")
-            self.core.log("directory", why=str(cause or error))
+            self.core.counters.add("discovery_faults")
+            self._log(str(cause or error))
             self.closing = True
             self.notify_writable()
 
     def on_body(self, body: bytes) -> None:
-        """Part of an answer."""
+        """Collect the body; httptools calls this."""
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
             raise ServiceDiscoveryError("answer too long")
 
     def on_message_complete(self) -> None:
-        """A whole answer: tell the news and ask for more."""
-        status = self._parser.get_status_code()
-        if status != 200:
-            raise ServiceDiscoveryError(f"status {status}")
-        try:
-            answer = json.loads(self._body)
-        except ValueError:
-            raise ServiceDiscoveryError("answer is no JSON") from None
-        keep, before = self._parser.should_keep_alive(), self.last_index
-        answer = self._take(answer, pass_over=self._odd >= MAX_REQUESTS - 1)
-        self._look_at_number(int(answer["index"]))
-        self.answers_received, self.last_answer_at = self.answers_received + 1, self.core.clock()
+        """Apply a whole answer and poll again; httptools calls this."""
+        keep_alive = self._parser.should_keep_alive()
+        index_before = self.last_index
+        answer = self._apply(self._decoded(), skip_lines=self._unusable_answers >= MAX_REQUESTS - 1)
+        self._check_index(int(answer["index"]))
+        self.answers_received += 1
+        self.last_answer_at = self.core.clock()
         self.core.readiness.list_known = True
-        self.core.counters.add("directory_answers")
+        self.core.counters.add("discovery_answers")
         if self.on_answer is not None:
             self.on_answer(answer)
-        now = self.core.clock()
-        idle_turn = (
-            self.last_index == before
-            and now < self._asked_at + IMMEDIATE_ANSWER_S
-            and self.answers_received > 1
-        )
-        if keep and not self.is_paused() and idle_turn:
-            self.core.timers.schedule(now + EMPTY_ANSWER_PAUSE_S, partial(self._ask_again, self._asked))
-        elif keep and not self.is_paused():
-            self._ask()
-        else:
+        if not keep_alive or self.is_paused():
             self.closing = True
             self.notify_writable()
+        elif self._was_immediate_and_empty(index_before):
+            next_at = self.core.clock() + EMPTY_ANSWER_PAUSE_S
+            self.core.timers.schedule(next_at, partial(self._request_after_pause, self._request_number))
+        else:
+            self._request()
+
+    def _decoded(self) -> Any:
+        status = self._parser.get_status_code()
+        if status != HTTP_OK:
+            raise ServiceDiscoveryError(f"status {status}")
+        try:
+            return json.loads(self._body)
+        except ValueError as error:
+            raise ServiceDiscoveryError("answer is no JSON") from error
+
+    def _was_immediate_and_empty(self, index_before: int) -> bool:
+        """Return whether the answer brought nothing new and came at once, and is not the first."""
+        return (
+            self.last_index == index_before
+            and self.core.clock() < self._requested_at + IMMEDIATE_ANSWER_S
+            and self.answers_received > 1
+        )
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -28,7 +28,7 @@
     "rule_violated",
     "malformed",
     "unreached",
-    "directory",
+    "service_discovery",
     "accept",
     "link_lost",
     "link_dead",
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -14,7 +14,7 @@
 from stairhatch.components import Components
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.service_discovery import ServiceDiscoveryError, apply_answer, parse_answer
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, parse_answer
 from stairhatch.settings.errors import LostKeyError
 from stairhatch.settings.lost_keys import check_no_key_lost
 
@@ -90,11 +90,11 @@
     def _read(self) -> _Candidate:
         """Read and check a configuration before anything is changed."""
         new = self._read_config()
-        listed = parse_answer(new.known, 0)[1]
+        listed = parse_answer(new.known, 0).events
         check_no_key_lost(self.config.raw, new.raw)
         if (new.coordinator is None) is not (self.config.coordinator is None):
             raise ConfigError("a coordinator in place of listed servers, or the reverse, wants a restart")
-        return _Candidate(new, listed[0][1] if listed else [])
+        return _Candidate(new, listed[0].endpoints if listed else [])
 
     def _apply(self, candidate: _Candidate) -> ReloadApplied:
         old = self.config
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -451,7 +451,7 @@
         self.began(stream)
 
     def _failed(self, refused: bool) -> None:
-        self.softswitch.core.counters.add("directory_unreached")
+        self.softswitch.core.counters.add("discovery_unreachable")
         self.over()
 
     def over(self) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -589,12 +589,14 @@
     answer(9)
     directory.data_to_send()
     answer(4)
-    assert directory.last_index == 9 and [fields["why"] for event, fields in told if event == "directory"]
+    assert directory.last_index == 9 and [
+        fields["why"] for event, fields in told if event == "service_discovery"
+    ]
     assert not directory.data_to_send(), "it answered at once: the next question waits"
     inside.run(EMPTY_ANSWER_PAUSE_S + 0.01)
     assert b"follow=9" in directory.data_to_send()
     answer(4)
-    assert len([event for event, _ in told if event == "directory"]) == 1, "told once"
+    assert len([event for event, _ in told if event == "service_discovery"]) == 1, "told once"
 
 
 # ---- the signal to end, with calls at each point of their life ----
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -135,7 +135,7 @@
     before = counters(program)
     crowd = Crowd(program.address, 2 * min(told, real), again)
     until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
-    missed = ("roster_connections_failed", "directory_unreached")
+    missed = ("roster_connections_failed", "discovery_unreachable")
     until(lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed")
     assert counters(program)["connections_evicted"] > 0, "callers who hold on were in excess"
     asked = len(coordinator.asked)
@@ -289,7 +289,7 @@
     coordinator.tell(lines[at], {"cell": "no name"}, lines[drained])  # returns once the next number is asked
     states = {line["server"]: line["state"] for line in program.lines("server_listed")}
     assert states == {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{open_}": "ready"}
-    passed = [line for line in program.lines("directory") if line["why"].startswith("passed")]
+    passed = [line for line in program.lines("service_discovery") if line["why"].startswith("passed")]
     assert len(passed) == 1, "said once"
     before = [len(each.of("START")) for each in servers]
     for _ in range(6):
