--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -1,8 +1,8 @@
 """The service discovery client: long polls of the coordinator for changes of the list of call servers.
 
-A sans-I/O protocol of HTTP/1.1: the driver (`stairhatch.node.io`) connects and carries the bytes. A stalled or
-odd answer ends the connection, and the driver connects again; what was known stays in force meanwhile. What an
-answer holds is read in `stairhatch.node.endpoint_list`. Log event: `service_discovery`; counters:
+A sans-I/O protocol of HTTP/1.1: the driver (`stairhatch.node.io`) connects and carries the bytes. A stalled
+or odd answer ends the connection, and the driver connects again; what was known stays in force meanwhile. What
+an answer holds is read in `stairhatch.node.endpoint_list`. Log event: `service_discovery`; counters:
 `discovery_...`.
 """
 
@@ -19,9 +19,7 @@
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, skip_unreadable
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
-FIRST_POLL_WAIT_MS = (
-    50  # the first answer tells at once whether the servers known at the start are the whole list
-)
+FIRST_POLL_WAIT_MS = 50  # the first answer tells at once whether the known servers are the whole list
 POLL_WAIT_MS = 2000  # shorter than the coordinator allows: what a silent stop hid is asked for so much sooner
 ANSWER_MARGIN_S = 0.7  # beyond that wait; a whole answer that takes longer will not come on this connection
 ANSWER_TIMEOUT_S = POLL_WAIT_MS / 1000 + ANSWER_MARGIN_S
@@ -129,8 +127,8 @@
     def _apply(self, answer: Any, skip_lines: bool) -> Any:
         """Apply an answer; return it as it was applied.
 
-        One with an unreadable line is requested again, since it may have been spoilt on its way. Where it stays
-        so the other lines are taken (`skip_lines`): drains that they tell must not wait for one bad line.
+        One with an unreadable line is requested again, since it may have been spoilt on its way. Where it
+        stays so the other lines are taken (`skip_lines`): their drains must not wait for one bad line.
         """
         self._unusable_answers += 1
         skipped = ""
