--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -43,9 +43,9 @@
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.protocol import do_nothing
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
 ENDPOINT_LIST_LEASE = "list"
@@ -124,7 +124,7 @@
         slots = restart_slots.lease_names(config.restarts)
         pick = LeasePool(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
         self.restarts = RestartSlotLease(pick)
-        self.directory: Directory | None = None
+        self.directory: ServiceDiscoveryClient | None = None
         self.listed, self.parts = EndpointList(), EndpointListAssembler()
         self.follow = EndpointListFollower(list(config.voters), RelayTimings(), now)
         self._owner_heard = self._beaten = -math.inf
@@ -350,7 +350,7 @@
             self.send(self.config.voters[to], Subscribe(self.listed.index))
         asks = self.may_ask()
         if asks and not self._asking:
-            self.directory.hurry()
+            self.directory.reconnect_now()
         self._asking = asks
 
     def _to_voters(self, news: list[EndpointUpdate]) -> None:
@@ -410,7 +410,7 @@
             return
         self.counters.add("fleet_lists_taken")
         self.listed.tell(answer)
-        self.directory.handed(self.listed.answer())
+        self.directory.accept_relayed(self.listed.answer())
 
     # ---- operators ----
 
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -1,10 +1,10 @@
-"""The calls of one softswitch, from their offer to their final answer and their end. `CallManager` is what
-the fronts, the server connections and the admin endpoint hold; the parts it composes are reached by name.
+"""The calls of one softswitch, from their offer to their final answer and their end.
 
-It feeds the overload control and turns its actions into effects, and it keeps the rules that bind whatever
-the decisions say: one final answer a call, and an answer before the caller's time is up. Those on attempts
-stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire, socket or event loop
-(the clock is passed in), and never decides where a call goes or whether it is rejected.
+`CallManager` is what the fronts, the server connections and the admin endpoint hold; the parts it composes
+are reached by name. It feeds the overload control and turns its actions into effects, and it keeps the rules
+that bind whatever the decisions say: one final answer a call, and an answer before the caller's time is up.
+Those on attempts stand in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire or
+event loop (the clock is passed in), and never decides where a call goes or whether it is rejected.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class CallManager:
-    """All calls of one softswitch."""
+    """All calls of one softswitch, and the parts that serve them."""
 
     def __init__(
         self,
@@ -64,6 +64,7 @@
         tracing: bool = False,
         decisions: OverloadControl | None = None,
     ) -> None:
+        """Compose the parts. Without `decisions` a `Controller` is made, which draws from `rng`."""
         self.clock = clock
         self.log = log
         self.counters = counters
@@ -108,8 +109,9 @@
         self.controller.update_settings(settings)
 
     def update_servers(self, records: Iterable[ServerRecord], complete: bool) -> None:
-        """Take in what the directory tells; `complete` says that it names every server there is. Calls at a
-        server that is gone, or was restarted, are over.
+        """Take in what the directory tells; `complete` says that it names every server there is.
+
+        Calls at a server that is gone, or was restarted, are over.
         """
         listed = []
         for change in self.servers.update(records, complete):
@@ -124,7 +126,7 @@
             self.servers.pool.record_changed(server)
             if change.is_listed:
                 state = record.availability.value
-                self.log("listed", server=record.instance, state=state, cell=record.number)
+                self.log("server_listed", server=record.instance, state=state, number=record.number)
         self.dispatcher.dispatch(EndpointsUpdated(tuple(listed), complete))
 
     # ---- what callers do ----
@@ -136,12 +138,12 @@
         now = self.clock()
         deadline = now + request.caller_timeout_s - ANSWER_EARLY_S
         call = self.calls.add(request, session, deadline, self.context.settings.max_attempts)
-        self.counters.add("calls_taken")
-        self.counters.add(f"calls_taken_{request.call_class.name}")
+        self.counters.add("calls_offered")
+        self.counters.add(f"calls_offered_{request.call_class.name}")
         if self.context.tracing:
-            patience_ms = int(request.caller_timeout_s * 1000)
-            kind = request.call_class.name
-            self.log("taken", call=request.ident, kind=kind, patience_ms=patience_ms)
+            caller_timeout_ms = int(request.caller_timeout_s * 1000)
+            name = request.call_class.name
+            self.log("call_offered", call=request.ident, call_class=name, caller_timeout_ms=caller_timeout_ms)
         self.timers.schedule(deadline + BACKSTOP_S, partial(self._fail_unanswered, call.number))
         self.dispatcher.dispatch(
             CallOffered(
@@ -156,16 +158,17 @@
         return call
 
     def abandon(self, call: Call) -> None:
-        """The caller gave the set-up up; no answer is owed any more. A call that is established by now is
-        released.
+        """The caller gave the set-up up; no answer is owed any more.
+
+        A call that is established by now is released.
         """
         if call.state is CallState.ESTABLISHED:
             self.release(call, ReleaseCause.NORMAL_CLEARING)
         if call.state is not CallState.OFFERED:
             return
-        self.counters.add("calls_given_up")
+        self.counters.add("calls_abandoned")
         if self.context.tracing:
-            self.log("left", call=call.request.ident)
+            self.log("call_abandoned", call=call.request.ident)
         self.calls.remove(call)
         attempt = call.attempt
         self.dispatcher.dispatch(CallAbandoned(call.number))
@@ -173,14 +176,15 @@
             self.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
 
     def caller_disconnected(self, call: Call) -> None:
-        """The caller's connection has ended, and an answer would have to be brought to it by another. What is
-        pending is answered now and not forwarded, for nobody waits for it; a set-up that is out may be
+        """The caller's connection has ended, and an answer would have to be brought to it by another.
+
+        A pending call is answered now and not forwarded, for nobody waits for it; a set-up that is out may be
         established, and is the last.
         """
-        if call.state is not CallState.OFFERED or call.caller_gone:
+        if call.state is not CallState.OFFERED or call.caller_disconnected:
             return
-        call.caller_gone = True
-        self.counters.add("callers_away")
+        call.caller_disconnected = True
+        self.counters.add("callers_disconnected")
         if call.attempt is None or not call.attempt.written:
             self._answer_undecided(call)
 
@@ -190,7 +194,7 @@
             attempt = call.attempt
             self.counters.add("calls_released_by_caller")
             if self.context.tracing:
-                self.log("release", call=call.request.ident, side="caller", cause=int(cause))
+                self.log("call_released", call=call.request.ident, side="caller", cause=int(cause))
             self.servers.pool.send_release(attempt.server, call.request.ident, cause)
             self.calls.remove(call)
             self.attempts.end(attempt, AttemptOutcome.CANCELLED, LoadReport())
@@ -237,12 +241,14 @@
         self.dispatcher.dispatch(CallAbandoned(call.number))
 
     def _fail_unanswered(self, number: int) -> None:
-        """By the call's number: a timer that held the call kept it, its caller and its description until the
-        longest wait was over, long after its end.
+        """Fail a call that is still unanswered when its time is up.
+
+        It is named by its number: a timer that held the call kept it, its caller and its description until
+        the longest wait was over, long after its end.
         """
         call = self.calls.by_number.get(number)
         if call is not None and call.state is CallState.OFFERED:
-            self.log("guard", call=call.request.ident, why="the decisions left it unanswered")
+            self.log("rule_violated", call=call.request.ident, why="the decisions left it unanswered")
             self._answer(call, FailCall(call.number))
             self.dispatcher.dispatch(CallAbandoned(call.number))
 
@@ -260,4 +266,4 @@
                 expired = partial(self.dispatcher.dispatch, TimerExpired(label))
                 self.timers.schedule(self.clock() + delay_s, expired)
             case LogMessage(text):
-                self.log("note", text=text)
+                self.log("decision_note", text=text)
--- a/stairhatch/node/io/persistent_connections.py
+++ b/stairhatch/node/io/persistent_connections.py
@@ -10,11 +10,11 @@
 import errno
 import socket
 
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.connection_runner import ConnectionRunner
 from stairhatch.node.io.connector import Connector
 from stairhatch.node.io.descriptor_budget import DESCRIPTORS_EXHAUSTED, CallerAdmission
 from stairhatch.node.roster import RosterLink
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
@@ -95,22 +95,22 @@
         self._connector = connector
         self._admission = admission
 
-    async def keep_polling(self, directory: Directory) -> None:
+    async def keep_polling(self, directory: ServiceDiscoveryClient) -> None:
         """Dial and run the long poll; it has no end of its own."""
         with self._admission.dialled_connection():
             await self._poll(directory)
 
-    async def _poll(self, directory: Directory) -> None:
+    async def _poll(self, directory: ServiceDiscoveryClient) -> None:
         backoff_s = MIN_BACKOFF_S
         hurry = asyncio.Event()
-        directory.hurry = hurry.set
+        directory.reconnect_now = hurry.set
         while True:
             hurry.clear()
-            if directory.rests():  # another polls for all
+            if directory.is_paused():  # another polls for all
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(hurry.wait(), POLL_TURN_CHECK_S)
                 continue
-            answers = directory.answers
+            answers = directory.answers_received
             address = directory.address
             try:
                 sock = await self._connector.connect(address)
@@ -122,7 +122,7 @@
                     continue
                 directory.connected()
                 await self._runner.run(sock, directory)
-            if hurry.is_set() or directory.answers > answers:
+            if hurry.is_set() or directory.answers_received > answers:
                 backoff_s = MIN_BACKOFF_S
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(hurry.wait(), backoff_s)
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.components import Components
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 
 if TYPE_CHECKING:
     from stairhatch.sip.front import SipFront
@@ -34,6 +34,7 @@
     """Brings one softswitch to its end. `print_text` writes to the operator's terminal."""
 
     def __init__(self, parts: Components, config: Config, print_text: Callable[[str], None]) -> None:
+        """`config` is the configuration in force at the end."""
         self._parts = parts
         self._print_text = print_text
         self._replaced = config.inherited is not None  # another process takes over the socket
@@ -55,8 +56,8 @@
         if not self._replaced:
             await asyncio.sleep(MIN_STAY_S)
         await self._answer_callers(deadline)
-        if parts.sip is not None:
-            await self._finish_dialogs(parts.sip, skip_dialogs)
+        if parts.sip_frontend is not None:
+            await self._finish_dialogs(parts.sip_frontend, skip_dialogs)
         if self._replaced:
             await self._close_connections(deadline)
 
@@ -70,7 +71,7 @@
 
     def _deadline(self, started: float) -> float:
         """Return when the calls that still wait have to be answered, in the loop's time."""
-        if self._parts.trunk is None:
+        if self._parts.platform_frontend is None:
             return math.inf
         longest = max((each.deadline_s for each in self._parts.core.settings.classes), default=0.0)
         return started + min(longest, self._drain_s) + SIGKILL_MARGIN_S
@@ -92,7 +93,7 @@
             await asyncio.sleep(POLL_S)
 
     def _is_settled(self) -> bool:
-        frontends = (self._parts.trunk, self._parts.sip)
+        frontends = (self._parts.platform_frontend, self._parts.sip_frontend)
         return self._parts.core.is_settled() and all(
             each.is_flushed() for each in frontends if each is not None
         )
@@ -123,9 +124,12 @@
             await asyncio.sleep(DIALOG_POLL_S)
         if front.end_dialogs():
             deadline = loop.time() + FLUSH_TIMEOUT_S
-            while not (front.is_flushed() and self._parts.core.is_settled()) and loop.time() < deadline:
+            while loop.time() < deadline and not self._is_sip_settled(front):
                 await asyncio.sleep(POLL_S)
 
+    def _is_sip_settled(self, front: SipFront) -> bool:
+        return front.is_flushed() and self._parts.core.is_settled()
+
     def _report_dialogs(self, front: SipFront, left_s: float) -> None:
         """Say in the log and on the terminal which calls the end waits for."""
         count = len(front.dialogs)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,13 +16,12 @@
 
 import stairhatch.shutdown as shutdown_module
 from stairhatch.application import Application
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit
 from stairhatch.node import message as sip
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.console import MOST_ORDER, Door
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.accepted_connection import AcceptedConnection
 from stairhatch.node.io.listener import (
     DRAIN_FIRST_REQUEST_S,
@@ -33,6 +32,7 @@
 from stairhatch.node.io.network import Network
 from stairhatch.node.readiness import REJECT_AFTER_S, RELEASE_PATH_S
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
@@ -662,7 +662,7 @@
     waits.expect(open_one, 200)
     assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
     counted = [program.lines("counters")[-1] for program in (old,)]
-    assert counted[0]["answers_stood"] == "2", "what came after SIGTERM is the new process's"
+    assert counted[0]["calls_established"] == "2", "what came after SIGTERM is the new process's"
     for link in server.links:  # the old process may have dialled more than one, all closed by now
         with contextlib.suppress(OSError):
             server.say("FINISH", standing, link, rc=16)
@@ -688,7 +688,7 @@
     caller.invite(ident)
     for _ in range(20):  # each is one more round of its loop
         assert program.order("check").startswith("fail ")
-    assert not program.lines("taken")
+    assert not program.lines("call_offered")
     platform.coordinator.release()
     caller.expect(ident, 200)
     assert program.order("check").startswith("ok")
@@ -728,7 +728,7 @@
     """Guards against a new process that is not ready before a whole wait for news is over."""
     inside = Inside()
     inside.core.readiness.list_known = False
-    directory = Directory(inside.core, ("127.0.0.1", 1), 4)
+    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
     directory.connected()
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
@@ -743,7 +743,7 @@
     """Guards against a softswitch that waits for news though it was told a list at its start."""
     inside = Inside()
     inside.core.readiness.list_known = False
-    Directory(inside.core, ("127.0.0.1", 1), 4).connected()
+    ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4).connected()
     assert not inside.core.readiness.health().is_ready
     inside.run(2.0)
     assert inside.core.readiness.health().is_ready
@@ -760,7 +760,7 @@
         application = Application(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
         application.open_listeners()
         application.start_discovery()
-        application.parts.trunk.is_flushed = lambda: False
+        application.parts.platform_frontend.is_flushed = lambda: False
         await asyncio.wait_for(application.shut_down(asyncio.Event()), 20)
 
     asyncio.run(story())
@@ -925,12 +925,12 @@
 
     async def story():
         inside, asked, ends = Inside(), [], []
-        network, directory = Network(inside.core), Directory(inside.core, ("127.0.0.1", 1), 4)
+        network, directory = Network(inside.core), ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
 
         async def connect(address):
             asked.append(address)
             if len(asked) == 1:
-                directory.move(("127.0.0.1", 2))
+                directory.switch_coordinator(("127.0.0.1", 2))
             ours, theirs = socket.socketpair()
             ends.append(theirs)  # stays open, as the old coordinator's does
             return ours
