--- a/stairhatch/node/endpoint_list.py
+++ b/stairhatch/node/endpoint_list.py
@@ -94,10 +94,10 @@
     """Return an answer without the lines that cannot be read.
 
     In the place of such a line stands that its server gets nothing new until a line says so, and that its
-    calls go on: set-ups to a server whose drain was told in that line would break the rules, and where it told
-    that the server is ready, the others bear its load meanwhile. Only that a server is terminated is believed.
-    In a whole list a line without a name may be that of any server not named. Raises ServiceDiscoveryError if
-    the answer is odd beyond that.
+    calls go on: set-ups to a server whose drain was told in that line would break the rules, and
+    where it told that the server is ready, the others bear its load meanwhile. Only that a server is
+    terminated is believed. In a whole list a line without a name may be that of any server not named.
+    Raises ServiceDiscoveryError if the answer is odd beyond that.
     """
     repair = _AnswerRepair(after, _known_lines(core))
     try:
--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -1,9 +1,9 @@
 """The service discovery client: long polls of the coordinator for changes of the list of call servers.
 
-A sans-I/O protocol of HTTP/1.1: the driver (`stairhatch.node.io`) connects and carries the bytes. A stalled
-or odd answer ends the connection, and the driver connects again; what was known stays in force meanwhile. What
-an answer holds is read in `stairhatch.node.endpoint_list`. Log event: `service_discovery`; counters:
-`discovery_...`.
+A sans-I/O protocol of HTTP/1.1: the driver (`stairhatch.node.io`) connects and carries the bytes. A
+stalled or odd answer ends the connection, and the driver connects again; what was known stays in force
+meanwhile. What an answer holds is read in `stairhatch.node.endpoint_list`. Log event:
+`service_discovery`; counters: `discovery_...`.
 """
 
 from __future__ import annotations
