--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -46,9 +46,9 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -394,7 +394,7 @@
         core = bare_core()
         core.servers.pool = Beside()  # type: ignore[assignment]
         network = Network(core)
-        directory = Directory(core, place, 0)
+        directory = ServiceDiscoveryClient(core, place, 0)
         inner = core.update_servers
 
         def listed(lines: Any, complete: bool, index: int = index, inner: Any = inner) -> None:
@@ -728,7 +728,7 @@
     """Seconds from a change told by the coordinator until the softswitch has taken it in."""
     one = {**where.lines[-1 - turn], "lifecycle": "terminating"}
     at, words = where.directory.ask("tell", one), f"server={one['instanceId']}"
-    return float(until(lambda: max(0.0, where.when("listed", words) - at), "a change", SERVES_S))
+    return float(until(lambda: max(0.0, where.when("server_listed", words) - at), "a change", SERVES_S))
 
 
 def program_by_rate(size: int, told: argparse.Namespace) -> dict[str, float]:
--- a/stairhatch/fault_injection/member_main.py
+++ b/stairhatch/fault_injection/member_main.py
@@ -16,7 +16,7 @@
 import threading
 import time
 
-from stairhatch.config.appliance import read_appliance
+from stairhatch.config.appliance.reader import read_appliance
 from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fleet import runtime
 from stairhatch.fleet.store import VoterStore
