--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -26,7 +26,25 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULES = ("stairhatch/sip", "stairhatch/node/call_manager.py")
+MODULES = (
+    "stairhatch/sip",
+    *(
+        f"stairhatch/node/{name}.py"
+        for name in (
+            "attempts",
+            "call_classes",
+            "call_manager",
+            "calls",
+            "event_dispatcher",
+            "final_answers",
+            "protocol",
+            "readiness",
+            "server_registry",
+            "server_responses",
+            "timer_wheel",
+        )
+    ),
+)
 LEFT_OUT = ("__init__.py",)
 SHIFTED = {ast.Lt: "<=", ast.LtE: "<", ast.Gt: ">=", ast.GtE: ">", ast.Eq: "!=", ast.NotEq: "=="}
 SHIFTED |= {ast.Is: "is not", ast.IsNot: "is", ast.In: "not in", ast.NotIn: "in"}
