--- a/tests/peers.py
+++ b/tests/peers.py
@@ -476,7 +476,7 @@
         self.process.wait(PATIENCE_S)
 
 
-class Inside:
+class InProcessNode:
     """The SIP front and the core in this process, with a clock set by hand and flows that only record."""
 
     def __init__(self, **config: Any) -> None:
@@ -493,18 +493,18 @@
         )
         self.core.servers.pool = self
         self.written: list[Attempt] = []
-        self.finishes: list[tuple[str, int]] = []
+        self.releases: list[tuple[str, int]] = []
         at = (Listener(("127.0.0.1", 1)),)
         config = replace(SipConfig(at, at, "127.0.0.1:1", *NUMBERED), **config)
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
         self.front = SipFront(self.core, config, lambda: next(tokens), chance.random, b"secret")
         self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.readiness.listening = self.core.readiness.list_known = self.core.servers.by_id[
-            1
-        ].dial_attempted = True
+        self.core.readiness.listening = True
+        self.core.readiness.list_known = True
+        self.core.servers.by_id[1].dial_attempted = True
 
-    def follow(self, loop: asyncio.AbstractEventLoop) -> None:
+    def follow_loop(self, loop: asyncio.AbstractEventLoop) -> None:
         """From here on the clock runs with a loop's, onwards from where it stands: never back, however short
         the machine has been up.
         """
@@ -512,10 +512,10 @@
         self.clock = lambda: loop.time() + offset_s
 
     def record_changed(self, server: object) -> None:
-        """The core's view of the roster side."""
+        """The directory has told something of a server."""
 
     def send_setup(self, attempt: Attempt) -> None:
-        """A set-up is written at once."""
+        """A set-up is written at once, if it may be."""
         if self.core.attempts.claim_transmission(attempt):
             self.written.append(attempt)
 
@@ -528,15 +528,15 @@
 
     def send_release(self, server: object, ident: str, cause: int) -> None:
         """A set-up given up, or a call released."""
-        self.finishes.append((ident, cause))
+        self.releases.append((ident, cause))
 
-    def stand(self) -> None:
+    def establish(self) -> None:
         """The roster server answers the set-up written last."""
         attempt = self.written[-1]
         self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
 
     @staticmethod
-    def report() -> LoadReport:
+    def empty_report() -> LoadReport:
         """A report that tells nothing."""
         return LoadReport()
 
@@ -552,7 +552,7 @@
 class Line(Flow):
     """A flow that keeps what is sent on it."""
 
-    def __init__(self, inside: Inside, reliable: bool = False) -> None:
+    def __init__(self, inside: InProcessNode, reliable: bool = False) -> None:
         self.inside, self.reliable, self.peer = inside, reliable, ("127.0.0.1", 4000)
         self.sent: list[sip.Message] = []
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -25,7 +25,7 @@
 from stairhatch.sip.heads import Head
 from stairhatch.sip.peek import peek
 
-from .peers import Inside, sip_headers
+from .peers import InProcessNode, sip_headers
 
 BOUNDED = settings(
     derandomize=True, max_examples=150, deadline=None, database=None,
@@ -333,7 +333,9 @@
 
 def pressed(delay, spans):
     """A front under such a delay."""
-    inside = Inside(gate=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6)))
+    inside = InProcessNode(
+        gate=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6))
+    )
     for _ in range(spans):
         inside.now += SPAN_S
         if inside.front.gate is not None:
@@ -360,7 +362,7 @@
     """Guards against an ACK, a BYE or a copy that is shed with the new calls."""
     inside = pressed(0.0, 1)
     ask(inside, number=1)
-    inside.stand()
+    inside.establish()
     tag = sip.parameters(sip.parse_datagram(inside.front.ports[0].output[-1][0]).get("to"))["tag"]
     inside.front.ports[0].output.clear()
     for _ in range(5):
@@ -387,14 +389,14 @@
     )
     assert "oc" not in ask(inside, number=2)[0].get("via")
     assert "\x01" not in told
-    free = Inside(gate=AdmissionPolicy())
+    free = InProcessNode(gate=AdmissionPolicy())
     assert ";oc=0;" in ask(free, number=3, via_more=";oc")[0].get("via")
 
 
 def test_changes_of_the_level_are_told_once():
     """Guards against a log that says at every delay that we are overloaded."""
     told = []
-    inside = Inside(gate=AdmissionPolicy())
+    inside = InProcessNode(gate=AdmissionPolicy())
     inside.log = lambda event, **fields: told.append((event, fields.get("level")))
     for delay in [0.08] * 20 + [0.0] * 100:
         inside.now += SPAN_S
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -15,7 +15,7 @@
 from stairhatch.config.appliance import config_from
 from stairhatch.node import message as sip
 
-from .peers import ROOT, Caller, Inside, Line, Program, RosterServer, sip_headers, until
+from .peers import ROOT, Caller, InProcessNode, Line, Program, RosterServer, sip_headers, until
 
 TEXT = (ROOT / "deploy" / "sip.toml").read_text()
 
@@ -175,15 +175,17 @@
 
 def test_a_request_too_large_for_udp_goes_by_tcp_and_by_udp_if_nobody_listens():
     """Guards against a BYE that is lost because it does not fit (RFC 3261, 18.1.1)."""
-    inside, dialled = Inside(), []
+    inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
     line = Line(inside)
     routes = ", ".join(f"<sip:127.0.0.1:{4100 + n};lr;padding={'x' * 200}>" for n in range(8))
     line.ask(record_route=routes)
-    inside.stand()
+    inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     attempt = inside.written[0]
-    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", inside.report())
+    inside.core.responses.call_released(
+        attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
+    )
     assert not inside.front.ports[0].output and dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""What the core tells the decisions, and what it does where they ask for the impossible."""
+"""What the call manager tells the decisions, and what it does where they ask for the impossible."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import LoadReport, TimerExpired
 
-from .peers import Inside
+from .peers import InProcessNode
 
 IDENT = "00000000000c0001"
 
 
-class Told:
+class RecordingSession:
     """A caller that keeps what it is told."""
 
     def __init__(self):
-        self.said = []
+        self.events = []
 
     def progressing(self):
-        self.said.append("rang")
+        self.events.append("progressing")
 
     def established(self, description):
-        self.said.append("stood")
+        self.events.append("established")
 
     def rejected(self, return_s):
-        self.said.append("refused")
+        self.events.append("rejected")
 
     def failed(self, timed_out):
-        self.said.append("failed")
+        self.events.append("failed")
 
     def released(self, cause):
-        self.said.append("released")
+        self.events.append("released")
 
 
-def offered(inside, patience_s=3.0):
+def offered(inside, caller_timeout_s=3.0):
     """A call whose set-up has been written."""
-    caller = Told()
+    caller = RecordingSession()
     kind = inside.settings.classes[0]
-    call = inside.core.offer_call(CallRequest(IDENT, kind, "1000", "d", patience_s), caller)
+    call = inside.core.offer_call(CallRequest(IDENT, kind, "1000", "d", caller_timeout_s), caller)
     assert len(inside.written) == 1
     return call, caller
 
 
 ENDINGS = {
-    "stands": lambda inside, call: inside.stand(),
-    "given up": lambda inside, call: inside.core.abandon(call),
+    "established": lambda inside, call: inside.establish(),
+    "abandoned": lambda inside, call: inside.core.abandon(call),
     "the process ends": lambda inside, call: inside.core.answer_pending(),
     "over before it was heard": lambda inside, call: inside.core.responses.call_released(
         inside.core.servers.by_id[1], IDENT, 16, "", LoadReport()
@@ -57,25 +57,25 @@
 
 
 @pytest.mark.parametrize("how", sorted(ENDINGS))
-def test_the_decisions_hear_of_each_end_and_the_caller_of_one(how):
+def test_the_decisions_hear_of_each_end_and_the_caller_of_one_answer(how):
     """Guards against set-ups that the decisions take to be open for good: they hold their window shut, and a
     call that they still know may be sent again.
     """
-    inside = Inside()
+    inside = InProcessNode()
     call, caller = offered(inside)
     decided = inside.core.controller
     assert decided.calls and decided.endpoints[1].pending_setups
     ENDINGS[how](inside, call)
     assert not decided.calls and not decided.pending and not decided.endpoints[1].pending_setups
-    assert len(caller.said) == (how != "given up")
+    assert len(caller.events) == (how != "abandoned")
     inside.run(20.0)
-    assert len(inside.written) == 1 and len(caller.said) == (how != "given up")
-    assert inside.finishes == ([] if how in ("stands", "over before it was heard") else [(IDENT, 16)])
+    assert len(inside.written) == 1 and len(caller.events) == (how != "abandoned")
+    assert inside.releases == ([] if how in ("established", "over before it was heard") else [(IDENT, 16)])
 
 
-def test_a_set_up_at_a_server_that_is_not_known_is_over_at_once():
+def test_an_attempt_at_an_unknown_server_ends_at_once():
     """Guards against a call that hangs until its caller's time is up since its attempt never was one."""
-    inside = Inside()
+    inside = InProcessNode()
     call, caller = offered(inside)
     inside.core.responses.call_released(
         inside.core.servers.by_id[1], IDENT, 34, "", LoadReport()
@@ -86,14 +86,14 @@
     inside.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
     assert call.number in inside.core.controller.pending, "the decisions have not heard that it never left"
     inside.run(3.5)
-    assert len(caller.said) == 1
+    assert len(caller.events) == 1
 
 
-def test_a_drain_keeps_a_way_for_the_ends_of_calls_and_not_for_ever():
+def test_a_drain_keeps_a_path_for_releases_and_not_for_ever():
     """Guards against ends that find no connection, and against a softswitch that never empties."""
-    inside = Inside()
+    inside = InProcessNode()
     offered(inside)
-    inside.stand()
+    inside.establish()
     assert not inside.core.readiness.keeps_release_path()
     inside.core.readiness.drain(True)
     inside.run(RELEASE_PATH_S - 0.1)
@@ -104,4 +104,4 @@
     inside.core.readiness.drain(True)
     assert inside.core.readiness.keeps_release_path()
     inside.core.responses.call_released(inside.core.servers.by_id[1], IDENT, 16, "", LoadReport())
-    assert not inside.core.readiness.keeps_release_path(), "no call stands"
+    assert not inside.core.readiness.keeps_release_path(), "no call is established"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,7 +34,7 @@
     PATIENCE_S,
     Caller,
     Coordinator,
-    Inside,
+    InProcessNode,
     Program,
     RosterServer,
     free_port,
@@ -318,7 +318,7 @@
 
 def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
     """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
-    inside = Inside()
+    inside = InProcessNode()
     front = TrunkFront(inside.core)
     connection, ident = front.connect(), next(IDS)
     connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
@@ -326,7 +326,7 @@
     connection.read_timed_out()
     connection.data_to_send()
     assert connection.closing and not connection.can_close()
-    inside.stand()
+    inside.establish()
     assert b"SIP/2.0 200" in connection.data_to_send() and connection.can_close()
 
 
@@ -343,8 +343,8 @@
     """
 
     async def story():
-        inside = Inside()
-        inside.follow(asyncio.get_running_loop())
+        inside = InProcessNode()
+        inside.follow_loop(asyncio.get_running_loop())
         network = Network(inside.core)
         front = TrunkFront(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
@@ -386,12 +386,12 @@
 
 def test_a_release_that_nobody_hears_is_kept_for_who_connects_next():
     """Guards against an end of a call that is dropped after four tries at callers who don't read."""
-    inside = Inside()
+    inside = InProcessNode()
     front = TrunkFront(inside.core)
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
-    inside.stand()
-    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.report())
+    inside.establish()
+    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.empty_report())
     inside.run(3.0)
     assert deaf.data_to_send().count(b"BYE sip:") == 4
     late = front.connect()
@@ -403,7 +403,7 @@
 
 def test_a_fault_in_a_timer_takes_no_other_with_it():
     """Guards against answers that are never given since something else, due in the same 4 ms, went wrong."""
-    inside, done = Inside(), []
+    inside, done = InProcessNode(), []
     inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
     inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
     inside.run(0.2)
@@ -416,7 +416,7 @@
 @pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
 def test_the_end_waits_for_what_is_being_written(to):
     """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     if to == "caller":
         side = TrunkFront(inside.core)
         machine = side.connect()
@@ -576,7 +576,7 @@
     """Guards against a list that goes quiet unseen, and events taken twice, when a coordinator has lost its
     memory; and against a core spent on one that answers at once with nothing new.
     """
-    inside, told = Inside(), []
+    inside, told = InProcessNode(), []
     inside.log = lambda event, **fields: told.append((event, fields))
     directory = Directory(inside.core, ("127.0.0.1", 1), 9)
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,7 +25,7 @@
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 
-from .peers import PATIENCE_S, Caller, Coordinator, Inside, Program, RosterServer, instance, until
+from .peers import PATIENCE_S, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
 from .peers import sip_headers as headers_of
 from .test_endings import RESET, TIDE, leave, trunk_invite
 
@@ -263,10 +263,10 @@
     """
 
     async def story():
-        inside, links = Inside(), []
+        inside, links = InProcessNode(), []
         server = RosterServer(RosterServer.silent)
         core = inside.core
-        inside.follow(asyncio.get_running_loop())
+        inside.follow_loop(asyncio.get_running_loop())
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
         core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
@@ -341,9 +341,9 @@
     """
 
     async def story():
-        inside, links = Inside(), []
+        inside, links = InProcessNode(), []
         core = inside.core
-        inside.follow(asyncio.get_running_loop())
+        inside.follow_loop(asyncio.get_running_loop())
         network, front = Network(core), TrunkFront(core)
         RosterSide(core, links.append)
         listener = socket.socket()
@@ -415,7 +415,7 @@
 
 def test_a_look_at_the_callers_does_not_count_after_a_standstill():
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
     side.record_changed(inside.core.servers.by_id[1])
     (link,) = links
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -42,7 +42,7 @@
     SETTINGS,
     Caller,
     Coordinator,
-    Inside,
+    InProcessNode,
     Program,
     RosterServer,
     instance,
@@ -136,7 +136,7 @@
 
 def test_check_waits_for_the_list_and_the_links_but_not_for_a_dead_server():
     """Guards against a yes before calls can be served, and against one dead server that holds it at no."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     core = inside.core
     side = RosterSide(core, links.append)
     core.servers.by_id.clear()
@@ -164,7 +164,7 @@
 
 def test_a_door_full_of_silent_operators_has_room_at_once():
     """Guards against an operator who waits until the silent ones' time is over: an answer is due in 1 s."""
-    inside = Inside()
+    inside = InProcessNode()
     runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core)
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
     with socket.socketpair()[0] as end:
@@ -209,7 +209,7 @@
 
 def test_a_check_is_logged_when_its_answer_changes():
     """Guards against a log full of checks: a front asks ten times a second, for as long as a drain lasts."""
-    inside, lines = Inside(), []
+    inside, lines = InProcessNode(), []
     inside.log = lambda event, **fields: lines.append(fields.get("answer"))
     for on in (False, True, False):
         inside.core.readiness.drain(on)
@@ -306,7 +306,7 @@
     one, two = front.connect(), front.connect()
     for connection in (one, two):
         connection.receive_data(trunk_invite(ident := next(IDS)))
-        inside.stand()
+        inside.establish()
         assert statuses(connection, ident) == [200]
     return front, one, two, ident
 
@@ -315,7 +315,7 @@
     """Guards against calls whose end reaches nobody because every connection was ended at once, and against
     one that is still held 4 s into the drain.
     """
-    inside = Inside()
+    inside = InProcessNode()
     _, one, two, _ = front_of(inside)
     inside.core.readiness.drain(True)
     assert one.is_idle() and two.is_idle(), "each may go while the other stays"
@@ -329,7 +329,7 @@
 
 def test_an_ending_program_keeps_no_connection_for_calls_that_live_on():
     """Guards against a restart that waits for calls which the next process will be told of."""
-    inside = Inside()
+    inside = InProcessNode()
     _, one, two, _ = front_of(inside)
     inside.core.readiness.shutting_down = True
     inside.core.readiness.drain(True)
@@ -343,13 +343,13 @@
     """Guards against a front whose test is met with a release: it took that for a no, and no caller was told
     (drain, snapshot 0737b4e5).
     """
-    inside = Inside()
+    inside = InProcessNode()
     _, one, two, ident = front_of(inside)
     inside.core.readiness.drain(True)
     for each in (one, two):
         each.close_when_idle()
         each.connection_lost()
-    inside.core.responses.call_released(inside.core.servers.by_id[1], ident, 16, "", inside.report())
+    inside.core.responses.call_released(inside.core.servers.by_id[1], ident, 16, "", inside.empty_report())
     inside.run(120.0)
     tests = inside.written[0].call.caller_session.connection.front.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
@@ -363,7 +363,7 @@
 
 def test_no_connection_is_ended_over_bytes_that_were_not_read():
     """Guards against a drain that resets a connection under a request which has come but was not read yet."""
-    inside = Inside()
+    inside = InProcessNode()
     ours, theirs = socket.socketpair()
     listener, (one,) = listener_of(inside, 4, ours)
     inside.core.readiness.drain(True)
@@ -378,7 +378,7 @@
     inside.run(0.1)
     listener.close_idle()
     assert not one.protocol.closing, "an answer is owed"
-    inside.stand()
+    inside.establish()
     assert statuses(one.protocol, ident) == [200]
     inside.core.release(inside.core.calls.by_ident[ident], 16)
     listener.close_idle()
@@ -387,7 +387,7 @@
 
 def test_new_set_ups_are_refused_only_some_time_into_a_drain():
     """Guards against refusing callers who come before the front has heard the no."""
-    inside = Inside()
+    inside = InProcessNode()
     connection = TrunkFront(inside.core).connect()
     inside.core.readiness.drain(True)
     inside.run(REJECT_AFTER_S - 0.1)
@@ -402,7 +402,7 @@
 
 def test_a_door_reads_one_line_and_no_more():
     """Guards against orders carried out that follow a first one, or come in pieces without an end."""
-    inside = Inside()
+    inside = InProcessNode()
     door = Door(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         door.receive_data(piece)
@@ -538,7 +538,7 @@
 
 def test_open_calls_keep_their_class_and_their_attempts():
     """Guards against a call whose rules change, or that is lost, while it is open."""
-    inside = Inside()
+    inside = InProcessNode()
     connection = TrunkFront(inside.core).connect()
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.calls.by_ident[old].request.call_class
@@ -556,7 +556,7 @@
     server = inside.core.servers.by_id[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
-            inside.core.responses.call_released(server, ident, 41, "", inside.report())
+            inside.core.responses.call_released(server, ident, 41, "", inside.empty_report())
         inside.run(2.0)
     assert statuses(connection, new) == [500] and statuses(connection, old) == []
     assert call.attempts > 1 and old in inside.core.calls.by_ident
@@ -564,7 +564,7 @@
 
 def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
     """Guards against calls turned away that left before their caller heard of the new settings."""
-    inside = Inside()
+    inside = InProcessNode()
     connection = TrunkFront(inside.core).connect()
     inside.core.retune(settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings)
     inside.run(1.3)
@@ -726,7 +726,7 @@
 
 def test_the_first_question_to_the_coordinator_is_answered_at_once():
     """Guards against a new process that is not ready before a whole wait for news is over."""
-    inside = Inside()
+    inside = InProcessNode()
     inside.core.readiness.list_known = False
     directory = Directory(inside.core, ("127.0.0.1", 1), 4)
     directory.connected()
@@ -741,7 +741,7 @@
 
 def test_a_coordinator_that_says_nothing_does_not_keep_a_known_list_from_serving():
     """Guards against a softswitch that waits for news though it was told a list at its start."""
-    inside = Inside()
+    inside = InProcessNode()
     inside.core.readiness.list_known = False
     Directory(inside.core, ("127.0.0.1", 1), 4).connected()
     assert not inside.core.readiness.health().is_ready
@@ -780,7 +780,7 @@
 
 def test_two_processes_together_keep_within_the_limits():
     """Guards against an upgrade in which each process takes callers as if it were alone."""
-    alone = Config("n", Inside().settings, sockets=384, memory_mb=80)
+    alone = Config("n", InProcessNode().settings, sockets=384, memory_mb=80)
     beside = replace(alone, inherited=4)
     assert 2 * caller_connection_limit(beside) <= caller_connection_limit(alone) <= 384 * 3 / 4
     assert caller_connection_limit(beside) > 384 / 3, "callers hold up to a third"
@@ -788,7 +788,7 @@
 
 def test_links_that_were_left_are_not_opened_again():
     """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     side = RosterSide(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     links[0].connected()
@@ -838,7 +838,7 @@
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
     """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
-    inside = Inside()
+    inside = InProcessNode()
     listener, (usual, silent, never_ends) = listener_of(inside, 9, End(), End(), End())
     come(inside, usual, trunk_invite(next(IDS)))
     come(inside, never_ends, b"INVITE sip:1@net")
@@ -857,7 +857,7 @@
 
 def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
     """Guards against callers put out for newcomers between two pieces of a message."""
-    inside = Inside()
+    inside = InProcessNode()
     listener, (under_way, silent, idle) = listener_of(inside, 3, End(), End(), End())
     come(inside, under_way, trunk_invite(next(IDS))[:60])
     come(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
@@ -873,7 +873,7 @@
     """Guards against a set-up lost with its connection where the loop comes to it later than `young_s`: on a
     loaded machine a newcomer among 60 callers who hold on was taken for one that says nothing.
     """
-    inside = Inside()
+    inside = InProcessNode()
     listener, (newcomer, silent) = listener_of(inside, 2, End(trunk_invite(next(IDS))), End())
     inside.run(1.0)
     assert listener.evict() and silent.protocol.closing and not newcomer.protocol.closing
@@ -884,7 +884,7 @@
     """Guards against a link that was cut off without a word and is used for 4.7 s: each set-up on it was
     given up before it had been open long enough to make it suspect (pieces+silent+leave, snapshot 2875ccb7).
     """
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     side = RosterSide(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].connected()
@@ -904,7 +904,7 @@
     """Guards against links cut off one after the other as they come up, each used for twice as long as the
     one before: 6 s without set-ups at that server (pieces+silent+leave, snapshot ee1e40c6).
     """
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     side = RosterSide(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     connection = TrunkFront(inside.core).connect()
@@ -924,7 +924,7 @@
     """Guards against a softswitch that stays with the old coordinator, which it was just about to reach."""
 
     async def story():
-        inside, asked, ends = Inside(), [], []
+        inside, asked, ends = InProcessNode(), [], []
         network, directory = Network(inside.core), Directory(inside.core, ("127.0.0.1", 1), 4)
 
         async def connect(address):
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -26,7 +26,7 @@
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.events import Availability
 
-from .peers import SETTINGS, Coordinator, Inside, Program, RosterServer, instance, until
+from .peers import SETTINGS, Coordinator, InProcessNode, Program, RosterServer, instance, until
 
 IDS = iter(f"{n:016x}" for n in range(0xF1E0001, 0xF1E9999))
 PING = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
@@ -253,7 +253,7 @@
 
 def test_a_start_waits_for_links_and_not_for_good():
     """Guards against a start that waits for no link, or for each server that is listed while it waits."""
-    inside = Inside()
+    inside = InProcessNode()
     inside.core.readiness._started = False
     RosterSide(inside.core, lambda link: None)
     for number in range(20):
@@ -303,7 +303,7 @@
 
 def directory_of(*events, names="abc"):
     """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
-    inside = Inside()
+    inside = InProcessNode()
     RosterSide(inside.core, lambda link: None)
     inside.core.servers.by_id.clear()
     inside.core.servers.by_instance.clear()
@@ -473,8 +473,8 @@
     server = RosterServer() if answers else stuck
 
     async def story():
-        inside = Inside()
-        inside.follow(asyncio.get_running_loop())
+        inside = InProcessNode()
+        inside.follow_loop(asyncio.get_running_loop())
         network = Network(inside.core)
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
-from .peers import SETTINGS, Caller, Coordinator, Inside, Program, RosterServer, instance, until
+from .peers import SETTINGS, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
 
 IDS = iter(f"{n:016x}" for n in range(0x5E0001, 0x5E9999))
 SILENT = RosterServer.silent
@@ -148,7 +148,7 @@
 
 def test_a_silent_coordinator_is_left_within_the_time_that_changes_count_as_told():
     """Guards against waiting longer than 2 s after the end of the wait that was asked for."""
-    inside = Inside()
+    inside = InProcessNode()
     directory, aborted = Directory(inside.core, ("127.0.0.1", 1), 4), []
     directory.abort = lambda: aborted.append(inside.now)
     directory.connected()
@@ -585,7 +585,7 @@
 
 def test_timers_that_are_due_together_wake_the_loop_once():
     """Guards against a loop that is woken, and its timer set, for each call anew."""
-    inside, woken, rung = Inside(), [], []
+    inside, woken, rung = InProcessNode(), [], []
     inside.core.timers.on_earlier_due = lambda: woken.append(1)
     for n in range(1000):
         due = 1000.5 + n / 1e6
--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -12,7 +12,7 @@
 from stairhatch.node import message as sip
 from stairhatch.overload.events import LoadReport
 
-from .peers import Caller, Inside, Line, Program, RosterServer, sip_headers, until
+from .peers import Caller, InProcessNode, Line, Program, RosterServer, sip_headers, until
 
 PAUSE_S = 0.5
 REPORT = LoadReport()
@@ -20,13 +20,13 @@
 
 @pytest.fixture(params=[False, True], ids=["udp", "tcp"])
 def line(request):
-    return Line(Inside(), reliable=request.param)
+    return Line(InProcessNode(), reliable=request.param)
 
 
 def standing(line):
     """A call that stands and was acknowledged; returns our tag."""
     line.ask()
-    line.inside.stand()
+    line.inside.establish()
     tag = line.tag()
     line.ask("ACK", to=f"<sip:7@net>;tag={tag}")
     return tag
@@ -77,7 +77,7 @@
 def test_an_answer_is_resent_until_its_ack_and_the_description_is_unchanged(line):
     """Guards against a 2xx lost on the way, on both transports (RFC 3261, 13.3.1.4)."""
     line.ask(number="1", uri="sip:712@net", record_route="<sip:p1;lr>, <sip:p2;lr>")
-    line.inside.stand()
+    line.inside.establish()
     line.inside.run(3.6)
     assert line.statuses() == [100, 200, 200, 200, 200]  # after 0.5, 1.5 and 3.5 s
     answer = line.sent[-1]
@@ -94,10 +94,10 @@
 def test_a_call_whose_answer_is_never_acknowledged_is_ended(line):
     """Guards against calls standing for a caller that has vanished."""
     line.ask()
-    line.inside.stand()
+    line.inside.establish()
     line.inside.run(33)
     assert line.sent[-1].method == "BYE" or "BYE" in [m.method for m in line.sent]
-    assert line.inside.finishes and not line.inside.core.calls.by_number
+    assert line.inside.releases and not line.inside.core.calls.by_number
     line.inside.run(40)
     assert not line.inside.front.transactions.servers and not line.inside.front.dialogs
 
@@ -122,7 +122,7 @@
     line.ask(expires="2")
     line.inside.run(2.0)
     assert line.statuses()[:2] == [100, 408]
-    assert len(line.inside.finishes) == 1  # the attempt is given up
+    assert len(line.inside.releases) == 1  # the attempt is given up
 
 
 @pytest.mark.parametrize("after", ["before the answer", "after the answer"])
@@ -130,19 +130,19 @@
     """Guards against calls that stand though their caller has cancelled, and the other way round."""
     line.ask()
     if after == "after the answer":
-        line.inside.stand()
+        line.inside.establish()
     line.ask("CANCEL", branch="z9hG4bKINVITE1")
     assert line.statuses("CANCEL") == [200]
     if after == "after the answer":
         assert line.statuses() == [100, 200] and line.inside.core.calls.by_number
     else:
         assert line.statuses() == [100, 487] and not line.inside.core.calls.by_number
-        assert len(line.inside.finishes) == 1
+        assert len(line.inside.releases) == 1
 
 
 def test_an_invite_sent_again_after_its_cancel_is_the_same_transaction():
     """The brief's hard case: over UDP, a copy of the INVITE comes after the CANCEL. No new call."""
-    line = Line(Inside())
+    line = Line(InProcessNode())
     line.ask()
     line.ask("CANCEL", branch="z9hG4bKINVITE1")
     for wait in (0.0, 1.0, 40.0, 60.0):  # also when the transaction is long over
@@ -157,23 +157,23 @@
 
 def test_a_dropped_connection_leaves_the_dialog_and_its_bye_comes_another_way():
     """The brief's hard case: TCP ends mid-dialog, the caller's BYE comes over UDP."""
-    inside = Inside()
+    inside = InProcessNode()
     line, other = Line(inside, reliable=True), Line(inside)
     tag = standing(line)
     line.alive = False
     assert inside.core.calls.by_number
     assert other.ask("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
-    assert len(inside.finishes) == 1 and not inside.core.calls.by_number and not inside.front.dialogs
+    assert len(inside.releases) == 1 and not inside.core.calls.by_number and not inside.front.dialogs
 
 
 @pytest.mark.parametrize("transport", ["", ";transport=tcp"])
 def test_our_bye_finds_another_way_when_the_connection_is_gone(transport):
     """Guards against a release that goes nowhere: it follows the Contact, dialling if that says TCP."""
-    inside, dialled = Inside(), []
+    inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
     line = Line(inside, reliable=True)
     line.ask(contact=f"<sip:office@127.0.0.1:4010{transport}>")
-    inside.stand()
+    inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.alive = False
     attempt = inside.written[0]
@@ -268,7 +268,7 @@
 )  # fmt: skip
 def test_malformed_datagrams_are_answered_or_counted(data, status):
     """Guards against a datagram that stops the program or is answered to nobody."""
-    inside = Inside()
+    inside = InProcessNode()
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
     sent = [sip.parse_datagram(piece) for piece, _ in inside.front.ports[0].output]
     assert [m.status for m in sent] == ([status] if status else [])
@@ -288,7 +288,7 @@
 )
 def test_a_via_that_lies_sends_no_answer_elsewhere_and_looks_up_no_name(via, peer):
     """Guards against answers to a third party, a look-up that holds up all calls, and ports that are none."""
-    inside = Inside()
+    inside = InProcessNode()
     lines = {**sip_headers("OPTIONS"), "via": f"SIP/2.0/UDP {via}"}
     data = sip.request("OPTIONS", "sip:x@net", list(lines.items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
@@ -297,10 +297,10 @@
 
 def test_a_release_to_a_contact_that_is_a_name_goes_where_the_call_came_from():
     """Guards against a look-up of a caller's choice, which would hold up all calls."""
-    inside = Inside()
+    inside = InProcessNode()
     line = Line(inside, reliable=True)
     line.ask(contact="<sip:office@name.example:4010>")
-    inside.stand()
+    inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.alive = False
     attempt = inside.written[0]
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -19,7 +19,7 @@
 from stairhatch.sip.sessions import Due, Lease, Refresher, SessionTimer, TimerPolicy
 from stairhatch.sip.transactions import LAST, T4, Transactions
 
-from .peers import Inside, Line, sip_headers
+from .peers import InProcessNode, Line, sip_headers
 
 BOUNDED = settings(
     derandomize=True, max_examples=150, deadline=None, database=None,
@@ -412,7 +412,7 @@
     from stairhatch.sip.front import Listener
 
     only = Networks((ipaddress.ip_network("10.0.0.0/8"),))
-    inside = Inside(udp=(Listener(("127.0.0.1", 1), only),))
+    inside = InProcessNode(udp=(Listener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
     assert not inside.front.ports[0].output and inside.core.counters.counts == {"datagrams_barred": 1}
@@ -420,14 +420,14 @@
 
 def test_a_restart_ends_on_both_sides_what_it_cannot_wait_for():
     """Guards against dialogs that the next process knows nothing of, and calls that nobody releases."""
-    line = Line(Inside())
+    line = Line(InProcessNode())
     line.ask()
-    line.inside.stand()
+    line.inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     assert line.inside.front.end_dialogs() == 1
     assert line.sent[-1].method == "BYE" and "cause=41" in line.sent[-1].get("reason")
     assert (
-        len(line.inside.finishes) == 1
+        len(line.inside.releases) == 1
         and not line.inside.core.calls.by_number
         and not line.inside.front.dialogs
     )
@@ -435,14 +435,16 @@
 
 def test_a_bye_whose_connection_dies_goes_another_way():
     """Guards against a release that is lost with its connection (client transactions fail over)."""
-    inside, dialled = Inside(), []
+    inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
     line = Line(inside, reliable=True)
     line.ask(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
-    inside.stand()
+    inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     attempt = inside.written[0]
-    inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", inside.report())
+    inside.core.responses.call_released(
+        attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
+    )
     assert line.sent[-1].method == "BYE"
     line.alive = False
     inside.front.flow_lost(line)
@@ -453,9 +455,9 @@
 
 def test_a_call_from_before_users_were_asked_for_can_still_end():
     """Guards against dialogs that nobody can hang up once a reload has turned users on."""
-    line = Line(Inside())
+    line = Line(InProcessNode())
     line.ask()
-    line.inside.stand()
+    line.inside.establish()
     tag = line.tag()
     line.ask("ACK", to=f"<sip:7@net>;tag={tag}")
     front = line.inside.front
