--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -17,17 +17,18 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.components import Components, steady_unix_clock
-from stairhatch.config import Config, ConfigError
-from stairhatch.connection_limits import ADMIN_BOUNDS, caller_connection_limit, descriptor_limit
+from stairhatch.config.model import Config, ConfigError
+from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory, DirectoryError, apply_events
-from stairhatch.node.io.accepted_connection import Bounds
-from stairhatch.node.io.descriptor_budget import Descriptors, descriptors_held
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
+from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.syslog import Log
 from stairhatch.reload import ConfigReloader
 from stairhatch.shutdown import GracefulShutdown
@@ -65,6 +66,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
+        """Build the parts that stand from the start. Needs a running event loop."""
         rng = random.Random(config.seed or None)
         self.parts = self._build(config, rng)
         self.reloader = ConfigReloader(config, read_config, self.parts)
@@ -124,17 +126,16 @@
                 opened.append(self._listen_admin(config.console))
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from error
-        self.parts.network.listeners = self.parts.caller_listeners
         self._limit_descriptors(config)
         self.parts.core.readiness.listening = config.inherited is None
         return ",".join(opened)
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.trunk = PlatformFrontend(parts.core)
+        parts.platform_frontend = PlatformFrontend(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
-        bounds = Bounds(caller_connection_limit(config))
-        listener = parts.network.listen(at, parts.trunk.connect, bounds, config.inherited is None)
+        limits = ListenerLimits(caller_connection_limit(config))
+        listener = parts.network.listen(at, parts.platform_frontend.connect, limits, config.inherited is None)
         parts.caller_listeners.append(listener)
         return f"{address[0]}:{address[1]}"
 
@@ -142,15 +143,15 @@
         from stairhatch.sip.flows import host_port
 
         network = self.parts.network
-        front = self.parts.sip = self._sip_frontend(config)
+        front = self.parts.sip_frontend = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
-            network.datagrams(port.local, port, callers=True)
+            network.open_datagram_port(port.local, port, callers=True)
             opened.append(f"udp:{host_port(port.local)}")
         for listener in config.tcp:
-            bounds = Bounds(config.connections, idle_s=config.idle_s)
+            limits = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.parts.caller_listeners.append(
-                network.listen(listener.place, front.connector(listener), bounds)
+                network.listen(listener.place, front.connector(listener), limits)
             )
             opened.append(f"tcp:{host_port(listener.place)}")
         return opened
@@ -168,20 +169,22 @@
             secrets.token_bytes(SECRET_BYTES),
         )
         if front.gate is not None:
-            network.watch(front.looked)
+            network.monitor_load(front.looked)
         front.dial = lambda connection: network.dial_caller(connection, connection.peer)
         return front
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_BOUNDS)
+        self.parts.network.listen(address, lambda _: Door(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
         """Divide the descriptors between callers and servers, what is open now set aside."""
-        reserved = descriptors_held() + (ADMIN_BOUNDS.most if config.console is not None else 0)
+        admin_connections = ADMIN_LIMITS.max_connections if config.console is not None else 0
+        reserved = open_descriptor_count() + admin_connections
         limit = descriptor_limit(config)
-        self.parts.network.descriptors = Descriptors(limit, reserved)
+        budget = DescriptorBudget(limit, reserved)
+        self.parts.network.limit_callers(self.parts.caller_listeners, budget)
         if config.listen is not None and limit < config.sockets:
             self.parts.log("descriptors", configured=config.sockets, limit=limit)
 
@@ -193,17 +196,17 @@
         parts = self.parts
         config = self.config
         try:
-            last_event = apply_events(parts.core, config.known, 0)
-        except DirectoryError as error:
+            last_event = apply_answer(parts.core, config.known, 0)
+        except ServiceDiscoveryError as error:
             raise ConfigError(str(error)) from error
         if config.coordinator is not None:
-            parts.directory = Directory(parts.core, config.coordinator, last_event)
+            parts.discovery = ServiceDiscoveryClient(parts.core, config.coordinator, last_event)
         else:
             parts.core.readiness.list_known = True
         if config.fleet is not None:
             self._join_cluster(config.fleet)
-        if parts.directory is not None:
-            parts.network.spawn(parts.network.follow(parts.directory))
+        if parts.discovery is not None:
+            parts.network.spawn(parts.network.poll_service_discovery(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
@@ -216,10 +219,10 @@
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
-        if parts.directory is not None and config.list:
-            parts.fleet.directory = parts.directory
-            parts.directory.told = parts.fleet.heard
-            parts.directory.may_ask = parts.fleet.may_ask
+        if parts.discovery is not None and config.list:
+            parts.fleet.directory = parts.discovery
+            parts.discovery.on_answer = parts.fleet.heard
+            parts.discovery.may_poll = parts.fleet.may_ask
         parts.fleet.begin()
 
     async def serve_when_ready(self) -> None:
@@ -242,11 +245,11 @@
     def status_text(self) -> str:
         """Return what the console's `status` shows of the configuration and of service discovery."""
         text = f"reload     {self.reloader.last_result or 'never'}\n"
-        directory = self.parts.directory
+        directory = self.parts.discovery
         if directory is not None:
             host, port = directory.address
-            age_s = self.parts.clock() - directory.told_at
-            text += f"directory  {host}:{port}, event {directory.after}, last heard {age_s:.1f} s ago\n"
+            age_s = self.parts.clock() - directory.last_answer_at
+            text += f"directory  {host}:{port}, event {directory.last_index}, last heard {age_s:.1f} s ago\n"
         return text
 
     async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -43,9 +43,9 @@
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.protocol import do_nothing
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
 ENDPOINT_LIST_LEASE = "list"
@@ -100,7 +100,7 @@
         self.core, self.network, self.config = core, network, config
         self.log, self.counters = core.log, core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
-        self.wake: Callable[[], None] = do_nothing  # set by the driver: there is something to send
+        self.notify_writable: Callable[[], None] = do_nothing  # set by the driver: there is something to send
         self.codec = FleetCodec(config.fleet, config.secret)
         self.history = HistoryFile(config)
         self.chance = random.Random(secrets.randbits(64))
@@ -124,7 +124,7 @@
         slots = restart_slots.lease_names(config.restarts)
         pick = LeasePool(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
         self.restarts = RestartSlotLease(pick)
-        self.directory: Directory | None = None
+        self.directory: ServiceDiscoveryClient | None = None
         self.listed, self.parts = EndpointList(), EndpointListAssembler()
         self.follow = EndpointListFollower(list(config.voters), RelayTimings(), now)
         self._owner_heard = self._beaten = -math.inf
@@ -133,7 +133,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._refusal_at = self._gauged = -math.inf
         self._ended = False
-        network.datagrams(config.listen, self)
+        network.open_datagram_port(config.listen, self)
         core.admin_commands.update(
             {
                 "claims": lambda: "ok " + json.dumps(self.told()),
@@ -222,7 +222,7 @@
 
     def _fault(self, error: Exception) -> None:
         self.counters.add("fleet_faults")
-        self.log("fault", why=f"{type(error).__name__}: {error}", machine="Fleet")
+        self.log("fault", why=f"{type(error).__name__}: {error}", component="Fleet")
 
     def send(self, to: PeerAddress, message: FleetMessage) -> None:
         """A message on its way."""
@@ -230,7 +230,7 @@
         self.counters.add("fleet_sent")
         self.counters.add("fleet_sent_bytes", len(data))
         self.output.append((data, to))
-        self.wake()
+        self.notify_writable()
 
     def carry(self, effects: list[Effect]) -> None:
         """Do what the decisions ask, in their order."""
@@ -350,7 +350,7 @@
             self.send(self.config.voters[to], Subscribe(self.listed.index))
         asks = self.may_ask()
         if asks and not self._asking:
-            self.directory.hurry()
+            self.directory.reconnect_now()
         self._asking = asks
 
     def _to_voters(self, news: list[EndpointUpdate]) -> None:
@@ -410,7 +410,7 @@
             return
         self.counters.add("fleet_lists_taken")
         self.listed.tell(answer)
-        self.directory.handed(self.listed.answer())
+        self.directory.accept_relayed(self.listed.answer())
 
     # ---- operators ----
 
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -118,6 +118,8 @@
 class PlatformConnection(ConnectionProtocol):
     """One connection of callers."""
 
+    counts_requests = True
+
     def __init__(self, registry: PlatformRegistry) -> None:
         """Begin with nothing received."""
         super().__init__()
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -19,9 +19,10 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.member import ROOT, Member
-from stairhatch.fault_injection.processes import READY_S, own_host
-from stairhatch.fault_injection.reaper import PREFIX
+from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
+from stairhatch.fault_injection.member_config import loopback_host
+from stairhatch.fault_injection.member_process import ROOT, MemberProcess
+from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
     NUMBERS,
@@ -79,15 +80,15 @@
 
     def __init__(self, plan: Plan, settle_s: float) -> None:
         self.plan, self.settle_s = plan, settle_s
-        self.folder = Path(tempfile.mkdtemp(prefix=PREFIX))
+        self.folder = Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
         self.reaper = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.fault_injection.reaper", str(self.folder)],
+            [sys.executable, "-m", "stairhatch.fault_injection.folder_cleanup", str(self.folder)],
             cwd=ROOT,
             stdin=subprocess.PIPE,
         )
         self.traffic = Traffic(plan)
         self.traffic.place = self._place
-        self.members: list[Member] = []
+        self.members: list[MemberProcess] = []
         self.servers: list[StandIn] = []
         self.callers: list[Caller] = []
         self.coordinator = Coordinator()
@@ -121,7 +122,7 @@
             self._close()
 
     async def _open(self) -> None:
-        plan, host = self.plan, own_host()
+        plan, host = self.plan, loopback_host()
         for index in range(plan.servers):
             processor = Processor(nature_of(plan), random.Random(plan.seed * 31 + index))
             server = StandIn(lines=plan.server.lines, processor=processor, state_s=plan.server.state_s)
@@ -136,9 +137,9 @@
             folder = self.folder / f"s{index}"
             folder.mkdir()
             sip, listen, door = ((host, ports.pop()) for _ in range(3))
-            self.members.append(Member(f"s{index}", folder, sip, listen, door))
+            self.members.append(MemberProcess(f"s{index}", folder, sip, listen, door))
         for member in self.members:
-            member.file.write_text(self._file(member))
+            member.config_file.write_text(self._file(member))
             member.start()
         await self._until(lambda: all(map(self._ready, self.members)), "a softswitch does not serve")
         for member in self.members:
@@ -147,7 +148,7 @@
     def _line(self, index: int) -> dict[str, Any]:
         return line(f"r{index}", self.servers[index].place, index)
 
-    def _file(self, member: Member) -> str:
+    def _file(self, member: MemberProcess) -> str:
         plan, index = self.plan, int(member.name[1:])
         text = HEAD.format(name=member.name, coordinator=at(self.coordinator.place), sip=at(member.sip))
         for service in range(plan.services):
@@ -165,10 +166,10 @@
             text += "[fleet]\n" + "".join(f"{name} = {toml_of(value)}\n" for name, value in fleet.items())
         return text
 
-    def _log(self, member: Member) -> list[str]:
+    def _log(self, member: MemberProcess) -> list[str]:
         return (member.folder / "log").read_text(errors="replace").splitlines()
 
-    def _ready(self, member: Member) -> bool:
+    def _ready(self, member: MemberProcess) -> bool:
         """Whether it serves, by a number of its own where numbers are claimed."""
         assert member.process is not None
         lines = self._log(member)
@@ -179,7 +180,7 @@
         return numbered and any(" serving " in each for each in lines)
 
     async def _until(self, done: Callable[[], bool], why: str) -> None:
-        end = time.monotonic() + READY_S
+        end = time.monotonic() + READY_TIMEOUT_S
         while not done():
             if time.monotonic() > end:
                 raise ScaleError(f"real: {why}")
@@ -221,11 +222,11 @@
         """What grows. The counters come with a line in each log."""
         known = [sum(" counters " in each for each in self._log(member)) for member in self.members]
         for member in self.members:
-            member.signal(signal.SIGUSR1)
+            member.send_signal(signal.SIGUSR1)
         counters: dict[str, int] = defaultdict(int)
         for member, lines in zip(self.members, known, strict=True):
 
-            def told(member: Member = member, lines: int = lines) -> bool:
+            def told(member: MemberProcess = member, lines: int = lines) -> bool:
                 return sum(" counters " in each for each in self._log(member)) > lines
 
             await self._until(told, f"{member.name} tells no counters")
@@ -246,7 +247,7 @@
             taken: dict[str, int] = defaultdict(int)
             for text in self._log(member):
                 words = text.split()
-                if len(words) > 2 and words[1] == "listed" and float(words[0]) >= since:
+                if len(words) > 2 and words[1] == "server_listed" and float(words[0]) >= since:
                     name = words[2].partition("=")[2]
                     if taken[name] < len(self.told[name]):
                         found.append(1000 * (float(words[0]) - self.told[name][taken[name]]))
@@ -276,8 +277,7 @@
             member.kill()
         self.coordinator.close()
         for server in self.servers:
-            if server._server is not None:
-                server._server.close()
+            server.stop_listening()
             server.cut()
         assert self.reaper.stdin is not None
         with contextlib.suppress(OSError):
