--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -27,12 +27,12 @@
     "fault",
     "rule_violated",
     "malformed",
-    "unreached",
+    "server_connect_failed",
     "service_discovery",
     "accept",
-    "link_lost",
-    "link_dead",
-    "doubted",
+    "server_connection_lost",
+    "server_connection_dead",
+    "server_connection_unresponsive",
 )
 NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
 NOT_SD_NAME = re.compile(r'[^\x21-\x7e]|[=\]" ]')
