--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -19,17 +19,17 @@
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
+from stairhatch.node.admin_endpoint import Console, Door
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
+from stairhatch.node.event_log import Log
 from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
-from stairhatch.node.syslog import Log
 from stairhatch.reload import ConfigReloader
 from stairhatch.shutdown import GracefulShutdown
 from stairhatch.terminal import Terminal
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -13,11 +13,11 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
+from stairhatch.node.event_log import Log
 from stairhatch.node.io.listener import Listener
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
-from stairhatch.node.syslog import Log
 
 if TYPE_CHECKING:
     from stairhatch.fleet.runtime import FleetRuntime
--- a/stairhatch/terminal.py
+++ b/stairhatch/terminal.py
@@ -10,7 +10,7 @@
 import os
 import sys
 
-from stairhatch.node.console import PROMPT, Console
+from stairhatch.node.admin_endpoint import PROMPT, Console
 
 READ_BYTES = 4096
 STDIN_DESCRIPTOR = 0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -20,9 +20,9 @@
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
+from stairhatch.node.admin_endpoint import MOST_ORDER, Door
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.io.accepted_connection import AcceptedConnection
 from stairhatch.node.io.listener import (
     DRAIN_FIRST_REQUEST_S,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,8 +8,8 @@
 import pytest
 
 from stairhatch.node import sip_parser
+from stairhatch.node.event_log import Log, rfc5424, structured
 from stairhatch.node.server_messages import parse_load_report
-from stairhatch.node.syslog import Log, rfc5424, structured
 
 from .peers import Program, RosterServer, until
 
@@ -84,7 +84,7 @@
 
 def test_a_log_that_nobody_reads_delays_nothing(monkeypatch):
     """Guards against calls that wait for a terminal or a receiver: what does not fit is counted."""
-    monkeypatch.setattr("stairhatch.node.syslog.MOST_WAITING", 5)
+    monkeypatch.setattr("stairhatch.node.event_log.MOST_WAITING", 5)
     log = Log("stairhatch", "host", lambda: 1.0)
     log.close()
     for _ in range(20):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,10 +14,10 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import TERMINATED_KEPT_S, ServerRecord
 from stairhatch.node.counters import Counters
+from stairhatch.node.event_log import MOST_WARNINGS, Log
 from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ANSWER_TIMEOUT_S, ServiceDiscoveryClient
-from stairhatch.node.syslog import MOST_WARNINGS, Log
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
