--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -19,11 +19,12 @@
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
-from stairhatch.node.admin_endpoint import Console, Door
+from stairhatch.node.admin_console import AdminConsole
+from stairhatch.node.admin_endpoint import AdminConnection
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
-from stairhatch.node.event_log import Log
+from stairhatch.node.event_log import EventLog
 from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
@@ -74,7 +75,7 @@
 
     def _build(self, config: Config, rng: random.Random) -> Components:
         clock = steady_unix_clock()
-        log = Log("stairhatch", socket.gethostname(), clock, config.syslog)
+        log = EventLog("stairhatch", socket.gethostname(), clock, config.syslog)
         counters = Counters()
         scoped = None
         if config.scope is not None:
@@ -175,7 +176,7 @@
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda _: Door(core), ADMIN_LIMITS)
+        self.parts.network.listen(address, lambda _: AdminConnection(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
@@ -282,7 +283,7 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: parts.log("counters", **parts.counters.counts))
     if hung_up():
         application.reloader.reload()
-    application.terminal.attach(Console(parts.core, stop.set, application.status_text))
+    application.terminal.attach(AdminConsole(parts.core, stop.set, application.status_text))
     parts.log("ready", name=application.config.name, listen=addresses)
     parts.network.spawn(application.serve_when_ready())
     gc.collect()
@@ -293,4 +294,4 @@
     await application.shut_down(stop)
     if parts.fleet is not None:
         parts.fleet.end()
-    parts.log("counters", lines_left_out=parts.log.left_out, **parts.counters.counts)
+    parts.log("counters", lines_suppressed=parts.log.suppressed, **parts.counters.counts)
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -13,7 +13,7 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
-from stairhatch.node.event_log import Log
+from stairhatch.node.event_log import EventLog
 from stairhatch.node.io.listener import Listener
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import PlatformFrontend
@@ -40,7 +40,7 @@
     """
 
     clock: Callable[[], float]
-    log: Log
+    log: EventLog
     counters: Counters
     core: CallManager
     network: Network
--- /dev/null
+++ b/stairhatch/node/admin_console.py
@@ -0,0 +1,194 @@
+"""The operator's terminal: its commands and the text they print.
+
+It is fed what was typed and returns what is to be printed. The commands of the admin endpoint are among its
+own and go to `admin_endpoint.execute`. Nothing here answers a call or changes a decision, but for `quit`,
+which ends the program, and what the endpoint's commands do.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from stairhatch.node.admin_endpoint import execute
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import CallState
+from stairhatch.overload.events import Availability
+
+PROMPT = "stairhatch> "
+MAX_LINE_BYTES = 1024
+MAX_CALLS_SHOWN = 50
+HELP = """\
+help      this list
+status    how long it has run, calls and servers in figures
+servers   the roster servers of the directory: set-ups out, those that the decisions hold for unanswered,
+          calls that stand, the wait last reported and how long ago, and whether it is held for pressed;
+          link "-": out of scope, nothing is kept open there
+calls     calls that are being set up or stand (the first 50)
+classes   the classes of calls as the settings have them now, and the calls open in each
+counters  what was taken in, sent and answered, by kind
+trace     print a line for each step of each call: trace on, trace off
+check     whether new callers are served now: ok, or fail and why
+drain-on  send callers away: say no to tests, serve what was taken, end connections as they fall idle
+drain-off take callers again
+quit      drain, then end the program
+"""
+
+
+class AdminConsole:
+    """One terminal, fed what was typed; what it returns is printed."""
+
+    def __init__(
+        self, core: CallManager, end: Callable[[], None], service: Callable[[], str] = lambda: ""
+    ) -> None:
+        """`end` ends the program; `service` adds to the text of `status`."""
+        self._core, self._end, self._service = core, end, service
+        self._started_at = core.clock()
+        self._typed = b""  # of a line whose end has not come
+        self._commands: dict[str, Callable[[], str]] = {
+            "help": self._help,
+            "?": self._help,
+            "status": self._status,
+            "servers": self._servers,
+            "calls": self._calls,
+            "classes": self._classes,
+            "counters": self._counters,
+            "quit": self._quit,
+            "exit": self._quit,
+        }
+
+    def feed(self, data: bytes) -> str:
+        """What was typed; returns what is to be printed."""
+        *lines, self._typed = (self._typed + data).split(b"\n")
+        self._typed = self._typed[:MAX_LINE_BYTES]
+        return "".join(self.command(line.decode("utf-8", "replace")) + PROMPT for line in lines)
+
+    def command(self, line: str) -> str:
+        """Execute one line; returns what it prints."""
+        words = line.lower().split()
+        if not words:
+            return ""
+        match words:
+            case [name] if name in self._commands:
+                return self._commands[name]()
+            case ["trace", "on" | "off"]:
+                return self._trace(words[1])
+            case ["check" | "drain-on" | "drain-off" as name]:
+                return execute(self._core, name).line + "\n"
+            case [first, *_] if first in self._core.admin_commands:
+                return execute(self._core, " ".join(line.split())).line + "\n"
+        return f"unknown command {line.strip()[:40]!r}; try help\n"
+
+    def _help(self) -> str:
+        added = self._core.admin_commands
+        return HELP + "".join(f"{name:9} an order of the door's, with its words\n" for name in added)
+
+    def _quit(self) -> str:
+        self._end()
+        return f"ending: {self._core.calls.unanswered} calls are still to be answered\n"
+
+    def _counters(self) -> str:
+        counts = sorted(self._core.counters.counts.items())
+        return "".join(f"{name:32} {count}\n" for name, count in counts) or "nothing counted yet\n"
+
+    def _trace(self, state: str) -> str:
+        self._core.context.tracing = state == "on"
+        return f"trace is {state}\n"
+
+    def _status(self) -> str:
+        core = self._core
+        stages = [call.state for call in core.calls.by_number.values()]
+        setting_up, standing = stages.count(CallState.OFFERED), stages.count(CallState.ESTABLISHED)
+        ready = sum(s.record.availability is Availability.READY for s in core.servers.by_id.values())
+        connected = sum(server.connected for server in core.servers.by_id.values())
+        counts = core.counters.counts
+        named = ("calls_established", "calls_rejected", "calls_failed", "calls_abandoned")
+        unusable = counts.get("requests_unusable", 0) + counts.get("malformed_from_callers", 0)
+        stood, refused, failed, given_up = (counts.get(name, 0) for name in named)
+        why = core.readiness.health().reason or "serving"
+        if core.readiness.drain_since is not None:
+            drained_s = core.clock() - core.readiness.drain_since
+            why += f" for {drained_s:.1f} s, {core.calls.unanswered} calls to be answered"
+            why += ", then the program ends" if core.readiness.shutting_down else ""
+        return (
+            f"up {int(core.clock() - self._started_at)} s\n"
+            f"state      {why}\n"
+            f"calls      {setting_up} being set up, {standing} standing\n"
+            f"answered   {stood} stood, {refused} refused, {failed} failed, {given_up} given up by callers\n"
+            f"servers    {ready} of {len(core.servers.by_id)} in service, {connected} connected\n"
+            f"callers    {counts.get('connections_evicted', 0)} connections put out for others, "
+            f"{counts.get('connections_expired', 0)} ended as silent, "
+            f"{unusable} requests unusable\n"
+            f"links      {counts.get('server_connections', 0)} opened, "
+            f"{counts.get('server_connections_failed', 0)} not reached, "
+            f"{counts.get('malformed_from_servers', 0)} ended as spoilt\n"
+        ) + self._service()
+
+    def _servers(self) -> str:
+        core = self._core
+        if not core.servers.by_id:
+            return "the directory names no servers\n"
+        now = core.clock()
+        text = (
+            f"{'name':20} {'address':22} {'number':>6} {'state':9} link  out held standing  "
+            " wait   age marks\n"
+        )
+        for server in core.servers.by_id.values():
+            line = server.record
+            here = [
+                call.state
+                for call in core.calls.by_number.values()
+                if call.attempt is not None and call.attempt.server is server
+            ]
+            address = f"{line.address[0]}:{line.address[1]}"
+            link = "up" if server.connected else "down" if core.servers.is_in_scope(server) else "-"
+            seen = core.controller.endpoints.get(server.id)  # what the decisions go by
+            held, wait, age, marks = 0, "-", "-", []
+            if seen is not None:
+                held = len(seen.pending_setups)
+                if seen.reported_at > 0:
+                    wait, age = f"{seen.reported_delay_s * 1000:.0f}ms", f"{now - seen.reported_at:.1f}s"
+                marks = [word for word, true in (("flagged", seen.flagged), ("down", seen.ejected)) if true]
+                marks += ["cold"] if core.controller.is_warming_up(now, seen) else []
+            text += (
+                f"{line.instance:20} {address:22} {line.number:6} {line.availability.value:9} "
+                f"{link:4} {here.count(CallState.OFFERED):4} "
+                f"{held:4} {here.count(CallState.ESTABLISHED):8} {wait:>6} {age:>5} "
+                f"{' '.join(marks) or '-'}\n"
+            )
+        return text
+
+    def _classes(self) -> str:
+        core = self._core
+        text = f"{'class':16} {'worth':>6} {'aim':>7} {'limit':>7} {'again':5} {'attempts':>8} {'open':>5}"
+        text += "\n" if core.servers.in_scope is None else "  scope\n"
+        near = {s.record.number for s in core.servers.by_id.values() if core.servers.is_in_scope(s)}
+        open_ones = [call.request.call_class for call in core.calls.by_number.values()]
+        going = [kind for kind in dict.fromkeys(open_ones) if kind not in core.settings.classes]
+        for kind in [*core.settings.classes, *going]:
+            text += (
+                f"{kind.name:16} {kind.priority_weight:6g} {kind.latency_objective_s:6g}s "
+                f"{kind.deadline_s:6g}s {'yes' if kind.idempotent else 'no':5} "
+                f"{core.settings.max_attempts:8} {open_ones.count(kind):5}"
+                f"{' as it was before a reload' if kind in going else ''}"
+            )
+            if core.servers.in_scope is not None:
+                known = near if kind.allowed_servers is None else near.intersection(kind.allowed_servers)
+                text += "  in" if known else "  out"
+            text += "\n"
+        return text
+
+    def _calls(self) -> str:
+        core = self._core
+        if not core.calls.by_number:
+            return "no calls\n"
+        text = f"{'call':17} {'number called':18} {'class':12} {'state':9} {'tries':>5} server\n"
+        for index, call in enumerate(core.calls.by_number.values()):
+            if index == MAX_CALLS_SHOWN:
+                return text + f"and {len(core.calls.by_number) - MAX_CALLS_SHOWN} more\n"
+            kind = call.request.call_class.name
+            server = call.attempt.server.record.instance if call.attempt is not None else "-"
+            text += (
+                f"{call.request.ident:17} {call.request.called_uri:18} {kind:12} {call.state.value:9} "
+                f"{call.attempts:5} {server}\n"
+            )
+        return text
--- /dev/null
+++ b/stairhatch/node/syslog.py
@@ -0,0 +1,64 @@
+"""The form of a syslog message with structured data (RFC 5424). Pure functions; `event_log` sends them."""
+
+from __future__ import annotations
+
+import os
+import re
+import time
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import IntEnum
+
+FACILITY = 16  # local0 (RFC 5424, 6.2.1)
+SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
+BOM = "\ufeff"  # the message behind it is UTF-8 (RFC 5424, 6.4)
+NIL = "-"
+MAX_HOST, MAX_APP, MAX_MESSAGE_ID, MAX_SD_NAME = 255, 48, 32, 32  # characters (RFC 5424, section 6)
+NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
+NOT_SD_NAME = re.compile(r'[^\x21-\x7e]|[=\]" ]')
+
+
+class Severity(IntEnum):
+    """How grave an event is (RFC 5424, 6.2.1); the two that are used."""
+
+    WARNING = 4
+    INFORMATIONAL = 6
+
+
+@dataclass(frozen=True, slots=True)
+class Origin:
+    """Who sends a message."""
+
+    host: str
+    app: str
+
+
+def structured_data(name: str, fields: Mapping[str, object]) -> str:
+    """One structured-data element (RFC 5424, 6.3): values are escaped, names held to what is allowed."""
+    text = ""
+    for key, value in fields.items():
+        shown = str(value).encode("utf-8", "replace").decode()
+        for char in '\\"]':
+            shown = shown.replace(char, "\\" + char)
+        text += f' {NOT_SD_NAME.sub("_", key)[:MAX_SD_NAME] or "_"}="{shown}"'
+    return f"[{name}{text}]" if text else NIL
+
+
+def format_message(
+    origin: Origin, at: float, severity: Severity, event: str, fields: Mapping[str, object]
+) -> str:
+    """A whole message about an event, `at` in seconds of Unix time.
+
+    Header fields are held to printable ASCII and to their lengths.
+    """
+    priority = FACILITY * 8 + severity
+    whole = int(at)
+    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole)) + f".{int((at - whole) * 1e6):06d}Z"
+    host, app = _header_field(origin.host, MAX_HOST), _header_field(origin.app, MAX_APP)
+    head = f"<{priority}>1 {stamp} {host} {app} {os.getpid()} {_header_field(event, MAX_MESSAGE_ID)}"
+    words = " ".join(f"{key}={value}" for key, value in fields.items())
+    return f"{head} {structured_data(SD_ID, fields)} {BOM}{event} {words}".rstrip()
+
+
+def _header_field(text: str, max_characters: int) -> str:
+    return NOT_PRINTABLE.sub("_", text)[:max_characters] or NIL
--- a/stairhatch/terminal.py
+++ b/stairhatch/terminal.py
@@ -10,7 +10,7 @@
 import os
 import sys
 
-from stairhatch.node.admin_endpoint import PROMPT, Console
+from stairhatch.node.admin_console import PROMPT, AdminConsole
 
 READ_BYTES = 4096
 STDIN_DESCRIPTOR = 0
@@ -22,9 +22,9 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """`loop` is the running event loop."""
         self._loop = loop
-        self._console: Console | None = None
+        self._console: AdminConsole | None = None
 
-    def attach(self, console: Console) -> None:
+    def attach(self, console: AdminConsole) -> None:
         """Read commands for a console from standard input, if that can be watched."""
         try:
             self._loop.add_reader(STDIN_DESCRIPTOR, self._read)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -20,7 +20,7 @@
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
-from stairhatch.node.admin_endpoint import MOST_ORDER, Door
+from stairhatch.node.admin_endpoint import MAX_COMMAND_BYTES, AdminConnection
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.accepted_connection import AcceptedConnection
@@ -106,7 +106,7 @@
         ("", False, "empty line"),
         (b"\xff\xfe\x00\x1b[2J\n", False, "unknown order ????"),
         (b"check " * 100, False, "longer than"),
-        ("check " + "x" * MOST_ORDER, False, "longer than"),
+        ("check " + "x" * MAX_COMMAND_BYTES, False, "longer than"),
         (b"chec", True, "unfinished"),
         (b"", True, "unfinished"),
         (b"drain-", False, "no whole line came in time"),
@@ -170,7 +170,7 @@
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
     with socket.socketpair()[0] as end:
         for _ in range(ADMIN_LIMITS.max_connections):
-            listener.connections[AcceptedConnection(Door(inside.core), end, inside.now)] = None
+            listener.connections[AcceptedConnection(AdminConnection(inside.core), end, inside.now)] = None
         inside.run(0.1)
         assert listener.evict()
 
@@ -216,7 +216,7 @@
         inside.core.readiness.drain(on)
         lines.clear()
         for _ in range(10):
-            Door(inside.core).receive_data(b"check\n")
+            AdminConnection(inside.core).receive_data(b"check\n")
         assert len(lines) == 1
 
 
@@ -404,7 +404,7 @@
 def test_a_door_reads_one_line_and_no_more():
     """Guards against orders carried out that follow a first one, or come in pieces without an end."""
     inside = InProcessNode()
-    door = Door(inside.core)
+    door = AdminConnection(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         door.receive_data(piece)
     assert door.data_to_send().startswith(b"ok draining") and door.can_close()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,8 +8,9 @@
 import pytest
 
 from stairhatch.node import sip_parser
-from stairhatch.node.event_log import Log, rfc5424, structured
+from stairhatch.node.event_log import EventLog
 from stairhatch.node.server_messages import parse_load_report
+from stairhatch.node.syslog import Origin, Severity, format_message, structured_data
 
 from .peers import Program, RosterServer, until
 
@@ -70,26 +71,28 @@
 
 def test_structured_data_is_escaped():
     """Guards against a value that ends its element early (RFC 5424, 6.3.3)."""
-    text = structured("a@1", {"b=]c": 'x"y]z\\', "é": "é"})
+    text = structured_data("a@1", {"b=]c": 'x"y]z\\', "é": "é"})
     assert text == '[a@1 b__c="x\\"y\\]z\\\\" _="é"]'
-    assert structured("a@1", {}) == "-"
+    assert structured_data("a@1", {}) == "-"
 
 
 def test_a_message_has_the_form_of_rfc_5424():
     """Guards against receivers that reject what they can't read."""
-    text = rfc5424(1.5, 4, "ho st", "stairhatch", "link lost", {"server": "s-1"})
+    text = format_message(
+        Origin("ho st", "stairhatch"), 1.5, Severity.WARNING, "link lost", {"server": "s-1"}
+    )
     head = r"<132>1 1970-01-01T00:00:01\.500000Z ho_st stairhatch \d+ link_lost "
     assert re.fullmatch(head + r'\[stairhatch@32473 server="s-1"\] ' + "\ufefflink lost server=s-1", text)
 
 
 def test_a_log_that_nobody_reads_delays_nothing(monkeypatch):
     """Guards against calls that wait for a terminal or a receiver: what does not fit is counted."""
-    monkeypatch.setattr("stairhatch.node.event_log.MOST_WAITING", 5)
-    log = Log("stairhatch", "host", lambda: 1.0)
+    monkeypatch.setattr("stairhatch.node.event_log.MAX_QUEUED", 5)
+    log = EventLog("stairhatch", "host", lambda: 1.0)
     log.close()
     for _ in range(20):
         log("event", a=1)
-    assert log.left_out >= 14
+    assert log.suppressed >= 14
 
 
 def test_the_program_tells_its_syslog_receiver(tmp_path):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import TERMINATED_KEPT_S, ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.event_log import MOST_WARNINGS, Log
+from stairhatch.node.event_log import MAX_WARNINGS, EventLog
 from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ANSWER_TIMEOUT_S, ServiceDiscoveryClient
@@ -573,14 +573,14 @@
 def test_a_flood_of_one_kind_of_line_is_cut_and_counted(capfd):
     """Guards against a log that takes more of the processor than the calls, at a hostile peer's will."""
     now = [1.0]
-    log = Log("stairhatch", "host", lambda: now[0])
+    log = EventLog("stairhatch", "host", lambda: now[0])
     for _ in range(500):
         log("malformed", side="caller")
     now[0] = 2.5
     log("malformed", side="caller")
     log.close()
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) == MOST_WARNINGS + 1 and lines[-1].endswith("left_out_before=480")
+    assert len(lines) == MAX_WARNINGS + 1 and lines[-1].endswith("suppressed_before=480")
 
 
 def test_timers_that_are_due_together_wake_the_loop_once():
