--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 from stairhatch.overload.events import AttemptOutcome, Availability, EndpointRecord, LoadReport, LoadReported
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 
-from .conftest import Node, sends
+from .support.access_node import Node, sends
 
 COLD, OTHERS = 10, (11, 12, 13)
 STEP = 0.05
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -27,7 +27,7 @@
 from stairhatch.settings.errors import SettingsError
 from stairhatch.settings.parser import settings_from_object
 
-from .conftest import SETTINGS, finals, sends
+from .support.access_node import SETTINGS, finals, sends
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,7 @@
     TimerExpired,
 )
 
-from .conftest import SETTINGS, finals, sends
+from .support.access_node import SETTINGS, finals, sends
 
 
 def run_out(node, seconds, step=0.02):
