--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 
     def make(servers: int = 2, settings: Settings = SETTINGS, seed: int = 1) -> Node:
         node = Node(settings, seed)
-        node.list_servers(*(EndpointRecord(10 + i, i) for i in range(servers)))
+        node.update_endpoints(*(EndpointRecord(10 + i, i) for i in range(servers)))
         return node
 
     return make
--- a/tests/support/access_node.py
+++ b/tests/support/access_node.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from stairhatch.overload.actions import Action, FailCall, RejectCall, SendSetup
-from stairhatch.overload.controller import Controller
+from stairhatch.overload.controller import PENDING_TIMER_ID, Controller
 from stairhatch.overload.events import (
     AttemptEnded,
     AttemptOutcome,
@@ -18,7 +18,9 @@
     LoadReport,
     TimerExpired,
 )
+from stairhatch.overload.load_balancing import LoadBalancer
 from stairhatch.overload.settings import CallClass, Settings
+from stairhatch.overload.slow_start import SlowStart
 
 TWO_CLASSES = (
     CallClass("plain", priority_weight=1, latency_objective_s=1.2, deadline_s=9, late_weight=0.25),
@@ -29,62 +31,85 @@
 
 @dataclass
 class Node:
-    """Drives a controller by hand."""
+    """One access node with its controller, driven by hand at the time `now`."""
 
     settings: Settings = SETTINGS
     seed: int = 1
     now: float = 100.0
     next_call: int = 1
-    done: list[Action] = field(default_factory=list)
+    actions: list[Action] = field(default_factory=list)  # all so far
 
     def __post_init__(self) -> None:
-        self.core = Controller(self.settings, random.Random(self.seed))
+        self.controller = Controller(self.settings, random.Random(self.seed))
 
-    def tell(self, event: Event) -> list[Action]:
+    @property
+    def slow_start(self) -> SlowStart:
+        """The controller's."""
+        return self.controller.parts.slow_start
+
+    @property
+    def load_balancer(self) -> LoadBalancer:
+        """The controller's."""
+        return self.controller.parts.load_balancer
+
+    def is_flagged(self, server: int = 10) -> bool:
+        """Whether a server counts as congested."""
+        return self.controller.parts.congestion.is_flagged(self.now, self.controller.endpoints[server])
+
+    def handle(self, event: Event) -> list[Action]:
         """One event; returns the actions it led to."""
-        actions = list(self.core.handle(self.now, event))
-        self.done += actions
+        actions = list(self.controller.handle(self.now, event))
+        self.actions += actions
         return actions
 
-    def list_servers(self, *lines: EndpointRecord, complete: bool = True) -> list[Action]:
-        """News of the server list."""
-        return self.tell(EndpointsUpdated(lines, complete))
+    def update_endpoints(self, *records: EndpointRecord, complete: bool = True) -> list[Action]:
+        """The endpoint list, or what changed in it."""
+        return self.handle(EndpointsUpdated(records, complete))
 
-    def offer(self, choice: int = 0, kind: int = 0, grace_s: float = 3.0, **more: object) -> list[Action]:
-        """A new call; its number is `next_call - 1` afterwards."""
+    def offer(
+        self,
+        preferred_number: int = 0,
+        class_index: int = 0,
+        caller_timeout_s: float = 3.0,
+        **more: object,
+    ) -> list[Action]:
+        """A new call; its id is `next_call - 1` afterwards. Beyond the classes it has none."""
         call, self.next_call = self.next_call, self.next_call + 1
-        classes = self.core.settings.classes
-        held = classes[kind] if kind < len(classes) else None
-        return self.tell(CallOffered(call, held, choice, grace_s, **more))  # type: ignore[arg-type]
+        classes = self.controller.settings.classes
+        call_class = classes[class_index] if class_index < len(classes) else None
+        return self.handle(
+            CallOffered(call, call_class, preferred_number, caller_timeout_s, **more)  # type: ignore[arg-type]
+        )
 
-    def stood(self, call: int, server: int, took_s: float = 0.05) -> list[Action]:
+    def established(self, call: int, server: int, elapsed_s: float = 0.05) -> list[Action]:
         """A set-up was answered."""
-        return self.tell(CallEstablished(call, server, took_s))
+        return self.handle(CallEstablished(call, server, elapsed_s))
 
-    def ended(
-        self, call: int, server: int, ending: AttemptOutcome, answered: bool = False, **more: object
+    def attempt_ended(
+        self, call: int, server: int, outcome: AttemptOutcome, answered: bool = False, **more: object
     ) -> list[Action]:
         """An attempt is over."""
         report = more.pop("report", LoadReport())
-        return self.tell(AttemptEnded(call, server, ending, answered, report, **more))  # type: ignore[arg-type]
+        return self.handle(
+            AttemptEnded(call, server, outcome, answered, report, **more)  # type: ignore[arg-type]
+        )
 
-    def ring(self, after_s: float = 0.0) -> list[Action]:
-        """Let time pass, then ring the timer."""
+    def expire_timer(self, after_s: float = 0.0) -> list[Action]:
+        """Let time pass, then have the timer expire."""
         self.now += after_s
-        return self.tell(TimerExpired(1))
+        return self.handle(TimerExpired(PENDING_TIMER_ID))
 
-    def pressed(self, server: int, wait_s: float) -> None:
-        """A report with this wait, from a call that ended."""
-        self.ended(
-            10**9, server, AttemptOutcome.COMPLETED, answered=True, report=LoadReport(processor_wait_s=wait_s)
-        )
+    def report_delay(self, server: int, delay_s: float) -> None:
+        """A report with this delay, from a call that was completed."""
+        report = LoadReport(processor_wait_s=delay_s)
+        self.attempt_ended(10**9, server, AttemptOutcome.COMPLETED, answered=True, report=report)
 
 
-def sends(actions: list[Action]) -> list[SendSetup]:
+def setups(actions: list[Action]) -> list[SendSetup]:
     """The set-ups among the actions."""
-    return [a for a in actions if isinstance(a, SendSetup)]
+    return [action for action in actions if isinstance(action, SendSetup)]
 
 
-def finals(actions: list[Action]) -> list[Action]:
+def final_answers(actions: list[Action]) -> list[Action]:
     """The final answers among the actions."""
-    return [a for a in actions if isinstance(a, RejectCall | FailCall)]
+    return [action for action in actions if isinstance(action, RejectCall | FailCall)]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -1,6 +1,6 @@
-"""Rule 4 with twenty and thirty softswitches: beyond the budget of N set-ups in `fall_s` only 2 root N + 2
+"""Rule 4 with twenty and thirty softswitches: beyond the budget of N set-ups a window only 2 root N + 2
 are put down to chance (issue 35). The real decisions run on the virtual clock of `benchmarks/cold_ramp.py`,
-and its checker counts what reaches the cold server; `docs/cold.md` has the derivation.
+and its checker counts what reaches the warming server; `docs/cold.md` has the derivation.
 """
 
 from __future__ import annotations
@@ -57,8 +57,8 @@
 
 @pytest.mark.parametrize("processes", [20, 30])
 @pytest.mark.parametrize("story", Story)
-def test_no_window_of_a_cold_server_goes_beyond_the_budget_and_chance(story, processes):
-    """Guards against a fleet that pushes a cold server over, at sites of all kinds."""
+def test_no_window_of_a_warming_server_goes_beyond_the_budget_and_chance(story, processes):
+    """A fleet does not push a warming server over, at sites of all kinds."""
     for seed in range(10):
         site = SMALL if seed % 4 == 0 else drawn(seed)
         result = Ramp(site, story, processes, seed).run()
@@ -74,13 +74,13 @@
 @pytest.mark.parametrize("site", [KELP, MOSS], ids=["kelp-watch", "moss-line"])
 @pytest.mark.parametrize("story", [Story.ALONE, Story.BOTH])
 def test_no_window_goes_beyond_it_at_the_made_up_sites(story, site):
-    """Guards against a pace that is right for one deployment: these are the figures of `deploy/sites/`."""
+    """The pace is right for other deployments too: these are the figures of `deploy/sites/`."""
     for processes in (20, 30):
         assert Ramp(site, story, processes, 1).run().fullest()[0] <= 1.0
 
 
 def test_the_checker_tells_a_fleet_that_sends_too_much(monkeypatch):
-    """Guards against a checker or a load under which any pace would pass: without turns it is broken."""
+    """Without slow-start slots the bound is broken, so the checker and the load are worth something."""
     monkeypatch.setattr(SlowStart, "has_slot", lambda slow_start, now, endpoint: True)
     assert Ramp(replace(Site(), capacity=15.0), Story.ALONE, 30, 1).run().fullest()[0] > 1.0
 
@@ -95,16 +95,16 @@
     ],
 )
 def test_what_the_bound_leaves_is_used(lines, story, least):
-    """Guards against a ramp so timid that calls are refused while a cold server idles: of what it can bear in
-    its first 12 s it got 0.32 where lines are told and 0.12 where none are, and with half of the processes
-    new 0.18 and 0.09, while what it says it can take was not listened to.
+    """Too timid a slow start rejects calls while a warming server idles. Of what it can bear in its first 12 s
+    it got 0.32 where lines are reported and 0.12 where none are, and with half of the processes new 0.18 and
+    0.09, while the rate that it reports was not used.
     """
     found = [Ramp(Site(tells_lines=lines), story, n, n).run() for n in (20, 30)]
     assert sum(each.early() for each in found) >= least * sum(each.bearable() for each in found)
 
 
-def test_what_a_server_told_before_it_started_anew_counts_no_more():
-    """Guards against a cold server that gets what the process before it was able to do."""
+def test_what_a_server_reported_before_it_started_anew_counts_no_more():
+    """A warming server must not get what the process before it was able to do."""
     rates = []
     for told in (False, True):
         ramp = Ramp(Site(), Story.CALM, 20, 1)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -580,19 +580,24 @@
 def test_settings_are_swapped_in_one_step_and_what_was_learnt_stays(make_node):
     """Guards against figures derived from settings that are no more, and against learning all anew."""
     node = make_node()
-    core = node.core
+    controller = node.controller
     for _ in range(50):
-        node.offer(kind=0, grace_s=3.0)
-        node.offer(kind=1, grace_s=2.0)
-    core.endpoints[10].concurrency_limit = 7.5
-    kept = dict(core.parts.caller_retries.usual_timeout_s)
-    (_, vital), length = core.settings.classes, core.parts.durations.expected.mean
+        node.offer(class_index=0, caller_timeout_s=3.0)
+        node.offer(class_index=1, caller_timeout_s=2.0)
+    controller.endpoints[10].concurrency_limit = 7.5
+    kept = dict(controller.parts.caller_retries.usual_timeout_s)
+    (_, vital), length = controller.settings.classes, controller.parts.durations.expected.mean
     shorter = replace(vital, latency_objective_s=0.3, deadline_s=vital.deadline_s / 2, priority_weight=9)
-    core.update_settings(replace(core.settings, classes=(shorter,), instance_count=10, max_attempts=1))
-    fresh = Controller(core.settings, random.Random(1))
-    assert vars(core.thresholds) == vars(fresh.thresholds) and core.settings.max_attempts == 1
-    assert core.endpoints[10].concurrency_limit == 7.5 and core.parts.durations.expected.mean == length
-    assert core.parts.caller_retries.usual_timeout_s == {
+    controller.update_settings(
+        replace(controller.settings, classes=(shorter,), instance_count=10, max_attempts=1)
+    )
+    fresh = Controller(controller.settings, random.Random(1))
+    assert vars(controller.thresholds) == vars(fresh.thresholds) and controller.settings.max_attempts == 1
+    assert (
+        controller.endpoints[10].concurrency_limit == 7.5
+        and controller.parts.durations.expected.mean == length
+    )
+    assert controller.parts.caller_retries.usual_timeout_s == {
         "vital": kept["vital"] / 2
     }, "by its name, and in proportion"
 
