--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -363,7 +363,12 @@
                 run_batch.carry_out(run_batch.RunRequest(read_schedule(file), 1, keep, keep is not None))
             )
         else:
-            found = run_batch.run_many(_seeds(seeds), jobs, members, scale, keep, shown)
+            found = run_batch.run_many(
+                _seeds(seeds),
+                jobs,
+                run_batch.BatchOptions(members=members, scale=scale, keep_in=keep),
+                shown,
+            )
     except ScheduleError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(2)
@@ -400,11 +405,11 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 def lab_check(folder: Path) -> None:
     """Judge once more what a run has kept, and show who held what."""
-    from stairhatch.fault_injection import run_batch
     from stairhatch.fault_injection.errors import RunError
+    from stairhatch.fault_injection.run_files import check_kept_run
 
     try:
-        broken, shown = run_batch.check_kept_run(folder)
+        broken, shown = check_kept_run(folder)
     except RunError as error:
         click.echo(f"stairhatch: {error}", err=True)
         sys.exit(2)
@@ -426,7 +431,7 @@
     fault was not found).
     """
     from stairhatch.fault_injection.mutations import MUTATIONS
-    from stairhatch.fault_injection.trial import run_seeds
+    from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 
     chosen = _seeds(seeds)
     if planted == "list":
@@ -437,13 +442,15 @@
     if faults:
         missed = 0
         for name in MUTATIONS:
-            found = run_seeds(chosen, jobs, members, name, until_broken=True)
+            found = run_seeds(
+                chosen, TrialOptions(members=members, mutation=name), jobs, until_violation=True
+            )
             rule = found.failed[0].violations[0].rule if found.failed else ""
             click.echo(f"{name:52} {f'{found.runs:5} seeds, {rule}' if rule else 'NOT FOUND'}")
             missed += not rule
         click.echo(f"{len(MUTATIONS) - missed} of {len(MUTATIONS)} planted faults found")
         sys.exit(1 if missed else 0)
-    found = run_seeds(chosen, jobs, members, planted)
+    found = run_seeds(chosen, TrialOptions(members=members, mutation=planted), jobs)
     for ran in found.failed[:20]:
         click.echo(f"seed {ran.seed}: BROKEN {ran.violations[0].rule}: {ran.violations[0].explanation}")
     bites = ", ".join(f"{name} {often}" for name, often in sorted(found.runs_by_activation.items()))
--- a/stairhatch/fault_injection/__init__.py
+++ b/stairhatch/fault_injection/__init__.py
@@ -1,6 +1,17 @@
-"""The lab: many softswitches, and faults between them. `world` runs the decisions of `stairhatch.fleet` on a
-virtual clock, `explore` in every order that a small world allows, `processes` the real program with relays on
-every way between two; `schedule` draws the faults from a seed, `history` and `rules` read what happened off
-what crossed the ways and what the processes wrote down, `planted` breaks the decisions on purpose to prove
-the rules. It must never be imported by the program itself, and ends only processes that it started.
+"""Fault injection: many softswitches with faults between them, to prove their shared work.
+
+Where to look, by what runs:
+
+- real processes of this program: `run_batch` (many runs), `process_run` (one), `fault_injector`,
+`network_links`,
+  `member_process` and `member_main` (one softswitch), `callers`, `run_report`, `run_files`
+- the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` and its members
+- every order of events of a small cluster: `state_exploration`
+
+`schedule` and `schedule_generator` say which faults happen when. `history`, `lease_rules` and `timeline` read
+off the histories what came of it. `mutations` are mistakes put into the decisions on purpose, to prove the
+rules.
+
+The program itself never imports this package, and it ends only processes that it started. The command is
+`stairhatch lab`; timelines lie under `experiments/lab/`.
 """
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -29,6 +29,7 @@
     def __init__(
         self, seed: int, members: list[MemberProcess], servers: list[StandIn], calls_per_s: float
     ) -> None:
+        """Observe the servers from now on; calls are placed once it is opened."""
         self.seed = seed
         self.members = members
         self.calls_per_s = calls_per_s  # to each softswitch
@@ -69,7 +70,7 @@
         finally:
             caller.close()
 
-    def _on_ended(self, call: Placed, end: End, took_s: float, status: int) -> None:
+    def _on_ended(self, _call: Placed, end: End, took_s: float, _status: int) -> None:
         self.end_counts[end] += 1
         self.answer_times_s.append(took_s)
 
--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -11,11 +11,11 @@
 import random
 import time
 from collections import Counter
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 from msgspec.structs import replace
 
+from stairhatch.fault_injection.background_tasks import BackgroundTasks
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.lease_rules import hold_intervals
 from stairhatch.fault_injection.member_process import MemberProcess
@@ -39,7 +39,6 @@
 RESTART_LEASES = (0.05, 0.3)  # lease durations after which a member with another voter set is started again
 
 WriteConfig = Callable[[MemberProcess, int, MemberNames], None]  # of a member, for an epoch and its voters
-Spawn = Callable[[Coroutine[Any, Any, None]], None]
 
 
 class FaultInjector:
@@ -56,14 +55,14 @@
         links: NetworkLinks,
         rng: random.Random,
         write_config: WriteConfig,
-        spawn: Spawn,
     ) -> None:
+        """Inject into the members and links of one run; `write_config` changes a member\'s file."""
         self.schedule = schedule
         self.members = members
         self.links = links
         self.rng = rng
         self.write_config = write_config
-        self.spawn = spawn
+        self.tasks = BackgroundTasks()
         self.started_at = 0.0
         self.activations: Counter[str] = Counter()
         self.waiting_faults: list[ScheduledFault] = []
@@ -106,6 +105,10 @@
                 return self.members[each.member]
         return None
 
+    def close(self) -> None:
+        """End the faults that are under way."""
+        self.tasks.cancel()
+
     async def back_up_regularly(self) -> None:
         """Copy the members' data directories now and then, as somebody's script would."""
         while True:
@@ -138,22 +141,22 @@
             case FaultKind.STOP:
                 self.activations[fault.kind.value] += member.stop(fault.duration_s)
             case FaultKind.KILL:
-                self.spawn(self._kill_and_restart(fault, member))
+                self.tasks.spawn(self._kill_and_restart(fault, member))
             case kind if kind in DATA_DIRECTORY_FAULTS:
-                self.spawn(self._kill_and_restart(fault, member))
+                self.tasks.spawn(self._kill_and_restart(fault, member))
             case FaultKind.DISK_FULL:
-                self.spawn(self._fail_disk(fault, member, "full"))
+                self.tasks.spawn(self._fail_disk(fault, member, "full"))
             case FaultKind.DISK_READ_ONLY:
-                self.spawn(self._fail_disk(fault, member, "read-only"))
+                self.tasks.spawn(self._fail_disk(fault, member, "read-only"))
             case FaultKind.DISK_SLOW:
-                self.spawn(self._fail_disk(fault, member, fault.amount))
+                self.tasks.spawn(self._fail_disk(fault, member, fault.amount))
             case FaultKind.STEP_WALL_CLOCK if member.process is not None:
                 self.activations[fault.kind.value] += 1
                 member.send_command(step=fault.amount)
             case FaultKind.STOP_BEFORE_WRITE:
-                self.spawn(self._stop_before_write(fault, member))
+                self.tasks.spawn(self._stop_before_write(fault, member))
             case FaultKind.HAND_OVER:
-                self.spawn(self._hand_over(fault, member))
+                self.tasks.spawn(self._hand_over(fault, member))
             case _:
                 return False
         return True
@@ -167,7 +170,7 @@
         for member in self.members.values():
             self.activations[fault.kind.value] += member.kill()
         for member in self.members.values():
-            self.spawn(self._start_later(member, self.rng.uniform(0, fault.duration_s)))
+            self.tasks.spawn(self._start_later(member, self.rng.uniform(0, fault.duration_s)))
 
     async def _start_later(self, member: MemberProcess, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
@@ -192,7 +195,7 @@
             unchanged.add(holder.name)
         for name, member in self.members.items():
             if name not in unchanged:
-                self.spawn(self._restart_with_voters(member, self.epoch, fault))
+                self.tasks.spawn(self._restart_with_voters(member, self.epoch, fault))
 
     async def _restart_with_voters(self, member: MemberProcess, epoch: int, fault: ScheduledFault) -> None:
         """Write the next voter set to a member's file, some time after the others', and start it again."""
--- a/stairhatch/fault_injection/lease_rules.py
+++ b/stairhatch/fault_injection/lease_rules.py
@@ -174,8 +174,7 @@
 def find_unheld(
     records: list[HistoryRecord], leases: Iterable[str], since_s: float, until_s: float
 ) -> Iterable[RuleViolation]:
-    """Check the rule `held`: yield a violation for each lease that nobody holds at any time between the
-    two."""
+    """Check the rule `held`: a violation for each lease that nobody held at any time between the two."""
     held = hold_intervals(records)
     for lease in leases:
         if not any(
--- a/stairhatch/fault_injection/member_config.py
+++ b/stairhatch/fault_injection/member_config.py
@@ -6,9 +6,12 @@
 from __future__ import annotations
 
 import os
+from collections.abc import Callable
+from dataclasses import dataclass, field
 
 from stairhatch.fault_injection.member_process import MemberProcess
-from stairhatch.fault_injection.schedule import FaultSchedule
+from stairhatch.fault_injection.network_links import Address
+from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
 
 MAX_FALL_S = 1.0
 
@@ -70,7 +73,7 @@
 CONFIG_TEMPLATE_WITHOUT_FLEET = CONFIG_TEMPLATE.partition("[fleet]")[0]
 
 
-def format_address(address: tuple[str, int]) -> str:
+def format_address(address: Address) -> str:
     """An address as configuration files have it."""
     return f"{address[0]}:{address[1]}"
 
@@ -85,29 +88,30 @@
     return f"127.{1 + number // (254 * 254)}.{1 + number // 254 % 254}.{1 + number % 254}"
 
 
-def render_config(
-    template: str,
-    schedule: FaultSchedule,
-    member: MemberProcess,
-    coordinator: str,
-    voters: dict[str, tuple[str, int]],
-    epoch: int,
-) -> str:
-    """The configuration of one softswitch.
-
-    `coordinator` and `voters` are the addresses under which this softswitch reaches them, `epoch` that of the
-    voter set.
-    """
-    return template.format(
-        name=member.name,
-        admin_endpoint=format_address(member.admin_endpoint),
-        coordinator=coordinator,
-        sip=format_address(member.sip),
-        balancers=len(schedule.members) - 1,
-        listen=format_address(member.listen),
-        lease_duration_s=schedule.lease_duration_s,
-        drift_bound=schedule.drift_bound,
-        voters=", ".join(f'{name} = "{format_address(address)}"' for name, address in voters.items()),
-        epoch=epoch,
-        fall_s=min(MAX_FALL_S, schedule.lease_duration_s / 3),
-    )
+@dataclass(kw_only=True)
+class ConfigRenderer:
+    """Writes out the configuration of each softswitch of a run."""
+
+    template: str
+    schedule: FaultSchedule
+    address_for: Callable[[str, str], Address]  # under which the first softswitch reaches the second
+    coordinator_links: dict[str, Address] = field(
+        default_factory=dict
+    )  # by which each reaches the coordinator
+
+    def render(self, member: MemberProcess, epoch: int, voters: MemberNames) -> str:
+        """The configuration of one softswitch with the voter set of an epoch."""
+        listed = [f'{name} = "{format_address(self.address_for(member.name, name))}"' for name in voters]
+        return self.template.format(
+            name=member.name,
+            admin_endpoint=format_address(member.admin_endpoint),
+            coordinator=format_address(self.coordinator_links[member.name]),
+            sip=format_address(member.sip),
+            balancers=len(self.schedule.members) - 1,
+            listen=format_address(member.listen),
+            lease_duration_s=self.schedule.lease_duration_s,
+            drift_bound=self.schedule.drift_bound,
+            voters=", ".join(listed),
+            epoch=epoch,
+            fall_s=min(MAX_FALL_S, self.schedule.lease_duration_s / 3),
+        )
--- a/stairhatch/fault_injection/member_main.py
+++ b/stairhatch/fault_injection/member_main.py
@@ -1,8 +1,10 @@
-"""One softswitch of a lab: the real program, started with a clock that runs fast, slow or apart, and a disk
-that can be made to fail. Orders come as lines of JSON on a pipe: `disk` (well, full, read-only, or seconds
-that a sync takes), `stop` (between the check and the write of the next piece of
-shared work) and `step` (of the wall
-clock). It must never change a decision: what it puts in place is the clock, the disk and that one stop.
+"""One softswitch of a run: the real program, with faults of its clock, its disk and its work.
+
+Started as `python -m stairhatch.fault_injection.member_main FILE RATE OFFSET PIPE`: the configuration, how
+fast its clock runs, how far it is off in seconds, and the descriptor of a pipe. Commands come on the pipe as
+lines of JSON with any of these keys: `disk` ("well", "full", "read-only", or the seconds that a sync takes
+longer), `stop` (true: stop between the check and the write of the next piece of shared work) and `step`
+(seconds to step the wall clock by). No decision is changed, unless STAIRHATCH_LAB_PLANTED names a mutation.
 """
 
 from __future__ import annotations
@@ -22,66 +24,75 @@
 from stairhatch.fleet.store import VoterStore
 from stairhatch.main import serve
 
+PR_SET_PDEATHSIG = 1  # prctl(2)
+
 
 class LocalFaults:
-    """What is put in place of the machine's own."""
+    """The faults of this process, put in place of its clock, its disk and its work.
+
+    Commands arrive on a thread of their own; each sets one field that the program reads.
+    """
 
-    def __init__(self, rate: float, offset: float) -> None:
-        self.rate, self.offset = rate, offset
+    def __init__(self, clock_rate: float, clock_offset_s: float) -> None:
+        """No fault but that of the clock, until a command comes."""
+        self.clock_rate = clock_rate
+        self.clock_offset_s = clock_offset_s
         self.disk: str | float = "well"
-        self.stop = False
-        self.begun = time.clock_gettime(time.CLOCK_BOOTTIME)
-        self.wall, self.step = time.time, 0.0
+        self.stop_at_next_work = False
+        self.started_at = time.clock_gettime(time.CLOCK_BOOTTIME)
+        self.machine_time = time.time
+        self.wall_clock_step_s = 0.0
 
     def clock(self) -> float:
-        """The clock that claims go by."""
+        """The clock that leases go by."""
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
-        return self.offset + self.begun + (now - self.begun) * self.rate
+        return self.clock_offset_s + self.started_at + (now - self.started_at) * self.clock_rate
+
+    def wall_clock(self) -> float:
+        """Unix time, as the wall clock shows it after its steps."""
+        return self.machine_time() + self.wall_clock_step_s
 
     def before_commit(self) -> None:
-        """The disk."""
-        disk = self.disk
-        if disk == "full":
-            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        if disk == "read-only":
-            raise OSError(errno.EROFS, os.strerror(errno.EROFS))
-        if isinstance(disk, float):
-            time.sleep(disk)
+        """Fail or delay a write to the voter's store. Raises OSError as a full or read-only disk does."""
+        match self.disk:
+            case "full":
+                raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
+            case "read-only":
+                raise OSError(errno.EROFS, os.strerror(errno.EROFS))
+            case float(delay_s):
+                time.sleep(delay_s)
 
     def stop_once(self) -> None:
-        """Stop here, once."""
-        if self.stop:
-            self.stop = False
+        """Stop this process where a command has asked for it."""
+        if self.stop_at_next_work:
+            self.stop_at_next_work = False
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    def execute_commands(self, orders: int) -> None:
-        """Orders, until there are no more: then whoever gave them is gone, and so is this process."""
-        for text in os.fdopen(orders, "rb"):
-            order = json.loads(text)
-            self.disk = order.get("disk", self.disk)
-            self.stop = order.get("stop", self.stop)
-            self.step += order.get("step", 0.0)
+    def execute_commands(self, pipe: int) -> None:
+        """Execute commands until the pipe ends: whoever sent them is gone, and this process goes too."""
+        for line in os.fdopen(pipe, "rb"):
+            command = json.loads(line)
+            self.disk = command.get("disk", self.disk)
+            self.stop_at_next_work = command.get("stop", self.stop_at_next_work)
+            self.wall_clock_step_s += command.get("step", 0.0)
         os.kill(os.getpid(), signal.SIGKILL)
 
 
-PR_SET_PDEATHSIG = 1  # prctl(2)
-
-
 def die_with_parent() -> None:
-    """Whatever becomes of the lab, and stopped or not, this process goes with it."""
+    """Have the kernel kill this process when its parent ends, also while it is stopped."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 def main() -> int:
-    """`FILE RATE OFFSET PIPE`."""
-    path, rate, offset, orders = sys.argv[1], float(sys.argv[2]), float(sys.argv[3]), int(sys.argv[4])
+    """Serve with the faults in place; the exit code of the program."""
+    path, clock_rate, clock_offset_s, pipe = sys.argv[1:5]
     die_with_parent()
-    faults = LocalFaults(rate, offset)
+    faults = LocalFaults(float(clock_rate), float(clock_offset_s))
     runtime.clock = faults.clock
     runtime.between_check_and_write = faults.stop_once
     VoterStore.before_commit = staticmethod(faults.before_commit)
-    time.time = lambda: faults.wall() + faults.step
-    threading.Thread(target=faults.execute_commands, args=(orders,), daemon=True).start()
+    time.time = faults.wall_clock
+    threading.Thread(target=faults.execute_commands, args=(int(pipe),), daemon=True).start()
     with mutation_applied(os.environ.get("STAIRHATCH_LAB_PLANTED", "")):
         return serve(lambda: read_appliance(path, dict(os.environ)))
 
--- a/stairhatch/fault_injection/member_process.py
+++ b/stairhatch/fault_injection/member_process.py
@@ -1,5 +1,6 @@
-"""One softswitch of a lab as a process: owns its folder, its start, its signals and what is read off its
-history. It must never touch a process that it has not started.
+"""One softswitch of a run as a process: its folder, its start and end, its signals, and its history.
+
+It never touches a process that it has not started.
 """
 
 from __future__ import annotations
@@ -15,38 +16,54 @@
 import time
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
-from stairhatch.fault_injection.history import HistoryRecord
+import msgspec
+from msgspec import Struct
+
+from stairhatch.fault_injection.history import HistoryRecord, ProcessEvent
 
 ROOT = Path(__file__).resolve().parents[2]
-ENDED_S = 10.0
+STATE_FILES = ("claims.db", "claims.db-wal")  # in the data directory
+FLIP_BLOCK_BYTES = 64  # a bit is flipped in one block of this size
+FOREVER = float("inf")
+NO_PIPE = -1
+
+
+class _LoggedEvent(Struct):
+    """One line of the history that the program writes itself (`stairhatch.fleet.runtime`)."""
+
+    at: float  # the machine's monotonic time
+    clock: float  # the same moment by the clock that leases go by
+    what: str
+    claim: str = ""
+    ticket: int = 0
+    until: float = 0.0  # by the clock that leases go by
+    why: str = ""
+    checked: float | None = None  # by the clock that leases go by: when the lease was checked
 
 
 @dataclass
 class MemberProcess:
-    """One softswitch."""
+    """One softswitch. `data_directory`, `config_file` and its logs lie in its `folder`."""
 
     name: str
-    folder: Path  # its own; the state lies in `state` below it
+    folder: Path
     sip: tuple[str, int]
     listen: tuple[str, int]
     admin_endpoint: tuple[str, int]
     clock_rate: float = 1.0
     clock_offset_s: float = 0.0
     process: subprocess.Popen[bytes] | None = None
-    command_pipe: int = -1
+    command_pipe: int = NO_PIPE
     start_count: int = 0
-    stopped_until: float = 0.0
-    backups: list[tuple[float, Path]] = field(default_factory=list)
-    records: list[HistoryRecord] = field(default_factory=list)  # of the lab's own hand
-    outages: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # when it was killed or stopped, until when
+    stopped_until: float = 0.0  # monotonic time; 0.0 while it is not stopped
+    backups: list[tuple[float, Path]] = field(default_factory=list)  # when each was taken
+    records: list[HistoryRecord] = field(default_factory=list)  # of what was done to it
+    outages: list[tuple[float, float]] = field(default_factory=list)  # since and until when it was down
 
     @property
     def data_directory(self) -> Path:
-        """Its folder of promises."""
+        """Where it keeps its votes and fencing tokens."""
         return self.folder / "state"
 
     @property
@@ -54,171 +71,155 @@
         """Its configuration."""
         return self.folder / "stairhatch.toml"
 
-    def record(self, what: str) -> None:
-        """A line of what was done to it."""
-        self.records.append(HistoryRecord(time.monotonic(), self.name, what, self.start_count))
+    def record(self, event: ProcessEvent) -> None:
+        """Record what was done to it."""
+        self.records.append(HistoryRecord(time.monotonic(), self.name, event, self.start_count))
 
     def start(self) -> None:
         """Start it, unless it runs."""
         if self.process is not None:
             return
         self.start_count += 1
-        ours, theirs = os.pipe()[::-1]
+        read_end, write_end = os.pipe()
+        module = "stairhatch.fault_injection.member_main"
+        clock = [repr(self.clock_rate), repr(self.clock_offset_s)]
         with (self.folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
-                [
-                    sys.executable,
-                    "-m",
-                    "stairhatch.fault_injection.member_main",
-                    str(self.config_file),
-                    repr(self.clock_rate),
-                    repr(self.clock_offset_s),
-                    str(theirs),
-                ],
+                [sys.executable, "-m", module, str(self.config_file), *clock, str(read_end)],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                pass_fds=(theirs,),
+                pass_fds=(read_end,),
                 env={**os.environ, "RELAY_CONSOLE": ""},
             )
-        os.close(theirs)
-        self.command_pipe = ours
-        self.record("started")
-        if self.outages and self.outages[-1][1] == float("inf"):
+        os.close(read_end)
+        self.command_pipe = write_end
+        self.record(ProcessEvent.STARTED)
+        if self.outages and self.outages[-1][1] == FOREVER:
             self.outages[-1] = self.outages[-1][0], time.monotonic()
 
-    def send_command(self, **told: Any) -> None:
-        """An order for the lab's own start of the program."""
+    def send_command(self, **command: str | float | bool) -> None:
+        """Send a command to `member_main`; one that does not run misses it."""
         with contextlib.suppress(OSError):
-            os.write(self.command_pipe, json.dumps(told).encode() + b"\n")
+            os.write(self.command_pipe, json.dumps(command).encode() + b"\n")
 
     def send_signal(self, number: int) -> None:
-        """A signal to it, if it runs."""
+        """Send a signal to it, if it runs."""
         if self.process is not None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    def stop(self, lasts: float) -> bool:
-        """SIGSTOP; whoever drives it calls `go_on` later."""
+    def stop(self, duration_s: float) -> bool:
+        """Stop it by SIGSTOP, if it runs; `resume_if_due` lets it go on. Whether it ran."""
         if self.process is None:
             return False
-        self.record("stopped")
-        self.outages.append((time.monotonic(), time.monotonic() + lasts))
+        self.record(ProcessEvent.STOPPED)
+        now = time.monotonic()
+        self.outages.append((now, now + duration_s))
         self.send_signal(signal.SIGSTOP)
-        self.stopped_until = max(self.stopped_until, time.monotonic() + lasts)
+        self.stopped_until = max(self.stopped_until, time.monotonic() + duration_s)
         return True
 
     def resume_if_due(self) -> None:
-        """SIGCONT, once its time is up."""
+        """Let it go on by SIGCONT, once the time of its stop is over."""
         if self.stopped_until and time.monotonic() >= self.stopped_until:
             self.stopped_until = 0.0
             self.send_signal(signal.SIGCONT)
-            self.record("let go on")
+            self.record(ProcessEvent.RESUMED)
 
     def is_stopped(self) -> bool:
-        """Whether the kernel holds it stopped."""
+        """Whether the kernel holds it stopped (proc(5))."""
         if self.process is None:
             return False
         with contextlib.suppress(OSError, IndexError):
-            text = Path(f"/proc/{self.process.pid}/stat").read_text()
-            return text.rpartition(")")[2].split()[0] == "T"
+            status = Path(f"/proc/{self.process.pid}/stat").read_text()
+            return status.rpartition(")")[2].split()[0] == "T"
         return False
 
     def kill(self) -> bool:
-        """SIGKILL, and wait for its end."""
+        """Kill it by SIGKILL and wait for its end, if it runs. Whether it ran."""
         if self.process is None:
             return False
-        self.outages.append((time.monotonic(), float("inf")))
+        self.outages.append((time.monotonic(), FOREVER))
         self.process.kill()
         self.process.wait()
-        with contextlib.suppress(OSError):
-            os.close(self.command_pipe)
-        self.process, self.command_pipe, self.stopped_until = None, -1, 0.0
-        self.record("killed")
-        return True
-
-    def terminate(self) -> int:
-        """SIGTERM, and SIGKILL if it does not end by itself; its exit code."""
-        if self.process is None:
-            return 0
-        self.stopped_until = 0.0
-        self.send_signal(signal.SIGCONT)
-        self.process.terminate()
-        try:
-            code = self.process.wait(ENDED_S)
-        except subprocess.TimeoutExpired:
-            self.kill()
-            return -signal.SIGKILL
         with contextlib.suppress(OSError):
             os.close(self.command_pipe)
         self.process = None
-        return code
+        self.command_pipe = NO_PIPE
+        self.stopped_until = 0.0
+        self.record(ProcessEvent.KILLED)
+        return True
 
     def back_up(self) -> None:
-        """A backup of its folder, as somebody's script would take it."""
-        if (self.data_directory / "claims.db").exists():
-            to = self.folder / f"copy-{len(self.backups)}"
+        """Copy its data directory, as somebody's script would."""
+        if (self.data_directory / STATE_FILES[0]).exists():
+            backup = self.folder / f"copy-{len(self.backups)}"
             with contextlib.suppress(OSError, shutil.Error):
-                shutil.copytree(self.data_directory, to)
-                self.backups.append((time.monotonic(), to))
+                shutil.copytree(self.data_directory, backup)
+                self.backups.append((time.monotonic(), backup))
 
     def delete_data_directory(self) -> None:
-        """Its folder is gone. It does not run."""
+        """Delete its data directory. It does not run."""
         shutil.rmtree(self.data_directory, ignore_errors=True)
-        self.record("folder")
-
-    def flip_bit(self, chance: random.Random) -> None:
-        """One bit of what its folder holds has turned. It does not run."""
-        files = [
-            path
-            for path in (self.data_directory / "claims.db", self.data_directory / "claims.db-wal")
+        self.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
+
+    def flip_bit(self, rng: random.Random) -> None:
+        """Flip one bit of what its data directory holds. It does not run."""
+        paths = [self.data_directory / name for name in STATE_FILES]
+        blocks = [
+            (path, start)
+            for path in paths
             if path.exists()
+            for start in range(0, path.stat().st_size, FLIP_BLOCK_BYTES)
         ]
-        held = [(path, at) for path in files for at in range(0, path.stat().st_size, 64)]
-        if held:
-            path, at = chance.choice(held)
+        if blocks:
+            path, start = rng.choice(blocks)
             data = bytearray(path.read_bytes())
-            data[at + chance.randrange(min(64, len(data) - at))] ^= 1 << chance.randrange(8)
+            data[start + rng.randrange(min(FLIP_BLOCK_BYTES, len(data) - start))] ^= 1 << rng.randrange(8)
             path.write_bytes(data)
-        self.record("folder")
+        self.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
 
-    def restore_backup(self, before: float) -> bool:
-        """An older copy of its folder, taken before that time, is put in its place. It does not run."""
-        old = [path for at, path in self.backups if at <= before]
-        if not old:
+    def restore_backup(self, taken_before: float) -> bool:
+        """Put the last backup from before that time in place. It does not run. Whether there was one."""
+        backups = [path for taken_at, path in self.backups if taken_at <= taken_before]
+        if not backups:
             return False
         shutil.rmtree(self.data_directory, ignore_errors=True)
-        shutil.copytree(old[-1], self.data_directory)
-        self.record("folder")
+        shutil.copytree(backups[-1], self.data_directory)
+        self.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
         return True
 
     def history(self) -> list[HistoryRecord]:
-        """What it wrote down, in the lab's time, with what was done to it."""
-        found, start = list(self.records), 0
+        """What it wrote down, in the run's time, with what was done to it, by the times."""
         path = self.folder / "history.jsonl"
-        for text in path.read_bytes().split(b"\n") if path.exists() else ():
+        records = list(self.records)
+        start_number = 0
+        for line in path.read_bytes().split(b"\n") if path.exists() else ():
             try:
-                told = json.loads(text)
-            except ValueError:
+                logged = msgspec.convert(json.loads(line), _LoggedEvent)
+            except json.JSONDecodeError:
                 continue  # cut off by a kill
-            start += told["what"] == "started"
-            until = told.get("until", 0.0)
-            if until:
-                until = told["at"] + (until - told["clock"]) / self.clock_rate
-            # Where a process is stopped between its check and this line, the check counts: what it did in its
-            # term may come late, and for that there are fences.
-            at = told["at"] + (told.get("checked", told["clock"]) - told["clock"]) / self.clock_rate
-            found.append(
-                HistoryRecord(
-                    at,
-                    self.name,
-                    told["what"],
-                    start,
-                    told.get("claim", ""),
-                    told.get("ticket", 0),
-                    until,
-                    reason=told.get("why", ""),
-                )
-            )
-        return sorted(found, key=lambda each: each.at_s)
+            start_number += logged.what == ProcessEvent.STARTED
+            records.append(self._to_record(logged, start_number))
+        return sorted(records, key=lambda each: each.at_s)
+
+    def _to_record(self, logged: _LoggedEvent, start_number: int) -> HistoryRecord:
+        # Where a process is stopped between its check and this line, the check counts: what it did while it
+        # held the lease may come late, and for that there are fencing tokens.
+        checked = logged.clock if logged.checked is None else logged.checked
+        return HistoryRecord(
+            self._true_time(logged, checked),
+            self.name,
+            logged.what,
+            start_number,
+            logged.claim,
+            logged.ticket,
+            self._true_time(logged, logged.until) if logged.until else 0.0,
+            reason=logged.why,
+        )
+
+    def _true_time(self, logged: _LoggedEvent, clock: float) -> float:
+        """The run's time at which this member's clock shows that."""
+        return logged.at + (clock - logged.clock) / self.clock_rate
--- a/stairhatch/fault_injection/network_links.py
+++ b/stairhatch/fault_injection/network_links.py
@@ -32,7 +32,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
-    def datagram_received(self, data: bytes, addr: Address) -> None:
+    def datagram_received(self, data: bytes, _addr: Address) -> None:
         self.on_datagram(data)
 
 
@@ -40,6 +40,7 @@
     """All links of one run. `active_faults` are the network conditions; whoever injects faults changes it."""
 
     def __init__(self, seed: int) -> None:
+        """`seed` is that of the run. There are no links until `open`."""
         self.rng = random.Random(f"ways {seed}")
         self.loop = asyncio.get_running_loop()
         self.active_faults: list[ScheduledFault] = []
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -14,10 +14,10 @@
 import sys
 import tempfile
 import time
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
+from stairhatch.fault_injection.background_tasks import BackgroundTasks
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
@@ -25,9 +25,8 @@
 from stairhatch.fault_injection.member_config import (
     CONFIG_TEMPLATE,
     CONFIG_TEMPLATE_WITHOUT_FLEET,
-    format_address,
+    ConfigRenderer,
     loopback_host,
-    render_config,
 )
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.network_links import NetworkLinks
@@ -81,48 +80,49 @@
         self.members: dict[str, MemberProcess] = {}
         self.servers: list[StandIn] = []
         self.coordinator = Coordinator()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.tasks = BackgroundTasks()
         self.started_at = 0.0
         self.stall = Stall()
         self.used_ports: set[int] = set()
-        self.coordinator_links: dict[str, str] = {}  # the address by which each reaches the coordinator
 
-    async def run(self, on_progress: Callable[[float], None] = lambda elapsed_s: None) -> RunReport:
+    async def run(self, on_progress: Callable[[float], None] = lambda _elapsed_s: None) -> RunReport:
         """Carry out the run; `on_progress` is called with the seconds that have passed.
 
         Raises RunError where it cannot be carried out.
         """
         self.links = NetworkLinks(self.seed)
+        self.config = ConfigRenderer(
+            template=self.config_template, schedule=self.schedule, address_for=self.links.address_for
+        )
         try:
             await self._open()
-            watching = asyncio.create_task(self.stall.watch())
-            self.started_at = time.monotonic()
-            self.spawn(self._change_endpoints())
-            self.spawn(self.injector.back_up_regularly())
-            await self.callers.open()
-            await self.injector.run(self.started_at, on_progress)
-            self.callers.close()
-            watching.cancel()
-            return self._observations().report()
+            try:
+                return await self._carry_out(on_progress)
+            finally:
+                self.injector.close()
+                self.callers.close()
         finally:
             self._close()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the rest, until the run ends."""
-        task = asyncio.create_task(work)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    async def _carry_out(self, on_progress: Callable[[float], None]) -> RunReport:
+        watching = asyncio.create_task(self.stall.watch())
+        self.started_at = time.monotonic()
+        self.tasks.spawn(self._change_endpoints())
+        self.tasks.spawn(self.injector.back_up_regularly())
+        await self.callers.open()
+        await self.injector.run(self.started_at, on_progress)
+        self.callers.close()
+        watching.cancel()
+        return self._observations().report()
 
     async def _open(self) -> None:
         await self._open_servers()
         self._create_members()
-        self.injector = FaultInjector(
-            self.schedule, self.members, self.links, self.rng, self._write_config, self.spawn
-        )
+        self.injector = FaultInjector(self.schedule, self.members, self.links, self.rng, self._write_config)
         await self.links.open({name: each.listen for name, each in self.members.items()})
         for name, member in self.members.items():
             address = await self.links.open_connection_link(name, self.coordinator.place)
-            self.coordinator_links[name] = format_address(address)
+            self.config.coordinator_links[name] = address
             self._write_config(member, 1, self.schedule.voters)
         self.callers = Callers(self.seed, list(self.members.values()), self.servers, self.calls_per_s)
         for member in self.members.values():
@@ -158,9 +158,7 @@
         return port
 
     def _config_text(self, member: MemberProcess, epoch: int, voters: MemberNames) -> str:
-        addresses = {name: self.links.address_for(member.name, name) for name in voters}
-        coordinator = self.coordinator_links[member.name]
-        return render_config(self.config_template, self.schedule, member, coordinator, addresses, epoch)
+        return self.config.render(member, epoch, voters)
 
     def _write_config(self, member: MemberProcess, epoch: int, voters: MemberNames) -> None:
         member.config_file.write_text(self._config_text(member, epoch, voters))
@@ -207,10 +205,7 @@
     def _close(self) -> None:
         for member in self.members.values():
             member.kill()
-        for task in list(self.tasks):
-            task.cancel()
-        if hasattr(self, "callers"):
-            self.callers.close()
+        self.tasks.cancel()
         self.links.close()
         self.coordinator.close()
         for server in self.servers:
@@ -237,7 +232,7 @@
     schedule: FaultSchedule,
     seed: int,
     keep: Path | None = None,
-    on_progress: Callable[[float], None] = lambda elapsed_s: None,
+    on_progress: Callable[[float], None] = lambda _elapsed_s: None,
 ) -> RunReport:
     """Carry out one run, and leave nothing behind but `keep`.
 
--- a/stairhatch/fault_injection/run_batch.py
+++ b/stairhatch/fault_injection/run_batch.py
@@ -1,11 +1,11 @@
-"""Many runs of real processes: owns which seeds run beside each other, what is kept of them and what they sum
-up to. Each run has a process of its own, so that one that is broken off takes only its own along.
+"""Many runs on real processes: which run beside each other, what is kept of them, and their sum.
+
+Each run has a process of its own, so that one that is broken off takes only its own softswitches along.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import multiprocessing
 import time
 from collections import Counter
@@ -13,76 +13,81 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-import msgspec
 import uvloop
 
-from stairhatch.fault_injection import history, lease_rules, timeline
 from stairhatch.fault_injection.errors import RunError
-from stairhatch.fault_injection.lease_rules import RuleViolation
 from stairhatch.fault_injection.process_run import run_schedule
+from stairhatch.fault_injection.run_files import write_run_files
 from stairhatch.fault_injection.run_report import RunReport
-from stairhatch.fault_injection.schedule import DATA_DIRECTORY_FAULTS, FaultSchedule
+from stairhatch.fault_injection.schedule import FaultSchedule
 from stairhatch.fault_injection.schedule_generator import draw_schedule
-
-SCHEDULE_FILE, HISTORY_FILE, REPORT_FILE = "schedule.json", "history.jsonl", "report.json"
+from stairhatch.fault_injection.summary import Summary
 
 
 @dataclass(frozen=True)
 class RunRequest:
-    """One run to be carried out."""
+    """One run to be carried out. `keep_in` gets a folder for each run that is kept."""
 
     schedule: FaultSchedule
     seed: int
-    keep_in: Path | None = None
-    keep_successful: bool = False
+    keep_in: Path | None = None  # nothing is kept where there is none
+    keep_successful: bool = False  # else only runs that broke a rule are kept
+
+    @property
+    def folder(self) -> Path | None:
+        """Where this run is kept."""
+        return self.keep_in / f"run-{self.seed}" if self.keep_in is not None else None
 
 
 @dataclass
 class RunResult:
-    """What came of it, in a form that goes between processes."""
+    """What came of one run, in a form that goes between processes."""
 
     seed: int
-    error: str = ""  # it could not be carried out
+    error: str = ""  # why it could not be carried out; empty where it was
     violations: list[str] = field(default_factory=list)
-    activations: dict[str, int] = field(default_factory=dict)
-    holds: int = 0
-    calls: dict[str, int] = field(default_factory=dict)
+    activations: dict[str, int] = field(default_factory=dict)  # how often each fault took effect
+    holds: int = 0  # hold intervals of all leases
+    calls: dict[str, int] = field(default_factory=dict)  # by how they ended
     within_drift_bound: bool = True
-    stalled_s: float = 0.0
+    stalled_s: float = 0.0  # the longest time for which the run's process did not run
     kept_in: str = ""
 
+    def to_json_dict(self) -> dict[str, object]:
+        """The result as `lab run --json` prints it."""
+        return {
+            "seed": self.seed,
+            "fault": self.error,
+            "broken": self.violations,
+            "bites": self.activations,
+            "holders": self.holds,
+            "calls": self.calls,
+            "within_drift": self.within_drift_bound,
+            "stalled_s": self.stalled_s,
+            "kept": self.kept_in,
+        }
+
 
 @dataclass
-class RunSummary:
-    """What came of many."""
+class RunSummary(Summary[RunResult]):
+    """The sum of many runs on real processes."""
 
-    runs: int = 0
     not_carried_out: list[RunResult] = field(default_factory=list)
-    failed: list[RunResult] = field(default_factory=list)
-    runs_by_activation: Counter[str] = field(default_factory=Counter)
-    holds: int = 0
-    beyond_drift_bound: int = 0
     calls: Counter[str] = field(default_factory=Counter)
-    duration_s: float = 0.0
-
-    def add(self, ran: RunResult) -> None:
-        """One more."""
-        self.runs += 1
-        self.holds += ran.holds
-        self.beyond_drift_bound += not ran.within_drift_bound
-        self.calls.update(ran.calls)
-        self.runs_by_activation.update(name for name, often in ran.activations.items() if often)
-        if ran.error:
-            self.not_carried_out.append(ran)
-        if ran.violations:
-            self.failed.append(ran)
+
+    def add(self, result: RunResult) -> None:
+        """Add the result of one more run."""
+        super().add(result)
+        self.calls.update(result.calls)
+        if result.error:
+            self.not_carried_out.append(result)
 
     def to_json_dict(self) -> dict[str, object]:
-        """All of it, for JSON."""
+        """The sum as `lab run --json` prints it."""
         return {
             "runs": self.runs,
-            "faults": [_result_json(each) for each in self.not_carried_out],
-            "broken": [_result_json(each) for each in self.failed],
+            "faults": [each.to_json_dict() for each in self.not_carried_out],
+            "broken": [each.to_json_dict() for each in self.failed],
             "bitten": dict(self.runs_by_activation),
             "holders": self.holds,
             "beyond": self.beyond_drift_bound,
@@ -91,98 +96,63 @@
         }
 
 
-def _result_json(result: RunResult) -> dict[str, object]:
-    return {
-        "seed": result.seed,
-        "fault": result.error,
-        "broken": result.violations,
-        "bites": result.activations,
-        "holders": result.holds,
-        "calls": result.calls,
-        "within_drift": result.within_drift_bound,
-        "stalled_s": result.stalled_s,
-        "kept": result.kept_in,
-    }
-
-
-def write_run_files(folder: Path, schedule: FaultSchedule, report: RunReport) -> None:
-    """What a run left, so that it can be looked at and judged again."""
-    folder.mkdir(parents=True, exist_ok=True)
-    (folder / SCHEDULE_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
-    history.write_history(folder / HISTORY_FILE, report.records)
-    (folder / "timeline.svg").write_text(timeline.render_svg(report.records))
-    (folder / "timeline.txt").write_text(timeline.render_text(report.records))
-    found = {
-        "broken": [
-            {"rule": each.rule, "at": each.at_s, "how": each.explanation} for each in report.violations
-        ],
-        "calls_broken": report.call_violations,
-        "fallen": report.overloaded_servers,
-        "bites": dict(report.activations),
-        "calls": report.calls,
-    }
-    (folder / REPORT_FILE).write_text(json.dumps(found, indent=1) + "\n")
-
-
-def check_kept_run(folder: Path) -> tuple[list[RuleViolation], str]:
-    """The rules once more over what was kept, and the time line."""
-    try:
-        schedule = msgspec.json.decode((folder / SCHEDULE_FILE).read_bytes(), type=FaultSchedule)
-        lines = history.read_history(folder / HISTORY_FILE)
-    except (OSError, msgspec.DecodeError) as error:
-        raise RunError(f"{folder}: {error}") from None
-    broken = lease_rules.find_violations(lines, within_drift_bound=schedule.within_drift_bound)
-    return broken, timeline.render_text(lines)
-
-
-def carry_out(told: RunRequest) -> RunResult:
-    """One run in this process."""
-    schedule, seed = told.schedule, told.seed
-    files = told.keep_in / f"run-{seed}" if told.keep_in is not None else None
+@dataclass(frozen=True, slots=True, kw_only=True)
+class BatchOptions:
+    """What tells the drawn runs of a batch beside their seeds."""
+
+    members: int = 5
+    scale: float = 0.2  # of all times
+    keep_in: Path | None = None
+
+
+def carry_out(request: RunRequest) -> RunResult:
+    """Carry out one run in this process. A run that fails gives a result with its error."""
+    folder = request.folder
+    keep = folder / "processes" if folder is not None and request.keep_successful else None
     try:
-        report = uvloop.run(
-            run_schedule(schedule, seed, files / "processes" if files and told.keep_successful else None)
-        )
+        report = uvloop.run(run_schedule(request.schedule, request.seed, keep))
     except (RunError, OSError, asyncio.CancelledError) as error:
-        return RunResult(seed, error=str(error) or type(error).__name__)
-    broken = [f"{each.rule} at {each.at_s:.3f}: {each.explanation}" for each in report.violations]
-    broken += report.call_violations
-    broken += [f"{report.overloaded_servers} roster servers pushed over"] if report.overloaded_servers else []
-    if files is not None and (broken or told.keep_successful):
-        write_run_files(files, schedule, report)
+        return RunResult(request.seed, error=str(error) or type(error).__name__)
+    violations = _violation_texts(report)
+    if folder is not None and (violations or request.keep_successful):
+        write_run_files(folder, request.schedule, report)
     return RunResult(
-        seed,
-        "",
-        broken,
-        dict(report.activations),
-        report.holds,
-        report.calls,
-        schedule.within_drift_bound,
-        report.stalled_s,
-        str(files) if files is not None and broken else "",
+        request.seed,
+        violations=violations,
+        activations=dict(report.activations),
+        holds=report.holds,
+        calls=report.calls,
+        within_drift_bound=request.schedule.within_drift_bound,
+        stalled_s=report.stalled_s,
+        kept_in=str(folder) if folder is not None and violations else "",
     )
 
 
+def _violation_texts(report: RunReport) -> list[str]:
+    texts = [f"{each.rule} at {each.at_s:.3f}: {each.explanation}" for each in report.violations]
+    texts += report.call_violations
+    if report.overloaded_servers:
+        texts.append(f"{report.overloaded_servers} roster servers pushed over")
+    return texts
+
+
 def run_many(
     seeds: Iterable[int],
     jobs: int,
-    members: int = 5,
-    scale: float = 0.2,
-    keep_in: Path | None = None,
-    progress: Callable[[RunSummary, RunResult], None] = lambda found, ran: None,
+    options: BatchOptions,
+    on_result: Callable[[RunSummary, RunResult], None],
 ) -> RunSummary:
-    """Runs of drawn schedules, so many beside each other."""
-    found, begun = RunSummary(), time.monotonic()
-    told = [RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep_in) for seed in seeds]
+    """Carry out runs drawn from seeds, so many beside each other; `on_result` is called after each."""
+    summary = RunSummary()
+    started_at = time.monotonic()
+    requests = [
+        RunRequest(draw_schedule(seed, members=options.members, scale=options.scale), seed, options.keep_in)
+        for seed in seeds
+    ]
     context = multiprocessing.get_context("spawn")
-    with context.Pool(max(1, min(jobs, len(told)))) as pool:
-        for ran in pool.imap_unordered(carry_out, told, chunksize=1):
-            found.add(ran)
-            progress(found, ran)
-    found.duration_s = time.monotonic() - begun
-    return found
-
-
-def has_folder_fault(schedule: FaultSchedule) -> bool:
-    """Whether a folder is lost or put back old in it."""
-    return any(event.kind in DATA_DIRECTORY_FAULTS for event in schedule.faults)
+    with context.Pool(max(1, min(jobs, len(requests)))) as pool:
+        for result in pool.imap_unordered(carry_out, requests, chunksize=1):
+            summary.add(result)
+            on_result(summary, result)
+    summary.duration_s = time.monotonic() - started_at
+    return summary
--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -1,5 +1,4 @@
-"""The faults of a run and when each begins: `FaultKind`, `ScheduledFault`, `FaultSchedule`, and timeline
-files.
+"""The faults of a run: their kinds, when each begins, and the timeline files that hold them.
 
 One schedule is carried out on the virtual clock (`virtual_cluster`) and on real processes (`process_run`); it
 never depends on what the run does. Schedules come from a timeline in TOML (`experiments/lab/`) or from a seed
@@ -110,18 +109,19 @@
     """Whether a fault holds back everything that one member sends to another."""
     if sender == receiver:
         return False
+    blocked = False
     match fault.kind:
         case FaultKind.CUT_LINK:
-            return (sender, receiver) == (fault.member, fault.peer)
+            blocked = (sender, receiver) == (fault.member, fault.peer)
         case FaultKind.CUT_OUTBOUND:
-            return sender == fault.member
+            blocked = sender == fault.member
         case FaultKind.CUT_INBOUND:
-            return receiver == fault.member
+            blocked = receiver == fault.member
         case FaultKind.CUT_ALL_BUT_ONE:
-            return sender == fault.member and receiver != fault.peer
+            blocked = sender == fault.member and receiver != fault.peer
         case FaultKind.PARTITION:
-            return (sender in fault.members) is not (receiver in fault.members)
-    return False
+            blocked = (sender in fault.members) is not (receiver in fault.members)
+    return blocked
 
 
 def read_schedule(path: Path) -> FaultSchedule:
--- a/stairhatch/fault_injection/schedule_generator.py
+++ b/stairhatch/fault_injection/schedule_generator.py
@@ -91,9 +91,7 @@
 
 def _faults_and_episodes(draw: _Draw) -> list[ScheduledFault]:
     rng, last_s = draw.rng, draw.last_s
-    faults: list[ScheduledFault] = []
-    for _ in range(rng.randint(1, 6)):
-        faults.append(_single_fault(draw, rng.uniform(1.0, last_s - 1.0)))
+    faults = [_single_fault(draw, rng.uniform(1.0, last_s - 1.0)) for _ in range(rng.randint(1, 6))]
     for _ in range(rng.randint(0, 2)):
         faults += rng.choice(EPISODES)(draw, rng.uniform(2.0, last_s - 10.0))
     if rng.random() < 0.25:
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -1,21 +1,33 @@
-"""Many runs on the virtual clock: owns which seeds, in how many processes, and what is summed up. A run is
-told wholly by its seed, its number of members and the fault that is planted.
+"""Many runs on the virtual clock, from seeds: which seeds, in how many processes, and their sum.
+
+A run depends on nothing but its seed and its `TrialOptions`.
 """
 
 from __future__ import annotations
 
 import multiprocessing
 import time
-from collections import Counter
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable
+from dataclasses import dataclass
 
 from stairhatch.fault_injection.lease_rules import RuleViolation, find_unheld, find_violations, hold_intervals
 from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE
 from stairhatch.fault_injection.schedule_generator import draw_schedule
+from stairhatch.fault_injection.summary import Summary
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 
+SEEDS_A_TASK = 2  # that a worker process takes at a time
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TrialOptions:
+    """What tells the runs of one trial beside their seeds."""
+
+    members: int = 5
+    mutation: str = ""  # the name of a mistake put into the decisions; none where empty
+    voter_changes_only: bool = False  # no faults but two changes of the voter set
+
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
@@ -23,80 +35,61 @@
 
     seed: int
     violations: tuple[RuleViolation, ...]
-    activations: dict[str, int]
-    holds: int  # stretches of claims held
+    activations: dict[str, int]  # how often each fault took effect
+    holds: int  # hold intervals of all leases
     within_drift_bound: bool
 
 
-@dataclass
-class TrialSummary:
-    """What came of many."""
-
-    runs: int = 0
-    failed: list[TrialResult] = field(default_factory=list)
-    runs_by_activation: Counter[str] = field(default_factory=Counter)  # runs in which a fault did something
-    beyond_drift_bound: int = 0
-    holds: int = 0
-    duration_s: float = 0.0
-
-    def add(self, ran: TrialResult) -> None:
-        """One more."""
-        self.runs += 1
-        self.beyond_drift_bound += not ran.within_drift_bound
-        self.holds += ran.holds
-        self.runs_by_activation.update(name for name, often in ran.activations.items() if often)
-        if ran.violations:
-            self.failed.append(ran)
-
-
-def run_seed(seed: int, members: int = 5, fault: str = "", lists_only: bool = False) -> TrialResult:
-    """One run."""
-    with mutation_applied(fault):
-        schedule = draw_schedule(seed, members=members, lists_only=lists_only)
-        world = VirtualCluster(schedule, seed)
-        lines = world.run()
-    broken = find_violations(lines, within_drift_bound=schedule.within_drift_bound)
+TrialSummary = Summary[TrialResult]
+DEFAULT_OPTIONS = TrialOptions()
+
+
+def run_seed(seed: int, options: TrialOptions = DEFAULT_OPTIONS) -> TrialResult:
+    """Run one seed and check the rules of leases over its history."""
+    with mutation_applied(options.mutation):
+        schedule = draw_schedule(seed, members=options.members, lists_only=options.voter_changes_only)
+        cluster = VirtualCluster(schedule, seed)
+        records = cluster.run()
+    violations = find_violations(records, within_drift_bound=schedule.within_drift_bound)
     if schedule.expects_recovery:
-        last = schedule.duration_s
-        broken += find_unheld(lines, [ENDPOINT_LIST_LEASE], last - schedule.fault_free_s / 2, last)
-    held = len(hold_intervals(lines))
-    return TrialResult(seed, tuple(broken), dict(world.activations), held, schedule.within_drift_bound)
+        ended_at = schedule.duration_s
+        quiet_since = ended_at - schedule.fault_free_s / 2
+        violations += find_unheld(records, [ENDPOINT_LIST_LEASE], quiet_since, ended_at)
+    return TrialResult(
+        seed,
+        tuple(violations),
+        dict(cluster.activations),
+        len(hold_intervals(records)),
+        schedule.within_drift_bound,
+    )
 
 
-def _one(told: tuple[int, int, str, bool]) -> TrialResult:
-    return run_seed(*told)
+def _run_task(task: tuple[int, TrialOptions]) -> TrialResult:
+    return run_seed(*task)
 
 
 def run_seeds(
     seeds: Iterable[int],
+    options: TrialOptions = DEFAULT_OPTIONS,
     jobs: int = 1,
-    members: int = 5,
-    fault: str = "",
-    until_broken: bool = False,
-    progress: Callable[[TrialSummary], None] = lambda found: None,
-    lists_only: bool = False,
+    until_violation: bool = False,
 ) -> TrialSummary:
-    """All of them, in order of their end."""
-    found, begun = TrialSummary(), time.monotonic()
-    told = [(seed, members, fault, lists_only) for seed in seeds]
+    """Run many seeds in order, in so many processes, perhaps only until one breaks a rule."""
+    summary = TrialSummary()
+    started_at = time.monotonic()
+    tasks = [(seed, options) for seed in seeds]
     if jobs <= 1:
-        runs: Iterable[TrialResult] = map(_one, told)
-        _gather(found, runs, until_broken, progress)
+        _add_results(summary, map(_run_task, tasks), until_violation)
     else:
         with multiprocessing.Pool(jobs) as pool:
-            _gather(found, pool.imap(_one, told, chunksize=2), until_broken, progress)
-    found.duration_s = time.monotonic() - begun
-    return found
-
-
-def _gather(
-    found: TrialSummary,
-    runs: Iterable[TrialResult],
-    until_broken: bool,
-    progress: Callable[[TrialSummary], None],
-) -> None:
-    for ran in runs:
-        found.add(ran)
-        progress(found)
-        if until_broken and ran.violations:
+            results = pool.imap(_run_task, tasks, chunksize=SEEDS_A_TASK)
+            _add_results(summary, results, until_violation)
+    summary.duration_s = time.monotonic() - started_at
+    return summary
+
+
+def _add_results(summary: TrialSummary, results: Iterable[TrialResult], until_violation: bool) -> None:
+    for result in results:
+        summary.add(result)
+        if until_violation and result.violations:
             return
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from stairhatch.fault_injection.mutations import mutation_applied
 from stairhatch.fault_injection.schedule_generator import draw_schedule
 from stairhatch.fault_injection.state_exploration import ExplorationBounds, explore
-from stairhatch.fault_injection.trial import run_seeds
+from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.effects import PersistedState, PersistVotes, SendMessage
 from stairhatch.fleet.lease import LeaseTimings
@@ -55,7 +55,7 @@
 )
 def test_a_planted_fault_is_found(fault):
     """Guards against rules that can't fail: without the fault such seeds are well, as shown above."""
-    assert run_seeds(range(200), fault=fault, until_broken=True).failed
+    assert run_seeds(range(200), TrialOptions(mutation=fault), until_violation=True).failed
 
 
 @pytest.mark.parametrize(
@@ -63,8 +63,9 @@
 )
 def test_a_fault_in_the_change_of_voters_is_found(fault):
     """Guards against two majorities while the list of voters changes twice."""
-    assert not run_seeds(range(20), lists_only=True).failed
-    assert run_seeds(range(100), fault=fault, until_broken=True, lists_only=True).failed
+    assert not run_seeds(range(20), TrialOptions(voter_changes_only=True)).failed
+    options = TrialOptions(mutation=fault, voter_changes_only=True)
+    assert run_seeds(range(100), options, until_violation=True).failed
 
 
 def test_the_first_list_of_three_is_closed_before_the_third_is_gone_on_to():
