--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,8 +38,11 @@
     world = VirtualCluster(FaultSchedule(120.0, members(count), members(3), lease_duration_s=TERM_S), 1)
     marks: list[tuple[int, int]] = []
     for when in (60.0, 119.9):
-        world.schedule_at(
-            when, lambda: marks.append((world.effect_counts["messages"], world.effect_counts["writes"]))
+        world.shared.queue.schedule_at(
+            when,
+            lambda: marks.append(
+                (world.shared.effect_counts["messages"], world.shared.effect_counts["writes"])
+            ),
         )
     lines = world.run()
     first = min(line.at_s for line in lines if line.event == "held" and line.lease == ENDPOINT_LIST_LEASE)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -979,7 +979,7 @@
 
         box.receive = timed(take, deep)  # type: ignore[method-assign]
         box.tick = timed(look, deep)  # type: ignore[method-assign]
-    send = world.send
+    send = world.shared.network.send
 
     def counted(sender: str, to: str, message: Any) -> None:
         if window:
@@ -990,28 +990,30 @@
                 counts[f"{role} bytes"] += size_of
         send(sender, to, message)
 
-    world.send = counted  # type: ignore[method-assign]
+    world.shared.network.send = counted  # type: ignore[method-assign]
 
     def look_whether() -> None:
         held = world.holders_by_lease()
         if ENDPOINT_LIST_LEASE in held and len(held) >= 0.99 * size:
-            held_at.append(world.now)
-            world.schedule_at(world.now + SETTLED_TERMS * world.fault_schedule.lease_duration_s, begin)
+            held_at.append(world.shared.queue.now)
+            world.shared.queue.schedule_at(
+                world.shared.queue.now + SETTLED_TERMS * world.shared.schedule.lease_duration_s, begin
+            )
         else:
-            world.schedule_at(world.now + 0.25, look_whether)
+            world.shared.queue.schedule_at(world.shared.queue.now + 0.25, look_whether)
 
     def begin() -> None:
-        window.append(world.now)
+        window.append(world.shared.queue.now)
         counts["used"] = 0
-        world.schedule_at(world.now + told.seconds, done)
+        world.shared.queue.schedule_at(world.shared.queue.now + told.seconds, done)
 
     def done() -> None:
         raise Done
 
-    world.schedule_at(0.5, look_whether)
+    world.shared.queue.schedule_at(0.5, look_whether)
     with suppress(Done):
         world.run()
-    passed, others = world.now - window[0], max(1, size - 3)
+    passed, others = world.shared.queue.now - window[0], max(1, size - 3)
     return {
         "voter_messages_by_members": counts["voter messages"] / 3 / passed,
         "voter_bytes_by_members": counts["voter bytes"] / 3 / passed,
--- a/stairhatch/fault_injection/__init__.py
+++ b/stairhatch/fault_injection/__init__.py
@@ -3,9 +3,9 @@
 Where to look, by what runs:
 
 - real processes of this program: `run_batch` (many runs), `process_run` (one), `fault_injector`,
-`network_links`,
-  `member_process` and `member_main` (one softswitch), `callers`, `run_report`, `run_files`
-- the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` and its members
+  `network_links`, `member_process` and `member_main` (one softswitch), `callers`, `run_report`, `run_files`
+- the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` (one),
+  `virtual_fault_injector`, `virtual_network`, `virtual_member` and `virtual_disk`
 - every order of events of a small cluster: `state_exploration`
 
 `schedule` and `schedule_generator` say which faults happen when. `history`, `lease_rules` and `timeline` read
--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -18,6 +18,7 @@
 
 MIN_MEMBERS, MAX_MEMBERS = 3, 9
 DEFAULT_DRIFT_BOUND = 0.01
+DEFAULT_LEASE_DURATION_S = 3.0
 DRIFT_TOLERANCE = 1e-12  # of the comparison of a clock's rate with the bound
 
 MemberNames = tuple[str, ...]
@@ -80,7 +81,7 @@
     faults: tuple[ScheduledFault, ...] = field(name="events", default=())
     clock_rates: dict[str, float] = field(name="rates", default_factory=dict)  # 1.0 where not given
     drift_bound: float = field(name="drift", default=DEFAULT_DRIFT_BOUND)
-    lease_duration_s: float = field(name="term_s", default=3.0)
+    lease_duration_s: float = field(name="term_s", default=DEFAULT_LEASE_DURATION_S)
     fault_free_s: float = field(name="quiet_s", default=20.0)  # at the end
     required_activations: tuple[str, ...] = field(name="must_bite", default=())  # else the run proves nothing
     min_holders: int = field(name="owners", default=0)  # different holders of the endpoint list's lease
--- a/stairhatch/fault_injection/schedule_generator.py
+++ b/stairhatch/fault_injection/schedule_generator.py
@@ -14,6 +14,7 @@
 from stairhatch.fault_injection.schedule import (
     DATA_DIRECTORY_FAULTS,
     DEFAULT_DRIFT_BOUND,
+    DEFAULT_LEASE_DURATION_S,
     HOLDER,
     FaultKind,
     FaultSchedule,
@@ -21,7 +22,6 @@
     ScheduledFault,
 )
 
-LEASE_DURATION_S = 3.0  # unscaled
 FAULT_FREE_LEASES = 7  # lease durations without a fault at the end
 BEYOND_BOUND = 3  # times the bound, in the runs that go beyond it
 WALL_CLOCK_STEP_S = 3600.0
@@ -54,7 +54,7 @@
     names = tuple(f"s{index}" for index in range(members))
     voters = names[: 5 if members >= 5 and rng.random() < 0.2 else 3]
     clock_rates = _clock_rates(rng, names, voters)
-    fault_free_s = FAULT_FREE_LEASES * LEASE_DURATION_S
+    fault_free_s = FAULT_FREE_LEASES * DEFAULT_LEASE_DURATION_S
     last_s = seconds - fault_free_s
     faults = _faults_and_episodes(_Draw(rng, names, voters, last_s))
     faults = _with_disk_faults(random.Random(f"disks {seed}"), voters, last_s, faults)
@@ -73,7 +73,7 @@
         scaled,
         clock_rates,
         DEFAULT_DRIFT_BOUND,
-        LEASE_DURATION_S * scale,
+        DEFAULT_LEASE_DURATION_S * scale,
         fault_free_s * scale,
     )
 
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.virtual_cluster import DISK_SYNC_S, VirtualDisk
+from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
 from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
