--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -17,16 +17,17 @@
 from typing import TYPE_CHECKING
 
 from stairhatch.components import Components, steady_unix_clock
-from stairhatch.config import Config, ConfigError
+from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory, DirectoryError, apply_events
+from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
 from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.reload import ConfigReloader
@@ -65,6 +66,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
+        """Build the parts that stand from the start. Needs a running event loop."""
         rng = random.Random(config.seed or None)
         self.parts = self._build(config, rng)
         self.reloader = ConfigReloader(config, read_config, self.parts)
@@ -130,10 +132,10 @@
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.trunk = TrunkFront(parts.core)
+        parts.platform_frontend = TrunkFront(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
         limits = ListenerLimits(caller_connection_limit(config))
-        listener = parts.network.listen(at, parts.trunk.connect, limits, config.inherited is None)
+        listener = parts.network.listen(at, parts.platform_frontend.connect, limits, config.inherited is None)
         parts.caller_listeners.append(listener)
         return f"{address[0]}:{address[1]}"
 
@@ -141,7 +143,7 @@
         from stairhatch.sip.flows import host_port
 
         network = self.parts.network
-        front = self.parts.sip = self._sip_frontend(config)
+        front = self.parts.sip_frontend = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
             network.open_datagram_port(port.local, port, callers=True)
@@ -173,7 +175,7 @@
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda peer: Door(core), ADMIN_LIMITS)
+        self.parts.network.listen(address, lambda _: Door(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
@@ -194,17 +196,17 @@
         parts = self.parts
         config = self.config
         try:
-            last_event = apply_events(parts.core, config.known, 0)
-        except DirectoryError as error:
+            last_event = apply_answer(parts.core, config.known, 0)
+        except ServiceDiscoveryError as error:
             raise ConfigError(str(error)) from error
         if config.coordinator is not None:
-            parts.directory = Directory(parts.core, config.coordinator, last_event)
+            parts.discovery = ServiceDiscoveryClient(parts.core, config.coordinator, last_event)
         else:
             parts.core.readiness.list_known = True
         if config.fleet is not None:
             self._join_cluster(config.fleet)
-        if parts.directory is not None:
-            parts.network.spawn(parts.network.poll_directory(parts.directory))
+        if parts.discovery is not None:
+            parts.network.spawn(parts.network.poll_directory(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
@@ -217,10 +219,10 @@
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
-        if parts.directory is not None and config.list:
-            parts.fleet.directory = parts.directory
-            parts.directory.told = parts.fleet.heard
-            parts.directory.may_ask = parts.fleet.may_ask
+        if parts.discovery is not None and config.list:
+            parts.fleet.directory = parts.discovery
+            parts.discovery.on_answer = parts.fleet.heard
+            parts.discovery.may_poll = parts.fleet.may_ask
         parts.fleet.begin()
 
     async def serve_when_ready(self) -> None:
@@ -243,11 +245,11 @@
     def status_text(self) -> str:
         """Return what the console's `status` shows of the configuration and of service discovery."""
         text = f"reload     {self.reloader.last_result or 'never'}\n"
-        directory = self.parts.directory
+        directory = self.parts.discovery
         if directory is not None:
             host, port = directory.address
-            age_s = self.parts.clock() - directory.told_at
-            text += f"directory  {host}:{port}, event {directory.after}, last heard {age_s:.1f} s ago\n"
+            age_s = self.parts.clock() - directory.last_answer_at
+            text += f"directory  {host}:{port}, event {directory.last_index}, last heard {age_s:.1f} s ago\n"
         return text
 
     async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
--- a/stairhatch/cli.py
+++ b/stairhatch/cli.py
@@ -14,8 +14,8 @@
 
 import click
 
-from stairhatch.config import Config, ConfigError
-from stairhatch.config.appliance import read_appliance
+from stairhatch.config.appliance.reader import read_appliance
+from stairhatch.config.model import Config, ConfigError
 
 LOAD_ONLY = ("hdrh", "matplotlib")  # of requirements-load.txt
 
@@ -93,11 +93,11 @@
 
 
 def _place(text: str, option: str) -> tuple[str, int] | None:
-    from stairhatch.node.directory import DirectoryError, parse_address
+    from stairhatch.node.address import AddressError, parse_address
 
     try:
         return parse_address(text) if text else None
-    except DirectoryError as error:
+    except AddressError as error:
         raise click.BadParameter(str(error), param_hint=option) from None
 
 
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -13,9 +13,9 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.listener import Listener
 from stairhatch.node.io.network import Network
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.node.syslog import Log
 from stairhatch.node.trunk_front import TrunkFront
 
@@ -45,8 +45,8 @@
     core: CallManager
     network: Network
     scoped: ScopedController | None = None
-    trunk: TrunkFront | None = None
-    sip: SipFront | None = None
-    directory: Directory | None = None
+    platform_frontend: TrunkFront | None = None
+    sip_frontend: SipFront | None = None
+    discovery: ServiceDiscoveryClient | None = None
     fleet: FleetRuntime | None = None
     caller_listeners: list[Listener] = field(default_factory=list)
