--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -41,7 +41,7 @@
         return 0.0
 
     def __reduce__(self) -> str:
-        return "NO_DICE"
+        return "ZERO_RANDOM"
 
 
 ZERO_RANDOM = ZeroRandom()
