--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -95,7 +95,7 @@
     ],
 )
 def test_what_the_bound_leaves_is_used(lines, story, least):
-    """Too timid a slow start rejects calls while a warming server idles. Of what it can bear in its first 12 s
+    """A timid slow start rejects calls while a warming server idles. Of what it can bear in the first 12 s
     it got 0.32 where lines are reported and 0.12 where none are, and with half of the processes new 0.18 and
     0.09, while the rate that it reports was not used.
     """
