--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -136,7 +136,7 @@
     before = counters(program)
     crowd = Crowd(program.address, 2 * min(told, real), again)
     until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
-    missed = ("roster_connections_failed", "discovery_unreachable")
+    missed = ("server_connections_failed", "discovery_unreachable")
     until(lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed")
     assert counters(program)["connections_evicted"] > 0, "callers who hold on were in excess"
     asked = len(coordinator.asked)
