--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -244,7 +244,7 @@
     leave(caller, ident, by)
     until(lambda: program.lines("call_abandoned"))
     assert not program.lines("attempt_sent"), "it left before the link was up"
-    assert not program.lines("reached"), "it left before the link was up"
+    assert not program.lines("server_connected"), "it left before the link was up"
     other, stays = ask(program, "platform")
     until(lambda: len(program.lines("call_offered")) == 2)
     threading.Thread(target=shut._accept, daemon=True).start()
