--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -161,7 +161,7 @@
         now = clock()
         if self.numbers is not None:
             self.core.attempts.check_instance_index = self._look
-            self.core.retune(self.tuned(self.settings))
+            self.core.update_settings(self.tuned(self.settings))
             self.numbers.pick.want(now)
         if self.config.list and self.directory is not None:
             self.mate.claim(ENDPOINT_LIST_LEASE).want(now)
@@ -323,7 +323,7 @@
         if number is not None:
             self.history("number", claim=f"number/{number if number >= 0 else was}", number=number)
             self.log("fleet", what="number", number=number if number >= 0 else "none")
-            self.core.retune(self.tuned(self.settings))
+            self.core.update_settings(self.tuned(self.settings))
 
     # ---- the list ----
 
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -102,7 +102,7 @@
         """The settings in force."""
         return self.context.settings
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Other settings hold from now on. Calls that are open keep their class and their cap on attempts."""
         self.classes.replace(settings.classes)
         self.context.settings = settings
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -43,7 +43,7 @@
     def established(self, description: bytes) -> None:
         """It is established; `description` is the server's session description."""
 
-    def rejected(self, return_s: float) -> None:
+    def rejected(self, retry_after_s: float) -> None:
         """It is rejected and may be tried again, after so many seconds; 0 where none are told."""
 
     def failed(self, timed_out: bool) -> None:
--- a/stairhatch/node/trunk_front.py
+++ b/stairhatch/node/trunk_front.py
@@ -187,8 +187,8 @@
     def established(self, description: bytes) -> None:
         self._answer(200, [], description)
 
-    def rejected(self, return_s: float) -> None:
-        self._answer(503, [("come-back-ms", str(int(return_s * 1000)))] if return_s > 0 else [])
+    def rejected(self, retry_after_s: float) -> None:
+        self._answer(503, [("come-back-ms", str(int(retry_after_s * 1000)))] if retry_after_s > 0 else [])
 
     def failed(self, timed_out: bool) -> None:
         self._answer(500, [])
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -129,7 +129,7 @@
             parts.scoped.update_settings(parts.scoped.settings, new.scope)
         if new.settings != old.settings:
             settings = parts.fleet.tuned(new.settings) if parts.fleet is not None else new.settings
-            parts.core.retune(settings)
+            parts.core.update_settings(settings)
             parts.counters.add("settings_changes")
 
     def _apply_sip(self, new: Config) -> tuple[str, ...]:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -487,7 +487,7 @@
         world.clock.call_later(self.wanted.hold_s, self._hang_up, self.softswitch.life)
         self._end(End.STOOD)
 
-    def rejected(self, return_s: float) -> None:
+    def rejected(self, retry_after_s: float) -> None:
         """Turned away."""
         self._end(End.REFUSED)
 
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -177,8 +177,8 @@
             front.core.clock() + gap, partial(self._answer_again, sent, gap, passed + gap)
         )
 
-    def rejected(self, return_s: float) -> None:
-        self._refuse(503, [("retry-after", str(max(1, math.ceil(return_s))))])
+    def rejected(self, retry_after_s: float) -> None:
+        self._refuse(503, [("retry-after", str(max(1, math.ceil(retry_after_s))))])
 
     def failed(self, timed_out: bool) -> None:
         self._refuse(408, []) if timed_out else self._refuse(500, [("retry-after", "1")])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,7 +26,7 @@
     def established(self, description):
         self.events.append("established")
 
-    def rejected(self, return_s):
+    def rejected(self, retry_after_s):
         self.events.append("rejected")
 
     def failed(self, timed_out):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -543,7 +543,7 @@
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.calls.by_ident[old].request.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
-    inside.core.retune(settings_from_object(tuned(lines, cap=1)).settings)
+    inside.core.update_settings(settings_from_object(tuned(lines, cap=1)).settings)
     connection.receive_data(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
@@ -566,7 +566,9 @@
     """Guards against calls turned away that left before their caller heard of the new settings."""
     inside = InProcessNode()
     connection = TrunkFront(inside.core).connect()
-    inside.core.retune(settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings)
+    inside.core.update_settings(
+        settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings
+    )
     inside.run(1.3)
     for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
         connection.receive_data(trunk_invite(ident, "9000", kind))
