--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -14,7 +14,7 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from dataclasses import asdict, replace
+from dataclasses import replace
 from typing import Any
 
 from stairhatch.fleet import instance_index, restart_slots
@@ -442,7 +442,13 @@
             return "fail no claim can have that name, or too many are watched"
         self.network.loop.call_soon(self._tick)
         seen = watch.seen(now)
-        return "ok " + json.dumps({**asdict(seen), "left_s": round(seen.left_s, 3)})
+        answer = {
+            "holder": seen.holder,
+            "ticket": seen.ticket,
+            "left_s": round(seen.left_s, 3),
+            "voters": seen.voters,
+        }
+        return "ok " + json.dumps(answer)
 
     def _gauges(self, now: float) -> None:
         """Among the counters: what is held and for how long, and whether this softswitch votes."""
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -21,7 +21,7 @@
 import threading
 import zlib
 from collections.abc import Callable
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -62,12 +62,31 @@
     return zlib.crc32(repr(row).encode())
 
 
-def _roll(own: dict[str, str]) -> VoterSet | None:
-    """The list of voters in a folder; None in one from before lists were kept."""
+def _decode_voter_set(own: dict[str, str]) -> VoterSet | None:
+    """The voter set in a data directory; None in one from before voter sets were kept."""
     if "roll" not in own:
         return None
-    told = json.loads(own["roll"])
-    return VoterSet(**{**told, "voters": tuple(told["voters"])})
+    record = json.loads(own["roll"])
+    return VoterSet(
+        epoch=record["epoch"],
+        voters=tuple(record["voters"]),
+        before=record["before"],
+        floor=record["floor"],
+        agreed=record["agreed"],
+    )
+
+
+def _encode_voter_set(voter_set: VoterSet) -> str:
+    """A voter set as it lies in the row `roll`. The keys are stored data and stay as they are."""
+    return json.dumps(
+        {
+            "epoch": voter_set.epoch,
+            "voters": voter_set.voters,
+            "before": voter_set.before,
+            "floor": voter_set.floor,
+            "agreed": voter_set.agreed,
+        }
+    )
 
 
 Done = Callable[[str], None]  # hears "" or what went wrong, on the loop
@@ -145,7 +164,7 @@
             bool(int(own.get("admitted", 0))),
             tuple(Vote(*row) for row in found["promises"]),
             {row[0]: StorageVersion(*row[1:]) for row in found["known"]},
-            _roll(own),
+            _decode_voter_set(own),
         )
         base.execute("COMMIT")
         return StoredState(kept, dict(found["fences"]))
@@ -212,7 +231,7 @@
                 if each.admitted:
                     self._put({"admitted": 1})
                 if each.roll is not None:
-                    self._put({"roll": json.dumps(asdict(each.roll))})
+                    self._put({"roll": _encode_voter_set(each.roll)})
             base.execute("COMMIT")
         except (OSError, sqlite3.Error) as error:
             with contextlib.suppress(sqlite3.Error):
