--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -216,11 +216,11 @@
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
-        if parts.directory is not None and config.list:
+        if parts.directory is not None and config.relay_endpoint_list:
             parts.fleet.directory = parts.directory
-            parts.directory.told = parts.fleet.heard
-            parts.directory.may_ask = parts.fleet.may_ask
-        parts.fleet.begin()
+            parts.directory.told = parts.fleet.coordinator_answered
+            parts.directory.may_ask = parts.fleet.may_poll_coordinator
+        parts.fleet.start()
 
     async def serve_when_ready(self) -> None:
         """Wait until the list is known and each server has been tried, then accept and log `serving`.
@@ -289,5 +289,5 @@
     stop.clear()  # set once more it ends the wait for dialogs
     await application.shut_down(stop)
     if parts.fleet is not None:
-        parts.fleet.end()
+        parts.fleet.stop()
     parts.log("counters", lines_left_out=parts.log.left_out, **parts.counters.counts)
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -414,18 +414,18 @@
     if told.secret is not None and len(secret) < 16:
         raise ConfigError("fleet.secret: the file holds less than 16 characters")
     return FleetConfig(
-        fleet=told.name,
-        name=table.name,
+        fleet_name=told.name,
+        member_name=table.name,
         listen=listen,
         voters=voters,
         epoch=told.epoch,
         secret=secret.encode(),
-        folder=folder / told.folder if told.folder is not None else None,
-        history=folder / told.history if told.history is not None else None,
-        terms=LeaseTimings(told.term_s, told.drift, min(0.25, told.term_s / 8)),
-        numbers=told.numbers,
-        list=told.list,
-        restarts=told.restarts,
+        data_directory=folder / told.folder if told.folder is not None else None,
+        history_path=folder / told.history if told.history is not None else None,
+        timings=LeaseTimings(told.term_s, told.drift, min(0.25, told.term_s / 8)),
+        lease_instance_index=told.numbers,
+        relay_endpoint_list=told.list,
+        restart_slots=told.restarts,
     )
 
 
--- a/stairhatch/fault_injection/explore.py
+++ b/stairhatch/fault_injection/explore.py
@@ -128,7 +128,7 @@
             if isinstance(effect, PersistVotes):
                 self.writes.append((name, pickle.dumps(effect)))
             elif isinstance(effect, SendMessage):
-                to, message = effect.to[0], effect.message
+                to, message = effect.destination[0], effect.message
                 if isinstance(message, StatusRequest | StatusReply):
                     self.carry(to, self.mate(to).handle(self.now, (name, 0), message))
                 elif not isinstance(message, LeaseQuery | LeaseStatus):
@@ -148,13 +148,13 @@
         name, packed = self.writes.pop(index)
         write: PersistVotes = pickle.loads(packed)
         self.put(name, write)
-        self.carry(name, self.mate(name).written(self.now, write.number))
+        self.carry(name, self.mate(name).write_completed(self.now, write.write_id))
 
     def put(self, name: str, write: PersistVotes) -> None:
         """It is on the disk."""
         _, promises = pickle.loads(self.disks[name])
-        promises.update((each.claim, each) for each in write.promises)
-        self.disks[name] = pickle.dumps((write.mark, promises))
+        promises.update((each.lease, each) for each in write.votes)
+        self.disks[name] = pickle.dumps((write.storage_version, promises))
 
     def crash(self, name: str, synced: bool) -> None:
         """A voter is killed and starts again, with what was under way on its disk or not."""
@@ -164,26 +164,28 @@
             self.put(name, write)
         mark, promises = pickle.loads(self.disks[name])
         kept = PersistedState(
-            StorageVersion(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values())
+            StorageVersion(mark.storage_id, mark.incarnation + 1, mark.vote_count),
+            True,
+            tuple(promises.values()),
         )
         old = self.mate(name)
-        fresh = ClusterMember(old.who, old.voters, old.terms, NO_DICE, self.now, kept)
+        fresh = ClusterMember(old.identity, old.voters, old.timings, NO_DICE, self.now, kept)
         self.open[name] = fresh
         self.carry(name, fresh.tick(self.now))
         for each in [each for each in self.writes if each[0] == name]:  # the note that it votes
             self.sync(self.writes.index(each))
         assert fresh.voter is not None
-        fresh.voter.due = FAR
+        fresh.voter.due_at = FAR
 
     def advance(self, leap: bool) -> None:
         """To the next moment at which an asker has something to do, or past the end of all promises."""
         names = [name for name, _ in self.state.mates]
         if leap:
             ends = [until for name in names if (voter := self.mate(name).voter) is not None
-                    for until in voter.until.values()]  # fmt: skip
+                    for until in voter.expires_at.values()]  # fmt: skip
             self.now = max([self.now, *ends]) + 1e-3
         else:
-            dues = [self.mate(name).due() for name in names if self.mate(name).voter is None]
+            dues = [self.mate(name).next_due_at() for name in names if self.mate(name).voter is None]
             self.now = max(self.now, min(dues))
         for name in names:
             if self.mate(name).voter is None:
@@ -200,7 +202,7 @@
                 if name in was:
                     held.append((name, was[name]))
             elif mate.voter is None and mate.may_act(self.now, CLAIM):
-                held.append((name, mate.claims[CLAIM].until))
+                held.append((name, mate.leases[CLAIM].expires_at))
         return State(
             self.now, tuple(mates), tuple(self.disks.items()), tuple(sorted(self.flying)),
             tuple(sorted(self.writes)), tuple(each for each in held if each[1] > self.now),
@@ -218,12 +220,12 @@
             MemberId(name, 0), voters, terms, NO_DICE, 0.0, PersistedState(StorageVersion(name, 1, 0), True)
         )
         assert mate.voter is not None
-        mate.voter.standing, mate.voter.due = VoterState.VOTING, FAR
+        mate.voter.state, mate.voter.due_at = VoterState.VOTING, FAR
         mates[name] = pickle.dumps(mate)
     for n in range(bounds.askers):
         asker = ClusterMember(MemberId(f"a{n}", n + 1), voters, terms, NO_DICE, 0.0)
-        asker.claim(CLAIM).want(0.0)
-        mates[asker.who.name] = pickle.dumps(asker)
+        asker.lease(CLAIM).request(0.0)
+        mates[asker.identity.name] = pickle.dumps(asker)
     empty: dict[str, Vote] = {}
     disks = tuple((name, pickle.dumps((StorageVersion(name, 1, 0), empty))) for name in voters)
     left = Left(bounds.crashes, bounds.copies, bounds.slow, bounds.steps, bounds.leaps)
@@ -297,7 +299,7 @@
         return f"{' and '.join(name for name, _ in state.held)} hold it at once", state.last
     highest, by = state.last
     for name, _ in state.held:
-        ticket = pickle.loads(dict(state.mates)[name]).claims[CLAIM].ticket
+        ticket = pickle.loads(dict(state.mates)[name]).leases[CLAIM].fencing_token
         if ticket < highest or (ticket == highest and by != name):
             return f"{name} holds {ticket} after {by} held {highest}", state.last
         return "", (ticket, name)
--- a/stairhatch/fault_injection/planted.py
+++ b/stairhatch/fault_injection/planted.py
@@ -46,7 +46,7 @@
 
 @plant("a fence is not checked")
 def _() -> list[Patch]:
-    return [(FencingTokens, "take", lambda self, claim, ticket, sender: (True, []))]
+    return [(FencingTokens, "check", lambda self, claim, ticket, sender: (True, []))]
 
 
 @plant("a fence lasts for one start only")
@@ -62,11 +62,11 @@
 @plant("a fence keeps the last ticket and not the highest")
 def _() -> list[Patch]:
     def last(self: FencingTokens, claim: str, ticket: int) -> tuple[bool, list[Any]]:
-        good = ticket >= self.seen.get(claim, 0) or ticket % 2 == 0
-        self.seen[claim] = ticket
+        good = ticket >= self.highest.get(claim, 0) or ticket % 2 == 0
+        self.highest[claim] = ticket
         return good, []
 
-    return [(FencingTokens, "pass_through", last)]
+    return [(FencingTokens, "admit", last)]
 
 
 # ---- holders ----
@@ -74,44 +74,52 @@
 
 @plant("the term counts from the answer")
 def _() -> list[Patch]:
-    real = LeaseClient.granted
+    real = LeaseClient.handle_granted
 
     def late(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
-        if round_ := self._rounds.get(message.serial):
-            round_.at = now
+        if round_ := self._rounds.get(message.request_id):
+            round_.started_at = now
         return real(self, now, message)
 
-    return [(LeaseClient, "granted", late)]
+    return [(LeaseClient, "handle_granted", late)]
 
 
 @plant("may_act does not look at the time")
 def _() -> list[Patch]:
-    return [(LeaseClient, "may_act", lambda self, now: self.stage is LeaseState.HELD)]
+    return [(LeaseClient, "may_act", lambda self, now: self.state is LeaseState.HELD)]
 
 
 @plant("may_act holds while it is asked for again")
 def _() -> list[Patch]:
-    return [(LeaseClient, "may_act", lambda self, now: self.ticket > 0 and self.stage is not LeaseState.IDLE)]
+    return [
+        (
+            LeaseClient,
+            "may_act",
+            lambda self, now: self.fencing_token > 0 and self.state is not LeaseState.IDLE,
+        )
+    ]
 
 
 @plant("drift is not reckoned with")
 def _() -> list[Patch]:
-    same = property(lambda self: self.term_s)
-    keeps = lambda self, promise: max(promise.term_s, self.terms.term_s)  # noqa: E731
-    return [(LeaseTimings, "held_s", same), (Voter, "_keeps", keeps)]
+    same = property(lambda self: self.duration_s)
+    keeps = lambda self, promise: max(promise.duration_s, self.timings.duration_s)  # noqa: E731
+    return [(LeaseTimings, "holder_duration_s", same), (Voter, "_vote_duration_s", keeps)]
 
 
 @plant("late answers count for the newest round")
 def _() -> list[Patch]:
-    real = LeaseClient.granted
+    real = LeaseClient.handle_granted
 
     def newest(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
-        if self._rounds and message.ticket == self.ticket:
+        if self._rounds and message.fencing_token == self.fencing_token:
             serial = next(reversed(self._rounds))
-            message = LeaseGranted(message.claim, message.voter, message.ticket, serial, message.mark)
+            message = LeaseGranted(
+                message.lease, message.voter, message.fencing_token, serial, message.storage_version
+            )
         return real(self, now, message)
 
-    return [(LeaseClient, "granted", newest)]
+    return [(LeaseClient, "handle_granted", newest)]
 
 
 @plant("less than a majority is enough for the holder")
@@ -121,28 +129,28 @@
 
 @plant("the ticket is not raised")
 def _() -> list[Patch]:
-    real = LeaseClient._ask
+    real = LeaseClient._send_requests
 
     def same(self: LeaseClient, now: float) -> list[Any]:
-        if self.stage is LeaseState.REQUESTING:
-            self.highest = max(0, self.highest - 1)
+        if self.state is LeaseState.REQUESTING:
+            self.highest_token = max(0, self.highest_token - 1)
         return real(self, now)
 
-    return [(LeaseClient, "_ask", same)]
+    return [(LeaseClient, "_send_requests", same)]
 
 
 @plant("who gives back goes on")
 def _() -> list[Patch]:
-    real = LeaseClient.give_back
+    real = LeaseClient.release
 
     def goes_on(self: LeaseClient, now: float, successor: str = "") -> list[Any]:
-        was = self.stage, self.until, self.due
+        was = self.state, self.expires_at, self.due_at
         out = real(self, now, successor)
         if was[0] is LeaseState.HELD:
-            self.stage, self.until, self.due = was
+            self.state, self.expires_at, self.due_at = was
         return [each for each in out if isinstance(each, SendMessage)]
 
-    return [(LeaseClient, "give_back", goes_on)]
+    return [(LeaseClient, "release", goes_on)]
 
 
 # ---- voters ----
@@ -150,58 +158,58 @@
 
 @plant("a promise is answered before it is on disk")
 def _() -> list[Patch]:
-    real = Voter._promise
+    real = Voter._cast_vote
 
     def early(self: Voter, *told: Any) -> list[Any]:
         out = real(self, *told)
-        sender, message, _ = self._answers.pop(self._number)
+        sender, message, _ = self._pending_grants.pop(self._write_id)
         return [*out, SendMessage(sender, message)]
 
-    return [(Voter, "_promise", early)]
+    return [(Voter, "_cast_vote", early)]
 
 
 @plant("a copy of an ask is answered before the disk is")
 def _() -> list[Patch]:
-    real = Voter.asked
+    real = Voter.handle_request
 
     def eager(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
         under_way = self._writing
-        if self.promises.get(ask.claim) == Vote(
-            ask.claim, ask.ticket, ask.holder, ask.incarnation, ask.term_ms / 1000
+        if self.votes.get(ask.lease) == Vote(
+            ask.lease, ask.fencing_token, ask.holder, ask.incarnation, ask.duration_ms / 1000
         ):
             self._writing = {}
         out = real(self, now, sender, ask)
         self._writing = {**under_way, **self._writing}
         return out
 
-    return [(Voter, "asked", eager)]
+    return [(Voter, "handle_request", eager)]
 
 
 @plant("a disk that is full is not noticed")
 def _() -> list[Patch]:
-    real = Voter.written
-    return [(Voter, "written", lambda self, now, number, fault: real(self, now, number, ""))]
+    real = Voter.write_completed
+    return [(Voter, "write_completed", lambda self, now, number, fault: real(self, now, number, ""))]
 
 
 @plant("a promise is no promise to others")
 def _() -> list[Patch]:
-    real = Voter._against
+    real = Voter._rejection
 
     def generous(self: Voter, now: float, ask: LeaseRequest) -> Any:
         found = real(self, now, ask)
-        held = found[0] == "held" and ask.ticket > found[1]
+        held = found[0] == "held" and ask.fencing_token > found[1]
         return ("low", found[1], "", 0.0) if found[0] == "held" and not held else (
             ("", 0, "", 0.0) if held else found
         )  # fmt: skip
 
-    return [(Voter, "_against", generous)]
+    return [(Voter, "_rejection", generous)]
 
 
 @plant("a voter takes any ticket")
 def _() -> list[Patch]:
-    real = Voter._against
+    real = Voter._rejection
     return [
-        (Voter, "_against",
+        (Voter, "_rejection",
          lambda self, now, ask: ("", 0, "", 0.0) if real(self, now, ask)[0] == "low" else real(self, now,
          ask))
     ]  # fmt: skip
@@ -209,16 +217,16 @@
 
 @plant("a renewal does not lengthen the promise")
 def _() -> list[Patch]:
-    real = Voter.asked
+    real = Voter.handle_request
 
     def short(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
-        until, old = self.until.get(ask.claim), self.promises.get(ask.claim)
+        until, old = self.expires_at.get(ask.lease), self.votes.get(ask.lease)
         out = real(self, now, sender, ask)
-        if old is not None and until is not None and old.ticket == ask.ticket:
-            self.until[ask.claim] = until
+        if old is not None and until is not None and old.fencing_token == ask.fencing_token:
+            self.expires_at[ask.lease] = until
         return out
 
-    return [(Voter, "asked", short)]
+    return [(Voter, "handle_request", short)]
 
 
 @plant("promises are over with a restart")
@@ -227,7 +235,7 @@
 
     def forgetful(self: Voter, *told: Any) -> None:
         init(self, *told)
-        self.until = {}
+        self.expires_at = {}
 
     return [(Voter, "__init__", forgetful)]
 
@@ -238,90 +246,92 @@
 
     def trusting(self: Voter, *told: Any) -> None:
         init(self, *told)
-        self.standing, self.fresh = VoterState.VOTING, False
+        self.state, self.is_new_storage = VoterState.VOTING, False
 
     return [(Voter, "__init__", trusting)]
 
 
 @plant("an older folder is not noticed")
 def _() -> list[Patch]:
-    return [(Voter, "_behind", lambda self, mark: False)]
+    return [(Voter, "_is_behind", lambda self, mark: False)]
 
 
 @plant("who is let in again does not wait")
 def _() -> list[Patch]:
-    real = Voter._wait
+    real = Voter._start_waiting
 
     def at_once(self: Voter, now: float) -> list[Any]:
         out = real(self, now)
-        self.waits_until, self.until = now, {}
+        self.waiting_until, self.expires_at = now, {}
         return out
 
-    return [(Voter, "_wait", at_once)]
+    return [(Voter, "_start_waiting", at_once)]
 
 
 @plant("who is let in again is told no promises")
 def _() -> list[Patch]:
-    real = Voter._let_in
+    real = Voter._admit
 
     def untold(self: Voter, now: float, good: list[Any]) -> list[Any]:
         for each in good:
-            each.promises.clear()
-        self.promises.clear()
+            each.votes.clear()
+        self.votes.clear()
         return real(self, now, good)
 
-    return [(Voter, "_let_in", untold)]
+    return [(Voter, "_admit", untold)]
 
 
 @plant("a fleet is founded by any two")
 def _() -> list[Patch]:
-    real = Voter._judge
+    real = Voter._evaluate_replies
 
     def hasty(self: Voter, now: float) -> list[Any]:
-        if self.standing is VoterState.NEW_STORAGE and self.heard:
-            return self._wait(now)
+        if self.state is VoterState.NEW_STORAGE and self.peers:
+            return self._start_waiting(now)
         return real(self, now)
 
-    return [(Voter, "_judge", hasty)]
+    return [(Voter, "_evaluate_replies", hasty)]
 
 
 @plant("anybody gives back for anybody")
 def _() -> list[Patch]:
-    real = Voter.given_back
+    real = Voter.handle_release
 
     def open_to_all(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
-        old = self.promises.get(back.claim)
+        old = self.votes.get(back.lease)
         if old is not None:
-            back = LeaseRelease(back.claim, old.holder or "-", old.incarnation, old.ticket, back.successor)
+            back = LeaseRelease(
+                back.lease, old.holder or "-", old.incarnation, old.fencing_token, back.successor
+            )
         return real(self, now, back)
 
-    return [(Voter, "given_back", open_to_all)]
+    return [(Voter, "handle_release", open_to_all)]
 
 
 @plant("what is given back is forgotten with its ticket")
 def _() -> list[Patch]:
-    real = Voter.given_back
+    real = Voter.handle_release
 
     def forgotten(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
-        old = self.promises.get(back.claim)
+        old = self.votes.get(back.lease)
         out = real(self, now, back)
-        if old is not None and old != self.promises.get(back.claim):
-            self.promises[back.claim] = Vote(back.claim, 0)
+        if old is not None and old != self.votes.get(back.lease):
+            self.votes[back.lease] = Vote(back.lease, 0)
         return out
 
-    return [(Voter, "given_back", forgotten)]
+    return [(Voter, "handle_release", forgotten)]
 
 
 @plant("who is let in hears the promises before its wait")
 def _() -> list[Patch]:
-    real = Voter._let_in
+    real = Voter._admit
 
     def early(self: Voter, now: float, good: list[Any]) -> list[Any]:
         out = real(self, now, good)
-        self._founds = True
+        self._is_founding = True
         return out
 
-    return [(Voter, "_let_in", early)]
+    return [(Voter, "_admit", early)]
 
 
 # ---- lists of voters ----
@@ -329,20 +339,20 @@
 
 @plant("any list of voters is served")
 def _() -> list[Patch]:
-    return [(VoterSet, "serves", lambda self, epoch, told: True)]
+    return [(VoterSet, "accepts", lambda self, epoch, told: True)]
 
 
 @plant("a list stays open while the second after it is gone on to")
 def _() -> list[Patch]:
-    real = VoterSet.next
-    wide = lambda self, voters: replace(real(self, voters), floor=0)  # noqa: E731
+    real = VoterSet.successor
+    wide = lambda self, voters: replace(real(self, voters), minimum_epoch=0)  # noqa: E731
     serves = lambda self, epoch, told: epoch <= self.epoch  # noqa: E731
-    agree = lambda self, told: replace(self, agreed=self.agreed or told)  # noqa: E731
+    agree = lambda self, told: replace(self, agreed_digest=self.agreed_digest or told)  # noqa: E731
     ready = lambda roll, wish, said, me: may_advance(  # noqa: E731
-        replace(roll, floor=roll.epoch), wish,
-        {name: replace(each, floor=roll.epoch) for name, each in said.items()}, me,
+        replace(roll, minimum_epoch=roll.epoch), wish,
+        {name: replace(each, minimum_epoch=roll.epoch) for name, each in said.items()}, me,
     )  # fmt: skip
-    return [(VoterSet, "next", wide), (VoterSet, "serves", serves), (VoterSet, "agree", agree),
+    return [(VoterSet, "successor", wide), (VoterSet, "accepts", serves), (VoterSet, "agree_to", agree),
             (voter, "may_advance", ready)]  # fmt: skip
 
 
@@ -353,10 +363,10 @@
 
 @plant("who goes on to the next list takes over no tickets")
 def _() -> list[Patch]:
-    real = Voter._take_over
+    real = Voter._take_over_votes
 
     def nothing(self: Voter, now: float, good: list[Any]) -> None:
-        if not self.votes:
+        if not self.is_voting:
             real(self, now, good)
 
-    return [(Voter, "_take_over", nothing)]
+    return [(Voter, "_take_over_votes", nothing)]
--- a/stairhatch/fault_injection/processes.py
+++ b/stairhatch/fault_injection/processes.py
@@ -433,7 +433,7 @@
         full = sum("No space left" in each.why for each in lines)
         self.bites["disk full"] += full
         self.bites["disk read-only"] += sum("Read-only" in each.why for each in lines)
-        self.bites["went on"] += sum(each.what == LeaseEventKind.WENT_ON.value for each in lines)
+        self.bites["went on"] += sum(each.what == LeaseEventKind.VOTER_SET_ADVANCED.value for each in lines)
         self.bites["disk slow"] += self.slow_disks
         self.bites.update(self.ways.bites)
         never = [name for name in schedule.must_bite if not self.bites[name]]
--- a/stairhatch/fault_injection/rules.py
+++ b/stairhatch/fault_injection/rules.py
@@ -41,7 +41,7 @@
 
 
 BEGINS = (LeaseEventKind.HELD.value, LeaseEventKind.RENEWED.value)
-ENDS = (LeaseEventKind.LOST.value, LeaseEventKind.GIVEN_BACK.value, LeaseEventKind.STOOD_DOWN.value)
+ENDS = (LeaseEventKind.LOST.value, LeaseEventKind.RELEASED.value, LeaseEventKind.STEPPED_DOWN.value)
 EPSILON_S = 1e-6
 
 
@@ -114,7 +114,7 @@
         if line.what == "folder":  # lost or put back old: what it had seen went with it
             for gone in [key for key in highest if key[0] == line.who]:
                 del highest[gone]
-        if line.what != LeaseEventKind.TOOK.value:
+        if line.what != LeaseEventKind.TOKEN_ACCEPTED.value:
             continue
         key = (line.who, line.claim)
         if line.ticket < highest.get(key, 0):
--- a/stairhatch/fault_injection/world.py
+++ b/stairhatch/fault_injection/world.py
@@ -61,11 +61,11 @@
 
     def take(self, write: PersistVotes) -> None:
         """Put a write on it, whole."""
-        self.promises.update((each.claim, each) for each in write.promises)
-        self.made = max(self.made, write.mark.promises)
-        self.known.update(write.known)
+        self.promises.update((each.lease, each) for each in write.votes)
+        self.made = max(self.made, write.storage_version.vote_count)
+        self.known.update(write.known_versions)
         self.admitted = self.admitted or write.admitted
-        self.roll = write.roll or self.roll
+        self.roll = write.voter_set or self.roll
 
 
 class Box:
@@ -122,9 +122,9 @@
             who, voters, terms, chance, self.clock(), kept, dict(disk.fences), self.epoch
         )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.numbers = LeasePool(names, self.mate.claim, chance.randrange(len(names)))
-        self.numbers.want(self.clock())
-        self.mate.claim(LIST).want(self.clock())
+        self.numbers = LeasePool(names, self.mate.lease, chance.randrange(len(names)))
+        self.numbers.request(self.clock())
+        self.mate.lease(LIST).request(self.clock())
         self.note("started")
         self.look()
         self.work()
@@ -177,7 +177,7 @@
             return
         now = self.clock()
         self.carry(mate.tick(now) + self.numbers.tick(now))
-        due = min(mate.due(), self.numbers.due if self.numbers.due > now else float("inf"))
+        due = min(mate.next_due_at(), self.numbers.due_at if self.numbers.due_at > now else float("inf"))
         self.later(min(max(0.001, (due - now) / self.rate), 0.5), self.look)
 
     def take(self, sender: PeerAddress, message: FleetMessage) -> None:
@@ -186,10 +186,10 @@
         if mate is None:
             return
         if isinstance(message, EndpointUpdate):
-            good, out = mate.fences.take(LIST, message.ticket, sender)
+            good, out = mate.fencing_tokens.check(LIST, message.fencing_token, sender)
             self.carry(out)
             if good:
-                self.note(LeaseEventKind.TOOK.value, LIST, message.ticket)
+                self.note(LeaseEventKind.TOKEN_ACCEPTED.value, LIST, message.fencing_token)
             return
         self.carry(mate.handle(self.clock(), sender, message))
         now = self.clock()  # what is due by now is done at once, as in the program
@@ -202,7 +202,7 @@
             match effect:
                 case SendMessage():
                     world.counts["messages"] += 1
-                    world.send(self.name, effect.to[0], effect.message)
+                    world.send(self.name, effect.destination[0], effect.message)
                 case PersistVotes():
                     world.counts["writes"] += 1
                     self.writes.append(effect)
@@ -210,10 +210,10 @@
                     took += self.slow_s if world.now < self.slow_until else 0.0
                     world.at(world.now + took, partial(self.synced, self.starts, effect))
                 case PersistFencingToken():
-                    self.disk.fences[effect.claim] = effect.ticket
+                    self.disk.fences[effect.lease] = effect.fencing_token
                 case LeaseEvent():
-                    until = self.true(effect.until) if effect.until else 0.0
-                    self.note(effect.what.value, effect.claim, effect.ticket, until, effect.why)
+                    until = self.true(effect.expires_at) if effect.expires_at else 0.0
+                    self.note(effect.kind.value, effect.lease, effect.fencing_token, until, effect.reason)
 
     def synced(self, start: int, write: PersistVotes) -> None:
         """The disk has done it, or has not."""
@@ -226,7 +226,7 @@
         else:
             self.disk.take(write)
         mate = self.mate
-        self.run(start, lambda: self.carry(mate.written(self.clock(), write.number, fault)))
+        self.run(start, lambda: self.carry(mate.write_completed(self.clock(), write.write_id, fault)))
 
     def work(self) -> None:
         """A piece of work under the list's claim: check, and write a moment later, wherever it is stopped."""
@@ -234,7 +234,7 @@
         if mate is None:
             return
         if mate.may_act(self.clock(), LIST):
-            ticket = mate.claims[LIST].ticket
+            ticket = mate.leases[LIST].fencing_token
             self.note("acted", LIST, ticket)
             if self.world.at_work:  # stopped right here
                 lasts, self.world.at_work = self.world.at_work, 0.0
@@ -358,9 +358,9 @@
         box = self.holder()
         if box is not None and box.mate is not None and self.now >= box.stopped_until:
             self.bites["hand over"] += 1
-            claim = box.mate.claim(LIST)
-            box.carry(claim.give_back(box.clock(), event.other))
-            claim.want(box.clock(), self.schedule.term_s)
+            claim = box.mate.lease(LIST)
+            box.carry(claim.release(box.clock(), event.other))
+            claim.request(box.clock(), self.schedule.term_s)
 
     def holder(self) -> Box | None:
         """Who may act under the list's claim now."""
@@ -404,7 +404,7 @@
         """Who holds what by its own belief: for looking, not for the rules."""
         found: dict[str, list[str]] = {}
         for box in self.boxes.values():
-            for name, claim in box.mate.claims.items() if box.mate is not None else ():
-                if claim.stage is LeaseState.HELD:
+            for name, claim in box.mate.leases.items() if box.mate is not None else ():
+                if claim.state is LeaseState.HELD:
                     found.setdefault(name, []).append(box.name)
         return found
--- a/stairhatch/fleet/config.py
+++ b/stairhatch/fleet/config.py
@@ -15,20 +15,20 @@
 class FleetConfig:
     """`[fleet]` of the appliance's file."""
 
-    fleet: str
-    name: str  # this softswitch's
+    fleet_name: str
+    member_name: str  # this softswitch's
     listen: PeerAddress
     voters: dict[str, PeerAddress]
     epoch: int = 1  # of that list, counted up with each change
     secret: bytes = field(default=b"", repr=False)
-    folder: Path | None = None
-    history: Path | None = None
-    terms: LeaseTimings = field(default_factory=LeaseTimings)
-    numbers: bool = True  # which of `balancers` this one is, is claimed
-    list: bool = False  # one follows the coordinator for all
-    restarts: int = 0  # so many may be in a planned restart at a time; 0: nobody asks
+    data_directory: Path | None = None
+    history_path: Path | None = None
+    timings: LeaseTimings = field(default_factory=LeaseTimings)
+    lease_instance_index: bool = True  # which of `balancers` this one is, is claimed
+    relay_endpoint_list: bool = False  # one follows the coordinator for all
+    restart_slots: int = 0  # so many may be in a planned restart at a time; 0: nobody asks
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this softswitch is one of the voters."""
-        return self.name in self.voters
+        return self.member_name in self.voters
--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -17,29 +17,29 @@
 class Vote:
     """What a voter has promised of one claim. Without a holder only the ticket counts."""
 
-    claim: str
-    ticket: int
+    lease: str
+    fencing_token: int
     holder: str = ""
     incarnation: int = 0
-    term_s: float = 0.0
+    duration_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PersistedState:
     """Everything of a voter that must outlive it."""
 
-    mark: StorageVersion
+    storage_version: StorageVersion
     admitted: bool = False  # this folder has voted, or been let in
-    promises: tuple[Vote, ...] = ()
-    known: dict[str, StorageVersion] = field(default_factory=dict)  # of the other voters
-    roll: VoterSet | None = None  # the list of voters that it goes by
+    votes: tuple[Vote, ...] = ()
+    known_versions: dict[str, StorageVersion] = field(default_factory=dict)  # of the other voters
+    voter_set: VoterSet | None = None  # the list of voters that it goes by
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
     """A message to a place."""
 
-    to: PeerAddress
+    destination: PeerAddress
     message: FleetMessage
 
 
@@ -47,20 +47,20 @@
 class PersistVotes:
     """Put this on disk, synced, and say so by its number."""
 
-    number: int
-    mark: StorageVersion
-    promises: tuple[Vote, ...] = ()
-    known: dict[str, StorageVersion] = field(default_factory=dict)
+    write_id: int
+    storage_version: StorageVersion
+    votes: tuple[Vote, ...] = ()
+    known_versions: dict[str, StorageVersion] = field(default_factory=dict)
     admitted: bool = False
-    roll: VoterSet | None = None
+    voter_set: VoterSet | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class PersistFencingToken:
     """Keep this as the highest ticket seen of a claim."""
 
-    claim: str
-    ticket: int
+    lease: str
+    fencing_token: int
 
 
 class LeaseEventKind(Enum):
@@ -69,25 +69,25 @@
     HELD = "held"
     RENEWED = "renewed"
     LOST = "lost"
-    GIVEN_BACK = "given back"
-    STOOD_DOWN = "stood down"
-    VOTES = "votes"
-    SILENT = "does not vote"
-    PROMISED = "promised"
-    REFUSED = "refused"
-    TOOK = "took"
-    WENT_ON = "goes by the next list of voters"
+    RELEASED = "given back"
+    STEPPED_DOWN = "stood down"
+    VOTING = "votes"
+    NOT_VOTING = "does not vote"
+    VOTED = "promised"
+    TOKEN_REJECTED = "refused"
+    TOKEN_ACCEPTED = "took"
+    VOTER_SET_ADVANCED = "goes by the next list of voters"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEvent:
     """Something for the log and the history."""
 
-    what: LeaseEventKind
-    claim: str = ""
-    ticket: int = 0
-    until: float = 0.0
-    why: str = ""
+    kind: LeaseEventKind
+    lease: str = ""
+    fencing_token: int = 0
+    expires_at: float = 0.0
+    reason: str = ""
 
 
 Effect = SendMessage | PersistVotes | PersistFencingToken | LeaseEvent
--- a/stairhatch/fleet/fencing.py
+++ b/stairhatch/fleet/fencing.py
@@ -24,27 +24,27 @@
     """The highest tickets that one receiver has seen."""
 
     def __init__(self, seen: dict[str, int] | None = None) -> None:
-        self.seen = dict(seen or {})
-        self.refused = 0
+        self.highest = dict(seen or {})
+        self.rejected_count = 0
 
-    def pass_through(self, claim: str, ticket: int) -> tuple[bool, list[Effect]]:
+    def admit(self, claim: str, ticket: int) -> tuple[bool, list[Effect]]:
         """Whether work under this ticket may be taken; what has to be kept where it is a new highest."""
-        highest = self.seen.get(claim, 0)
-        if ticket < highest or (claim not in self.seen and len(self.seen) >= MAX_FENCED_LEASES):
-            self.refused += 1
+        highest = self.highest.get(claim, 0)
+        if ticket < highest or (claim not in self.highest and len(self.highest) >= MAX_FENCED_LEASES):
+            self.rejected_count += 1
             return False, []
         if ticket == highest:
             return True, []
-        self.seen[claim] = ticket
+        self.highest[claim] = ticket
         return True, [PersistFencingToken(claim, ticket)]
 
-    def take(self, claim: str, ticket: int, sender: PeerAddress) -> tuple[bool, list[Effect]]:
+    def check(self, claim: str, ticket: int, sender: PeerAddress) -> tuple[bool, list[Effect]]:
         """The same, with the answer that tells an old owner to stand down."""
-        good, out = self.pass_through(claim, ticket)
+        good, out = self.admit(claim, ticket)
         if not good:
-            highest = self.seen.get(claim, 0)
+            highest = self.highest.get(claim, 0)
             out = [
-                LeaseEvent(LeaseEventKind.REFUSED, claim, ticket, why=f"{highest} was seen"),
+                LeaseEvent(LeaseEventKind.TOKEN_REJECTED, claim, ticket, reason=f"{highest} was seen"),
                 SendMessage(sender, Superseded(claim, highest)),
             ]
         return good, out
--- a/stairhatch/fleet/instance_index.py
+++ b/stairhatch/fleet/instance_index.py
@@ -22,15 +22,15 @@
     """One softswitch's number."""
 
     def __init__(self, pick: LeasePool, settle_s: float) -> None:
-        self.pick, self.settle_s = pick, settle_s
+        self.pool, self.settle_s = pick, settle_s
         self.in_use = NO_INDEX
 
     def usable(self, now: float) -> int:
         """The number that may be used at this moment; NONE for none. Ask right before a turn is used."""
-        held = self.pick.held(now)
-        return held if held >= 0 and now >= self.pick.now_asked.since + self.settle_s else NO_INDEX
+        held = self.pool.held_position(now)
+        return held if held >= 0 and now >= self.pool.current.held_since + self.settle_s else NO_INDEX
 
-    def look(self, now: float) -> int | None:
+    def update(self, now: float) -> int | None:
         """The number to go by from now on, where that has changed."""
         number = self.usable(now)
         if number == self.in_use:
@@ -40,11 +40,12 @@
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
-        return self.pick.tick(now)
+        return self.pool.tick(now)
 
-    def due(self, now: float) -> float:
+    def next_due_at(self, now: float) -> float:
         """When `look` may have something new, should nothing else happen."""
-        settled = self.pick.now_asked.since + self.settle_s
+        settled = self.pool.current.held_since + self.settle_s
         return min(
-            self.pick.due if self.pick.due > now else float("inf"), settled if settled > now else float("inf")
+            self.pool.due_at if self.pool.due_at > now else float("inf"),
+            settled if settled > now else float("inf"),
         )
--- a/stairhatch/fleet/lease.py
+++ b/stairhatch/fleet/lease.py
@@ -33,19 +33,19 @@
 class LeaseTimings:
     """The figures of a fleet's claims, in seconds."""
 
-    term_s: float = 3.0
-    drift: float = 0.01  # of each clock, as a share
-    round_s: float = 0.25  # so long answers to a first ask are waited for
+    duration_s: float = 3.0
+    clock_drift: float = 0.01  # of each clock, as a share
+    round_timeout_s: float = 0.25  # so long answers to a first ask are waited for
 
     @property
-    def held_s(self) -> float:
+    def holder_duration_s(self) -> float:
         """For how long after it asked a holder may act."""
-        return self.term_s * (1 - self.drift)
+        return self.duration_s * (1 - self.clock_drift)
 
     @property
-    def promised_s(self) -> float:
+    def voter_duration_s(self) -> float:
         """For how long after it was asked a voter keeps its promise."""
-        return self.term_s * (1 + self.drift)
+        return self.duration_s * (1 + self.clock_drift)
 
 
 class LeaseState(Enum):
@@ -60,12 +60,12 @@
 class RequestRound:
     """One ask of all voters."""
 
-    at: float
-    ticket: int
-    granted: set[str] = field(default_factory=set)
-    left: dict[str, float] = field(default_factory=dict)  # of those that refused: how long they will
-    low: int = 0  # of those, since they have heard of a higher ticket, which nobody holds
-    held: Counter[str] = field(default_factory=Counter)  # of those, by who has it
+    started_at: float
+    fencing_token: int
+    granted_by: set[str] = field(default_factory=set)
+    remaining_s: dict[str, float] = field(default_factory=dict)  # of those that refused: how long they will
+    low_token_count: int = 0  # of those, since they have heard of a higher ticket, which nobody holds
+    holders: Counter[str] = field(default_factory=Counter)  # of those, by who has it
 
 
 class LeaseClient:
@@ -81,22 +81,22 @@
         marks: dict[str, StorageVersion],
         epoch: int = 1,
     ) -> None:
-        self.epoch, self.roll = epoch, digest_of(voters)
-        self.name, self.me, self.voters, self.terms = name, me, voters, terms
-        self.chance, self.marks = chance, marks
-        self.stage = LeaseState.IDLE
-        self.ticket = 0  # held, or asked for
-        self.highest = 0  # heard of
-        self.until = -math.inf  # may act before that
-        self.since = -math.inf  # held since
-        self.due = math.inf
-        self.why = ""  # it is not held
-        self.holder = ""  # who holds it, as a voter said last
+        self.epoch, self.voter_set_digest = epoch, digest_of(voters)
+        self.name, self.identity, self.voters, self.timings = name, me, voters, terms
+        self.random_source, self.storage_versions = chance, marks
+        self.state = LeaseState.IDLE
+        self.fencing_token = 0  # held, or asked for
+        self.highest_token = 0  # heard of
+        self.expires_at = -math.inf  # may act before that
+        self.held_since = -math.inf  # held since
+        self.due_at = math.inf
+        self.reason = ""  # it is not held
+        self.known_holder = ""  # who holds it, as a voter said last
         self.held_by_other = False  # so many voters say so that no majority can be had
-        self._serial = 0
-        self._tries = self._lows = 0
-        self._raised = 0  # a higher ticket that is asked for while one is held
-        self._raise = False
+        self._request_id = 0
+        self._backoff_doublings = self._token_retries = 0
+        self._raised_token = 0  # a higher ticket that is asked for while one is held
+        self._must_raise_token = False
         self._rounds: OrderedDict[int, RequestRound] = OrderedDict()
 
     @property
@@ -108,171 +108,196 @@
         """Whether work under this claim may be done at this moment. Ask right before it, with the clock read
         then: the time since an earlier answer may have been spent stopped.
         """
-        return self.stage is LeaseState.HELD and now < self.until
+        return self.state is LeaseState.HELD and now < self.expires_at
 
-    def want(self, now: float, after: float = 0.0) -> None:
+    def request(self, now: float, after: float = 0.0) -> None:
         """Begin to ask for it."""
-        if self.stage is LeaseState.IDLE:
-            self.stage, self.due = LeaseState.REQUESTING, now + after
+        if self.state is LeaseState.IDLE:
+            self.state, self.due_at = LeaseState.REQUESTING, now + after
 
-    def give_back(self, now: float, successor: str = "") -> list[Effect]:
+    def release(self, now: float, successor: str = "") -> list[Effect]:
         """Hold and want it no longer. It is not acted under from here on, whoever hears of it."""
-        was, self.stage = self.stage, LeaseState.IDLE
-        self.until, self.due = -math.inf, math.inf
+        was, self.state = self.state, LeaseState.IDLE
+        self.expires_at, self.due_at = -math.inf, math.inf
         self._rounds.clear()
         if was is LeaseState.IDLE:
             return []
         out: list[Effect] = (
-            [LeaseEvent(LeaseEventKind.GIVEN_BACK, self.name, self.ticket)] if was is LeaseState.HELD else []
+            [LeaseEvent(LeaseEventKind.RELEASED, self.name, self.fencing_token)]
+            if was is LeaseState.HELD
+            else []
         )
-        if self._raised:
-            out += self._return(self._raised, successor)
-            self._raised, self._raise = 0, False
-        return out + self._return(self.ticket, successor)
+        if self._raised_token:
+            out += self._release_at_voters(self._raised_token, successor)
+            self._raised_token, self._must_raise_token = 0, False
+        return out + self._release_at_voters(self.fencing_token, successor)
 
-    def _return(self, ticket: int, successor: str = "") -> list[Effect]:
-        back = LeaseRelease(self.name, *self.me, ticket, successor)
+    def _release_at_voters(self, ticket: int, successor: str = "") -> list[Effect]:
+        back = LeaseRelease(self.name, *self.identity, ticket, successor)
         return [SendMessage(place, back) for place in self.voters.values()]
 
-    def stand_down(self, now: float, highest: int) -> list[Effect]:
+    def step_down(self, now: float, highest: int) -> list[Effect]:
         """A receiver has seen a higher ticket: another owns it, or the voters have lost what they knew."""
-        self.highest = max(self.highest, highest)
-        if self.stage is not LeaseState.HELD or highest <= self.ticket:
+        self.highest_token = max(self.highest_token, highest)
+        if self.state is not LeaseState.HELD or highest <= self.fencing_token:
             return []
         out: list[Effect] = [
-            LeaseEvent(LeaseEventKind.STOOD_DOWN, self.name, self.ticket, why=f"a receiver saw {highest}")
+            LeaseEvent(
+                LeaseEventKind.STEPPED_DOWN, self.name, self.fencing_token, reason=f"a receiver saw {highest}"
+            )
         ]
-        out += self._return(self.ticket)
-        self._lose(now)
+        out += self._release_at_voters(self.fencing_token)
+        self._lose_lease(now)
         return out
 
-    def _lose(self, now: float) -> None:
-        self.stage, self.until = LeaseState.REQUESTING, -math.inf
-        self._raised, self._raise = 0, False
+    def _lose_lease(self, now: float) -> None:
+        self.state, self.expires_at = LeaseState.REQUESTING, -math.inf
+        self._raised_token, self._must_raise_token = 0, False
         self._rounds.clear()
-        self.due = now + self.chance.random() * self.terms.round_s
+        self.due_at = now + self.random_source.random() * self.timings.round_timeout_s
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
         out: list[Effect] = []
-        if self.stage is LeaseState.HELD and now >= self.until:
-            self.why = self.why or "no majority answered in time"
-            out.append(LeaseEvent(LeaseEventKind.LOST, self.name, self.ticket, self.until, self.why))
-            self._lose(now)
-        if self.stage is LeaseState.IDLE or now < self.due:
+        if self.state is LeaseState.HELD and now >= self.expires_at:
+            self.reason = self.reason or "no majority answered in time"
+            out.append(
+                LeaseEvent(LeaseEventKind.LOST, self.name, self.fencing_token, self.expires_at, self.reason)
+            )
+            self._lose_lease(now)
+        if self.state is LeaseState.IDLE or now < self.due_at:
             return out
-        if self.stage is LeaseState.REQUESTING and self._rounds and self.ticket == self._last().ticket:
-            return out + self._failed(now)  # its time is up
-        return out + self._ask(now)
-
-    def _last(self) -> RequestRound:
+        if (
+            self.state is LeaseState.REQUESTING
+            and self._rounds
+            and self.fencing_token == self._latest_round().fencing_token
+        ):
+            return out + self._end_failed_round(now)  # its time is up
+        return out + self._send_requests(now)
+
+    def _latest_round(self) -> RequestRound:
         return next(reversed(self._rounds.values()))
 
-    def _ask(self, now: float) -> list[Effect]:
-        if self.stage is LeaseState.REQUESTING:
-            self.ticket = self.highest = self.highest + 1
-            self.due = now + self.terms.round_s
+    def _send_requests(self, now: float) -> list[Effect]:
+        if self.state is LeaseState.REQUESTING:
+            self.fencing_token = self.highest_token = self.highest_token + 1
+            self.due_at = now + self.timings.round_timeout_s
         else:  # a third of the term gone: three times before it is over
-            self.due = now + self.terms.term_s / 6
-            if self._raise:
-                self._raised, self._raise = self.highest + 1, False
-                self.highest = self._raised
-        self._serial += 1
-        ticket = self._raised or self.ticket
-        self._rounds[self._serial] = RequestRound(now, ticket)
+            self.due_at = now + self.timings.duration_s / 6
+            if self._must_raise_token:
+                self._raised_token, self._must_raise_token = self.highest_token + 1, False
+                self.highest_token = self._raised_token
+        self._request_id += 1
+        ticket = self._raised_token or self.fencing_token
+        self._rounds[self._request_id] = RequestRound(now, ticket)
         while len(self._rounds) > MAX_OPEN_ROUNDS:
             self._rounds.popitem(last=False)
         ask = LeaseRequest(
             self.name,
-            *self.me,
+            *self.identity,
             ticket,
-            math.ceil(self.terms.term_s * 1000),
-            self._serial,
-            dict(self.marks),
+            math.ceil(self.timings.duration_s * 1000),
+            self._request_id,
+            dict(self.storage_versions),
             self.epoch,
-            self.roll,
+            self.voter_set_digest,
         )
         return [SendMessage(place, ask) for place in self.voters.values()]
 
-    def _failed(self, now: float) -> list[Effect]:
+    def _end_failed_round(self, now: float) -> list[Effect]:
         """No majority: give back what some promised, and wait until a majority could be free."""
-        last = self._last()
+        last = self._latest_round()
         self._rounds.clear()
-        missing = self.majority - len(last.granted)
-        left = sorted(last.left.values())
-        wait = left[missing - 1] if 0 < missing <= len(left) else self.terms.round_s
-        self.held_by_other = last.held.total() >= self.majority
-        if last.held and max(last.held.values()) < self.majority:
+        missing = self.majority - len(last.granted_by)
+        left = sorted(last.remaining_s.values())
+        wait = left[missing - 1] if 0 < missing <= len(left) else self.timings.round_timeout_s
+        self.held_by_other = last.holders.total() >= self.majority
+        if last.holders and max(last.holders.values()) < self.majority:
             wait = 0.0  # nobody has it: each of several has some of it, and gives it back in a moment
         if (
-            last.low and not last.held and self._lows < MAX_TOKEN_RETRIES
+            last.low_token_count and not last.holders and self._token_retries < MAX_TOKEN_RETRIES
         ):  # it is free: ask above what was told
-            self._lows += 1
-            wait = self.terms.round_s / 8 * self.chance.random()
-            self.due = now + wait
-            return self._undo(last)
-        self._lows = 0
+            self._token_retries += 1
+            wait = self.timings.round_timeout_s / 8 * self.random_source.random()
+            self.due_at = now + wait
+            return self._release_round(last)
+        self._token_retries = 0
         if not wait:  # several asked at once, and each got some: who comes first next is for chance
-            self._tries = min(self._tries + 1, MAX_BACKOFF_DOUBLINGS)
-            wait = self.terms.round_s * 2**self._tries / 4 * self.chance.random()
-        elif wait >= self.terms.round_s:
-            self._tries = 0
-        silent = len(self.voters) - len(last.granted) - len(last.left)
-        if not self.why or silent >= self.majority:
-            self.why = f"{silent} of {len(self.voters)} voters did not answer"
-        self.due = now + wait + self.chance.random() * self.terms.round_s / 2
-        return self._undo(last)
-
-    def _undo(self, last: RequestRound) -> list[Effect]:
+            self._backoff_doublings = min(self._backoff_doublings + 1, MAX_BACKOFF_DOUBLINGS)
+            wait = self.timings.round_timeout_s * 2**self._backoff_doublings / 4 * self.random_source.random()
+        elif wait >= self.timings.round_timeout_s:
+            self._backoff_doublings = 0
+        silent = len(self.voters) - len(last.granted_by) - len(last.remaining_s)
+        if not self.reason or silent >= self.majority:
+            self.reason = f"{silent} of {len(self.voters)} voters did not answer"
+        self.due_at = now + wait + self.random_source.random() * self.timings.round_timeout_s / 2
+        return self._release_round(last)
+
+    def _release_round(self, last: RequestRound) -> list[Effect]:
         """Give back what was promised, and what may be: a promise waits for the disk, a refusal does not. So
         two refusals can be here before the third voter's yes, which would then stand for a whole term.
         """
-        holder, count = last.held.most_common(1)[0] if last.held else ("", 0)
+        holder, count = last.holders.most_common(1)[0] if last.holders else ("", 0)
         heir = holder if count >= self.majority else ""  # the voter that was free is to go with the others
-        return self._return(last.ticket, heir) if len(last.left) < len(self.voters) else []
+        return (
+            self._release_at_voters(last.fencing_token, heir)
+            if len(last.remaining_s) < len(self.voters)
+            else []
+        )
 
-    def granted(self, now: float, message: LeaseGranted) -> list[Effect]:
+    def handle_granted(self, now: float, message: LeaseGranted) -> list[Effect]:
         """A voter has promised. Late, double and disordered answers count for the round they belong to."""
-        round_ = self._rounds.get(message.serial)
-        if round_ is None or message.ticket != round_.ticket or message.voter not in self.voters:
+        round_ = self._rounds.get(message.request_id)
+        if (
+            round_ is None
+            or message.fencing_token != round_.fencing_token
+            or message.voter not in self.voters
+        ):
             return []
-        self.marks[message.voter] = message.mark
-        round_.granted.add(message.voter)
-        until = round_.at + self.terms.held_s
-        if len(round_.granted) < self.majority or until <= max(now, self.until):
+        self.storage_versions[message.voter] = message.storage_version
+        round_.granted_by.add(message.voter)
+        until = round_.started_at + self.timings.holder_duration_s
+        if len(round_.granted_by) < self.majority or until <= max(now, self.expires_at):
             return []
-        self.until, self.why, self._tries, self.holder = until, "", 0, self.me[0]
+        self.expires_at, self.reason, self._backoff_doublings, self.known_holder = (
+            until,
+            "",
+            0,
+            self.identity[0],
+        )
         self.held_by_other = False
-        if self.stage is LeaseState.HELD and round_.ticket == self.ticket:
-            self.due = now if self._raise else max(now, round_.at + self.terms.term_s / 3)
-            return [LeaseEvent(LeaseEventKind.RENEWED, self.name, self.ticket, until)]
-        if self.stage is not LeaseState.HELD:
-            self.stage, self.since = LeaseState.HELD, now
-        self.ticket, self._raised, self._raise = round_.ticket, 0, False
-        self.due = max(now, round_.at + self.terms.term_s / 3)
-        return [LeaseEvent(LeaseEventKind.HELD, self.name, self.ticket, until)]
-
-    def refused(self, now: float, message: LeaseRejected) -> list[Effect]:
+        if self.state is LeaseState.HELD and round_.fencing_token == self.fencing_token:
+            self.due_at = (
+                now if self._must_raise_token else max(now, round_.started_at + self.timings.duration_s / 3)
+            )
+            return [LeaseEvent(LeaseEventKind.RENEWED, self.name, self.fencing_token, until)]
+        if self.state is not LeaseState.HELD:
+            self.state, self.held_since = LeaseState.HELD, now
+        self.fencing_token, self._raised_token, self._must_raise_token = round_.fencing_token, 0, False
+        self.due_at = max(now, round_.started_at + self.timings.duration_s / 3)
+        return [LeaseEvent(LeaseEventKind.HELD, self.name, self.fencing_token, until)]
+
+    def handle_rejected(self, now: float, message: LeaseRejected) -> list[Effect]:
         """A voter has not."""
-        self.highest = max(self.highest, message.highest)
-        round_ = self._rounds.get(message.serial)
+        self.highest_token = max(self.highest_token, message.highest_token)
+        round_ = self._rounds.get(message.request_id)
         if round_ is None or message.voter not in self.voters:
             return []
-        if message.voter in round_.left:
+        if message.voter in round_.remaining_s:
             return []  # a copy
-        if self.stage is LeaseState.HELD and message.why == "low" and not self._raised:
+        if self.state is LeaseState.HELD and message.reason == "low" and not self._raised_token:
             # That voter has promised a higher ticket to one who did not get it. It can't take ours any more,
             # and would let each asker in anew: a higher one is asked for, and ours holds until then.
-            self._raise, self.due = True, now
-        self.holder = message.holder or self.holder
-        self.why = f"{message.voter}: {message.why}" + (f" {message.holder}" if message.holder else "")
-        round_.left[message.voter] = message.left_ms / 1000
-        round_.granted.discard(message.voter)
-        if message.why in ("held", "handed"):
-            round_.held[message.holder] += 1
-        elif message.why == "low" and not message.holder:
-            round_.low += 1
-        if self.stage is LeaseState.REQUESTING and len(self.voters) - len(round_.left) < self.majority:
-            self.due = now
+            self._must_raise_token, self.due_at = True, now
+        self.known_holder = message.holder or self.known_holder
+        self.reason = f"{message.voter}: {message.reason}" + (f" {message.holder}" if message.holder else "")
+        round_.remaining_s[message.voter] = message.remaining_ms / 1000
+        round_.granted_by.discard(message.voter)
+        if message.reason in ("held", "handed"):
+            round_.holders[message.holder] += 1
+        elif message.reason == "low" and not message.holder:
+            round_.low_token_count += 1
+        if self.state is LeaseState.REQUESTING and len(self.voters) - len(round_.remaining_s) < self.majority:
+            self.due_at = now
             return self.tick(now)
         return []
--- a/stairhatch/fleet/lease_pool.py
+++ b/stairhatch/fleet/lease_pool.py
@@ -22,57 +22,57 @@
     def __init__(self, names: list[str], claim: Callable[[str], LeaseClient], first: int) -> None:
         if not names:
             raise ValueError("there is nothing to pick from")
-        self.names, self.claim = names, claim
-        self.at = first % len(names)
-        self.wanted = False
-        self.due = math.inf
-        self._refusals = 0  # one after the other
-        self._rounds = 0  # in which all were held by others
+        self.lease_names, self.lease_by_name = names, claim
+        self.position = first % len(names)
+        self.is_requested = False
+        self.due_at = math.inf
+        self._rejections = 0  # one after the other
+        self._exhausted_rounds = 0  # in which all were held by others
 
     @property
-    def now_asked(self) -> LeaseClient:
+    def current(self) -> LeaseClient:
         """The claim that is held, or asked for."""
-        return self.claim(self.names[self.at])
+        return self.lease_by_name(self.lease_names[self.position])
 
-    def want(self, now: float) -> None:
+    def request(self, now: float) -> None:
         """Begin to ask."""
-        if not self.wanted:
-            self.wanted, self.due = True, now
-            self.now_asked.want(now)
+        if not self.is_requested:
+            self.is_requested, self.due_at = True, now
+            self.current.request(now)
 
-    def give_back(self, now: float, successor: str = "") -> list[Effect]:
+    def release(self, now: float, successor: str = "") -> list[Effect]:
         """Hold and want none."""
-        self.wanted, self.due = False, math.inf
-        return self.now_asked.give_back(now, successor)
+        self.is_requested, self.due_at = False, math.inf
+        return self.current.release(now, successor)
 
-    def held(self, now: float) -> int:
+    def held_position(self, now: float) -> int:
         """Which may be acted under at this moment; -1: none."""
-        return self.at if self.wanted and self.now_asked.may_act(now) else -1
+        return self.position if self.is_requested and self.current.may_act(now) else -1
 
     def tick(self, now: float) -> list[Effect]:
         """Go on to the next where another holds the one that was asked for."""
-        claim = self.now_asked
-        if not self.wanted or now < self.due or claim.stage is LeaseState.HELD:
-            if claim.stage is LeaseState.HELD:
-                self._refusals = self._rounds = 0
+        claim = self.current
+        if not self.is_requested or now < self.due_at or claim.state is LeaseState.HELD:
+            if claim.state is LeaseState.HELD:
+                self._rejections = self._exhausted_rounds = 0
             return []
-        if claim.stage is LeaseState.IDLE:
-            claim.want(now)
-        if not claim.held_by_other or len(self.names) == 1:
+        if claim.state is LeaseState.IDLE:
+            claim.request(now)
+        if not claim.held_by_other or len(self.lease_names) == 1:
             return []
-        out = claim.give_back(now)
+        out = claim.release(now)
         claim.held_by_other = False
-        self.at = (self.at + 1) % len(self.names)
-        self._refusals += 1
+        self.position = (self.position + 1) % len(self.lease_names)
+        self._rejections += 1
         pause = 0.0
-        if self._refusals >= len(self.names):
-            self._refusals, self._rounds = 0, min(self._rounds + 1, MAX_PAUSE_DOUBLINGS)
+        if self._rejections >= len(self.lease_names):
+            self._rejections, self._exhausted_rounds = 0, min(self._exhausted_rounds + 1, MAX_PAUSE_DOUBLINGS)
             pause = (
-                claim.terms.term_s
+                claim.timings.duration_s
                 * EXHAUSTED_PAUSE_TERMS
-                * 2 ** (self._rounds - 1)
-                * (0.5 + claim.chance.random())
+                * 2 ** (self._exhausted_rounds - 1)
+                * (0.5 + claim.random_source.random())
             )
-        self.due = now + pause
-        self.now_asked.want(now, pause)
+        self.due_at = now + pause
+        self.current.request(now, pause)
         return out
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -55,84 +55,84 @@
     ) -> None:
         """`epoch`: of this list of voters, counted up with each change of it."""
         self.epoch = epoch
-        self.who, self.voters, self.terms, self.chance = who, voters, terms, chance
-        self.claims: dict[str, LeaseClient] = {}
-        self.marks: dict[str, StorageVersion] = {}
-        self.fences = FencingTokens(fences)
-        self.watches: dict[str, LeaseObserver] = {}
+        self.identity, self.voters, self.timings, self.random_source = who, voters, terms, chance
+        self.leases: dict[str, LeaseClient] = {}
+        self.storage_versions: dict[str, StorageVersion] = {}
+        self.fencing_tokens = FencingTokens(fences)
+        self.observers: dict[str, LeaseObserver] = {}
         self.voter = Voter(who.name, voters, terms, kept, now, 1, epoch) if kept is not None else None
 
-    def claim(self, name: str) -> LeaseClient:
+    def lease(self, name: str) -> LeaseClient:
         """A claim as this softswitch asks for it; made at the first call."""
-        if name not in self.claims:
-            me = self.who.name, self.who.incarnation
-            self.claims[name] = LeaseClient(
-                name, me, self.voters, self.terms, self.chance, self.marks, self.epoch
+        if name not in self.leases:
+            me = self.identity.name, self.identity.incarnation
+            self.leases[name] = LeaseClient(
+                name, me, self.voters, self.timings, self.random_source, self.storage_versions, self.epoch
             )
-        return self.claims[name]
+        return self.leases[name]
 
-    def watch(self, now: float, name: str) -> LeaseObserver | None:
+    def observe(self, now: float, name: str) -> LeaseObserver | None:
         """A claim is watched, whoever holds it; None where too many are."""
-        if name not in self.watches:
-            if len(self.watches) >= MAX_OBSERVED_LEASES:
-                for old in [each for each, watch in self.watches.items() if now >= watch.until]:
-                    del self.watches[old]
-            if len(self.watches) >= MAX_OBSERVED_LEASES:
+        if name not in self.observers:
+            if len(self.observers) >= MAX_OBSERVED_LEASES:
+                for old in [each for each, watch in self.observers.items() if now >= watch.active_until]:
+                    del self.observers[old]
+            if len(self.observers) >= MAX_OBSERVED_LEASES:
                 return None
-            self.watches[name] = LeaseObserver(name, self.voters)
-        self.watches[name].wish(now)
-        return self.watches[name]
+            self.observers[name] = LeaseObserver(name, self.voters)
+        self.observers[name].extend(now)
+        return self.observers[name]
 
     def may_act(self, now: float, name: str) -> bool:
         """`Claim.may_act` of a claim by its name."""
-        found = self.claims.get(name)
+        found = self.leases.get(name)
         return found is not None and found.may_act(now)
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         """When `tick` should be called next."""
-        dues = [each.due for each in self.claims.values() if each.stage is not LeaseState.IDLE]
-        dues += [each.until for each in self.claims.values() if each.stage is LeaseState.HELD]
-        dues += [each.due for each in self.watches.values()]
+        dues = [each.due_at for each in self.leases.values() if each.state is not LeaseState.IDLE]
+        dues += [each.expires_at for each in self.leases.values() if each.state is LeaseState.HELD]
+        dues += [each.due_at for each in self.observers.values()]
         if self.voter is not None:
-            dues.append(self.voter.due)
+            dues.append(self.voter.due_at)
         return min(dues, default=math.inf)
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
         out: list[Effect] = self.voter.tick(now) if self.voter is not None else []
-        for claim in list(self.claims.values()):
+        for claim in list(self.leases.values()):
             out += claim.tick(now)
-        for watch in self.watches.values():
+        for watch in self.observers.values():
             out += watch.tick(now)
         return out
 
-    def written(self, now: float, number: int, fault: str = "") -> list[Effect]:
+    def write_completed(self, now: float, number: int, fault: str = "") -> list[Effect]:
         """A `Write` has ended."""
-        return self.voter.written(now, number, fault) if self.voter is not None else []
+        return self.voter.write_completed(now, number, fault) if self.voter is not None else []
 
     def handle(self, now: float, sender: PeerAddress, message: FleetMessage) -> list[Effect]:
         """A message has come."""
         match message:
-            case LeaseGranted() if message.claim in self.claims:
-                return self.claims[message.claim].granted(now, message)
-            case LeaseRejected() if message.claim in self.claims:
-                return self.claims[message.claim].refused(now, message)
-            case Superseded() if message.claim in self.claims:
-                return self.claims[message.claim].stand_down(now, message.highest)
-            case LeaseStatus() if message.claim in self.watches:
-                self.watches[message.claim].shown(now, message)
+            case LeaseGranted() if message.lease in self.leases:
+                return self.leases[message.lease].handle_granted(now, message)
+            case LeaseRejected() if message.lease in self.leases:
+                return self.leases[message.lease].handle_rejected(now, message)
+            case Superseded() if message.lease in self.leases:
+                return self.leases[message.lease].step_down(now, message.highest_token)
+            case LeaseStatus() if message.lease in self.observers:
+                self.observers[message.lease].handle_status(now, message)
                 return []
         if self.voter is None:
             return []
         match message:
             case LeaseRequest():
-                return self.voter.asked(now, sender, message)
+                return self.voter.handle_request(now, sender, message)
             case LeaseRelease():
-                return self.voter.given_back(now, message)
+                return self.voter.handle_release(now, message)
             case LeaseQuery():
-                return self.voter.look(now, message, sender)
+                return self.voter.handle_query(now, message, sender)
             case StatusRequest():
-                return self.voter.called(now, message)
+                return self.voter.handle_status_request(now, message)
             case StatusReply():
-                return self.voter.answered(now, message)
+                return self.voter.handle_status_reply(now, message)
         return []
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -11,7 +11,7 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 TAG_BYTES = 16
 MAX_DATAGRAM_BYTES = 1400
@@ -25,9 +25,9 @@
 class StorageVersion(Struct, frozen=True, array_like=True):
     """How far a voter's folder had come when somebody heard of it: which folder, its start, its promises."""
 
-    folder: Annotated[str, Meta(max_length=32)]
-    life: Number
-    promises: Number
+    storage_id: Annotated[str, Meta(max_length=32)]
+    incarnation: Number
+    vote_count: Number
 
 
 class FleetMessage(Struct, frozen=True, tag_field="t", omit_defaults=True, forbid_unknown_fields=True):
@@ -37,131 +37,133 @@
 class LeaseRequest(FleetMessage, frozen=True, tag="ask"):
     """Promise me this claim: anew, or for another term where the ticket is the one promised."""
 
-    claim: Name
+    lease: Name = field(name="claim")
     holder: Name
     incarnation: Number
-    ticket: Number
-    term_ms: Millis
-    serial: Number
-    marks: dict[Name, StorageVersion] = {}  # of the voters, as the asker has heard
+    fencing_token: Number = field(name="ticket")
+    duration_ms: Millis = field(name="term_ms")
+    request_id: Number = field(name="serial")
+    storage_versions: dict[Name, StorageVersion] = field(
+        default_factory=dict, name="marks"
+    )  # of the voters, as the asker has heard
     epoch: Number = 1  # of the list of voters that are asked
-    roll: Number = 0  # that list's digest
+    voter_set_digest: Number = field(default=0, name="roll")  # that list's digest
 
 
 class LeaseGranted(FleetMessage, frozen=True, tag="yes"):
     """Promised, and on disk."""
 
-    claim: Name
+    lease: Name = field(name="claim")
     voter: Name
-    ticket: Number
-    serial: Number
-    mark: StorageVersion
+    fencing_token: Number = field(name="ticket")
+    request_id: Number = field(name="serial")
+    storage_version: StorageVersion = field(name="mark")
 
 
 class LeaseRejected(FleetMessage, frozen=True, tag="no"):
     """Not promised: what stands in the way, and for how long."""
 
-    claim: Name
+    lease: Name = field(name="claim")
     voter: Name
-    serial: Number
-    why: Annotated[str, Meta(max_length=32)]
-    highest: Number = 0
+    request_id: Number = field(name="serial")
+    reason: Annotated[str, Meta(max_length=32)] = field(name="why")
+    highest_token: Number = field(default=0, name="highest")
     holder: Annotated[str, Meta(max_length=48)] = ""
-    left_ms: Millis = 0
+    remaining_ms: Millis = field(default=0, name="left_ms")
 
 
 class LeaseRelease(FleetMessage, frozen=True, tag="back"):
     """The asker wants it no longer; a successor that is named goes first for a while."""
 
-    claim: Name
+    lease: Name = field(name="claim")
     holder: Name
     incarnation: Number
-    ticket: Number
+    fencing_token: Number = field(name="ticket")
     successor: Annotated[str, Meta(max_length=48)] = ""
 
 
 class LeaseQuery(FleetMessage, frozen=True, tag="look"):
     """Who holds it?"""
 
-    claim: Name
-    serial: Number
+    lease: Name = field(name="claim")
+    query_id: Number = field(name="serial")
 
 
 class LeaseStatus(FleetMessage, frozen=True, tag="shown"):
     """What a voter has promised."""
 
-    claim: Name
+    lease: Name = field(name="claim")
     voter: Name
-    serial: Number
-    ticket: Number = 0
+    query_id: Number = field(name="serial")
+    fencing_token: Number = field(default=0, name="ticket")
     holder: Annotated[str, Meta(max_length=48)] = ""
-    left_ms: Millis = 0
+    remaining_ms: Millis = field(default=0, name="left_ms")
 
 
 class StatusRequest(FleetMessage, frozen=True, tag="roll"):
     """A voter that has started asks the others what they know of it, page by page."""
 
     voter: Name
-    mark: StorageVersion
-    fresh: bool  # its folder was empty
-    good: bool = False  # it votes
-    after: Annotated[str, Meta(max_length=48)] = ""
-    serial: Number = 0  # answers to an earlier one don't count
+    storage_version: StorageVersion = field(name="mark")
+    is_new_storage: bool = field(name="fresh")  # its folder was empty
+    is_voting: bool = field(default=False, name="good")  # it votes
+    after_lease: Annotated[str, Meta(max_length=48)] = field(default="", name="after")
+    request_id: Number = field(default=0, name="serial")  # answers to an earlier one don't count
     epoch: Number = 1
-    wish: Number = 0  # the digest of the next list that it would go by
+    proposed_digest: Number = field(default=0, name="wish")  # the digest of the next list that it would go by
 
 
 class VoteReport(Struct, frozen=True, array_like=True):
     """A promise as it is told."""
 
-    claim: Name
-    ticket: Number
+    lease: Name
+    fencing_token: Number
     holder: Annotated[str, Meta(max_length=48)]
     incarnation: Number
-    term_ms: Millis
+    duration_ms: Millis
 
 
 class StatusReply(FleetMessage, frozen=True, tag="here"):
     """What another voter knows of the one that asked, and some of its own promises, by name."""
 
     voter: Name
-    mark: StorageVersion
-    fresh: bool
-    good: bool
-    out: bool = False
-    known: StorageVersion | None = None  # of the one that asked
-    after: Annotated[str, Meta(max_length=48)] = ""
-    kept: Annotated[tuple[VoteReport, ...], Meta(max_length=VOTES_PER_PAGE)] = ()
-    more: bool = False
-    serial: Number = 0  # of the call
+    storage_version: StorageVersion = field(name="mark")
+    is_new_storage: bool = field(name="fresh")
+    is_voting: bool = field(name="good")
+    may_have_forgotten: bool = field(default=False, name="out")
+    known_version: StorageVersion | None = field(default=None, name="known")  # of the one that asked
+    after_lease: Annotated[str, Meta(max_length=48)] = field(default="", name="after")
+    votes: Annotated[tuple[VoteReport, ...], Meta(max_length=VOTES_PER_PAGE)] = field(default=(), name="kept")
+    has_more: bool = field(default=False, name="more")
+    request_id: Number = field(default=0, name="serial")  # of the call
     epoch: Number = 1  # of the list that it goes by, and its digest
-    roll: Number = 0
-    floor: Number = 0  # asks by lists of lower epochs are refused
-    agreed: Number = 0  # the digest of the next list that it agreed to
+    voter_set_digest: Number = field(default=0, name="roll")
+    minimum_epoch: Number = field(default=0, name="floor")  # asks by lists of lower epochs are refused
+    agreed_digest: Number = field(default=0, name="agreed")  # the digest of the next list that it agreed to
 
 
 class Subscribe(FleetMessage, frozen=True, tag="tune"):
     """What is new in the list after this number?"""
 
-    after: Number
+    after_index: Number = field(name="after")
 
 
 class EndpointUpdate(FleetMessage, frozen=True, tag="news"):
     """Events of the list from its owner, one part of them."""
 
     holder: Name
-    ticket: Number
-    after: Number
-    part: Annotated[int, Meta(ge=0, le=4096)]
-    parts: Annotated[int, Meta(ge=1, le=4096)]
+    fencing_token: Number = field(name="ticket")
+    index: Number = field(name="after")
+    part_index: Annotated[int, Meta(ge=0, le=4096)] = field(name="part")
+    part_count: Annotated[int, Meta(ge=1, le=4096)] = field(name="parts")
     data: Annotated[bytes, Meta(max_length=1024)]
 
 
 class Superseded(FleetMessage, frozen=True, tag="stale"):
     """A receiver's answer to a ticket below the highest it has seen: stand down."""
 
-    claim: Name
-    highest: Number
+    lease: Name = field(name="claim")
+    highest_token: Number = field(name="highest")
 
 
 AnyMessage = (
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -22,27 +22,28 @@
     """One softswitch's wish to be restarted."""
 
     def __init__(self, pick: LeasePool | None) -> None:
-        self.pick = pick
+        self.pool = pick
 
-    def ask(self, now: float) -> str:
+    def request(self, now: float) -> str:
         """The answer to `restart-ask`: it is asked again until it says ok."""
-        if self.pick is None:
+        if self.pool is None:
             return "fail fleet.restarts is 0: a restart needs no slot here"
-        self.pick.want(now)
-        slot = self.pick.held(now)
+        self.pool.request(now)
+        slot = self.pool.held_position(now)
         if slot >= 0:
-            left = self.pick.now_asked.until - now
-            return f"ok slot {slot + 1} of {len(self.pick.names)}, held for {left:.1f} s more unless renewed"
-        claim = self.pick.now_asked
-        return f"fail not yet: {claim.why or 'asking'}"
+            left = self.pool.current.expires_at - now
+            slots = len(self.pool.lease_names)
+            return f"ok slot {slot + 1} of {slots}, held for {left:.1f} s more unless renewed"
+        claim = self.pool.current
+        return f"fail not yet: {claim.reason or 'asking'}"
 
-    def give(self, now: float) -> tuple[str, list[Effect]]:
+    def release(self, now: float) -> tuple[str, list[Effect]]:
         """The answer to `restart-give`, and what comes of it."""
-        if self.pick is None or not self.pick.wanted:
+        if self.pool is None or not self.pool.is_requested:
             return "ok no slot was held or asked for", []
-        was = self.pick.now_asked.stage is LeaseState.HELD
-        return f"ok {'given back' if was else 'no longer asked for'}", self.pick.give_back(now)
+        was = self.pool.current.state is LeaseState.HELD
+        return f"ok {'given back' if was else 'no longer asked for'}", self.pool.release(now)
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
-        return self.pick.tick(now) if self.pick is not None else []
+        return self.pool.tick(now) if self.pool is not None else []
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -54,11 +54,11 @@
 LOGGED_EVENTS = (
     LeaseEventKind.HELD,
     LeaseEventKind.LOST,
-    LeaseEventKind.GIVEN_BACK,
-    LeaseEventKind.STOOD_DOWN,
-    LeaseEventKind.VOTES,
-    LeaseEventKind.SILENT,
-    LeaseEventKind.WENT_ON,
+    LeaseEventKind.RELEASED,
+    LeaseEventKind.STEPPED_DOWN,
+    LeaseEventKind.VOTING,
+    LeaseEventKind.NOT_VOTING,
+    LeaseEventKind.VOTER_SET_ADVANCED,
 )
 GAUGE_INTERVAL_S = 1.0
 MAX_LEASE_NAME_BYTES = 48  # bytes of a claim's
@@ -79,7 +79,9 @@
 
     def __init__(self, config: FleetConfig) -> None:
         self.file = (
-            os.open(config.history, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644) if config.history else -1
+            os.open(config.history_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+            if config.history_path
+            else -1
         )
 
     def __call__(self, what: str, **fields: object) -> None:
@@ -101,32 +103,36 @@
         self.log, self.counters = core.log, core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
         self.wake: Callable[[], None] = do_nothing  # set by the driver: there is something to send
-        self.codec = FleetCodec(config.fleet, config.secret)
+        self.codec = FleetCodec(config.fleet_name, config.secret)
         self.history = HistoryFile(config)
-        self.chance = random.Random(secrets.randbits(64))
+        self.random_source = random.Random(secrets.randbits(64))
         now = clock()
-        self.store = VoterStore(config.folder, self._on_loop) if config.folder is not None else None
-        found = self.store.found if self.store is not None else None
-        if found is not None and found.put_aside:
-            self.log("fleet", what="folder put aside", why=found.put_aside)
-        self.mate = ClusterMember(
-            MemberId(config.name, secrets.randbits(62)),
+        self.store = (
+            VoterStore(config.data_directory, self._on_loop) if config.data_directory is not None else None
+        )
+        found = self.store.stored if self.store is not None else None
+        if found is not None and found.quarantined:
+            self.log("fleet", what="folder put aside", why=found.quarantined)
+        self.member = ClusterMember(
+            MemberId(config.member_name, secrets.randbits(62)),
             config.voters,
-            config.terms,
-            self.chance,
+            config.timings,
+            self.random_source,
             now,
-            found.kept if found is not None and config.votes else None,
-            found.fences if found else {},
+            found.voter_state if found is not None and config.is_voter else None,
+            found.fencing_tokens if found else {},
             config.epoch,
         )
         self.settings = settings  # as the file has them
-        self.numbers = self._numbers(settings)
-        slots = restart_slots.lease_names(config.restarts)
-        pick = LeasePool(slots, self.mate.claim, self.chance.randrange(len(slots))) if slots else None
-        self.restarts = RestartSlotLease(pick)
+        self.instance_index_lease = self._numbers(settings)
+        slots = restart_slots.lease_names(config.restart_slots)
+        pick = (
+            LeasePool(slots, self.member.lease, self.random_source.randrange(len(slots))) if slots else None
+        )
+        self.restart_slot = RestartSlotLease(pick)
         self.directory: Directory | None = None
-        self.listed, self.parts = EndpointList(), EndpointListAssembler()
-        self.follow = EndpointListFollower(list(config.voters), RelayTimings(), now)
+        self.endpoint_list, self.assembler = EndpointList(), EndpointListAssembler()
+        self.follower = EndpointListFollower(list(config.voters), RelayTimings(), now)
         self._owner_heard = self._beaten = -math.inf
         self._asking = False
         self._handed = 0  # the number of the list that was handed on last
@@ -136,62 +142,66 @@
         network.datagrams(config.listen, self)
         core.admin_commands.update(
             {
-                "claims": lambda: "ok " + json.dumps(self.told()),
-                "restart-ask": lambda: self._order(self.restarts.ask),
+                "claims": lambda: "ok " + json.dumps(self.lease_report()),
+                "restart-ask": lambda: self._order(self.restart_slot.request),
                 "restart-give": self._give,
                 "hand-over": self._hand_over,
                 "watch": self._watch,
             }
         )
-        self.history("started", name=config.name, voter=config.votes)
+        self.history("started", name=config.member_name, voter=config.is_voter)
 
     def _numbers(self, settings: Settings) -> InstanceIndexLease | None:
-        if not self.config.numbers or settings.instance_count < 2:
+        if not self.config.lease_instance_index or settings.instance_count < 2:
             return None
         names = instance_index.lease_names(settings.instance_count)
-        first = settings.instance_index if settings.instance_index >= 0 else self.chance.randrange(len(names))
+        first = (
+            settings.instance_index
+            if settings.instance_index >= 0
+            else self.random_source.randrange(len(names))
+        )
         return InstanceIndexLease(
-            LeasePool(names, self.mate.claim, first), SETTLE_WINDOWS * settings.safety.overload_window_s
+            LeasePool(names, self.member.lease, first), SETTLE_WINDOWS * settings.safety.overload_window_s
         )
 
     # ---- life ----
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start to ask."""
         now = clock()
-        if self.numbers is not None:
+        if self.instance_index_lease is not None:
             self.core.attempts.check_instance_index = self._look
-            self.core.retune(self.tuned(self.settings))
-            self.numbers.pick.want(now)
-        if self.config.list and self.directory is not None:
-            self.mate.claim(ENDPOINT_LIST_LEASE).want(now)
+            self.core.retune(self.settings_in_use(self.settings))
+            self.instance_index_lease.pool.request(now)
+        if self.config.relay_endpoint_list and self.directory is not None:
+            self.member.lease(ENDPOINT_LIST_LEASE).request(now)
         self._tick()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """The program ends: what is held is given back, but for a slot, which lasts over the restart."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
         now = clock()
-        for claim in self.mate.claims.values():
+        for claim in self.member.leases.values():
             if not claim.name.startswith("restart/"):
-                self.carry(claim.give_back(now))
+                self.carry_out(claim.release(now))
         if self.store is not None:
             self.store.close()
 
-    def tuned(self, settings: Settings) -> Settings:
+    def settings_in_use(self, settings: Settings) -> Settings:
         """A file's settings with the number that is held in place of the one that is typed."""
         if settings.instance_count != self.settings.instance_count:
             now = clock()
-            if self.numbers is not None:
-                self.carry(self.numbers.pick.give_back(now))
-            self.numbers = self._numbers(settings)
-            if self.numbers is not None:
-                self.numbers.pick.want(now)
+            if self.instance_index_lease is not None:
+                self.carry_out(self.instance_index_lease.pool.release(now))
+            self.instance_index_lease = self._numbers(settings)
+            if self.instance_index_lease is not None:
+                self.instance_index_lease.pool.request(now)
         self.settings = settings
-        if self.numbers is None:
+        if self.instance_index_lease is None:
             return settings
-        return replace(settings, instance_index=self.numbers.in_use)
+        return replace(settings, instance_index=self.instance_index_lease.in_use)
 
     def _on_loop(self, act: Callable[[], None]) -> object:
         return self.network.loop.call_soon_threadsafe(act)
@@ -218,7 +228,7 @@
             case Subscribe():
                 self._tuned_in(peer, message)
             case _:
-                self.carry(self.mate.handle(now, peer, message))
+                self.carry_out(self.member.handle(now, peer, message))
 
     def _fault(self, error: Exception) -> None:
         self.counters.add("fleet_faults")
@@ -232,16 +242,16 @@
         self.output.append((data, to))
         self.wake()
 
-    def carry(self, effects: list[Effect]) -> None:
+    def carry_out(self, effects: list[Effect]) -> None:
         """Do what the decisions ask, in their order."""
         for effect in effects:
             match effect:
                 case SendMessage():
-                    self.send(effect.to, effect.message)
+                    self.send(effect.destination, effect.message)
                 case PersistVotes():
                     self._write(effect)
                 case PersistFencingToken() if self.store is not None:
-                    self.store.keep(effect, self._fence_kept)
+                    self.store.persist(effect, self._fence_kept)
                 case LeaseEvent():
                     self._note(effect)
 
@@ -252,10 +262,10 @@
 
         def done(fault: str) -> None:
             if not self._ended:
-                self.carry(self.mate.written(clock(), write.number, fault))
+                self.carry_out(self.member.write_completed(clock(), write.write_id, fault))
                 self._tick()
 
-        self.store.keep(write, done)
+        self.store.persist(write, done)
 
     def _fence_kept(self, fault: str) -> None:
         if fault:
@@ -263,25 +273,28 @@
 
     def _note(self, note: LeaseEvent) -> None:
         self.history(
-            note.what.value,
-            claim=note.claim,
-            ticket=note.ticket,
-            until=note.until,
-            why=note.why,
+            note.kind.value,
+            claim=note.lease,
+            ticket=note.fencing_token,
+            until=note.expires_at,
+            why=note.reason,
         )
-        name = f"fleet_{note.what.name.lower()}"
+        name = f"fleet_{note.kind.name.lower()}"
         self.counters.add(name)
-        if note.what in LOGGED_EVENTS:
+        if note.kind in LOGGED_EVENTS:
             self.log(
                 "fleet",
-                what=note.what.value,
-                claim=note.claim or "-",
-                ticket=note.ticket,
-                why=note.why or "-",
+                what=note.kind.value,
+                claim=note.lease or "-",
+                ticket=note.fencing_token,
+                why=note.reason or "-",
             )
-        elif note.what is LeaseEventKind.REFUSED and clock() - self._refusal_at > REJECTION_LOG_INTERVAL_S:
+        elif (
+            note.kind is LeaseEventKind.TOKEN_REJECTED
+            and clock() - self._refusal_at > REJECTION_LOG_INTERVAL_S
+        ):
             self._refusal_at = clock()
-            self.log("fleet", what="refused", claim=note.claim, ticket=note.ticket, why=note.why)
+            self.log("fleet", what="refused", claim=note.lease, ticket=note.fencing_token, why=note.reason)
 
     # ---- what is due ----
 
@@ -301,116 +314,130 @@
         self._timer = self.network.loop.call_later(wait, self._tick)
 
     def _due(self, now: float) -> float:
-        self.carry(self.mate.tick(now))
-        if self.numbers is not None:
-            self.carry(self.numbers.tick(now))
-        self.carry(self.restarts.tick(now))
+        self.carry_out(self.member.tick(now))
+        if self.instance_index_lease is not None:
+            self.carry_out(self.instance_index_lease.tick(now))
+        self.carry_out(self.restart_slot.tick(now))
         self._look()
         self._list(now)
         if now - self._gauged >= GAUGE_INTERVAL_S:
             self._gauged = now
             self._gauges(now)
-        return min(self.mate.due(), self.numbers.due(now) if self.numbers is not None else math.inf)
+        return min(
+            self.member.next_due_at(),
+            self.instance_index_lease.next_due_at(now) if self.instance_index_lease is not None else math.inf,
+        )
 
     def _look(self) -> None:
         """Go by the number that may be used at this moment. Asked before each set-up at a cold server is
         written too: since the last look the process may have been stopped.
         """
-        if self.numbers is None:
+        if self.instance_index_lease is None:
             return
-        was = self.numbers.in_use
-        number = self.numbers.look(clock())
+        was = self.instance_index_lease.in_use
+        number = self.instance_index_lease.update(clock())
         if number is not None:
             self.history("number", claim=f"number/{number if number >= 0 else was}", number=number)
             self.log("fleet", what="number", number=number if number >= 0 else "none")
-            self.core.retune(self.tuned(self.settings))
+            self.core.retune(self.settings_in_use(self.settings))
 
     # ---- the list ----
 
-    def may_ask(self) -> bool:
+    def may_poll_coordinator(self) -> bool:
         """Whether the coordinator is to be asked by this softswitch now."""
         now = clock()
-        return self.follow.asks(now, self.mate.may_act(now, ENDPOINT_LIST_LEASE), self.listed.index > 0)
+        return self.follower.polls_coordinator(
+            now, self.member.may_act(now, ENDPOINT_LIST_LEASE), self.endpoint_list.index > 0
+        )
 
-    def heard(self, answer: Any) -> None:
+    def coordinator_answered(self, answer: Any) -> None:
         """The coordinator has answered this softswitch."""
-        self.listed.tell(answer)
+        self.endpoint_list.apply(answer)
         self._hand_on()
 
     def _list(self, now: float) -> None:
-        if self.directory is None or not self.config.list:
+        if self.directory is None or not self.config.relay_endpoint_list:
             return
-        owner = self.mate.may_act(clock(), ENDPOINT_LIST_LEASE)
-        if owner and now - self._beaten >= self.follow.pace.tune_s:
+        owner = self.member.may_act(clock(), ENDPOINT_LIST_LEASE)
+        if owner and now - self._beaten >= self.follower.timings.poll_interval_s:
             self._beaten = now
-            claim = self.mate.claims[ENDPOINT_LIST_LEASE]
-            self._to_voters([EndpointUpdate(self.config.name, claim.ticket, self.listed.index, 0, 1, b"")])
-        to = self.follow.tune(now, owner, self._owner_heard)
-        if to and to != self.config.name:
-            self.send(self.config.voters[to], Subscribe(self.listed.index))
-        asks = self.may_ask()
+            claim = self.member.leases[ENDPOINT_LIST_LEASE]
+            self._to_voters(
+                [
+                    EndpointUpdate(
+                        self.config.member_name, claim.fencing_token, self.endpoint_list.index, 0, 1, b""
+                    )
+                ]
+            )
+        to = self.follower.voter_to_poll(now, owner, self._owner_heard)
+        if to and to != self.config.member_name:
+            self.send(self.config.voters[to], Subscribe(self.endpoint_list.index))
+        asks = self.may_poll_coordinator()
         if asks and not self._asking:
             self.directory.hurry()
         self._asking = asks
 
     def _to_voters(self, news: list[EndpointUpdate]) -> None:
         for name, place in self.config.voters.items():
-            if name != self.config.name:
+            if name != self.config.member_name:
                 for each in news:
                     self.send(place, each)
 
     def _hand_on(self) -> None:
         """The owner tells the voters, once a number, with its ticket; the check stands right before."""
         checked = clock()
-        if not self.mate.may_act(checked, ENDPOINT_LIST_LEASE) or self.listed.index == self._handed:
+        if not self.member.may_act(checked, ENDPOINT_LIST_LEASE) or self.endpoint_list.index == self._handed:
             return
-        self._handed = self.listed.index
-        claim = self.mate.claims[ENDPOINT_LIST_LEASE]
-        news = to_updates(self.listed, self.config.name, claim.ticket)
-        self.history("acted", claim=ENDPOINT_LIST_LEASE, ticket=claim.ticket, checked=checked)
+        self._handed = self.endpoint_list.index
+        claim = self.member.leases[ENDPOINT_LIST_LEASE]
+        news = to_updates(self.endpoint_list, self.config.member_name, claim.fencing_token)
+        self.history("acted", claim=ENDPOINT_LIST_LEASE, ticket=claim.fencing_token, checked=checked)
         between_check_and_write()
         self._to_voters(news)
 
     def _tuned_in(self, peer: PeerAddress, tune: Subscribe) -> None:
         """Somebody asks for news: of the list that the owner handed on, under the owner's ticket."""
-        ticket = self.mate.fences.seen.get(ENDPOINT_LIST_LEASE, 0)
+        ticket = self.member.fencing_tokens.highest.get(ENDPOINT_LIST_LEASE, 0)
         holder = ""
         now = clock()
-        if self.mate.may_act(now, ENDPOINT_LIST_LEASE):
-            ticket, holder = self.mate.claims[ENDPOINT_LIST_LEASE].ticket, self.config.name
-        elif not ticket or now - self._owner_heard > self.follow.pace.quiet_s:
+        if self.member.may_act(now, ENDPOINT_LIST_LEASE):
+            ticket, holder = self.member.leases[ENDPOINT_LIST_LEASE].fencing_token, self.config.member_name
+        elif not ticket or now - self._owner_heard > self.follower.timings.fallback_after_s:
             return  # the owner is not heard here either; what another voter says is not passed on again
-        if tune.after >= self.listed.index:
-            self.send(peer, EndpointUpdate(holder or "-", ticket, self.listed.index, 0, 1, b""))
+        if tune.after_index >= self.endpoint_list.index:
+            self.send(peer, EndpointUpdate(holder or "-", ticket, self.endpoint_list.index, 0, 1, b""))
             return
-        for each in to_updates(self.listed, holder or "-", ticket):
+        for each in to_updates(self.endpoint_list, holder or "-", ticket):
             self.send(peer, each)
 
     def _news(self, now: float, peer: PeerAddress, news: EndpointUpdate) -> None:
         """The list as its owner has it, or the word that nothing is new."""
         if self.directory is None:
             return
-        good, out = self.mate.fences.take(ENDPOINT_LIST_LEASE, news.ticket, peer)
-        self.carry(out)
+        good, out = self.member.fencing_tokens.check(ENDPOINT_LIST_LEASE, news.fencing_token, peer)
+        self.carry_out(out)
         if not good:
             return
-        self.follow.news(now)
+        self.follower.handle_update(now)
         if news.holder != "-":
             self._owner_heard = now
         if not news.data:
-            if news.after > self.listed.index:  # what it handed on was lost
-                self.send(peer, Subscribe(self.listed.index))
+            if news.index > self.endpoint_list.index:  # what it handed on was lost
+                self.send(peer, Subscribe(self.endpoint_list.index))
             return
-        if not news.part:  # let through by the fence, whatever comes of it
+        if not news.part_index:  # let through by the fence, whatever comes of it
             self.history(
-                LeaseEventKind.TOOK.value, claim=ENDPOINT_LIST_LEASE, ticket=news.ticket, index=news.after
+                LeaseEventKind.TOKEN_ACCEPTED.value,
+                claim=ENDPOINT_LIST_LEASE,
+                ticket=news.fencing_token,
+                index=news.index,
             )
-        answer = self.parts.add(news)
-        if answer is None or news.after <= self.listed.index:
+        answer = self.assembler.add(news)
+        if answer is None or news.index <= self.endpoint_list.index:
             return
         self.counters.add("fleet_lists_taken")
-        self.listed.tell(answer)
-        self.directory.handed(self.listed.answer())
+        self.endpoint_list.apply(answer)
+        self.directory.handed(self.endpoint_list.to_answer())
 
     # ---- operators ----
 
@@ -420,92 +447,97 @@
         return answer
 
     def _give(self) -> str:
-        answer, out = self.restarts.give(clock())
-        self.carry(out)
+        answer, out = self.restart_slot.release(clock())
+        self.carry_out(out)
         return answer
 
     def _hand_over(self, name: str, successor: str = "") -> str:
         """Give a claim back, for a successor that is named or for whoever comes first."""
-        now, claim = clock(), self.mate.claims.get(name)
+        now, claim = clock(), self.member.leases.get(name)
         if claim is None or not claim.may_act(now):
             return f"fail {name} is not held here"
-        self.carry(claim.give_back(now, successor))
-        claim.want(now, self.config.terms.term_s)
+        self.carry_out(claim.release(now, successor))
+        claim.request(now, self.config.timings.duration_s)
         self.network.loop.call_soon(self._tick)
         return f"ok {name} given back" + (f", {successor} goes first for a moment" if successor else "")
 
     def _watch(self, name: str) -> str:
         """Who holds a claim, by the voters' answers; the first answer comes before any of theirs has."""
         now = clock()
-        watch = self.mate.watch(now, name) if 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES else None
+        watch = self.member.observe(now, name) if 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES else None
         if watch is None:
             return "fail no claim can have that name, or too many are watched"
         self.network.loop.call_soon(self._tick)
-        seen = watch.seen(now)
+        seen = watch.observed(now)
         answer = {
             "holder": seen.holder,
-            "ticket": seen.ticket,
-            "left_s": round(seen.left_s, 3),
-            "voters": seen.voters,
+            "ticket": seen.fencing_token,
+            "left_s": round(seen.remaining_s, 3),
+            "voters": seen.answered_voters,
         }
         return "ok " + json.dumps(answer)
 
     def _gauges(self, now: float) -> None:
         """Among the counters: what is held and for how long, and whether this softswitch votes."""
-        counts, voter = self.counters.counts, self.mate.voter
-        counts["fleet_claims_held"] = sum(each.may_act(now) for each in self.mate.claims.values())
+        counts, voter = self.counters.counts, self.member.voter
+        counts["fleet_claims_held"] = sum(each.may_act(now) for each in self.member.leases.values())
         if voter is not None:
-            counts["fleet_votes_now"], counts["fleet_list_of_voters"] = int(voter.votes), voter.roll.epoch
-        for name, claim in self.mate.claims.items():
-            left = max(0.0, claim.until - now) if claim.stage is LeaseState.HELD else 0.0
+            counts["fleet_votes_now"], counts["fleet_list_of_voters"] = (
+                int(voter.is_voting),
+                voter.voter_set.epoch,
+            )
+        for name, claim in self.member.leases.items():
+            left = max(0.0, claim.expires_at - now) if claim.state is LeaseState.HELD else 0.0
             gauge = f"fleet_left_ms_{name}"
             if left or gauge in counts:
-                counts[gauge], counts[f"fleet_ticket_{name}"] = int(1000 * left), claim.ticket
+                counts[gauge], counts[f"fleet_ticket_{name}"] = int(1000 * left), claim.fencing_token
 
-    def told(self) -> dict[str, Any]:
+    def lease_report(self) -> dict[str, Any]:
         """What `stairhatch claims` shows."""
-        now, mate, voter = clock(), self.mate, self.mate.voter
+        now, mate, voter = clock(), self.member, self.member.voter
         claims = [
             {
                 "claim": name,
-                "stage": claim.stage.value,
-                "ticket": claim.ticket if claim.stage is LeaseState.HELD else 0,
-                "left_s": round(max(0.0, claim.until - now), 3) if claim.stage is LeaseState.HELD else 0.0,
-                "holder": claim.holder,
-                "why": claim.why,
+                "stage": claim.state.value,
+                "ticket": claim.fencing_token if claim.state is LeaseState.HELD else 0,
+                "left_s": round(max(0.0, claim.expires_at - now), 3)
+                if claim.state is LeaseState.HELD
+                else 0.0,
+                "holder": claim.known_holder,
+                "why": claim.reason,
             }
-            for name, claim in mate.claims.items()
-            if claim.stage is not LeaseState.IDLE
+            for name, claim in mate.leases.items()
+            if claim.state is not LeaseState.IDLE
         ]
         told: dict[str, Any] = {
-            "fleet": self.config.fleet,
-            "name": self.config.name,
+            "fleet": self.config.fleet_name,
+            "name": self.config.member_name,
             "voters": list(self.config.voters),
             "claims": claims,
-            "fences": mate.fences.seen,
-            "refused": mate.fences.refused,
+            "fences": mate.fencing_tokens.highest,
+            "refused": mate.fencing_tokens.rejected_count,
             "vote": None,
         }
-        if self.numbers is not None:
-            told["number"] = self.numbers.in_use
+        if self.instance_index_lease is not None:
+            told["number"] = self.instance_index_lease.in_use
         if voter is not None:
             promised = [
                 {
-                    "claim": p.claim,
-                    "ticket": p.ticket,
+                    "claim": p.lease,
+                    "ticket": p.fencing_token,
                     "holder": p.holder,
-                    "left_s": round(max(0.0, voter.until.get(p.claim, 0.0) - now), 3),
+                    "left_s": round(max(0.0, voter.expires_at.get(p.lease, 0.0) - now), 3),
                 }
-                for p in voter.promises.values()
+                for p in voter.votes.values()
             ]
             told["vote"] = {
-                "votes": voter.votes,
-                "why": "" if voter.votes else voter.why or voter.standing.value,
+                "votes": voter.is_voting,
+                "why": "" if voter.is_voting else voter.reason or voter.state.value,
                 "promises": promised,
-                "epoch": voter.roll.epoch,
-                "list": list(voter.roll.voters),
-                "wishes": voter.listed if voter.wish else [],
-                "agreed": bool(voter.roll.agreed),
+                "epoch": voter.voter_set.epoch,
+                "list": list(voter.voter_set.voters),
+                "wishes": voter.configured_voters if voter.proposed_digest else [],
+                "agreed": bool(voter.voter_set.agreed_digest),
             }
         return told
 
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -52,9 +52,9 @@
 class StoredState:
     """What a folder held."""
 
-    kept: PersistedState
-    fences: dict[str, int]
-    put_aside: str = ""  # under which name, and why
+    voter_state: PersistedState
+    fencing_tokens: dict[str, int]
+    quarantined: str = ""  # under which name, and why
 
 
 def _sum(row: Row) -> int:
@@ -70,9 +70,9 @@
     return VoterSet(
         epoch=record["epoch"],
         voters=tuple(record["voters"]),
-        before=record["before"],
-        floor=record["floor"],
-        agreed=record["agreed"],
+        previous_digest=record["before"],
+        minimum_epoch=record["floor"],
+        agreed_digest=record["agreed"],
     )
 
 
@@ -82,15 +82,15 @@
         {
             "epoch": voter_set.epoch,
             "voters": voter_set.voters,
-            "before": voter_set.before,
-            "floor": voter_set.floor,
-            "agreed": voter_set.agreed,
+            "before": voter_set.previous_digest,
+            "floor": voter_set.minimum_epoch,
+            "agreed": voter_set.agreed_digest,
         }
     )
 
 
-Done = Callable[[str], None]  # hears "" or what went wrong, on the loop
-Hook = Callable[[], None]
+WriteCallback = Callable[[str], None]  # hears "" or what went wrong, on the loop
+CommitHook = Callable[[], None]
 
 
 def no_fault() -> None:
@@ -100,18 +100,18 @@
 class VoterStore:
     """One folder, open."""
 
-    before_commit: Hook = staticmethod(no_fault)
+    before_commit: CommitHook = staticmethod(no_fault)
 
     def __init__(self, folder: Path, call: Callable[[Callable[[], None]], object]) -> None:
         """`call` has something done on the loop, from any thread. StoreError: the folder can't be used."""
         self.path, self._call = folder / FILE_NAME, call
-        self._work: queue.SimpleQueue[tuple[PersistVotes | PersistFencingToken, Done] | None] = (
+        self._work: queue.SimpleQueue[tuple[PersistVotes | PersistFencingToken, WriteCallback] | None] = (
             queue.SimpleQueue()
         )
         self._base: sqlite3.Connection
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            self.found = self._open()
+            self.stored = self._open()
         except (OSError, sqlite3.Error) as error:
             text = "another process has it open" if "locked" in str(error) else str(error)
             raise StoreError(f"{folder}: {text}") from None
@@ -132,7 +132,7 @@
             for end in ("-wal", "-shm"):
                 self.path.with_name(FILE_NAME + end).unlink(missing_ok=True)
             found = self._read()
-            return StoredState(found.kept, found.fences, f"{aside}: {error}")
+            return StoredState(found.voter_state, found.fencing_tokens, f"{aside}: {error}")
 
     def _read(self) -> StoredState:
         base = self._base = sqlite3.connect(
@@ -188,7 +188,7 @@
     def _put(self, own: dict[str, object]) -> None:
         self._rows("own", [(key, str(value)) for key, value in own.items()])
 
-    def keep(self, what: PersistVotes | PersistFencingToken, done: Done) -> None:
+    def persist(self, what: PersistVotes | PersistFencingToken, done: WriteCallback) -> None:
         """Put it on disk; `done` hears of it on the loop."""
         self._work.put((what, done))
 
@@ -222,16 +222,21 @@
             base.execute("BEGIN IMMEDIATE")
             for each in work:
                 if isinstance(each, PersistFencingToken):
-                    self._rows("fences", [(each.claim, each.ticket)])
+                    self._rows("fences", [(each.lease, each.fencing_token)])
                     continue
-                promises = [(p.claim, p.ticket, p.holder, p.incarnation, p.term_s) for p in each.promises]
+                promises = [
+                    (p.lease, p.fencing_token, p.holder, p.incarnation, p.duration_s) for p in each.votes
+                ]
                 self._rows("promises", promises)
-                self._rows("known", [(n, m.folder, m.life, m.promises) for n, m in each.known.items()])
-                self._put({"promises": each.mark.promises})
+                self._rows(
+                    "known",
+                    [(n, m.storage_id, m.incarnation, m.vote_count) for n, m in each.known_versions.items()],
+                )
+                self._put({"promises": each.storage_version.vote_count})
                 if each.admitted:
                     self._put({"admitted": 1})
-                if each.roll is not None:
-                    self._put({"roll": _encode_voter_set(each.roll)})
+                if each.voter_set is not None:
+                    self._put({"roll": _encode_voter_set(each.voter_set)})
             base.execute("COMMIT")
         except (OSError, sqlite3.Error) as error:
             with contextlib.suppress(sqlite3.Error):
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -79,7 +79,7 @@
     DISK_FAILED = "its disk takes no promise"
 
 
-REFUSAL_WORDS = {  # what it says on the wire while it does not vote
+REJECTION_WORDS = {  # what it says on the wire while it does not vote
     VoterState.STARTING: "starting",
     VoterState.NEW_STORAGE: "new",
     VoterState.EXCLUDED: "out",
@@ -88,17 +88,26 @@
     VoterState.MISCONFIGURED: "wrong",
     VoterState.DISK_FAILED: "broken",
 }
-RESTS = (VoterState.DISK_FAILED, VoterState.WAITING, VoterState.MISCONFIGURED)  # and takes in no answer
-LEFT = (VoterState.EXCLUDED, VoterState.WAITING, VoterState.CATCHING_UP, VoterState.MISCONFIGURED)
+IGNORES_REPLIES = (
+    VoterState.DISK_FAILED,
+    VoterState.WAITING,
+    VoterState.MISCONFIGURED,
+)  # and takes in no answer
+MAY_HAVE_FORGOTTEN = (
+    VoterState.EXCLUDED,
+    VoterState.WAITING,
+    VoterState.CATCHING_UP,
+    VoterState.MISCONFIGURED,
+)
 
 
 @dataclass(slots=True)
 class PeerStatus:
     """What another voter has said at this start."""
 
-    answer: StatusReply
-    promises: dict[str, Told] = field(default_factory=dict)
-    whole: bool = False
+    reply: StatusReply
+    votes: dict[str, Told] = field(default_factory=dict)
+    is_complete: bool = False
 
 
 class Voter:
@@ -114,202 +123,238 @@
         first_write: int = 1,
         epoch: int = 1,
     ) -> None:
-        self.name, self.voters, self.terms = name, voters, terms
+        self.name, self.voters, self.timings = name, voters, terms
         self.others = {each: place for each, place in voters.items() if each != name}
-        self.mark = kept.mark  # on disk, so that others may be told of it
-        self.fresh = not kept.admitted
-        self.known = dict(kept.known)
-        self.promises = {each.claim: each for each in kept.promises}
-        self.until = {each.claim: now + self._keeps(each) for each in kept.promises if each.holder}
-        self.first: dict[str, tuple[str, float]] = {}  # claim -> a successor that goes first, until when
-        self.started = now
-        self.standing = VoterState.NEW_STORAGE if not kept.admitted else VoterState.STARTING
-        self.heard: dict[str, PeerStatus] = {}
-        self.due = now
-        self.waits_until = math.inf
-        self.why = ""
-        self._number = first_write
-        self._promised = kept.mark.promises  # with those that are not on disk yet
-        self._marks: dict[int, StorageVersion] = {}  # by the write that puts it there
-        self._rolls: dict[int, VoterSet] = {}
-        self._known_new = self._said = False
-        self._answers: dict[
+        self.storage_version = kept.storage_version  # on disk, so that others may be told of it
+        self.is_new_storage = not kept.admitted
+        self.known_versions = dict(kept.known_versions)
+        self.votes = {each.lease: each for each in kept.votes}
+        self.expires_at = {
+            each.lease: now + self._vote_duration_s(each) for each in kept.votes if each.holder
+        }
+        self.successors: dict[str, tuple[str, float]] = {}  # claim -> a successor that goes first, until when
+        self.started_at = now
+        self.state = VoterState.NEW_STORAGE if not kept.admitted else VoterState.STARTING
+        self.peers: dict[str, PeerStatus] = {}
+        self.due_at = now
+        self.waiting_until = math.inf
+        self.reason = ""
+        self._write_id = first_write
+        self._vote_count = kept.storage_version.vote_count  # with those that are not on disk yet
+        self._written_versions: dict[int, StorageVersion] = {}  # by the write that puts it there
+        self._written_voter_sets: dict[int, VoterSet] = {}
+        self._known_changed = self._new_storage_reported = False
+        self._pending_grants: dict[
             int, tuple[PeerAddress, FleetMessage, str]
         ] = {}  # by the write that has to come first
         self._writing: dict[str, int] = {}  # claim -> the write under way
         self._unwritten: dict[str, Vote] = {}
-        self._broken_at = -math.inf
+        self._disk_failed_at = -math.inf
         # Of the roll calls whose answers count: not those to an earlier start either.
-        self._serial = digest_of((kept.mark.folder, str(kept.mark.life)))
-        self._founds = False  # nobody has promised anything yet
-        self.listed = tuple(sorted(voters))  # in the file
-        mine = VoterSet(epoch, self.listed, 0, epoch)
-        self.roll = kept.roll or mine
-        self.on_disk = kept.roll
-        self._roll_new = kept.roll is None  # not on disk yet
-        kind, why = compare(self.roll, epoch, self.listed)
-        self.wish = digest_of(self.listed) if kind is VoterSetRelation.NEXT else 0
-        if kind is VoterSetRelation.WRONG:
-            self.standing, self.why = VoterState.MISCONFIGURED, why
+        self._request_id = digest_of((kept.storage_version.storage_id, str(kept.storage_version.incarnation)))
+        self._is_founding = False  # nobody has promised anything yet
+        self.configured_voters = tuple(sorted(voters))  # in the file
+        mine = VoterSet(epoch, self.configured_voters, 0, epoch)
+        self.voter_set = kept.voter_set or mine
+        self.persisted_voter_set = kept.voter_set
+        self._voter_set_changed = kept.voter_set is None  # not on disk yet
+        kind, why = compare(self.voter_set, epoch, self.configured_voters)
+        self.proposed_digest = digest_of(self.configured_voters) if kind is VoterSetRelation.SUCCESSOR else 0
+        if kind is VoterSetRelation.INCONSISTENT:
+            self.state, self.reason = VoterState.MISCONFIGURED, why
         elif kind is VoterSetRelation.BEHIND:
-            self.roll, self._roll_new = mine, True
-            if self.standing is VoterState.STARTING:
-                self.standing, self.why = VoterState.EXCLUDED, why
+            self.voter_set, self._voter_set_changed = mine, True
+            if self.state is VoterState.STARTING:
+                self.state, self.reason = VoterState.EXCLUDED, why
 
-    def _keeps(self, promise: Vote) -> float:
-        return max(promise.term_s, self.terms.term_s) * (1 + self.terms.drift)
+    def _vote_duration_s(self, promise: Vote) -> float:
+        return max(promise.duration_s, self.timings.duration_s) * (1 + self.timings.clock_drift)
 
     @property
     def majority(self) -> int:
         """Of the voters of the list that it goes by."""
-        return self.roll.majority
+        return self.voter_set.majority
 
     @property
-    def votes(self) -> bool:
+    def is_voting(self) -> bool:
         """Whether it may promise."""
-        return self.standing is VoterState.VOTING
+        return self.state is VoterState.VOTING
 
     # ---- promises ----
 
-    def asked(self, now: float, sender: PeerAddress, ask: LeaseRequest) -> list[Effect]:
+    def handle_request(self, now: float, sender: PeerAddress, ask: LeaseRequest) -> list[Effect]:
         """Promise, or say what stands in the way."""
-        out = self._compare(now, ask.marks)
-        why, highest, holder, left = self._against(now, ask)
+        out = self._compare_versions(now, ask.storage_versions)
+        why, highest, holder, left = self._rejection(now, ask)
         if why:
             left_ms = max(0, math.ceil(left * 1000))
             no = LeaseRejected(
-                ask.claim, self.name, ask.serial, why, highest, holder, min(left_ms, 3_600_000)
+                ask.lease, self.name, ask.request_id, why, highest, holder, min(left_ms, 3_600_000)
             )
             return [*out, SendMessage(sender, no)]
-        if ask.claim in self._writing:
+        if ask.lease in self._writing:
             return out  # what is under way has not been promised yet, whoever asks a second time
-        old = self.promises.get(ask.claim)
-        term = ask.term_ms / 1000
-        new = Vote(ask.claim, ask.ticket, ask.holder, ask.incarnation, term)
-        self.until[ask.claim] = now + self._keeps(new)
-        self.first.pop(ask.claim, None)
+        old = self.votes.get(ask.lease)
+        term = ask.duration_ms / 1000
+        new = Vote(ask.lease, ask.fencing_token, ask.holder, ask.incarnation, term)
+        self.expires_at[ask.lease] = now + self._vote_duration_s(new)
+        self.successors.pop(ask.lease, None)
         if new == old:
             return [
                 *out,
-                SendMessage(sender, LeaseGranted(ask.claim, self.name, ask.ticket, ask.serial, self.mark)),
+                SendMessage(
+                    sender,
+                    LeaseGranted(
+                        ask.lease, self.name, ask.fencing_token, ask.request_id, self.storage_version
+                    ),
+                ),
             ]
-        return [*out, *self._promise(new, sender, ask.serial)]
+        return [*out, *self._cast_vote(new, sender, ask.request_id)]
 
-    def _against(self, now: float, ask: LeaseRequest) -> tuple[str, int, str, float]:
+    def _rejection(self, now: float, ask: LeaseRequest) -> tuple[str, int, str, float]:
         """(why not, highest ticket, its holder, how long); "" where nothing is."""
-        if not self.votes:
-            left = self.waits_until - now if self.standing is VoterState.WAITING else 0.0
-            return REFUSAL_WORDS[self.standing], 0, "", max(left, self.terms.round_s)
-        if not self.roll.serves(ask.epoch, ask.roll):
-            return f"another list of voters, {self.roll.epoch}", 0, "", self.terms.term_s
-        if ask.term_ms > math.ceil(self.terms.term_s * 1000):
-            return "term", 0, "", self.terms.term_s  # a voter let in again waits for no longer than its own
-        old = self.promises.get(ask.claim)
+        if not self.is_voting:
+            left = self.waiting_until - now if self.state is VoterState.WAITING else 0.0
+            return REJECTION_WORDS[self.state], 0, "", max(left, self.timings.round_timeout_s)
+        if not self.voter_set.accepts(ask.epoch, ask.voter_set_digest):
+            return f"another list of voters, {self.voter_set.epoch}", 0, "", self.timings.duration_s
+        if ask.duration_ms > math.ceil(self.timings.duration_s * 1000):
+            return (
+                "term",
+                0,
+                "",
+                self.timings.duration_s,
+            )  # a voter let in again waits for no longer than its own
+        old = self.votes.get(ask.lease)
         if old is None:
-            if len(self.promises) >= MAX_LEASES:
-                return "full", 0, "", self.terms.term_s
+            if len(self.votes) >= MAX_LEASES:
+                return "full", 0, "", self.timings.duration_s
             return "", 0, "", 0.0
-        left = self.until.get(ask.claim, -math.inf) - now
-        if (ask.ticket, ask.holder, ask.incarnation) == (old.ticket, old.holder, old.incarnation):
+        left = self.expires_at.get(ask.lease, -math.inf) - now
+        if (ask.fencing_token, ask.holder, ask.incarnation) == (
+            old.fencing_token,
+            old.holder,
+            old.incarnation,
+        ):
             return "", 0, "", 0.0
         mine = (ask.holder, ask.incarnation) == (old.holder, old.incarnation)
         if old.holder and left > 0 and not mine:
-            return "held", old.ticket, old.holder, left
-        first, until = self.first.get(ask.claim, ("", 0.0))
+            return "held", old.fencing_token, old.holder, left
+        first, until = self.successors.get(ask.lease, ("", 0.0))
         if first and first != ask.holder and now < until:
-            return "handed", old.ticket, first, until - now
-        if ask.ticket <= old.ticket:
-            return "low", old.ticket, old.holder if left > 0 else "", 0.0
+            return "handed", old.fencing_token, first, until - now
+        if ask.fencing_token <= old.fencing_token:
+            return "low", old.fencing_token, old.holder if left > 0 else "", 0.0
         return "", 0, "", 0.0
 
-    def given_back(self, now: float, back: LeaseRelease) -> list[Effect]:
+    def handle_release(self, now: float, back: LeaseRelease) -> list[Effect]:
         """The holder wants it no longer; its ticket stays promised."""
-        old = self.promises.get(back.claim)
-        if old is None or (old.holder, old.incarnation, old.ticket) != (
+        old = self.votes.get(back.lease)
+        if old is None or (old.holder, old.incarnation, old.fencing_token) != (
             back.holder,
             back.incarnation,
-            back.ticket,
+            back.fencing_token,
         ):
             return []
-        if back.claim in self._writing:  # that write must not be answered any more
-            self._answers.pop(self._writing[back.claim], None)
-        self.until.pop(back.claim, None)
+        if back.lease in self._writing:  # that write must not be answered any more
+            self._pending_grants.pop(self._writing[back.lease], None)
+        self.expires_at.pop(back.lease, None)
         if back.successor:
-            self.first[back.claim] = (back.successor, now + min(SUCCESSOR_PRIORITY_S, self.terms.term_s))
-        self.promises[back.claim] = Vote(old.claim, old.ticket)
+            self.successors[back.lease] = (
+                back.successor,
+                now + min(SUCCESSOR_PRIORITY_S, self.timings.duration_s),
+            )
+        self.votes[back.lease] = Vote(old.lease, old.fencing_token)
         return []  # a loss of this only costs a term, so it waits for the next write
 
-    def look(self, now: float, look: LeaseQuery, sender: PeerAddress) -> list[Effect]:
+    def handle_query(self, now: float, look: LeaseQuery, sender: PeerAddress) -> list[Effect]:
         """Say who holds it."""
-        old = self.promises.get(look.claim)
-        left = max(0.0, self.until.get(look.claim, -math.inf) - now)
-        if not self.votes or old is None or not left:
+        old = self.votes.get(look.lease)
+        left = max(0.0, self.expires_at.get(look.lease, -math.inf) - now)
+        if not self.is_voting or old is None or not left:
             return [
-                SendMessage(sender, LeaseStatus(look.claim, self.name, look.serial, old.ticket if old else 0))
+                SendMessage(
+                    sender, LeaseStatus(look.lease, self.name, look.query_id, old.fencing_token if old else 0)
+                )
             ]
         return [
             SendMessage(
                 sender,
-                LeaseStatus(look.claim, self.name, look.serial, old.ticket, old.holder, int(left * 1000)),
+                LeaseStatus(
+                    look.lease, self.name, look.query_id, old.fencing_token, old.holder, int(left * 1000)
+                ),
             )
         ]
 
     # ---- the disk ----
 
-    def _promise(self, promise: Vote, sender: PeerAddress, serial: int) -> list[Effect]:
-        self._promised += 1
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        self.promises[promise.claim] = promise
-        self._unwritten[promise.claim] = promise
+    def _cast_vote(self, promise: Vote, sender: PeerAddress, serial: int) -> list[Effect]:
+        self._vote_count += 1
+        mark = StorageVersion(
+            self.storage_version.storage_id, self.storage_version.incarnation, self._vote_count
+        )
+        self.votes[promise.lease] = promise
+        self._unwritten[promise.lease] = promise
         write = self._write((promise,), mark)
-        self._writing[promise.claim] = write.number
-        yes = LeaseGranted(promise.claim, self.name, promise.ticket, serial, mark)
-        self._answers[write.number] = (sender, yes, promise.claim)
+        self._writing[promise.lease] = write.write_id
+        yes = LeaseGranted(promise.lease, self.name, promise.fencing_token, serial, mark)
+        self._pending_grants[write.write_id] = (sender, yes, promise.lease)
         return [write]
 
     def _write(self, promises: tuple[Vote, ...], mark: StorageVersion) -> PersistVotes:
-        self._number += 1
-        self._marks[self._number] = mark
-        self._known_new = self._roll_new = False
-        self._rolls[self._number] = self.roll
-        return PersistVotes(self._number, mark, promises, dict(self.known), True, self.roll)
+        self._write_id += 1
+        self._written_versions[self._write_id] = mark
+        self._known_changed = self._voter_set_changed = False
+        self._written_voter_sets[self._write_id] = self.voter_set
+        return PersistVotes(self._write_id, mark, promises, dict(self.known_versions), True, self.voter_set)
 
-    def written(self, now: float, number: int, fault: str) -> list[Effect]:
+    def write_completed(self, now: float, number: int, fault: str) -> list[Effect]:
         """A write has ended. Only then is what it holds said; a fault ends the voting until one succeeds."""
-        answer, mark = self._answers.pop(number, None), self._marks.pop(number, self.mark)
-        roll = self._rolls.pop(number, None)
+        answer, mark = (
+            self._pending_grants.pop(number, None),
+            self._written_versions.pop(number, self.storage_version),
+        )
+        roll = self._written_voter_sets.pop(number, None)
         done = [claim for claim, under in self._writing.items() if under == number]
-        if fault and not self.votes and self.standing is not VoterState.DISK_FAILED:
+        if fault and not self.is_voting and self.state is not VoterState.DISK_FAILED:
             for claim in done:  # it does not vote as it is, and writes all of it when it does
                 del self._writing[claim]
             return []
         if fault:
-            self._broken_at, self.due = now, min(self.due, now + DISK_RETRY_S)
-            if self.standing is VoterState.DISK_FAILED:
+            self._disk_failed_at, self.due_at = now, min(self.due_at, now + DISK_RETRY_S)
+            if self.state is VoterState.DISK_FAILED:
                 return []
-            self.standing, self.why = VoterState.DISK_FAILED, fault
-            return [LeaseEvent(LeaseEventKind.SILENT, why=f"{VoterState.DISK_FAILED.value}: {fault}")]
-        if mark.promises >= self.mark.promises:
-            self.mark = mark
-        if roll is not None and (self.on_disk is None or roll.epoch >= self.on_disk.epoch):
-            self.on_disk = roll
+            self.state, self.reason = VoterState.DISK_FAILED, fault
+            return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=f"{VoterState.DISK_FAILED.value}: {fault}")]
+        if mark.vote_count >= self.storage_version.vote_count:
+            self.storage_version = mark
+        if roll is not None and (
+            self.persisted_voter_set is None or roll.epoch >= self.persisted_voter_set.epoch
+        ):
+            self.persisted_voter_set = roll
         for claim in done:
             del self._writing[claim]
             self._unwritten.pop(claim, None)
-        if self.standing is VoterState.DISK_FAILED:
+        if self.state is VoterState.DISK_FAILED:
             if self._unwritten:
                 return []
-            self.standing, self.why, self.due = VoterState.VOTING, "", now
-            return [LeaseEvent(LeaseEventKind.VOTES, why="the disk takes promises again")]
-        if answer is None or not self.votes:
+            self.state, self.reason, self.due_at = VoterState.VOTING, "", now
+            return [LeaseEvent(LeaseEventKind.VOTING, reason="the disk takes promises again")]
+        if answer is None or not self.is_voting:
             return []
         sender, message, claim = answer
-        promise = self.promises[claim]
+        promise = self.votes[claim]
         note = LeaseEvent(
-            LeaseEventKind.PROMISED, claim, promise.ticket, self.until.get(claim, now), promise.holder
+            LeaseEventKind.VOTED,
+            claim,
+            promise.fencing_token,
+            self.expires_at.get(claim, now),
+            promise.holder,
         )
         # so that others know of a folder that comes back old
-        mine = StatusRequest(self.name, self.mark, self.fresh, True, epoch=self.roll.epoch)
+        mine = StatusRequest(
+            self.name, self.storage_version, self.is_new_storage, True, epoch=self.voter_set.epoch
+        )
         return [
             note,
             SendMessage(sender, message),
@@ -318,268 +363,309 @@
 
     # ---- whether it votes ----
 
-    def _compare(self, now: float, marks: dict[str, StorageVersion]) -> list[Effect]:
+    def _compare_versions(self, now: float, marks: dict[str, StorageVersion]) -> list[Effect]:
         """What an asker has heard of the voters: one that has more of this folder than is in it ends the
         vote.
         """
         for name, mark in marks.items():
             if name == self.name:
-                if self._behind(mark):
-                    return self._leave(now, VoterState.EXCLUDED)
+                if self._is_behind(mark):
+                    return self._stop_voting(now, VoterState.EXCLUDED)
             elif name in self.others:
-                self._hear(name, mark, False)
+                self._record_version(name, mark, False)
         return []
 
-    def _hear(self, name: str, mark: StorageVersion, good: bool) -> None:
+    def _record_version(self, name: str, mark: StorageVersion, good: bool) -> None:
         """Remember how far another voter has come; its new folder only once it votes from it."""
-        old = self.known.get(name)
-        if old is not None and old.folder == mark.folder:
+        old = self.known_versions.get(name)
+        if old is not None and old.storage_id == mark.storage_id:
             # Each by itself: a folder that is put back old has started once more, with fewer promises.
-            mark = StorageVersion(mark.folder, max(old.life, mark.life), max(old.promises, mark.promises))
+            mark = StorageVersion(
+                mark.storage_id, max(old.incarnation, mark.incarnation), max(old.vote_count, mark.vote_count)
+            )
         elif old is not None and not good:
             return
         if mark != old:
-            self.known[name], self._known_new = mark, True
+            self.known_versions[name], self._known_changed = mark, True
 
-    def _behind(self, seen: StorageVersion) -> bool:
-        if seen.folder != self.mark.folder:
-            return self.standing is VoterState.STARTING  # one that votes was let in after that
-        return seen.life > self.mark.life or seen.promises > self._promised
+    def _is_behind(self, seen: StorageVersion) -> bool:
+        if seen.storage_id != self.storage_version.storage_id:
+            return self.state is VoterState.STARTING  # one that votes was let in after that
+        return seen.incarnation > self.storage_version.incarnation or seen.vote_count > self._vote_count
 
-    def _leave(self, now: float, standing: VoterState) -> list[Effect]:
-        if self.standing in LEFT or self.standing is VoterState.NEW_STORAGE:
+    def _stop_voting(self, now: float, standing: VoterState) -> list[Effect]:
+        if self.state in MAY_HAVE_FORGOTTEN or self.state is VoterState.NEW_STORAGE:
             return []
-        self.standing, self.due = standing, now
-        self.started = now  # what it promised so far counts for a term from here
-        self._founds, self.roll = False, replace(self.roll, floor=self.roll.epoch)
-        self._hear_anew()
-        self._answers.clear()
-        return [LeaseEvent(LeaseEventKind.SILENT, why=standing.value)]
-
-    def _hear_anew(self) -> None:
+        self.state, self.due_at = standing, now
+        self.started_at = now  # what it promised so far counts for a term from here
+        self._is_founding, self.voter_set = False, replace(self.voter_set, minimum_epoch=self.voter_set.epoch)
+        self._forget_replies()
+        self._pending_grants.clear()
+        return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=standing.value)]
+
+    def _forget_replies(self) -> None:
         """What was heard so far counts no longer, nor what is on its way."""
-        self.heard.clear()
-        self._serial += 1
+        self.peers.clear()
+        self._request_id += 1
 
     def tick(self, now: float) -> list[Effect]:
         """Roll calls, the end of a wait, and a disk that is tried again."""
-        if now < self.due:
+        if now < self.due_at:
             return []
         out: list[Effect] = []
-        if self.standing is VoterState.NEW_STORAGE and not self._said:
-            self._said = True
-            out.append(LeaseEvent(LeaseEventKind.SILENT, why=self.standing.value))
-        if self.standing is VoterState.DISK_FAILED:
-            self.due = now + DISK_RETRY_S
-            mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
+        if self.state is VoterState.NEW_STORAGE and not self._new_storage_reported:
+            self._new_storage_reported = True
+            out.append(LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.state.value))
+        if self.state is VoterState.DISK_FAILED:
+            self.due_at = now + DISK_RETRY_S
+            mark = StorageVersion(
+                self.storage_version.storage_id, self.storage_version.incarnation, self._vote_count
+            )
             write = self._write(tuple(self._unwritten.values()), mark)
-            self._writing = dict.fromkeys(self._unwritten, write.number)
+            self._writing = dict.fromkeys(self._unwritten, write.write_id)
             return [write]
-        if self.standing is VoterState.WAITING and now >= self.waits_until:
-            if self._founds:
-                return self._vote(now, "a term has passed since the fleet was founded")
-            self.standing = VoterState.CATCHING_UP
-            self._hear_anew()
-        if self.standing is VoterState.STARTING and self.majority == 1 and self.roll.voters == (self.name,):
-            return [*out, *self._vote(now, "the only voter")]
-        if self.standing is VoterState.MISCONFIGURED:
-            self.due = math.inf
-            return [LeaseEvent(LeaseEventKind.SILENT, why=self.why)]
-        out += self._wishes(now)
-        self.due = now + (SETTLED_STATUS_INTERVAL_S if self.votes and not self.wish else STATUS_INTERVAL_S)
-        if not self.others and self.standing is VoterState.NEW_STORAGE:
-            out += self._judge(now)
-        if self.votes and (self._known_new or self._roll_new):
-            out.append(self._write((), StorageVersion(self.mark.folder, self.mark.life, self._promised)))
+        if self.state is VoterState.WAITING and now >= self.waiting_until:
+            if self._is_founding:
+                return self._start_voting(now, "a term has passed since the fleet was founded")
+            self.state = VoterState.CATCHING_UP
+            self._forget_replies()
+        if self.state is VoterState.STARTING and self.majority == 1 and self.voter_set.voters == (self.name,):
+            return [*out, *self._start_voting(now, "the only voter")]
+        if self.state is VoterState.MISCONFIGURED:
+            self.due_at = math.inf
+            return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.reason)]
+        out += self._try_to_advance(now)
+        self.due_at = now + (
+            SETTLED_STATUS_INTERVAL_S if self.is_voting and not self.proposed_digest else STATUS_INTERVAL_S
+        )
+        if not self.others and self.state is VoterState.NEW_STORAGE:
+            out += self._evaluate_replies(now)
+        if self.is_voting and (self._known_changed or self._voter_set_changed):
+            out.append(
+                self._write(
+                    (),
+                    StorageVersion(
+                        self.storage_version.storage_id, self.storage_version.incarnation, self._vote_count
+                    ),
+                )
+            )
         for name, place in self.others.items():
-            heard = self.heard.get(name)
-            after = max(heard.promises, default="") if heard is not None and not heard.whole else ""
-            wish = self.wish if self.votes else 0
+            heard = self.peers.get(name)
+            after = max(heard.votes, default="") if heard is not None and not heard.is_complete else ""
+            wish = self.proposed_digest if self.is_voting else 0
             call = StatusRequest(
-                self.name, self.mark, self.fresh, self.votes, after, self._serial, self.roll.epoch, wish
+                self.name,
+                self.storage_version,
+                self.is_new_storage,
+                self.is_voting,
+                after,
+                self._request_id,
+                self.voter_set.epoch,
+                wish,
             )
             out.append(SendMessage(place, call))
-        if self.standing is VoterState.WAITING:
-            self.due = min(self.due, self.waits_until)
+        if self.state is VoterState.WAITING:
+            self.due_at = min(self.due_at, self.waiting_until)
         return out
 
-    def _vote(self, now: float, why: str) -> list[Effect]:
-        self.standing, self.fresh = VoterState.VOTING, False
-        self.due, self.why = now, ""
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        return [self._write(tuple(self.promises.values()), mark), LeaseEvent(LeaseEventKind.VOTES, why=why)]
+    def _start_voting(self, now: float, why: str) -> list[Effect]:
+        self.state, self.is_new_storage = VoterState.VOTING, False
+        self.due_at, self.reason = now, ""
+        mark = StorageVersion(
+            self.storage_version.storage_id, self.storage_version.incarnation, self._vote_count
+        )
+        return [self._write(tuple(self.votes.values()), mark), LeaseEvent(LeaseEventKind.VOTING, reason=why)]
 
-    def called(self, now: float, call: StatusRequest) -> list[Effect]:
+    def handle_status_request(self, now: float, call: StatusRequest) -> list[Effect]:
         """Another voter asks what is known of it."""
         if call.voter not in self.others:
             return []
-        known = self.known.get(call.voter)
-        self._hear(call.voter, call.mark, call.good)
-        names = sorted(name for name in self.promises if name > call.after)
+        known = self.known_versions.get(call.voter)
+        self._record_version(call.voter, call.storage_version, call.is_voting)
+        names = sorted(name for name in self.votes if name > call.after_lease)
         kept = tuple(
-            Told(p.claim, p.ticket, p.holder, p.incarnation, math.ceil(p.term_s * 1000))
-            if self.until.get(p.claim, -math.inf) > now
-            else Told(p.claim, p.ticket, "", 0, 0)
-            for p in (self.promises[name] for name in names[:VOTES_PER_PAGE])
+            Told(p.lease, p.fencing_token, p.holder, p.incarnation, math.ceil(p.duration_s * 1000))
+            if self.expires_at.get(p.lease, -math.inf) > now
+            else Told(p.lease, p.fencing_token, "", 0, 0)
+            for p in (self.votes[name] for name in names[:VOTES_PER_PAGE])
         )
-        if self.votes and call.wish and call.epoch == self.roll.epoch:
-            self._agree(now, call.wish)
-        roll = self.on_disk
+        if self.is_voting and call.proposed_digest and call.epoch == self.voter_set.epoch:
+            self._agree_to(now, call.proposed_digest)
+        roll = self.persisted_voter_set
         answer = StatusReply(
             self.name,
-            self.mark,
-            self.fresh,
-            self.votes,
-            self.standing in LEFT,
+            self.storage_version,
+            self.is_new_storage,
+            self.is_voting,
+            self.state in MAY_HAVE_FORGOTTEN,
             known,
-            call.after,
+            call.after_lease,
             kept,
             len(names) > VOTES_PER_PAGE,
-            call.serial,
+            call.request_id,
             roll.epoch if roll else 0,
             roll.digest if roll else 0,
-            roll.floor if roll else 0,
-            roll.agreed if roll else 0,
+            roll.minimum_epoch if roll else 0,
+            roll.agreed_digest if roll else 0,
         )
         return [SendMessage(self.others[call.voter], answer)]
 
     # ---- the next list ----
 
-    def _agree(self, now: float, told: int) -> None:
+    def _agree_to(self, now: float, told: int) -> None:
         """To the first next list that is heard of; from here on no ask by the list before is served."""
-        roll = self.roll.agree(told)
-        if roll != self.roll:
-            self.roll, self._roll_new, self.due = roll, True, now
+        roll = self.voter_set.agree_to(told)
+        if roll != self.voter_set:
+            self.voter_set, self._voter_set_changed, self.due_at = roll, True, now
 
-    def _wishes(self, now: float) -> list[Effect]:
+    def _try_to_advance(self, now: float) -> list[Effect]:
         """Go on to the file's list, where enough have said that they agree."""
-        if not self.votes or not self.wish:
+        if not self.is_voting or not self.proposed_digest:
             return []
-        self._agree(now, self.wish)
-        if self.on_disk is None or self.on_disk != self.roll:
+        self._agree_to(now, self.proposed_digest)
+        if self.persisted_voter_set is None or self.persisted_voter_set != self.voter_set:
             return []
-        ready = {name: each for name, each in self.heard.items() if each.answer.good and each.whole}
-        said = {name: said_of(each.answer) for name, each in ready.items()}
-        if not may_advance(self.roll, self.wish, said, self.name):
+        ready = {name: each for name, each in self.peers.items() if each.reply.is_voting and each.is_complete}
+        said = {name: voter_set_status(each.reply) for name, each in ready.items()}
+        if not may_advance(self.voter_set, self.proposed_digest, said, self.name):
             return []
-        self._take_over(now, list(ready.values()))
-        self.roll, self.wish = self.roll.next(self.listed), 0
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        write = self._write(tuple(self.promises.values()), mark)
-        return [write, LeaseEvent(LeaseEventKind.WENT_ON, ticket=self.roll.epoch, why=" ".join(self.listed))]
+        self._take_over_votes(now, list(ready.values()))
+        self.voter_set, self.proposed_digest = self.voter_set.successor(self.configured_voters), 0
+        mark = StorageVersion(
+            self.storage_version.storage_id, self.storage_version.incarnation, self._vote_count
+        )
+        write = self._write(tuple(self.votes.values()), mark)
+        return [
+            write,
+            LeaseEvent(
+                LeaseEventKind.VOTER_SET_ADVANCED,
+                fencing_token=self.voter_set.epoch,
+                reason=" ".join(self.configured_voters),
+            ),
+        ]
 
-    def answered(self, now: float, answer: StatusReply) -> list[Effect]:
+    def handle_status_reply(self, now: float, answer: StatusReply) -> list[Effect]:
         """Another voter has said what it knows."""
         if answer.voter not in self.others:
             return []
-        self._hear(answer.voter, answer.mark, answer.good)
-        if answer.known is not None and self._behind(answer.known):
-            return self._leave(now, VoterState.EXCLUDED)
-        if (self.votes and not self.wish) or self.standing in RESTS:
+        self._record_version(answer.voter, answer.storage_version, answer.is_voting)
+        if answer.known_version is not None and self._is_behind(answer.known_version):
+            return self._stop_voting(now, VoterState.EXCLUDED)
+        if (self.is_voting and not self.proposed_digest) or self.state in IGNORES_REPLIES:
             return []
-        if answer.serial != self._serial:
+        if answer.request_id != self._request_id:
             return []
-        heard = self.heard.get(answer.voter)
-        if heard is None or changed(heard.answer, answer):
-            heard = self.heard[answer.voter] = PeerStatus(answer)
-        heard.answer = answer
-        if answer.after == max(heard.promises, default=""):  # the next page, none left out
-            heard.promises.update((each.claim, each) for each in answer.kept)
-            heard.whole = heard.whole or not answer.more
-            if answer.more:
-                self.due = now
-        return self._judge(now)
-
-    def _judge(self, now: float) -> list[Effect]:
+        heard = self.peers.get(answer.voter)
+        if heard is None or is_superseded(heard.reply, answer):
+            heard = self.peers[answer.voter] = PeerStatus(answer)
+        heard.reply = answer
+        if answer.after_lease == max(heard.votes, default=""):  # the next page, none left out
+            heard.votes.update((each.lease, each) for each in answer.votes)
+            heard.is_complete = heard.is_complete or not answer.has_more
+            if answer.has_more:
+                self.due_at = now
+        return self._evaluate_replies(now)
+
+    def _evaluate_replies(self, now: float) -> list[Effect]:
         """Whether what was heard is enough to vote."""
-        if self.votes:
-            return self._wishes(now)
-        if self.standing is VoterState.STARTING:
+        if self.is_voting:
+            return self._try_to_advance(now)
+        if self.state is VoterState.STARTING:
             sure = [
                 h
-                for name, h in self.heard.items()
-                if name in self.roll.voters and not h.answer.fresh and not h.answer.out
+                for name, h in self.peers.items()
+                if name in self.voter_set.voters
+                and not h.reply.is_new_storage
+                and not h.reply.may_have_forgotten
             ]
             if len(sure) + 1 >= self.majority:
-                return self._vote(now, "a majority has seen nothing newer")
+                return self._start_voting(now, "a majority has seen nothing newer")
             return []
-        here = self.roll.epoch, self.roll.digest
+        here = self.voter_set.epoch, self.voter_set.digest
         good = [
             h
-            for h in self.heard.values()
-            if h.answer.good and h.whole and (h.answer.epoch, h.answer.roll) == here
+            for h in self.peers.values()
+            if h.reply.is_voting and h.is_complete and (h.reply.epoch, h.reply.voter_set_digest) == here
         ]
         if len(good) >= self.majority:
-            return self._let_in(now, good)
+            return self._admit(now, good)
         if (
-            self.standing is VoterState.NEW_STORAGE
-            and self.roll.epoch == 1
-            and len(self.heard) == len(self.others)
+            self.state is VoterState.NEW_STORAGE
+            and self.voter_set.epoch == 1
+            and len(self.peers) == len(self.others)
         ):
             vouched = [
-                heard.answer.fresh
+                heard.reply.is_new_storage
                 or (
-                    not heard.answer.out
-                    and (known := heard.answer.known) is not None
-                    and known.folder == self.mark.folder
-                    and not self._behind(known)
+                    not heard.reply.may_have_forgotten
+                    and (known := heard.reply.known_version) is not None
+                    and known.storage_id == self.storage_version.storage_id
+                    and not self._is_behind(known)
                 )
-                for heard in self.heard.values()
+                for heard in self.peers.values()
             ]
             if all(vouched):
-                self._founds = True  # and has promised nothing, so it has nothing to hear
-                return self._wait(now)
+                self._is_founding = True  # and has promised nothing, so it has nothing to hear
+                return self._start_waiting(now)
         return []
 
-    def _let_in(self, now: float, good: list[PeerStatus]) -> list[Effect]:
+    def _admit(self, now: float, good: list[PeerStatus]) -> list[Effect]:
         """Enough are there that vote: wait a term, and then go by what they tell."""
         for heard in good:
-            known = heard.answer.known
-            if known is not None and known.folder == self.mark.folder:  # or it would be found behind again
-                self._promised = max(self._promised, known.promises + 1)
-        self._founds = False
-        self._take_over(now, good)
-        if self.standing is VoterState.CATCHING_UP:
-            return self._vote(now, "a majority has told it what was promised")
-        return self._wait(now)
-
-    def _take_over(self, now: float, good: list[PeerStatus]) -> None:
+            known = heard.reply.known_version
+            if (
+                known is not None and known.storage_id == self.storage_version.storage_id
+            ):  # or it would be found behind again
+                self._vote_count = max(self._vote_count, known.vote_count + 1)
+        self._is_founding = False
+        self._take_over_votes(now, good)
+        if self.state is VoterState.CATCHING_UP:
+            return self._start_voting(now, "a majority has told it what was promised")
+        return self._start_waiting(now)
+
+    def _take_over_votes(self, now: float, good: list[PeerStatus]) -> None:
         """The tickets of others; who has one may hold it for as long as from now. Where two are told of one
         claim, a majority may stand behind either: the higher ticket counts, and for a term nobody gets it.
         """
-        for told in [each for heard in good for each in heard.promises.values()]:
-            old = self.promises.get(told.claim, Vote(told.claim, 0))
-            new = Vote(told.claim, told.ticket, told.holder, told.incarnation, told.term_ms / 1000)
+        for told in [each for heard in good for each in heard.votes.values()]:
+            old = self.votes.get(told.lease, Vote(told.lease, 0))
+            new = Vote(told.lease, told.fencing_token, told.holder, told.incarnation, told.duration_ms / 1000)
             same = (old.holder, old.incarnation) == (new.holder, new.incarnation)
-            if told.ticket <= old.ticket and (same or not told.holder):
+            if told.fencing_token <= old.fencing_token and (same or not told.holder):
                 continue
-            if (old.holder and not same) or told.ticket <= old.ticket:
-                term = max(old.term_s, new.term_s)
-                new = Vote(told.claim, max(old.ticket, told.ticket), WITHHELD, 0, term)
-            self.promises[told.claim] = new
-            if told.claim in self._writing:  # that write must not be answered any more
-                self._answers.pop(self._writing[told.claim], None)
-            self.first.pop(told.claim, None)
-            self.until.pop(told.claim, None)
+            if (old.holder and not same) or told.fencing_token <= old.fencing_token:
+                term = max(old.duration_s, new.duration_s)
+                new = Vote(told.lease, max(old.fencing_token, told.fencing_token), WITHHELD, 0, term)
+            self.votes[told.lease] = new
+            if told.lease in self._writing:  # that write must not be answered any more
+                self._pending_grants.pop(self._writing[told.lease], None)
+            self.successors.pop(told.lease, None)
+            self.expires_at.pop(told.lease, None)
             if new.holder:
-                self.until[told.claim] = now + self._keeps(new)
+                self.expires_at[told.lease] = now + self._vote_duration_s(new)
 
-    def _longest(self) -> float:
-        return max([self.terms.term_s, *(each.term_s for each in self.promises.values())])
+    def _longest_duration_s(self) -> float:
+        return max([self.timings.duration_s, *(each.duration_s for each in self.votes.values())])
 
-    def _wait(self, now: float) -> list[Effect]:
+    def _start_waiting(self, now: float) -> list[Effect]:
         """What it may have promised before it forgot must be over, and what others promised counts as new."""
-        self.waits_until = self.started + self._longest() * (1 + self.terms.drift)
-        self.until = {each.claim: now + self._keeps(each) for each in self.promises.values() if each.holder}
-        self.standing, self.due = VoterState.WAITING, now
+        self.waiting_until = self.started_at + self._longest_duration_s() * (1 + self.timings.clock_drift)
+        self.expires_at = {
+            each.lease: now + self._vote_duration_s(each) for each in self.votes.values() if each.holder
+        }
+        self.state, self.due_at = VoterState.WAITING, now
         return []
 
 
-def said_of(answer: StatusReply) -> VoterSetStatus:
+def voter_set_status(answer: StatusReply) -> VoterSetStatus:
     """The part of an answer that is about lists of voters."""
-    return VoterSetStatus(answer.epoch, answer.roll, answer.floor, answer.agreed)
+    return VoterSetStatus(answer.epoch, answer.voter_set_digest, answer.minimum_epoch, answer.agreed_digest)
 
 
-def changed(old: StatusReply, new: StatusReply) -> bool:
+def is_superseded(old: StatusReply, new: StatusReply) -> bool:
     """Whether pages that were told before this answer count no longer."""
-    return (old.mark.life, old.good, said_of(old)) != (new.mark.life, new.good, said_of(new))
+    return (old.storage_version.incarnation, old.is_voting, voter_set_status(old)) != (
+        new.storage_version.incarnation,
+        new.is_voting,
+        voter_set_status(new),
+    )
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -30,9 +30,9 @@
 
     epoch: int
     voters: tuple[str, ...]
-    before: int = 0  # the digest of the list before it
-    floor: int = 0  # asks by lists of lower epochs are refused
-    agreed: int = 0  # the digest of the next list, once this voter has agreed to one
+    previous_digest: int = 0  # the digest of the list before it
+    minimum_epoch: int = 0  # asks by lists of lower epochs are refused
+    agreed_digest: int = 0  # the digest of the next list, once this voter has agreed to one
 
     @property
     def digest(self) -> int:
@@ -44,17 +44,17 @@
         """Of its voters."""
         return len(self.voters) // 2 + 1
 
-    def serves(self, epoch: int, told: int) -> bool:
+    def accepts(self, epoch: int, told: int) -> bool:
         """Whether an ask by this list is to be judged at all."""
         if epoch == self.epoch:
             return told == self.digest
-        return self.floor <= epoch == self.epoch - 1 and told == self.before
+        return self.minimum_epoch <= epoch == self.epoch - 1 and told == self.previous_digest
 
-    def agree(self, told: int) -> VoterSet:
+    def agree_to(self, told: int) -> VoterSet:
         """Agreed to a next list, the first that was heard of, and closed for the one before."""
-        return replace(self, floor=self.epoch, agreed=self.agreed or told)
+        return replace(self, minimum_epoch=self.epoch, agreed_digest=self.agreed_digest or told)
 
-    def next(self, voters: tuple[str, ...]) -> VoterSet:
+    def successor(self, voters: tuple[str, ...]) -> VoterSet:
         """The next one, once a majority has agreed to it."""
         return VoterSet(self.epoch + 1, voters, self.digest, self.epoch)
 
@@ -65,17 +65,17 @@
 
     epoch: int
     digest: int
-    floor: int
-    agreed: int
+    minimum_epoch: int
+    agreed_digest: int
 
 
 class VoterSetRelation(Enum):
     """What a folder's list and the file's come to."""
 
     SAME = "same"
-    NEXT = "next"
+    SUCCESSOR = "next"
     BEHIND = "behind"
-    WRONG = "wrong"
+    INCONSISTENT = "wrong"
 
 
 def compare(roll: VoterSet, epoch: int, voters: tuple[str, ...]) -> tuple[VoterSetRelation, str]:
@@ -84,19 +84,22 @@
         if roll.digest == digest_of(voters):
             return VoterSetRelation.SAME, ""
         return (
-            VoterSetRelation.WRONG,
+            VoterSetRelation.INCONSISTENT,
             f"its folder has list {epoch} as {' '.join(roll.voters)}: a change needs an epoch",
         )
     if epoch < roll.epoch:
-        return VoterSetRelation.WRONG, f"its folder has list {roll.epoch} already, its file list {epoch}"
+        return (
+            VoterSetRelation.INCONSISTENT,
+            f"its folder has list {roll.epoch} already, its file list {epoch}",
+        )
     if epoch > roll.epoch + 1:
         return VoterSetRelation.BEHIND, f"its folder has list {roll.epoch}, its file list {epoch}"
     if len(set(roll.voters) ^ set(voters)) != 1:
         return (
-            VoterSetRelation.WRONG,
+            VoterSetRelation.INCONSISTENT,
             f"list {epoch} differs from {' '.join(roll.voters)} by more than one voter",
         )
-    return VoterSetRelation.NEXT, ""
+    return VoterSetRelation.SUCCESSOR, ""
 
 
 def may_advance(roll: VoterSet, wish: int, said: dict[str, VoterSetStatus], me: str) -> bool:
@@ -107,9 +110,9 @@
         if name in roll.voters
         and name != me
         and (
-            (each.epoch == roll.epoch and each.floor == roll.epoch and each.agreed == wish)
+            (each.epoch == roll.epoch and each.minimum_epoch == roll.epoch and each.agreed_digest == wish)
             or (each.epoch == roll.epoch + 1 and each.digest == wish)
         )
     }
-    mine = me in roll.voters and roll.agreed == wish and roll.floor == roll.epoch
+    mine = me in roll.voters and roll.agreed_digest == wish and roll.minimum_epoch == roll.epoch
     return len(ready) + mine >= roll.majority
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -125,7 +125,7 @@
         if parts.scoped is not None and new.scope is not None and new.scope != old.scope:
             parts.scoped.update_settings(parts.scoped.settings, new.scope)
         if new.settings != old.settings:
-            settings = parts.fleet.tuned(new.settings) if parts.fleet is not None else new.settings
+            settings = parts.fleet.settings_in_use(new.settings) if parts.fleet is not None else new.settings
             parts.core.retune(settings)
             parts.counters.add("settings_changes")
 
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -234,9 +234,9 @@
         disk.life += 1
         mark = StorageVersion(disk.folder, disk.life, disk.made)
         kept = PersistedState(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = StoredState(kept, dict(disk.fences))
+        self.stored = StoredState(kept, dict(disk.fences))
 
-    def keep(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
+    def persist(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
         self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
 
@@ -246,7 +246,7 @@
         if isinstance(what, PersistVotes):
             self.disk.take(what)
         else:
-            self.disk.fences[what.claim] = what.ticket
+            self.disk.fences[what.lease] = what.fencing_token
         done("")
 
     def close(self) -> None:
@@ -604,16 +604,25 @@
         told, voters = plan.fleet, self.world.voters
         assert told is not None
         config = FleetConfig(
-            "scale", self.name, self.place, voters, folder=Path(self.name) if self.name in voters else None,
-            terms=LeaseTimings(told.term_s, told.drift), numbers=told.numbers, list=told.list,
-        )  # fmt: skip
+            "scale",
+            self.name,
+            self.place,
+            voters,
+            data_directory=Path(self.name) if self.name in voters else None,
+            timings=LeaseTimings(told.term_s, told.drift),
+            lease_instance_index=told.numbers,
+            relay_endpoint_list=told.list,
+        )
         self.process = Life(self)
         settings = self.world.settings
         self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
-            directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
-        self.fleet.begin()
+            directory.told, directory.may_ask = (
+                self.fleet.coordinator_answered,
+                self.fleet.may_poll_coordinator,
+            )
+        self.fleet.start()
 
     def open_store(self) -> HollowStore:
         """Its folder."""
@@ -693,7 +702,7 @@
             clock.call_later(SETTLE_S, self._drained, life, last)
             return
         if self.fleet is not None:
-            self.fleet.end()
+            self.fleet.stop()
         self.end()
         clock.call_later(self.world.plan.down_s, self.start)
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -236,25 +236,30 @@
     """Guards against promises that a restart forgets, a torn file that ends the start, two on one folder."""
     kept = []
     store = VoterStore(tmp_path, direct)
-    assert not store.found.kept.admitted and store.found.kept.mark.life == 1
-    mark = StorageVersion(store.found.kept.mark.folder, 1, 7)
-    store.keep(
+    assert not store.stored.voter_state.admitted and store.stored.voter_state.storage_version.incarnation == 1
+    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    store.persist(
         PersistVotes(1, mark, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
         kept.append,
     )
-    store.keep(PersistFencingToken("list", 4), kept.append)
+    store.persist(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept == ["", ""], "both kept")
     with pytest.raises(StoreError, match="another process"):
         VoterStore(tmp_path, direct)
     store.close()
     again = VoterStore(tmp_path, direct)
-    assert again.found.kept.promises == (Vote("list", 4, "a", 9, 3.0),)
-    assert again.found.kept.mark == StorageVersion(mark.folder, 2, 7) and again.found.kept.admitted
-    assert again.found.fences == {"list": 4} and again.found.kept.known == {"b": StorageVersion("f", 2, 3)}
+    assert again.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
+    assert (
+        again.stored.voter_state.storage_version == StorageVersion(mark.storage_id, 2, 7)
+        and again.stored.voter_state.admitted
+    )
+    assert again.stored.fencing_tokens == {"list": 4} and again.stored.voter_state.known_versions == {
+        "b": StorageVersion("f", 2, 3)
+    }
     again.close()
     (tmp_path / FILE_NAME).write_bytes(b"torn" * 2000)
     torn = VoterStore(tmp_path, direct)
-    assert torn.found.put_aside and not torn.found.kept.admitted
+    assert torn.stored.quarantined and not torn.stored.voter_state.admitted
     assert list(tmp_path.glob("*.unreadable-*"))
     torn.close()
 
@@ -268,7 +273,7 @@
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
-    store.keep(PersistFencingToken("list", 4), kept.append)
+    store.persist(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept, "an answer")
     assert "No space left" in kept[0]
     store.close()
@@ -278,8 +283,10 @@
     """Guards against a lower ticket read off a disk whose pages have no sums: each row has its own."""
     kept = []
     store = VoterStore(tmp_path, direct)
-    mark = StorageVersion(store.found.kept.mark.folder, 1, 7)
-    store.keep(PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append)
+    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    store.persist(
+        PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append
+    )
     until(lambda: kept == [""], "it is kept")
     store.close()
     path = tmp_path / FILE_NAME
@@ -291,8 +298,8 @@
         folder.mkdir()
         (folder / FILE_NAME).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
         turned = VoterStore(folder, direct)
-        promises = turned.found.kept.promises
+        promises = turned.stored.voter_state.votes
         assert promises in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
-        aside += bool(turned.found.put_aside)
+        aside += bool(turned.stored.quarantined)
         turned.close()
     assert aside > 10  # others turned nothing that is read
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -70,12 +70,12 @@
 def test_the_first_list_of_three_is_closed_before_the_third_is_gone_on_to():
     """Guards against a majority of the first list and one of the third that share no voter."""
     first, second, third = ("a", "b", "c"), ("a", "b", "c", "d"), ("a", "b", "c", "d", "e")
-    roll = VoterSet(1, first, 0, 1).next(second)
-    assert roll.serves(1, digest_of(first)) and roll.serves(2, digest_of(second))
-    assert not roll.serves(1, digest_of(third)) and not roll.serves(2, digest_of(first))
+    roll = VoterSet(1, first, 0, 1).successor(second)
+    assert roll.accepts(1, digest_of(first)) and roll.accepts(2, digest_of(second))
+    assert not roll.accepts(1, digest_of(third)) and not roll.accepts(2, digest_of(first))
     wish = digest_of(third)
-    agreed = roll.agree(wish)
-    assert not agreed.serves(1, digest_of(first)) and agreed.agree(7).agreed == wish
+    agreed = roll.agree_to(wish)
+    assert not agreed.accepts(1, digest_of(first)) and agreed.agree_to(7).agreed_digest == wish
     open_still = VoterSetStatus(2, digest_of(second), 1, wish)
     closed, gone = VoterSetStatus(2, digest_of(second), 2, wish), VoterSetStatus(3, wish, 2, 0)
     assert not may_advance(agreed, wish, {"b": closed}, "a")  # two of four
@@ -83,7 +83,7 @@
     assert not may_advance(agreed, wish, {"b": closed, "e": closed}, "a")  # not one of its voters
     assert not may_advance(roll, wish, {"b": closed, "c": gone}, "a")  # has not agreed itself
     assert may_advance(agreed, wish, {"b": closed, "c": gone}, "a")
-    assert not agreed.next(third).serves(1, digest_of(first))
+    assert not agreed.successor(third).accepts(1, digest_of(first))
 
 
 @pytest.mark.parametrize(
@@ -121,10 +121,10 @@
     while waiting:
         each = waiting.pop(0)
         if isinstance(each, PersistVotes):
-            waiting += voter.written(now, each.number, "")
+            waiting += voter.write_completed(now, each.write_id, "")
         elif isinstance(each, SendMessage) and isinstance(each.message, StatusRequest):
-            for back in others[each.to[0]].called(now, each.message):
-                waiting += voter.answered(now, back.message)
+            for back in others[each.destination[0]].handle_status_request(now, each.message):
+                waiting += voter.handle_status_reply(now, back.message)
 
 
 def test_a_promise_that_comes_after_the_telling_is_not_forgotten():
@@ -137,52 +137,58 @@
         kept = PersistedState(
             StorageVersion(folder, 1, 0),
             admitted,
-            roll=VoterSet(1, tuple(voters), 0, 1) if admitted else None,
+            voter_set=VoterSet(1, tuple(voters), 0, 1) if admitted else None,
         )
         return Voter(name, voters, LeaseTimings(), kept, now)
 
     others = {name: voter(name, name, True, 0.0) for name in ("v1", "v2")}
     for each in others.values():
-        each.standing = VoterState.VOTING
+        each.state = VoterState.VOTING
     lost = voter("v0", "empty", False, 0.1)
     answers(lost, 0.1, others)
-    assert lost.standing is VoterState.WAITING
-    ask = LeaseRequest("work", "a", 1, 5, 3000, 1, roll=digest_of(voters))
+    assert lost.state is VoterState.WAITING
+    ask = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(voters))
     late = others["v1"]
-    writes = [each for each in late.asked(0.5, ("a", 0), ask) if isinstance(each, PersistVotes)]
-    late.written(0.5, writes[0].number, "")
+    writes = [each for each in late.handle_request(0.5, ("a", 0), ask) if isinstance(each, PersistVotes)]
+    late.write_completed(0.5, writes[0].write_id, "")
     for tenth in range(2, 60):
         answers(lost, tenth / 10, others)
-    assert lost.votes
-    again = lost.asked(9.0, ("b", 0), LeaseRequest("work", "b", 2, 5, 3000, 1, roll=digest_of(voters)))
-    assert again[0].message.why == "low" and again[0].message.highest == 5
+    assert lost.is_voting
+    again = lost.handle_request(
+        9.0, ("b", 0), LeaseRequest("work", "b", 2, 5, 3000, 1, voter_set_digest=digest_of(voters))
+    )
+    assert again[0].message.reason == "low" and again[0].message.highest_token == 5
 
 
 def test_a_disk_that_fails_gives_no_vote_back_to_who_has_lost_it():
     """Guards against a voter with an old folder that votes since its disk failed and was well again."""
     voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
     voter = Voter("v0", voters, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.standing = VoterState.VOTING
-    ask = LeaseRequest("work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, roll=digest_of(voters))
-    write = next(each for each in voter.asked(0.1, ("a", 0), ask) if isinstance(each, PersistVotes))
-    voter.asked(0.2, ("b", 0), LeaseRequest("other", "b", 1, 1, 3000, 1, {"v0": StorageVersion("f", 9, 9)}))
-    assert voter.standing is VoterState.EXCLUDED
-    voter.written(0.3, write.number, "full")
+    voter.state = VoterState.VOTING
+    ask = LeaseRequest(
+        "work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, voter_set_digest=digest_of(voters)
+    )
+    write = next(each for each in voter.handle_request(0.1, ("a", 0), ask) if isinstance(each, PersistVotes))
+    voter.handle_request(
+        0.2, ("b", 0), LeaseRequest("other", "b", 1, 1, 3000, 1, {"v0": StorageVersion("f", 9, 9)})
+    )
+    assert voter.state is VoterState.EXCLUDED
+    voter.write_completed(0.3, write.write_id, "full")
     for each in voter.tick(2.0):
         if isinstance(each, PersistVotes):
-            voter.written(2.1, each.number, "")
-    assert voter.standing is VoterState.EXCLUDED
+            voter.write_completed(2.1, each.write_id, "")
+    assert voter.state is VoterState.EXCLUDED
 
 
 @pytest.mark.parametrize(
     ("epoch", "voters", "kind", "why"),
     [
         (2, ("a", "b", "c"), VoterSetRelation.SAME, ""),
-        (3, ("a", "b", "c", "d"), VoterSetRelation.NEXT, ""),
-        (3, ("a", "b"), VoterSetRelation.NEXT, ""),
-        (2, ("a", "b", "d"), VoterSetRelation.WRONG, "a change needs an epoch"),
-        (3, ("a", "b", "d"), VoterSetRelation.WRONG, "more than one voter"),
-        (1, ("a", "b", "c"), VoterSetRelation.WRONG, "list 2 already"),
+        (3, ("a", "b", "c", "d"), VoterSetRelation.SUCCESSOR, ""),
+        (3, ("a", "b"), VoterSetRelation.SUCCESSOR, ""),
+        (2, ("a", "b", "d"), VoterSetRelation.INCONSISTENT, "a change needs an epoch"),
+        (3, ("a", "b", "d"), VoterSetRelation.INCONSISTENT, "more than one voter"),
+        (1, ("a", "b", "c"), VoterSetRelation.INCONSISTENT, "list 2 already"),
         (4, ("a", "b"), VoterSetRelation.BEHIND, "list 2, its file list 4"),
     ],
 )
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -41,81 +41,109 @@
     name: bytes.fromhex(text) for name, text in json.loads((DATA / "messages.json").read_text()).items()
 }
 
-HERE = StorageVersion(folder="0123456789abcdef", life=3, promises=41)
-THERE = StorageVersion(folder="fedcba9876543210", life=1, promises=0)
+HERE = StorageVersion(storage_id="0123456789abcdef", incarnation=3, vote_count=41)
+THERE = StorageVersion(storage_id="fedcba9876543210", incarnation=1, vote_count=0)
 MESSAGES = {
     "ask": LeaseRequest(
-        claim="list",
+        lease="list",
         holder="a",
         incarnation=2**62,
-        ticket=9,
-        term_ms=3000,
-        serial=17,
-        marks={"a": HERE, "b": THERE},
+        fencing_token=9,
+        duration_ms=3000,
+        request_id=17,
+        storage_versions={"a": HERE, "b": THERE},
         epoch=2,
-        roll=123456789012345,
+        voter_set_digest=123456789012345,
     ),
     "ask, no more than it must": LeaseRequest(
-        claim="list", holder="a", incarnation=0, ticket=0, term_ms=0, serial=0, marks={}, epoch=1, roll=0
+        lease="list",
+        holder="a",
+        incarnation=0,
+        fencing_token=0,
+        duration_ms=0,
+        request_id=0,
+        storage_versions={},
+        epoch=1,
+        voter_set_digest=0,
+    ),
+    "yes": LeaseGranted(lease="list", voter="b", fencing_token=9, request_id=17, storage_version=HERE),
+    "no": LeaseRejected(
+        lease="list", voter="b", request_id=17, reason="held", highest_token=8, holder="c", remaining_ms=2999
     ),
-    "yes": LeaseGranted(claim="list", voter="b", ticket=9, serial=17, mark=HERE),
-    "no": LeaseRejected(claim="list", voter="b", serial=17, why="held", highest=8, holder="c", left_ms=2999),
     "no, no more than it must": LeaseRejected(
-        claim="list", voter="b", serial=17, why="term", highest=0, holder="", left_ms=0
+        lease="list", voter="b", request_id=17, reason="term", highest_token=0, holder="", remaining_ms=0
     ),
-    "back": LeaseRelease(claim="list", holder="a", incarnation=5, ticket=9, successor="c"),
+    "back": LeaseRelease(lease="list", holder="a", incarnation=5, fencing_token=9, successor="c"),
     "back, no more than it must": LeaseRelease(
-        claim="list", holder="a", incarnation=5, ticket=9, successor=""
+        lease="list", holder="a", incarnation=5, fencing_token=9, successor=""
+    ),
+    "look": LeaseQuery(lease="list", query_id=18),
+    "shown": LeaseStatus(
+        lease="list", voter="b", query_id=18, fencing_token=9, holder="a", remaining_ms=1500
     ),
-    "look": LeaseQuery(claim="list", serial=18),
-    "shown": LeaseStatus(claim="list", voter="b", serial=18, ticket=9, holder="a", left_ms=1500),
     "shown, no more than it must": LeaseStatus(
-        claim="list", voter="b", serial=18, ticket=0, holder="", left_ms=0
+        lease="list", voter="b", query_id=18, fencing_token=0, holder="", remaining_ms=0
     ),
     "roll": StatusRequest(
-        voter="a", mark=HERE, fresh=True, good=True, after="list", serial=99, epoch=2, wish=123456789012345
+        voter="a",
+        storage_version=HERE,
+        is_new_storage=True,
+        is_voting=True,
+        after_lease="list",
+        request_id=99,
+        epoch=2,
+        proposed_digest=123456789012345,
     ),
     "roll, no more than it must": StatusRequest(
-        voter="a", mark=HERE, fresh=False, good=False, after="", serial=0, epoch=1, wish=0
+        voter="a",
+        storage_version=HERE,
+        is_new_storage=False,
+        is_voting=False,
+        after_lease="",
+        request_id=0,
+        epoch=1,
+        proposed_digest=0,
     ),
     "here": StatusReply(
         voter="b",
-        mark=THERE,
-        fresh=True,
-        good=True,
-        out=True,
-        known=HERE,
-        after="list",
-        kept=(
-            Told(claim="number/1", ticket=7, holder="d", incarnation=77, term_ms=3000),
-            Told(claim="number/2", ticket=8, holder="", incarnation=0, term_ms=0),
+        storage_version=THERE,
+        is_new_storage=True,
+        is_voting=True,
+        may_have_forgotten=True,
+        known_version=HERE,
+        after_lease="list",
+        votes=(
+            Told(lease="number/1", fencing_token=7, holder="d", incarnation=77, duration_ms=3000),
+            Told(lease="number/2", fencing_token=8, holder="", incarnation=0, duration_ms=0),
         ),
-        more=True,
-        serial=99,
+        has_more=True,
+        request_id=99,
         epoch=2,
-        roll=123,
-        floor=1,
-        agreed=456,
+        voter_set_digest=123,
+        minimum_epoch=1,
+        agreed_digest=456,
     ),
     "here, no more than it must": StatusReply(
         voter="b",
-        mark=THERE,
-        fresh=False,
-        good=False,
-        out=False,
-        known=None,
-        after="",
-        kept=(),
-        more=False,
-        serial=0,
+        storage_version=THERE,
+        is_new_storage=False,
+        is_voting=False,
+        may_have_forgotten=False,
+        known_version=None,
+        after_lease="",
+        votes=(),
+        has_more=False,
+        request_id=0,
         epoch=1,
-        roll=0,
-        floor=0,
-        agreed=0,
+        voter_set_digest=0,
+        minimum_epoch=0,
+        agreed_digest=0,
+    ),
+    "tune": Subscribe(after_index=1234),
+    "news": EndpointUpdate(
+        holder="a", fencing_token=9, index=1234, part_index=1, part_count=3, data=bytes(range(256))
     ),
-    "tune": Subscribe(after=1234),
-    "news": EndpointUpdate(holder="a", ticket=9, after=1234, part=1, parts=3, data=bytes(range(256))),
-    "stale": Superseded(claim="list", highest=10),
+    "stale": Superseded(lease="list", highest_token=10),
 }
 
 
@@ -156,23 +184,33 @@
 
 
 KEPT = PersistedState(
-    mark=StorageVersion(folder="0123456789abcdef", life=2, promises=5),  # the opening counts as a start
+    storage_version=StorageVersion(
+        storage_id="0123456789abcdef", incarnation=2, vote_count=5
+    ),  # the opening counts as a start
     admitted=True,
-    promises=(
-        Vote(claim="list", ticket=9, holder="a", incarnation=2**62 - 1, term_s=3.0),
-        Vote(claim="number/3", ticket=12, holder="d", incarnation=77, term_s=0.6),
-        Vote(claim="restart/0", ticket=2, holder="", incarnation=0, term_s=0.0),
+    votes=(
+        Vote(lease="list", fencing_token=9, holder="a", incarnation=2**62 - 1, duration_s=3.0),
+        Vote(lease="number/3", fencing_token=12, holder="d", incarnation=77, duration_s=0.6),
+        Vote(lease="restart/0", fencing_token=2, holder="", incarnation=0, duration_s=0.0),
     ),
-    known={
-        "b": StorageVersion(folder="bbbbbbbbbbbbbbbb", life=3, promises=41),
-        "c": StorageVersion(folder="cccccccccccccccc", life=1, promises=7),
+    known_versions={
+        "b": StorageVersion(storage_id="bbbbbbbbbbbbbbbb", incarnation=3, vote_count=41),
+        "c": StorageVersion(storage_id="cccccccccccccccc", incarnation=1, vote_count=7),
     },
-    roll=VoterSet(
-        epoch=2, voters=("a", "b", "c"), before=27371430624639971, floor=1, agreed=62858293580261454
+    voter_set=VoterSet(
+        epoch=2,
+        voters=("a", "b", "c"),
+        previous_digest=27371430624639971,
+        minimum_epoch=1,
+        agreed_digest=62858293580261454,
     ),
 )
 WITHOUT_LISTS = PersistedState(
-    mark=KEPT.mark, admitted=True, promises=KEPT.promises, known=KEPT.known, roll=None
+    storage_version=KEPT.storage_version,
+    admitted=True,
+    votes=KEPT.votes,
+    known_versions=KEPT.known_versions,
+    voter_set=None,
 )
 FENCES = {"list": 9, "number/3": 11}
 
@@ -191,9 +229,9 @@
     shutil.copytree(DATA / name, tmp_path / name)
     store = VoterStore(tmp_path / name, lambda act: act())
     store.close()
-    assert store.found.kept == kept
-    assert store.found.fences == FENCES
-    assert not store.found.put_aside
+    assert store.stored.voter_state == kept
+    assert store.stored.fencing_tokens == FENCES
+    assert not store.stored.quarantined
 
 
 def test_what_is_written_lies_in_the_file_as_it_did(tmp_path):
@@ -209,10 +247,13 @@
     base.close()
     store = VoterStore(tmp_path / "new", lambda act: act())
     done: list[str] = []
-    mark = StorageVersion(KEPT.mark.folder, KEPT.mark.life, 5)
-    store.keep(PersistVotes(1, mark, KEPT.promises, KEPT.known, admitted=True, roll=KEPT.roll), done.append)
+    mark = StorageVersion(KEPT.storage_version.storage_id, KEPT.storage_version.incarnation, 5)
+    store.persist(
+        PersistVotes(1, mark, KEPT.votes, KEPT.known_versions, admitted=True, voter_set=KEPT.voter_set),
+        done.append,
+    )
     for claim, ticket in FENCES.items():
-        store.keep(PersistFencingToken(claim, ticket), done.append)
+        store.persist(PersistFencingToken(claim, ticket), done.append)
     store.close()
     VoterStore(tmp_path / "old", lambda act: act()).close()
     assert done == ["", "", ""]
@@ -236,38 +277,45 @@
 )
 def test_a_voter_that_does_not_vote_refuses_with_the_same_word(standing, word):
     voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.standing, voter.waits_until = standing, 1.0
-    (answer,) = voter.asked(0.1, ("a", 0), LeaseRequest("work", "a", 1, 1, 3000, 1, roll=digest_of(VOTERS)))
-    assert answer.message.why == word
+    voter.state, voter.waiting_until = standing, 1.0
+    (answer,) = voter.handle_request(
+        0.1, ("a", 0), LeaseRequest("work", "a", 1, 1, 3000, 1, voter_set_digest=digest_of(VOTERS))
+    )
+    assert answer.message.reason == word
 
 
 def test_a_voter_that_votes_refuses_with_the_same_words():
     voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.standing = VoterState.VOTING
-    held = LeaseRequest("work", "a", 1, 5, 3000, 1, roll=digest_of(VOTERS))
-    voter.asked(0.1, ("a", 0), held)
+    voter.state = VoterState.VOTING
+    held = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))
+    voter.handle_request(0.1, ("a", 0), held)
 
     def refusal(now, ask):
-        (answer,) = voter.asked(now, ("b", 0), ask)
+        (answer,) = voter.handle_request(now, ("b", 0), ask)
         message = answer.message
-        return message.why, message.highest, message.holder, message.left_ms
+        return message.reason, message.highest_token, message.holder, message.remaining_ms
 
-    other = LeaseRequest("work", "b", 1, 6, 3000, 1, roll=digest_of(VOTERS))
+    other = LeaseRequest("work", "b", 1, 6, 3000, 1, voter_set_digest=digest_of(VOTERS))
     assert refusal(0.1, other) == ("held", 5, "a", 3031)  # 3.03 s, rounded up as a float
-    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3000, 1, roll=7)) == (
+    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3000, 1, voter_set_digest=7)) == (
         "another list of voters, 1",
         0,
         "",
         3000,
     )
-    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3001, 1, roll=digest_of(VOTERS))) == (
+    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3001, 1, voter_set_digest=digest_of(VOTERS))) == (
         "term",
         0,
         "",
         3000,
     )
-    assert refusal(9.0, LeaseRequest("work", "b", 1, 5, 3000, 1, roll=digest_of(VOTERS))) == ("low", 5, "", 0)
-    voter.given_back(9.0, LeaseRelease("work", "a", 1, 5, "c"))
+    assert refusal(9.0, LeaseRequest("work", "b", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))) == (
+        "low",
+        5,
+        "",
+        0,
+    )
+    voter.handle_release(9.0, LeaseRelease("work", "a", 1, 5, "c"))
     assert refusal(9.5, other) == ("handed", 5, "c", 500)
 
 
