--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -39,8 +39,8 @@
 
 from benchmarks import capacity
 from stairhatch.components import steady_unix_clock
-from stairhatch.fault_injection.schedule import Schedule
-from stairhatch.fault_injection.world import LIST, World
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import FleetCodec
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
@@ -215,14 +215,14 @@
     alone.answers = False
     for _ in range(40 * SERVICE):  # their windows are full, and are not moved by an answer
         alone.offer(1, grace_s=600.0)
-    waiting = alone.decisions.waiting
+    waiting = alone.decisions.pending
     while len(waiting) < size:
         alone.offer(1, grace_s=600.0)
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
-    for call in waiting.values():  # they are held through the run
+    for call in waiting.calls.values():  # they are held through the run
         call.queue_until = call.answer_by
-    alone.decisions.holds.clear()
+    waiting.deadlines.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
     if len(waiting) != size:
@@ -402,7 +402,7 @@
             heard[index] = heard.get(index, (0, 0.0))[0] + 1, time.time()
 
         core.update_servers = listed  # type: ignore[method-assign]
-        network.spawn(network.follow(directory))
+        network.spawn(network.poll_directory(directory))
 
     def answer(what: str) -> Any:
         return min((events for events, _ in heard.values()), default=0) if len(heard) == count else 0, max(
@@ -728,7 +728,7 @@
     """Seconds from a change told by the coordinator until the softswitch has taken it in."""
     one = {**where.lines[-1 - turn], "lifecycle": "terminating"}
     at, words = where.directory.ask("tell", one), f"server={one['instanceId']}"
-    return float(until(lambda: max(0.0, where.when("listed", words) - at), "a change", SERVES_S))
+    return float(until(lambda: max(0.0, where.when("server_listed", words) - at), "a change", SERVES_S))
 
 
 def program_by_rate(size: int, told: argparse.Namespace) -> dict[str, float]:
@@ -951,7 +951,7 @@
     """By members of claims with three voters, on the virtual clock, once nearly all numbers are held."""
     names = tuple(f"s{index}" for index in range(size))
     voters, codec = names[:3], FleetCodec("fleet", b"0123456789abcdef")
-    world = World(Schedule(1e9, names, voters), 1)
+    world = VirtualCluster(FaultSchedule(1e9, names, voters), 1)
     counts: Counter[str] = Counter()
     window: list[float] = []
     held_at: list[float] = []
@@ -959,11 +959,11 @@
     class Done(Exception):  # noqa: N818 - it ends a run that has what it wants
         """The window is over."""
 
-    for box in world.boxes.values():
+    for box in world.members.values():
         box.work = lambda: None  # type: ignore[method-assign]
     for name in voters:
-        box = world.boxes[name]
-        take, look = box.take, box.look
+        box = world.members[name]
+        take, look = box.receive, box.tick
         deep = [False]
 
         def timed(act: Callable[..., None], deep: list[bool]) -> Callable[..., None]:
@@ -977,8 +977,8 @@
 
             return run
 
-        box.take = timed(take, deep)  # type: ignore[method-assign]
-        box.look = timed(look, deep)  # type: ignore[method-assign]
+        box.receive = timed(take, deep)  # type: ignore[method-assign]
+        box.tick = timed(look, deep)  # type: ignore[method-assign]
     send = world.send
 
     def counted(sender: str, to: str, message: Any) -> None:
@@ -993,22 +993,22 @@
     world.send = counted  # type: ignore[method-assign]
 
     def look_whether() -> None:
-        held = world.holds()
-        if LIST in held and len(held) >= 0.99 * size:
+        held = world.holders_by_lease()
+        if ENDPOINT_LIST_LEASE in held and len(held) >= 0.99 * size:
             held_at.append(world.now)
-            world.at(world.now + SETTLED_TERMS * world.schedule.term_s, begin)
+            world.schedule_at(world.now + SETTLED_TERMS * world.fault_schedule.lease_duration_s, begin)
         else:
-            world.at(world.now + 0.25, look_whether)
+            world.schedule_at(world.now + 0.25, look_whether)
 
     def begin() -> None:
         window.append(world.now)
         counts["used"] = 0
-        world.at(world.now + told.seconds, done)
+        world.schedule_at(world.now + told.seconds, done)
 
     def done() -> None:
         raise Done
 
-    world.at(0.5, look_whether)
+    world.schedule_at(0.5, look_whether)
     with suppress(Done):
         world.run()
     passed, others = world.now - window[0], max(1, size - 3)
--- a/stairhatch/fault_injection/planted.py
+++ b/stairhatch/fault_injection/mutations.py
@@ -20,23 +20,23 @@
 from stairhatch.fleet.voter_set import VoterSet, may_advance
 
 Patch = tuple[Any, str, Any]
-PLANTED: dict[str, Callable[[], list[Patch]]] = {}
+MUTATIONS: dict[str, Callable[[], list[Patch]]] = {}
 
 
-def plant(name: str) -> Callable[[Callable[[], list[Patch]]], None]:
+def mutation(name: str) -> Callable[[Callable[[], list[Patch]]], None]:
     """Enter a fault under a name."""
 
     def enter(patches: Callable[[], list[Patch]]) -> None:
-        PLANTED[name] = patches
+        MUTATIONS[name] = patches
 
     return enter
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def mutation_applied(name: str) -> Iterator[None]:
     """The decisions with this fault in them; "" for none."""
     with ExitStack() as stack:
-        for owner, attribute, value in PLANTED[name]() if name else ():
+        for owner, attribute, value in MUTATIONS[name]() if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, value))
         yield
 
@@ -44,12 +44,12 @@
 # ---- receivers ----
 
 
-@plant("a fence is not checked")
+@mutation("a fence is not checked")
 def _() -> list[Patch]:
     return [(FencingTokens, "check", lambda self, claim, ticket, sender: (True, []))]
 
 
-@plant("a fence lasts for one start only")
+@mutation("a fence lasts for one start only")
 def _() -> list[Patch]:
     init = ClusterMember.__init__
 
@@ -59,7 +59,7 @@
     return [(ClusterMember, "__init__", forgetful)]
 
 
-@plant("a fence keeps the last ticket and not the highest")
+@mutation("a fence keeps the last ticket and not the highest")
 def _() -> list[Patch]:
     def last(self: FencingTokens, claim: str, ticket: int) -> tuple[bool, list[Any]]:
         good = ticket >= self.highest.get(claim, 0) or ticket % 2 == 0
@@ -72,7 +72,7 @@
 # ---- holders ----
 
 
-@plant("the term counts from the answer")
+@mutation("the term counts from the answer")
 def _() -> list[Patch]:
     real = LeaseClient.handle_granted
 
@@ -84,12 +84,12 @@
     return [(LeaseClient, "handle_granted", late)]
 
 
-@plant("may_act does not look at the time")
+@mutation("may_act does not look at the time")
 def _() -> list[Patch]:
     return [(LeaseClient, "may_act", lambda self, now: self.state is LeaseState.HELD)]
 
 
-@plant("may_act holds while it is asked for again")
+@mutation("may_act holds while it is asked for again")
 def _() -> list[Patch]:
     return [
         (
@@ -100,14 +100,14 @@
     ]
 
 
-@plant("drift is not reckoned with")
+@mutation("drift is not reckoned with")
 def _() -> list[Patch]:
     same = property(lambda self: self.duration_s)
-    keeps = lambda self, promise: max(promise.duration_s, self.timings.duration_s)  # noqa: E731
+    keeps = lambda self, promise: max(promise.term_s, self.timings.term_s)  # noqa: E731
     return [(LeaseTimings, "holder_duration_s", same), (Voter, "_vote_duration_s", keeps)]
 
 
-@plant("late answers count for the newest round")
+@mutation("late answers count for the newest round")
 def _() -> list[Patch]:
     real = LeaseClient.handle_granted
 
@@ -122,12 +122,12 @@
     return [(LeaseClient, "handle_granted", newest)]
 
 
-@plant("less than a majority is enough for the holder")
+@mutation("less than a majority is enough for the holder")
 def _() -> list[Patch]:
     return [(LeaseClient, "majority", property(lambda self: len(self.voters) // 2))]
 
 
-@plant("the ticket is not raised")
+@mutation("the ticket is not raised")
 def _() -> list[Patch]:
     real = LeaseClient._send_requests
 
@@ -139,7 +139,7 @@
     return [(LeaseClient, "_send_requests", same)]
 
 
-@plant("who gives back goes on")
+@mutation("who gives back goes on")
 def _() -> list[Patch]:
     real = LeaseClient.release
 
@@ -156,7 +156,7 @@
 # ---- voters ----
 
 
-@plant("a promise is answered before it is on disk")
+@mutation("a promise is answered before it is on disk")
 def _() -> list[Patch]:
     real = Voter._cast_vote
 
@@ -168,7 +168,7 @@
     return [(Voter, "_cast_vote", early)]
 
 
-@plant("a copy of an ask is answered before the disk is")
+@mutation("a copy of an ask is answered before the disk is")
 def _() -> list[Patch]:
     real = Voter.handle_request
 
@@ -185,37 +185,43 @@
     return [(Voter, "handle_request", eager)]
 
 
-@plant("a disk that is full is not noticed")
+@mutation("a disk that is full is not noticed")
 def _() -> list[Patch]:
     real = Voter.write_completed
     return [(Voter, "write_completed", lambda self, now, number, fault: real(self, now, number, ""))]
 
 
-@plant("a promise is no promise to others")
+@mutation("a promise is no promise to others")
 def _() -> list[Patch]:
     real = Voter._rejection
 
     def generous(self: Voter, now: float, ask: LeaseRequest) -> Any:
         found = real(self, now, ask)
         held = found[0] == "held" and ask.fencing_token > found[1]
-        return ("low", found[1], "", 0.0) if found[0] == "held" and not held else (
-            ("", 0, "", 0.0) if held else found
-        )  # fmt: skip
+        return (
+            ("low", found[1], "", 0.0)
+            if found[0] == "held" and not held
+            else (("", 0, "", 0.0) if held else found)
+        )
 
     return [(Voter, "_rejection", generous)]
 
 
-@plant("a voter takes any ticket")
+@mutation("a voter takes any ticket")
 def _() -> list[Patch]:
     real = Voter._rejection
     return [
-        (Voter, "_rejection",
-         lambda self, now, ask: ("", 0, "", 0.0) if real(self, now, ask)[0] == "low" else real(self, now,
-         ask))
-    ]  # fmt: skip
+        (
+            Voter,
+            "_against",
+            lambda self, now, ask: ("", 0, "", 0.0)
+            if real(self, now, ask)[0] == "low"
+            else real(self, now, ask),
+        )
+    ]
 
 
-@plant("a renewal does not lengthen the promise")
+@mutation("a renewal does not lengthen the promise")
 def _() -> list[Patch]:
     real = Voter.handle_request
 
@@ -229,7 +235,7 @@
     return [(Voter, "handle_request", short)]
 
 
-@plant("promises are over with a restart")
+@mutation("promises are over with a restart")
 def _() -> list[Patch]:
     init = Voter.__init__
 
@@ -240,7 +246,7 @@
     return [(Voter, "__init__", forgetful)]
 
 
-@plant("an empty folder votes at once")
+@mutation("an empty folder votes at once")
 def _() -> list[Patch]:
     init = Voter.__init__
 
@@ -251,12 +257,12 @@
     return [(Voter, "__init__", trusting)]
 
 
-@plant("an older folder is not noticed")
+@mutation("an older folder is not noticed")
 def _() -> list[Patch]:
     return [(Voter, "_is_behind", lambda self, mark: False)]
 
 
-@plant("who is let in again does not wait")
+@mutation("who is let in again does not wait")
 def _() -> list[Patch]:
     real = Voter._start_waiting
 
@@ -268,7 +274,7 @@
     return [(Voter, "_start_waiting", at_once)]
 
 
-@plant("who is let in again is told no promises")
+@mutation("who is let in again is told no promises")
 def _() -> list[Patch]:
     real = Voter._admit
 
@@ -281,7 +287,7 @@
     return [(Voter, "_admit", untold)]
 
 
-@plant("a fleet is founded by any two")
+@mutation("a fleet is founded by any two")
 def _() -> list[Patch]:
     real = Voter._evaluate_replies
 
@@ -293,7 +299,7 @@
     return [(Voter, "_evaluate_replies", hasty)]
 
 
-@plant("anybody gives back for anybody")
+@mutation("anybody gives back for anybody")
 def _() -> list[Patch]:
     real = Voter.handle_release
 
@@ -308,7 +314,7 @@
     return [(Voter, "handle_release", open_to_all)]
 
 
-@plant("what is given back is forgotten with its ticket")
+@mutation("what is given back is forgotten with its ticket")
 def _() -> list[Patch]:
     real = Voter.handle_release
 
@@ -322,7 +328,7 @@
     return [(Voter, "handle_release", forgotten)]
 
 
-@plant("who is let in hears the promises before its wait")
+@mutation("who is let in hears the promises before its wait")
 def _() -> list[Patch]:
     real = Voter._admit
 
@@ -337,31 +343,37 @@
 # ---- lists of voters ----
 
 
-@plant("any list of voters is served")
+@mutation("any list of voters is served")
 def _() -> list[Patch]:
     return [(VoterSet, "accepts", lambda self, epoch, told: True)]
 
 
-@plant("a list stays open while the second after it is gone on to")
+@mutation("a list stays open while the second after it is gone on to")
 def _() -> list[Patch]:
     real = VoterSet.successor
     wide = lambda self, voters: replace(real(self, voters), minimum_epoch=0)  # noqa: E731
     serves = lambda self, epoch, told: epoch <= self.epoch  # noqa: E731
     agree = lambda self, told: replace(self, agreed_digest=self.agreed_digest or told)  # noqa: E731
     ready = lambda roll, wish, said, me: may_advance(  # noqa: E731
-        replace(roll, minimum_epoch=roll.epoch), wish,
-        {name: replace(each, minimum_epoch=roll.epoch) for name, each in said.items()}, me,
-    )  # fmt: skip
-    return [(VoterSet, "successor", wide), (VoterSet, "accepts", serves), (VoterSet, "agree_to", agree),
-            (voter, "may_advance", ready)]  # fmt: skip
+        replace(roll, minimum_epoch=roll.epoch),
+        wish,
+        {name: replace(each, minimum_epoch=roll.epoch) for name, each in said.items()},
+        me,
+    )
+    return [
+        (VoterSet, "successor", wide),
+        (VoterSet, "accepts", serves),
+        (VoterSet, "agree_to", agree),
+        (voter, "may_advance", ready),
+    ]
 
 
-@plant("a voter goes on to its file's list by itself")
+@mutation("a voter goes on to its file's list by itself")
 def _() -> list[Patch]:
     return [(voter, "may_advance", lambda roll, wish, said, me: True)]
 
 
-@plant("who goes on to the next list takes over no tickets")
+@mutation("who goes on to the next list takes over no tickets")
 def _() -> list[Patch]:
     real = Voter._take_over_votes
 
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -139,7 +139,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._refusal_at = self._gauged = -math.inf
         self._ended = False
-        network.datagrams(config.listen, self)
+        network.open_datagram_port(config.listen, self)
         core.admin_commands.update(
             {
                 "claims": lambda: "ok " + json.dumps(self.lease_report()),
--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -68,11 +68,10 @@
             self._send(attempt)
 
     def claim_transmission(self, attempt: Attempt) -> bool:
-        """Asked when a set-up is really written: whether it may go. Then `remaining_ms` is set and it counts
-        as written.
+        """Asked when a set-up is really written: whether it may go.
 
-        A set-up that has waited for its connection may have been overtaken by its caller, its time-out or
-        the directory.
+        If so, it counts as written and `remaining_ms` is set. A set-up that has waited for its connection may
+        have been overtaken by its caller, its time-out or the directory.
         """
         if attempt.ended or attempt.written:
             return False
@@ -83,7 +82,7 @@
         if self.check_instance_index is not None and not self._holds_slot(
             attempt.server, self.check_instance_index
         ):
-            self.context.counters.add("turns_lost")
+            self.context.counters.add("slow_start_slots_lost")
             self.end(attempt, AttemptOutcome.NOT_SENT, NO_LOAD)
             return False
         attempt.written = True
@@ -92,9 +91,9 @@
         self.context.counters.add("attempts_sent")
         if self.context.tracing:
             self.context.log(
-                "attempt",
+                "attempt_sent",
                 call=attempt.call.request.ident,
-                n=attempt.number,
+                attempt=attempt.number,
                 server=attempt.server.record.instance,
             )
         return True
@@ -103,9 +102,9 @@
         """Nothing of a set-up was sent and it has been taken back: `claim_transmission` is asked again."""
         attempt.written = False
         self.context.counters.add("attempts_sent", -1)
-        self.context.counters.add("attempts_taken_back")
+        self.context.counters.add("attempts_retracted")
         if self.context.tracing:
-            self.context.log("taken_back", call=attempt.call.request.ident, n=attempt.number)
+            self.context.log("attempt_retracted", call=attempt.call.request.ident, attempt=attempt.number)
 
     def transmission_failed(self, attempt: Attempt, reached: bool) -> None:
         """The set-up never left: there was no connection, or (`reached`) no capacity on it."""
@@ -137,14 +136,14 @@
         self.context.counters.add("outcome_" + outcome.value.replace(" ", "_"))
         if self.context.tracing:
             self.context.log(
-                "outcome",
+                "attempt_ended",
                 call=call.request.ident,
-                n=attempt.number,
-                ending=outcome.value,
+                attempt=attempt.number,
+                outcome=outcome.value,
                 written=attempt.written,
                 note=note,
             )
-        if call.caller_gone and call.state is CallState.OFFERED:
+        if call.caller_disconnected and call.state is CallState.OFFERED:
             self.answers.give_undecided(call)
         self.dispatcher.dispatch(
             AttemptEnded(
@@ -182,8 +181,7 @@
             self.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
     def _holds_slot(self, server: RosterServer, check_instance_index: Callable[[], None]) -> bool:
-        """Whether this softswitch still has a slow-start slot at a server that is warming up, where its
-        instance index is one that is leased.
+        """Whether this softswitch still has a slow-start slot at a server, if its index is leased.
 
         A process may have been stopped between its decision and its write, and another may have its index
         by now: both would use the same slots.
@@ -197,5 +195,5 @@
         return controller.slow_start_slots(now, endpoint) > 0
 
     def _log_violation(self, **fields: str) -> None:
-        self.context.log("guard", **fields)
-        self.context.counters.add("guards")
+        self.context.log("rule_violated", **fields)
+        self.context.counters.add("rule_violations")
