--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -43,9 +43,9 @@
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.protocol import do_nothing
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
 ENDPOINT_LIST_LEASE = "list"
@@ -130,7 +130,7 @@
             LeasePool(slots, self.member.lease, self.random_source.randrange(len(slots))) if slots else None
         )
         self.restart_slot = RestartSlotLease(pick)
-        self.directory: Directory | None = None
+        self.directory: ServiceDiscoveryClient | None = None
         self.endpoint_list, self.assembler = EndpointList(), EndpointListAssembler()
         self.follower = EndpointListFollower(list(config.voters), RelayTimings(), now)
         self._owner_heard = self._beaten = -math.inf
@@ -374,7 +374,7 @@
             self.send(self.config.voters[to], Subscribe(self.endpoint_list.index))
         asks = self.may_poll_coordinator()
         if asks and not self._asking:
-            self.directory.hurry()
+            self.directory.reconnect_now()
         self._asking = asks
 
     def _to_voters(self, news: list[EndpointUpdate]) -> None:
@@ -437,7 +437,7 @@
             return
         self.counters.add("fleet_lists_taken")
         self.endpoint_list.apply(answer)
-        self.directory.handed(self.endpoint_list.to_answer())
+        self.directory.accept_relayed(self.endpoint_list.to_answer())
 
     # ---- operators ----
 
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -14,7 +14,6 @@
 from typing import Any
 
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.connection_runner import ConnectionRunner
 from stairhatch.node.io.connector import Connector, address_family
 from stairhatch.node.io.datagrams import DatagramPort, DatagramProtocol
@@ -26,6 +25,7 @@
 from stairhatch.node.io.timer_driver import TimerDriver
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.roster import RosterLink
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 LISTEN_BACKLOG = 512
 DRAIN_CHECK_S = 0.02  # how often a drain looks for idle connections
@@ -134,6 +134,6 @@
         """Keep a connection to a server until it is retired."""
         self.spawn(self._server_connector.keep_up(link))
 
-    async def poll_directory(self, directory: Directory) -> None:
+    async def poll_directory(self, directory: ServiceDiscoveryClient) -> None:
         """Keep the long poll of service discovery going."""
         await self._directory_poller.keep_polling(directory)
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -26,7 +26,6 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
 from stairhatch.node.io.persistent_connections import (
     MAX_BACKOFF_S,
@@ -37,6 +36,7 @@
 from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
@@ -417,10 +417,10 @@
 
     part = "list"
 
-    def __init__(self, softswitch: Softswitch, directory: Directory) -> None:
+    def __init__(self, softswitch: Softswitch, directory: ServiceDiscoveryClient) -> None:
         super().__init__(softswitch, directory)
         self.directory = directory
-        directory.hurry = self._hurry
+        directory.reconnect_now = self._hurry
         self._hurried = False
         self._answers = 0
         self._again: Due | None = None
@@ -440,10 +440,10 @@
         self._again, self._hurried = None, False
         if self.stopped:
             return
-        if self.directory.rests():
+        if self.directory.is_paused():
             self._later(POLL_TURN_CHECK_S)
             return
-        self._answers = self.directory.answers
+        self._answers = self.directory.answers_received
         self.world.dial(self, self.directory.address, CONNECT_TIMEOUT_S, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
@@ -451,14 +451,14 @@
         self.began(stream)
 
     def _failed(self, refused: bool) -> None:
-        self.softswitch.core.counters.add("directory_unreached")
+        self.softswitch.core.counters.add("discovery_unreachable")
         self.over()
 
     def over(self) -> None:
         """Ask again."""
         if self.stopped:
             return
-        if self._hurried or self.directory.answers > self._answers:
+        if self._hurried or self.directory.answers_received > self._answers:
             self.backoff = MIN_BACKOFF_S
         self._later(0.0 if self._hurried else self.backoff)
         self.backoff = min(MAX_POLL_BACKOFF_S, 2 * self.backoff)
@@ -593,7 +593,7 @@
         RosterSide(core, lambda link: self._keep(link))
         core.readiness.listening = True
         region = world.places.region(self.index)
-        directory = Directory(core, world.coordinators[region].place, 0)
+        directory = ServiceDiscoveryClient(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
             self._join(plan, directory)
         Follower(self, directory)
@@ -602,7 +602,7 @@
     def _keep(self, link: RosterLink) -> None:
         Keeper(self, link)
 
-    def _join(self, plan: Plan, directory: Directory) -> None:
+    def _join(self, plan: Plan, directory: ServiceDiscoveryClient) -> None:
         told, voters = plan.fleet, self.world.voters
         assert told is not None
         config = FleetConfig(
@@ -620,7 +620,7 @@
         self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
-            directory.told, directory.may_ask = (
+            directory.on_answer, directory.may_poll = (
                 self.fleet.coordinator_answered,
                 self.fleet.may_poll_coordinator,
             )
