--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -206,7 +206,7 @@
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.discovery is not None:
-            parts.network.spawn(parts.network.poll_directory(parts.discovery))
+            parts.network.spawn(parts.network.poll_service_discovery(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
         """Take part in shared work."""
--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -1,5 +1,4 @@
-"""The faults of a run and when each begins: `FaultKind`, `ScheduledFault`, `FaultSchedule`, and timeline
-files.
+"""The faults of a run: their kinds, when each begins, and the timeline files that hold them.
 
 One schedule is carried out on the virtual clock (`virtual_cluster`) and on real processes (`process_run`); it
 never depends on what the run does. Schedules come from a timeline in TOML (`experiments/lab/`) or from a seed
@@ -19,6 +18,7 @@
 
 MIN_MEMBERS, MAX_MEMBERS = 3, 9
 DEFAULT_DRIFT_BOUND = 0.01
+DEFAULT_LEASE_DURATION_S = 3.0
 DRIFT_TOLERANCE = 1e-12  # of the comparison of a clock's rate with the bound
 
 MemberNames = tuple[str, ...]
@@ -81,7 +81,7 @@
     faults: tuple[ScheduledFault, ...] = field(name="events", default=())
     clock_rates: dict[str, float] = field(name="rates", default_factory=dict)  # 1.0 where not given
     drift_bound: float = field(name="drift", default=DEFAULT_DRIFT_BOUND)
-    lease_duration_s: float = field(name="term_s", default=3.0)
+    lease_duration_s: float = field(name="term_s", default=DEFAULT_LEASE_DURATION_S)
     fault_free_s: float = field(name="quiet_s", default=20.0)  # at the end
     required_activations: tuple[str, ...] = field(name="must_bite", default=())  # else the run proves nothing
     min_holders: int = field(name="owners", default=0)  # different holders of the endpoint list's lease
@@ -110,18 +110,19 @@
     """Whether a fault holds back everything that one member sends to another."""
     if sender == receiver:
         return False
+    blocked = False
     match fault.kind:
         case FaultKind.CUT_LINK:
-            return (sender, receiver) == (fault.member, fault.peer)
+            blocked = (sender, receiver) == (fault.member, fault.peer)
         case FaultKind.CUT_OUTBOUND:
-            return sender == fault.member
+            blocked = sender == fault.member
         case FaultKind.CUT_INBOUND:
-            return receiver == fault.member
+            blocked = receiver == fault.member
         case FaultKind.CUT_ALL_BUT_ONE:
-            return sender == fault.member and receiver != fault.peer
+            blocked = sender == fault.member and receiver != fault.peer
         case FaultKind.PARTITION:
-            return (sender in fault.members) is not (receiver in fault.members)
-    return False
+            blocked = (sender in fault.members) is not (receiver in fault.members)
+    return blocked
 
 
 def read_schedule(path: Path) -> FaultSchedule:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.virtual_cluster import DISK_SYNC_S, VirtualDisk
+from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
 from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
@@ -413,7 +413,7 @@
 
 
 class Follower(Driver):
-    """Keeps the long poll going, as `Network.poll_directory`."""
+    """Keeps the long poll going, as `Network.poll_service_discovery`."""
 
     part = "list"
 
@@ -537,7 +537,7 @@
                     arrive = partial(other.datagram, data, own.place)
                     world.net.datagram(own.index, other.index, arrive)
 
-        port.wake = send
+        port.notify_writable = send
 
 
 class Softswitch:
