--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -323,7 +323,7 @@
         return f"{' and '.join(name for name, _ in state.held_until)} hold it at once", state.last_holder
     highest, by = state.last_holder
     for name, _ in state.held_until:
-        ticket = pickle.loads(dict(state.members)[name]).leases[CLAIM].ticket
+        ticket = pickle.loads(dict(state.members)[name]).leases[CLAIM].fencing_token
         if ticket < highest or (ticket == highest and by != name):
             return f"{name} holds {ticket} after {by} held {highest}", state.last_holder
         return "", (ticket, name)
