--- a/stairhatch/node/io/connector.py
+++ b/stairhatch/node/io/connector.py
@@ -6,19 +6,14 @@
 import socket
 
 from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.addresses import SocketAddress, address_family
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.descriptor_budget import DESCRIPTORS_EXHAUSTED, CallerAdmission
-from stairhatch.node.io.listener import EVICTION_DELAY_S, SocketAddress
+from stairhatch.node.io.descriptor_budget import DESCRIPTORS_EXHAUSTED, EVICTION_DELAY_S, CallerAdmission
 from stairhatch.node.protocol import ConnectionProtocol
 
 CONNECT_TIMEOUT_S = 0.5  # to a coordinator or a caller; to a server as the settings say
 
 
-def address_family(host: str) -> socket.AddressFamily:
-    """The family of the socket for a numeric address: IPv6 where it has a colon."""
-    return socket.AF_INET6 if ":" in host else socket.AF_INET
-
-
 def is_connected(sock: socket.socket) -> bool:
     """Whether a connection that was dialled has come up."""
     try:
--- a/stairhatch/node/io/datagrams.py
+++ b/stairhatch/node/io/datagrams.py
@@ -14,9 +14,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from stairhatch.node.io.addresses import SocketAddress, address_family
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.connector import address_family
-from stairhatch.node.io.listener import SocketAddress
 from stairhatch.node.io.load_monitor import LoadMonitor
 
 SO_TIMESTAMPNS = 35  # Linux: the kernel notes when each datagram came; elsewhere no delay is reported
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -22,6 +22,7 @@
 ASSUMED_OPEN_DESCRIPTORS = 24  # what a process holds before its connections, where the system does not tell
 UNLIMITED = 1 << 30  # descriptors, where no limit is set
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
+EVICTION_DELAY_S = 0.01  # so long after an eviction the descriptor is free
 EXHAUSTION_LOG_PERIOD_S = 1.0  # what wants a descriptor comes again and again: logged no more often
 
 
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -18,8 +18,9 @@
 from dataclasses import dataclass
 
 from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.addresses import SocketAddress
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.descriptor_budget import CallerAdmission
+from stairhatch.node.io.descriptor_budget import EVICTION_DELAY_S, CallerAdmission
 from stairhatch.node.io.reader import IdleOrder
 from stairhatch.node.protocol import ConnectionProtocol
 
@@ -31,11 +32,9 @@
 DRAIN_FIRST_REQUEST_S = 0.5  # a new connection is given so long to ask, in a drain too
 ACCEPTS_PER_TURN = 64  # then others have their turn
 MAX_EVICTIONS_PENDING = 8  # connections evicted whose descriptors are not free yet
-EVICTION_DELAY_S = 0.01  # so long after an eviction the descriptor is free
 NOBODY_IDLE_PAUSE_S = 0.02  # accepting pauses so long where nobody can be evicted
 EXHAUSTED_PAUSE_S = 0.05  # and so long where the system has no descriptor left
 
-SocketAddress = tuple[str, int]
 ProtocolFactory = Callable[[SocketAddress], ConnectionProtocol]  # is given the peer's address
 
 
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -14,11 +14,12 @@
 from typing import Any
 
 from stairhatch.node.call_manager import CallManager
+from stairhatch.node.io.addresses import SocketAddress, address_family
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.connector import Connector, address_family
+from stairhatch.node.io.connector import Connector
 from stairhatch.node.io.datagrams import DatagramPort, DatagramProtocol
 from stairhatch.node.io.descriptor_budget import CallerAdmission, DescriptorBudget
-from stairhatch.node.io.listener import Listener, ListenerLimits, ProtocolFactory, SocketAddress
+from stairhatch.node.io.listener import Listener, ListenerLimits, ProtocolFactory
 from stairhatch.node.io.load_monitor import DelayObserver, LoadMonitor
 from stairhatch.node.io.persistent_connections import ServerConnector, ServiceDiscoveryPoller
 from stairhatch.node.io.tasks import BackgroundTasks
