--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -35,7 +35,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.sets import Numbers
+    from stairhatch.scope.server_sets import Numbers
     from stairhatch.sip.front import SipConfig, SipFront
 
 READY_POLL_S = 0.01
@@ -76,7 +76,7 @@
         counters = Counters()
         scoped = None
         if config.scope is not None:
-            from stairhatch.scope.decisions import ScopedController
+            from stairhatch.scope.controller import ScopedController
 
             scoped = ScopedController(config.settings, rng, config.scope)
         core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.runtime import FleetRuntime
-    from stairhatch.scope.decisions import ScopedController
+    from stairhatch.scope.controller import ScopedController
     from stairhatch.sip.front import SipFront
 
 
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -25,7 +25,7 @@
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.node.directory import DirectoryError, parse_address
 from stairhatch.overload.settings import Settings
-from stairhatch.scope.sets import ScopeConfig, Service, disagreement
+from stairhatch.scope.server_sets import ScopeConfig, Service, disagreement
 from stairhatch.settings.errors import SettingsError
 from stairhatch.sip import auth
 from stairhatch.sip.flows import Networks, Place, is_address
--- a/stairhatch/scope/decisions.py
+++ b/stairhatch/scope/controller.py
@@ -30,7 +30,7 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
-from stairhatch.scope.sets import Numbers, ScopeConfig, ServerSet, server_sets
+from stairhatch.scope.server_sets import Numbers, ScopeConfig, ServerSet, server_sets
 
 LOOK = 0  # the label of the timer for what may leave; those of the sets begin at PENDING_TIMER_ID
 LOOKS = 4  # in `idle_s`
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -36,8 +36,8 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
-from stairhatch.scope.sets import ScopeConfig, Service, server_sets
+from stairhatch.scope.controller import LOOK, OVER_S, ScopedController
+from stairhatch.scope.server_sets import ScopeConfig, Service, server_sets
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, Caller, Program, RosterServer, sip_headers, until
