--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -37,8 +37,8 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
+from stairhatch.scope.config import ScopeConfig
 from stairhatch.scope.controller import ScopedController
-from stairhatch.scope.server_sets import ScopeConfig
 
 RATE = 137.0  # calls a second
 SERVICE = 10  # servers of one
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -35,7 +35,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.server_sets import Numbers
+    from stairhatch.scope.server_sets import ServerNumbers
     from stairhatch.sip.front import SipConfig, SipFront
 
 READY_POLL_S = 0.01
@@ -84,7 +84,7 @@
         RosterSide(core, network.dial)
         if scoped is not None:
             core.servers.in_scope = scoped.in_scope
-            scoped.changed = self._scope_changed
+            scoped.on_scope_changed = self._scope_changed
         return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
 
     @property
@@ -92,7 +92,7 @@
         """The configuration in force."""
         return self.reloader.config
 
-    def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], entered: bool) -> None:
+    def _scope_changed(self, numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
         """Open connections to servers that come into scope; those of servers that leave it end when idle."""
         parts = self.parts
         servers = [
--- a/stairhatch/config/__init__.py
+++ b/stairhatch/config/__init__.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.server_sets import ScopeConfig
+    from stairhatch.scope.config import ScopeConfig
     from stairhatch.sip.front import SipConfig
 
 
--- a/stairhatch/config/appliance.py
+++ b/stairhatch/config/appliance.py
@@ -25,7 +25,8 @@
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.node.directory import DirectoryError, parse_address
 from stairhatch.overload.settings import Settings
-from stairhatch.scope.server_sets import ScopeConfig, Service, disagreement
+from stairhatch.scope.config import UNKNOWN_INSTANCE, ScopeConfig, ServiceConfig
+from stairhatch.scope.server_sets import ConflictingServicesError, check_services
 from stairhatch.settings.errors import SettingsError
 from stairhatch.sip import auth
 from stairhatch.sip.flows import Networks, Place, is_address
@@ -449,10 +450,12 @@
             )
         if each.me is not None and each.me >= (each.softswitches or 0):
             raise ConfigError(f"{here}.me: must be below softswitches")
-        me = each.me if each.me is not None else -1
-        services.append(Service(tuple(each.classes), each.softswitches, me, each.keep))
-    if why := disagreement(settings, services):
-        raise ConfigError(f"scope.services: {why}")
+        index = each.me if each.me is not None else UNKNOWN_INSTANCE
+        services.append(ServiceConfig(tuple(each.classes), each.softswitches, index, each.keep))
+    try:
+        check_services(settings, services)
+    except ConflictingServicesError as error:
+        raise ConfigError(f"scope.services: {error}") from error
     return ScopeConfig(table.idle_s, tuple(services))
 
 
--- a/stairhatch/scope/__init__.py
+++ b/stairhatch/scope/__init__.py
@@ -1,4 +1,12 @@
-"""Scope: which part of a long list of roster servers this softswitch has to do with. Owns the sets of classes
-that share servers (`sets`) and the decisions kept apart by them (`decisions`), each set with a Controller of
-its own. It must never open a link, read a file or a clock, nor decide where a call goes: the Controller does.
+"""Decisions on the servers of those services alone that callers ask for; off by default (docs/scope.md).
+
+- `config`: what the operators tell of services
+- `server_sets`: how classes fall into sets by the servers that they share
+- `set_index`: which set a class or a server's number belongs to
+- `listed_endpoints`: the complete endpoint list, in scope or not
+- `scoped_set`: a set in scope with its own controller
+- `sets_in_scope`: all of them
+- `timer_owners`: whom a timer wakes
+- `handover`: what sets that merge or split hand on
+- `controller`: takes each event to the set that it concerns, behind the face of one controller
 """
--- /dev/null
+++ b/stairhatch/scope/config.py
@@ -0,0 +1,25 @@
+"""What the operators tell of services: `[scope]` of the appliance's file."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+UNKNOWN_INSTANCE = -1
+
+
+@dataclass(frozen=True, slots=True)
+class ServiceConfig:
+    """What is told of some classes of calls: `[[scope.services]]`."""
+
+    classes: tuple[str, ...]
+    instance_count: int | None = None  # of softswitches that ever have such calls; None: the whole fleet
+    instance_index: int = UNKNOWN_INSTANCE  # which of those this one is
+    always_in_scope: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class ScopeConfig:
+    """The table `[scope]`."""
+
+    idle_s: float = 600.0  # a set without a call for so long leaves the scope
+    services: tuple[ServiceConfig, ...] = ()
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -1,9 +1,8 @@
-"""The decisions kept apart by sets of servers: a Controller for each set that callers ask for, behind the
-face of one. Owns which sets are in scope, whose call and whose server is whose, and what passes on when the
-classes are told anew. It must never decide on a call itself, change the policy, open a link or read a clock.
+"""Decisions kept apart by sets of servers: a controller for each set in scope, behind the face of one.
 
-A set comes into scope with its first call and knows nothing of its servers then, as after a restart. It
-leaves once it has had no call for `idle_s`.
+Takes each event to the set that it concerns. It never decides on a call itself and opens no connection. A set
+comes into scope with its first call and knows nothing of its servers then, as after a restart; it leaves once
+it has had no call for `idle_s`. Times are seconds.
 """
 
 from __future__ import annotations
@@ -12,14 +11,12 @@
 import random
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import replace
-from itertools import count
 
 from stairhatch.overload.actions import Action, FailCall, RejectCall, SetTimer
-from stairhatch.overload.controller import PENDING_TIMER_ID, Controller
+from stairhatch.overload.controller import PENDING_TIMER_ID
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import (
     AttemptEnded,
-    Availability,
     CallAbandoned,
     CallEstablished,
     CallOffered,
@@ -29,55 +26,23 @@
     LoadReported,
     TimerExpired,
 )
-from stairhatch.overload.settings import CallClass, Settings
-from stairhatch.scope.server_sets import Numbers, ScopeConfig, ServerSet, server_sets
+from stairhatch.overload.settings import Settings
+from stairhatch.scope.config import ScopeConfig
+from stairhatch.scope.handover import hand_over_call, inherit
+from stairhatch.scope.scoped_set import ScopedSet
+from stairhatch.scope.server_sets import ServerNumbers, ServerSet
+from stairhatch.scope.set_index import SetIndex
+from stairhatch.scope.sets_in_scope import EndpointsInScope, SetsInScope
+from stairhatch.scope.timer_owners import TimerOwners
 
-LOOK = 0  # the label of the timer for what may leave; those of the sets begin at PENDING_TIMER_ID
-LOOKS = 4  # in `idle_s`
-OVER_S = 1.0  # a call is over so long after it had to be answered, whatever the decisions still hold
+IDLE_TIMER_ID = 0  # of the timer for sets that may leave; those of the sets begin at PENDING_TIMER_ID
+IDLE_CHECKS = 4  # in `idle_s`
 
-Changed = Callable[[Numbers, tuple[str, ...], bool], None]
+ScopeChanged = Callable[[ServerNumbers, tuple[str, ...], bool], None]  # numbers, classes, whether it entered
 
 
-def unheard(numbers: Numbers, classes: tuple[str, ...], came: bool) -> None:
-    """Stands where nobody has asked to hear of sets that come and go."""
-
-
-class Scope:
-    """A set in scope, and the decisions on it."""
-
-    def __init__(self, label: int, servers: ServerSet, controller: Controller) -> None:
-        self.label, self.servers, self.controller = label, servers, controller
-        self.used_at = -math.inf
-        self.untold: tuple[EndpointRecord, ...] = ()  # lines that its decisions hear with the next event
-
-    @property
-    def names(self) -> tuple[str, ...]:
-        """Of its classes."""
-        return tuple(kind.name for kind in self.servers.classes)
-
-    def open_at(self, now: float) -> bool:
-        """Whether a call is still to be answered."""
-        return any(call.answer_by + OVER_S > now for call in self.controller.calls.values())
-
-
-class Seen(Mapping[int, Endpoint]):
-    """All servers in scope, as the decisions see them."""
-
-    def __init__(self, scoped: ScopedController) -> None:
-        self.scoped = scoped
-
-    def __getitem__(self, server: int) -> Endpoint:
-        scope = self.scoped.home(server)
-        if scope is None:
-            raise KeyError(server)
-        return scope.controller.endpoints[server]
-
-    def __iter__(self) -> Iterator[int]:
-        return (server for scope in self.scoped.live.values() for server in scope.controller.endpoints)
-
-    def __len__(self) -> int:
-        return sum(len(scope.controller.endpoints) for scope in self.scoped.live.values())
+def ignore_change(numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
+    """Stands where nobody has asked to be told of sets that come and leave."""
 
 
 class ScopedController:
@@ -88,356 +53,244 @@
         settings: Settings,
         rng: random.Random,
         config: ScopeConfig,
-        changed: Changed = unheard,
+        on_scope_changed: ScopeChanged = ignore_change,
     ) -> None:
-        self.settings, self.rng, self.config, self.changed = settings, rng, config, changed
-        self.lines: dict[int, EndpointRecord] = {}  # the whole list
-        self.numbered: dict[int, dict[int, None]] = {}  # number -> the servers of that number
-        self.gone: set[int] = set()  # in the list, until their set has forgotten them
-        self.live: dict[Numbers, Scope] = {}
-        self.owner: dict[int, Scope] = {}  # of each call that is not answered
-        self.used: dict[str, float] = {}  # class -> when its last call came
-        self.timers: dict[int, tuple[Scope, ...]] = {}  # label -> whom it wakes
-        self.labels = count(PENDING_TIMER_ID)
-        self.look_set, self.may_leave = False, False
-        self.now = 0.0  # of the last event
-        self.endpoints: Mapping[int, Endpoint] = Seen(self)
-        self.sets: dict[Numbers, ServerSet] = {}
-        self.place: dict[int, Numbers] = {}  # number -> the set it is in
-        self.by_class: dict[str, tuple[tuple[int, ...] | None, Numbers]] = {}
-        self._arrange()
-        for each in self.sets.values():
-            if each.keep:
-                self._begin(each)
-
-    # ---- the sets ----
-
-    def _arrange(self) -> None:
-        """Put the classes of the settings into sets."""
-        made = server_sets(self.settings, self.config.services)
-        self.sets = {each.numbers: each for each in made}
-        self.place = {number: each.numbers for each in made for number in each.numbers or ()}
-        self.by_class = {
-            kind.name: (kind.allowed_servers, each.numbers) for each in made for kind in each.classes
-        }
-
-    def scope_at(self, number: int) -> Scope | None:
-        """The set in scope that holds the servers of a number."""
-        if None in self.live:
-            return self.live[None]
-        numbers = self.place.get(number)
-        return self.live.get(numbers) if numbers is not None else None
+        """Only what is always in scope is so at first; nobody is told of that."""
+        self.config = config
+        self.on_scope_changed = on_scope_changed
+        self.sets = SetsInScope(settings, rng, SetIndex(settings, config.services))
+        self.endpoints: Mapping[int, Endpoint] = EndpointsInScope(self.sets)
+        self.timers = TimerOwners()
+        self.owners: dict[int, ScopedSet] = {}  # call -> the set that owes its answer
+        self._class_used_at: dict[str, float] = {}  # class -> when its last call came
+        self._idle_timer_set = False
+        self._now = 0.0  # of the last event
+        for server_set in self.sets.index.sets.values():
+            if server_set.always_in_scope:
+                self.sets.enter(server_set)
+
+    @property
+    def settings(self) -> Settings:
+        """The settings in use."""
+        return self.sets.settings
 
     def in_scope(self, number: int) -> bool:
-        """Whether the servers of a number are linked and told of."""
-        return self.scope_at(number) is not None
-
-    def home(self, server: int) -> Scope | None:
-        """The set in scope that holds a server."""
-        line = self.lines.get(server)
-        return self.scope_at(line.number) if line is not None else None
-
-    def lone(self) -> Scope | None:
-        """Where there is one set only, it hears all that concerns none, as a Controller does."""
-        return next(iter(self.live.values())) if len(self.sets) == len(self.live) == 1 else None
-
-    def _listed_in(self, numbers: Numbers) -> tuple[EndpointRecord, ...]:
-        found = list(self.lines)
-        if numbers is not None:
-            found = sorted(server for number in numbers for server in self.numbered.get(number, ()))
-        return tuple(self.lines[server] for server in found if server not in self.gone)
-
-    def _stray(self, numbers: frozenset[int], kind: CallClass | None) -> ServerSet:
-        """A set of servers that are in none: for a class as it was, or a call on its way through."""
-        settings = self.settings
-        self.place.update(dict.fromkeys(numbers, numbers))
-        classes = (kind,) if kind is not None else settings.classes
-        return ServerSet(numbers, classes, settings.instance_count, settings.instance_index)
-
-    def _set_for(self, kind: CallClass, choice: int, in_transit: bool) -> ServerSet:
-        """The set that serves a call. A class as it was before a reload may reach into several sets now: the
-        one with most of its servers serves the call, so that each call has one set to answer for it.
-        """
-        pools, numbers = self.by_class.get(kind.name, ((), frozenset()))
-        known = kind.name in self.by_class and pools == kind.allowed_servers
-        if None in self.sets or (known and not in_transit):
-            return self.sets[None if None in self.sets else numbers]
-        named = in_transit or (kind.allowed_servers is None and choice in self.place)
-        asked = [choice] if named else self.place if kind.allowed_servers is None else kind.allowed_servers
-        weight: dict[Numbers, int] = {}
-        for number in asked:
-            if number in self.place:
-                at = self.place[number]
-                weight[at] = weight.get(at, 0) + 1 + len(self.numbered.get(number, ()))
-        if not weight:
-            return self._set_at(frozenset(asked), kind)
-        return self._set_at(max(weight, key=lambda at: weight[at]), kind)
-
-    def _set_at(self, numbers: Numbers, kind: CallClass | None) -> ServerSet:
-        if numbers in self.sets:
-            return self.sets[numbers]
-        if numbers in self.live:
-            return self.live[numbers].servers
-        return self._stray(numbers or frozenset(), kind)
-
-    def _begin(self, servers: ServerSet) -> Scope:
-        """A set comes into scope; nothing is known of its servers but the list."""
-        controller = Controller(servers.tuned(self.settings), self.rng)
-        scope = self.live[servers.numbers] = Scope(next(self.labels), servers, controller)
-        scope.untold = self._listed_in(servers.numbers)
-        self.may_leave = self.may_leave or not servers.keep
-        return scope
-
-    def _leave(self, scope: Scope) -> None:
-        numbers = scope.servers.numbers
-        del self.live[numbers]
-        if numbers not in self.sets:
-            self.place = {number: at for number, at in self.place.items() if at != numbers}
-        self.changed(numbers, scope.names, False)
-
-    def _look(self, now: float) -> None:
-        """Let go of what has not been used for long. Calls that stand are the core's alone."""
-        self.owner = {call: at for call, at in self.owner.items() if call in at.controller.calls}
-        for scope in list(self.live.values()):
-            unused = now - scope.used_at >= self.config.idle_s
-            if unused and not scope.servers.keep and not scope.open_at(now):
-                self.owner = {call: at for call, at in self.owner.items() if at is not scope}
-                self._leave(scope)
-        self.may_leave = any(not scope.servers.keep for scope in self.live.values())
+        """Whether the servers of a number are connected to and told to the decisions."""
+        return self.sets.at_number(number) is not None
+
+    def is_warming_up(self, now: float, endpoint: Endpoint) -> bool:
+        """Whether an endpoint in scope may not be warm."""
+        scoped_set = self.sets.at_number(endpoint.number)
+        return scoped_set is not None and scoped_set.controller.is_warming_up(now, endpoint)
+
+    def slow_start_slots(self, now: float, endpoint: Endpoint) -> float:
+        """This softswitch's slots in a span at an endpoint that is warming up."""
+        scoped_set = self.sets.at_number(endpoint.number)
+        return scoped_set.controller.slow_start_slots(now, endpoint) if scoped_set is not None else 0.0
 
     # ---- events ----
 
     def handle(self, now: float, event: Event) -> Iterator[Action]:
         """Take one event to the set that it concerns; yield what is to be done."""
-        self.now = now
+        self._now = now
         match event:
             case EndpointsUpdated():
-                yield from self._list(now, event)
+                yield from self._update_endpoints(now, event)
             case CallOffered():
-                yield from self._offer(now, event)
+                yield from self._offer_call(now, event)
             case CallEstablished() | AttemptEnded():
-                yield from self._attempt(now, event)
+                yield from self._attempt_event(now, event)
             case CallAbandoned():
-                yield from self._tell(now, self.owner.get(event.call_id) or self.lone(), event)
+                yield from self._dispatch(now, self.owners.get(event.call_id), event)
             case LoadReported():
-                yield from self._tell(now, self.home(event.server_id) or self.lone(), event)
-            case TimerExpired(label) if label == LOOK:
-                self.look_set = False
-                self._look(now)
+                yield from self._dispatch(now, self.sets.of_server(event.server_id), event)
+            case TimerExpired(timer_id) if timer_id == IDLE_TIMER_ID:
+                self._idle_timer_set = False
+                self._remove_idle_sets(now)
             case TimerExpired():
-                for scope in self.timers.pop(event.timer_id, ()):
-                    yield from self._tell(now, scope, TimerExpired(PENDING_TIMER_ID))
+                for scoped_set in self.timers.expire(event.timer_id):
+                    yield from self._dispatch(now, scoped_set, TimerExpired(PENDING_TIMER_ID))
             case _:
-                yield from self._tell(now, self.lone(), event)
-        if self.may_leave and not self.look_set:
-            self.look_set = True
-            yield SetTimer(self.config.idle_s / LOOKS, LOOK)
-
-    def _tell(self, now: float, scope: Scope | None, event: Event) -> Iterator[Action]:
-        """Have one set's decisions take an event."""
-        if scope is None:
+                yield from self._dispatch(now, None, event)
+        if self.sets.some_may_leave and not self._idle_timer_set:
+            self._idle_timer_set = True
+            yield SetTimer(self.config.idle_s / IDLE_CHECKS, IDLE_TIMER_ID)
+
+    def _dispatch(self, now: float, scoped_set: ScopedSet | None, event: Event) -> Iterator[Action]:
+        """Have one set take an event; the only set takes what concerns none."""
+        scoped_set = scoped_set or self.sets.only_set()
+        if scoped_set is None:
             return
-        if scope.untold:
-            lines, scope.untold = scope.untold, ()
-            scope.controller.parts.registry.update(now, EndpointsUpdated(lines, complete=False))
-        for action in scope.controller.handle(now, event):
+        for action in scoped_set.handle(now, event):
             match action:
                 case SetTimer(delay_s, _):
-                    self.timers[scope.label] = (scope,)
-                    yield SetTimer(delay_s, scope.label)
-                case RejectCall(call) | FailCall(call):
-                    self.owner.pop(call, None)
+                    yield SetTimer(delay_s, self.timers.start(scoped_set))
+                case RejectCall(call_id) | FailCall(call_id):
+                    self.owners.pop(call_id, None)
                     yield action
                 case _:
                     yield action
         if not isinstance(event, CallOffered | CallEstablished | AttemptEnded | CallAbandoned):
             return
-        if self.owner.get(event.call_id) is scope and event.call_id not in scope.controller.calls:
-            del self.owner[event.call_id]
-
-    def _offer(self, now: float, event: CallOffered) -> Iterator[Action]:
-        kind = event.call_class
-        if kind is None:
-            if self.lone() is None:
+        owes_answer = event.call_id in scoped_set.controller.calls
+        if not owes_answer and self.owners.get(event.call_id) is scoped_set:
+            del self.owners[event.call_id]
+
+    def _offer_call(self, now: float, event: CallOffered) -> Iterator[Action]:
+        """A call goes to the set of its class, which it brings into scope; one of no class is failed."""
+        call_class = event.call_class
+        if call_class is None:
+            if self.sets.only_set() is None:
                 yield FailCall(event.call_id)
-            yield from self._tell(now, self.lone(), event)
+            yield from self._dispatch(now, None, event)
             return
-        servers = self._set_for(kind, event.preferred_number, event.in_transit)
-        scope = self.live.get(servers.numbers)
-        if scope is None:
-            scope = self._begin(servers)
-            self.changed(servers.numbers, scope.names, True)
-        scope.used_at = self.used[kind.name] = now
-        self.owner[event.call_id] = scope
-        yield from self._tell(now, scope, event)
-
-    def _attempt(self, now: float, event: CallEstablished | AttemptEnded) -> Iterator[Action]:
-        """An attempt's end goes to the set of the call. Where its server is in another by now, that one
-        learns from it, as from the end of a call that has its answer.
+        server_set = self.sets.server_set_for(call_class, event.preferred_number, event.in_transit)
+        scoped_set = self.sets.by_numbers.get(server_set.numbers)
+        if scoped_set is None:
+            scoped_set = self.sets.enter(server_set)
+            self.on_scope_changed(server_set.numbers, scoped_set.class_names, True)
+        scoped_set.last_used_at = now
+        self._class_used_at[call_class.name] = now
+        self.owners[event.call_id] = scoped_set
+        yield from self._dispatch(now, scoped_set, event)
+
+    def _attempt_event(self, now: float, event: CallEstablished | AttemptEnded) -> Iterator[Action]:
+        """What became of an attempt goes to the set of the call.
+
+        Where its server is in another set by now, that one learns from it, as from the end of a call that has
+        its answer.
         """
-        owner, home = self.owner.get(event.call_id), self.home(event.server_id)
+        owner = self.owners.get(event.call_id)
+        home = self.sets.of_server(event.server_id)
         if owner is not None and home is not None and owner is not home:
             learnt = replace(event, answered=True) if isinstance(event, AttemptEnded) else event
-            yield from self._tell(now, home, learnt)
-        yield from self._tell(now, owner or home or self.lone(), event)
-
-    # ---- the list ----
-
-    def _list(self, now: float, event: EndpointsUpdated) -> Iterator[Action]:
-        """Keep the whole list, and tell each set in scope what is news of its own servers."""
+            yield from self._dispatch(now, home, learnt)
+        yield from self._dispatch(now, owner or home, event)
+
+    def _remove_idle_sets(self, now: float) -> None:
+        """Let go of sets that have not been used for long. Established calls are the call manager's alone."""
+        self.owners = {call: each for call, each in self.owners.items() if call in each.controller.calls}
+        for scoped_set in list(self.sets.by_numbers.values()):
+            is_idle = now - scoped_set.last_used_at >= self.config.idle_s
+            if is_idle and not scoped_set.server_set.always_in_scope and not scoped_set.has_open_call(now):
+                self.owners = {call: each for call, each in self.owners.items() if each is not scoped_set}
+                self.sets.leave(scoped_set)
+                self._tell_change(scoped_set, entered=False)
+        self.sets.update_some_may_leave()
+
+    def _tell_change(self, scoped_set: ScopedSet, *, entered: bool) -> None:
+        self.on_scope_changed(scoped_set.server_set.numbers, scoped_set.class_names, entered)
+
+    # ---- the endpoint list ----
+
+    def _update_endpoints(self, now: float, event: EndpointsUpdated) -> Iterator[Action]:
+        """Keep the complete list, and tell each set in scope what concerns its own servers."""
         if event.complete:
-            named = {line.server_id for line in event.endpoints}
-            for server, line in self.lines.items():
-                if server not in named:
-                    self.lines[server] = replace(line, availability=Availability.GONE)
-                    self.gone.add(server)
-        told: dict[Numbers, list[EndpointRecord]] = {}
-        for line in event.endpoints:
-            self._note(line)
-            scope = self.scope_at(line.number)
-            if scope is not None:
-                told.setdefault(scope.servers.numbers, []).append(line)
-        only = self.lone()
-        for numbers, scope in list(self.live.items()):
-            if event.complete or numbers in told or scope is only:
-                news = EndpointsUpdated(tuple(told.get(numbers, ())), event.complete)
-                scope.untold = () if event.complete else scope.untold
-                yield from self._tell(now, scope, news)
-        for server in list(self.gone):
-            home = self.home(server)
-            if home is None or server not in home.controller.endpoints:
-                self.gone.discard(server)
-                self.numbered[self.lines.pop(server).number].pop(server, None)
-
-    def _note(self, line: EndpointRecord) -> None:
-        """One line of the list. A server whose number changes takes what was learnt of it to its new set."""
-        old = self.lines.get(line.server_id)
-        if old is not None and old.number != line.number:
-            before, after = self.scope_at(old.number), self.scope_at(line.number)
+            self.sets.listed.keep_only({record.server_id for record in event.endpoints})
+        updates: dict[ServerNumbers, list[EndpointRecord]] = {}
+        for record in event.endpoints:
+            self._record_endpoint(record)
+            scoped_set = self.sets.at_number(record.number)
+            if scoped_set is not None:
+                updates.setdefault(scoped_set.server_set.numbers, []).append(record)
+        only_set = self.sets.only_set()
+        for numbers, scoped_set in list(self.sets.by_numbers.items()):
+            if event.complete or numbers in updates or scoped_set is only_set:
+                update = EndpointsUpdated(tuple(updates.get(numbers, ())), event.complete)
+                if event.complete:
+                    scoped_set.unsent_records = ()
+                yield from self._dispatch(now, scoped_set, update)
+        self._forget_gone()
+
+    def _record_endpoint(self, record: EndpointRecord) -> None:
+        """One record of the list. A server whose number changes goes to its new set with what was learnt."""
+        old = self.sets.listed.by_id.get(record.server_id)
+        if old is not None and old.number != record.number:
+            before = self.sets.at_number(old.number)
+            after = self.sets.at_number(record.number)
             if before is not after and before is not None:
-                known = before.controller.endpoints.pop(line.server_id, None)
-                if known is not None and after is not None:
-                    after.controller.endpoints[line.server_id] = known
-            self.numbered[old.number].pop(line.server_id, None)
-        self.lines[line.server_id] = line
-        self.numbered.setdefault(line.number, {})[line.server_id] = None
-        if line.availability is Availability.GONE:
-            self.gone.add(line.server_id)
-        else:
-            self.gone.discard(line.server_id)
+                endpoint = before.controller.endpoints.pop(record.server_id, None)
+                if endpoint is not None and after is not None:
+                    after.controller.endpoints[record.server_id] = endpoint
+        self.sets.listed.put(record)
+
+    def _forget_gone(self) -> None:
+        """Forget endpoints that have gone, once their set has forgotten them."""
+        for server_id in list(self.sets.listed.gone):
+            home = self.sets.of_server(server_id)
+            if home is None or server_id not in home.controller.endpoints:
+                self.sets.listed.remove(server_id)
 
     # ---- other settings ----
 
     def update_settings(self, settings: Settings, config: ScopeConfig | None = None) -> None:
-        """Take other settings. Sets whose numbers stay go on as they are; those that merge or fall apart hand
-        on their servers, their open calls and what was learnt. An open call goes on in one set.
+        """Take other settings.
+
+        Sets whose numbers stay go on as they are; those that merge or split hand on their servers, their
+        open calls and what was learnt. An open call goes on in one set.
         """
-        self.settings, self.config = settings, config or self.config
-        was = self.live
-        self._arrange()
-        self.live = {}
-        parting: list[Scope] = []
-        for numbers, scope in was.items():
-            if numbers in self.sets:
-                scope.servers = self.sets[numbers]
-            elif numbers is None or None in self.sets or any(number in self.place for number in numbers):
-                parting.append(scope)
-                scope.controller.update_settings(
-                    settings
-                )  # the patience of all classes, whatever set they are in
+        self.config = config or self.config
+        before = self.sets.by_numbers
+        self.sets.settings = settings
+        self.sets.index.rebuild(settings, self.config.services)
+        self.sets.by_numbers = {}
+        parting = self._keep_sets(before, settings)
+        self._hand_over_calls(parting)
+        self._enter_heirs(parting)
+        self.timers.hand_over(parting, self.sets.by_numbers.values())
+        self.owners = {call: each for call, each in self.owners.items() if each not in parting}
+        self.sets.update_some_may_leave()
+        kept = set(before.values())
+        for scoped_set in [each for each in self.sets.by_numbers.values() if each not in kept]:
+            self._tell_change(scoped_set, entered=True)
+        for scoped_set in parting:
+            self._tell_change(scoped_set, entered=False)
+
+    def _keep_sets(self, before: Mapping[ServerNumbers, ScopedSet], settings: Settings) -> list[ScopedSet]:
+        """Let sets whose numbers stay go on; returns those that merge or split."""
+        index = self.sets.index
+        parting: list[ScopedSet] = []
+        for numbers, scoped_set in before.items():
+            if numbers in index.sets:
+                scoped_set.server_set = index.sets[numbers]
+            elif numbers is None or None in index.sets or index.has_any(numbers):
+                parting.append(scoped_set)
+                # The usual timeouts of all classes are kept, whatever set a class goes to.
+                scoped_set.controller.update_settings(settings)
                 continue
             else:  # its classes have gone, or gone elsewhere: it ends by itself
-                scope.servers = replace(
-                    scope.servers, softswitches=settings.instance_count, me=settings.instance_index
+                scoped_set.server_set = replace(
+                    scoped_set.server_set,
+                    instance_count=settings.instance_count,
+                    instance_index=settings.instance_index,
                 )
-                self.place.update(dict.fromkeys(numbers, numbers))
-            scope.controller.update_settings(scope.servers.tuned(settings))
-            self.live[numbers] = scope
-        taken = self._hand_on(parting)
-        for servers in self.sets.values():
-            used_at = max(self.used.get(kind.name, -math.inf) for kind in servers.classes)
-            lately = self.now - used_at < self.config.idle_s
-            if servers.numbers not in self.live and (servers.keep or (lately and servers.numbers in taken)):
-                self._build(servers, parting)
-        self._hand_on_timers(parting)
-        self.owner = {call: at for call, at in self.owner.items() if at not in parting}
-        self.may_leave = any(not scope.servers.keep for scope in self.live.values())
-        before = set(was.values())
-        for scope in [each for each in self.live.values() if each not in before]:
-            self.changed(scope.servers.numbers, scope.names, True)
-        for scope in parting:
-            self.changed(scope.servers.numbers, scope.names, False)
-
-    def _hand_on(self, parting: list[Scope]) -> set[Numbers]:
-        """Find each open call of sets that are no more its new one; returns the sets that replace them."""
+                index.add_stray_numbers(numbers)
+            scoped_set.controller.update_settings(scoped_set.server_set.settings_for(settings))
+            self.sets.by_numbers[numbers] = scoped_set
+        return parting
+
+    def _hand_over_calls(self, parting: list[ScopedSet]) -> None:
+        """Find each open call of the sets that part its new set."""
         for old in parting:
             for call in list(old.controller.calls.values()):
-                servers = self._set_for(call.call_class, call.preferred_number, call.in_transit)
-                new = self.live.get(servers.numbers) or self._build(servers, parting)
-                new.controller.calls[call.id] = call
-                if call.id in old.controller.pending:
-                    new.controller.pending.add(call)
-                self.owner[call.id] = new
-        held = {number for old in parting for number in old.servers.numbers or ()}
-        everything = any(old.servers.numbers is None for old in parting)
-        return {
-            numbers for numbers in self.sets if numbers is None or everything or not held.isdisjoint(numbers)
-        }
-
-    def _build(self, servers: ServerSet, parting: list[Scope]) -> Scope:
-        """A set made of others, with what they had learnt of its servers."""
-        scope = self._begin(servers)
-        new = scope.controller
-        mine = [
-            old for old in parting
-            if servers.numbers is None or old.servers.numbers is None
-            or not old.servers.numbers.isdisjoint(servers.numbers)
-        ]  # fmt: skip
-        for old in parting:  # a class may come from a set that shares no server with this one
-            names = {kind.name for kind in servers.classes}
-            known_timeouts = old.controller.parts.caller_retries.usual_timeout_s.items()
-            new.parts.caller_retries.usual_timeout_s.update((n, s) for n, s in known_timeouts if n in names)
-        for old in mine:
-            scope.used_at = max(scope.used_at, old.used_at)
-            for server, known in old.controller.endpoints.items():
-                if servers.numbers is None or known.number in servers.numbers:
-                    new.endpoints[server] = known
-            for called, backoff in old.controller.parts.backoffs.by_number.items():
-                new.parts.backoffs.by_number[called] = replace(backoff)
-        scope.untold = tuple(line for line in scope.untold if line.server_id not in new.endpoints)
-        if mine:
-            self._average(new, [old.controller for old in mine])
-        return scope
-
-    @staticmethod
-    def _average(new: Controller, olds: list[Controller]) -> None:
-        """What was learnt of calls. Of the use of lines the least counts: it bounds cold servers."""
-        peaks = [old.parts.slow_start.peak_utilization for old in olds]
-        new.parts.slow_start.peak_utilization = replace(min(peaks, key=lambda peak: peak.value))
-        new.parts.durations.expected.merge(old.parts.durations.expected for old in olds)
-        new.parts.durations.observed.merge(old.parts.durations.observed for old in olds)
-
-    def _hand_on_timers(self, parting: list[Scope]) -> None:
-        """A timer that is out wakes those who took its set's calls."""
-        woken: set[int] = set()
-        for label, scopes in list(self.timers.items()):
-            if not any(scope in parting for scope in scopes):
-                continue
-            heirs = [s for s in self.live.values() if s.controller.pending and s.label not in woken]
-            heirs = [s for s in heirs if not s.controller.timer_set]
-            self.timers[label] = tuple(heirs)
-            for heir in heirs:
-                heir.controller.timer_set = True
-                woken.add(heir.label)
-
-    # ---- what the core asks ----
-
-    def is_warming_up(self, now: float, server: Endpoint) -> bool:
-        """Whether a server in scope may not be warm."""
-        scope = self.scope_at(server.number)
-        return scope is not None and scope.controller.is_warming_up(now, server)
-
-    def slow_start_slots(self, now: float, server: Endpoint) -> float:
-        """This softswitch's turns at a cold server in a span."""
-        scope = self.scope_at(server.number)
-        return scope.controller.slow_start_slots(now, server) if scope is not None else 0.0
+                server_set = self.sets.server_set_for(call.call_class, call.preferred_number, call.in_transit)
+                heir = self.sets.by_numbers.get(server_set.numbers) or self._enter_heir(server_set, parting)
+                hand_over_call(call, old, heir)
+                self.owners[call.id] = heir
+
+    def _enter_heirs(self, parting: list[ScopedSet]) -> None:
+        """Bring into scope what is always there, and heirs whose classes were used lately."""
+        for server_set in self.sets.index.sets.values():
+            used_at = max(self._class_used_at.get(each.name, -math.inf) for each in server_set.classes)
+            lately = self._now - used_at < self.config.idle_s
+            is_heir = any(server_set.shares_servers_with(old.server_set) for old in parting)
+            returns = lately and (is_heir or server_set.numbers is None)
+            wanted = server_set.always_in_scope or returns
+            if wanted and server_set.numbers not in self.sets.by_numbers:
+                self._enter_heir(server_set, parting)
+
+    def _enter_heir(self, server_set: ServerSet, parting: list[ScopedSet]) -> ScopedSet:
+        """A set made of others comes into scope, with what they had learnt of its servers."""
+        heir = self.sets.enter(server_set)
+        inherit(heir, parting)
+        return heir
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -36,8 +36,10 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.scope.controller import LOOK, OVER_S, ScopedController
-from stairhatch.scope.server_sets import ScopeConfig, Service, server_sets
+from stairhatch.scope.config import ScopeConfig, ServiceConfig
+from stairhatch.scope.controller import IDLE_TIMER_ID, ScopedController
+from stairhatch.scope.scoped_set import ANSWER_OVERDUE_S
+from stairhatch.scope.server_sets import server_sets
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, Caller, Program, RosterServer, sip_headers, until
@@ -171,11 +173,14 @@
     assert [each.numbers for each in server_sets(settings_of(a, nowhere), ())] == [{1, 2}, set()]
     sets = server_sets(
         settings_of(a, b, instance_count=50, instance_index=7),
-        (Service(("a",), 5, 2), Service(("b",), keep=True)),
+        (ServiceConfig(("a",), 5, 2), ServiceConfig(("b",), always_in_scope=True)),
     )
-    assert [(each.softswitches, each.me, each.keep) for each in sets] == [(5, 2, False), (50, 7, True)]
-    mixed = server_sets(settings_of(a, c, instance_count=50, instance_index=7), (Service(("a",), 5, 2),))
-    assert [(each.softswitches, each.me) for each in mixed] == [(50, 7)], "a figure was guessed"
+    told = [(each.instance_count, each.instance_index, each.always_in_scope) for each in sets]
+    assert told == [(5, 2, False), (50, 7, True)]
+    mixed = server_sets(
+        settings_of(a, c, instance_count=50, instance_index=7), (ServiceConfig(("a",), 5, 2),)
+    )
+    assert [(each.instance_count, each.instance_index) for each in mixed] == [(50, 7)], "a figure was guessed"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -192,7 +197,7 @@
     after = replace(
         before, classes=tuple(replace(each, deadline_s=5.0, latency_objective_s=1.0) for each in classes)
     )
-    services = [Service(tuple(each.name for each in classes), keep=True)]
+    services = [ServiceConfig(tuple(each.name for each in classes), always_in_scope=True)]
     worlds = []
     for decisions in (Controller(before, random.Random(seed)), scoped(before, seed, services=services)):
         world = World(decisions, seed)
@@ -255,18 +260,20 @@
     back and takes a server that has just started for warm.
     """
     a, b, told = kind("a", 1), kind("b", 2), []
-    decisions = scoped(settings_of(a, b), idle_s=8.0, services=[Service(("b",), keep=True)], changed=told)
+    decisions = scoped(
+        settings_of(a, b), idle_s=8.0, services=[ServiceConfig(("b",), always_in_scope=True)], changed=told
+    )
     world = World(decisions)
     world.listed(line(1), line(2))
     assert decisions.in_scope(2) and not told
     call = world.offer(a, grace_s=30.0)
     world.due = [each for each in world.due if not isinstance(each[2], CallEstablished | AttemptEnded)]
-    world.run(world.now + 30.0 + OVER_S)
+    world.run(world.now + 30.0 + ANSWER_OVERDUE_S)
     assert decisions.in_scope(1), "it left with a call that had no answer"
     world.tell(CallAbandoned(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
-    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owner
+    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owners
     assert [came for _, _, came in told] == [True, False]
     world.listed(line(1, up_since=world.now - 1), complete=False)
     world.offer(a, 1)
@@ -279,7 +286,8 @@
     assert decisions.is_warming_up(world.now, seen) and 0 < pace == new.slow_start_slots(
         world.now, new.endpoints[1]
     )
-    assert decisions.timers.keys() <= {scope.label for scope in decisions.live.values()} | {LOOK}
+    own_timers = {each.timer_id for each in decisions.sets.by_numbers.values()}
+    assert decisions.timers.by_id.keys() <= own_timers | {IDLE_TIMER_ID}
     world.finish()
 
 
@@ -292,10 +300,10 @@
     call = world.offer(a)
     world.due = [each for each in world.due if not isinstance(each[2], AttemptEnded)]
     world.run(world.now + 10)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1 and not decisions.sets.by_numbers
     world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
     world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
-    assert not decisions.owner and not decisions.endpoints
+    assert not decisions.owners and not decisions.endpoints
     with pytest.raises(KeyError):
         decisions.endpoints[1]
 
@@ -328,16 +336,17 @@
     world.listed(*(line(n + 10, n) for n in range(7)))
     world.busy(6, 60, [A, B, C])
     for number, settings in enumerate([after, before] if there_and_back else [after]):
-        waiting = {call for each in decisions.live.values() for call in each.controller.pending}
-        open_ones = {call for each in decisions.live.values() for call in each.controller.calls}
+        waiting = {call for each in decisions.sets.by_numbers.values() for call in each.controller.pending}
+        open_ones = {call for each in decisions.sets.by_numbers.values() for call in each.controller.calls}
         known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
             assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
         decisions.update_settings(settings)
-        assert {call for each in decisions.live.values() for call in each.controller.calls} == open_ones
-        assert {call for each in decisions.live.values() for call in each.controller.pending} == waiting
-        assert set(decisions.owner) == open_ones
-        assert all(decisions.owner[call] in decisions.live.values() for call in open_ones)
+        in_scope = decisions.sets.by_numbers.values()
+        assert {call for each in in_scope for call in each.controller.calls} == open_ones
+        assert {call for each in in_scope for call in each.controller.pending} == waiting
+        assert set(decisions.owners) == open_ones
+        assert all(decisions.owners[call] in in_scope for call in open_ones)
         kept = [server for server in known if decisions.in_scope(world.number_of[server])]
         assert kept, "nothing that was known is in scope"
         for server in kept:
@@ -352,7 +361,7 @@
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
     world.tell(CallAbandoned(0))
-    assert not decisions.live and not decisions.owner, "sets that nobody uses stay"
+    assert not decisions.sets.by_numbers and not decisions.owners, "sets that nobody uses stay"
 
 
 def test_a_set_made_of_two_keeps_one_timer_and_of_one_made_of_two_each_is_woken():
@@ -365,8 +374,8 @@
             world.offer(each, grace_s=60.0)
         decisions.update_settings(one if turn % 2 == 0 else two)
         world.run(world.now + 0.5)
-        out = sum(world.timers[label] for label in world.timers if label != LOOK)
-        assert out == len([each for each in decisions.live.values() if each.controller.pending])
+        out = sum(world.timers[label] for label in world.timers if label != IDLE_TIMER_ID)
+        assert out == len([each for each in decisions.sets.by_numbers.values() if each.controller.pending])
     world.finish()
 
 
@@ -414,7 +423,7 @@
     world.run(world.now + 31)
     world.listed(line(3, 2), complete=False)
     world.listed(line(11, 0), line(12, 1), line(3, 2), complete=True)
-    assert sorted(decisions.lines) == [3, 11, 12] and not decisions.gone
+    assert sorted(decisions.sets.listed.by_id) == [3, 11, 12] and not decisions.sets.listed.gone
     assert sorted(decisions.endpoints) == [3, 11, 12]
     world.finish()
 
@@ -441,7 +450,7 @@
     world = World(decisions)
     world.listed(line(1), line(2), line(9))
     call = world.offer(None)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1 and not decisions.sets.by_numbers
     through = world.offer(a, 9, in_transit=True)
     assert world.sent[-1][1:] == (through, 9), "on its way through to a server that its class may not use"
     elsewhere = world.offer(a, 77, in_transit=True)
@@ -484,7 +493,7 @@
         for number in range(sharing):
             own = min(number, fleet - 1)
             settings = settings_of(a, b, instance_count=fleet, instance_index=own, safety=safety)
-            services = [Service(("a",), per, min(number, per - 1))] if per else []
+            services = [ServiceConfig(("a",), per, min(number, per - 1))] if per else []
             nodes.append(World(scoped(settings, number, services=services), number, slow_s=0.03))
             born = 0.0 if cold == "one" else 999.0
             nodes[-1].listed(line(1, up_since=999.0), line(2, up_since=born), line(3, up_since=born), line(9))
@@ -542,7 +551,7 @@
     assert config_from(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
     both = '{ classes = ["read-roster", "save-roster"], softswitches = 1, keep = true }'
     told = config_from(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
-    assert told == ScopeConfig(5.0, (Service(("read-roster", "save-roster"), 1, -1, True),))
+    assert told == ScopeConfig(5.0, (ServiceConfig(("read-roster", "save-roster"), 1, -1, True),))
 
 
 class Heard:
@@ -562,7 +571,7 @@
         self.now, self.dialled, self.calls = 1000.0, [], 0
         settings = settings_of(*classes)
         self.scoped = scoped(settings, idle_s=4.0)
-        self.scoped.changed = self.changed
+        self.scoped.on_scope_changed = self.changed
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
             decisions=self.scoped,
@@ -613,7 +622,7 @@
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
-    assert not inside.scoped.live and inside.core.counters.counts["calls_offered"] == 1
+    assert not inside.scoped.sets.by_numbers and inside.core.counters.counts["calls_offered"] == 1
     assert other.can_close() and not link.retired and not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
@@ -649,7 +658,7 @@
 
     leaves(call)
     inside.run(20)
-    assert link.retired and not inside.scoped.live
+    assert link.retired and not inside.scoped.sets.by_numbers
     call, _ = inside.offer(a)
     assert not link.retired
     leaves(call)
@@ -670,7 +679,7 @@
     inside.listing("z", 2, Availability.GONE)
     inside.run(0.1)
     assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
-    assert list(inside.scoped.lines) == [1]
+    assert list(inside.scoped.sets.listed.by_id) == [1]
     inside.listing("z", 2)
     inside.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
     inside.run(0.1)
