--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,12 +21,12 @@
 
 from stairhatch import shutdown as shutdown_module
 from stairhatch.application import Application
-from stairhatch.config import Config
+from stairhatch.config.model import Config
 from stairhatch.node import message as sip
-from stairhatch.node.directory import PACE_S, Directory
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import EMPTY_ANSWER_PAUSE_S, ServiceDiscoveryClient
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings.parser import settings_from_object
 
@@ -34,7 +34,7 @@
     PATIENCE_S,
     Caller,
     Coordinator,
-    Inside,
+    InProcessNode,
     Program,
     RosterServer,
     free_port,
@@ -318,7 +318,7 @@
 
 def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
     """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
-    inside = Inside()
+    inside = InProcessNode()
     front = TrunkFront(inside.core)
     connection, ident = front.connect(), next(IDS)
     connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
@@ -326,7 +326,7 @@
     connection.read_timed_out()
     connection.data_to_send()
     assert connection.closing and not connection.can_close()
-    inside.stand()
+    inside.establish()
     assert b"SIP/2.0 200" in connection.data_to_send() and connection.can_close()
 
 
@@ -343,8 +343,8 @@
     """
 
     async def story():
-        inside = Inside()
-        inside.follow(asyncio.get_running_loop())
+        inside = InProcessNode()
+        inside.follow_loop(asyncio.get_running_loop())
         network = Network(inside.core)
         front = TrunkFront(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
@@ -386,12 +386,12 @@
 
 def test_a_release_that_nobody_hears_is_kept_for_who_connects_next():
     """Guards against an end of a call that is dropped after four tries at callers who don't read."""
-    inside = Inside()
+    inside = InProcessNode()
     front = TrunkFront(inside.core)
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
-    inside.stand()
-    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.report())
+    inside.establish()
+    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.empty_report())
     inside.run(3.0)
     assert deaf.data_to_send().count(b"BYE sip:") == 4
     late = front.connect()
@@ -403,7 +403,7 @@
 
 def test_a_fault_in_a_timer_takes_no_other_with_it():
     """Guards against answers that are never given since something else, due in the same 4 ms, went wrong."""
-    inside, done = Inside(), []
+    inside, done = InProcessNode(), []
     inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
     inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
     inside.run(0.2)
@@ -416,7 +416,7 @@
 @pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
 def test_the_end_waits_for_what_is_being_written(to):
     """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     if to == "caller":
         side = TrunkFront(inside.core)
         machine = side.connect()
@@ -576,9 +576,9 @@
     """Guards against a list that goes quiet unseen, and events taken twice, when a coordinator has lost its
     memory; and against a core spent on one that answers at once with nothing new.
     """
-    inside, told = Inside(), []
+    inside, told = InProcessNode(), []
     inside.log = lambda event, **fields: told.append((event, fields))
-    directory = Directory(inside.core, ("127.0.0.1", 1), 9)
+    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
@@ -589,12 +589,14 @@
     answer(9)
     directory.data_to_send()
     answer(4)
-    assert directory.after == 9 and [fields["why"] for event, fields in told if event == "directory"]
+    assert directory.last_index == 9 and [
+        fields["why"] for event, fields in told if event == "service_discovery"
+    ]
     assert not directory.data_to_send(), "it answered at once: the next question waits"
-    inside.run(PACE_S + 0.01)
+    inside.run(EMPTY_ANSWER_PAUSE_S + 0.01)
     assert b"follow=9" in directory.data_to_send()
     answer(4)
-    assert len([event for event, _ in told if event == "directory"]) == 1, "told once"
+    assert len([event for event, _ in told if event == "service_discovery"]) == 1, "told once"
 
 
 # ---- the signal to end, with calls at each point of their life ----
