--- a/stairhatch/fault_injection/virtual_cluster.py
+++ b/stairhatch/fault_injection/virtual_cluster.py
@@ -59,7 +59,7 @@
         for member in self.members.values():
             if member.decisions is None:
                 continue
-            for name, lease in member.decisions.claims.items():
-                if lease.stage is LeaseState.HELD:
+            for name, lease in member.decisions.leases.items():
+                if lease.state is LeaseState.HELD:
                     holders.setdefault(name, []).append(member.name)
         return holders
--- a/stairhatch/fault_injection/virtual_fault_injector.py
+++ b/stairhatch/fault_injection/virtual_fault_injector.py
@@ -127,9 +127,9 @@
         if holder is None or holder.decisions is None or self.run.queue.now < holder.stopped_until:
             return
         self.run.activations[fault.kind.value] += 1
-        lease = holder.decisions.claim(ENDPOINT_LIST_LEASE)
-        holder.execute(lease.give_back(holder.clock(), fault.peer))
-        lease.want(holder.clock(), self.run.schedule.lease_duration_s)
+        lease = holder.decisions.lease(ENDPOINT_LIST_LEASE)
+        holder.execute(lease.release(holder.clock(), fault.peer))
+        lease.request(holder.clock(), self.run.schedule.lease_duration_s)
 
     def _change_voters(self, fault: ScheduledFault) -> None:
         self.run.voter_sets.append(fault.members)
