--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.sets import Numbers
+    from stairhatch.scope.server_sets import ServerNumbers
     from stairhatch.sip.front import SipConfig, SipFront
 
 READY_POLL_S = 0.01
@@ -78,7 +78,7 @@
         counters = Counters()
         scoped = None
         if config.scope is not None:
-            from stairhatch.scope.decisions import ScopedController
+            from stairhatch.scope.controller import ScopedController
 
             scoped = ScopedController(config.settings, rng, config.scope)
         core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
@@ -86,7 +86,7 @@
         RosterSide(core, network.dial)
         if scoped is not None:
             core.servers.in_scope = scoped.in_scope
-            scoped.changed = self._scope_changed
+            scoped.on_scope_changed = self._scope_changed
         return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
 
     @property
@@ -94,7 +94,7 @@
         """The configuration in force."""
         return self.reloader.config
 
-    def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], entered: bool) -> None:
+    def _scope_changed(self, numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
         """Open connections to servers that come into scope; those of servers that leave it end when idle."""
         parts = self.parts
         servers = [
@@ -219,11 +219,11 @@
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
-        if parts.discovery is not None and config.list:
+        if parts.discovery is not None and config.relay_endpoint_list:
             parts.fleet.directory = parts.discovery
-            parts.discovery.on_answer = parts.fleet.heard
-            parts.discovery.may_poll = parts.fleet.may_ask
-        parts.fleet.begin()
+            parts.discovery.on_answer = parts.fleet.coordinator_answered
+            parts.discovery.may_poll = parts.fleet.may_poll_coordinator
+        parts.fleet.start()
 
     async def serve_when_ready(self) -> None:
         """Wait until the list is known and each server has been tried, then accept and log `serving`.
@@ -292,5 +292,5 @@
     stop.clear()  # set once more it ends the wait for dialogs
     await application.shut_down(stop)
     if parts.fleet is not None:
-        parts.fleet.end()
+        parts.fleet.stop()
     parts.log("counters", lines_left_out=parts.log.left_out, **parts.counters.counts)
--- a/stairhatch/fault_injection/lease_rules.py
+++ b/stairhatch/fault_injection/lease_rules.py
@@ -22,7 +22,7 @@
 from stairhatch.fleet.effects import LeaseEventKind
 
 START_EVENTS = (LeaseEventKind.HELD.value, LeaseEventKind.RENEWED.value)
-END_EVENTS = (LeaseEventKind.LOST.value, LeaseEventKind.GIVEN_BACK.value, LeaseEventKind.STOOD_DOWN.value)
+END_EVENTS = (LeaseEventKind.LOST.value, LeaseEventKind.RELEASED.value, LeaseEventKind.STEPPED_DOWN.value)
 EPSILON_S = 1e-6
 
 
@@ -145,7 +145,7 @@
         if record.event == ProcessEvent.DATA_DIRECTORY_CHANGED:
             for gone in [key for key in highest if key[0] == record.member]:
                 del highest[gone]
-        if record.event != LeaseEventKind.TOOK.value:
+        if record.event != LeaseEventKind.TOKEN_ACCEPTED.value:
             continue
         key = (record.member, record.lease)
         if record.fencing_token < highest.get(key, 0):
@@ -174,8 +174,7 @@
 def find_unheld(
     records: list[HistoryRecord], leases: Iterable[str], since_s: float, until_s: float
 ) -> Iterable[RuleViolation]:
-    """Check the rule `held`: yield a violation for each lease that nobody holds at any time between the
-    two."""
+    """Check the rule `held`: a violation for each lease that nobody held at any time between the two."""
     held = hold_intervals(records)
     for lease in leases:
         if not any(
