--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.sets import Numbers
+    from stairhatch.scope.server_sets import ServerNumbers
     from stairhatch.sip.front import SipConfig, SipFront
 
 READY_POLL_S = 0.01
@@ -78,7 +78,7 @@
         counters = Counters()
         scoped = None
         if config.scope is not None:
-            from stairhatch.scope.decisions import ScopedController
+            from stairhatch.scope.controller import ScopedController
 
             scoped = ScopedController(config.settings, rng, config.scope)
         core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
@@ -86,7 +86,7 @@
         RosterSide(core, network.dial)
         if scoped is not None:
             core.servers.in_scope = scoped.in_scope
-            scoped.changed = self._scope_changed
+            scoped.on_scope_changed = self._scope_changed
         return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
 
     @property
@@ -94,7 +94,7 @@
         """The configuration in force."""
         return self.reloader.config
 
-    def _scope_changed(self, numbers: Numbers, classes: tuple[str, ...], entered: bool) -> None:
+    def _scope_changed(self, numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
         """Open connections to servers that come into scope; those of servers that leave it end when idle."""
         parts = self.parts
         servers = [
