--- a/stairhatch/fault_injection/lease_rules.py
+++ b/stairhatch/fault_injection/lease_rules.py
@@ -22,7 +22,7 @@
 from stairhatch.fleet.effects import LeaseEventKind
 
 START_EVENTS = (LeaseEventKind.HELD.value, LeaseEventKind.RENEWED.value)
-END_EVENTS = (LeaseEventKind.LOST.value, LeaseEventKind.GIVEN_BACK.value, LeaseEventKind.STOOD_DOWN.value)
+END_EVENTS = (LeaseEventKind.LOST.value, LeaseEventKind.RELEASED.value, LeaseEventKind.STEPPED_DOWN.value)
 EPSILON_S = 1e-6
 
 
@@ -145,7 +145,7 @@
         if record.event == ProcessEvent.DATA_DIRECTORY_CHANGED:
             for gone in [key for key in highest if key[0] == record.member]:
                 del highest[gone]
-        if record.event != LeaseEventKind.TOOK.value:
+        if record.event != LeaseEventKind.TOKEN_ACCEPTED.value:
             continue
         key = (record.member, record.lease)
         if record.fencing_token < highest.get(key, 0):
--- a/stairhatch/fault_injection/run_report.py
+++ b/stairhatch/fault_injection/run_report.py
@@ -90,7 +90,7 @@
         found = Counter(self.activations)
         found[FaultKind.DISK_FULL.value] += sum(DISK_FULL_REASON in each for each in reasons)
         found[FaultKind.DISK_READ_ONLY.value] += sum(DISK_READ_ONLY_REASON in each for each in reasons)
-        found[WENT_ON] += sum(each.event == LeaseEventKind.WENT_ON.value for each in self.records)
+        found[WENT_ON] += sum(each.event == LeaseEventKind.VOTER_SET_ADVANCED.value for each in self.records)
         found[FaultKind.DISK_SLOW.value] += 0  # told also where there was none
         found.update(self.link_activations)
         return found
