--- a/stairhatch/node/io/persistent_connections.py
+++ b/stairhatch/node/io/persistent_connections.py
@@ -18,7 +18,7 @@
 
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-MAX_POLL_BACKOFF_S = 0.5  # what the coordinator would have told counts as told 2 s after a break
+MAX_POLL_BACKOFF_S = 0.5  # a change at the coordinator counts as notified 2 s after a break
 POLL_TURN_CHECK_S = 1.0  # where another member polls for all: how often it is checked whose turn it is
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -338,8 +338,8 @@
 
 @pytest.mark.parametrize("first", ["request", "newcomer"])
 def test_a_request_read_in_the_turn_in_which_a_newcomer_needs_room_is_not_thrown_away(first):
-    """Guards against a caller put out as idle whose request the loop has read, but not yet given to its
-    machine. Both come within one turn of the loop, in either order; the listener has room for one.
+    """Guards against a caller evicted as idle whose request the loop has read, but not yet given to its
+    protocol. Both come within one turn of the loop, in either order; the listener has room for one.
     """
 
     async def story():
@@ -354,7 +354,7 @@
             await asyncio.sleep(0.001)
         one = next(iter(listener.connections))
         while one.reading_ended is None or network.loop.time() <= one.received_at + 0.05:
-            await asyncio.sleep(0.001)  # it is read, and old enough to be put out
+            await asyncio.sleep(0.001)  # it is read, and old enough to be evicted
         new = socket.socket()
         new.setblocking(False)
         ident = next(IDS)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -861,7 +861,7 @@
 
 
 def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
-    """Guards against callers put out for newcomers between two pieces of a message."""
+    """Guards against callers evicted for newcomers between two pieces of a message."""
     inside = InProcessNode()
     listener, (under_way, silent, idle) = listener_of(inside, 3, End(), End(), End())
     come(inside, under_way, trunk_invite(next(IDS))[:60])
@@ -874,9 +874,10 @@
         assert closing == 3 - len(listener.connections)
 
 
-def test_a_newcomer_whose_set_up_has_not_been_read_is_not_put_out():
-    """Guards against a set-up lost with its connection where the loop comes to it later than `young_s`: on a
-    loaded machine a newcomer among 60 callers who hold on was taken for one that says nothing.
+def test_a_newcomer_whose_set_up_has_not_been_read_is_not_evicted():
+    """Guards against a set-up lost with its connection where the loop comes to it later than its
+    `eviction_grace_s`: on a loaded machine a newcomer among 60 callers who hold on was taken for one
+    that says nothing.
     """
     inside = InProcessNode()
     listener, (newcomer, silent) = listener_of(inside, 2, End(trunk_invite(next(IDS))), End())
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -170,7 +170,7 @@
     until(lambda: len(program.lines("unreached")) >= 20, "servers that there is no descriptor for")
     assert program.lines("reached"), "others are reached"
     crowd = Crowd(program.address, 64, False)
-    until(lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are put out")
+    until(lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are evicted")
     assert program.order("check").startswith("ok")
     ident, newcomer = next(IDS), program.caller()
     newcomer.invite(ident, within=9000)
