--- a/stairhatch/overload/concurrency.py
+++ b/stairhatch/overload/concurrency.py
@@ -12,7 +12,7 @@
 LIMIT_STEP = 0.5  # how far one answered set-up may move the limit
 MAX_LIMIT = 64.0  # of one node
 FAIR_LIMIT_SLACK = 2.0  # a node's limit is first this multiple of its part: nodes have unequal callers
-MAX_CUT = 0.25  # one long delay leaves at least this much of a limit below 1
+MIN_CUT_FACTOR = 0.25  # one long delay leaves at least this much of a limit below 1
 GROWTH_SPAN_S = 3.0  # a limit below 1 may double in this time
 BURST_SIZE = 2.0  # tokens that a node may save up at an endpoint
 OVERTAKE_S = 0.1  # beyond the fastest set-up, so that mere jitter is no overtaking
@@ -44,7 +44,7 @@
         return endpoint.tokens >= 1
 
     def adapt_to_answer(self, now: float, endpoint: Endpoint, pending: int) -> None:
-        """Move the limit by the delay of an answered set-up; so many were pending, with that one."""
+        """Move the limit by the delay of an answered set-up; `pending` counts that one too."""
         if endpoint.concurrency_limit < 1:
             self.adapt_to_delay(now, endpoint, endpoint.measured_delay_s)
             return
@@ -57,13 +57,13 @@
         endpoint.concurrency_limit = max(self.thresholds.min_limit, moved)
 
     def adapt_to_delay(self, now: float, endpoint: Endpoint, delay_s: float) -> None:
-        """Move a limit below 1 by the delay and the time since it moved; cut once a delay, not oftener."""
+        """Move a limit below 1 by the delay and the time since it moved; it is cut at most once a delay."""
         if endpoint.concurrency_limit >= 1:
             return
         onset_s = self.thresholds.onset_s
         if delay_s > onset_s:
             if now - endpoint.limit_cut_at > min(delay_s, self.thresholds.objective_s):
-                cut = endpoint.concurrency_limit * max(MAX_CUT, onset_s / delay_s)
+                cut = endpoint.concurrency_limit * max(MIN_CUT_FACTOR, onset_s / delay_s)
                 endpoint.concurrency_limit = max(self.thresholds.min_limit, cut)
                 endpoint.limit_cut_at, endpoint.limit_reduced = now, True
                 endpoint.tokens = min(endpoint.tokens, self.rng.random())  # saved up, they are a flood by now
@@ -83,8 +83,8 @@
         expected_s = self.durations.expected.mean
         if endpoint.limit_reduced or endpoint.lines_in_use is None or expected_s <= 0:
             return
-        borne = FAIR_LIMIT_SLACK * self.thresholds.onset_s * endpoint.lines_in_use / expected_s
-        fair = borne / self.thresholds.settings.instance_count
+        sustained = FAIR_LIMIT_SLACK * self.thresholds.onset_s * endpoint.lines_in_use / expected_s
+        fair = sustained / self.thresholds.settings.instance_count
         endpoint.concurrency_limit = max(endpoint.concurrency_limit, fair)
 
     def drop_overtaken(self, now: float, endpoint: Endpoint, sent_at: float) -> None:
--- a/stairhatch/overload/slow_start.py
+++ b/stairhatch/overload/slow_start.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class SlowStart:
-    """Deals slots out to the nodes, by what endpoints that are warm bear or bore lately."""
+    """Deals slots out to the nodes, by the load that warm endpoints have, or had lately."""
 
     thresholds: Thresholds
     endpoints: dict[int, Endpoint]
@@ -79,7 +79,7 @@
     def admissible_rate(self, now: float, endpoint: Endpoint) -> float:
         """Set-ups a second, from all nodes: a part of what it can do by now, within the budget.
 
-        Best is what it reports; until then what it bears, or the guess that it gains evenly, which may only
+        Best is what it reports; until then the load that it has, or the guess that it gains evenly, which may only
         lower the rate. Even where all send whenever they may, no window holds more than the budget.
         """
         safety = self.thresholds.safety
@@ -90,14 +90,14 @@
         age = now - endpoint.started_at if endpoint.started_at is not None else 0.0
         warmth = max(0.0, min(1.0, age / max(safety.warm_up_s, 1e-9)))
         able = initial + (1 - initial) * warmth
-        borne = (endpoint.lines_in_use or 0.0) / max(self.durations.longest_s, 1e-9)
+        load = (endpoint.lines_in_use or 0.0) / max(self.durations.longest_s, 1e-9)
         guess = min(CAPACITY_FRACTION * able, most * initial) * self.warm_rate(now, endpoint)
-        return max(min(CAPACITY_FRACTION, most) * borne, guess)
+        return max(min(CAPACITY_FRACTION, most) * load, guess)
 
     def warm_rate(self, now: float, endpoint: Endpoint) -> float:
-        """Set-ups a second, from all nodes, that it should bear once warm: by its lines, or the own.
+        """Set-ups a second, from all nodes, that it should bear once warm: by its lines, or by own set-ups.
 
-        One of unknown size counts as the smallest; where no lines are reported, as the least own rate times
+        One of unknown size counts as the smallest; without reported lines, as the least own rate times
         the nodes, whose errors cancel in the sum. With nothing known it is less than one in a window.
         """
         sizes = [other.total_lines for other in self.endpoints.values() if other.total_lines > 0]
