--- a/stairhatch/config/model.py
+++ b/stairhatch/config/model.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
-    from stairhatch.scope.sets import ScopeConfig
+    from stairhatch.scope.config import ScopeConfig
     from stairhatch.sip.front import SipConfig
 
 
--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -130,7 +130,7 @@
             if isinstance(effect, PersistVotes):
                 self.pending_writes.append((name, pickle.dumps(effect)))
             elif isinstance(effect, SendMessage):
-                to, message = effect.to[0], effect.message
+                to, message = effect.destination[0], effect.message
                 if isinstance(message, StatusRequest | StatusReply):
                     self.execute(to, self.member(to).handle(self.now, (name, 0), message))
                 elif not isinstance(message, LeaseQuery | LeaseStatus):
@@ -150,13 +150,13 @@
         name, packed = self.pending_writes.pop(index)
         write: PersistVotes = pickle.loads(packed)
         self.apply_write(name, write)
-        self.execute(name, self.member(name).written(self.now, write.number))
+        self.execute(name, self.member(name).write_completed(self.now, write.write_id))
 
     def apply_write(self, name: str, write: PersistVotes) -> None:
         """It is on the disk."""
         _, promises = pickle.loads(self.disks[name])
-        promises.update((each.claim, each) for each in write.promises)
-        self.disks[name] = pickle.dumps((write.mark, promises))
+        promises.update((each.lease, each) for each in write.votes)
+        self.disks[name] = pickle.dumps((write.storage_version, promises))
 
     def crash(self, name: str, synced: bool) -> None:
         """A voter is killed and starts again, with what was under way on its disk or not."""
@@ -166,16 +166,18 @@
             self.apply_write(name, write)
         mark, promises = pickle.loads(self.disks[name])
         kept = PersistedState(
-            StorageVersion(mark.folder, mark.life + 1, mark.promises), True, tuple(promises.values())
+            StorageVersion(mark.storage_id, mark.incarnation + 1, mark.vote_count),
+            True,
+            tuple(promises.values()),
         )
         old = self.member(name)
-        fresh = ClusterMember(old.who, old.voters, old.terms, ZERO_RANDOM, self.now, kept)
+        fresh = ClusterMember(old.identity, old.voters, old.timings, ZERO_RANDOM, self.now, kept)
         self.unpacked_members[name] = fresh
         self.execute(name, fresh.tick(self.now))
         for each in [each for each in self.pending_writes if each[0] == name]:  # the note that it votes
             self.finish_write(self.pending_writes.index(each))
         assert fresh.voter is not None
-        fresh.voter.due = NEVER
+        fresh.voter.due_at = NEVER
 
     def advance(self, leap: bool) -> None:
         """To the next moment at which an asker has something to do, or past the end of all promises."""
@@ -185,11 +187,11 @@
                 until
                 for name in names
                 if (voter := self.member(name).voter) is not None
-                for until in voter.until.values()
+                for until in voter.expires_at.values()
             ]
             self.now = max([self.now, *ends]) + 1e-3
         else:
-            dues = [self.member(name).due() for name in names if self.member(name).voter is None]
+            dues = [self.member(name).next_due_at() for name in names if self.member(name).voter is None]
             self.now = max(self.now, min(dues))
         for name in names:
             if self.member(name).voter is None:
@@ -206,7 +208,7 @@
                 if name in was:
                     held.append((name, was[name]))
             elif mate.voter is None and mate.may_act(self.now, CLAIM):
-                held.append((name, mate.claims[CLAIM].until))
+                held.append((name, mate.leases[CLAIM].expires_at))
         return ClusterState(
             self.now,
             tuple(mates),
@@ -234,12 +236,12 @@
             PersistedState(StorageVersion(name, 1, 0), True),
         )
         assert mate.voter is not None
-        mate.voter.standing, mate.voter.due = VoterState.VOTING, NEVER
+        mate.voter.state, mate.voter.due_at = VoterState.VOTING, NEVER
         mates[name] = pickle.dumps(mate)
     for n in range(bounds.askers):
         asker = ClusterMember(MemberId(f"a{n}", n + 1), voters, terms, ZERO_RANDOM, 0.0)
-        asker.claim(CLAIM).want(0.0)
-        mates[asker.who.name] = pickle.dumps(asker)
+        asker.lease(CLAIM).request(0.0)
+        mates[asker.identity.name] = pickle.dumps(asker)
     empty: dict[str, Vote] = {}
     disks = tuple((name, pickle.dumps((StorageVersion(name, 1, 0), empty))) for name in voters)
     left = RemainingActions(
@@ -321,7 +323,7 @@
         return f"{' and '.join(name for name, _ in state.held_until)} hold it at once", state.last_holder
     highest, by = state.last_holder
     for name, _ in state.held_until:
-        ticket = pickle.loads(dict(state.members)[name]).claims[CLAIM].ticket
+        ticket = pickle.loads(dict(state.members)[name]).leases[CLAIM].ticket
         if ticket < highest or (ticket == highest and by != name):
             return f"{name} holds {ticket} after {by} held {highest}", state.last_holder
         return "", (ticket, name)
--- a/stairhatch/fault_injection/virtual_disk.py
+++ b/stairhatch/fault_injection/virtual_disk.py
@@ -36,11 +36,11 @@
 
     def apply(self, write: PersistVotes) -> None:
         """Put a whole write on it."""
-        self.votes.update((each.claim, each) for each in write.promises)
-        self.vote_count = max(self.vote_count, write.mark.promises)
-        self.known_versions.update(write.known)
+        self.votes.update((each.lease, each) for each in write.votes)
+        self.vote_count = max(self.vote_count, write.storage_version.vote_count)
+        self.known_versions.update(write.known_versions)
         self.admitted = self.admitted or write.admitted
-        self.voter_set = write.roll or self.voter_set
+        self.voter_set = write.voter_set or self.voter_set
 
 
 @dataclass(slots=True)
--- a/stairhatch/fault_injection/virtual_member.py
+++ b/stairhatch/fault_injection/virtual_member.py
@@ -115,9 +115,9 @@
             self.configured_epoch,
         )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.index_pool = LeasePool(names, self.decisions.claim, own_rng.randrange(len(names)))
-        self.index_pool.want(self.clock())
-        self.decisions.claim(ENDPOINT_LIST_LEASE).want(self.clock())
+        self.index_pool = LeasePool(names, self.decisions.lease, own_rng.randrange(len(names)))
+        self.index_pool.request(self.clock())
+        self.decisions.lease(ENDPOINT_LIST_LEASE).request(self.clock())
         self.record(ProcessEvent.STARTED)
         self.tick()
         self.work()
@@ -183,7 +183,9 @@
             return
         now = self.clock()
         self.execute(decisions.tick(now) + self.index_pool.tick(now))
-        due = min(decisions.due(), self.index_pool.due if self.index_pool.due > now else float("inf"))
+        due = min(
+            decisions.next_due_at(), self.index_pool.due_at if self.index_pool.due_at > now else float("inf")
+        )
         shortest_s, longest_s = TICK_INTERVAL_S
         self._call_later(min(max(shortest_s, (due - now) / self.clock_rate), longest_s), self.tick)
 
@@ -197,10 +199,12 @@
         if decisions is None:
             return
         if isinstance(message, EndpointUpdate):
-            accepted, effects = decisions.fences.take(ENDPOINT_LIST_LEASE, message.ticket, sender)
+            accepted, effects = decisions.fencing_tokens.check(
+                ENDPOINT_LIST_LEASE, message.fencing_token, sender
+            )
             self.execute(effects)
             if accepted:
-                self.record(LeaseEventKind.TOOK.value, ENDPOINT_LIST_LEASE, message.ticket)
+                self.record(LeaseEventKind.TOKEN_ACCEPTED.value, ENDPOINT_LIST_LEASE, message.fencing_token)
             return
         self.execute(decisions.handle(self.clock(), sender, message))
         now = self.clock()  # what is due by now is done at once, as in the program
@@ -212,14 +216,14 @@
             match effect:
                 case SendMessage():
                     self.shared.effect_counts["messages"] += 1
-                    self.shared.network.send(self.name, effect.to[0], effect.message)
+                    self.shared.network.send(self.name, effect.destination[0], effect.message)
                 case PersistVotes():
                     self._begin_write(effect)
                 case PersistFencingToken():
-                    self.disk.fencing_tokens[effect.claim] = effect.ticket
+                    self.disk.fencing_tokens[effect.lease] = effect.fencing_token
                 case LeaseEvent():
-                    until_s = self.to_true_time(effect.until) if effect.until else 0.0
-                    self.record(effect.what.value, effect.claim, effect.ticket, until_s, effect.why)
+                    until_s = self.to_true_time(effect.expires_at) if effect.expires_at else 0.0
+                    self.record(effect.kind.value, effect.lease, effect.fencing_token, until_s, effect.reason)
 
     def _begin_write(self, write: PersistVotes) -> None:
         self.shared.effect_counts["writes"] += 1
@@ -242,7 +246,7 @@
         else:
             self.disk.apply(write)
         self._run_when_resumed(
-            start_number, lambda: self.execute(decisions.written(self.clock(), write.number, error))
+            start_number, lambda: self.execute(decisions.write_completed(self.clock(), write.write_id, error))
         )
 
     def work(self) -> None:
@@ -256,7 +260,7 @@
             return
         shared = self.shared
         if decisions.may_act(self.clock(), ENDPOINT_LIST_LEASE):
-            token = decisions.claims[ENDPOINT_LIST_LEASE].ticket
+            token = decisions.leases[ENDPOINT_LIST_LEASE].fencing_token
             self.record(ProcessEvent.ACTED, ENDPOINT_LIST_LEASE, token)
             send = partial(self._send_update, token)
             if shared.stop_before_write_s:
--- a/stairhatch/overload/slow_start.py
+++ b/stairhatch/overload/slow_start.py
@@ -79,8 +79,8 @@
     def admissible_rate(self, now: float, endpoint: Endpoint) -> float:
         """Set-ups a second, from all nodes: a part of what it can do by now, within the budget.
 
-        Best is what it reports; until then the load that it has, or the guess that it gains evenly, which may only
-        lower the rate. Even where all send whenever they may, no window holds more than the budget.
+        Best is what it reports; until then its load, or the guess that it gains evenly, which may only lower
+        the rate. Even where all send whenever they may, no window holds more than the budget.
         """
         safety = self.thresholds.safety
         most = BUDGET_FRACTION * safety.overload_multiple / (1 + SLOT_FRACTION)
@@ -90,9 +90,9 @@
         age = now - endpoint.started_at if endpoint.started_at is not None else 0.0
         warmth = max(0.0, min(1.0, age / max(safety.warm_up_s, 1e-9)))
         able = initial + (1 - initial) * warmth
-        load = (endpoint.lines_in_use or 0.0) / max(self.durations.longest_s, 1e-9)
+        sustained = (endpoint.lines_in_use or 0.0) / max(self.durations.longest_s, 1e-9)
         guess = min(CAPACITY_FRACTION * able, most * initial) * self.warm_rate(now, endpoint)
-        return max(min(CAPACITY_FRACTION, most) * load, guess)
+        return max(min(CAPACITY_FRACTION, most) * sustained, guess)
 
     def warm_rate(self, now: float, endpoint: Endpoint) -> float:
         """Set-ups a second, from all nodes, that it should bear once warm: by its lines, or by own set-ups.
