--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -88,7 +88,10 @@
             dispatcher=self.dispatcher,
             answers=self.answers,
         )
-        self.responses = ServerResponses(
+        self.responses = self._make_responses()
+
+    def _make_responses(self) -> ServerResponses:
+        return ServerResponses(
             context=self.context,
             calls=self.calls,
             servers=self.servers,
