--- a/stairhatch/__main__.py
+++ b/stairhatch/__main__.py
@@ -20,7 +20,7 @@
 def main() -> int:
     """Run the platform's softswitch, or the command that is given; return the exit code."""
     if len(sys.argv) > 1:
-        from stairhatch.cli import main as command_line
+        from stairhatch.cli.main import main as command_line
 
         return command_line()
     environ = dict(os.environ)
--- /dev/null
+++ b/stairhatch/cli/check_config.py
@@ -0,0 +1,37 @@
+"""`stairhatch check-config`: what a configuration holds, or what is wrong with it."""
+
+from __future__ import annotations
+
+import click
+
+from stairhatch.cli.common import read_config
+from stairhatch.config.model import Config
+
+
+@click.command("check-config")
+@click.argument("file", type=click.Path())
+def check_config(file: str) -> None:
+    """Read FILE as `serve` would, and say what is in it or what is wrong."""
+    config = read_config(file)
+    assert config.sip is not None
+    from stairhatch.sip.flows import host_port
+
+    listeners = [f"udp {host_port(each.place)}" for each in config.sip.udp]
+    listeners += [f"tcp {host_port(each.place)}" for each in config.sip.tcp]
+    click.echo(f"{file}: ok")
+    click.echo(f"  name      {config.name}")
+    click.echo(f"  listens   {', '.join(listeners)}")
+    click.echo(f"  classes   {', '.join(each.name for each in config.settings.classes)}")
+    coordinator = config.coordinator and host_port(config.coordinator)
+    servers = ", ".join(_server_names(config))
+    click.echo(f"  servers   {servers or f'from the coordinator at {coordinator}'}")
+    auth = config.sip.auth
+    users = f"{len({user for user, _ in auth.users})} users of {auth.realm}" if auth else "everybody"
+    click.echo(f"  may call  {users}")
+
+
+def _server_names(config: Config) -> list[str]:
+    """Return the servers that the configuration lists itself."""
+    return [
+        line["instanceId"] for event in config.known["updates"] for line in event["endpoints"]["instances"]
+    ]
--- /dev/null
+++ b/stairhatch/cli/common.py
@@ -0,0 +1,70 @@
+"""What several commands share: exit codes, plain complaints, and values of options."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import sys
+from collections.abc import Iterator
+from typing import NoReturn
+
+import click
+
+from stairhatch.config.appliance.reader import read_appliance
+from stairhatch.config.model import Config, ConfigError
+
+EXIT_OK = 0
+EXIT_FOUND_WRONG = 1
+EXIT_UNUSABLE = 2
+EXIT_INTERRUPTED = 130
+
+
+def fail(code: int, reason: object) -> NoReturn:
+    """End the command with one plain line on standard error."""
+    click.echo(f"stairhatch: {reason}", err=True)
+    sys.exit(code)
+
+
+@contextlib.contextmanager
+def failing_with(code: int, *errors: type[Exception]) -> Iterator[None]:
+    """End the command in one plain line where one of these errors is raised."""
+    try:
+        yield
+    except errors as error:
+        fail(code, error)
+
+
+def read_config(file: str) -> Config:
+    """Return the appliance's configuration; one that cannot be used ends the command."""
+    with failing_with(EXIT_UNUSABLE, ConfigError):
+        return read_appliance(file, dict(os.environ))
+
+
+def admin_address(file: str) -> tuple[str, int]:
+    """Return the address of the admin endpoint in a configuration; without one the command ends."""
+    config = read_config(file)
+    if config.console is None:
+        fail(EXIT_UNUSABLE, f"{file}: console is not set: the door is where this is asked")
+    return config.console
+
+
+def optional_address(text: str, option: str) -> tuple[str, int] | None:
+    """Return the address that an option gives, None where it is empty."""
+    from stairhatch.node.address import AddressError, parse_address
+
+    try:
+        return parse_address(text) if text else None
+    except AddressError as error:
+        raise click.BadParameter(str(error), param_hint=option) from error
+
+
+def seed_range(text: str) -> range:
+    """Return the seeds of A-B, or of A alone."""
+    first, _, last = text.partition("-")
+    try:
+        seeds = range(int(first), int(last or first) + 1)
+    except ValueError as error:
+        raise click.BadParameter(f"{text!r}: give A-B", param_hint="--seeds") from error
+    if not seeds:
+        raise click.BadParameter(f"{text!r}: there is none in it", param_hint="--seeds")
+    return seeds
--- /dev/null
+++ b/stairhatch/cli/conform.py
@@ -0,0 +1,67 @@
+"""`stairhatch conform`: the SIP conformance suite, in process or against a program on this machine."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, NoReturn
+
+import click
+
+from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
+
+if TYPE_CHECKING:
+    from stairhatch.conform.cases import Case
+    from stairhatch.conform.run import Result
+
+
+@click.command()
+@click.option("--udp", default="", help="host:port of a program to ask over UDP")
+@click.option("--tcp", default="", help="host:port of a program to ask over TCP")
+@click.option("--only", default="", help="cases whose name begins so, or whose section does")
+@click.option("--slow", is_flag=True, help="over sockets, also the cases that wait for long")
+@click.option("--users", is_flag=True, help="the program asks for users: play the cases about that")
+@click.option("--faults", is_flag=True, help="plant each known fault and show which case finds it")
+@click.option("--junit", type=click.Path(path_type=Path), help="write the results as JUnit XML")
+def conform(udp: str, tcp: str, only: str, slow: bool, users: bool, faults: bool, junit: Path | None) -> None:
+    """Play the conformance suite, in process or against a program on this machine."""
+    from stairhatch.conform import suite
+    from stairhatch.conform.cases import CaseError, read_cases
+
+    with failing_with(EXIT_UNUSABLE, CaseError, ValueError):
+        cases = [each for each in read_cases() if each.name.startswith(only) or each.section.startswith(only)]
+        if faults:
+            _show_mutations(cases)
+        if udp or tcp:
+            udp_address = optional_address(udp, "--udp")
+            tcp_address = optional_address(tcp, "--tcp")
+            results = suite.run_outside(cases, udp_address, tcp_address, slow=slow, has_auth=users)
+        else:
+            results = suite.run_inside(cases)
+    _show_results(results, junit)
+
+
+def _show_mutations(cases: list[Case]) -> NoReturn:
+    """Print which case finds each planted fault, and end."""
+    from stairhatch.conform import suite
+
+    finders = {fault: suite.finder(cases, fault) for fault in suite.FAULTS}
+    for fault, case in finders.items():
+        click.echo(f"{fault:56} {case or 'NOT FOUND'}")
+    click.echo(f"{sum(map(bool, finders.values()))} of {len(finders)} planted faults found")
+    sys.exit(EXIT_OK if all(finders.values()) else EXIT_FOUND_WRONG)
+
+
+def _show_results(results: list[Result], junit: Path | None) -> NoReturn:
+    """Print the results, write them as JUnit XML if that is asked for, and end."""
+    from stairhatch.conform import report
+
+    click.echo(report.failures(results), nl=False)
+    click.echo(report.table(results))
+    failed, skipped = (
+        sum(map(bool, column)) for column in zip(*((r.why, r.skipped) for r in results), strict=True)
+    )
+    click.echo(f"{len(results) - failed - skipped} passed, {failed} failed, {skipped} skipped")
+    if junit is not None:
+        junit.write_text(report.junit(results), encoding="utf-8")
+    sys.exit(EXIT_FOUND_WRONG if failed else EXIT_OK)
--- /dev/null
+++ b/stairhatch/cli/demo.py
@@ -0,0 +1,29 @@
+"""`stairhatch demo`: the appliance between emulated roster servers and callers."""
+
+from __future__ import annotations
+
+import os
+import sys
+
+import click
+
+from stairhatch.cli.common import EXIT_UNUSABLE, failing_with
+from stairhatch.config.model import ConfigError
+
+
+@click.command()
+@click.option("--udp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
+@click.option("--tcp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
+@click.option("--rate", default=3.0, show_default=True, help="calls a second from stand-in callers")
+@click.option("--seconds", default=0.0, help="end by itself after so long")
+@click.option("--users", "auth", default="", help="a file of users: only those may call (realm stairhatch)")
+@click.option("--quiet", is_flag=True, help="place no calls: something else will, such as `conform`")
+def demo(udp: str, tcp: str, rate: float, seconds: float, auth: str, quiet: bool) -> None:
+    """Run the appliance with two embedded stand-in roster servers and a few calls a second, and tell."""
+    import uvloop
+
+    from stairhatch.demo.run import Demo, demonstrate
+
+    users = os.path.abspath(auth) if auth else ""
+    with failing_with(EXIT_UNUSABLE, ConfigError):
+        sys.exit(uvloop.run(demonstrate(Demo(udp, tcp, 0.0 if quiet else rate, seconds, users), click.echo)))
--- /dev/null
+++ b/stairhatch/cli/experiment.py
@@ -0,0 +1,36 @@
+"""`stairhatch experiment`: carry out an experiment of many loads and keep its runs."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import click
+
+from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with
+
+
+@click.command()
+@click.argument("file", type=click.Path(path_type=Path))
+@click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
+@click.option(
+    "--short", type=click.FloatRange(0.01, 1.0), help="this part of each run's time, and one repeat"
+)
+def experiment(file: Path, out: Path, short: float | None) -> None:
+    """Carry out the experiment that FILE describes; keep every run as JSON, a table and a chart under --out.
+    Exit code 1: a rule was broken, or a run proves nothing.
+    """
+    from stairhatch.load.experiment import carry_out, keep, read_experiment, smaller
+    from stairhatch.load.plan import PlanError
+    from stairhatch.load.report import run_line
+    from stairhatch.load.run import LoadError
+
+    command = f"stairhatch experiment {file.name}" + (f" --short {short}" if short else "")
+    with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
+        plan = read_experiment(file)
+        plan = smaller(plan, short) if short is not None else plan
+        runs = carry_out(plan, lambda run, done, of: click.echo(run_line(run, done, of)))
+        kept_in = keep(plan, runs, out, command)
+    click.echo(f"kept in {kept_in}")
+    is_wrong = any(each.broken or each.figures["void"] for each in runs)
+    sys.exit(EXIT_FOUND_WRONG if is_wrong else EXIT_OK)
--- /dev/null
+++ b/stairhatch/cli/lab.py
@@ -0,0 +1,240 @@
+"""`stairhatch lab`: softswitches with faults between them, on real processes or on a virtual clock."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Mapping
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, NoReturn
+
+import click
+
+from stairhatch.cli.common import (
+    EXIT_FOUND_WRONG,
+    EXIT_INTERRUPTED,
+    EXIT_OK,
+    EXIT_UNUSABLE,
+    fail,
+    failing_with,
+    seed_range,
+)
+
+if TYPE_CHECKING:
+    from stairhatch.fault_injection.run_batch import RunResult, RunSummary
+
+MAX_VIOLATIONS = 3  # of a run that are printed
+MAX_FAILED_SEEDS = 20  # of a trial that are printed
+
+
+@click.group()
+def lab() -> None:
+    """Several softswitches of this program with faults between them, and rules read off what happened."""
+
+
+def _activations(runs_by_activation: Mapping[str, int]) -> str:
+    """Return the line that tells in how many runs each fault did something."""
+    counts = ", ".join(f"{name} {runs}" for name, runs in sorted(runs_by_activation.items()))
+    return f"runs in which each fault bit: {counts}"
+
+
+def _show_summary(summary: RunSummary, as_json: bool) -> NoReturn:
+    """Print the sum of the runs, and end."""
+    if as_json:
+        click.echo(json.dumps(summary.to_json_dict()))
+    else:
+        for run in summary.failed:
+            click.echo(f"seed {run.seed}: BROKEN {'; '.join(run.violations[:MAX_VIOLATIONS])} {run.kept_in}")
+        for run in summary.not_carried_out:
+            click.echo(f"seed {run.seed}: not carried out: {run.error}")
+        calls = ", ".join(f"{count} {name}" for name, count in summary.calls.items())
+        click.echo(_activations(summary.runs_by_activation))
+        click.echo(f"calls: {calls}; claims were held {summary.holds} times")
+        good = summary.runs - len(summary.failed) - len(summary.not_carried_out)
+        click.echo(
+            f"{good} of {summary.runs} runs good, "
+            f"{summary.beyond_drift_bound} beyond the drift bound, {summary.duration_s:.0f} s"
+        )
+    sys.exit(EXIT_FOUND_WRONG if summary.failed or summary.not_carried_out else EXIT_OK)
+
+
+@lab.command("run")
+@click.argument("file", required=False, type=click.Path(path_type=Path))
+@click.option("--seeds", default="", help="A-B: schedules drawn from these seeds, in place of FILE")
+@click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="runs side by side")
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
+@click.option("--keep", type=click.Path(path_type=Path), help="keep histories and time lines there")
+@click.option("--json", "as_json", is_flag=True, help="the sum as one JSON object")
+@click.option("--progress", is_flag=True, help="show how far it is")
+def lab_run(
+    file: Path | None,
+    seeds: str,
+    jobs: int,
+    members: int,
+    scale: float,
+    keep: Path | None,
+    as_json: bool,
+    progress: bool,
+) -> None:
+    """Start real softswitches with stand-ins around them and carry out the timeline of FILE, or those drawn
+    from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
+    """
+    from stairhatch.fault_injection import run_batch
+    from stairhatch.fault_injection.errors import ScheduleError
+    from stairhatch.fault_injection.schedule import read_schedule
+
+    if (file is None) is (not seeds):
+        raise click.UsageError("give either FILE or --seeds A-B")
+    try:
+        with failing_with(EXIT_UNUSABLE, ScheduleError):
+            if file is not None:
+                request = run_batch.RunRequest(read_schedule(file), 1, keep, keep is not None)
+                summary = run_batch.RunSummary()
+                summary.add(run_batch.carry_out(request))
+            else:
+                options = run_batch.BatchOptions(members=members, scale=scale, keep_in=keep)
+                on_result = _show_progress if progress else _show_nothing
+                summary = run_batch.run_many(seed_range(seeds), jobs, options, on_result)
+    except KeyboardInterrupt:
+        fail(EXIT_INTERRUPTED, "broken off; what was started has been ended")
+    _show_summary(summary, as_json)
+
+
+def _show_progress(summary: RunSummary, run: RunResult) -> None:
+    not_good = len(summary.failed) + len(summary.not_carried_out)
+    click.echo(f"\r{summary.runs} runs, {not_good} not good, seed {run.seed} last ", nl=False, err=True)
+
+
+def _show_nothing(summary: RunSummary, run: RunResult) -> None:
+    pass
+
+
+@lab.command("replay")
+@click.argument("seed", type=int)
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
+@click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
+def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
+    """Carry out the run of SEED once more, keep all of it and show who held what."""
+    from stairhatch.fault_injection import run_batch
+    from stairhatch.fault_injection.schedule_generator import draw_schedule
+
+    request = run_batch.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
+    for event in request.schedule.faults:
+        where = " ".join(each for each in (event.member, event.peer, *event.members) if each)
+        click.echo(f"{event.at_s:7.2f} s {event.kind.value} {where} for {event.duration_s:.2f} s")
+    summary = run_batch.RunSummary()
+    summary.add(run_batch.carry_out(request))
+    folder = keep / f"run-{seed}"
+    if (folder / "timeline.txt").exists():
+        click.echo((folder / "timeline.txt").read_text(), nl=False)
+        click.echo(f"kept in {folder}")
+    _show_summary(summary, as_json=False)
+
+
+@lab.command("check")
+@click.argument("folder", type=click.Path(path_type=Path))
+def lab_check(folder: Path) -> None:
+    """Judge once more what a run has kept, and show who held what."""
+    from stairhatch.fault_injection.errors import RunError
+    from stairhatch.fault_injection.run_files import check_kept_run
+
+    with failing_with(EXIT_UNUSABLE, RunError):
+        broken, shown = check_kept_run(folder)
+    click.echo(shown, nl=False)
+    for each in broken:
+        click.echo(f"BROKEN {each.rule} at {each.at_s:.3f}: {each.explanation}")
+    click.echo(f"{len(broken)} broken")
+    sys.exit(EXIT_FOUND_WRONG if broken else EXIT_OK)
+
+
+@lab.command("trial")
+@click.option("--seeds", default="0-199", show_default=True, help="A-B")
+@click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="processes")
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--planted", default="", help="with this fault in the decisions; `list` names them")
+@click.option("--faults", is_flag=True, help="plant each fault and show after how many seeds it is found")
+def lab_trial(seeds: str, jobs: int, members: int, planted: str, faults: bool) -> None:
+    """The same decisions on a virtual clock, from seeds. Exit code 1: a rule was broken (with --faults: a
+    fault was not found).
+    """
+    from stairhatch.fault_injection.mutations import MUTATIONS
+    from stairhatch.fault_injection.trial import TrialOptions, run_seeds
+
+    chosen = seed_range(seeds)
+    if planted == "list":
+        click.echo("\n".join(MUTATIONS))
+        return
+    if planted and planted not in MUTATIONS:
+        raise click.BadParameter(f"there is no fault called {planted!r}: try list", param_hint="--planted")
+    if faults:
+        _try_mutations(chosen, jobs, members)
+    summary = run_seeds(chosen, TrialOptions(members=members, mutation=planted), jobs)
+    for run in summary.failed[:MAX_FAILED_SEEDS]:
+        click.echo(f"seed {run.seed}: BROKEN {run.violations[0].rule}: {run.violations[0].explanation}")
+    click.echo(_activations(summary.runs_by_activation))
+    click.echo(
+        f"{summary.runs - len(summary.failed)} of {summary.runs} runs good, "
+        f"{summary.beyond_drift_bound} beyond the drift bound, "
+        f"claims were held {summary.holds} times, {summary.duration_s:.1f} s"
+    )
+    sys.exit(EXIT_FOUND_WRONG if summary.failed else EXIT_OK)
+
+
+def _try_mutations(seeds: range, jobs: int, members: int) -> NoReturn:
+    """Print after how many seeds each planted fault breaks a rule, and end."""
+    from stairhatch.fault_injection.mutations import MUTATIONS
+    from stairhatch.fault_injection.trial import TrialOptions, run_seeds
+
+    missed = 0
+    for name in MUTATIONS:
+        options = TrialOptions(members=members, mutation=name)
+        summary = run_seeds(seeds, options, jobs, until_violation=True)
+        rule = summary.failed[0].violations[0].rule if summary.failed else ""
+        click.echo(f"{name:52} {f'{summary.runs:5} seeds, {rule}' if rule else 'NOT FOUND'}")
+        missed += not rule
+    click.echo(f"{len(MUTATIONS) - missed} of {len(MUTATIONS)} planted faults found")
+    sys.exit(EXIT_FOUND_WRONG if missed else EXIT_OK)
+
+
+@lab.command("explore")
+@click.option("--depth", default=8, show_default=True, type=click.IntRange(1, 40))
+@click.option("--crashes", default=0, show_default=True, help="of voters, on one path")
+@click.option("--copies", default=0, show_default=True, help="of messages")
+@click.option("--slow", default=0, show_default=True, help="writes that take their time")
+@click.option("--steps", default=0, show_default=True, help="of the clock, to what is due next")
+@click.option("--leaps", default=1, show_default=True, help="of the clock, past the end of a promise")
+@click.option("--held", is_flag=True, help="begin with a claim that is held")
+@click.option("--seconds", default=60.0, show_default=True, help="stop after so long")
+@click.option("--planted", default="", help="with this fault in the decisions")
+def lab_explore(planted: str, **bounds: Any) -> None:
+    """Every order of events in a small world, to a depth. Exit code 1: a rule was broken, or not all was
+    seen.
+    """
+    from stairhatch.fault_injection import state_exploration
+    from stairhatch.fault_injection.mutations import MUTATIONS, mutation_applied
+
+    if planted and planted not in MUTATIONS:
+        raise click.BadParameter(f"there is no fault called {planted!r}", param_hint="--planted")
+    with mutation_applied(planted):
+        found = state_exploration.explore(
+            state_exploration.ExplorationBounds(
+                depth=bounds["depth"],
+                crashes=bounds["crashes"],
+                duplicates=bounds["copies"],
+                slow_writes=bounds["slow"],
+                clock_steps=bounds["steps"],
+                clock_leaps=bounds["leaps"],
+                seconds=bounds["seconds"],
+                begins_held=bounds["held"],
+            )
+        )
+    if found.violation:
+        click.echo(f"BROKEN {found.violation}, after: {', '.join(found.path)}")
+    click.echo(
+        f"{found.states} states, {'all' if found.complete else 'not all'} there are; "
+        f"in {found.states_with_holder} it was held, "
+        f"{found.takeovers} times taken over, {found.states_after_crash} behind a crash"
+    )
+    sys.exit(EXIT_OK if found.complete and not found.violation else EXIT_FOUND_WRONG)
--- /dev/null
+++ b/stairhatch/cli/load.py
@@ -0,0 +1,47 @@
+"""`stairhatch load`: place the calls of a plan and check the rules."""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+import click
+
+from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
+
+
+def _progress(shown: bool, seconds: float) -> Callable[[float], None]:
+    """Return what shows how far a load is, where there is a terminal to show it on."""
+    if not shown:
+        return lambda _: None
+    return lambda passed: click.echo(f"\r{passed:6.1f} of {seconds:g} s", nl=False, err=True)
+
+
+@click.command()
+@click.argument("plan", type=click.Path(path_type=Path))
+@click.option("--udp", default="", help="host:port of a program on this machine to call over UDP")
+@click.option("--tcp", default="", help="host:port of a program on this machine to call over TCP")
+@click.option("--seed", default=1, show_default=True, help="the same seed draws the same calls")
+@click.option(
+    "--workers", default=2, show_default=True, type=click.IntRange(1, 64), help="processes that call"
+)
+@click.option("--json", "as_json", is_flag=True, help="all figures as one JSON object")
+@click.option("--progress", is_flag=True, help="show how far it is")
+def load(plan: Path, udp: str, tcp: str, seed: int, workers: int, as_json: bool, progress: bool) -> None:
+    """Place the calls of PLAN. Without an address the appliance and its roster servers are started for it,
+    and the rules are read off both sides. Exit code 1: a rule was broken, or the run proves nothing.
+    """
+    from stairhatch.load.plan import PlanError, Transport, read_plan
+    from stairhatch.load.report import lines
+    from stairhatch.load.run import LoadError, Setup, run
+
+    given = {Transport.UDP: optional_address(udp, "--udp"), Transport.TCP: optional_address(tcp, "--tcp")}
+    with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
+        load_plan = read_plan(plan)
+        addresses = {transport: address for transport, address in given.items() if address is not None}
+        setup = Setup(load_plan, seed, workers, addresses)
+        report = run(setup, _progress(progress and sys.stderr.isatty(), load_plan.seconds))
+    click.echo(json.dumps(report.figures()) if as_json else lines(report), nl=as_json)
+    sys.exit(EXIT_FOUND_WRONG if report.broken or report.void() else EXIT_OK)
--- /dev/null
+++ b/stairhatch/cli/users.py
@@ -0,0 +1,60 @@
+"""`stairhatch users`: the file of SIP users, changed by command."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import click
+
+from stairhatch.cli.common import EXIT_FOUND_WRONG, failing_with
+
+
+@click.group()
+def users() -> None:
+    """Who may call: a file of hashes, named by `sip.auth.users`."""
+
+
+@users.command("add")
+@click.argument("file", type=click.Path(path_type=Path))
+@click.argument("name")
+@click.option("--realm", required=True, help="as `sip.auth.realm` has it")
+@click.option("--md5", is_flag=True, help="also a hash for old telephones that know MD5 alone")
+@click.option(
+    "--stdin", "from_stdin", is_flag=True, help="read the password from the first line of standard input"
+)
+def users_add(file: Path, name: str, realm: str, md5: bool, from_stdin: bool) -> None:
+    """Add NAME to FILE, or give it a new password. The password is asked for and not kept."""
+    from stairhatch.sip.auth import UsersError
+    from stairhatch.users import add
+
+    if from_stdin:
+        password = sys.stdin.readline().rstrip("\r\n")
+    else:
+        password = click.prompt("password", hide_input=True, confirmation_prompt=True)
+    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+        click.echo(add(file, name, realm, password, md5))
+
+
+@users.command("remove")
+@click.argument("file", type=click.Path(path_type=Path))
+@click.argument("name")
+@click.option("--realm", default="", help="of this realm alone")
+def users_remove(file: Path, name: str, realm: str) -> None:
+    """Take NAME out of FILE."""
+    from stairhatch.sip.auth import UsersError
+    from stairhatch.users import remove
+
+    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+        click.echo(remove(file, name, realm))
+
+
+@users.command("list")
+@click.argument("file", type=click.Path(path_type=Path))
+def users_list(file: Path) -> None:
+    """The users in FILE, with realm and algorithms."""
+    from stairhatch.sip.auth import UsersError
+    from stairhatch.users import list_users
+
+    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+        click.echo(list_users(file))
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 
-from stairhatch.cli import main_group
+from stairhatch.cli.main import main_group
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import ConfigError
 from stairhatch.node import message as sip
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 import pytest
 from click.testing import CliRunner
 
-from stairhatch.cli import main_group
+from stairhatch.cli.main import main_group
 from stairhatch.scale import run, world
 from stairhatch.scale.plan import ScaleError, plan_from, read_plan, twin
 from stairhatch.scale.real import Processes
