--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,13 +38,15 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
+from stairhatch.fault_injection.schedule import Schedule
+from stairhatch.fault_injection.world import LIST, World
 from stairhatch.fleet.messages import Codec
-from stairhatch.lab.schedule import Schedule
-from stairhatch.lab.world import LIST, World
 from stairhatch.node import message as sip
-from stairhatch.node.core import CallManager, Counters, ServerRecord
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
 from stairhatch.node.directory import Directory
-from stairhatch.node.net import Network
+from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
