--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,16 +38,17 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from benchmarks import capacity
-from stairhatch.fault_injection.schedule import Schedule
-from stairhatch.fault_injection.world import LIST, World
-from stairhatch.fleet.messages import Codec
+from stairhatch.components import steady_unix_clock
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
+from stairhatch.fleet.messages import FleetCodec
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
@@ -65,8 +66,7 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
-from stairhatch.service import unix_clock
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
 from stairhatch.standin.roster import Link, StandIn
@@ -113,7 +113,7 @@
     """The decisions of one softswitch, with servers that answer at once and tell their state now and then."""
 
     def __init__(self, make: Decisions, listed: int, service: int = SERVICE) -> None:
-        self.settings = settings_from(raw_settings(listed, service))[0]
+        self.settings = settings_from_object(raw_settings(listed, service)).settings
         self.chance = random.Random(1)
         self.decisions = make(self.settings, random.Random(2))
         self.lines = tuple(EndpointRecord(index + 1, index) for index in range(listed))
@@ -215,14 +215,14 @@
     alone.answers = False
     for _ in range(40 * SERVICE):  # their windows are full, and are not moved by an answer
         alone.offer(1, grace_s=600.0)
-    waiting = alone.decisions.waiting
+    waiting = alone.decisions.pending
     while len(waiting) < size:
         alone.offer(1, grace_s=600.0)
     while len(waiting) > size:
         alone.tell("left", CallAbandoned(next(iter(waiting))))
-    for call in waiting.values():  # they are held through the run
-        call.hold_by = call.answer_by
-    alone.decisions.holds.clear()
+    for call in waiting.calls.values():  # they are held through the run
+        call.queue_until = call.answer_by
+    waiting.deadlines.clear()
     alone.answers = True
     found = alone.run(0.4, RATE)
     if len(waiting) != size:
@@ -379,7 +379,11 @@
 def bare_core() -> CallManager:
     """A core without fronts."""
     return CallManager(
-        settings_from(raw_settings(24))[0], random.Random(1), unix_clock(), lambda *a, **k: None, Counters()
+        settings_from_object(raw_settings(24)).settings,
+        random.Random(1),
+        steady_unix_clock(),
+        lambda *a, **k: None,
+        Counters(),
     )
 
 
@@ -388,17 +392,17 @@
     heard: dict[int, tuple[int, float]] = {}
     for index in range(count):
         core = bare_core()
-        core.side = Beside()  # type: ignore[assignment]
+        core.servers.pool = Beside()  # type: ignore[assignment]
         network = Network(core)
-        directory = Directory(core, place, 0)
-        inner = core.list_servers
+        directory = ServiceDiscoveryClient(core, place, 0)
+        inner = core.update_servers
 
         def listed(lines: Any, complete: bool, index: int = index, inner: Any = inner) -> None:
             inner(lines, complete)
             heard[index] = heard.get(index, (0, 0.0))[0] + 1, time.time()
 
-        core.list_servers = listed  # type: ignore[method-assign]
-        network.spawn(network.follow(directory))
+        core.update_servers = listed  # type: ignore[method-assign]
+        network.spawn(network.poll_service_discovery(directory))
 
     def answer(what: str) -> Any:
         return min((events for events, _ in heard.values()), default=0) if len(heard) == count else 0, max(
@@ -414,11 +418,11 @@
     for _ in range(count):
         core = bare_core()
         RosterSide(core, Network(core).dial)
-        core.list_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
+        core.update_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
         cores.append(core)
 
     def answer(what: str) -> Any:
-        return sum(core.servers[1].connected for core in cores)
+        return sum(core.servers.by_id[1].connected for core in cores)
 
     return None, answer
 
@@ -724,7 +728,7 @@
     """Seconds from a change told by the coordinator until the softswitch has taken it in."""
     one = {**where.lines[-1 - turn], "lifecycle": "terminating"}
     at, words = where.directory.ask("tell", one), f"server={one['instanceId']}"
-    return float(until(lambda: max(0.0, where.when("listed", words) - at), "a change", SERVES_S))
+    return float(until(lambda: max(0.0, where.when("server_listed", words) - at), "a change", SERVES_S))
 
 
 def program_by_rate(size: int, told: argparse.Namespace) -> dict[str, float]:
@@ -829,7 +833,10 @@
 def run_inside() -> int:
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
+    from stairhatch.node.attempts import AttemptManager
     from stairhatch.node.roster import RosterLink
+    from stairhatch.node.server_responses import ServerResponses
+    from stairhatch.node.timer_wheel import TimerWheel
     from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
@@ -853,8 +860,12 @@
 
     timed(TrunkConnection, "receive", "parse")
     timed(Controller, "handle", "decide", whole=True)
-    for method in ("offer", "answered", "finished", "caller_released", "tick", "may_write"):
-        timed(CallManager, method, "core")
+    timed(CallManager, "offer_call", "core")
+    timed(CallManager, "release", "core")
+    timed(ServerResponses, "call_established", "core")
+    timed(ServerResponses, "call_released", "core")
+    timed(TimerWheel, "run_due", "core")
+    timed(AttemptManager, "claim_transmission", "core")
     timed(RosterLink, "pull", "ask")
     timed(TrunkConnection, "pull", "answer")
     timed(RosterLink, "receive", "states")
@@ -868,9 +879,9 @@
             other = path.with_suffix(".new")
             other.write_text(json.dumps({**spent, "at": time.monotonic()}))
             other.replace(path)
-            self.at(self.clock() + 0.25, tell)
+            self.timers.schedule(self.clock() + 0.25, tell)
 
-        self.at(self.clock() + 0.25, tell)
+        self.timers.schedule(self.clock() + 0.25, tell)
 
     CallManager.__init__ = begin  # type: ignore[method-assign]
     sys.argv[1:] = []
@@ -939,8 +950,8 @@
 def of_voter(size: int, told: argparse.Namespace) -> dict[str, float]:
     """By members of claims with three voters, on the virtual clock, once nearly all numbers are held."""
     names = tuple(f"s{index}" for index in range(size))
-    voters, codec = names[:3], Codec("fleet", b"0123456789abcdef")
-    world = World(Schedule(1e9, names, voters), 1)
+    voters, codec = names[:3], FleetCodec("fleet", b"0123456789abcdef")
+    world = VirtualCluster(FaultSchedule(1e9, names, voters), 1)
     counts: Counter[str] = Counter()
     window: list[float] = []
     held_at: list[float] = []
@@ -948,11 +959,11 @@
     class Done(Exception):  # noqa: N818 - it ends a run that has what it wants
         """The window is over."""
 
-    for box in world.boxes.values():
+    for box in world.members.values():
         box.work = lambda: None  # type: ignore[method-assign]
     for name in voters:
-        box = world.boxes[name]
-        take, look = box.take, box.look
+        box = world.members[name]
+        take, look = box.receive, box.tick
         deep = [False]
 
         def timed(act: Callable[..., None], deep: list[bool]) -> Callable[..., None]:
@@ -966,9 +977,9 @@
 
             return run
 
-        box.take = timed(take, deep)  # type: ignore[method-assign]
-        box.look = timed(look, deep)  # type: ignore[method-assign]
-    send = world.send
+        box.receive = timed(take, deep)  # type: ignore[method-assign]
+        box.tick = timed(look, deep)  # type: ignore[method-assign]
+    send = world.shared.network.send
 
     def counted(sender: str, to: str, message: Any) -> None:
         if window:
@@ -979,28 +990,30 @@
                 counts[f"{role} bytes"] += size_of
         send(sender, to, message)
 
-    world.send = counted  # type: ignore[method-assign]
+    world.shared.network.send = counted  # type: ignore[method-assign]
 
     def look_whether() -> None:
-        held = world.holds()
-        if LIST in held and len(held) >= 0.99 * size:
-            held_at.append(world.now)
-            world.at(world.now + SETTLED_TERMS * world.schedule.term_s, begin)
+        held = world.holders_by_lease()
+        if ENDPOINT_LIST_LEASE in held and len(held) >= 0.99 * size:
+            held_at.append(world.shared.queue.now)
+            world.shared.queue.schedule_at(
+                world.shared.queue.now + SETTLED_TERMS * world.shared.schedule.lease_duration_s, begin
+            )
         else:
-            world.at(world.now + 0.25, look_whether)
+            world.shared.queue.schedule_at(world.shared.queue.now + 0.25, look_whether)
 
     def begin() -> None:
-        window.append(world.now)
+        window.append(world.shared.queue.now)
         counts["used"] = 0
-        world.at(world.now + told.seconds, done)
+        world.shared.queue.schedule_at(world.shared.queue.now + told.seconds, done)
 
     def done() -> None:
         raise Done
 
-    world.at(0.5, look_whether)
+    world.shared.queue.schedule_at(0.5, look_whether)
     with suppress(Done):
         world.run()
-    passed, others = world.now - window[0], max(1, size - 3)
+    passed, others = world.shared.queue.now - window[0], max(1, size - 3)
     return {
         "voter_messages_by_members": counts["voter messages"] / 3 / passed,
         "voter_bytes_by_members": counts["voter bytes"] / 3 / passed,
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -1,96 +1,95 @@
-"""Many runs on the virtual clock: owns which seeds, in how many processes, and what is summed up. A run is
-told wholly by its seed, its number of members and the fault that is planted.
+"""Many runs on the virtual clock, from seeds: which seeds, in how many processes, and their sum.
+
+A run depends on nothing but its seed and its `TrialOptions`.
 """
 
 from __future__ import annotations
 
 import multiprocessing
 import time
-from collections import Counter
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from stairhatch.fault_injection.lease_rules import RuleViolation, find_unheld, find_violations, hold_intervals
+from stairhatch.fault_injection.mutations import mutation_applied
+from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE
+from stairhatch.fault_injection.schedule_generator import draw_schedule
+from stairhatch.fault_injection.summary import Summary
+from stairhatch.fault_injection.virtual_cluster import VirtualCluster
+
+SEEDS_A_TASK = 2  # that a worker process takes at a time
 
-from stairhatch.fault_injection.planted import planted
-from stairhatch.fault_injection.rules import Broken, check, stretches, unheld
-from stairhatch.fault_injection.schedule import draw
-from stairhatch.fault_injection.world import LIST, World
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class TrialOptions:
+    """What tells the runs of one trial beside their seeds."""
+
+    members: int = 5
+    mutation: str = ""  # the name of a mistake put into the decisions; none where empty
+    voter_changes_only: bool = False  # no faults but two changes of the voter set
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class TrialResult:
     """What came of one seed."""
 
     seed: int
-    broken: tuple[Broken, ...]
-    bites: dict[str, int]
-    holders: int  # stretches of claims held
-    within_drift: bool
-
-
-@dataclass
-class Sum:
-    """What came of many."""
-
-    runs: int = 0
-    broken: list[Ran] = field(default_factory=list)
-    bitten: Counter[str] = field(default_factory=Counter)  # runs in which a fault did something
-    beyond: int = 0
-    holders: int = 0
-    seconds: float = 0.0
-
-    def add(self, ran: Ran) -> None:
-        """One more."""
-        self.runs += 1
-        self.beyond += not ran.within_drift
-        self.holders += ran.holders
-        self.bitten.update(name for name, often in ran.bites.items() if often)
-        if ran.broken:
-            self.broken.append(ran)
-
-
-def run_seed(seed: int, members: int = 5, fault: str = "", lists_only: bool = False) -> Ran:
-    """One run."""
-    with planted(fault):
-        schedule = draw(seed, members=members, lists_only=lists_only)
-        world = World(schedule, seed)
-        lines = world.run()
-    broken = check(lines, within_drift=schedule.within_drift)
-    if schedule.heals:
-        last = schedule.seconds
-        broken += unheld(lines, [LIST], last - schedule.quiet_s / 2, last)
-    held = len(stretches(lines))
-    return Ran(seed, tuple(broken), dict(world.bites), held, schedule.within_drift)
-
-
-def _one(told: tuple[int, int, str, bool]) -> Ran:
-    return run_seed(*told)
+    violations: tuple[RuleViolation, ...]
+    activations: dict[str, int]  # how often each fault took effect
+    holds: int  # hold intervals of all leases
+    within_drift_bound: bool
+
+
+TrialSummary = Summary[TrialResult]
+DEFAULT_OPTIONS = TrialOptions()
+
+
+def run_seed(seed: int, options: TrialOptions = DEFAULT_OPTIONS) -> TrialResult:
+    """Run one seed and check the rules of leases over its history."""
+    with mutation_applied(options.mutation):
+        schedule = draw_schedule(seed, members=options.members, lists_only=options.voter_changes_only)
+        cluster = VirtualCluster(schedule, seed)
+        records = cluster.run()
+    violations = find_violations(records, within_drift_bound=schedule.within_drift_bound)
+    if schedule.expects_recovery:
+        ended_at = schedule.duration_s
+        quiet_since = ended_at - schedule.fault_free_s / 2
+        violations += find_unheld(records, [ENDPOINT_LIST_LEASE], quiet_since, ended_at)
+    return TrialResult(
+        seed,
+        tuple(violations),
+        dict(cluster.activations),
+        len(hold_intervals(records)),
+        schedule.within_drift_bound,
+    )
+
+
+def _run_task(task: tuple[int, TrialOptions]) -> TrialResult:
+    return run_seed(*task)
 
 
 def run_seeds(
     seeds: Iterable[int],
+    options: TrialOptions = DEFAULT_OPTIONS,
     jobs: int = 1,
-    members: int = 5,
-    fault: str = "",
-    until_broken: bool = False,
-    progress: Callable[[Sum], None] = lambda found: None,
-    lists_only: bool = False,
-) -> Sum:
-    """All of them, in order of their end."""
-    found, begun = Sum(), time.monotonic()
-    told = [(seed, members, fault, lists_only) for seed in seeds]
+    until_violation: bool = False,
+) -> TrialSummary:
+    """Run many seeds in order, in so many processes, perhaps only until one breaks a rule."""
+    summary = TrialSummary()
+    started_at = time.monotonic()
+    tasks = [(seed, options) for seed in seeds]
     if jobs <= 1:
-        runs: Iterable[Ran] = map(_one, told)
-        _gather(found, runs, until_broken, progress)
+        _add_results(summary, map(_run_task, tasks), until_violation)
     else:
         with multiprocessing.Pool(jobs) as pool:
-            _gather(found, pool.imap(_one, told, chunksize=2), until_broken, progress)
-    found.seconds = time.monotonic() - begun
-    return found
+            results = pool.imap(_run_task, tasks, chunksize=SEEDS_A_TASK)
+            _add_results(summary, results, until_violation)
+    summary.duration_s = time.monotonic() - started_at
+    return summary
 
 
-def _gather(found: Sum, runs: Iterable[Ran], until_broken: bool, progress: Callable[[Sum], None]) -> None:
-    for ran in runs:
-        found.add(ran)
-        progress(found)
-        if until_broken and ran.broken:
+def _add_results(summary: TrialSummary, results: Iterable[TrialResult], until_violation: bool) -> None:
+    for result in results:
+        summary.add(result)
+        if until_violation and result.violations:
             return
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale/plan.py
@@ -19,10 +19,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from stairhatch.fault_injection.schedule import Event as Cut
-from stairhatch.fault_injection.schedule import Fault, cuts
+from stairhatch.fault_injection.schedule import FaultKind, blocks_traffic
+from stairhatch.fault_injection.schedule import ScheduledFault as Cut
 from stairhatch.load.weather import Weather
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 
 MOST_DEPTH = 11
 NUMBERS = 1000  # the number called begins with this plus the service
@@ -269,7 +269,7 @@
 
 def read_settings(plan: Plan) -> Any:
     """The same as the program reads it."""
-    return settings_from(settings_for(plan))[0]
+    return settings_from_object(settings_for(plan)).settings
 
 
 class Places:
@@ -300,13 +300,13 @@
     def cut(self, event: Happens) -> Cut:
         """A cut as the lab has it, between zones or between regions."""
         if event.what is What.ZONE:
-            return Cut(event.at, Fault.SPLIT, lasts=event.lasts, names=(f"z{event.zone}",))
+            return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=(f"z{event.zone}",))
         side = tuple(f"z{z}" for z in range(self.plan.zones) if z % self.plan.regions == 0)
-        return Cut(event.at, Fault.SPLIT, lasts=event.lasts, names=side)
+        return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=side)
 
     def apart(self, cut: Cut, one: int, other: int) -> bool:
         """Whether a cut lies between two machines."""
-        return cuts(cut, f"z{self.zones[one]}", f"z{self.zones[other]}")
+        return blocks_traffic(cut, f"z{self.zones[one]}", f"z{self.zones[other]}")
 
 
 class Graph:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -15,28 +15,28 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.fault_injection.world import SYNC_S, Disk
-from stairhatch.fleet import service as fleet_service
-from stairhatch.fleet.claims import Terms
+from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
+from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
-from stairhatch.fleet.effects import Fence, Kept, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.service import Fleet
-from stairhatch.fleet.store import Found
-from stairhatch.node.call_manager import ENDED, CallManager
-from stairhatch.node.calls import Call, CallRequest
+from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes
+from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.runtime import FleetRuntime
+from stairhatch.fleet.store import StoredState
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
-from stairhatch.node.directory import Directory
-from stairhatch.node.io.network import (
-    CONNECT_S,
-    FIRST_BACKOFF_S,
-    LONGEST_BACKOFF_S,
-    LONGEST_POLL_BACKOFF_S,
-    REST_S,
+from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
+from stairhatch.node.io.persistent_connections import (
+    MAX_BACKOFF_S,
+    MAX_POLL_BACKOFF_S,
+    MIN_BACKOFF_S,
+    POLL_TURN_CHECK_S,
 )
 from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
@@ -227,26 +227,28 @@
 class HollowStore:
     """A voter's folder: what it was asked to keep is there a moment later."""
 
-    def __init__(self, world: World, disk: Disk) -> None:
+    def __init__(self, world: World, disk: VirtualDisk) -> None:
         self.world, self.disk, self.closed = world, disk, False
-        if not disk.folder:
-            disk.folder = f"{world.chance.getrandbits(64):016x}"
-        disk.life += 1
-        mark = Mark(disk.folder, disk.life, disk.made)
-        kept = Kept(mark, disk.admitted, tuple(disk.promises.values()), dict(disk.known), disk.roll)
-        self.found = Found(kept, dict(disk.fences))
-
-    def keep(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+        if not disk.storage_id:
+            disk.storage_id = f"{world.chance.getrandbits(64):016x}"
+        disk.incarnation += 1
+        mark = StorageVersion(disk.storage_id, disk.incarnation, disk.vote_count)
+        kept = PersistedState(
+            mark, disk.admitted, tuple(disk.votes.values()), dict(disk.known_versions), disk.voter_set
+        )
+        self.stored = StoredState(kept, dict(disk.fencing_tokens))
+
+    def persist(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         """Put it there, and say so."""
-        self.world.clock.call_later(self.world.chance.uniform(*SYNC_S), self._kept, what, done)
+        self.world.clock.call_later(self.world.chance.uniform(*DISK_SYNC_S), self._kept, what, done)
 
-    def _kept(self, what: Write | Fence, done: Callable[[str], None]) -> None:
+    def _kept(self, what: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
         if self.closed:
             return
-        if isinstance(what, Write):
-            self.disk.take(what)
+        if isinstance(what, PersistVotes):
+            self.disk.apply(what)
         else:
-            self.disk.fences[what.claim] = what.ticket
+            self.disk.fencing_tokens[what.lease] = what.fencing_token
         done("")
 
     def close(self) -> None:
@@ -262,7 +264,7 @@
 
 
 class Driver:
-    """Carries bytes between one machine of a softswitch and a stream, as `Network._run` with a socket."""
+    """Carries bytes between one machine of a softswitch and a stream, as `ConnectionRunner` with a socket."""
 
     part = "rest"
 
@@ -271,7 +273,7 @@
         self.clock, self.meter = self.world.clock, self.world.meter
         self.stream: Stream | None = None
         self.stopped = False
-        self.backoff = FIRST_BACKOFF_S
+        self.backoff = MIN_BACKOFF_S
         self.up_at = 0.0
         self._pulls = False
         softswitch.drivers[self] = None
@@ -296,7 +298,7 @@
         self.meter.enter(self.part)
         try:
             self.machine.receive_data(data)
-        except Exception as error:  # noqa: BLE001 - as `Network._run`: it ends this connection only
+        except Exception as error:  # noqa: BLE001 - as `ConnectionRunner.run`: it ends this connection only
             self.softswitch.core.counters.add("connection_faults")
             self.softswitch.log("fault", why=f"{type(error).__name__}: {error}")
             self._abort()
@@ -346,7 +348,7 @@
 
 
 class Keeper(Driver):
-    """Keeps a connection to a roster server, as `Network._keep`."""
+    """Keeps a connection to a roster server, as `ServerConnector.keep_up`."""
 
     part = "links"
 
@@ -392,18 +394,18 @@
             return
         self._wanted = self._wanted and self.link.urgent
         self._later(0.0 if self._wanted else self.backoff)
-        self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def over(self) -> None:
         """Dial again, sooner where it had been up for long."""
-        if self.clock.now - self.up_at > LONGEST_BACKOFF_S:
-            self.backoff = FIRST_BACKOFF_S
+        if self.clock.now - self.up_at > MAX_BACKOFF_S:
+            self.backoff = MIN_BACKOFF_S
             self._later(0.0)
         elif self.link.retired:
             self._later(0.0)
         else:
             self._later(self.backoff)
-            self.backoff = min(LONGEST_BACKOFF_S, 2 * self.backoff)
+            self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
     def _drop(self) -> None:
         self.softswitch.drivers.pop(self, None)
@@ -411,14 +413,14 @@
 
 
 class Follower(Driver):
-    """Keeps the long poll going, as `Network.follow`."""
+    """Keeps the long poll going, as `Network.poll_service_discovery`."""
 
     part = "list"
 
-    def __init__(self, softswitch: Softswitch, directory: Directory) -> None:
+    def __init__(self, softswitch: Softswitch, directory: ServiceDiscoveryClient) -> None:
         super().__init__(softswitch, directory)
         self.directory = directory
-        directory.hurry = self._hurry
+        directory.reconnect_now = self._hurry
         self._hurried = False
         self._answers = 0
         self._again: Due | None = None
@@ -438,28 +440,28 @@
         self._again, self._hurried = None, False
         if self.stopped:
             return
-        if self.directory.rests():
-            self._later(REST_S)
+        if self.directory.is_paused():
+            self._later(POLL_TURN_CHECK_S)
             return
-        self._answers = self.directory.answers
-        self.world.dial(self, self.directory.address, CONNECT_S, self._up, self._failed)
+        self._answers = self.directory.answers_received
+        self.world.dial(self, self.directory.address, CONNECT_TIMEOUT_S, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
         self.directory.connected()
         self.began(stream)
 
     def _failed(self, refused: bool) -> None:
-        self.softswitch.core.counters.add("directory_unreached")
+        self.softswitch.core.counters.add("discovery_unreachable")
         self.over()
 
     def over(self) -> None:
         """Ask again."""
         if self.stopped:
             return
-        if self._hurried or self.directory.answers > self._answers:
-            self.backoff = FIRST_BACKOFF_S
+        if self._hurried or self.directory.answers_received > self._answers:
+            self.backoff = MIN_BACKOFF_S
         self._later(0.0 if self._hurried else self.backoff)
-        self.backoff = min(LONGEST_POLL_BACKOFF_S, 2 * self.backoff)
+        self.backoff = min(MAX_POLL_BACKOFF_S, 2 * self.backoff)
 
 
 class HollowCaller:
@@ -496,11 +498,11 @@
     def released(self, cause: int) -> None:
         """The other side has ended it."""
         self.over = True
-        self.softswitch.world.traffic.tally.cut += cause != ENDED
+        self.softswitch.world.traffic.tally.cut += cause != ReleaseCause.NORMAL_CLEARING
 
     def _hang_up(self, life: int) -> None:
         if not self.over and self.call is not None and self.softswitch.life == life:
-            self.softswitch.core.caller_released(self.call, ENDED)
+            self.softswitch.core.release(self.call, ReleaseCause.NORMAL_CLEARING)
 
     def lose(self) -> None:
         """Its softswitch has gone."""
@@ -523,7 +525,7 @@
         """What its fleet takes for the loop."""
         return self
 
-    def datagrams(self, address: tuple[str, int], port: Any) -> None:
+    def open_datagram_port(self, address: tuple[str, int], port: Any) -> None:
         """What its fleet sends goes by the modelled wire."""
         own, world = self.softswitch, self.softswitch.world
 
@@ -535,7 +537,7 @@
                     arrive = partial(other.datagram, data, own.place)
                     world.net.datagram(own.index, other.index, arrive)
 
-        port.wake = send
+        port.notify_writable = send
 
 
 class Softswitch:
@@ -544,7 +546,7 @@
     def __init__(self, world: World, index: int) -> None:
         self.world, self.index = world, index
         self.name, self.place = f"s{index}", (f"s{index}", 5090)
-        self.disk = Disk()
+        self.disk = VirtualDisk()
         self.life = 0  # counts up with each start and each end
         self.on = True  # its machine
         self.running = False
@@ -554,7 +556,7 @@
         self.numbered = False  # it goes by a number that it holds
         self.heard: dict[str, int] = {}  # how many changes of each line have come
         self.core: CallManager
-        self.fleet: Fleet | None = None
+        self.fleet: FleetRuntime | None = None
         self.process: Life
         self.store: HollowStore | None = None
         self._timer: Due | None = None
@@ -568,7 +570,7 @@
 
     def log(self, event: str, **fields: object) -> None:
         """A line of its log."""
-        if event == "listed":
+        if event == "server_listed":
             self.world.listed(self, str(fields["server"]))
         elif event == "fleet" and fields.get("what") == "number":
             self.numbered = fields["number"] != "none"
@@ -587,11 +589,11 @@
         chance = random.Random(world.chance.getrandbits(64))
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
-        core.wake = self._arm
+        core.timers.on_earlier_due = self._arm
         RosterSide(core, lambda link: self._keep(link))
-        core.listening = True
+        core.readiness.listening = True
         region = world.places.region(self.index)
-        directory = Directory(core, world.coordinators[region].place, 0)
+        directory = ServiceDiscoveryClient(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
             self._join(plan, directory)
         Follower(self, directory)
@@ -600,19 +602,29 @@
     def _keep(self, link: RosterLink) -> None:
         Keeper(self, link)
 
-    def _join(self, plan: Plan, directory: Directory) -> None:
+    def _join(self, plan: Plan, directory: ServiceDiscoveryClient) -> None:
         told, voters = plan.fleet, self.world.voters
         assert told is not None
         config = FleetConfig(
-            "scale", self.name, self.place, voters, folder=Path(self.name) if self.name in voters else None,
-            terms=Terms(told.term_s, told.drift), numbers=told.numbers, list=told.list,
-        )  # fmt: skip
+            "scale",
+            self.name,
+            self.place,
+            voters,
+            data_directory=Path(self.name) if self.name in voters else None,
+            timings=LeaseTimings(told.term_s, told.drift),
+            lease_instance_index=told.numbers,
+            relay_endpoint_list=told.list,
+        )
         self.process = Life(self)
-        self.fleet = Fleet(self.core, self.process, config, self.world.settings)  # type: ignore[arg-type]
+        settings = self.world.settings
+        self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
         if told.list:
             self.fleet.directory = directory
-            directory.told, directory.may_ask = self.fleet.heard, self.fleet.may_ask
-        self.fleet.begin()
+            directory.on_answer, directory.may_poll = (
+                self.fleet.coordinator_answered,
+                self.fleet.may_poll_coordinator,
+            )
+        self.fleet.start()
 
     def open_store(self) -> HollowStore:
         """Its folder."""
@@ -632,7 +644,7 @@
         core.controller.handle = handle  # type: ignore[method-assign]
 
     def _arm(self) -> None:
-        due = self.core.next_due()
+        due = self.core.timers.next_due()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -642,16 +654,18 @@
     def _tick(self) -> None:
         self._timer = None
         with self.world.meter.of("timers"):
-            self.core.tick()
+            self.core.timers.run_due()
         self._arm()
 
     def offer(self, wanted: Wanted) -> None:
         """A call comes to its front."""
         traffic, world = self.world.traffic, self.world
-        if not self.running or self.core.awaits() or (self.core.ending and self.core.turns_away()):
+        readiness = self.core.readiness
+        started = self.running and readiness.startup_health().is_ready
+        if not started or (readiness.shutting_down and readiness.rejects_new_calls()):
             traffic.ended(wanted, End.UNREACHED, world.passed)
             return
-        if self.core.turns_away():
+        if readiness.rejects_new_calls():
             traffic.ended(wanted, End.REFUSED, world.passed)
             return
         caller = HollowCaller(self, wanted)
@@ -666,19 +680,19 @@
         )
         self.callers[wanted.serial] = caller
         with world.meter.of("calls"):
-            caller.call = self.core.offer(offer, caller)
-        if len(self.callers) > 2 * len(self.core.calls) + 64:
+            caller.call = self.core.offer_call(offer, caller)
+        if len(self.callers) > 2 * len(self.core.calls.by_number) + 64:
             self.callers = {n: each for n, each in self.callers.items() if self._open(each)}
 
     def _open(self, caller: HollowCaller) -> bool:
-        return caller.call is not None and caller.call.number in self.core.calls
+        return caller.call is not None and caller.call.number in self.core.calls.by_number
 
     def restart(self) -> bool:
         """A planned one: it drains, ends and comes again. Whether there was anything to restart."""
-        if not self.running or self.core.ending:
+        if not self.running or self.core.readiness.shutting_down:
             return False
-        self.core.ending = True
-        self.core.drain(True)
+        self.core.readiness.shutting_down = True
+        self.core.readiness.drain(True)
         self._drained(self.life, self.world.clock.now + self.world.plan.drain_s)
         return True
 
@@ -686,11 +700,11 @@
         if self.life != life:
             return
         clock = self.world.clock
-        if clock.now < last and not (self.core.settled() and not self.core.calls):
+        if clock.now < last and not (self.core.is_settled() and not self.core.calls.by_number):
             clock.call_later(SETTLE_S, self._drained, life, last)
             return
         if self.fleet is not None:
-            self.fleet.end()
+            self.fleet.stop()
         self.end()
         clock.call_later(self.world.plan.down_s, self.start)
 
@@ -706,7 +720,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.core.wake = do_nothing
+        self.core.timers.on_earlier_due = do_nothing
         if self.fleet is not None:
             self.process.over = True
             if self.store is not None:
@@ -832,7 +846,7 @@
         for each in self.softswitches:
             if each.running:
                 coordinator = self.coordinators[self.places.region(each.index)]
-                servers = each.core.by_instance.values()
+                servers = each.core.servers.by_instance.values()
                 ours = {s.record.instance for s in servers if s.record.availability is Availability.READY}
                 found += ours != coordinator.in_service()
         return found
@@ -931,7 +945,7 @@
         """Whether all serve, each by a number of its own where numbers are claimed."""
         numbered = self.plan.fleet is not None and self.plan.fleet.numbers
         return all(
-            each.running and not each.core.awaits() and (each.numbered or not numbered)
+            each.running and each.core.readiness.startup_health().is_ready and (each.numbered or not numbered)
             for each in self.softswitches
         )
 
@@ -968,19 +982,19 @@
     @contextmanager
     def in_place(self) -> Iterator[None]:
         """The virtual clock, folders and dice in place of the machine's own, where the fleet has them."""
-        names = ("clock", "Store", "secrets")
-        was = {name: getattr(fleet_service, name) for name in names}
+        names = ("clock", "VoterStore", "secrets")
+        was = {name: getattr(fleet_runtime, name) for name in names}
         ours = {
             "clock": self.clock.time, "secrets": Dice(self.chance),
-            "Store": lambda folder, call: self.by_name[str(folder)].open_store(),
+            "VoterStore": lambda folder, call: self.by_name[str(folder)].open_store(),
         }  # fmt: skip
         try:
             for name in names:
-                setattr(fleet_service, name, ours[name])
+                setattr(fleet_runtime, name, ours[name])
             yield
         finally:
             for name in names:
-                setattr(fleet_service, name, was[name])
+                setattr(fleet_runtime, name, was[name])
 
     # what is counted
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -27,7 +27,7 @@
 from stairhatch.node.calls import Attempt, ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
-from stairhatch.settings import settings_from
+from stairhatch.settings.parser import settings_from_object
 from stairhatch.sip.flows import Flow
 from stairhatch.sip.front import Listener, SipConfig, SipFront
 from stairhatch.standin.ports import free_port
@@ -476,39 +476,47 @@
         self.process.wait(PATIENCE_S)
 
 
-class Inside:
+class InProcessNode:
     """The SIP front and the core in this process, with a clock set by hand and flows that only record."""
 
     def __init__(self, **config: Any) -> None:
         self.now = 1000.0
-        self.settings = settings_from(SETTINGS)[0]
+        self.settings = settings_from_object(SETTINGS).settings
+        self.clock = lambda: self.now
+        self.log = lambda *args, **fields: None
         self.core = CallManager(
-            self.settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
+            self.settings,
+            random.Random(1),
+            lambda: self.clock(),
+            lambda *args, **fields: self.log(*args, **fields),
+            Counters(),
         )
-        self.core.side = self
+        self.core.servers.pool = self
         self.written: list[Attempt] = []
-        self.finishes: list[tuple[str, int]] = []
+        self.releases: list[tuple[str, int]] = []
         at = (Listener(("127.0.0.1", 1)),)
         config = replace(SipConfig(at, at, "127.0.0.1:1", *NUMBERED), **config)
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
         self.front = SipFront(self.core, config, lambda: next(tokens), chance.random, b"secret")
-        self.core.list_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.listening = self.core.list_known = self.core.servers[1].dial_attempted = True
+        self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.readiness.listening = True
+        self.core.readiness.list_known = True
+        self.core.servers.by_id[1].dial_attempted = True
 
-    def follow(self, loop: asyncio.AbstractEventLoop) -> None:
+    def follow_loop(self, loop: asyncio.AbstractEventLoop) -> None:
         """From here on the clock runs with a loop's, onwards from where it stands: never back, however short
         the machine has been up.
         """
         offset_s = self.now - loop.time()
-        self.core.clock = lambda: loop.time() + offset_s
+        self.clock = lambda: loop.time() + offset_s
 
     def record_changed(self, server: object) -> None:
-        """The core's view of the roster side."""
+        """The directory has told something of a server."""
 
     def send_setup(self, attempt: Attempt) -> None:
-        """A set-up is written at once."""
-        if self.core.may_write(attempt) is not None:
+        """A set-up is written at once, if it may be."""
+        if self.core.attempts.claim_transmission(attempt):
             self.written.append(attempt)
 
     def shut_down(self) -> None:
@@ -520,31 +528,31 @@
 
     def send_release(self, server: object, ident: str, cause: int) -> None:
         """A set-up given up, or a call released."""
-        self.finishes.append((ident, cause))
+        self.releases.append((ident, cause))
 
-    def stand(self) -> None:
+    def establish(self) -> None:
         """The roster server answers the set-up written last."""
         attempt = self.written[-1]
-        self.core.answered(attempt.server, attempt.call.offer.ident, "v=0 æ")
+        self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
 
     @staticmethod
-    def report() -> LoadReport:
+    def empty_report() -> LoadReport:
         """A report that tells nothing."""
         return LoadReport()
 
     def run(self, seconds: float) -> None:
         """Let time pass, timer by timer."""
         end = self.now + seconds
-        while (due := self.core.next_due()) is not None and due <= end:
+        while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.tick()
+            self.core.timers.run_due()
         self.now = end
 
 
 class Line(Flow):
     """A flow that keeps what is sent on it."""
 
-    def __init__(self, inside: Inside, reliable: bool = False) -> None:
+    def __init__(self, inside: InProcessNode, reliable: bool = False) -> None:
         self.inside, self.reliable, self.peer = inside, reliable, ("127.0.0.1", 4000)
         self.sent: list[sip.Message] = []
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -12,15 +12,16 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
-from stairhatch.config.appliance import config_from
-from stairhatch.fault_injection import rules, runs
-from stairhatch.fault_injection.history import Line
-from stairhatch.fault_injection.schedule import draw, read_schedule
-from stairhatch.fleet import asking
-from stairhatch.fleet.effects import Fence, Promise, Write
-from stairhatch.fleet.messages import Mark
-from stairhatch.fleet.store import FILE, Store, StoreError
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import ConfigError
+from stairhatch.fault_injection import lease_rules, run_batch
+from stairhatch.fault_injection.history import HistoryRecord
+from stairhatch.fault_injection.schedule import read_schedule
+from stairhatch.fault_injection.schedule_generator import draw_schedule
+from stairhatch.fleet import admin_client
+from stairhatch.fleet.effects import PersistFencingToken, PersistVotes, Vote
+from stairhatch.fleet.messages import StorageVersion
+from stairhatch.fleet.store import FILE_NAME, StoreError, VoterStore
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, until
@@ -43,10 +44,10 @@
     file says what has to bite and how many owners there have to be.
     """
     for _ in range(3):
-        ran = runs.carry_out(runs.Told(read_schedule(path), 1))
-        if not ran.broken or not all(each.startswith("void ") for each in ran.broken):
+        ran = run_batch.carry_out(run_batch.RunRequest(read_schedule(path), 1))
+        if not ran.violations or not all(each.startswith("void ") for each in ran.violations):
             break  # a fault that has not bitten, on a pressed machine, shows nothing: it is forced anew
-    assert not ran.fault and not ran.broken
+    assert not ran.error and not ran.violations
     assert ran.calls["stood"] > 20
 
 
@@ -60,32 +61,36 @@
 def test_a_fault_planted_in_real_processes_is_found(monkeypatch, fault, case, rule):
     """Guards against hard cases that hold whatever the program does: a fence and a check are taken out."""
     monkeypatch.setenv("STAIRHATCH_LAB_PLANTED", fault)
-    ran = runs.carry_out(runs.Told(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1))
-    assert not ran.fault and any(each.startswith(rule) for each in ran.broken)
+    ran = run_batch.carry_out(
+        run_batch.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1)
+    )
+    assert not ran.error and any(each.startswith(rule) for each in ran.violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_drawn_faults_on_real_processes(seed):
     """Guards against what only a mixture of faults brings out."""
-    ran = runs.carry_out(runs.Told(draw(seed, scale=0.15), seed))
-    assert not ran.fault and not ran.broken and ran.bites
+    ran = run_batch.carry_out(run_batch.RunRequest(draw_schedule(seed, scale=0.15), seed))
+    assert not ran.error and not ran.violations and ran.activations
 
 
 def test_the_rules_find_what_is_wrong():
     """Guards against rules that find nothing in a history: each line here breaks one."""
 
     def line(at, who, what, ticket, until=0.0):
-        return Line(at, who, what, 1, "list", ticket, until)
+        return HistoryRecord(at, who, what, 1, "list", ticket, until)
 
     both = [line(1.0, "a", "held", 1, 4.0), line(2.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in rules.check(both)] == ["one"]
+    assert [each.rule for each in lease_rules.find_violations(both)] == ["one"]
     back = [line(1.0, "a", "held", 3, 2.0), line(3.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in rules.check(back)] == ["grows"]
+    assert [each.rule for each in lease_rules.find_violations(back)] == ["grows"]
     taken = [line(1.0, "r", "took", 3), line(2.0, "r", "took", 2)]
-    assert [each.rule for each in rules.check(taken)] == ["fenced"]
+    assert [each.rule for each in lease_rules.find_violations(taken)] == ["fenced"]
     late = [line(1.0, "a", "held", 1, 2.0), line(3.0, "a", "acted", 1)]
-    assert [each.rule for each in rules.check(late)] == ["acts"]
-    assert not rules.check([line(1.0, "a", "held", 1, 4.0), line(2.0, "a", "given back", 1), both[1]])
+    assert [each.rule for each in lease_rules.find_violations(late)] == ["acts"]
+    assert not lease_rules.find_violations(
+        [line(1.0, "a", "held", 1, 4.0), line(2.0, "a", "given back", 1), both[1]]
+    )
 
 
 def test_a_lab_that_is_killed_leaves_nothing():
@@ -105,7 +110,7 @@
             return []
 
     def members():
-        return [pid for pid in children() if "stairhatch.fault_injection.child" in arguments(pid)]
+        return [pid for pid in children() if "stairhatch.fault_injection.member_main" in arguments(pid)]
 
     try:
         pids = until(lambda: len(found := members()) == 5 and found, "five softswitches")
@@ -116,7 +121,10 @@
     finally:
         lab.kill()
         lab.wait()
-    until(lambda: not any("stairhatch.fault_injection.child" in arguments(pid) for pid in pids), "their end")
+    until(
+        lambda: not any("stairhatch.fault_injection.member_main" in arguments(pid) for pid in pids),
+        "their end",
+    )
     until(lambda: not folder.exists(), "the folder's end")
 
 
@@ -143,8 +151,8 @@
 def told(door):
     """What a softswitch says of its claims, or None while it can't be asked."""
     try:
-        return asking.claims(("127.0.0.1", door))
-    except asking.DoorError:
+        return admin_client.lease_report(("127.0.0.1", door))
+    except admin_client.AdminClientError:
         return None
 
 
@@ -223,9 +231,9 @@
 def test_a_key_of_the_fleet_that_cannot_be_used_is_named(old, new, complaint):
     """Guards against a fleet that was mistyped and rests without a word."""
     assert old in FLEET
-    config_from(TEXT + FLEET, "x.toml", {})
+    parse_appliance(TEXT + FLEET, "x.toml", {})
     with pytest.raises(ConfigError, match=complaint):
-        config_from(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
+        parse_appliance(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
 
 
 def direct(act):
@@ -235,23 +243,31 @@
 def test_a_folder_keeps_what_was_said_to_be_kept(tmp_path):
     """Guards against promises that a restart forgets, a torn file that ends the start, two on one folder."""
     kept = []
-    store = Store(tmp_path, direct)
-    assert not store.found.kept.admitted and store.found.kept.mark.life == 1
-    mark = Mark(store.found.kept.mark.folder, 1, 7)
-    store.keep(Write(1, mark, (Promise("list", 4, "a", 9, 3.0),), {"b": Mark("f", 2, 3)}, True), kept.append)
-    store.keep(Fence("list", 4), kept.append)
+    store = VoterStore(tmp_path, direct)
+    assert not store.stored.voter_state.admitted and store.stored.voter_state.storage_version.incarnation == 1
+    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    store.persist(
+        PersistVotes(1, mark, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
+        kept.append,
+    )
+    store.persist(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept == ["", ""], "both kept")
     with pytest.raises(StoreError, match="another process"):
-        Store(tmp_path, direct)
+        VoterStore(tmp_path, direct)
     store.close()
-    again = Store(tmp_path, direct)
-    assert again.found.kept.promises == (Promise("list", 4, "a", 9, 3.0),)
-    assert again.found.kept.mark == Mark(mark.folder, 2, 7) and again.found.kept.admitted
-    assert again.found.fences == {"list": 4} and again.found.kept.known == {"b": Mark("f", 2, 3)}
+    again = VoterStore(tmp_path, direct)
+    assert again.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
+    assert (
+        again.stored.voter_state.storage_version == StorageVersion(mark.storage_id, 2, 7)
+        and again.stored.voter_state.admitted
+    )
+    assert again.stored.fencing_tokens == {"list": 4} and again.stored.voter_state.known_versions == {
+        "b": StorageVersion("f", 2, 3)
+    }
     again.close()
-    (tmp_path / FILE).write_bytes(b"torn" * 2000)
-    torn = Store(tmp_path, direct)
-    assert torn.found.put_aside and not torn.found.kept.admitted
+    (tmp_path / FILE_NAME).write_bytes(b"torn" * 2000)
+    torn = VoterStore(tmp_path, direct)
+    assert torn.stored.quarantined and not torn.stored.voter_state.admitted
     assert list(tmp_path.glob("*.unreadable-*"))
     torn.close()
 
@@ -259,13 +275,13 @@
 def test_a_disk_that_takes_no_write_says_so(tmp_path, monkeypatch):
     """Guards against an answer that stands for nothing on the disk."""
     kept = []
-    store = Store(tmp_path, direct)
+    store = VoterStore(tmp_path, direct)
 
     def full():
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(Store, "before_commit", staticmethod(full))
-    store.keep(Fence("list", 4), kept.append)
+    monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
+    store.persist(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept, "an answer")
     assert "No space left" in kept[0]
     store.close()
@@ -274,22 +290,24 @@
 def test_a_bit_that_turned_in_a_folder_is_never_taken_for_a_promise(tmp_path):
     """Guards against a lower ticket read off a disk whose pages have no sums: each row has its own."""
     kept = []
-    store = Store(tmp_path, direct)
-    mark = Mark(store.found.kept.mark.folder, 1, 7)
-    store.keep(Write(1, mark, (Promise("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append)
+    store = VoterStore(tmp_path, direct)
+    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    store.persist(
+        PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append
+    )
     until(lambda: kept == [""], "it is kept")
     store.close()
-    path = tmp_path / FILE
+    path = tmp_path / FILE_NAME
     data = path.read_bytes()
     at = data.index(b"the-owner")
     aside = 0
     for place in range(at - 8, at + 16):
         folder = tmp_path / str(place)
         folder.mkdir()
-        (folder / FILE).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
-        turned = Store(folder, direct)
-        promises = turned.found.kept.promises
-        assert promises in ((), (Promise("list", 4_000_000, "the-owner", 9, 3.0),))
-        aside += bool(turned.found.put_aside)
+        (folder / FILE_NAME).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
+        turned = VoterStore(folder, direct)
+        promises = turned.stored.voter_state.votes
+        assert promises in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
+        aside += bool(turned.stored.quarantined)
         turned.close()
     assert aside > 10  # others turned nothing that is read
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -19,13 +19,13 @@
 
 from stairhatch.node import message as sip
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.io.accepted_connection import Bounds
+from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.roster import RosterSide
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 
-from .peers import PATIENCE_S, Caller, Coordinator, Inside, Program, RosterServer, instance, until
+from .peers import PATIENCE_S, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
 from .peers import sip_headers as headers_of
 from .test_endings import RESET, TIDE, leave, trunk_invite
 
@@ -129,7 +129,7 @@
     """Wait until the first attempt of each has been reset; returns their ids."""
     until(lambda: all(each.attempts(servers) for each in callers), "the first attempts")
     tags = {each.attempts(servers)[0] for each in callers}
-    until(lambda: tags <= set(told(program, "outcome")), "their resets")
+    until(lambda: tags <= set(told(program, "attempt_ended")), "their resets")
     return tags
 
 
@@ -141,7 +141,7 @@
         callers = [Leaver(program, front, way) for way in ways]
         tags = reset(program, servers, callers)
         stop(program)
-        if sum(tag in tags for tag in told(program, "attempt")) == len(callers):
+        if sum(tag in tags for tag in told(program, "attempt_sent")) == len(callers):
             return callers
         go_on(program)  # one was sent again already
         for each in callers:
@@ -164,7 +164,10 @@
     go_on(program)
     until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
     tags = {each.attempts(servers)[0] for each in gone}
-    until(lambda: tags <= {*told(program, "left"), *told(program, "answer")}, "that the others have left")
+    until(
+        lambda: tags <= {*told(program, "call_abandoned"), *told(program, "call_answered")},
+        "that the others have left",
+    )
     later = Leaver(program, front)
     until(lambda: len(later.attempts(servers)) > 1, "one who came after")
     sent_on = [each.way for each in gone if len(each.attempts(servers)) > 1]
@@ -249,7 +252,7 @@
     """
     if front == "appliance":
         return 487 in leaver.caller.finals(leaver.ident)
-    known = set(told(leaver.program, "left"))
+    known = set(told(leaver.program, "call_abandoned"))
     return leaver.ident in known
 
 
@@ -260,15 +263,14 @@
     """
 
     async def story():
-        inside, links = Inside(), []
+        inside, links = InProcessNode(), []
         server = RosterServer(RosterServer.silent)
         core = inside.core
-        inside.follow(asyncio.get_running_loop())
-        core.log = lambda *args, **fields: None
+        inside.follow_loop(asyncio.get_running_loop())
         network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
-        core.list_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
+        core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
         idents = [next(IDS) for _ in (*ways, "stays")]  # as many as may be open there at a time
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
@@ -282,7 +284,7 @@
 
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster"))
-        await come(lambda: core.unanswered == len(idents))
+        await come(lambda: core.calls.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
             connected = link.connected
@@ -306,7 +308,7 @@
             for ident in idents:
                 server.say("FINISH", ident, rc=41)
             before = len(gone)
-        await come(lambda: core.stands(stays))
+        await come(lambda: core.calls.is_established(stays))
         late = next(IDS)
         callers[-1].sendall(trunk_invite(late, "read-roster"))
         await come(lambda: late in asked({late}))
@@ -339,42 +341,42 @@
     """
 
     async def story():
-        inside, links = Inside(), []
+        inside, links = InProcessNode(), []
         core = inside.core
-        inside.follow(asyncio.get_running_loop())
+        inside.follow_loop(asyncio.get_running_loop())
         network, front = Network(core), TrunkFront(core)
         RosterSide(core, links.append)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        core.list_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
-        connect = network._connect
+        core.update_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
+        connect = network.connector.connect
 
         async def narrow(address, within_s):
             sock = await connect(address, within_s)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return sock
 
-        network._connect = narrow
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, Bounds(100))
+        network.connector.connect = narrow
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         (link,) = links
         idents = [next(IDS) for _ in range(10)]
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 3]
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster", b"d" * 12_000))
-        await come(lambda: core.unanswered == len(idents))
+        await come(lambda: core.calls.unanswered == len(idents))
         network.dial(link)
         await come(lambda: link.writing)
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
         begun = set(link.open)
         assert len(begun) <= 3, "the link is slow"
-        assert core.counters.counts["attempts_taken_back"] >= 5, "they had left its queue"
+        assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             go_now(caller, ident, way)
-        await come(lambda: core.unanswered == 1)
+        await come(lambda: core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
         lines, data = [], b""
@@ -406,16 +408,16 @@
     """Nothing is left behind."""
     for each in socks:
         each.close()
-    for task in list(network.tasks):
+    for task in list(network.tasks.running):
         task.cancel()
     await asyncio.sleep(0.01)
 
 
 def test_a_look_at_the_callers_does_not_count_after_a_standstill():
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
-    inside, links = Inside(), []
+    inside, links = InProcessNode(), []
     side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
-    side.record_changed(inside.core.servers[1])
+    side.record_changed(inside.core.servers.by_id[1])
     (link,) = links
     link.connected()
     callers, looks = [front.connect() for _ in range(3)], []
@@ -426,17 +428,17 @@
             callers[0].eof_received()
         looks.append(inside.now)
 
-    inside.core.hear_callers = look
+    inside.core.read_callers = look
     idents = [next(IDS) for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(trunk_invite(ident, "read-roster"))
-    may_write, stops = inside.core.may_write, [0.3]
+    may_write, stops = inside.core.attempts.claim_transmission, [0.3]
 
     def slow(attempt):
         inside.now += stops.pop() if stops else 0.0
         return may_write(attempt)
 
-    inside.core.may_write = slow
+    inside.core.attempts.claim_transmission = slow
     started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
     assert len(looks) == 2 and started == idents[1:] and set(link.open) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
-from stairhatch.config.appliance import config_from
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import ConfigError
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ServerRecord
@@ -36,8 +36,10 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
-from stairhatch.scope.sets import ScopeConfig, Service, server_sets
+from stairhatch.scope.config import ScopeConfig, ServiceConfig
+from stairhatch.scope.controller import IDLE_TIMER_ID, ScopedController
+from stairhatch.scope.scoped_set import ANSWER_OVERDUE_S
+from stairhatch.scope.server_sets import server_sets
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, Caller, Program, RosterServer, sip_headers, until
@@ -171,11 +173,14 @@
     assert [each.numbers for each in server_sets(settings_of(a, nowhere), ())] == [{1, 2}, set()]
     sets = server_sets(
         settings_of(a, b, instance_count=50, instance_index=7),
-        (Service(("a",), 5, 2), Service(("b",), keep=True)),
+        (ServiceConfig(("a",), 5, 2), ServiceConfig(("b",), always_in_scope=True)),
     )
-    assert [(each.softswitches, each.me, each.keep) for each in sets] == [(5, 2, False), (50, 7, True)]
-    mixed = server_sets(settings_of(a, c, instance_count=50, instance_index=7), (Service(("a",), 5, 2),))
-    assert [(each.softswitches, each.me) for each in mixed] == [(50, 7)], "a figure was guessed"
+    told = [(each.instance_count, each.instance_index, each.always_in_scope) for each in sets]
+    assert told == [(5, 2, False), (50, 7, True)]
+    mixed = server_sets(
+        settings_of(a, c, instance_count=50, instance_index=7), (ServiceConfig(("a",), 5, 2),)
+    )
+    assert [(each.instance_count, each.instance_index) for each in mixed] == [(50, 7)], "a figure was guessed"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -192,7 +197,7 @@
     after = replace(
         before, classes=tuple(replace(each, deadline_s=5.0, latency_objective_s=1.0) for each in classes)
     )
-    services = [Service(tuple(each.name for each in classes), keep=True)]
+    services = [ServiceConfig(tuple(each.name for each in classes), always_in_scope=True)]
     worlds = []
     for decisions in (Controller(before, random.Random(seed)), scoped(before, seed, services=services)):
         world = World(decisions, seed)
@@ -203,7 +208,7 @@
         world.answers[world.calls] = 1  # failed at once
         world.offer(classes[0], 1, in_transit=True)
         world.busy(4, 25, classes, 1)
-        decisions.retune(after)
+        decisions.update_settings(after)
         world.busy(4, 25, [*classes, *after.classes], 2)
         world.listed(*(line(n) for n in range(1, 4)))
         world.tell(CallAbandoned(world.offer(classes[0])))
@@ -225,13 +230,13 @@
     decisions = scoped(settings_of(a, b), changed=told)
     world = World(decisions)
     world.listed(*(line(n + 1, n) for n in range(1900)))
-    assert not decisions.servers and not told and not any(map(decisions.in_scope, range(1900)))
+    assert not decisions.endpoints and not told and not any(map(decisions.in_scope, range(1900)))
     world.busy(3, 20, [a])
     assert told == [(frozenset(range(10)), ("a",), True)]
-    assert sorted(decisions.servers) == list(range(1, 11)) and len(decisions.servers) == 10
+    assert sorted(decisions.endpoints) == list(range(1, 11)) and len(decisions.endpoints) == 10
     assert [n for n in range(1900) if decisions.in_scope(n)] == list(range(10))
     world.busy(3, 20, [a, b])
-    assert len(told) == 2 and len(decisions.servers) == 20
+    assert len(told) == 2 and len(decisions.endpoints) == 20
     world.finish()
     assert {server for _, _, server in world.sent} <= set(range(1, 21))
 
@@ -255,29 +260,34 @@
     back and takes a server that has just started for warm.
     """
     a, b, told = kind("a", 1), kind("b", 2), []
-    decisions = scoped(settings_of(a, b), idle_s=8.0, services=[Service(("b",), keep=True)], changed=told)
+    decisions = scoped(
+        settings_of(a, b), idle_s=8.0, services=[ServiceConfig(("b",), always_in_scope=True)], changed=told
+    )
     world = World(decisions)
     world.listed(line(1), line(2))
     assert decisions.in_scope(2) and not told
     call = world.offer(a, grace_s=30.0)
     world.due = [each for each in world.due if not isinstance(each[2], CallEstablished | AttemptEnded)]
-    world.run(world.now + 30.0 + OVER_S)
+    world.run(world.now + 30.0 + ANSWER_OVERDUE_S)
     assert decisions.in_scope(1), "it left with a call that had no answer"
     world.tell(CallAbandoned(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
-    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owner
+    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owners
     assert [came for _, _, came in told] == [True, False]
     world.listed(line(1, up_since=world.now - 1), complete=False)
     world.offer(a, 1)
-    seen, new = decisions.servers[1], scoped(settings_of(a, b))
+    seen, new = decisions.endpoints[1], scoped(settings_of(a, b))
     anew = World(new)
     anew.now = world.now
     anew.listed(line(1, up_since=world.now - 1))
     anew.offer(a, 1)
-    pace = decisions.turns_in_span(world.now, seen)
-    assert decisions.is_cold(world.now, seen) and 0 < pace == new.turns_in_span(world.now, new.servers[1])
-    assert decisions.timers.keys() <= {scope.label for scope in decisions.live.values()} | {LOOK}
+    pace = decisions.slow_start_slots(world.now, seen)
+    assert decisions.is_warming_up(world.now, seen) and 0 < pace == new.slow_start_slots(
+        world.now, new.endpoints[1]
+    )
+    own_timers = {each.timer_id for each in decisions.sets.by_numbers.values()}
+    assert decisions.timers.by_id.keys() <= own_timers | {IDLE_TIMER_ID}
     world.finish()
 
 
@@ -290,12 +300,12 @@
     call = world.offer(a)
     world.due = [each for each in world.due if not isinstance(each[2], AttemptEnded)]
     world.run(world.now + 10)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1 and not decisions.sets.by_numbers
     world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
     world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
-    assert not decisions.owner and not decisions.servers
+    assert not decisions.owners and not decisions.endpoints
     with pytest.raises(KeyError):
-        decisions.servers[1]
+        decisions.endpoints[1]
 
 
 A, B, C = kind("a", 0, 1, 2), kind("b", 3, 4), kind("c", 5, 6, priority_weight=2.0)
@@ -326,21 +336,22 @@
     world.listed(*(line(n + 10, n) for n in range(7)))
     world.busy(6, 60, [A, B, C])
     for number, settings in enumerate([after, before] if there_and_back else [after]):
-        waiting = {call for each in decisions.live.values() for call in each.controller.waiting}
-        open_ones = {call for each in decisions.live.values() for call in each.controller.calls}
-        known = {server: (seen, seen.window) for server, seen in decisions.servers.items()}
+        waiting = {call for each in decisions.sets.by_numbers.values() for call in each.controller.pending}
+        open_ones = {call for each in decisions.sets.by_numbers.values() for call in each.controller.calls}
+        known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
-            assert len(waiting) > 5 and sum(len(seen.unanswered) for seen, _ in known.values()) > 3
-        decisions.retune(settings)
-        assert {call for each in decisions.live.values() for call in each.controller.calls} == open_ones
-        assert {call for each in decisions.live.values() for call in each.controller.waiting} == waiting
-        assert set(decisions.owner) == open_ones
-        assert all(decisions.owner[call] in decisions.live.values() for call in open_ones)
+            assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
+        decisions.update_settings(settings)
+        in_scope = decisions.sets.by_numbers.values()
+        assert {call for each in in_scope for call in each.controller.calls} == open_ones
+        assert {call for each in in_scope for call in each.controller.pending} == waiting
+        assert set(decisions.owners) == open_ones
+        assert all(decisions.owners[call] in in_scope for call in open_ones)
         kept = [server for server in known if decisions.in_scope(world.number_of[server])]
         assert kept, "nothing that was known is in scope"
         for server in kept:
-            seen = decisions.servers[server]
-            assert (seen, seen.window) == known[server], "learnt anew"
+            seen = decisions.endpoints[server]
+            assert (seen, seen.concurrency_limit) == known[server], "learnt anew"
         # The old classes live on for callers who have not heard of the new ones.
         world.busy(1.5, 30, [*before.classes, *after.classes], f"both{number}")
         world.busy(2, 30, settings.classes, f"new{number}")
@@ -350,7 +361,7 @@
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
     world.tell(CallAbandoned(0))
-    assert not decisions.live and not decisions.owner, "sets that nobody uses stay"
+    assert not decisions.sets.by_numbers and not decisions.owners, "sets that nobody uses stay"
 
 
 def test_a_set_made_of_two_keeps_one_timer_and_of_one_made_of_two_each_is_woken():
@@ -361,10 +372,10 @@
     for turn in range(6):
         for each in decisions.settings.classes:
             world.offer(each, grace_s=60.0)
-        decisions.retune(one if turn % 2 == 0 else two)
+        decisions.update_settings(one if turn % 2 == 0 else two)
         world.run(world.now + 0.5)
-        out = sum(world.timers[label] for label in world.timers if label != LOOK)
-        assert out == len([each for each in decisions.live.values() if each.controller.waiting])
+        out = sum(world.timers[label] for label in world.timers if label != IDLE_TIMER_ID)
+        assert out == len([each for each in decisions.sets.by_numbers.values() if each.controller.pending])
     world.finish()
 
 
@@ -379,11 +390,11 @@
     world.offer(b, 3)
     call = world.offer(a, 1)
     assert world.sent[-1][1:] == (call, 1)
-    seen = decisions.servers[1]
+    seen = decisions.endpoints[1]
     world.listed(line(1, 3), complete=False)
-    assert decisions.servers[1] is seen and seen.number == 3 and call in seen.unanswered
+    assert decisions.endpoints[1] is seen and seen.number == 3 and call in seen.pending_setups
     world.run(world.now + 3)
-    assert not seen.unanswered and world.answers[call] == 1 and seen.own_at > -1e9
+    assert not seen.pending_setups and world.answers[call] == 1 and seen.measured_at > -1e9
     before = len(world.sent)
     world.busy(4, 10, [a])
     assert {server for _, _, server in world.sent[before:]} == {2}, "a's set has lost it"
@@ -391,7 +402,7 @@
     world.busy(4, 10, [b])
     assert {server for _, call, server in world.sent[before:] if world.kinds[call] is b} == {1, 3}
     world.listed(line(1, 77), complete=False)  # where no class looks
-    assert 1 not in decisions.servers
+    assert 1 not in decisions.endpoints
     world.finish()
 
 
@@ -412,8 +423,8 @@
     world.run(world.now + 31)
     world.listed(line(3, 2), complete=False)
     world.listed(line(11, 0), line(12, 1), line(3, 2), complete=True)
-    assert sorted(decisions.lines) == [3, 11, 12] and not decisions.gone
-    assert sorted(decisions.servers) == [3, 11, 12]
+    assert sorted(decisions.sets.listed.by_id) == [3, 11, 12] and not decisions.sets.listed.gone
+    assert sorted(decisions.endpoints) == [3, 11, 12]
     world.finish()
 
 
@@ -439,7 +450,7 @@
     world = World(decisions)
     world.listed(line(1), line(2), line(9))
     call = world.offer(None)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1 and not decisions.sets.by_numbers
     through = world.offer(a, 9, in_transit=True)
     assert world.sent[-1][1:] == (through, 9), "on its way through to a server that its class may not use"
     elsewhere = world.offer(a, 77, in_transit=True)
@@ -482,7 +493,7 @@
         for number in range(sharing):
             own = min(number, fleet - 1)
             settings = settings_of(a, b, instance_count=fleet, instance_index=own, safety=safety)
-            services = [Service(("a",), per, min(number, per - 1))] if per else []
+            services = [ServiceConfig(("a",), per, min(number, per - 1))] if per else []
             nodes.append(World(scoped(settings, number, services=services), number, slow_s=0.03))
             born = 0.0 if cold == "one" else 999.0
             nodes[-1].listed(line(1, up_since=999.0), line(2, up_since=born), line(3, up_since=born), line(9))
@@ -531,16 +542,16 @@
 def test_a_scope_that_cannot_be_used_is_named(more, complaint):
     """Guards against a divisor that takes a default without a word: cold servers are pushed over by that."""
     with pytest.raises(ConfigError, match=complaint):
-        config_from(f"{TEXT}\n[scope]\n{more}\n", "x.toml", {})
+        parse_appliance(f"{TEXT}\n[scope]\n{more}\n", "x.toml", {})
 
 
 def test_a_scope_as_it_is_read():
     """Guards against keys that are checked and lost, and a table that counts where it does not stand."""
-    assert config_from(TEXT, "x.toml", {}).scope is None
-    assert config_from(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
+    assert parse_appliance(TEXT, "x.toml", {}).scope is None
+    assert parse_appliance(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
     both = '{ classes = ["read-roster", "save-roster"], softswitches = 1, keep = true }'
-    told = config_from(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
-    assert told == ScopeConfig(5.0, (Service(("read-roster", "save-roster"), 1, -1, True),))
+    told = parse_appliance(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
+    assert told == ScopeConfig(5.0, (ServiceConfig(("read-roster", "save-roster"), 1, -1, True),))
 
 
 class Heard:
@@ -560,33 +571,33 @@
         self.now, self.dialled, self.calls = 1000.0, [], 0
         settings = settings_of(*classes)
         self.scoped = scoped(settings, idle_s=4.0)
-        self.scoped.changed = self.changed
+        self.scoped.on_scope_changed = self.changed
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
-        self.core.in_scope = self.scoped.in_scope
+        self.core.servers.in_scope = self.scoped.in_scope
         self.side = RosterSide(self.core, self.dialled.append)
-        self.core.list_known = self.core.listening = True
+        self.core.readiness.list_known = self.core.readiness.listening = True
 
     def changed(self, numbers, classes, came):
-        for server in list(self.core.servers.values()):
+        for server in list(self.core.servers.by_id.values()):
             self.side.record_changed(server)
 
     def listing(self, name, number, standing=Availability.READY):
-        self.core.list_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
+        self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
 
     def offer(self, what):
         self.calls += 1
         caller = Heard()
-        call = self.core.offer(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
+        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
         return call, caller
 
     def run(self, seconds):
         end = self.now + seconds
-        while (due := self.core.next_due()) is not None and due <= end:
+        while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.tick()
+            self.core.timers.run_due()
         self.now = end
 
 
@@ -598,23 +609,25 @@
     inside = Linked(a, b)
     for name, number in (("x", 1), ("y", 2), ("z", 3)):
         inside.listing(name, number)
-    assert not inside.dialled and inside.core.awaits() == "", "it waits for what is out of scope"
+    assert (
+        not inside.dialled and inside.core.readiness.startup_health().is_ready
+    ), "it waits for what is out of scope"
     call, caller = inside.offer(a)
     assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
     for link in inside.dialled:
         link.connected()
     link = inside.side.links[call.attempt.server.id]
     assert b'"START"' in link.data_to_send()
-    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.offer.ident.encode())
+    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode())
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
-    assert not inside.scoped.live and inside.core.counters.counts["calls_taken"] == 1
+    assert not inside.scoped.sets.by_numbers and inside.core.counters.counts["calls_offered"] == 1
     assert other.can_close() and not link.retired and not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
     assert not link.retired and not link.can_close()
-    inside.core.caller_released(call, 16)
+    inside.core.release(call, 16)
     assert not link.can_close(), "the release has not been written"
     assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
@@ -639,13 +652,13 @@
 
     def leaves(call):
         assert b'"START"' in link.data_to_send()
-        inside.core.caller_left(call)
+        inside.core.abandon(call)
         assert b'"FINISH"' in link.data_to_send()
         link.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
     leaves(call)
     inside.run(20)
-    assert link.retired and not inside.scoped.live
+    assert link.retired and not inside.scoped.sets.by_numbers
     call, _ = inside.offer(a)
     assert not link.retired
     leaves(call)
@@ -665,12 +678,12 @@
     inside.offer(kind("a", 1))
     inside.listing("z", 2, Availability.GONE)
     inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
-    assert list(inside.scoped.lines) == [1]
+    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
+    assert list(inside.scoped.sets.listed.by_id) == [1]
     inside.listing("z", 2)
-    inside.core.list_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
+    inside.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
     inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.values()] == ["x"]
+    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
 
 
 PER, SERVICES = 3, 4
@@ -754,8 +767,8 @@
     assert caller.finals("c2")[0] >= 400 and not any(each.links for each in others)
     until(lambda: all(len(each.links) >= 2 for each in asked), "links anew")
     text = program.path.read_text()
-    assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "taken"
-    assert program.reload(text.replace("[scope]\nidle_s = 1\n", ""))["wants_restart"] == "scope"
+    assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "applied"
+    assert program.reload(text.replace("[scope]\nidle_s = 1\n", ""))["restart_required"] == "scope"
     assert program.stop() == 0
     assert not any(each.links for each in others)
     for each in mute:
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from stairhatch.config import ConfigError
+from stairhatch.config.model import ConfigError
 from stairhatch.config.platform import read_platform
 from stairhatch.node import message as sip
 from stairhatch.node.call_manager import CallManager
@@ -23,7 +23,16 @@
 from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
-from stairhatch.settings import SETTINGS, Each, Flag, Number, SettingsError, Table, Text, parse_settings
+from stairhatch.settings.errors import SettingsError
+from stairhatch.settings.parser import parse_settings_json
+from stairhatch.settings.schema import (
+    SETTINGS_SCHEMA,
+    BooleanShape,
+    ListShape,
+    NumberShape,
+    ObjectShape,
+    TextShape,
+)
 
 from .peers import Program, free_port, instance
 
@@ -83,16 +92,16 @@
     }  # fmt: skip
 
 
-def paths(raw: Any, shape: Any = SETTINGS, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
+def paths(raw: Any, shape: Any = SETTINGS_SCHEMA, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
     """Each place of the settings that is read, with what may stand there."""
-    if isinstance(shape, Table):
+    if isinstance(shape, ObjectShape):
         for key, inner in shape.keys.items():
             yield (*at, key), inner
             yield from paths(raw[key], inner, (*at, key))
-    elif isinstance(shape, Each):
+    elif isinstance(shape, ListShape):
         for index, item in enumerate(raw):
-            yield (*at, index), shape.shape
-            yield from paths(item, shape.shape, (*at, index))
+            yield (*at, index), shape.item
+            yield from paths(item, shape.item, (*at, index))
 
 
 def with_(raw: Any, at: tuple, value: Any) -> Any:
@@ -115,15 +124,19 @@
 
 def unfit(shape: Any) -> list[Any]:
     """Values that may not stand there."""
-    wrong = [None, {} if not isinstance(shape, Table) else [], [] if not isinstance(shape, Each) else "depth"]
+    wrong = [
+        None,
+        {} if not isinstance(shape, ObjectShape) else [],
+        [] if not isinstance(shape, ListShape) else "depth",
+    ]
     match shape:
-        case Number(least, most, above):
+        case NumberShape(least, most, above):
             wrong += [True, "3", float("nan"), float("inf"), 10**400, least - 1, most * 2 + 1]
             wrong += [least] if above else []
-            wrong += [7.5] if shape.whole else []
-        case Flag():
+            wrong += [7.5] if shape.integer else []
+        case BooleanShape():
             wrong += [0, 1, "no", "true"]
-        case Text():
+        case TextShape():
             wrong += ["", 3, True]
     return wrong
 
@@ -155,7 +168,7 @@
     for at in keys:
         assert reader.refuses(platform(with_(told, at, GONE))) == f"{shown(at)}: is missing"
         with pytest.raises(SettingsError) as error:
-            parse_settings(json.dumps(with_(told, at, GONE)))
+            parse_settings_json(json.dumps(with_(told, at, GONE)))
         assert str(error.value) == f"{shown(at)}: is missing".replace("settings", "boot_info", 1)
 
 
@@ -247,8 +260,9 @@
     """Guards against a setting that comes new into the interface and is read from no text: its default would
     hold at every site. In the made-up settings no figure is the default.
     """
-    settings, names = parse_settings(json.dumps(MADE_UP))
-    assert names == ("load_share", "unheard_of")
+    parsed = parse_settings_json(json.dumps(MADE_UP))
+    settings = parsed.settings
+    assert parsed.load_report_names == ("load_share", "unheard_of")
     seen = 0
     for part in (settings, settings.safety, settings.classes[0]):
         for each in fields(part):
@@ -327,14 +341,14 @@
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.now, self.sent, self.told = 1000.0, 0, []
-        settings = parse_settings(json.dumps(told))[0]
+        settings = parse_settings_json(json.dumps(told)).settings
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
         )
-        self.core.side = self
+        self.core.servers.pool = self
         pools = told["family_info"]["allowed_pools"][0]
         lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
-        self.core.list_servers(lines, True)
+        self.core.update_servers(lines, True)
         self.caller = TrunkFront(self.core).connect()
 
     def record_changed(self, server: object) -> None:
@@ -345,9 +359,9 @@
 
     def send_setup(self, attempt: Any) -> None:
         """A set-up is written, and stands."""
-        if self.core.may_write(attempt) is not None:
+        if self.core.attempts.claim_transmission(attempt):
             self.sent += 1
-            self.core.answered(attempt.server, attempt.call.offer.ident, "d")
+            self.core.responses.call_established(attempt.server, attempt.call.request.ident, "d")
 
     def ask(self, kind: str, **more: str) -> int:
         """The final answer to a set-up."""
@@ -360,7 +374,7 @@
         self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
-            self.core.tick()
+            self.core.timers.run_due()
         parser = sip.StreamParser()
         parser.feed(self.caller.data_to_send())
         found = []
@@ -381,7 +395,7 @@
     assert stage.ask(kind, charged_party="region-nord") == 200
     assert stage.ask(kind, charged_party="no-such-tenant") == 200
     assert stage.ask(kind, charged_party="") == 200
-    assert stage.sent == 4 and not stage.core.calls.keys() - {1, 2, 3, 4}
+    assert stage.sent == 4 and not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
@@ -410,5 +424,5 @@
     assert parse_load(text) == report
     stage = Stage(TENDERS)
     stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
-    stage.core.load_told(next(iter(stage.core.servers.values())), parse_load(text))
+    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load(text))
     assert len(stage.told) == (report != LoadReport())
