--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -858,7 +858,7 @@
 
         setattr(owner, method, act)
 
-    timed(TrunkConnection, "receive", "parse")
+    timed(TrunkConnection, "receive_data", "parse")
     timed(Controller, "handle", "decide", whole=True)
     timed(CallManager, "offer_call", "core")
     timed(CallManager, "release", "core")
@@ -866,9 +866,9 @@
     timed(ServerResponses, "call_released", "core")
     timed(TimerWheel, "run_due", "core")
     timed(AttemptManager, "claim_transmission", "core")
-    timed(RosterLink, "pull", "ask")
-    timed(TrunkConnection, "pull", "answer")
-    timed(RosterLink, "receive", "states")
+    timed(RosterLink, "data_to_send", "ask")
+    timed(TrunkConnection, "data_to_send", "answer")
+    timed(RosterLink, "receive_data", "states")
     path = Path(os.environ["SPANS"])
     began = CallManager.__init__
 
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -15,7 +15,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from stairhatch.conform.run import OFFER
-from stairhatch.conform.stage import InProcessNode
+from stairhatch.conform.stage import Inside
 from stairhatch.node import message as sip
 from stairhatch.sip.heads import Head
 
@@ -32,7 +32,7 @@
     return sip.request("INVITE", "sip:1000@softswitch", headers, OFFER.encode())
 
 
-def call(stage: InProcessNode, number: int, step_s: float, hang_up: bool = True) -> None:
+def call(stage: Inside, number: int, step_s: float, hang_up: bool = True) -> None:
     """INVITE, 200, ACK, BYE, 200 of one caller."""
     port, host, peer = stage.front.ports[0], "127.0.0.1:40000", ("127.0.0.1", 40000)
     port.receive(invite(number, host), peer)
@@ -73,7 +73,7 @@
         for each in data:
             Head(sip.parse_datagram(each), ("127.0.0.1", 40000))
     print(f"parser and heads: {5 * size / (time.process_time() - begun) / 1e6:.1f} MB/s of processor time")
-    stage = InProcessNode(dialogs=10**6)
+    stage = Inside(dialogs=10**6)
     begun = time.process_time()
     for number in range(told.rate * told.seconds):
         call(stage, number, 1 / told.rate)
@@ -86,7 +86,7 @@
         f"{len(table.servers)}; table_full {counts.get('table_full', 0)}, forgotten_early "
         f"{counts.get('forgotten_early', 0)}"
     )
-    stage = InProcessNode(dialogs=10**6)
+    stage = Inside(dialogs=10**6)
     tracemalloc.start()
     call(stage, 0, 0.001, hang_up=False)
     before = tracemalloc.get_traced_memory()[0]
