--- a/stairhatch/config/appliance/scope.py
+++ b/stairhatch/config/appliance/scope.py
@@ -5,8 +5,8 @@
 from stairhatch.config.appliance.schema import ScopeTable, ServiceTable
 from stairhatch.config.appliance.sip import KnownClasses
 from stairhatch.config.model import ConfigError
-from stairhatch.overload.settings import Settings
-from stairhatch.scope.config import UNKNOWN_INSTANCE, ScopeConfig, ServiceConfig
+from stairhatch.overload.settings import UNKNOWN_INSTANCE, Settings
+from stairhatch.scope.config import ScopeConfig, ServiceConfig
 from stairhatch.scope.server_sets import ConflictingServicesError, check_services
 
 
--- a/stairhatch/overload/settings.py
+++ b/stairhatch/overload/settings.py
@@ -5,6 +5,8 @@
 import math
 from dataclasses import dataclass, field
 
+UNKNOWN_INSTANCE = -1  # an `instance_index` that is not known
+
 
 def _require(ok: bool, field: str, rule: str) -> None:
     """Raise ValueError unless a rule of a field holds."""
@@ -76,7 +78,7 @@
     classes: tuple[CallClass, ...]
     safety: SafetyLimits = field(default_factory=SafetyLimits)
     instance_count: int = 1  # how many access nodes share the servers
-    instance_index: int = 0  # which of them this one is, from 0; -1: it does not know
+    instance_index: int = 0  # which of them this one is, from 0; UNKNOWN_INSTANCE: it does not know
     retransmit_interval_s: float = 0.0  # a waiting set-up is sent again after this; 0: never
     max_attempts: int = 3  # set-ups allowed for one call
     event_period_s: float = 0.005  # the node hears events at most this often
@@ -95,9 +97,8 @@
             "instance_count",
             "must be at least 1",
         )
-        _require(
-            -1 <= self.instance_index < self.instance_count, "instance_index", "must be below instance_count"
-        )
+        known = UNKNOWN_INSTANCE <= self.instance_index < self.instance_count
+        _require(known, "instance_index", "must be below instance_count")
         whole = isinstance(self.max_attempts, int) and not isinstance(self.max_attempts, bool)
         _require(whole and self.max_attempts >= 1, "max_attempts", "must be a whole number of at least 1")
         for name in ("retransmit_interval_s", "event_period_s", "max_retry_after_s", "connect_timeout_s"):
--- a/stairhatch/scope/config.py
+++ b/stairhatch/scope/config.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-UNKNOWN_INSTANCE = -1
+from stairhatch.overload.settings import UNKNOWN_INSTANCE
 
 
 @dataclass(frozen=True, slots=True)
--- a/stairhatch/scope/server_sets.py
+++ b/stairhatch/scope/server_sets.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from stairhatch.overload.settings import CallClass, Settings
-from stairhatch.scope.config import UNKNOWN_INSTANCE, ServiceConfig
+from stairhatch.overload.settings import UNKNOWN_INSTANCE, CallClass, Settings
+from stairhatch.scope.config import ServiceConfig
 
 ServerNumbers = frozenset[int] | None  # None: the numbers of all servers
 
--- a/stairhatch/settings/parser.py
+++ b/stairhatch/settings/parser.py
@@ -10,14 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
+from stairhatch.overload.settings import UNKNOWN_INSTANCE, CallClass, SafetyLimits, Settings
 from stairhatch.settings.errors import MissingKeyError, SettingsError
 from stairhatch.settings.schema import SETTINGS_SCHEMA, validate
 
 JSON_PATH = "boot_info"  # the wire's name for the text; it begins each key's path
 IDEMPOTENT_EFFECT = "read_like"
 POOLS_LAYOUT = "pools"
-UNKNOWN_INSTANCE = -1
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What the softswitch itself can take: the budget's level, the sources' buckets, the order of worth, what
+"""What the softswitch itself can take: the overload level, the sources' buckets, the order of weight, what
 callers are told, and a look at a datagram in place of a parse.
 """
 
@@ -34,46 +34,52 @@
 SPAN_S = 0.05
 
 
-def looks(budget, now, *delays, rate=100.0):
+def observe_delays(detector, now, *delays, rate=100.0):
     """Looks a span apart, with calls of which its share is shed; returns the time after them."""
     chance = random.Random(7)
     for delay in delays:
         now += SPAN_S
         for _ in range(int(rate * SPAN_S)):
-            budget.count_call(chance.random() >= budget.current_shed_fraction(now))
-        budget.observe_delay(now, delay)
+            detector.count_call(chance.random() >= detector.current_shed_fraction(now))
+        detector.observe_delay(now, delay)
     return now
 
 
 def test_the_level_rises_and_falls_at_different_delays():
     """Guards against a level that swings with every look (hysteresis), and one that stays for ever."""
-    budget = OverloadDetector()
-    now = looks(budget, 0.0, *[0.03] * 100)
-    assert budget.level is OverloadLevel.NORMAL and budget.current_shed_fraction(now) == 0.0
-    now = looks(budget, now, *[0.08] * 60)
-    assert budget.level is OverloadLevel.OVERLOADED and budget.current_shed_fraction(now) > 0.5
-    now = looks(budget, now, *[0.03] * 3)
-    assert budget.level is OverloadLevel.OVERLOADED
-    now = looks(budget, now, *[0.001] * 400)
-    assert budget.level is OverloadLevel.NORMAL and budget.shed_fraction == 0.0 and budget.level_changes == 2
+    detector = OverloadDetector()
+    now = observe_delays(detector, 0.0, *[0.03] * 100)
+    assert detector.level is OverloadLevel.NORMAL
+    assert detector.current_shed_fraction(now) == 0.0
+    now = observe_delays(detector, now, *[0.08] * 60)
+    assert detector.level is OverloadLevel.OVERLOADED
+    assert detector.current_shed_fraction(now) > 0.5
+    now = observe_delays(detector, now, *[0.03] * 3)
+    assert detector.level is OverloadLevel.OVERLOADED
+    now = observe_delays(detector, now, *[0.001] * 400)
+    assert detector.level is OverloadLevel.NORMAL
+    assert detector.shed_fraction == 0.0
+    assert detector.level_changes == 2
 
 
 def test_a_full_processor_sheds_all_new_calls_and_recovers():
     """Guards against a stall after which calls that were given up are served first, and staying full."""
-    budget = OverloadDetector()
-    now = looks(budget, 0.0, *[1.0] * 5)
-    assert budget.level is OverloadLevel.SATURATED and budget.current_shed_fraction(now) == 1.0
-    now = looks(budget, now, *[0.001] * 30)
-    assert budget.level is OverloadLevel.OVERLOADED and budget.current_shed_fraction(now) < 1.0
-    looks(budget, now, *[0.001] * 600)
-    assert budget.level is OverloadLevel.NORMAL
-
-
-def played(offered, capacity=1000.0, shed_cost=0.08, seconds=12.0):
+    detector = OverloadDetector()
+    now = observe_delays(detector, 0.0, *[1.0] * 5)
+    assert detector.level is OverloadLevel.SATURATED
+    assert detector.current_shed_fraction(now) == 1.0
+    now = observe_delays(detector, now, *[0.001] * 30)
+    assert detector.level is OverloadLevel.OVERLOADED
+    assert detector.current_shed_fraction(now) < 1.0
+    observe_delays(detector, now, *[0.001] * 600)
+    assert detector.level is OverloadLevel.NORMAL
+
+
+def goodput(offered, capacity=1000.0, shed_cost=0.08, seconds=12.0):
     """A processor behind a bounded queue, as a socket's buffer is; returns calls served a second, over
     the last two thirds, and the longest wait then.
     """
-    chance, gate = random.Random(11), AdmissionControl(random.Random(12).random)
+    chance, admission = random.Random(11), AdmissionControl(random.Random(12).random)
     now = waiting = served = worst = 0.0
     step = 0.01
     while now < seconds:
@@ -81,11 +87,11 @@
         for _ in range(int(offered(now) * step + chance.random())):
             if waiting / capacity > 0.25:
                 continue  # the socket is full: nobody hears of it
-            judged = gate.admit(RequestKind.NEW_CALL, "a", 1.0, now)
-            waiting += 1.0 if judged.outcome is AdmissionOutcome.ADMITTED else shed_cost
-            served += judged.outcome is AdmissionOutcome.ADMITTED and now > seconds / 3
+            decision = admission.admit(RequestKind.NEW_CALL, "a", 1.0, now)
+            waiting += 1.0 if decision.outcome is AdmissionOutcome.ADMITTED else shed_cost
+            served += decision.outcome is AdmissionOutcome.ADMITTED and now > seconds / 3
         waiting = max(0.0, waiting - capacity * step)
-        gate.overload.observe_delay(now, waiting / capacity)
+        admission.overload.observe_delay(now, waiting / capacity)
         worst = max(worst, waiting / capacity if now > seconds / 3 else 0.0)
     return served / (seconds * 2 / 3), worst
 
@@ -95,7 +101,7 @@
     """Guards against a collapse past capacity, and a control that sheds what could be served: at twice
     the capacity 0.9 of what the shedding itself leaves, with a short queue.
     """
-    served, worst = played(lambda now: 1000.0 * load)
+    served, worst = goodput(lambda now: 1000.0 * load)
     left = 1000.0 * (1 - 0.08 * load) / (1 - 0.08) if load > 1 else 1000.0 * load
     assert served > 0.9 * left
     assert worst < 0.25
@@ -103,109 +109,113 @@
 
 def test_after_a_surge_all_are_served_within_three_seconds():
     """The hard case: three times capacity for a while and back: full goodput again."""
-    served, _ = played(lambda now: 3000.0 if now < 4.0 else 900.0, seconds=12.0 * 1.0)
-    late, _ = played(lambda now: 3000.0 if now < 5.0 else 900.0, seconds=24.0)
-    assert served > 0.75 * 900 and late > 0.97 * 900
+    served, _ = goodput(lambda now: 3000.0 if now < 4.0 else 900.0, seconds=12.0 * 1.0)
+    late, _ = goodput(lambda now: 3000.0 if now < 5.0 else 900.0, seconds=24.0)
+    assert served > 0.75 * 900
+    assert late > 0.97 * 900
 
 
 def test_with_no_look_nothing_is_shed():
     """Guards against calls shed for ever on an old figure."""
-    budget = OverloadDetector()
-    now = looks(budget, 0.0, *[1.0] * 5)
-    assert budget.current_shed_fraction(now + budget.policy.stale_s + 0.1) == 0.0
+    detector = OverloadDetector()
+    now = observe_delays(detector, 0.0, *[1.0] * 5)
+    assert detector.current_shed_fraction(now + detector.policy.stale_s + 0.1) == 0.0
 
 
 @BOUNDED
 @given(st.lists(st.floats(0, 2), max_size=200))
 def test_a_share_is_a_share_whatever_is_measured(delays):
     """Guards against a share that can't be drawn against, or one that sheds while free."""
-    budget = OverloadDetector()
+    detector = OverloadDetector()
     now = 0.0
     for delay in delays:
-        now = looks(budget, now, delay)
-        assert 0.0 <= budget.shed_fraction <= budget.policy.max_shed_fraction
-        assert budget.level is not OverloadLevel.NORMAL or budget.current_shed_fraction(now) == 0.0
+        now = observe_delays(detector, now, delay)
+        assert 0.0 <= detector.shed_fraction <= detector.policy.max_shed_fraction
+        assert detector.level is not OverloadLevel.NORMAL or detector.current_shed_fraction(now) == 0.0
 
 
 @BOUNDED
 @given(st.dictionaries(st.floats(0, 10), st.floats(0.001, 1), min_size=1, max_size=5), st.floats(0, 1))
-def test_the_least_worth_goes_first_and_as_much_as_was_asked(mix, share):
+def test_the_least_weight_goes_first_and_as_much_as_was_asked(mix, share):
     """Guards against save-roster calls shed while read-roster calls are served."""
     found = shed_fractions_by_weight(mix, share)
     whole = sum(mix.values())
-    assert abs(sum(found[worth] * mix[worth] for worth in mix) - share * whole) < 1e-6 * whole + 1e-9
-    worths = sorted(mix)
-    for less, more in itertools.pairwise(worths):
+    assert abs(sum(found[weight] * mix[weight] for weight in mix) - share * whole) < 1e-6 * whole + 1e-9
+    weights = sorted(mix)
+    for less, more in itertools.pairwise(weights):
         assert found[less] == pytest.approx(1.0) or found[more] == pytest.approx(0.0, abs=1e-9)
 
 
-def storm(seconds, policy, pressed, others=3):
+def served_fractions(seconds, policy, overloaded, others=3):
     """One source at twenty times the rate of the others; returns the shares of each that were served."""
-    chance, buckets, now = random.Random(1), SourceRateLimiter(policy), 0.0
+    chance, limiter, now = random.Random(1), SourceRateLimiter(policy), 0.0
     asked, served = {}, {}
     sources = ["10.0.0.66"] * 20 * others + [f"10.0.{n + 1}.7" for n in range(others)] * others
     while now < seconds:
         now += chance.expovariate(400.0)
         source = chance.choice(sources)
         asked[source] = asked.get(source, 0) + 1
-        served[source] = served.get(source, 0) + (buckets.take(source, now, pressed) == 0.0)
+        served[source] = served.get(source, 0) + (limiter.take(source, now, overloaded) == 0.0)
     return {source: served[source] / asked[source] for source in asked}
 
 
 def test_one_source_at_twenty_times_its_share_leaves_the_others_whole():
-    """The hard case: an office's storm is cut to its share while the program is pressed, and not before."""
-    shares = storm(20.0, RateLimitPolicy(source_rate=20, source_burst=20), pressed=True)
+    """The hard case: an office's storm is cut to its share while we are overloaded, and not before."""
+    policy = RateLimitPolicy(source_rate=20, source_burst=20)
+    shares = served_fractions(20.0, policy, overloaded=True)
     assert shares.pop("10.0.0.66") < 0.2
     assert min(shares.values()) > 0.95
-    assert min(storm(20.0, RateLimitPolicy(source_rate=20, source_burst=20), pressed=False).values()) == 1.0
+    assert min(served_fractions(20.0, policy, overloaded=False).values()) == 1.0
 
 
 def test_a_site_behind_one_proxy_is_not_limited():
     """Guards against a limit that protects nobody: the only source is all the callers there are."""
-    buckets = SourceRateLimiter(RateLimitPolicy(source_rate=1, source_burst=1))
-    assert all(buckets.take("10.0.0.1", 0.01 * n, True) == 0.0 for n in range(200))
-    assert buckets.take("10.0.0.2", 2.0, True) == 0.0
-    buckets.take("10.0.0.1", 2.0, True)
-    assert buckets.take("10.0.0.1", 2.0, True) > 0.0
+    limiter = SourceRateLimiter(RateLimitPolicy(source_rate=1, source_burst=1))
+    assert all(limiter.take("10.0.0.1", 0.01 * n, True) == 0.0 for n in range(200))
+    assert limiter.take("10.0.0.2", 2.0, True) == 0.0
+    limiter.take("10.0.0.1", 2.0, True)
+    assert limiter.take("10.0.0.1", 2.0, True) > 0.0
 
 
 def test_made_up_sources_fill_no_memory_and_share_their_networks_bucket():
     """Guards against a table that grows with addresses, and a storm spread over a whole network."""
     policy = RateLimitPolicy(max_buckets=100, network_rate=10, network_burst=10)
-    buckets, served = SourceRateLimiter(policy), 0
-    buckets.take("192.168.1.1", 0.0, True)
+    limiter, served = SourceRateLimiter(policy), 0
+    limiter.take("192.168.1.1", 0.0, True)
     for number in range(5000):
-        served += buckets.take(f"10.1.2.{number % 250}", number * 0.0001, True) == 0.0
-        assert len(buckets.sources) <= 100 and len(buckets._network_names) <= 100
+        served += limiter.take(f"10.1.2.{number % 250}", number * 0.0001, True) == 0.0
+        assert len(limiter.sources) <= 100
+        assert len(limiter._network_names) <= 100
     assert served <= 10 + 10 * 0.5 + 1
-    assert buckets.take("192.168.1.1", 1.0, True) == 0.0
+    assert limiter.take("192.168.1.1", 1.0, True) == 0.0
 
 
 def test_what_belongs_to_dialogs_is_never_shed():
     """Guards against calls that can't end while the program is full."""
-    gate = AdmissionControl(lambda: 0.0)
-    now = looks(gate.overload, 0.0, *[1.0] * 5)
-    assert gate.admit(RequestKind.IN_DIALOG, "a", 0.0, now).outcome is AdmissionOutcome.ADMITTED
-    judged = gate.admit(RequestKind.NEW_CALL, "a", 3.0, now)
-    assert judged.outcome is AdmissionOutcome.SHED_LOAD and 1 <= judged.retry_after_s <= 5
-    assert gate.admit(RequestKind.OTHER, "a", 0.0, now).outcome is AdmissionOutcome.SHED_LOAD
+    admission = AdmissionControl(lambda: 0.0)
+    now = observe_delays(admission.overload, 0.0, *[1.0] * 5)
+    assert admission.admit(RequestKind.IN_DIALOG, "a", 0.0, now).outcome is AdmissionOutcome.ADMITTED
+    decision = admission.admit(RequestKind.NEW_CALL, "a", 3.0, now)
+    assert decision.outcome is AdmissionOutcome.SHED_LOAD
+    assert 1 <= decision.retry_after_s <= 5
+    assert admission.admit(RequestKind.OTHER, "a", 0.0, now).outcome is AdmissionOutcome.SHED_LOAD
 
 
-def test_calls_of_more_worth_stand_while_others_are_shed():
-    """Guards against an order of worth that is not kept as the mix of calls changes."""
+def test_calls_of_more_weight_stand_while_others_are_shed():
+    """Guards against an order of weight that is not kept as the mix of calls changes."""
     chance = random.Random(3)
-    gate = AdmissionControl(
+    admission = AdmissionControl(
         chance.random,
         AdmissionPolicy(OverloadDetectorPolicy(), RateLimitPolicy(source_rate=1e6, source_burst=1e6)),
     )
-    now = looks(gate.overload, 0.0, *[0.08] * 5)
-    gate.overload.shed_fraction = 0.4
+    now = observe_delays(admission.overload, 0.0, *[0.08] * 5)
+    admission.overload.shed_fraction = 0.4
     counts = {1.0: [0, 0], 3.0: [0, 0]}
     for _ in range(4000):
-        worth = 1.0 if chance.random() < 0.7 else 3.0
-        counts[worth][0] += 1
-        counts[worth][1] += (
-            gate.admit(RequestKind.NEW_CALL, "a", worth, now).outcome is AdmissionOutcome.ADMITTED
+        weight = 1.0 if chance.random() < 0.7 else 3.0
+        counts[weight][0] += 1
+        counts[weight][1] += (
+            admission.admit(RequestKind.NEW_CALL, "a", weight, now).outcome is AdmissionOutcome.ADMITTED
         )
     assert counts[3.0][1] / counts[3.0][0] > 0.95
     assert 0.35 < counts[1.0][1] / counts[1.0][0] < 0.55
@@ -214,7 +224,7 @@
 # ---- what callers are told ----
 
 
-class Told:
+class FeedbackCaller:
     """A caller that sends at a rate and takes what it is told, or does not."""
 
     def __init__(self, feedback, obeys):
@@ -238,9 +248,10 @@
     """Guards against meeting an honest caller with its bucket, and against one that ignores `oc` for good."""
     for obeys in (True, False):
         feedback = OverloadFeedback()
-        caller = Told(feedback, obeys)
+        caller = FeedbackCaller(feedback, obeys)
         now, rate = caller.run(10.0, 0.0, 0.0)
-        assert not feedback.is_non_compliant("10.0.0.1") and rate > 35
+        assert not feedback.is_non_compliant("10.0.0.1")
+        assert rate > 35
         now, rate = caller.run(20.0, 0.6, now)
         assert feedback.is_non_compliant("10.0.0.1") is not obeys
         assert (rate < 20) is obeys
@@ -255,16 +266,14 @@
     first, second = feedback.via_parameters(told, 0.2, 100.0), feedback.via_parameters(told, 0.2, 99.0)
     assert first == ';oc=20;oc-algo="loss";oc-validity=1000;oc-seq=100.000'
     assert second.endswith("oc-seq=100.001")
-    assert "oc=0;" in feedback.via_parameters(told, 0.0, 101.0) and "validity=0" in feedback.via_parameters(
-        told, 0.0, 102.0
-    )
+    assert "oc=0;" in feedback.via_parameters(told, 0.0, 101.0)
+    assert "validity=0" in feedback.via_parameters(told, 0.0, 102.0)
     rate = feedback.count_request("b", FeedbackAlgorithm.RATE, 1.0, 100.0)
     assert ';oc=1;oc-algo="rate"' in feedback.via_parameters(rate, 1.0, 103.0)
-    assert (
-        algorithm_for('"rate"') is FeedbackAlgorithm.RATE
-        and algorithm_for('"loss,rate"') is FeedbackAlgorithm.LOSS
-    )
-    assert algorithm_for("") is FeedbackAlgorithm.LOSS and algorithm_for('"A"') is None
+    assert algorithm_for('"rate"') is FeedbackAlgorithm.RATE
+    assert algorithm_for('"loss,rate"') is FeedbackAlgorithm.LOSS
+    assert algorithm_for("") is FeedbackAlgorithm.LOSS
+    assert algorithm_for('"A"') is None
 
 
 # ---- a look at a datagram ----
@@ -289,7 +298,8 @@
         assert seen.within is bool(head.to_tag)
         assert seen.place(("127.0.0.1", 4000)) == head.place(("127.0.0.1", 4000), False)
         answer = sip.parse_datagram(seen.unavailable(("127.0.0.1", 4000), "mine", 3))
-        assert answer.status == 503 and answer.get("retry-after") == "3"
+        assert answer.status == 503
+        assert answer.get("retry-after") == "3"
         for name in ("call-id", "cseq", "from"):
             assert answer.get(name) == lines[name]
     else:
@@ -331,7 +341,7 @@
     return sent
 
 
-def pressed(delay, spans):
+def overloaded_front(delay, spans):
     """A front under such a delay."""
     inside = InProcessNode(
         gate=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6))
@@ -347,20 +357,24 @@
 
 def test_a_shed_call_leaves_nothing_and_its_copies_cost_no_more():
     """Guards against half-made calls and against shed calls that stay in tables."""
-    inside = pressed(1.0, 5)
+    inside = overloaded_front(1.0, 5)
     for number in range(50):
         for _ in range(2):
             (answer,) = ask(inside, number=number)
-            assert answer.status == 503 and 1 <= int(answer.get("retry-after")) <= 5
-    assert not inside.written and not inside.front.transactions.servers and not inside.core.calls.by_number
+            assert answer.status == 503
+            assert 1 <= int(answer.get("retry-after")) <= 5
+    assert not inside.written
+    assert not inside.front.transactions.servers
+    assert not inside.core.calls.by_number
     assert not inside.front.transactions.memory.records
     counts = inside.core.counters.counts
-    assert counts["shed_load"] == 100 and "malformed_from_callers" not in counts
+    assert counts["shed_load"] == 100
+    assert "malformed_from_callers" not in counts
 
 
 def test_calls_that_stand_go_on_while_all_new_ones_are_shed():
     """Guards against an ACK, a BYE or a copy that is shed with the new calls."""
-    inside = pressed(0.0, 1)
+    inside = overloaded_front(0.0, 1)
     ask(inside, number=1)
     inside.establish()
     tag = sip.parameters(sip.parse_datagram(inside.front.ports[0].output[-1][0]).get("to"))["tag"]
@@ -380,13 +394,11 @@
 
 def test_callers_that_know_overload_control_are_told_in_their_via():
     """Guards against a figure in the wrong Via, or for callers that asked for none (RFC 7339, 5.1)."""
-    inside = pressed(0.08, 40)
+    inside = overloaded_front(0.08, 40)
     told = ask(inside, number=1, via_more=';oc;oc-algo="loss,rate"')[0].get("via")
-    assert (
-        ';oc-algo="loss"' in told
-        and ";oc-validity=1000" in told
-        and int(told.split("oc=")[1].split(";")[0]) > 0
-    )
+    assert ';oc-algo="loss"' in told
+    assert ";oc-validity=1000" in told
+    assert int(told.split("oc=")[1].split(";")[0]) > 0
     assert "oc" not in ask(inside, number=2)[0].get("via")
     assert "\x01" not in told
     free = InProcessNode(gate=AdmissionPolicy())
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -230,13 +230,17 @@
     decisions = scoped(settings_of(a, b), changed=told)
     world = World(decisions)
     world.listed(*(line(n + 1, n) for n in range(1900)))
-    assert not decisions.endpoints and not told and not any(map(decisions.in_scope, range(1900)))
+    assert not decisions.endpoints
+    assert not told
+    assert not any(map(decisions.in_scope, range(1900)))
     world.busy(3, 20, [a])
     assert told == [(frozenset(range(10)), ("a",), True)]
-    assert sorted(decisions.endpoints) == list(range(1, 11)) and len(decisions.endpoints) == 10
+    assert sorted(decisions.endpoints) == list(range(1, 11))
+    assert len(decisions.endpoints) == 10
     assert [n for n in range(1900) if decisions.in_scope(n)] == list(range(10))
     world.busy(3, 20, [a, b])
-    assert len(told) == 2 and len(decisions.endpoints) == 20
+    assert len(told) == 2
+    assert len(decisions.endpoints) == 20
     world.finish()
     assert {server for _, _, server in world.sent} <= set(range(1, 21))
 
@@ -265,7 +269,8 @@
     )
     world = World(decisions)
     world.listed(line(1), line(2))
-    assert decisions.in_scope(2) and not told
+    assert decisions.in_scope(2)
+    assert not told
     call = world.offer(a, grace_s=30.0)
     world.due = [each for each in world.due if not isinstance(each[2], CallEstablished | AttemptEnded)]
     world.run(world.now + 30.0 + ANSWER_OVERDUE_S)
@@ -273,7 +278,9 @@
     world.tell(CallAbandoned(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
-    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owners
+    assert not decisions.in_scope(1)
+    assert decisions.in_scope(2)
+    assert not decisions.owners
     assert [came for _, _, came in told] == [True, False]
     world.listed(line(1, up_since=world.now - 1), complete=False)
     world.offer(a, 1)
@@ -283,9 +290,8 @@
     anew.listed(line(1, up_since=world.now - 1))
     anew.offer(a, 1)
     pace = decisions.slow_start_slots(world.now, seen)
-    assert decisions.is_warming_up(world.now, seen) and 0 < pace == new.slow_start_slots(
-        world.now, new.endpoints[1]
-    )
+    assert decisions.is_warming_up(world.now, seen)
+    assert 0 < pace == new.slow_start_slots(world.now, new.endpoints[1])
     own_timers = {each.timer_id for each in decisions.sets.by_numbers.values()}
     assert decisions.timers.by_id.keys() <= own_timers | {IDLE_TIMER_ID}
     world.finish()
@@ -300,10 +306,12 @@
     call = world.offer(a)
     world.due = [each for each in world.due if not isinstance(each[2], AttemptEnded)]
     world.run(world.now + 10)
-    assert world.answers[call] == 1 and not decisions.sets.by_numbers
+    assert world.answers[call] == 1
+    assert not decisions.sets.by_numbers
     world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
     world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
-    assert not decisions.owners and not decisions.endpoints
+    assert not decisions.owners
+    assert not decisions.endpoints
     with pytest.raises(KeyError):
         decisions.endpoints[1]
 
@@ -340,7 +348,8 @@
         open_ones = {call for each in decisions.sets.by_numbers.values() for call in each.controller.calls}
         known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
-            assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
+            assert len(waiting) > 5
+            assert sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
         decisions.update_settings(settings)
         in_scope = decisions.sets.by_numbers.values()
         assert {call for each in in_scope for call in each.controller.calls} == open_ones
@@ -392,9 +401,13 @@
     assert world.sent[-1][1:] == (call, 1)
     seen = decisions.endpoints[1]
     world.listed(line(1, 3), complete=False)
-    assert decisions.endpoints[1] is seen and seen.number == 3 and call in seen.pending_setups
+    assert decisions.endpoints[1] is seen
+    assert seen.number == 3
+    assert call in seen.pending_setups
     world.run(world.now + 3)
-    assert not seen.pending_setups and world.answers[call] == 1 and seen.measured_at > -1e9
+    assert not seen.pending_setups
+    assert world.answers[call] == 1
+    assert seen.measured_at > -1e9
     before = len(world.sent)
     world.busy(4, 10, [a])
     assert {server for _, _, server in world.sent[before:]} == {2}, "a's set has lost it"
@@ -423,7 +436,8 @@
     world.run(world.now + 31)
     world.listed(line(3, 2), complete=False)
     world.listed(line(11, 0), line(12, 1), line(3, 2), complete=True)
-    assert sorted(decisions.sets.listed.by_id) == [3, 11, 12] and not decisions.sets.listed.gone
+    assert sorted(decisions.sets.listed.by_id) == [3, 11, 12]
+    assert not decisions.sets.listed.gone
     assert sorted(decisions.endpoints) == [3, 11, 12]
     world.finish()
 
@@ -450,7 +464,8 @@
     world = World(decisions)
     world.listed(line(1), line(2), line(9))
     call = world.offer(None)
-    assert world.answers[call] == 1 and not decisions.sets.by_numbers
+    assert world.answers[call] == 1
+    assert not decisions.sets.by_numbers
     through = world.offer(a, 9, in_transit=True)
     assert world.sent[-1][1:] == (through, 9), "on its way through to a server that its class may not use"
     elsewhere = world.offer(a, 77, in_transit=True)
@@ -622,19 +637,26 @@
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
-    assert not inside.scoped.sets.by_numbers and inside.core.counters.counts["calls_offered"] == 1
-    assert other.can_close() and not link.retired and not link.can_close()
+    assert not inside.scoped.sets.by_numbers
+    assert inside.core.counters.counts["calls_offered"] == 1
+    assert other.can_close()
+    assert not link.retired
+    assert not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
-    assert not link.retired and not link.can_close()
+    assert not link.retired
+    assert not link.can_close()
     inside.core.release(call, 16)
     assert not link.can_close(), "the release has not been written"
     assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
-    assert link.retired and link.can_close()
+    assert link.retired
+    assert link.can_close()
     for each in (link, other):
         each.side.drop(each)
-    assert not inside.side.links and not inside.side.leaving and len(inside.dialled) == 2
+    assert not inside.side.links
+    assert not inside.side.leaving
+    assert len(inside.dialled) == 2
     inside.offer(b)
     at_three = [each.server.record.instance for each in inside.dialled[2:]]
     assert sorted(at_three) == sorted([link.server.record.instance, "z"])
@@ -658,7 +680,8 @@
 
     leaves(call)
     inside.run(20)
-    assert link.retired and not inside.scoped.sets.by_numbers
+    assert link.retired
+    assert not inside.scoped.sets.by_numbers
     call, _ = inside.offer(a)
     assert not link.retired
     leaves(call)
@@ -667,7 +690,8 @@
     link.side.drop(link)  # its connection has ended
     assert len(inside.dialled) == 1
     call, _ = inside.offer(a)
-    assert len(inside.dialled) == 2 and call.attempt.server.record.instance == "x"
+    assert len(inside.dialled) == 2
+    assert call.attempt.server.record.instance == "x"
 
 
 def test_a_server_that_goes_without_ever_having_been_in_scope_is_forgotten():
@@ -754,7 +778,8 @@
 
     until(lambda: " scope state=out classes=s1 " in program.text(), "the scope leaves")  # behind a prompt
     until(lambda: len(program.lines("link_lost")) == PER - 1, "the links on which no call stands end")
-    assert name not in [each["server"] for each in program.lines("link_lost")] and not took.of("FINISH")
+    assert name not in [each["server"] for each in program.lines("link_lost")]
+    assert not took.of("FINISH")
     caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKbye", "c1", **more))
     until(lambda: took.of("FINISH"), "the release at the server")
     until(lambda: name in [each["server"] for each in program.lines("link_lost")], "then its link ends")
@@ -764,7 +789,8 @@
     ask("c3", "s1")
     caller.expect("c3", 200)
     assert [each["classes"] for each in program.lines("scope") if each["state"] == "in"] == ["s1", "s3", "s1"]
-    assert caller.finals("c2")[0] >= 400 and not any(each.links for each in others)
+    assert caller.finals("c2")[0] >= 400
+    assert not any(each.links for each in others)
     until(lambda: all(len(each.links) >= 2 for each in asked), "links anew")
     text = program.path.read_text()
     assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "applied"
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -153,7 +153,9 @@
         with pytest.raises(ConfigError) as error:
             read_platform({"RELAY_CONFIG": str(self.path)})
         text = str(error.value)
-        assert text.startswith(f"{self.path}: ") and "\n" not in text and len(text) < 250
+        assert text.startswith(f"{self.path}: ")
+        assert "\n" not in text
+        assert len(text) < 250
         return text.removeprefix(f"{self.path}: ")
 
 
@@ -333,7 +335,8 @@
     program = Program(tmp_path, RELAY_CONFIG=str(path))
     started.append(program)
     assert program.process.wait(20) == 2
-    assert program.text().count("\n") == 1 and f"{path}: {says}" in program.text()
+    assert program.text().count("\n") == 1
+    assert f"{path}: {says}" in program.text()
 
 
 class Stage:
@@ -390,12 +393,15 @@
     for another class. An unknown class gets the answer of the pages for a failed set-up, and goes nowhere.
     """
     stage, kind = Stage(told), told["classes"][0]["name"]
-    assert stage.ask("no-such-class") == 400 and stage.ask("") == 400 and stage.sent == 0
+    assert stage.ask("no-such-class") == 400
+    assert stage.ask("") == 400
+    assert stage.sent == 0
     assert stage.ask(kind) == 200
     assert stage.ask(kind, charged_party="region-nord") == 200
     assert stage.ask(kind, charged_party="no-such-tenant") == 200
     assert stage.ask(kind, charged_party="") == 200
-    assert stage.sent == 4 and not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
+    assert stage.sent == 4
+    assert not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -130,10 +130,11 @@
 def test_settings_are_translated_and_unknown_keys_ignored():
     parsed = parse_settings_json(json.dumps(BOOT).encode())
     settings = parsed.settings
-    assert (
-        settings.instance_count == 4 and settings.max_attempts == 5 and settings.safety.retry_pause_s == 0.5
-    )
-    assert settings.classes[0].allowed_servers == (0, 1) and settings.classes[0].mean_duration_s == 11.0
+    assert settings.instance_count == 4
+    assert settings.max_attempts == 5
+    assert settings.safety.retry_pause_s == 0.5
+    assert settings.classes[0].allowed_servers == (0, 1)
+    assert settings.classes[0].mean_duration_s == 11.0
     assert parsed.load_report_names[2] == "mean_ms"
 
 
@@ -178,7 +179,8 @@
     done = run_adapter(
         codec.encode_batch(codec.EventBatch(1, 10.0, [])) + codec.encode_batch(codec.EventBatch(2, 10.0, DAY))
     )
-    assert done.returncode == 0 and not done.stderr
+    assert done.returncode == 0
+    assert not done.stderr
     read = io.BytesIO(done.stdout).read
     assert codec.read_reply(read) == codec.ActionReply(1, [])
     assert codec.read_reply(read).records[0].server_id == 302190087
@@ -211,5 +213,7 @@
     done = run_adapter(data)
     assert done.returncode == 2
     text = done.stderr.decode()
-    assert text.count("\n") == 1 and says in text and "Traceback" not in text
+    assert text.count("\n") == 1
+    assert says in text
+    assert "Traceback" not in text
     assert not done.stdout
