--- a/stairhatch/simulator/adapter.py
+++ b/stairhatch/simulator/adapter.py
@@ -32,16 +32,15 @@
 from stairhatch.settings.errors import SettingsError
 from stairhatch.settings.load_reports import load_report_from_values
 from stairhatch.settings.parser import ParsedSettings, parse_settings_json
-from stairhatch.simulator.codec import (
-    ActionReply,
+from stairhatch.simulator.codec import ActionReply, EventBatch, ReadBytes, encode_reply, read_batch
+from stairhatch.simulator.frame_reader import CodecError
+from stairhatch.simulator.records import (
     AttemptEndedRecord,
     CallAbandonedRecord,
     CallEstablishedRecord,
     CallOfferedRecord,
-    CodecError,
     ControllerFailedRecord,
     EndpointsUpdatedRecord,
-    EventBatch,
     FailCallRecord,
     InstanceRecord,
     InstanceStartedRecord,
@@ -51,14 +50,11 @@
     LoadReportedRecord,
     LogMessageRecord,
     PeerMessageRecord,
-    ReadBytes,
     RejectCallRecord,
     SendSetupRecord,
     SetTimerRecord,
     TimerExpiredRecord,
     WireRecord,
-    encode_reply,
-    read_batch,
 )
 
 MAX_TEXT_BYTES = 65_535  # of a log line or an error: its count is a u16
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -11,7 +11,7 @@
 
 from stairhatch.overload.events import LoadReport
 from stairhatch.settings.parser import parse_settings_json
-from stairhatch.simulator import codec
+from stairhatch.simulator import codec, records
 from stairhatch.simulator.adapter import SimulatorAdapter
 
 BOOT = {
@@ -40,16 +40,16 @@
     "a_new_key": [],
 }  # fmt: skip
 DAY = [
-    codec.InventoryRecord(
+    records.InventoryRecord(
         0,
         (
-            codec.InventoryEntry(302190087, 0, 0, 0, 1.0, 0.0, 0),
-            codec.InventoryEntry(7, 1, 0, 0, 1.0, 0.0, 0),
+            records.InventoryEntry(302190087, 0, 0, 0, 1.0, 0.0, 0),
+            records.InventoryEntry(7, 1, 0, 0, 1.0, 0.0, 0),
         ),
     ),
-    codec.InstanceStartedRecord(3, 99, json.dumps(BOOT).encode()),
-    codec.EndpointsUpdatedRecord(3, 2, 41, 0),
-    codec.CallOfferedRecord(3, 5, 0, 0, 0.0, -1.0, 0.0, 0, 3.0, 1.0, 0),
+    records.InstanceStartedRecord(3, 99, json.dumps(BOOT).encode()),
+    records.EndpointsUpdatedRecord(3, 2, 41, 0),
+    records.CallOfferedRecord(3, 5, 0, 0, 0.0, -1.0, 0.0, 0, 3.0, 1.0, 0),
 ]
 
 
@@ -59,14 +59,14 @@
 
 PRINTED = {
     "12 03000000 c4913a5d4bc60100 0000 0100 00006442 00008043 fa7e6abc7493883f 00000000 b81e85eb51b8ce3f"
-    " 00009644 640ad2557c3bf091": codec.CallOfferedRecord,
-    "16 03000000 4d000000": codec.TimerExpiredRecord,
-    "15 05000000 192b6f0eb1de0100": codec.CallAbandonedRecord,
+    " 00009644 640ad2557c3bf091": records.CallOfferedRecord,
+    "16 03000000 4d000000": records.TimerExpiredRecord,
+    "15 05000000 192b6f0eb1de0100": records.CallAbandonedRecord,
     "14 03000000 c4913a5d4bc60100 8b6ce7fba9f1923f 00000000 01 074a1203 0a 0000 03 cdcccc3e0000a03f00006841":
-        codec.AttemptEndedRecord,
+        records.AttemptEndedRecord,
     "1a 00000000 02000000 074a1203 0000 00 00 0000803f 0000000000000000 00"
-    " f211902c 0000 00 01 0000c03f 6666666666661840 00": codec.InventoryRecord,
-    "11 03000000 02 2900000000000000 00000000": codec.EndpointsUpdatedRecord,
+    " f211902c 0000 00 01 0000c03f 6666666666661840 00": records.InventoryRecord,
+    "11 03000000 02 2900000000000000 00000000": records.EndpointsUpdatedRecord,
 }  # fmt: skip
 
 
@@ -92,12 +92,12 @@
     ("action", "text"),
     [
         (
-            codec.SendSetupRecord(3, 0x1C64B5D3A91C4, 0x03124A07, 0.105),
+            records.SendSetupRecord(3, 0x1C64B5D3A91C4, 0x03124A07, 0.105),
             "11 03000000 c4913a5d4bc60100 074a1203",
         ),
-        (codec.SetTimerRecord(3, 0.5, 77), "14 03000000 000000000000e03f 4d000000"),
+        (records.SetTimerRecord(3, 0.5, 77), "14 03000000 000000000000e03f 4d000000"),
         (
-            codec.LogMessageRecord(5, b"two servers known"),
+            records.LogMessageRecord(5, b"two servers known"),
             "15 05000000 1100 74776f2073657276657273206b6e6f776e",
         ),
     ],
@@ -109,19 +109,19 @@
 
 
 def test_every_record_goes_both_ways():
-    records = [
+    events = [
         *DAY,
-        codec.CallEstablishedRecord(3, 5, 0, 7, 0.1),
-        codec.LoadReportedRecord(3, 10, 0.0, 7, (1.0, 2.0)),
-        codec.PeerMessageRecord(3, 1, b"hi"),
-        codec.InstanceStoppedRecord(3),
+        records.CallEstablishedRecord(3, 5, 0, 7, 0.1),
+        records.LoadReportedRecord(3, 10, 0.0, 7, (1.0, 2.0)),
+        records.PeerMessageRecord(3, 1, b"hi"),
+        records.InstanceStoppedRecord(3),
     ]
-    batch = codec.EventBatch(9, 1.5, records)
+    batch = codec.EventBatch(9, 1.5, events)
     assert codec.read_batch(io.BytesIO(codec.encode_batch(batch)).read) == batch
     acts = [
-        codec.FailCallRecord(3, 5),
-        codec.RejectCallRecord(3, 5, 0.5),
-        codec.ControllerFailedRecord(3, b"x"),
+        records.FailCallRecord(3, 5),
+        records.RejectCallRecord(3, 5, 0.5),
+        records.ControllerFailedRecord(3, b"x"),
     ]
     reply = codec.ActionReply(9, acts)
     assert codec.read_reply(io.BytesIO(codec.encode_reply(reply)).read) == reply
@@ -141,8 +141,8 @@
 def test_adapter_sends_and_restarts_from_nothing():
     adapter = SimulatorAdapter()
     reply = adapter.answer(codec.EventBatch(1, 10.0, list(DAY)))
-    assert [type(r) for r in reply.records][:1] == [codec.SendSetupRecord]
-    again = [codec.InstanceStoppedRecord(3), *DAY[1:3]]
+    assert [type(r) for r in reply.records][:1] == [records.SendSetupRecord]
+    again = [records.InstanceStoppedRecord(3), *DAY[1:3]]
     adapter.answer(codec.EventBatch(2, 10.1, again))
     assert not adapter.instances[3].controller.calls
 
@@ -166,8 +166,8 @@
         raise RuntimeError("out of order")
 
     monkeypatch.setattr(adapter.instances[3].controller, "handle", broken)
-    reply = adapter.answer(codec.EventBatch(2, 10.1, [codec.TimerExpiredRecord(3, 1)]))
-    assert reply.records == [codec.ControllerFailedRecord(3, b"RuntimeError: out of order")]
+    reply = adapter.answer(codec.EventBatch(2, 10.1, [records.TimerExpiredRecord(3, 1)]))
+    assert reply.records == [records.ControllerFailedRecord(3, b"RuntimeError: out of order")]
 
 
 def run_adapter(data):
@@ -203,10 +203,10 @@
         (codec.BATCH_HEADER.pack(7, 9, 0.0, 1) + b"\x1a\0\0\0\0\xff\0\0\0", "overruns"),
         (codec.BATCH_HEADER.pack(7, 3, 0.0, 1) + b"\x16\0\0", "TimerExpiredRecord"),
         (codec.BATCH_HEADER.pack(7, 1, 0.0, 0) + b"\0", "left over"),
-        (framed(codec.InstanceStartedRecord(1, 1, b"{oops")), "boot_info"),
-        (framed(codec.InstanceStartedRecord(1, 1, b'{"classes": 3}')), "boot_info"),
-        (framed(codec.InstanceStartedRecord(1, 1, b'{"classes":[],"balancers":0}')), "balancers"),
-        (framed(codec.TimerExpiredRecord(1, 1)), "not started"),
+        (framed(records.InstanceStartedRecord(1, 1, b"{oops")), "boot_info"),
+        (framed(records.InstanceStartedRecord(1, 1, b'{"classes": 3}')), "boot_info"),
+        (framed(records.InstanceStartedRecord(1, 1, b'{"classes":[],"balancers":0}')), "balancers"),
+        (framed(records.TimerExpiredRecord(1, 1)), "not started"),
     ],
 )
 def test_malformed_input_gets_one_plain_line(data, says):
