--- a/stairhatch/overload/averages.py
+++ b/stairhatch/overload/averages.py
@@ -9,7 +9,7 @@
 OBSERVED_MEMORY = 100
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RunningMean:
     """A mean of all values, and of about the last `memory` once there are more."""
 
@@ -30,7 +30,7 @@
             self.mean = sum(other.mean * other.count for other in others) / self.count
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class CallDurations:
     """Mean duration of calls in seconds: `expected` by their classes as they come, `observed` as they end."""
 
@@ -43,7 +43,7 @@
         return max(self.expected.mean, self.observed.mean)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class FadingPeak:
     """The greatest value of late: it fades with the time constant `memory_s`."""
 
--- a/stairhatch/overload/caller_retry.py
+++ b/stairhatch/overload/caller_retry.py
@@ -8,7 +8,7 @@
 TIMEOUT_SLACK = 0.1  # what counts as unusual
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class CallerRetryDetector:
     """Follows the timeout of most callers of a class: last tries have what is left of their deadline."""
 
--- a/stairhatch/overload/concurrency.py
+++ b/stairhatch/overload/concurrency.py
@@ -18,7 +18,7 @@
 OVERTAKE_S = 0.1  # beyond the fastest set-up, so that mere jitter is no overtaking
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class ConcurrencyControl:
     """Bounds the own pending set-ups at an endpoint so that its delay stays at the onset."""
 
--- a/stairhatch/overload/congestion.py
+++ b/stairhatch/overload/congestion.py
@@ -10,7 +10,7 @@
 MAX_THROTTLE_FRACTION = 0.95  # no class is shut out altogether
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class CongestionControl:
     """Raises the flag above the onset delay, and lowers it at the abatement delay."""
 
--- a/stairhatch/overload/endpoint_registry.py
+++ b/stairhatch/overload/endpoint_registry.py
@@ -7,7 +7,7 @@
 from stairhatch.overload.events import Availability, EndpointRecord, EndpointsUpdated
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class EndpointRegistry:
     """Adds endpoints that are listed, marks them as listed, and forgets those that are long gone."""
 
--- a/stairhatch/overload/load_balancing.py
+++ b/stairhatch/overload/load_balancing.py
@@ -17,7 +17,7 @@
 Available = list[tuple[Endpoint, float]]  # each with the least weight of a call that it is open to
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class LoadBalancer:
     """Chooses among the endpoints that are eligible for a call and have capacity at this moment."""
 
--- a/stairhatch/overload/load_reports.py
+++ b/stairhatch/overload/load_reports.py
@@ -14,7 +14,7 @@
 MAX_ONSETS = 9.0  # the longest delay that a utilization counts as, in onsets
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class LoadEvidence:
     """Turns reports and results into one delay each, and hands them to what goes by them."""
 
--- a/stairhatch/overload/outlier.py
+++ b/stairhatch/overload/outlier.py
@@ -17,7 +17,7 @@
 ERRORS_TO_EJECT = 2  # to calls that another endpoint established: a lone one may be chance
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class OutlierDetection:
     """Ejects an endpoint that rejects set-ups, fails them in a row or can't be reached."""
 
@@ -63,7 +63,7 @@
                     self.eject(now, endpoint, AttemptOutcome.ERROR)
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class DestinationBackoffs:
     """After 'busy' a called number gets one trial call an interval, which doubles with each new 'busy'."""
 
--- a/stairhatch/overload/slow_start.py
+++ b/stairhatch/overload/slow_start.py
@@ -16,7 +16,7 @@
 SLOT_FRACTION = 0.25  # of the overload window: an unused slot lapses after this
 
 
-@dataclass
+@dataclass(eq=False, repr=False)
 class SlowStart:
     """Deals slots out to the nodes, by the load that warm endpoints have, or had lately."""
 
