--- a/stairhatch/fault_injection/mutations.py
+++ b/stairhatch/fault_injection/mutations.py
@@ -15,9 +15,11 @@
 from stairhatch.fleet.fencing import FencingTokens
 from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
 from stairhatch.fleet.member import ClusterMember
-from stairhatch.fleet.messages import LeaseGranted, LeaseRelease, LeaseRequest
-from stairhatch.fleet.voter import Voter, VoterState
+from stairhatch.fleet.messages import LeaseGranted, LeaseRelease, LeaseRequest, RejectionReason
+from stairhatch.fleet.vote_table import Rejection, VoteTable
+from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import VoterSet, may_advance
+from stairhatch.fleet.voter_startup import VoterState
 
 Patch = tuple[Any, str, Any]
 MUTATIONS: dict[str, Callable[[], list[Patch]]] = {}
@@ -103,8 +105,8 @@
 @mutation("drift is not reckoned with")
 def _() -> list[Patch]:
     same = property(lambda self: self.duration_s)
-    keeps = lambda self, promise: max(promise.term_s, self.timings.term_s)  # noqa: E731
-    return [(LeaseTimings, "holder_duration_s", same), (Voter, "_vote_duration_s", keeps)]
+    keeps = lambda self, vote: max(vote.duration_s, self.timings.duration_s)  # noqa: E731
+    return [(LeaseTimings, "holder_duration_s", same), (VoteTable, "duration_s", keeps)]
 
 
 @mutation("late answers count for the newest round")
@@ -162,8 +164,8 @@
 
     def early(self: Voter, *told: Any) -> list[Any]:
         out = real(self, *told)
-        sender, message, _ = self._pending_grants.pop(self._write_id)
-        return [*out, SendMessage(sender, message)]
+        grant = self.log.pending_grants.pop(self.log.last_write_id)
+        return [*out, SendMessage(grant.destination, grant.message)]
 
     return [(Voter, "_cast_vote", early)]
 
@@ -173,13 +175,13 @@
     real = Voter.handle_request
 
     def eager(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
-        under_way = self._writing
-        if self.votes.get(ask.lease) == Vote(
+        under_way = self.log.under_way
+        if self.votes.by_lease.get(ask.lease) == Vote(
             ask.lease, ask.fencing_token, ask.holder, ask.incarnation, ask.duration_ms / 1000
         ):
-            self._writing = {}
+            self.log.under_way = {}
         out = real(self, now, sender, ask)
-        self._writing = {**under_way, **self._writing}
+        self.log.under_way = {**under_way, **self.log.under_way}
         return out
 
     return [(Voter, "handle_request", eager)]
@@ -195,14 +197,13 @@
 def _() -> list[Patch]:
     real = Voter._rejection
 
-    def generous(self: Voter, now: float, ask: LeaseRequest) -> Any:
+    def generous(self: Voter, now: float, ask: LeaseRequest) -> Rejection | None:
         found = real(self, now, ask)
-        held = found[0] == "held" and ask.fencing_token > found[1]
-        return (
-            ("low", found[1], "", 0.0)
-            if found[0] == "held" and not held
-            else (("", 0, "", 0.0) if held else found)
-        )
+        if found is None or found.reason != RejectionReason.HELD.value:
+            return found
+        if ask.fencing_token > found.highest_token:
+            return None
+        return Rejection(RejectionReason.TOKEN_TOO_LOW.value, found.highest_token)
 
     return [(Voter, "_rejection", generous)]
 
@@ -210,15 +211,14 @@
 @mutation("a voter takes any ticket")
 def _() -> list[Patch]:
     real = Voter._rejection
-    return [
-        (
-            Voter,
-            "_against",
-            lambda self, now, ask: ("", 0, "", 0.0)
-            if real(self, now, ask)[0] == "low"
-            else real(self, now, ask),
-        )
-    ]
+
+    def any_token(self: Voter, now: float, ask: LeaseRequest) -> Rejection | None:
+        found = real(self, now, ask)
+        if found is not None and found.reason == RejectionReason.TOKEN_TOO_LOW.value:
+            return None
+        return found
+
+    return [(Voter, "_rejection", any_token)]
 
 
 @mutation("a renewal does not lengthen the promise")
@@ -226,10 +226,10 @@
     real = Voter.handle_request
 
     def short(self: Voter, now: float, sender: Any, ask: LeaseRequest) -> list[Any]:
-        until, old = self.expires_at.get(ask.lease), self.votes.get(ask.lease)
+        until, old = self.votes.expires_at.get(ask.lease), self.votes.by_lease.get(ask.lease)
         out = real(self, now, sender, ask)
         if old is not None and until is not None and old.fencing_token == ask.fencing_token:
-            self.expires_at[ask.lease] = until
+            self.votes.expires_at[ask.lease] = until
         return out
 
     return [(Voter, "handle_request", short)]
@@ -241,7 +241,7 @@
 
     def forgetful(self: Voter, *told: Any) -> None:
         init(self, *told)
-        self.expires_at = {}
+        self.votes.expires_at = {}
 
     return [(Voter, "__init__", forgetful)]
 
@@ -268,7 +268,7 @@
 
     def at_once(self: Voter, now: float) -> list[Any]:
         out = real(self, now)
-        self.waiting_until, self.expires_at = now, {}
+        self.waiting_until, self.votes.expires_at = now, {}
         return out
 
     return [(Voter, "_start_waiting", at_once)]
@@ -281,7 +281,7 @@
     def untold(self: Voter, now: float, good: list[Any]) -> list[Any]:
         for each in good:
             each.votes.clear()
-        self.votes.clear()
+        self.votes.by_lease.clear()
         return real(self, now, good)
 
     return [(Voter, "_admit", untold)]
@@ -292,7 +292,7 @@
     real = Voter._evaluate_replies
 
     def hasty(self: Voter, now: float) -> list[Any]:
-        if self.state is VoterState.NEW_STORAGE and self.peers:
+        if self.state is VoterState.NEW_STORAGE and self.peers.by_voter:
             return self._start_waiting(now)
         return real(self, now)
 
@@ -304,7 +304,7 @@
     real = Voter.handle_release
 
     def open_to_all(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
-        old = self.votes.get(back.lease)
+        old = self.votes.by_lease.get(back.lease)
         if old is not None:
             back = LeaseRelease(
                 back.lease, old.holder or "-", old.incarnation, old.fencing_token, back.successor
@@ -319,10 +319,10 @@
     real = Voter.handle_release
 
     def forgotten(self: Voter, now: float, back: LeaseRelease) -> list[Any]:
-        old = self.votes.get(back.lease)
+        old = self.votes.by_lease.get(back.lease)
         out = real(self, now, back)
-        if old is not None and old != self.votes.get(back.lease):
-            self.votes[back.lease] = Vote(back.lease, 0)
+        if old is not None and old != self.votes.by_lease.get(back.lease):
+            self.votes.by_lease[back.lease] = Vote(back.lease, 0)
         return out
 
     return [(Voter, "handle_release", forgotten)]
--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -28,7 +28,7 @@
     StatusRequest,
     StorageVersion,
 )
-from stairhatch.fleet.voter import VoterState
+from stairhatch.fleet.voter_startup import VoterState
 
 CLAIM = "work"
 NEVER = 1e9
@@ -187,7 +187,7 @@
                 until
                 for name in names
                 if (voter := self.member(name).voter) is not None
-                for until in voter.expires_at.values()
+                for until in voter.votes.expires_at.values()
             ]
             self.now = max([self.now, *ends]) + 1e-3
         else:
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -8,6 +8,7 @@
 
 import hashlib
 import hmac
+from enum import StrEnum
 from typing import Annotated
 
 import msgspec
@@ -22,6 +23,16 @@
 Millis = Annotated[int, Meta(ge=0, le=3_600_000)]
 
 
+class RejectionReason(StrEnum):
+    """Why a voter that votes rejects a request. A word of another kind says why a voter does not vote."""
+
+    HELD = "held"  # by another member
+    RESERVED = "handed"  # for the successor that the last holder named
+    TOKEN_TOO_LOW = "low"  # a token as high or higher was voted for
+    DURATION_TOO_LONG = "term"  # longer than the voter's own
+    TOO_MANY_LEASES = "full"
+
+
 class StorageVersion(Struct, frozen=True, array_like=True):
     """How far a voter's folder had come when somebody heard of it: which folder, its start, its promises."""
 
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -526,9 +526,9 @@
                     "claim": p.lease,
                     "ticket": p.fencing_token,
                     "holder": p.holder,
-                    "left_s": round(max(0.0, voter.expires_at.get(p.lease, 0.0) - now), 3),
+                    "left_s": round(max(0.0, voter.votes.expires_at.get(p.lease, 0.0) - now), 3),
                 }
-                for p in voter.votes.values()
+                for p in voter.votes.by_lease.values()
             ]
             told["vote"] = {
                 "votes": voter.is_voting,
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -1,13 +1,12 @@
-"""Which list of voters counts: owns its number, its epoch, and when a voter goes on to the next. It must
-never let two majorities be had that know nothing of each other.
-
-The operators' files have the list and its epoch; the next epoch differs by one voter. Any majorities of two
-such lists share a voter (Ongaro 2014, section 4.1), so both may be asked side by side while the files are
-changed one after the other. Of three lists in turn the first and the third need not share one. Hence a voter
-at epoch u that hears of a wish for u+1 closes u-1 and agrees to one list as the next, both on disk, and tells
-so with its promises. Who has that of a majority of list u, itself included, takes over their tickets and goes
-on; a majority agreed, so all go on to one list. What it is told of goes with it as promised just then. A
-process that asks goes by one list for as long as it lives.
+"""Which set of voters counts: its epoch, and when a voter goes on to the next one.
+
+The operators' files have the voters and their epoch; the next epoch differs by one voter. Any majorities of
+two such sets share a voter (Ongaro 2014, section 4.1), so both may be asked side by side while the files are
+changed one after the other. Of three sets in turn the first and the third need not share one. Hence a voter
+at epoch u that hears of a proposal for u+1 closes u-1 and agrees to one set as the next, both on disk, and
+says so with its votes. Who has that of a majority of set u, itself included, takes over their fencing tokens
+and goes on; a majority agreed, so all go on to one set. What it is told of goes with it as voted for just
+then. A process that requests leases goes by one set for as long as it lives.
 """
 
 from __future__ import annotations
@@ -17,22 +16,24 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
+DIGEST_BYTES = 7  # so that it fits the numbers of a datagram
+
 
 def digest_of(voters: Iterable[str]) -> int:
-    """A list of voters as one number: of their names, since each may be reached at several addresses."""
+    """A voter set as one number: of the names, since each voter may be reached at several addresses."""
     text = "\n".join(sorted(voters)).encode()
-    return int.from_bytes(hashlib.blake2b(text, digest_size=7).digest())
+    return int.from_bytes(hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest())
 
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """The list of voters as a folder has it."""
+    """A voter set as a data directory has it."""
 
     epoch: int
     voters: tuple[str, ...]
-    previous_digest: int = 0  # the digest of the list before it
-    minimum_epoch: int = 0  # asks by lists of lower epochs are refused
-    agreed_digest: int = 0  # the digest of the next list, once this voter has agreed to one
+    previous_digest: int = 0
+    minimum_epoch: int = 0  # requests by sets of lower epochs are rejected
+    agreed_digest: int = 0  # of the next set, once this voter has agreed to one
 
     @property
     def digest(self) -> int:
@@ -44,15 +45,15 @@
         """Of its voters."""
         return len(self.voters) // 2 + 1
 
-    def accepts(self, epoch: int, told: int) -> bool:
-        """Whether an ask by this list is to be judged at all."""
+    def accepts(self, epoch: int, digest: int) -> bool:
+        """Whether a request by this set is to be judged at all."""
         if epoch == self.epoch:
-            return told == self.digest
-        return self.minimum_epoch <= epoch == self.epoch - 1 and told == self.previous_digest
+            return digest == self.digest
+        return self.minimum_epoch <= epoch == self.epoch - 1 and digest == self.previous_digest
 
-    def agree_to(self, told: int) -> VoterSet:
-        """Agreed to a next list, the first that was heard of, and closed for the one before."""
-        return replace(self, minimum_epoch=self.epoch, agreed_digest=self.agreed_digest or told)
+    def agree_to(self, digest: int) -> VoterSet:
+        """Agreed to a next set, the first that was heard of, and closed for the one before."""
+        return replace(self, minimum_epoch=self.epoch, agreed_digest=self.agreed_digest or digest)
 
     def successor(self, voters: tuple[str, ...]) -> VoterSet:
         """The next one, once a majority has agreed to it."""
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterSetStatus:
-    """What another voter says of its list."""
+    """What another voter says of its voter set."""
 
     epoch: int
     digest: int
@@ -70,49 +71,68 @@
 
 
 class VoterSetRelation(Enum):
-    """What a folder's list and the file's come to."""
+    """How the configured voter set stands to the one in the data directory."""
 
     SAME = "same"
-    SUCCESSOR = "next"
+    SUCCESSOR = "successor"
     BEHIND = "behind"
-    INCONSISTENT = "wrong"
+    INCONSISTENT = "inconsistent"
+
+
+@dataclass(frozen=True, slots=True)
+class VoterSetComparison:
+    """The relation, and why a voter can't go by its configuration."""
+
+    relation: VoterSetRelation
+    reason: str = ""
 
 
-def compare(roll: VoterSet, epoch: int, voters: tuple[str, ...]) -> tuple[VoterSetRelation, str]:
-    """The kind, and why a voter can't go by its file."""
-    if roll.epoch == epoch:
-        if roll.digest == digest_of(voters):
-            return VoterSetRelation.SAME, ""
-        return (
+def compare(stored: VoterSet, epoch: int, voters: tuple[str, ...]) -> VoterSetComparison:
+    """Hold the configured voter set against the one in the data directory."""
+    listed = " ".join(stored.voters)
+    if stored.epoch == epoch:
+        if stored.digest == digest_of(voters):
+            return VoterSetComparison(VoterSetRelation.SAME)
+        return VoterSetComparison(
             VoterSetRelation.INCONSISTENT,
-            f"its folder has list {epoch} as {' '.join(roll.voters)}: a change needs an epoch",
+            f"its folder has list {epoch} as {listed}: a change needs an epoch",
         )
-    if epoch < roll.epoch:
-        return (
+    if epoch < stored.epoch:
+        return VoterSetComparison(
             VoterSetRelation.INCONSISTENT,
-            f"its folder has list {roll.epoch} already, its file list {epoch}",
+            f"its folder has list {stored.epoch} already, its file list {epoch}",
         )
-    if epoch > roll.epoch + 1:
-        return VoterSetRelation.BEHIND, f"its folder has list {roll.epoch}, its file list {epoch}"
-    if len(set(roll.voters) ^ set(voters)) != 1:
-        return (
-            VoterSetRelation.INCONSISTENT,
-            f"list {epoch} differs from {' '.join(roll.voters)} by more than one voter",
+    if epoch > stored.epoch + 1:
+        return VoterSetComparison(
+            VoterSetRelation.BEHIND, f"its folder has list {stored.epoch}, its file list {epoch}"
+        )
+    if len(set(stored.voters) ^ set(voters)) != 1:
+        return VoterSetComparison(
+            VoterSetRelation.INCONSISTENT, f"list {epoch} differs from {listed} by more than one voter"
         )
-    return VoterSetRelation.SUCCESSOR, ""
+    return VoterSetComparison(VoterSetRelation.SUCCESSOR)
+
 
+def may_advance(
+    current: VoterSet, proposed_digest: int, statuses: dict[str, VoterSetStatus], member: str
+) -> bool:
+    """Whether a majority of the current set, this member included, has agreed to the proposed one and is
+    closed for the one before.
+    """
+
+    def is_ready(status: VoterSetStatus) -> bool:
+        if status.epoch == current.epoch:
+            return status.minimum_epoch == current.epoch and status.agreed_digest == proposed_digest
+        return status.epoch == current.epoch + 1 and status.digest == proposed_digest
 
-def may_advance(roll: VoterSet, wish: int, said: dict[str, VoterSetStatus], me: str) -> bool:
-    """Whether a majority of this list has agreed to the one wished for, and is closed for the one before."""
     ready = {
         name
-        for name, each in said.items()
-        if name in roll.voters
-        and name != me
-        and (
-            (each.epoch == roll.epoch and each.minimum_epoch == roll.epoch and each.agreed_digest == wish)
-            or (each.epoch == roll.epoch + 1 and each.digest == wish)
-        )
+        for name, status in statuses.items()
+        if name in current.voters and name != member and is_ready(status)
     }
-    mine = me in roll.voters and roll.agreed_digest == wish and roll.minimum_epoch == roll.epoch
-    return len(ready) + mine >= roll.majority
+    is_ready_itself = (
+        member in current.voters
+        and current.agreed_digest == proposed_digest
+        and current.minimum_epoch == current.epoch
+    )
+    return len(ready) + is_ready_itself >= current.majority
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 from stairhatch.fleet.effects import PersistedState, PersistVotes, SendMessage
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.fleet.messages import LeaseRequest, StatusRequest, StorageVersion
-from stairhatch.fleet.voter import Voter, VoterState
+from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import (
     VoterSet,
     VoterSetRelation,
@@ -21,6 +21,7 @@
     digest_of,
     may_advance,
 )
+from stairhatch.fleet.voter_startup import VoterState
 
 
 def test_forty_seeds_break_no_rule_and_every_fault_bites():
@@ -201,5 +202,5 @@
 )
 def test_a_file_is_held_against_the_list_in_the_folder(epoch, voters, kind, why):
     """Guards against a list of voters that is mistyped and makes a second majority."""
-    found, told = compare(VoterSet(2, ("a", "b", "c")), epoch, voters)
-    assert found is kind and why in told and bool(why) == bool(told)
+    found = compare(VoterSet(2, ("a", "b", "c")), epoch, voters)
+    assert found.relation is kind and why in found.reason and bool(why) == bool(found.reason)
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -33,8 +33,9 @@
 )
 from stairhatch.fleet.messages import VoteReport as Told
 from stairhatch.fleet.store import FILE_NAME, VoterStore
-from stairhatch.fleet.voter import Voter, VoterState
+from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import VoterSet, digest_of
+from stairhatch.fleet.voter_startup import VoterState
 
 DATA = Path(__file__).parent / "data" / "fleet"
 DATAGRAMS = {
