--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -171,7 +171,7 @@
         now = clock()
         if self.instance_index_lease is not None:
             self.core.attempts.check_instance_index = self._look
-            self.core.retune(self.settings_in_use(self.settings))
+            self.core.update_settings(self.settings_in_use(self.settings))
             self.instance_index_lease.pool.request(now)
         if self.config.relay_endpoint_list and self.directory is not None:
             self.member.lease(ENDPOINT_LIST_LEASE).request(now)
@@ -339,7 +339,7 @@
         if number is not None:
             self.history("number", claim=f"number/{number if number >= 0 else was}", number=number)
             self.log("fleet", what="number", number=number if number >= 0 else "none")
-            self.core.retune(self.settings_in_use(self.settings))
+            self.core.update_settings(self.settings_in_use(self.settings))
 
     # ---- the list ----
 
@@ -526,9 +526,9 @@
                     "claim": p.lease,
                     "ticket": p.fencing_token,
                     "holder": p.holder,
-                    "left_s": round(max(0.0, voter.expires_at.get(p.lease, 0.0) - now), 3),
+                    "left_s": round(max(0.0, voter.votes.expires_at.get(p.lease, 0.0) - now), 3),
                 }
-                for p in voter.votes.values()
+                for p in voter.votes.by_lease.values()
             ]
             told["vote"] = {
                 "votes": voter.is_voting,
