--- a/stairhatch/config/appliance/fleet.py
+++ b/stairhatch/config/appliance/fleet.py
@@ -30,18 +30,18 @@
     if table.list and not whole.coordinator:
         raise ConfigError("fleet.list: there is no coordinator whose list could be handed on")
     return FleetConfig(
-        fleet=table.name,
-        name=whole.name,
+        fleet_name=table.name,
+        member_name=whole.name,
         listen=listen,
         voters=voters,
         epoch=table.epoch,
         secret=_secret(folder / table.secret) if table.secret is not None else b"",
-        folder=folder / table.folder if table.folder is not None else None,
-        history=folder / table.history if table.history is not None else None,
-        terms=LeaseTimings(table.term_s, table.drift, min(MAX_ROUND_S, table.term_s / ROUNDS_PER_TERM)),
-        numbers=table.numbers,
-        list=table.list,
-        restarts=table.restarts,
+        data_directory=folder / table.folder if table.folder is not None else None,
+        history_path=folder / table.history if table.history is not None else None,
+        timings=LeaseTimings(table.term_s, table.drift, min(MAX_ROUND_S, table.term_s / ROUNDS_PER_TERM)),
+        lease_instance_index=table.numbers,
+        relay_endpoint_list=table.list,
+        restart_slots=table.restarts,
     )
 
 
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -1,26 +1,15 @@
-"""The voter's side of claims: owns what is promised to whom, and whether this voter may promise at all. It
-must never say yes to what is not on disk, nor vote from a folder that has lost something.
-
-What is written: the claim, its ticket and holder at each new promise. A renewal is not: after a start every
-promise on disk counts as given just then, for a whole term. So a fleet at rest writes nothing.
-
-Standing. A voter that starts asks the others what they have seen of it (its mark: folder, start, promises).
-  intact   its mark is no less than any that others have seen, and a majority with itself says so: it votes.
-  new      its folder was empty. Where all voters say that of theirs, or know this very folder (they were
-           quicker, and may have started again since), the fleet is founded, a term later; by a first list of
-           voters only. Else it is let in as
-  out      one whose folder is older than what others have seen: it waits a whole term, and then a majority of
-           others that vote tell all their promises; these are written, and only then it votes. Any majority
-           that it took part in shares a voter with those that told: no ticket that it has forgotten can be
-           given again. They tell after the wait, not before it: until then a promise of theirs may still come
-           that makes a majority with one that it has forgotten.
+"""One voter: grants a lease to one holder at a time, once its vote is on disk, and only while it may vote.
+
+What is written: the lease, its fencing token and its holder at each new vote. A renewal is not: after a start
+every vote on disk counts as cast just then, for a whole duration. So a fleet at rest writes nothing. Whether
+the voter votes at all, and what others say of it, is in `voter_startup`; the votes are in `vote_table`, the
+writes in `vote_log`, the rules of voter sets in `voter_set`.
 """
 
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass, field, replace
-from enum import Enum
+from dataclasses import replace
 
 from stairhatch.fleet.effects import (
     Effect,
@@ -28,558 +17,433 @@
     LeaseEventKind,
     PeerAddress,
     PersistedState,
-    PersistVotes,
     SendMessage,
     Vote,
 )
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.fleet.messages import (
-    VOTES_PER_PAGE,
-    FleetMessage,
     LeaseGranted,
     LeaseQuery,
     LeaseRejected,
     LeaseRelease,
     LeaseRequest,
     LeaseStatus,
+    RejectionReason,
     StatusReply,
     StatusRequest,
     StorageVersion,
 )
-from stairhatch.fleet.messages import VoteReport as Told
-from stairhatch.fleet.voter_set import (
-    VoterSet,
-    VoterSetRelation,
-    VoterSetStatus,
-    compare,
-    digest_of,
-    may_advance,
+from stairhatch.fleet.vote_log import CompletedWrite, PendingGrant, VoteLog
+from stairhatch.fleet.vote_table import Rejection, VoteTable
+from stairhatch.fleet.voter_set import VoterSet, VoterSetRelation, compare, digest_of, may_advance
+from stairhatch.fleet.voter_startup import (
+    IGNORES_REPLIES,
+    MAY_HAVE_FORGOTTEN,
+    REJECTION_WORDS,
+    PeerReplies,
+    PeerStatus,
+    VoterState,
+    voter_set_status,
 )
 
-STATUS_INTERVAL_S = 0.2  # between two roll calls
+STATUS_INTERVAL_S = 0.2  # between two status requests to each other voter
 SETTLED_STATUS_INTERVAL_S = (
-    3.0  # between two of a voter that votes, so that others hear of a folder that came back old
+    3.0  # of a voter that votes, so that others hear of a directory that came back old
 )
 DISK_RETRY_S = 1.0  # a disk that took no write is tried again
-MAX_LEASES = 4096
-WITHHELD = "-"  # holds what nobody is to get for a term
-SUCCESSOR_PRIORITY_S = 1.0  # a successor that is named goes first for so long
-
-
-class VoterState(Enum):
-    """Whether a voter votes."""
-
-    STARTING = "has just started"
-    VOTING = "votes"
-    NEW_STORAGE = "its folder was empty"
-    EXCLUDED = "its folder is older than what others have seen"
-    WAITING = "waits a term before it is let in"
-    CATCHING_UP = "hears what others have promised"
-    MISCONFIGURED = "its file and its folder have different voters"
-    DISK_FAILED = "its disk takes no promise"
-
-
-REFUSAL_WORDS = {  # what it says on the wire while it does not vote
-    VoterState.STARTING: "starting",
-    VoterState.NEW_STORAGE: "new",
-    VoterState.EXCLUDED: "out",
-    VoterState.WAITING: "waiting",
-    VoterState.CATCHING_UP: "hearing",
-    VoterState.MISCONFIGURED: "wrong",
-    VoterState.DISK_FAILED: "broken",
-}
-RESTS = (VoterState.DISK_FAILED, VoterState.WAITING, VoterState.MISCONFIGURED)  # and takes in no answer
-LEFT = (VoterState.EXCLUDED, VoterState.WAITING, VoterState.CATCHING_UP, VoterState.MISCONFIGURED)
-
-
-@dataclass(slots=True)
-class PeerStatus:
-    """What another voter has said at this start."""
-
-    answer: StatusReply
-    promises: dict[str, Told] = field(default_factory=dict)
-    whole: bool = False
+MAX_REMAINING_MS = 3_600_000
 
 
 class Voter:
-    """One voter."""
+    """The decisions of one voter. Each call is given the time and answers with effects."""
 
     def __init__(
         self,
         name: str,
         voters: dict[str, PeerAddress],
-        terms: LeaseTimings,
+        timings: LeaseTimings,
         kept: PersistedState,
         now: float,
         first_write: int = 1,
         epoch: int = 1,
     ) -> None:
-        self.name, self.voters, self.terms = name, voters, terms
+        """`voters` and `epoch` are the configured voter set, `kept` is what the data directory held."""
+        self.name = name
+        self.voters = voters
+        self.timings = timings
         self.others = {each: place for each, place in voters.items() if each != name}
-        self.mark = kept.mark  # on disk, so that others may be told of it
-        self.fresh = not kept.admitted
-        self.known = dict(kept.known)
-        self.promises = {each.claim: each for each in kept.promises}
-        self.until = {each.claim: now + self._keeps(each) for each in kept.promises if each.holder}
-        self.first: dict[str, tuple[str, float]] = {}  # claim -> a successor that goes first, until when
-        self.started = now
-        self.standing = VoterState.NEW_STORAGE if not kept.admitted else VoterState.STARTING
-        self.heard: dict[str, PeerStatus] = {}
-        self.due = now
-        self.waits_until = math.inf
-        self.why = ""
-        self._number = first_write
-        self._promised = kept.mark.promises  # with those that are not on disk yet
-        self._marks: dict[int, StorageVersion] = {}  # by the write that puts it there
-        self._rolls: dict[int, VoterSet] = {}
-        self._known_new = self._said = False
-        self._answers: dict[
-            int, tuple[PeerAddress, FleetMessage, str]
-        ] = {}  # by the write that has to come first
-        self._writing: dict[str, int] = {}  # claim -> the write under way
-        self._unwritten: dict[str, Vote] = {}
-        self._broken_at = -math.inf
-        # Of the roll calls whose answers count: not those to an earlier start either.
-        self._serial = digest_of((kept.mark.folder, str(kept.mark.life)))
-        self._founds = False  # nobody has promised anything yet
-        self.listed = tuple(sorted(voters))  # in the file
-        mine = VoterSet(epoch, self.listed, 0, epoch)
-        self.roll = kept.roll or mine
-        self.on_disk = kept.roll
-        self._roll_new = kept.roll is None  # not on disk yet
-        kind, why = compare(self.roll, epoch, self.listed)
-        self.wish = digest_of(self.listed) if kind is VoterSetRelation.NEXT else 0
-        if kind is VoterSetRelation.WRONG:
-            self.standing, self.why = VoterState.MISCONFIGURED, why
-        elif kind is VoterSetRelation.BEHIND:
-            self.roll, self._roll_new = mine, True
-            if self.standing is VoterState.STARTING:
-                self.standing, self.why = VoterState.EXCLUDED, why
-
-    def _keeps(self, promise: Vote) -> float:
-        return max(promise.term_s, self.terms.term_s) * (1 + self.terms.drift)
+        self.log = VoteLog(kept, first_write)
+        self.votes = VoteTable(kept.votes, timings, now)
+        # Replies to requests of an earlier start don't count.
+        version = kept.storage_version
+        self.peers = PeerReplies(digest_of((version.storage_id, str(version.incarnation))))
+        self.is_new_storage = not kept.admitted
+        self.state = VoterState.NEW_STORAGE if self.is_new_storage else VoterState.STARTING
+        self.reason = ""  # it does not vote
+        self.started_at = now
+        self.due_at = now
+        self.waiting_until = math.inf
+        self._new_storage_reported = False
+        self._is_founding = False  # nobody has voted for anything yet
+        self.configured_voters = tuple(sorted(voters))
+        self.proposed_digest = 0  # of the configured voter set, where that is the next one
+        configured = VoterSet(epoch, self.configured_voters, 0, epoch)
+        self.voter_set = kept.voter_set or configured
+        self._compare_with(configured)
+
+    def _compare_with(self, configured: VoterSet) -> None:
+        """Settle what the configured voter set means beside the one in the data directory."""
+        comparison = compare(self.voter_set, configured.epoch, configured.voters)
+        match comparison.relation:
+            case VoterSetRelation.SUCCESSOR:
+                self.proposed_digest = configured.digest
+            case VoterSetRelation.INCONSISTENT:
+                self.state, self.reason = VoterState.MISCONFIGURED, comparison.reason
+            case VoterSetRelation.BEHIND:
+                self.voter_set = configured
+                self.log.has_unsaved_state = True
+                if self.state is VoterState.STARTING:
+                    self.state, self.reason = VoterState.EXCLUDED, comparison.reason
 
     @property
     def majority(self) -> int:
-        """Of the voters of the list that it goes by."""
-        return self.roll.majority
+        """Of the voters of the set that it goes by."""
+        return self.voter_set.majority
 
     @property
-    def votes(self) -> bool:
-        """Whether it may promise."""
-        return self.standing is VoterState.VOTING
-
-    # ---- promises ----
-
-    def asked(self, now: float, sender: PeerAddress, ask: LeaseRequest) -> list[Effect]:
-        """Promise, or say what stands in the way."""
-        out = self._compare(now, ask.marks)
-        why, highest, holder, left = self._against(now, ask)
-        if why:
-            left_ms = max(0, math.ceil(left * 1000))
-            no = LeaseRejected(
-                ask.claim, self.name, ask.serial, why, highest, holder, min(left_ms, 3_600_000)
+    def is_voting(self) -> bool:
+        """Whether it may grant leases."""
+        return self.state is VoterState.VOTING
+
+    # ---- leases ----
+
+    def handle_request(self, now: float, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
+        """Grant a lease once the vote is on disk, or say what stands against it."""
+        effects = self._compare_versions(now, request.storage_versions)
+        rejection = self._rejection(now, request)
+        if rejection is not None:
+            remaining_ms = min(max(0, math.ceil(rejection.remaining_s * 1000)), MAX_REMAINING_MS)
+            answer = LeaseRejected(
+                request.lease,
+                self.name,
+                request.request_id,
+                rejection.reason,
+                rejection.highest_token,
+                rejection.holder,
+                remaining_ms,
             )
-            return [*out, SendMessage(sender, no)]
-        if ask.claim in self._writing:
-            return out  # what is under way has not been promised yet, whoever asks a second time
-        old = self.promises.get(ask.claim)
-        term = ask.term_ms / 1000
-        new = Vote(ask.claim, ask.ticket, ask.holder, ask.incarnation, term)
-        self.until[ask.claim] = now + self._keeps(new)
-        self.first.pop(ask.claim, None)
-        if new == old:
-            return [
-                *out,
-                SendMessage(sender, LeaseGranted(ask.claim, self.name, ask.ticket, ask.serial, self.mark)),
-            ]
-        return [*out, *self._promise(new, sender, ask.serial)]
-
-    def _against(self, now: float, ask: LeaseRequest) -> tuple[str, int, str, float]:
-        """(why not, highest ticket, its holder, how long); "" where nothing is."""
-        if not self.votes:
-            left = self.waits_until - now if self.standing is VoterState.WAITING else 0.0
-            return REFUSAL_WORDS[self.standing], 0, "", max(left, self.terms.round_s)
-        if not self.roll.serves(ask.epoch, ask.roll):
-            return f"another list of voters, {self.roll.epoch}", 0, "", self.terms.term_s
-        if ask.term_ms > math.ceil(self.terms.term_s * 1000):
-            return "term", 0, "", self.terms.term_s  # a voter let in again waits for no longer than its own
-        old = self.promises.get(ask.claim)
-        if old is None:
-            if len(self.promises) >= MAX_LEASES:
-                return "full", 0, "", self.terms.term_s
-            return "", 0, "", 0.0
-        left = self.until.get(ask.claim, -math.inf) - now
-        if (ask.ticket, ask.holder, ask.incarnation) == (old.ticket, old.holder, old.incarnation):
-            return "", 0, "", 0.0
-        mine = (ask.holder, ask.incarnation) == (old.holder, old.incarnation)
-        if old.holder and left > 0 and not mine:
-            return "held", old.ticket, old.holder, left
-        first, until = self.first.get(ask.claim, ("", 0.0))
-        if first and first != ask.holder and now < until:
-            return "handed", old.ticket, first, until - now
-        if ask.ticket <= old.ticket:
-            return "low", old.ticket, old.holder if left > 0 else "", 0.0
-        return "", 0, "", 0.0
-
-    def given_back(self, now: float, back: LeaseRelease) -> list[Effect]:
-        """The holder wants it no longer; its ticket stays promised."""
-        old = self.promises.get(back.claim)
-        if old is None or (old.holder, old.incarnation, old.ticket) != (
-            back.holder,
-            back.incarnation,
-            back.ticket,
-        ):
-            return []
-        if back.claim in self._writing:  # that write must not be answered any more
-            self._answers.pop(self._writing[back.claim], None)
-        self.until.pop(back.claim, None)
-        if back.successor:
-            self.first[back.claim] = (back.successor, now + min(SUCCESSOR_PRIORITY_S, self.terms.term_s))
-        self.promises[back.claim] = Vote(old.claim, old.ticket)
-        return []  # a loss of this only costs a term, so it waits for the next write
-
-    def look(self, now: float, look: LeaseQuery, sender: PeerAddress) -> list[Effect]:
-        """Say who holds it."""
-        old = self.promises.get(look.claim)
-        left = max(0.0, self.until.get(look.claim, -math.inf) - now)
-        if not self.votes or old is None or not left:
-            return [
-                SendMessage(sender, LeaseStatus(look.claim, self.name, look.serial, old.ticket if old else 0))
-            ]
-        return [
-            SendMessage(
-                sender,
-                LeaseStatus(look.claim, self.name, look.serial, old.ticket, old.holder, int(left * 1000)),
+            return [*effects, SendMessage(sender, answer)]
+        if request.lease in self.log.under_way:
+            return effects  # not granted before it is on disk, whoever asks a second time
+        duration_s = request.duration_ms / 1000
+        vote = Vote(request.lease, request.fencing_token, request.holder, request.incarnation, duration_s)
+        self.votes.extend(now, vote)
+        if vote == self.votes.by_lease.get(request.lease):
+            return [*effects, SendMessage(sender, self._grant(request, self.log.storage_version))]
+        return [*effects, *self._cast_vote(vote, sender, request)]
+
+    def _rejection(self, now: float, request: LeaseRequest) -> Rejection | None:
+        """What stands against a request."""
+        if not self.is_voting:
+            wait_s = self.waiting_until - now if self.state is VoterState.WAITING else 0.0
+            remaining_s = max(wait_s, self.timings.round_timeout_s)
+            return Rejection(REJECTION_WORDS[self.state], remaining_s=remaining_s)
+        if not self.voter_set.accepts(request.epoch, request.voter_set_digest):
+            reason = f"another list of voters, {self.voter_set.epoch}"
+            return Rejection(reason, remaining_s=self.timings.duration_s)
+        if request.duration_ms > math.ceil(self.timings.duration_s * 1000):
+            # a voter that is admitted again waits for no longer than its own duration
+            reason = RejectionReason.DURATION_TOO_LONG.value
+            return Rejection(reason, remaining_s=self.timings.duration_s)
+        return self.votes.rejection(now, request)
+
+    def _grant(self, request: LeaseRequest, version: StorageVersion) -> LeaseGranted:
+        return LeaseGranted(request.lease, self.name, request.fencing_token, request.request_id, version)
+
+    def _cast_vote(self, vote: Vote, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
+        self.votes.by_lease[vote.lease] = vote
+        write = self.log.cast(vote, self.voter_set)
+        grant = self._grant(request, write.storage_version)
+        self.log.pending_grants[write.write_id] = PendingGrant(sender, grant)
+        return [write]
+
+    def handle_release(self, now: float, release: LeaseRelease) -> list[Effect]:
+        """The holder wants a lease no longer. The loss of this costs one duration, so no write is made for
+        it.
+        """
+        if self.votes.is_cast_for(release):
+            self.log.withhold_grant(release.lease)
+            self.votes.release(now, release)
+        return []
+
+    def handle_query(self, now: float, query: LeaseQuery, sender: PeerAddress) -> list[Effect]:
+        """Say who holds a lease."""
+        vote = self.votes.by_lease.get(query.lease)
+        remaining_s = max(0.0, self.votes.remaining_s(query.lease, now))
+        if vote is None:
+            status = LeaseStatus(query.lease, self.name, query.query_id)
+        elif self.is_voting and remaining_s:
+            status = LeaseStatus(
+                query.lease,
+                self.name,
+                query.query_id,
+                vote.fencing_token,
+                vote.holder,
+                int(remaining_s * 1000),
             )
-        ]
+        else:
+            status = LeaseStatus(query.lease, self.name, query.query_id, vote.fencing_token)
+        return [SendMessage(sender, status)]
 
     # ---- the disk ----
 
-    def _promise(self, promise: Vote, sender: PeerAddress, serial: int) -> list[Effect]:
-        self._promised += 1
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        self.promises[promise.claim] = promise
-        self._unwritten[promise.claim] = promise
-        write = self._write((promise,), mark)
-        self._writing[promise.claim] = write.number
-        yes = LeaseGranted(promise.claim, self.name, promise.ticket, serial, mark)
-        self._answers[write.number] = (sender, yes, promise.claim)
-        return [write]
-
-    def _write(self, promises: tuple[Vote, ...], mark: StorageVersion) -> PersistVotes:
-        self._number += 1
-        self._marks[self._number] = mark
-        self._known_new = self._roll_new = False
-        self._rolls[self._number] = self.roll
-        return PersistVotes(self._number, mark, promises, dict(self.known), True, self.roll)
-
-    def written(self, now: float, number: int, fault: str) -> list[Effect]:
-        """A write has ended. Only then is what it holds said; a fault ends the voting until one succeeds."""
-        answer, mark = self._answers.pop(number, None), self._marks.pop(number, self.mark)
-        roll = self._rolls.pop(number, None)
-        done = [claim for claim, under in self._writing.items() if under == number]
-        if fault and not self.votes and self.standing is not VoterState.DISK_FAILED:
-            for claim in done:  # it does not vote as it is, and writes all of it when it does
-                del self._writing[claim]
-            return []
+    def write_completed(self, now: float, write_id: int, fault: str) -> list[Effect]:
+        """A write has ended; `fault` says what went wrong, "" for nothing. Only now is said what it holds; a
+        fault ends the voting until a write succeeds.
+        """
+        write = self.log.complete(write_id)
         if fault:
-            self._broken_at, self.due = now, min(self.due, now + DISK_RETRY_S)
-            if self.standing is VoterState.DISK_FAILED:
-                return []
-            self.standing, self.why = VoterState.DISK_FAILED, fault
-            return [LeaseEvent(LeaseEventKind.SILENT, why=f"{VoterState.DISK_FAILED.value}: {fault}")]
-        if mark.promises >= self.mark.promises:
-            self.mark = mark
-        if roll is not None and (self.on_disk is None or roll.epoch >= self.on_disk.epoch):
-            self.on_disk = roll
-        for claim in done:
-            del self._writing[claim]
-            self._unwritten.pop(claim, None)
-        if self.standing is VoterState.DISK_FAILED:
-            if self._unwritten:
+            return self._write_failed(now, write, fault)
+        self.log.mark_persisted(write)
+        if self.state is VoterState.DISK_FAILED:
+            if self.log.unwritten:
                 return []
-            self.standing, self.why, self.due = VoterState.VOTING, "", now
-            return [LeaseEvent(LeaseEventKind.VOTES, why="the disk takes promises again")]
-        if answer is None or not self.votes:
+            self.state, self.reason, self.due_at = VoterState.VOTING, "", now
+            return [LeaseEvent(LeaseEventKind.VOTING, reason="the disk takes promises again")]
+        if write.grant is None or not self.is_voting:
             return []
-        sender, message, claim = answer
-        promise = self.promises[claim]
-        note = LeaseEvent(
-            LeaseEventKind.PROMISED, claim, promise.ticket, self.until.get(claim, now), promise.holder
+        lease = write.grant.message.lease
+        vote = self.votes.by_lease[lease]
+        expires_at = self.votes.expires_at.get(lease, now)
+        voted = LeaseEvent(LeaseEventKind.VOTED, lease, vote.fencing_token, expires_at, vote.holder)
+        # so that others know of a directory that comes back old
+        status = StatusRequest(
+            self.name, self.log.storage_version, self.is_new_storage, True, epoch=self.voter_set.epoch
         )
-        # so that others know of a folder that comes back old
-        mine = StatusRequest(self.name, self.mark, self.fresh, True, epoch=self.roll.epoch)
         return [
-            note,
-            SendMessage(sender, message),
-            *(SendMessage(place, mine) for place in self.others.values()),
+            voted,
+            SendMessage(write.grant.destination, write.grant.message),
+            *(SendMessage(place, status) for place in self.others.values()),
         ]
 
+    def _write_failed(self, now: float, write: CompletedWrite, fault: str) -> list[Effect]:
+        has_failed_before = self.state is VoterState.DISK_FAILED
+        if not self.is_voting and not has_failed_before:
+            self.log.abandon(write)  # it does not vote as it is, and writes all of it when it does
+            return []
+        self.due_at = min(self.due_at, now + DISK_RETRY_S)
+        if has_failed_before:
+            return []
+        self.state, self.reason = VoterState.DISK_FAILED, fault
+        return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=f"{self.state.value}: {fault}")]
+
     # ---- whether it votes ----
 
-    def _compare(self, now: float, marks: dict[str, StorageVersion]) -> list[Effect]:
-        """What an asker has heard of the voters: one that has more of this folder than is in it ends the
-        vote.
+    def _compare_versions(self, now: float, versions: dict[str, StorageVersion]) -> list[Effect]:
+        """What a requester has heard of the voters: one that has heard more of this storage than is in it
+        ends the voting.
         """
-        for name, mark in marks.items():
+        for name, version in versions.items():
             if name == self.name:
-                if self._behind(mark):
-                    return self._leave(now, VoterState.EXCLUDED)
+                if self._is_behind(version):
+                    return self._stop_voting(now, VoterState.EXCLUDED)
             elif name in self.others:
-                self._hear(name, mark, False)
+                self.log.record_version(name, version, is_voting=False)
         return []
 
-    def _hear(self, name: str, mark: StorageVersion, good: bool) -> None:
-        """Remember how far another voter has come; its new folder only once it votes from it."""
-        old = self.known.get(name)
-        if old is not None and old.folder == mark.folder:
-            # Each by itself: a folder that is put back old has started once more, with fewer promises.
-            mark = StorageVersion(mark.folder, max(old.life, mark.life), max(old.promises, mark.promises))
-        elif old is not None and not good:
-            return
-        if mark != old:
-            self.known[name], self._known_new = mark, True
-
-    def _behind(self, seen: StorageVersion) -> bool:
-        if seen.folder != self.mark.folder:
-            return self.standing is VoterState.STARTING  # one that votes was let in after that
-        return seen.life > self.mark.life or seen.promises > self._promised
-
-    def _leave(self, now: float, standing: VoterState) -> list[Effect]:
-        if self.standing in LEFT or self.standing is VoterState.NEW_STORAGE:
+    def _is_behind(self, seen: StorageVersion) -> bool:
+        if seen.storage_id != self.log.storage_version.storage_id:
+            return self.state is VoterState.STARTING  # one that votes was admitted after that
+        return self.log.is_older_than(seen)
+
+    def _stop_voting(self, now: float, state: VoterState) -> list[Effect]:
+        if self.state in MAY_HAVE_FORGOTTEN or self.state is VoterState.NEW_STORAGE:
             return []
-        self.standing, self.due = standing, now
-        self.started = now  # what it promised so far counts for a term from here
-        self._founds, self.roll = False, replace(self.roll, floor=self.roll.epoch)
-        self._hear_anew()
-        self._answers.clear()
-        return [LeaseEvent(LeaseEventKind.SILENT, why=standing.value)]
-
-    def _hear_anew(self) -> None:
-        """What was heard so far counts no longer, nor what is on its way."""
-        self.heard.clear()
-        self._serial += 1
+        self.state, self.due_at = state, now
+        self.started_at = now  # what it voted for so far counts for a duration from here
+        self._is_founding = False
+        self.voter_set = replace(self.voter_set, minimum_epoch=self.voter_set.epoch)
+        self.peers.forget()
+        self.log.pending_grants.clear()
+        return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=state.value)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Roll calls, the end of a wait, and a disk that is tried again."""
-        if now < self.due:
+        """What is due: status requests, the end of a wait, and a disk that is tried again."""
+        if now < self.due_at:
             return []
-        out: list[Effect] = []
-        if self.standing is VoterState.NEW_STORAGE and not self._said:
-            self._said = True
-            out.append(LeaseEvent(LeaseEventKind.SILENT, why=self.standing.value))
-        if self.standing is VoterState.DISK_FAILED:
-            self.due = now + DISK_RETRY_S
-            mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-            write = self._write(tuple(self._unwritten.values()), mark)
-            self._writing = dict.fromkeys(self._unwritten, write.number)
-            return [write]
-        if self.standing is VoterState.WAITING and now >= self.waits_until:
-            if self._founds:
-                return self._vote(now, "a term has passed since the fleet was founded")
-            self.standing = VoterState.CATCHING_UP
-            self._hear_anew()
-        if self.standing is VoterState.STARTING and self.majority == 1 and self.roll.voters == (self.name,):
-            return [*out, *self._vote(now, "the only voter")]
-        if self.standing is VoterState.MISCONFIGURED:
-            self.due = math.inf
-            return [LeaseEvent(LeaseEventKind.SILENT, why=self.why)]
-        out += self._wishes(now)
-        self.due = now + (SETTLED_STATUS_INTERVAL_S if self.votes and not self.wish else STATUS_INTERVAL_S)
-        if not self.others and self.standing is VoterState.NEW_STORAGE:
-            out += self._judge(now)
-        if self.votes and (self._known_new or self._roll_new):
-            out.append(self._write((), StorageVersion(self.mark.folder, self.mark.life, self._promised)))
-        for name, place in self.others.items():
-            heard = self.heard.get(name)
-            after = max(heard.promises, default="") if heard is not None and not heard.whole else ""
-            wish = self.wish if self.votes else 0
-            call = StatusRequest(
-                self.name, self.mark, self.fresh, self.votes, after, self._serial, self.roll.epoch, wish
+        effects: list[Effect] = []
+        if self.state is VoterState.NEW_STORAGE and not self._new_storage_reported:
+            self._new_storage_reported = True
+            effects.append(LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.state.value))
+        if self.state is VoterState.DISK_FAILED:
+            self.due_at = now + DISK_RETRY_S
+            return [self.log.retry(self.voter_set)]
+        if self.state is VoterState.WAITING and now >= self.waiting_until:
+            if self._is_founding:
+                return self._start_voting(now, "a term has passed since the fleet was founded")
+            self.state = VoterState.CATCHING_UP
+            self.peers.forget()
+        if self.state is VoterState.STARTING and self.voter_set.voters == (self.name,):
+            return [*effects, *self._start_voting(now, "the only voter")]
+        if self.state is VoterState.MISCONFIGURED:
+            self.due_at = math.inf
+            return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.reason)]
+        effects += self._try_to_advance(now)
+        is_settled = self.is_voting and not self.proposed_digest
+        self.due_at = now + (SETTLED_STATUS_INTERVAL_S if is_settled else STATUS_INTERVAL_S)
+        if not self.others and self.state is VoterState.NEW_STORAGE:
+            effects += self._evaluate_replies(now)
+        if self.is_voting and self.log.has_unsaved_state:
+            effects.append(self.log.write((), self.voter_set))
+        effects += self._status_requests()
+        if self.state is VoterState.WAITING:
+            self.due_at = min(self.due_at, self.waiting_until)
+        return effects
+
+    def _status_requests(self) -> list[Effect]:
+        proposed_digest = self.proposed_digest if self.is_voting else 0
+        return [
+            SendMessage(
+                place,
+                StatusRequest(
+                    self.name,
+                    self.log.storage_version,
+                    self.is_new_storage,
+                    self.is_voting,
+                    self.peers.next_page(name),
+                    self.peers.request_id,
+                    self.voter_set.epoch,
+                    proposed_digest,
+                ),
             )
-            out.append(SendMessage(place, call))
-        if self.standing is VoterState.WAITING:
-            self.due = min(self.due, self.waits_until)
-        return out
-
-    def _vote(self, now: float, why: str) -> list[Effect]:
-        self.standing, self.fresh = VoterState.VOTING, False
-        self.due, self.why = now, ""
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        return [self._write(tuple(self.promises.values()), mark), LeaseEvent(LeaseEventKind.VOTES, why=why)]
-
-    def called(self, now: float, call: StatusRequest) -> list[Effect]:
+            for name, place in self.others.items()
+        ]
+
+    def _start_voting(self, now: float, reason: str) -> list[Effect]:
+        self.state, self.is_new_storage = VoterState.VOTING, False
+        self.due_at, self.reason = now, ""
+        write = self.log.write(tuple(self.votes.by_lease.values()), self.voter_set)
+        return [write, LeaseEvent(LeaseEventKind.VOTING, reason=reason)]
+
+    def handle_status_request(self, now: float, request: StatusRequest) -> list[Effect]:
         """Another voter asks what is known of it."""
-        if call.voter not in self.others:
+        if request.voter not in self.others:
             return []
-        known = self.known.get(call.voter)
-        self._hear(call.voter, call.mark, call.good)
-        names = sorted(name for name in self.promises if name > call.after)
-        kept = tuple(
-            Told(p.claim, p.ticket, p.holder, p.incarnation, math.ceil(p.term_s * 1000))
-            if self.until.get(p.claim, -math.inf) > now
-            else Told(p.claim, p.ticket, "", 0, 0)
-            for p in (self.promises[name] for name in names[:VOTES_PER_PAGE])
-        )
-        if self.votes and call.wish and call.epoch == self.roll.epoch:
-            self._agree(now, call.wish)
-        roll = self.on_disk
-        answer = StatusReply(
+        known_version = self.log.known_versions.get(request.voter)
+        self.log.record_version(request.voter, request.storage_version, is_voting=request.is_voting)
+        votes, has_more = self.votes.page(now, request.after_lease)
+        if self.is_voting and request.proposed_digest and request.epoch == self.voter_set.epoch:
+            self._agree_to(now, request.proposed_digest)
+        persisted = self.log.voter_set
+        reply = StatusReply(
             self.name,
-            self.mark,
-            self.fresh,
-            self.votes,
-            self.standing in LEFT,
-            known,
-            call.after,
-            kept,
-            len(names) > VOTES_PER_PAGE,
-            call.serial,
-            roll.epoch if roll else 0,
-            roll.digest if roll else 0,
-            roll.floor if roll else 0,
-            roll.agreed if roll else 0,
+            self.log.storage_version,
+            self.is_new_storage,
+            self.is_voting,
+            self.state in MAY_HAVE_FORGOTTEN,
+            known_version,
+            request.after_lease,
+            votes,
+            has_more,
+            request.request_id,
+            persisted.epoch if persisted else 0,
+            persisted.digest if persisted else 0,
+            persisted.minimum_epoch if persisted else 0,
+            persisted.agreed_digest if persisted else 0,
         )
-        return [SendMessage(self.others[call.voter], answer)]
+        return [SendMessage(self.others[request.voter], reply)]
 
-    # ---- the next list ----
+    # ---- the next voter set ----
 
-    def _agree(self, now: float, told: int) -> None:
-        """To the first next list that is heard of; from here on no ask by the list before is served."""
-        roll = self.roll.agree(told)
-        if roll != self.roll:
-            self.roll, self._roll_new, self.due = roll, True, now
+    def _agree_to(self, now: float, proposed_digest: int) -> None:
+        """To the first next set that is heard of; from here on no request by the set before is served."""
+        agreed = self.voter_set.agree_to(proposed_digest)
+        if agreed != self.voter_set:
+            self.voter_set, self.due_at = agreed, now
+            self.log.has_unsaved_state = True
 
-    def _wishes(self, now: float) -> list[Effect]:
-        """Go on to the file's list, where enough have said that they agree."""
-        if not self.votes or not self.wish:
+    def _try_to_advance(self, now: float) -> list[Effect]:
+        """Go on to the configured voter set, where enough have said that they agree."""
+        if not self.is_voting or not self.proposed_digest:
             return []
-        self._agree(now, self.wish)
-        if self.on_disk is None or self.on_disk != self.roll:
+        self._agree_to(now, self.proposed_digest)
+        if self.log.voter_set != self.voter_set:
             return []
-        ready = {name: each for name, each in self.heard.items() if each.answer.good and each.whole}
-        said = {name: said_of(each.answer) for name, each in ready.items()}
-        if not may_advance(self.roll, self.wish, said, self.name):
+        peers = self.peers.voting()
+        statuses = {name: voter_set_status(each.reply) for name, each in peers.items()}
+        if not may_advance(self.voter_set, self.proposed_digest, statuses, self.name):
             return []
-        self._take_over(now, list(ready.values()))
-        self.roll, self.wish = self.roll.next(self.listed), 0
-        mark = StorageVersion(self.mark.folder, self.mark.life, self._promised)
-        write = self._write(tuple(self.promises.values()), mark)
-        return [write, LeaseEvent(LeaseEventKind.WENT_ON, ticket=self.roll.epoch, why=" ".join(self.listed))]
+        self._take_over_votes(now, list(peers.values()))
+        self.voter_set, self.proposed_digest = self.voter_set.successor(self.configured_voters), 0
+        write = self.log.write(tuple(self.votes.by_lease.values()), self.voter_set)
+        advanced = LeaseEvent(
+            LeaseEventKind.VOTER_SET_ADVANCED,
+            fencing_token=self.voter_set.epoch,
+            reason=" ".join(self.configured_voters),
+        )
+        return [write, advanced]
 
-    def answered(self, now: float, answer: StatusReply) -> list[Effect]:
+    def handle_status_reply(self, now: float, reply: StatusReply) -> list[Effect]:
         """Another voter has said what it knows."""
-        if answer.voter not in self.others:
+        if reply.voter not in self.others:
             return []
-        self._hear(answer.voter, answer.mark, answer.good)
-        if answer.known is not None and self._behind(answer.known):
-            return self._leave(now, VoterState.EXCLUDED)
-        if (self.votes and not self.wish) or self.standing in RESTS:
+        self.log.record_version(reply.voter, reply.storage_version, is_voting=reply.is_voting)
+        if reply.known_version is not None and self._is_behind(reply.known_version):
+            return self._stop_voting(now, VoterState.EXCLUDED)
+        if (self.is_voting and not self.proposed_digest) or self.state in IGNORES_REPLIES:
             return []
-        if answer.serial != self._serial:
+        if reply.request_id != self.peers.request_id:
             return []
-        heard = self.heard.get(answer.voter)
-        if heard is None or changed(heard.answer, answer):
-            heard = self.heard[answer.voter] = PeerStatus(answer)
-        heard.answer = answer
-        if answer.after == max(heard.promises, default=""):  # the next page, none left out
-            heard.promises.update((each.claim, each) for each in answer.kept)
-            heard.whole = heard.whole or not answer.more
-            if answer.more:
-                self.due = now
-        return self._judge(now)
-
-    def _judge(self, now: float) -> list[Effect]:
+        if self.peers.add(reply):
+            self.due_at = now
+        return self._evaluate_replies(now)
+
+    def _evaluate_replies(self, now: float) -> list[Effect]:
         """Whether what was heard is enough to vote."""
-        if self.votes:
-            return self._wishes(now)
-        if self.standing is VoterState.STARTING:
-            sure = [
-                h
-                for name, h in self.heard.items()
-                if name in self.roll.voters and not h.answer.fresh and not h.answer.out
-            ]
-            if len(sure) + 1 >= self.majority:
-                return self._vote(now, "a majority has seen nothing newer")
+        if self.is_voting:
+            return self._try_to_advance(now)
+        if self.state is VoterState.STARTING:
+            if self.peers.with_intact_storage(self.voter_set.voters) + 1 >= self.majority:
+                return self._start_voting(now, "a majority has seen nothing newer")
             return []
-        here = self.roll.epoch, self.roll.digest
-        good = [
-            h
-            for h in self.heard.values()
-            if h.answer.good and h.whole and (h.answer.epoch, h.answer.roll) == here
-        ]
-        if len(good) >= self.majority:
-            return self._let_in(now, good)
+        voting = self.peers.voting_by(self.voter_set)
+        if len(voting) >= self.majority:
+            return self._admit(now, voting)
         if (
-            self.standing is VoterState.NEW_STORAGE
-            and self.roll.epoch == 1
-            and len(self.heard) == len(self.others)
+            self.state is VoterState.NEW_STORAGE
+            and self.voter_set.epoch == 1
+            and len(self.peers.by_voter) == len(self.others)
+            and self.peers.all_found(self.log.storage_version.storage_id, self._is_behind)
         ):
-            vouched = [
-                heard.answer.fresh
-                or (
-                    not heard.answer.out
-                    and (known := heard.answer.known) is not None
-                    and known.folder == self.mark.folder
-                    and not self._behind(known)
-                )
-                for heard in self.heard.values()
-            ]
-            if all(vouched):
-                self._founds = True  # and has promised nothing, so it has nothing to hear
-                return self._wait(now)
+            self._is_founding = True  # and nobody has voted, so there is nothing to catch up with
+            return self._start_waiting(now)
         return []
 
-    def _let_in(self, now: float, good: list[PeerStatus]) -> list[Effect]:
-        """Enough are there that vote: wait a term, and then go by what they tell."""
-        for heard in good:
-            known = heard.answer.known
-            if known is not None and known.folder == self.mark.folder:  # or it would be found behind again
-                self._promised = max(self._promised, known.promises + 1)
-        self._founds = False
-        self._take_over(now, good)
-        if self.standing is VoterState.CATCHING_UP:
-            return self._vote(now, "a majority has told it what was promised")
-        return self._wait(now)
-
-    def _take_over(self, now: float, good: list[PeerStatus]) -> None:
-        """The tickets of others; who has one may hold it for as long as from now. Where two are told of one
-        claim, a majority may stand behind either: the higher ticket counts, and for a term nobody gets it.
+    def _admit(self, now: float, voting: list[PeerStatus]) -> list[Effect]:
+        """Enough are there that vote: wait a duration, and then go by the votes that they report."""
+        for peer in voting:
+            known = peer.reply.known_version
+            if known is not None and known.storage_id == self.log.storage_version.storage_id:
+                # or it would be found behind again
+                self.log.vote_count = max(self.log.vote_count, known.vote_count + 1)
+        self._is_founding = False
+        self._take_over_votes(now, voting)
+        if self.state is VoterState.CATCHING_UP:
+            return self._start_voting(now, "a majority has told it what was promised")
+        return self._start_waiting(now)
+
+    def _take_over_votes(self, now: float, peers: list[PeerStatus]) -> None:
+        """The votes of others count as this voter's own."""
+        for report in [each for peer in peers for each in peer.votes.values()]:
+            if self.votes.take_over(now, report):
+                self.log.withhold_grant(report.lease)
+
+    def _start_waiting(self, now: float) -> list[Effect]:
+        """What it may have voted for before it forgot must be over, and what others voted for counts as
+        new.
         """
-        for told in [each for heard in good for each in heard.promises.values()]:
-            old = self.promises.get(told.claim, Vote(told.claim, 0))
-            new = Vote(told.claim, told.ticket, told.holder, told.incarnation, told.term_ms / 1000)
-            same = (old.holder, old.incarnation) == (new.holder, new.incarnation)
-            if told.ticket <= old.ticket and (same or not told.holder):
-                continue
-            if (old.holder and not same) or told.ticket <= old.ticket:
-                term = max(old.term_s, new.term_s)
-                new = Vote(told.claim, max(old.ticket, told.ticket), WITHHELD, 0, term)
-            self.promises[told.claim] = new
-            if told.claim in self._writing:  # that write must not be answered any more
-                self._answers.pop(self._writing[told.claim], None)
-            self.first.pop(told.claim, None)
-            self.until.pop(told.claim, None)
-            if new.holder:
-                self.until[told.claim] = now + self._keeps(new)
-
-    def _longest(self) -> float:
-        return max([self.terms.term_s, *(each.term_s for each in self.promises.values())])
-
-    def _wait(self, now: float) -> list[Effect]:
-        """What it may have promised before it forgot must be over, and what others promised counts as new."""
-        self.waits_until = self.started + self._longest() * (1 + self.terms.drift)
-        self.until = {each.claim: now + self._keeps(each) for each in self.promises.values() if each.holder}
-        self.standing, self.due = VoterState.WAITING, now
+        longest_s = self.votes.longest_duration_s
+        self.waiting_until = self.started_at + longest_s * (1 + self.timings.clock_drift)
+        self.votes.restart_durations(now)
+        self.state, self.due_at = VoterState.WAITING, now
         return []
-
-
-def said_of(answer: StatusReply) -> VoterSetStatus:
-    """The part of an answer that is about lists of voters."""
-    return VoterSetStatus(answer.epoch, answer.roll, answer.floor, answer.agreed)
-
-
-def changed(old: StatusReply, new: StatusReply) -> bool:
-    """Whether pages that were told before this answer count no longer."""
-    return (old.mark.life, old.good, said_of(old)) != (new.mark.life, new.good, said_of(new))
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -88,7 +88,10 @@
             dispatcher=self.dispatcher,
             answers=self.answers,
         )
-        self.responses = ServerResponses(
+        self.responses = self._make_responses()
+
+    def _make_responses(self) -> ServerResponses:
+        return ServerResponses(
             context=self.context,
             calls=self.calls,
             servers=self.servers,
@@ -102,7 +105,7 @@
         """The settings in force."""
         return self.context.settings
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Other settings hold from now on. Calls that are open keep their class and their cap on attempts."""
         self.classes.replace(settings.classes)
         self.context.settings = settings
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -57,9 +57,9 @@
         """The call stands."""
         self.respond(200, [], description)
 
-    def rejected(self, return_s: float) -> None:
-        """The call is rejected; its caller may come back after `return_s`, 0: nothing is said of that."""
-        self.respond(503, [("come-back-ms", str(int(return_s * 1000)))] if return_s > 0 else [])
+    def rejected(self, retry_after_s: float) -> None:
+        """The call is rejected; its caller may come back after `retry_after_s`, 0: that is not said."""
+        self.respond(503, [("come-back-ms", str(int(retry_after_s * 1000)))] if retry_after_s > 0 else [])
 
     def failed(self, timed_out: bool) -> None:
         """The call can't be set up."""
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -36,8 +36,10 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.scope.decisions import LOOK, OVER_S, ScopedController
-from stairhatch.scope.sets import ScopeConfig, Service, server_sets
+from stairhatch.scope.config import ScopeConfig, ServiceConfig
+from stairhatch.scope.controller import IDLE_TIMER_ID, ScopedController
+from stairhatch.scope.scoped_set import ANSWER_OVERDUE_S
+from stairhatch.scope.server_sets import server_sets
 from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, Caller, Program, RosterServer, sip_headers, until
@@ -171,11 +173,14 @@
     assert [each.numbers for each in server_sets(settings_of(a, nowhere), ())] == [{1, 2}, set()]
     sets = server_sets(
         settings_of(a, b, instance_count=50, instance_index=7),
-        (Service(("a",), 5, 2), Service(("b",), keep=True)),
+        (ServiceConfig(("a",), 5, 2), ServiceConfig(("b",), always_in_scope=True)),
     )
-    assert [(each.softswitches, each.me, each.keep) for each in sets] == [(5, 2, False), (50, 7, True)]
-    mixed = server_sets(settings_of(a, c, instance_count=50, instance_index=7), (Service(("a",), 5, 2),))
-    assert [(each.softswitches, each.me) for each in mixed] == [(50, 7)], "a figure was guessed"
+    told = [(each.instance_count, each.instance_index, each.always_in_scope) for each in sets]
+    assert told == [(5, 2, False), (50, 7, True)]
+    mixed = server_sets(
+        settings_of(a, c, instance_count=50, instance_index=7), (ServiceConfig(("a",), 5, 2),)
+    )
+    assert [(each.instance_count, each.instance_index) for each in mixed] == [(50, 7)], "a figure was guessed"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -192,7 +197,7 @@
     after = replace(
         before, classes=tuple(replace(each, deadline_s=5.0, latency_objective_s=1.0) for each in classes)
     )
-    services = [Service(tuple(each.name for each in classes), keep=True)]
+    services = [ServiceConfig(tuple(each.name for each in classes), always_in_scope=True)]
     worlds = []
     for decisions in (Controller(before, random.Random(seed)), scoped(before, seed, services=services)):
         world = World(decisions, seed)
@@ -225,13 +230,17 @@
     decisions = scoped(settings_of(a, b), changed=told)
     world = World(decisions)
     world.listed(*(line(n + 1, n) for n in range(1900)))
-    assert not decisions.endpoints and not told and not any(map(decisions.in_scope, range(1900)))
+    assert not decisions.endpoints
+    assert not told
+    assert not any(map(decisions.in_scope, range(1900)))
     world.busy(3, 20, [a])
     assert told == [(frozenset(range(10)), ("a",), True)]
-    assert sorted(decisions.endpoints) == list(range(1, 11)) and len(decisions.endpoints) == 10
+    assert sorted(decisions.endpoints) == list(range(1, 11))
+    assert len(decisions.endpoints) == 10
     assert [n for n in range(1900) if decisions.in_scope(n)] == list(range(10))
     world.busy(3, 20, [a, b])
-    assert len(told) == 2 and len(decisions.endpoints) == 20
+    assert len(told) == 2
+    assert len(decisions.endpoints) == 20
     world.finish()
     assert {server for _, _, server in world.sent} <= set(range(1, 21))
 
@@ -255,18 +264,23 @@
     back and takes a server that has just started for warm.
     """
     a, b, told = kind("a", 1), kind("b", 2), []
-    decisions = scoped(settings_of(a, b), idle_s=8.0, services=[Service(("b",), keep=True)], changed=told)
+    decisions = scoped(
+        settings_of(a, b), idle_s=8.0, services=[ServiceConfig(("b",), always_in_scope=True)], changed=told
+    )
     world = World(decisions)
     world.listed(line(1), line(2))
-    assert decisions.in_scope(2) and not told
+    assert decisions.in_scope(2)
+    assert not told
     call = world.offer(a, grace_s=30.0)
     world.due = [each for each in world.due if not isinstance(each[2], CallEstablished | AttemptEnded)]
-    world.run(world.now + 30.0 + OVER_S)
+    world.run(world.now + 30.0 + ANSWER_OVERDUE_S)
     assert decisions.in_scope(1), "it left with a call that had no answer"
     world.tell(CallAbandoned(call))
     world.answers[call] = 1
     world.run(world.now + 10.5)
-    assert not decisions.in_scope(1) and decisions.in_scope(2) and not decisions.owner
+    assert not decisions.in_scope(1)
+    assert decisions.in_scope(2)
+    assert not decisions.owners
     assert [came for _, _, came in told] == [True, False]
     world.listed(line(1, up_since=world.now - 1), complete=False)
     world.offer(a, 1)
@@ -276,10 +290,10 @@
     anew.listed(line(1, up_since=world.now - 1))
     anew.offer(a, 1)
     pace = decisions.slow_start_slots(world.now, seen)
-    assert decisions.is_warming_up(world.now, seen) and 0 < pace == new.slow_start_slots(
-        world.now, new.endpoints[1]
-    )
-    assert decisions.timers.keys() <= {scope.label for scope in decisions.live.values()} | {LOOK}
+    assert decisions.is_warming_up(world.now, seen)
+    assert 0 < pace == new.slow_start_slots(world.now, new.endpoints[1])
+    own_timers = {each.timer_id for each in decisions.sets.by_numbers.values()}
+    assert decisions.timers.by_id.keys() <= own_timers | {IDLE_TIMER_ID}
     world.finish()
 
 
@@ -292,10 +306,12 @@
     call = world.offer(a)
     world.due = [each for each in world.due if not isinstance(each[2], AttemptEnded)]
     world.run(world.now + 10)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1
+    assert not decisions.sets.by_numbers
     world.tell(LoadReported(1, LoadReport(processor_wait_s=0.1)))
     world.tell(AttemptEnded(call, 1, AttemptOutcome.COMPLETED, True, LoadReport(), 10.0))
-    assert not decisions.owner and not decisions.endpoints
+    assert not decisions.owners
+    assert not decisions.endpoints
     with pytest.raises(KeyError):
         decisions.endpoints[1]
 
@@ -328,16 +344,18 @@
     world.listed(*(line(n + 10, n) for n in range(7)))
     world.busy(6, 60, [A, B, C])
     for number, settings in enumerate([after, before] if there_and_back else [after]):
-        waiting = {call for each in decisions.live.values() for call in each.controller.pending}
-        open_ones = {call for each in decisions.live.values() for call in each.controller.calls}
+        waiting = {call for each in decisions.sets.by_numbers.values() for call in each.controller.pending}
+        open_ones = {call for each in decisions.sets.by_numbers.values() for call in each.controller.calls}
         known = {server: (seen, seen.concurrency_limit) for server, seen in decisions.endpoints.items()}
         if number == 0:
-            assert len(waiting) > 5 and sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
+            assert len(waiting) > 5
+            assert sum(len(seen.pending_setups) for seen, _ in known.values()) > 3
         decisions.update_settings(settings)
-        assert {call for each in decisions.live.values() for call in each.controller.calls} == open_ones
-        assert {call for each in decisions.live.values() for call in each.controller.pending} == waiting
-        assert set(decisions.owner) == open_ones
-        assert all(decisions.owner[call] in decisions.live.values() for call in open_ones)
+        in_scope = decisions.sets.by_numbers.values()
+        assert {call for each in in_scope for call in each.controller.calls} == open_ones
+        assert {call for each in in_scope for call in each.controller.pending} == waiting
+        assert set(decisions.owners) == open_ones
+        assert all(decisions.owners[call] in in_scope for call in open_ones)
         kept = [server for server in known if decisions.in_scope(world.number_of[server])]
         assert kept, "nothing that was known is in scope"
         for server in kept:
@@ -352,7 +370,7 @@
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
     world.tell(CallAbandoned(0))
-    assert not decisions.live and not decisions.owner, "sets that nobody uses stay"
+    assert not decisions.sets.by_numbers and not decisions.owners, "sets that nobody uses stay"
 
 
 def test_a_set_made_of_two_keeps_one_timer_and_of_one_made_of_two_each_is_woken():
@@ -365,8 +383,8 @@
             world.offer(each, grace_s=60.0)
         decisions.update_settings(one if turn % 2 == 0 else two)
         world.run(world.now + 0.5)
-        out = sum(world.timers[label] for label in world.timers if label != LOOK)
-        assert out == len([each for each in decisions.live.values() if each.controller.pending])
+        out = sum(world.timers[label] for label in world.timers if label != IDLE_TIMER_ID)
+        assert out == len([each for each in decisions.sets.by_numbers.values() if each.controller.pending])
     world.finish()
 
 
@@ -383,9 +401,13 @@
     assert world.sent[-1][1:] == (call, 1)
     seen = decisions.endpoints[1]
     world.listed(line(1, 3), complete=False)
-    assert decisions.endpoints[1] is seen and seen.number == 3 and call in seen.pending_setups
+    assert decisions.endpoints[1] is seen
+    assert seen.number == 3
+    assert call in seen.pending_setups
     world.run(world.now + 3)
-    assert not seen.pending_setups and world.answers[call] == 1 and seen.measured_at > -1e9
+    assert not seen.pending_setups
+    assert world.answers[call] == 1
+    assert seen.measured_at > -1e9
     before = len(world.sent)
     world.busy(4, 10, [a])
     assert {server for _, _, server in world.sent[before:]} == {2}, "a's set has lost it"
@@ -414,7 +436,8 @@
     world.run(world.now + 31)
     world.listed(line(3, 2), complete=False)
     world.listed(line(11, 0), line(12, 1), line(3, 2), complete=True)
-    assert sorted(decisions.lines) == [3, 11, 12] and not decisions.gone
+    assert sorted(decisions.sets.listed.by_id) == [3, 11, 12]
+    assert not decisions.sets.listed.gone
     assert sorted(decisions.endpoints) == [3, 11, 12]
     world.finish()
 
@@ -441,7 +464,8 @@
     world = World(decisions)
     world.listed(line(1), line(2), line(9))
     call = world.offer(None)
-    assert world.answers[call] == 1 and not decisions.live
+    assert world.answers[call] == 1
+    assert not decisions.sets.by_numbers
     through = world.offer(a, 9, in_transit=True)
     assert world.sent[-1][1:] == (through, 9), "on its way through to a server that its class may not use"
     elsewhere = world.offer(a, 77, in_transit=True)
@@ -484,7 +508,7 @@
         for number in range(sharing):
             own = min(number, fleet - 1)
             settings = settings_of(a, b, instance_count=fleet, instance_index=own, safety=safety)
-            services = [Service(("a",), per, min(number, per - 1))] if per else []
+            services = [ServiceConfig(("a",), per, min(number, per - 1))] if per else []
             nodes.append(World(scoped(settings, number, services=services), number, slow_s=0.03))
             born = 0.0 if cold == "one" else 999.0
             nodes[-1].listed(line(1, up_since=999.0), line(2, up_since=born), line(3, up_since=born), line(9))
@@ -542,7 +566,7 @@
     assert parse_appliance(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
     both = '{ classes = ["read-roster", "save-roster"], softswitches = 1, keep = true }'
     told = parse_appliance(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
-    assert told == ScopeConfig(5.0, (Service(("read-roster", "save-roster"), 1, -1, True),))
+    assert told == ScopeConfig(5.0, (ServiceConfig(("read-roster", "save-roster"), 1, -1, True),))
 
 
 class Heard:
@@ -562,7 +586,7 @@
         self.now, self.dialled, self.calls = 1000.0, [], 0
         settings = settings_of(*classes)
         self.scoped = scoped(settings, idle_s=4.0)
-        self.scoped.changed = self.changed
+        self.scoped.on_scope_changed = self.changed
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
             decisions=self.scoped,
@@ -613,19 +637,26 @@
     assert caller.told == ["established"]
     other = next(each for each in inside.dialled if each is not link)
     inside.run(30)
-    assert not inside.scoped.live and inside.core.counters.counts["calls_offered"] == 1
-    assert other.can_close() and not link.draining and not link.can_close()
+    assert not inside.scoped.sets.by_numbers
+    assert inside.core.counters.counts["calls_offered"] == 1
+    assert other.can_close()
+    assert not link.draining
+    assert not link.can_close()
     inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
     inside.run(30)
-    assert not link.draining and not link.can_close()
+    assert not link.draining
+    assert not link.can_close()
     inside.core.release(call, 16)
     assert not link.can_close(), "the release has not been written"
     assert b'"FINISH"' in link.data_to_send()
     inside.run(5)
-    assert link.draining and link.can_close()
+    assert link.draining
+    assert link.can_close()
     for each in (link, other):
         each.pool.remove(each)
-    assert not inside.side.active and not inside.side.draining and len(inside.dialled) == 2
+    assert not inside.side.active
+    assert not inside.side.draining
+    assert len(inside.dialled) == 2
     inside.offer(b)
     at_three = [each.server.record.instance for each in inside.dialled[2:]]
     assert sorted(at_three) == sorted([link.server.record.instance, "z"])
@@ -649,7 +680,8 @@
 
     leaves(call)
     inside.run(20)
-    assert link.draining and not inside.scoped.live
+    assert link.draining
+    assert not inside.scoped.sets.by_numbers
     call, _ = inside.offer(a)
     assert not link.draining
     leaves(call)
@@ -658,7 +690,8 @@
     link.pool.remove(link)  # its connection has ended
     assert len(inside.dialled) == 1
     call, _ = inside.offer(a)
-    assert len(inside.dialled) == 2 and call.attempt.server.record.instance == "x"
+    assert len(inside.dialled) == 2
+    assert call.attempt.server.record.instance == "x"
 
 
 def test_a_server_that_goes_without_ever_having_been_in_scope_is_forgotten():
@@ -670,7 +703,7 @@
     inside.listing("z", 2, Availability.GONE)
     inside.run(0.1)
     assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
-    assert list(inside.scoped.lines) == [1]
+    assert list(inside.scoped.sets.listed.by_id) == [1]
     inside.listing("z", 2)
     inside.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
     inside.run(0.1)
@@ -749,7 +782,8 @@
         return [each["server"] for each in program.lines("server_connection_lost")]
 
     until(lambda: len(lost()) == PER - 1, "the links on which no call stands end")
-    assert name not in lost() and not took.of("FINISH")
+    assert name not in lost()
+    assert not took.of("FINISH")
     caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKbye", "c1", **more))
     until(lambda: took.of("FINISH"), "the release at the server")
     until(lambda: name in lost(), "then its link ends")
@@ -759,7 +793,8 @@
     ask("c3", "s1")
     caller.expect("c3", 200)
     assert [each["classes"] for each in program.lines("scope") if each["state"] == "in"] == ["s1", "s3", "s1"]
-    assert caller.finals("c2")[0] >= 400 and not any(each.links for each in others)
+    assert caller.finals("c2")[0] >= 400
+    assert not any(each.links for each in others)
     until(lambda: all(len(each.links) >= 2 for each in asked), "links anew")
     text = program.path.read_text()
     assert program.reload(text.replace("idle_s = 1", "idle_s = 900"))["result"] == "applied"
