--- a/stairhatch/fault_injection/mutations.py
+++ b/stairhatch/fault_injection/mutations.py
@@ -12,7 +12,7 @@
 
 from stairhatch.fleet import voter
 from stairhatch.fleet.effects import SendMessage, Vote
-from stairhatch.fleet.fencing import FencingTokens
+from stairhatch.fleet.fencing import FencingTokens, TokenCheck
 from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import LeaseGranted, LeaseRelease, LeaseRequest, RejectionReason
@@ -48,7 +48,7 @@
 
 @mutation("a fence is not checked")
 def _() -> list[Patch]:
-    return [(FencingTokens, "check", lambda self, claim, ticket, sender: (True, []))]
+    return [(FencingTokens, "check", lambda self, claim, ticket, sender: TokenCheck(True))]
 
 
 @mutation("a fence lasts for one start only")
@@ -63,10 +63,10 @@
 
 @mutation("a fence keeps the last ticket and not the highest")
 def _() -> list[Patch]:
-    def last(self: FencingTokens, claim: str, ticket: int) -> tuple[bool, list[Any]]:
+    def last(self: FencingTokens, claim: str, ticket: int) -> TokenCheck:
         good = ticket >= self.highest.get(claim, 0) or ticket % 2 == 0
         self.highest[claim] = ticket
-        return good, []
+        return TokenCheck(good)
 
     return [(FencingTokens, "admit", last)]
 
--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -17,9 +17,17 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState, PersistVotes, SendMessage, Vote
+from stairhatch.fleet.effects import (
+    Effect,
+    MemberId,
+    PeerAddress,
+    PersistedState,
+    PersistVotes,
+    SendMessage,
+    Vote,
+)
 from stairhatch.fleet.lease import LeaseTimings
-from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import (
     FleetMessage,
     LeaseQuery,
--- a/stairhatch/fault_injection/virtual_member.py
+++ b/stairhatch/fault_injection/virtual_member.py
@@ -26,6 +26,7 @@
     Effect,
     LeaseEvent,
     LeaseEventKind,
+    MemberId,
     PeerAddress,
     PersistedState,
     PersistFencingToken,
@@ -34,7 +35,7 @@
 )
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.fleet.lease_pool import LeasePool
-from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetMessage, StorageVersion
 
 MEAN_WORK_INTERVAL_S = 0.15  # between two pieces of work of the endpoint list's holder
@@ -199,11 +200,9 @@
         if decisions is None:
             return
         if isinstance(message, EndpointUpdate):
-            accepted, effects = decisions.fencing_tokens.check(
-                ENDPOINT_LIST_LEASE, message.fencing_token, sender
-            )
-            self.execute(effects)
-            if accepted:
+            check = decisions.fencing_tokens.check(ENDPOINT_LIST_LEASE, message.fencing_token, sender)
+            self.execute(check.effects)
+            if check.is_accepted:
                 self.record(LeaseEventKind.TOKEN_ACCEPTED.value, ENDPOINT_LIST_LEASE, message.fencing_token)
             return
         self.execute(decisions.handle(self.clock(), sender, message))
--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -1,5 +1,7 @@
-"""What the decisions ask of whoever drives them: owns these forms. A driver carries them out in their order;
-what belongs on disk before it is said stands in a `Write`, whose end it reports with `Mate.written`.
+"""What the decisions ask of whoever drives them, carried out in their order.
+
+What belongs on disk before it is said stands in a `PersistVotes`; the driver reports its end with
+`ClusterMember.write_completed`.
 """
 
 from __future__ import annotations
@@ -13,9 +15,17 @@
 PeerAddress = tuple[str, int]  # host and port; on the virtual clock a name and 0
 
 
+@dataclass(frozen=True, slots=True)
+class MemberId:
+    """Which process a member is: the name that the operators gave it, and this start of it."""
+
+    name: str
+    incarnation: int
+
+
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """What a voter has promised of one claim. Without a holder only the ticket counts."""
+    """What a voter has voted for of one lease. Without a holder only the fencing token counts."""
 
     lease: str
     fencing_token: int
@@ -29,15 +39,15 @@
     """Everything of a voter that must outlive it."""
 
     storage_version: StorageVersion
-    admitted: bool = False  # this folder has voted, or been let in
+    admitted: bool = False  # this data directory has voted, or been admitted
     votes: tuple[Vote, ...] = ()
     known_versions: dict[str, StorageVersion] = field(default_factory=dict)  # of the other voters
-    voter_set: VoterSet | None = None  # the list of voters that it goes by
+    voter_set: VoterSet | None = None  # that it goes by
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """A message to a place."""
+    """Send a message."""
 
     destination: PeerAddress
     message: FleetMessage
@@ -45,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistVotes:
-    """Put this on disk, synced, and say so by its number."""
+    """Put this on disk, synced, and report its end by `write_id`."""
 
     write_id: int
     storage_version: StorageVersion
@@ -57,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistFencingToken:
-    """Keep this as the highest ticket seen of a claim."""
+    """Keep this as the highest fencing token seen of a lease."""
 
     lease: str
     fencing_token: int
 
 
 class LeaseEventKind(Enum):
-    """What a history tells, once a change and not once a message."""
+    """What has happened, once a change and not once a message. The values stand in histories."""
 
     HELD = "held"
     RENEWED = "renewed"
@@ -86,7 +96,7 @@
     kind: LeaseEventKind
     lease: str = ""
     fencing_token: int = 0
-    expires_at: float = 0.0
+    expires_at: float = 0.0  # on the member's clock; 0.0 where nothing ends
     reason: str = ""
 
 
--- a/stairhatch/fleet/instance_index.py
+++ b/stairhatch/fleet/instance_index.py
@@ -1,51 +1,52 @@
-"""Which of how many a softswitch is, at the turns of cold roster servers: owns when a number that is claimed
-may be used. It must never use one that is not held at that moment, nor one that another may just have used.
+"""The instance index of a member, by which it has its own part of the set-ups at cold roster servers.
 
-A number is used `settle_s` after it was claimed at the earliest: a holder before may have used its turn right
-up to the end of its term, and no window of that length may see the turns of both.
+An index is used `settle_s` after its lease was granted at the earliest: a holder before may have used its
+slow-start slot right up to the end of its lease, and no window of that length may see the slots of both.
 """
 
 from __future__ import annotations
 
+import math
+
 from stairhatch.fleet.effects import Effect
-from stairhatch.fleet.lease_pool import LeasePool
+from stairhatch.fleet.lease_pool import NOT_HELD, LeasePool
 
-NO_INDEX = -1
+NO_INDEX = -1  # as in `Settings.instance_index`
 
 
-def lease_names(balancers: int) -> list[str]:
-    """The claims of that many numbers."""
-    return [f"number/{index}" for index in range(balancers)]
+def lease_names(instance_count: int) -> list[str]:
+    """The leases of that many indices."""
+    return [f"number/{index}" for index in range(instance_count)]
 
 
 class InstanceIndexLease:
-    """One softswitch's number."""
+    """The index that one member holds."""
 
-    def __init__(self, pick: LeasePool, settle_s: float) -> None:
-        self.pool, self.settle_s = pick, settle_s
+    def __init__(self, pool: LeasePool, settle_s: float) -> None:
+        """`pool` has one lease for each index."""
+        self.pool = pool
+        self.settle_s = settle_s
         self.in_use = NO_INDEX
 
     def usable(self, now: float) -> int:
-        """The number that may be used at this moment; NONE for none. Ask right before a turn is used."""
+        """The index that may be used at this moment; NO_INDEX for none. Ask right before a slot is used."""
         held = self.pool.held_position(now)
-        return held if held >= 0 and now >= self.pool.current.held_since + self.settle_s else NO_INDEX
+        is_settled = now >= self.pool.current.held_since + self.settle_s
+        return held if held != NOT_HELD and is_settled else NO_INDEX
 
     def update(self, now: float) -> int | None:
-        """The number to go by from now on, where that has changed."""
-        number = self.usable(now)
-        if number == self.in_use:
+        """The index to go by from now on; None where it has not changed."""
+        index = self.usable(now)
+        if index == self.in_use:
             return None
-        self.in_use = number
-        return number
+        self.in_use = index
+        return index
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
         return self.pool.tick(now)
 
     def next_due_at(self, now: float) -> float:
-        """When `look` may have something new, should nothing else happen."""
-        settled = self.pool.current.held_since + self.settle_s
-        return min(
-            self.pool.due_at if self.pool.due_at > now else float("inf"),
-            settled if settled > now else float("inf"),
-        )
+        """When `update` may have something new, should nothing else happen."""
+        settled_at = self.pool.current.held_since + self.settle_s
+        return min((due for due in (self.pool.due_at, settled_at) if due > now), default=math.inf)
--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -1,8 +1,10 @@
-"""Who holds a claim, for who does not want it: owns which voters are asked and what their answers come to. It
-must never be acted under: what is seen here is over by the time that it is read.
+"""Who holds a lease, for a member that does not request it: which voters are asked, and what their answers
+come to.
 
-A holder is seen once a majority of the voters names it with one ticket; nobody holds it once a majority says
-so or says nothing that agrees. Voters are asked while somebody watches, which wants to be said again.
+A holder is seen once a majority of the voters names it with one fencing token; nobody holds the lease once a
+majority says so or says nothing that agrees. Voters are asked while somebody observes, which must be said
+again each `OBSERVATION_S`. Nothing may be done under what is seen here: it may be over by the time that it is
+read.
 """
 
 from __future__ import annotations
@@ -14,34 +16,51 @@
 from stairhatch.fleet.effects import Effect, PeerAddress, SendMessage
 from stairhatch.fleet.messages import LeaseQuery, LeaseStatus
 
-QUERY_INTERVAL_S = 0.5  # between two looks
+QUERY_INTERVAL_S = 0.5
 OBSERVATION_S = 5.0  # so long after the last wish
 STATUS_VALID_S = 2.0  # what a voter said longer ago counts no longer
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedLease:
-    """What the voters say of a claim together."""
+    """What the voters say of a lease together."""
 
     holder: str = ""  # "" for nobody
     fencing_token: int = 0  # the highest that was heard of
-    remaining_s: float = 0.0  # of the term, by the voter that says least
-    answered_voters: int = 0  # that have answered lately
+    remaining_s: float = 0.0  # of the lease, by the voter that says least
+    answered_voters: int = 0  # lately
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedStatus:
+    """What one voter has said, and when."""
+
+    at: float
+    status: LeaseStatus
+
+    def remaining_s(self, now: float) -> float:
+        """Of the lease by this voter."""
+        return self.status.remaining_ms / 1000 - (now - self.at)
+
+    @property
+    def holder(self) -> tuple[str, int]:
+        """The holder that it names, and its fencing token."""
+        return self.status.holder, self.status.fencing_token
 
 
 @dataclass(slots=True)
 class LeaseObserver:
-    """One claim that is watched."""
+    """One lease that is observed."""
 
     lease: str
     voters: dict[str, PeerAddress]
     active_until: float = -math.inf
     due_at: float = math.inf
     _query_id: int = 0
-    _statuses: dict[str, tuple[float, LeaseStatus]] = field(default_factory=dict)
+    _statuses: dict[str, ReceivedStatus] = field(default_factory=dict)
 
     def extend(self, now: float) -> None:
-        """Somebody watches, from here on for a while."""
+        """Somebody observes, from here on for a while."""
         if now >= self.active_until:
             self.due_at = now
         self.active_until = now + OBSERVATION_S
@@ -54,28 +73,23 @@
             return []
         self.due_at = now + QUERY_INTERVAL_S
         self._query_id += 1
-        look = LeaseQuery(self.lease, self._query_id)
-        return [SendMessage(place, look) for place in self.voters.values()]
+        query = LeaseQuery(self.lease, self._query_id)
+        return [SendMessage(place, query) for place in self.voters.values()]
 
     def handle_status(self, now: float, message: LeaseStatus) -> None:
-        """A voter has answered; a late answer does not go over a newer one."""
+        """A voter has answered; a late answer does not replace a newer one."""
         old = self._statuses.get(message.voter)
-        if message.voter in self.voters and (old is None or old[1].query_id <= message.query_id):
-            self._statuses[message.voter] = now, message
+        is_newest = old is None or old.status.query_id <= message.query_id
+        if message.voter in self.voters and is_newest:
+            self._statuses[message.voter] = ReceivedStatus(now, message)
 
     def observed(self, now: float) -> ObservedLease:
         """What the answers come to at this moment."""
-        said = {name: (at, each) for name, (at, each) in self._statuses.items() if now - at <= STATUS_VALID_S}
-        ticket = max((each.fencing_token for _, each in said.values()), default=0)
-        left = {name: each.remaining_ms / 1000 - (now - at) for name, (at, each) in said.items()}
-        held = Counter(
-            (each.holder, each.fencing_token) for name, (_, each) in said.items() if left[name] > 0
-        )
-        (holder, its), count = held.most_common(1)[0] if held else (("", 0), 0)
-        if not holder or count < len(self.voters) // 2 + 1:
-            return ObservedLease("", ticket, 0.0, len(said))
-        same = [
-            name for name, (_, each) in said.items() if (each.holder, each.fencing_token) == (holder, its)
-        ]
-        least = min(left[name] for name in same)
-        return ObservedLease(holder, its, least, len(said))
+        recent = [each for each in self._statuses.values() if now - each.at <= STATUS_VALID_S]
+        highest = max((each.status.fencing_token for each in recent), default=0)
+        holders = Counter(each.holder for each in recent if each.remaining_s(now) > 0)
+        (name, token), count = holders.most_common(1)[0] if holders else (("", 0), 0)
+        if not name or count < len(self.voters) // 2 + 1:
+            return ObservedLease("", highest, 0.0, len(recent))
+        remaining_s = min(each.remaining_s(now) for each in recent if each.holder == (name, token))
+        return ObservedLease(name, token, remaining_s, len(recent))
--- a/stairhatch/fleet/lease_pool.py
+++ b/stairhatch/fleet/lease_pool.py
@@ -1,5 +1,6 @@
-"""One of several claims that serve alike, such as a number of k or a slot of k: owns which is asked for next.
-It must never hold two of them: the one that it leaves is given back before the next is asked for.
+"""One of several leases that serve alike, such as an index of k or a slot of k: which one is requested next.
+
+Never two of them are held: the one that is left is released before the next is requested.
 """
 
 from __future__ import annotations
@@ -10,20 +11,23 @@
 from stairhatch.fleet.effects import Effect
 from stairhatch.fleet.lease import LeaseClient, LeaseState
 
-MAX_PAUSE_DOUBLINGS = 4  # the pause doubles so often
-EXHAUSTED_PAUSE_TERMS = (
-    0.5  # all were held by others: so long until they are gone through once more, as a share of a term
-)
+MAX_PAUSE_DOUBLINGS = 4
+EXHAUSTED_PAUSE_TERMS = 0.5  # all were held by others: so many durations until they are gone through again
+NOT_HELD = -1
 
 
 class LeasePool:
-    """Asks for one after the other until one is held, and keeps to it."""
+    """Requests one lease after the other until one is held, and keeps to it."""
 
-    def __init__(self, names: list[str], claim: Callable[[str], LeaseClient], first: int) -> None:
-        if not names:
+    def __init__(
+        self, lease_names: list[str], lease_by_name: Callable[[str], LeaseClient], first: int
+    ) -> None:
+        """`first` is the position to begin at. ValueError: there are no names."""
+        if not lease_names:
             raise ValueError("there is nothing to pick from")
-        self.lease_names, self.lease_by_name = names, claim
-        self.position = first % len(names)
+        self.lease_names = lease_names
+        self.lease_by_name = lease_by_name
+        self.position = first % len(lease_names)
         self.is_requested = False
         self.due_at = math.inf
         self._rejections = 0  # one after the other
@@ -31,48 +35,51 @@
 
     @property
     def current(self) -> LeaseClient:
-        """The claim that is held, or asked for."""
+        """The lease that is held, or requested."""
         return self.lease_by_name(self.lease_names[self.position])
 
     def request(self, now: float) -> None:
         """Begin to ask."""
         if not self.is_requested:
-            self.is_requested, self.due_at = True, now
+            self.is_requested = True
+            self.due_at = now
             self.current.request(now)
 
     def release(self, now: float, successor: str = "") -> list[Effect]:
         """Hold and want none."""
-        self.is_requested, self.due_at = False, math.inf
+        self.is_requested = False
+        self.due_at = math.inf
         return self.current.release(now, successor)
 
     def held_position(self, now: float) -> int:
-        """Which may be acted under at this moment; -1: none."""
-        return self.position if self.is_requested and self.current.may_act(now) else -1
+        """Which may be acted under at this moment; NOT_HELD for none."""
+        return self.position if self.is_requested and self.current.may_act(now) else NOT_HELD
 
     def tick(self, now: float) -> list[Effect]:
-        """Go on to the next where another holds the one that was asked for."""
-        claim = self.current
-        if not self.is_requested or now < self.due_at or claim.state is LeaseState.HELD:
-            if claim.state is LeaseState.HELD:
-                self._rejections = self._exhausted_rounds = 0
+        """Go on to the next where another member holds the one that was requested."""
+        lease = self.current
+        if lease.state is LeaseState.HELD:
+            self._rejections = 0
+            self._exhausted_rounds = 0
             return []
-        if claim.state is LeaseState.IDLE:
-            claim.request(now)
-        if not claim.held_by_other or len(self.lease_names) == 1:
+        if not self.is_requested or now < self.due_at:
             return []
-        out = claim.release(now)
-        claim.held_by_other = False
+        if lease.state is LeaseState.IDLE:
+            lease.request(now)
+        if not lease.held_by_other or len(self.lease_names) == 1:
+            return []
+        effects = lease.release(now)
+        lease.held_by_other = False
         self.position = (self.position + 1) % len(self.lease_names)
         self._rejections += 1
-        pause = 0.0
-        if self._rejections >= len(self.lease_names):
-            self._rejections, self._exhausted_rounds = 0, min(self._exhausted_rounds + 1, MAX_PAUSE_DOUBLINGS)
-            pause = (
-                claim.timings.duration_s
-                * EXHAUSTED_PAUSE_TERMS
-                * 2 ** (self._exhausted_rounds - 1)
-                * (0.5 + claim.random_source.random())
-            )
-        self.due_at = now + pause
-        self.current.request(now, pause)
-        return out
+        pause_s = self._exhausted_pause_s(lease) if self._rejections >= len(self.lease_names) else 0.0
+        self.due_at = now + pause_s
+        self.current.request(now, pause_s)
+        return effects
+
+    def _exhausted_pause_s(self, lease: LeaseClient) -> float:
+        """All are held by others: the pause doubles with each time in turn, and half of it is for chance."""
+        self._rejections = 0
+        self._exhausted_rounds = min(self._exhausted_rounds + 1, MAX_PAUSE_DOUBLINGS)
+        longest_s = lease.timings.duration_s * EXHAUSTED_PAUSE_TERMS * 2.0 ** (self._exhausted_rounds - 1)
+        return longest_s * (0.5 + lease.random_source.random())
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -1,15 +1,15 @@
-"""One softswitch among others: owns its claims, its vote if it is a voter, its fences, and which message goes
-to which of them. A state machine that is told the time with each message and answers with effects; it must
-never know a socket, a disk or a call.
+"""One cluster member: its leases, its vote if it is a voter, and which message goes to which of them.
+
+A protocol without I/O: it is told the time with each message and answers with effects. It knows no socket, no
+disk and no call; `runtime` drives it in the program, `fault_injection` on a virtual clock.
 """
 
 from __future__ import annotations
 
 import math
 import random
-from dataclasses import dataclass
 
-from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState
+from stairhatch.fleet.effects import Effect, MemberId, PeerAddress, PersistedState
 from stairhatch.fleet.fencing import FencingTokens
 from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
 from stairhatch.fleet.lease_observer import LeaseObserver
@@ -31,51 +31,57 @@
 MAX_OBSERVED_LEASES = 64
 
 
-@dataclass(frozen=True, slots=True)
-class MemberId:
-    """Which process this is: the name that the operators gave it, and this start of it."""
-
-    name: str
-    incarnation: int
-
-
 class ClusterMember:
     """The decisions of one softswitch about shared work."""
 
     def __init__(
         self,
-        who: MemberId,
+        identity: MemberId,
         voters: dict[str, PeerAddress],
-        terms: LeaseTimings,
-        chance: random.Random,
+        timings: LeaseTimings,
+        random_source: random.Random,
         now: float,
         kept: PersistedState | None = None,
-        fences: dict[str, int] | None = None,
+        fencing_tokens: dict[str, int] | None = None,
         epoch: int = 1,
     ) -> None:
-        """`epoch`: of this list of voters, counted up with each change of it."""
+        """Without `kept` it is no voter. `epoch` is that of the voters, counted up with each change of
+        them.
+        """
         self.epoch = epoch
-        self.identity, self.voters, self.timings, self.random_source = who, voters, terms, chance
+        self.identity = identity
+        self.voters = voters
+        self.timings = timings
+        self.random_source = random_source
         self.leases: dict[str, LeaseClient] = {}
         self.storage_versions: dict[str, StorageVersion] = {}
-        self.fencing_tokens = FencingTokens(fences)
+        self.fencing_tokens = FencingTokens(fencing_tokens)
         self.observers: dict[str, LeaseObserver] = {}
-        self.voter = Voter(who.name, voters, terms, kept, now, 1, epoch) if kept is not None else None
+        self.voter: Voter | None = None
+        if kept is not None:
+            self.voter = Voter(identity.name, voters, timings, kept, now, 1, epoch)
 
     def lease(self, name: str) -> LeaseClient:
-        """A claim as this softswitch asks for it; made at the first call."""
+        """A lease as this member requests it; made at the first call."""
         if name not in self.leases:
-            me = self.identity.name, self.identity.incarnation
             self.leases[name] = LeaseClient(
-                name, me, self.voters, self.timings, self.random_source, self.storage_versions, self.epoch
+                name,
+                self.identity,
+                self.voters,
+                self.timings,
+                self.random_source,
+                self.storage_versions,
+                self.epoch,
             )
         return self.leases[name]
 
     def observe(self, now: float, name: str) -> LeaseObserver | None:
-        """A claim is watched, whoever holds it; None where too many are."""
+        """Observe a lease for a while, whoever holds it; None where too many are observed."""
         if name not in self.observers:
             if len(self.observers) >= MAX_OBSERVED_LEASES:
-                for old in [each for each, watch in self.observers.items() if now >= watch.active_until]:
+                for old in [
+                    each for each, observer in self.observers.items() if now >= observer.active_until
+                ]:
                     del self.observers[old]
             if len(self.observers) >= MAX_OBSERVED_LEASES:
                 return None
@@ -84,9 +90,9 @@
         return self.observers[name]
 
     def may_act(self, now: float, name: str) -> bool:
-        """`Claim.may_act` of a claim by its name."""
-        found = self.leases.get(name)
-        return found is not None and found.may_act(now)
+        """`LeaseClient.may_act` of a lease by its name."""
+        lease = self.leases.get(name)
+        return lease is not None and lease.may_act(now)
 
     def next_due_at(self) -> float:
         """When `tick` should be called next."""
@@ -99,19 +105,19 @@
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
-        out: list[Effect] = self.voter.tick(now) if self.voter is not None else []
-        for claim in list(self.leases.values()):
-            out += claim.tick(now)
-        for watch in self.observers.values():
-            out += watch.tick(now)
-        return out
+        effects: list[Effect] = self.voter.tick(now) if self.voter is not None else []
+        for lease in list(self.leases.values()):
+            effects += lease.tick(now)
+        for observer in self.observers.values():
+            effects += observer.tick(now)
+        return effects
 
-    def write_completed(self, now: float, number: int, fault: str = "") -> list[Effect]:
-        """A `Write` has ended."""
-        return self.voter.write_completed(now, number, fault) if self.voter is not None else []
+    def write_completed(self, now: float, write_id: int, fault: str = "") -> list[Effect]:
+        """A `PersistVotes` has ended; `fault` says what went wrong, "" for nothing."""
+        return self.voter.write_completed(now, write_id, fault) if self.voter is not None else []
 
     def handle(self, now: float, sender: PeerAddress, message: FleetMessage) -> list[Effect]:
-        """A message has come."""
+        """A message has come. One for a lease that this member does not request is passed over."""
         match message:
             case LeaseGranted() if message.lease in self.leases:
                 return self.leases[message.lease].handle_granted(now, message)
@@ -122,17 +128,20 @@
             case LeaseStatus() if message.lease in self.observers:
                 self.observers[message.lease].handle_status(now, message)
                 return []
-        if self.voter is None:
-            return []
+        return self._handle_as_voter(self.voter, now, sender, message) if self.voter is not None else []
+
+    def _handle_as_voter(
+        self, voter: Voter, now: float, sender: PeerAddress, message: FleetMessage
+    ) -> list[Effect]:
         match message:
             case LeaseRequest():
-                return self.voter.handle_request(now, sender, message)
+                return voter.handle_request(now, sender, message)
             case LeaseRelease():
-                return self.voter.handle_release(now, message)
+                return voter.handle_release(now, message)
             case LeaseQuery():
-                return self.voter.handle_query(now, message, sender)
+                return voter.handle_query(now, message, sender)
             case StatusRequest():
-                return self.voter.handle_status_request(now, message)
+                return voter.handle_status_request(now, message)
             case StatusReply():
-                return self.voter.handle_status_reply(now, message)
+                return voter.handle_status_reply(now, message)
         return []
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -1,28 +1,40 @@
-"""Planned restarts, at most k at a time: owns what an operator's order for a slot comes to. It must never
-hold up a signal: SIGTERM ends the program with a slot or without.
+"""Planned restarts, at most k at a time: what an operator's command for a restart slot comes to.
 
-A slot is held by the process that is to be restarted. It is not given back by its end: it is over a term
-after the process has gone, by which time the next one serves. A slot whose holder dies comes back in the same
-way.
+A slot is held by the process that is to be restarted. It is not released by its end: it is over a lease
+duration after the process has gone, by which time the next one serves. A slot whose holder dies comes back in
+the same way. SIGTERM ends the program with a slot or without.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
+
 from stairhatch.fleet.effects import Effect
 from stairhatch.fleet.lease import LeaseState
-from stairhatch.fleet.lease_pool import LeasePool
+from stairhatch.fleet.lease_pool import NOT_HELD, LeasePool
+
+PREFIX = "restart/"
 
 
 def lease_names(slots: int) -> list[str]:
-    """The claims of that many slots."""
-    return [f"restart/{index}" for index in range(slots)]
+    """The leases of that many slots."""
+    return [f"{PREFIX}{index}" for index in range(slots)]
+
+
+@dataclass(frozen=True, slots=True)
+class SlotRelease:
+    """The answer to an operator who releases a slot, and what is to be done."""
+
+    answer: str
+    effects: list[Effect] = field(default_factory=list)
 
 
 class RestartSlotLease:
-    """One softswitch's wish to be restarted."""
+    """One member's wish to be restarted."""
 
-    def __init__(self, pick: LeasePool | None) -> None:
-        self.pool = pick
+    def __init__(self, pool: LeasePool | None) -> None:
+        """`pool` has one lease for each slot; None where restarts need no slot."""
+        self.pool = pool
 
     def request(self, now: float) -> str:
         """The answer to `restart-ask`: it is asked again until it says ok."""
@@ -30,19 +42,20 @@
             return "fail fleet.restarts is 0: a restart needs no slot here"
         self.pool.request(now)
         slot = self.pool.held_position(now)
-        if slot >= 0:
-            left = self.pool.current.expires_at - now
-            slots = len(self.pool.lease_names)
-            return f"ok slot {slot + 1} of {slots}, held for {left:.1f} s more unless renewed"
-        claim = self.pool.current
-        return f"fail not yet: {claim.reason or 'asking'}"
-
-    def release(self, now: float) -> tuple[str, list[Effect]]:
+        lease = self.pool.current
+        if slot == NOT_HELD:
+            return f"fail not yet: {lease.reason or 'asking'}"
+        slots = len(self.pool.lease_names)
+        remaining_s = lease.expires_at - now
+        return f"ok slot {slot + 1} of {slots}, held for {remaining_s:.1f} s more unless renewed"
+
+    def release(self, now: float) -> SlotRelease:
         """The answer to `restart-give`, and what comes of it."""
         if self.pool is None or not self.pool.is_requested:
-            return "ok no slot was held or asked for", []
-        was = self.pool.current.state is LeaseState.HELD
-        return f"ok {'given back' if was else 'no longer asked for'}", self.pool.release(now)
+            return SlotRelease("ok no slot was held or asked for")
+        was_held = self.pool.current.state is LeaseState.HELD
+        answer = f"ok {'given back' if was_held else 'no longer asked for'}"
+        return SlotRelease(answer, self.pool.release(now))
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -23,6 +23,7 @@
     Effect,
     LeaseEvent,
     LeaseEventKind,
+    MemberId,
     PeerAddress,
     PersistFencingToken,
     PersistVotes,
@@ -38,7 +39,7 @@
 from stairhatch.fleet.instance_index import InstanceIndexLease
 from stairhatch.fleet.lease import LeaseState
 from stairhatch.fleet.lease_pool import LeasePool
-from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetCodec, FleetMessage, Subscribe
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
@@ -414,9 +415,9 @@
         """The list as its owner has it, or the word that nothing is new."""
         if self.directory is None:
             return
-        good, out = self.member.fencing_tokens.check(ENDPOINT_LIST_LEASE, news.fencing_token, peer)
-        self.carry_out(out)
-        if not good:
+        check = self.member.fencing_tokens.check(ENDPOINT_LIST_LEASE, news.fencing_token, peer)
+        self.carry_out(check.effects)
+        if not check.is_accepted:
             return
         self.follower.handle_update(now)
         if news.holder != "-":
@@ -447,9 +448,9 @@
         return answer
 
     def _give(self) -> str:
-        answer, out = self.restart_slot.release(clock())
-        self.carry_out(out)
-        return answer
+        release = self.restart_slot.release(clock())
+        self.carry_out(release.effects)
+        return release.answer
 
     def _hand_over(self, name: str, successor: str = "") -> str:
         """Give a claim back, for a successor that is named or for whoever comes first."""
