--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -37,6 +37,7 @@
     """What a connection asks of its pool."""
 
     core: CallManager
+    active: dict[int, ServerConnection]  # the connection in use, or about to come up, by the server's id
 
     def is_standby(self, connection: ServerConnection) -> bool:
         """Whether it has not come up yet beside the one in use."""
@@ -44,15 +45,9 @@
     def is_superseded(self, connection: ServerConnection) -> bool:
         """Whether another has taken its place."""
 
-    def has_superseded(self) -> bool:
-        """Whether there is any connection that another has taken the place of."""
-
     def reads_superseded(self, server: RosterServer) -> bool:
         """Whether a superseded connection to a server is still up."""
 
-    def active_connection(self, server: RosterServer) -> ServerConnection | None:
-        """The connection in use, or about to come up."""
-
     def connections_to(self, server: RosterServer) -> list[ServerConnection]:
         """Every connection to a server."""
 
@@ -60,7 +55,7 @@
         """A standby has come up."""
 
     def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
-        """Something came, while there are superseded connections."""
+        """Something came: where a superseded connection should have brought it too, that one is dead."""
 
     def dial_again_later(self, server: RosterServer) -> None:
         """A connection has ended on which ends of calls may have been lost."""
@@ -243,7 +238,7 @@
         """
         core = self.pool.core
         self.liveness.connection_lost()
-        active = self.pool.active_connection(self.server)
+        active = self.pool.active.get(self.server.id)
         self.server.connected = active is not None and active.liveness.is_connected
         unconfirmed = self.send_queue.take_unconfirmed_releases()
         if active is not None and self.server.record.availability is not Availability.GONE:
@@ -306,8 +301,7 @@
         core.counters.add(RECEIVED_COUNTERS.get(verb, "got_other_verb"))
         is_load_report = verb == Verb.LOAD
         self.liveness.message_received(core.clock(), is_load_report)
-        if self.pool.has_superseded():
-            self.pool.message_received(self, is_load_report)
+        self.pool.message_received(self, is_load_report)
         match verb:
             case Verb.STARTED:
                 responses.load_reported(self.server, report)
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -125,10 +125,6 @@
         found = [each[server.id] for each in (self.active, self.standby) if server.id in each]
         return found + [each for each in self.superseded if each.server is server]
 
-    def active_connection(self, server: RosterServer) -> ServerConnection | None:
-        """The connection in use, or about to come up."""
-        return self.active.get(server.id)
-
     def is_standby(self, connection: ServerConnection) -> bool:
         """Whether it has not come up yet beside the one in use."""
         return self.standby.get(connection.server.id) is connection
@@ -141,10 +137,6 @@
         """Whether a superseded connection to a server is still up."""
         return any(each.server is server and each.liveness.is_connected for each in self.superseded)
 
-    def has_superseded(self) -> bool:
-        """Whether there is any connection that another has taken the place of."""
-        return bool(self.superseded)
-
     def remove(self, connection: ServerConnection) -> None:
         """A connection has ended for good."""
         server = connection.server
@@ -174,7 +166,7 @@
             if server_id in self.standby or connection.draining or not connection.is_unresponsive(now):
                 continue
             if self._may_suspect(connection, now):
-                self._report_unresponsive(connection, now)
+                self._suspect(connection, now)
                 unresponsive.append(connection)
         for connection in unresponsive:
             self.dial_standby(connection)
@@ -193,7 +185,7 @@
         never_received = liveness.last_received_at < liveness.connected_at
         return now >= liveness.suspect_from or (never_received and beside < MAX_SUPERSEDED)
 
-    def _report_unresponsive(self, connection: ServerConnection, now: float) -> None:
+    def _suspect(self, connection: ServerConnection, now: float) -> None:
         liveness = connection.liveness
         liveness.back_off(now)
         self.core.counters.add("server_connections_unresponsive")
@@ -245,7 +237,7 @@
 
     def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
         """Something came. Where a superseded connection should have brought it too, that one is dead."""
-        if connection in self.superseded:
+        if not self.superseded or connection in self.superseded:
             return
         if is_load_report and connection.liveness.load_reports < 2:  # the first comes on each by itself
             return
