--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -1,7 +1,7 @@
 """The hollow softswitches of a run and what stands around them: owns the drivers that stand for sockets, the
 stand-in roster servers and coordinators on the virtual clock, the events of the plan, and what is counted.
-The Core with its Controller, RosterSide, Directory and Fleet are the program's own and are fed the bytes that
-would cross a socket. It must never reach into a decision.
+The Core with its Controller, ServerConnectionPool, Directory and Fleet are the program's own and are fed the
+bytes that would cross a socket. It must never reach into a decision.
 """
 
 from __future__ import annotations
@@ -33,10 +33,11 @@
     MIN_BACKOFF_S,
     POLL_TURN_CHECK_S,
 )
-from stairhatch.node.message import called_number
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
-from stairhatch.node.roster import RosterLink, RosterSide
+from stairhatch.node.server_connection import ServerConnection
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
+from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
 from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
@@ -352,7 +353,7 @@
 
     part = "links"
 
-    def __init__(self, softswitch: Softswitch, link: RosterLink) -> None:
+    def __init__(self, softswitch: Softswitch, link: ServerConnection) -> None:
         super().__init__(softswitch, link)
         self.link = link
         self._wanted = False
@@ -373,7 +374,7 @@
         self._again, link = None, self.link
         if self.stopped:
             return
-        if link.can_close() or (link.retired and not link.urgent):
+        if link.can_close() or (link.draining and not link.has_queued):
             self._drop()
             return
         self._wanted = False
@@ -382,17 +383,17 @@
         self.world.dial(self, link.server.record.address, within_s, self._up, self._failed)
 
     def _up(self, stream: Stream) -> None:
-        self.link.connected()
+        self.link.connection_made()
         self.began(stream)
 
     def _failed(self, refused: bool) -> None:
         if self.stopped:
             return
-        self.link.failed(refused)
-        if self.link.retired:
+        self.link.connect_failed(refused)
+        if self.link.draining:
             self._drop()
             return
-        self._wanted = self._wanted and self.link.urgent
+        self._wanted = self._wanted and self.link.has_queued
         self._later(0.0 if self._wanted else self.backoff)
         self.backoff = min(MAX_BACKOFF_S, 2 * self.backoff)
 
@@ -401,7 +402,7 @@
         if self.clock.now - self.up_at > MAX_BACKOFF_S:
             self.backoff = MIN_BACKOFF_S
             self._later(0.0)
-        elif self.link.retired:
+        elif self.link.draining:
             self._later(0.0)
         else:
             self._later(self.backoff)
@@ -409,7 +410,7 @@
 
     def _drop(self) -> None:
         self.softswitch.drivers.pop(self, None)
-        self.link.side.drop(self.link)
+        self.link.pool.remove(self.link)
 
 
 class Follower(Driver):
@@ -590,7 +591,7 @@
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
         self._meter_decisions(core)
         core.timers.on_earlier_due = self._arm
-        RosterSide(core, lambda link: self._keep(link))
+        ServerConnectionPool(core, lambda link: self._keep(link))
         core.readiness.listening = True
         region = world.places.region(self.index)
         directory = ServiceDiscoveryClient(core, world.coordinators[region].place, 0)
@@ -599,7 +600,7 @@
         Follower(self, directory)
         self._arm()
 
-    def _keep(self, link: RosterLink) -> None:
+    def _keep(self, link: ServerConnection) -> None:
         Keeper(self, link)
 
     def _join(self, plan: Plan, directory: ServiceDiscoveryClient) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,12 +22,12 @@
 from stairhatch import shutdown as shutdown_module
 from stairhatch.application import Application
 from stairhatch.config.model import Config
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import EMPTY_ANSWER_PAUSE_S, ServiceDiscoveryClient
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.settings.parser import settings_from_object
 
 from .peers import (
@@ -244,13 +244,13 @@
     leave(caller, ident, by)
     until(lambda: program.lines("call_abandoned"))
     assert not program.lines("attempt_sent"), "it left before the link was up"
-    assert not program.lines("reached"), "it left before the link was up"
+    assert not program.lines("server_connected"), "it left before the link was up"
     other, stays = ask(program, "platform")
     until(lambda: len(program.lines("call_offered")) == 2)
     threading.Thread(target=shut._accept, daemon=True).start()
     other.expect(stays, 200)
     assert starts(shut) == [stays]
-    assert not program.lines("unreached"), "the settings' time to connect holds, and no other"
+    assert not program.lines("server_connect_failed"), "the settings' time to connect holds, and no other"
     for each in full:
         each.close()
 
@@ -319,7 +319,7 @@
 def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
     """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
     inside = InProcessNode()
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     connection, ident = front.connect(), next(IDS)
     connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
     assert inside.written and connection.has_partial_message()
@@ -346,7 +346,7 @@
         inside = InProcessNode()
         inside.follow_loop(asyncio.get_running_loop())
         network = Network(inside.core)
-        front = TrunkFront(inside.core)
+        front = PlatformFrontend(inside.core)
         sock = socket.create_server(("127.0.0.1", 0))
         listener = network.listen(sock, front.connect, ListenerLimits(1, eviction_grace_s=0.05))
         old = socket.create_connection(sock.getsockname())
@@ -387,7 +387,7 @@
 def test_a_release_that_nobody_hears_is_kept_for_who_connects_next():
     """Guards against an end of a call that is dropped after four tries at callers who don't read."""
     inside = InProcessNode()
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     deaf, ident = front.connect(), next(IDS)
     deaf.receive_data(trunk_invite(ident, "read-roster"))
     inside.establish()
@@ -398,7 +398,9 @@
     inside.run(0.2)
     assert late.data_to_send().count(b"BYE sip:") == 1
     inside.run(60.0)
-    assert not front.releases and inside.core.counters.counts["releases_unheard"] == 1
+    assert (
+        not front.registry.deliveries.pending and inside.core.counters.counts["releases_unacknowledged"] == 1
+    )
 
 
 def test_a_fault_in_a_timer_takes_no_other_with_it():
@@ -418,16 +420,16 @@
     """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
     inside, links = InProcessNode(), []
     if to == "caller":
-        side = TrunkFront(inside.core)
+        side = PlatformFrontend(inside.core)
         machine = side.connect()
     elif to == "SIP caller":
         side = inside.front
         machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        side = RosterSide(inside.core, links.append)
+        side = ServerConnectionPool(inside.core, links.append)
         side.record_changed(inside.core.servers.by_id[1])
         machine = links[0]
-        machine.connected()
+        machine.connection_made()
     assert side.is_flushed()
     machine.writing = True
     assert not side.is_flushed()
