--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -19,6 +19,7 @@
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
+from stairhatch.node.address import format_address
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
@@ -140,20 +141,18 @@
         return f"{address[0]}:{address[1]}"
 
     def _listen_sip(self, config: SipConfig) -> list[str]:
-        from stairhatch.sip.flows import host_port
-
         network = self.parts.network
         front = self.parts.sip_frontend = self._sip_frontend(config)
         opened: list[str] = []
         for port in front.ports:
             network.open_datagram_port(port.local, port, callers=True)
-            opened.append(f"udp:{host_port(port.local)}")
+            opened.append(f"udp:{format_address(port.local)}")
         for listener in config.tcp:
             limits = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.parts.caller_listeners.append(
                 network.listen(listener.place, front.connector(listener), limits)
             )
-            opened.append(f"tcp:{host_port(listener.place)}")
+            opened.append(f"tcp:{format_address(listener.place)}")
         return opened
 
     def _sip_frontend(self, config: SipConfig) -> SipFront:
--- a/stairhatch/cli/check_config.py
+++ b/stairhatch/cli/check_config.py
@@ -6,6 +6,7 @@
 
 from stairhatch.cli.common import read_config
 from stairhatch.config.model import Config
+from stairhatch.node.address import format_address
 
 
 @click.command("check-config")
@@ -14,15 +15,13 @@
     """Read FILE as `serve` would, and say what is in it or what is wrong."""
     config = read_config(file)
     assert config.sip is not None
-    from stairhatch.sip.flows import host_port
-
-    listeners = [f"udp {host_port(each.place)}" for each in config.sip.udp]
-    listeners += [f"tcp {host_port(each.place)}" for each in config.sip.tcp]
+    listeners = [f"udp {format_address(each.place)}" for each in config.sip.udp]
+    listeners += [f"tcp {format_address(each.place)}" for each in config.sip.tcp]
     click.echo(f"{file}: ok")
     click.echo(f"  name      {config.name}")
     click.echo(f"  listens   {', '.join(listeners)}")
     click.echo(f"  classes   {', '.join(each.name for each in config.settings.classes)}")
-    coordinator = config.coordinator and host_port(config.coordinator)
+    coordinator = config.coordinator and format_address(config.coordinator)
     servers = ", ".join(_server_names(config))
     click.echo(f"  servers   {servers or f'from the coordinator at {coordinator}'}")
     auth = config.sip.auth
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -16,7 +16,7 @@
 from stairhatch.application import Application
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
-from stairhatch.sip.flows import host_port
+from stairhatch.node.address import format_address
 from stairhatch.standin.caller import Caller, End, Placed
 from stairhatch.standin.roster import StandIn
 
@@ -71,7 +71,8 @@
     """The embedded configuration, read as any file is."""
     listen = "\n".join(f'{name} = "{at}"' for name, at in (("udp", demo.udp), ("tcp", demo.tcp)) if at)
     lines = [
-        f'[[servers]]\nname = "stand-in-{index + 1}"\naddress = "{host_port(each.place)}"\nnumber = {index}'
+        f'[[servers]]\nname = "stand-in-{index + 1}"\n'
+        f'address = "{format_address(each.place)}"\nnumber = {index}'
         for index, each in enumerate(servers)
     ]
     auth = f'\n[sip.auth]\nusers = "{demo.auth}"\nrealm = "stairhatch"\n' if demo.auth else ""
