--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -42,12 +42,13 @@
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import FleetCodec
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
 from stairhatch.node.io.network import Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
@@ -417,7 +418,7 @@
     cores = []
     for _ in range(count):
         core = bare_core()
-        RosterSide(core, Network(core).dial)
+        ServerConnectionPool(core, Network(core).dial)
         core.update_servers([ServerRecord("one", (place[0], place[1]), 0, Availability.READY)], complete=True)
         cores.append(core)
 
@@ -576,7 +577,7 @@
     """A caller's connection to the softswitch."""
 
     def __init__(self, hold_s: float) -> None:
-        self.hold_s, self.parser = hold_s, sip.StreamParser()
+        self.hold_s, self.parser = hold_s, sip_parser.StreamParser()
         self.sent: dict[str, float] = {}
         self.took: list[float] = []
         self.other = 0  # answers that are no 200
@@ -602,7 +603,7 @@
         """Answers."""
         now = time.perf_counter()
         self.parser.feed(data)
-        while (message := self.parser.next()) is not None:
+        while (message := self.parser.next_message()) is not None:
             ident = message.get("call-id")
             if message.cseq()[1] == "INVITE" and ident in self.sent and message.status >= 200:
                 self.took.append(now - self.sent.pop(ident))
@@ -834,10 +835,10 @@
     """The program with timers in it. Each span is exclusive of those within it; written out now and then."""
     from stairhatch import __main__ as entry
     from stairhatch.node.attempts import AttemptManager
-    from stairhatch.node.roster import RosterLink
+    from stairhatch.node.platform_frontend import PlatformConnection
+    from stairhatch.node.server_connection import ServerConnection
     from stairhatch.node.server_responses import ServerResponses
     from stairhatch.node.timer_wheel import TimerWheel
-    from stairhatch.node.trunk_front import TrunkConnection
 
     spent: Counter[str] = Counter()
     inner: list[float] = []
@@ -858,7 +859,7 @@
 
         setattr(owner, method, act)
 
-    timed(TrunkConnection, "receive_data", "parse")
+    timed(PlatformConnection, "receive_data", "parse")
     timed(Controller, "handle", "decide", whole=True)
     timed(CallManager, "offer_call", "core")
     timed(CallManager, "release", "core")
@@ -866,9 +867,9 @@
     timed(ServerResponses, "call_released", "core")
     timed(TimerWheel, "run_due", "core")
     timed(AttemptManager, "claim_transmission", "core")
-    timed(RosterLink, "data_to_send", "ask")
-    timed(TrunkConnection, "data_to_send", "answer")
-    timed(RosterLink, "receive_data", "states")
+    timed(ServerConnection, "data_to_send", "ask")
+    timed(PlatformConnection, "data_to_send", "answer")
+    timed(ServerConnection, "receive_data", "states")
     path = Path(os.environ["SPANS"])
     began = CallManager.__init__
 
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -13,11 +13,11 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.counters import Counters
+from stairhatch.node.event_log import EventLog
 from stairhatch.node.io.listener import Listener
 from stairhatch.node.io.network import Network
+from stairhatch.node.platform_frontend import PlatformFrontend
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
-from stairhatch.node.syslog import Log
-from stairhatch.node.trunk_front import TrunkFront
 
 if TYPE_CHECKING:
     from stairhatch.fleet.runtime import FleetRuntime
@@ -40,12 +40,12 @@
     """
 
     clock: Callable[[], float]
-    log: Log
+    log: EventLog
     counters: Counters
     core: CallManager
     network: Network
     scoped: ScopedController | None = None
-    platform_frontend: TrunkFront | None = None
+    platform_frontend: PlatformFrontend | None = None
     sip_frontend: SipFront | None = None
     discovery: ServiceDiscoveryClient | None = None
     fleet: FleetRuntime | None = None
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -25,7 +25,7 @@
 from stairhatch.node.io.tasks import BackgroundTasks
 from stairhatch.node.io.timer_driver import TimerDriver
 from stairhatch.node.protocol import ConnectionProtocol
-from stairhatch.node.roster import RosterLink
+from stairhatch.node.server_connection import ServerConnection
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 LISTEN_BACKLOG = 512
@@ -132,7 +132,7 @@
 
     # ---- servers and service discovery ----
 
-    def dial(self, connection: RosterLink) -> None:
+    def dial(self, connection: ServerConnection) -> None:
         """Keep a connection to a server until it is retired."""
         self.spawn(self._server_connector.keep_up(connection))
 
--- a/stairhatch/node/io/persistent_connections.py
+++ b/stairhatch/node/io/persistent_connections.py
@@ -13,7 +13,7 @@
 from stairhatch.node.io.connection_runner import ConnectionRunner
 from stairhatch.node.io.connector import Connector
 from stairhatch.node.io.descriptor_budget import DESCRIPTORS_EXHAUSTED, CallerAdmission
-from stairhatch.node.roster import RosterLink
+from stairhatch.node.server_connection import ServerConnection
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 MIN_BACKOFF_S = 0.05
@@ -30,18 +30,18 @@
         self._runner = runner
         self._connector = connector
         self._admission = admission
-        self._open: set[RosterLink] = set()  # those that hold a descriptor
+        self._open: set[ServerConnection] = set()  # those that hold a descriptor
 
-    async def keep_up(self, connection: RosterLink) -> None:
+    async def keep_up(self, connection: ServerConnection) -> None:
         """Dial and run a server connection until it is retired, then have its pool drop it."""
         with self._admission.dialled_connection():
             await self._dial_until_retired(connection)
-        connection.side.drop(connection)
+        connection.pool.remove(connection)
 
-    async def _dial_until_retired(self, connection: RosterLink) -> None:
+    async def _dial_until_retired(self, connection: ServerConnection) -> None:
         backoff_s = MIN_BACKOFF_S
         while not connection.can_close():
-            if connection.retired and not connection.urgent:
+            if connection.draining and not connection.has_queued:
                 break
             wanted = asyncio.Event()
             connection.notify_writable = wanted.set
@@ -49,9 +49,9 @@
                 sock = await self._connect(connection)
             except (OSError, TimeoutError) as error:
                 self._report_failure(connection, error)
-                if connection.retired:
+                if connection.draining:
                     break
-                if not connection.urgent:
+                if not connection.has_queued:
                     wanted.clear()
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(wanted.wait(), backoff_s)
@@ -60,27 +60,27 @@
             lasted_s = await self._run(connection, sock)
             if lasted_s > MAX_BACKOFF_S:
                 backoff_s = MIN_BACKOFF_S
-            elif not connection.retired:  # it broke as soon as it had come up
+            elif not connection.draining:  # it broke as soon as it had come up
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
-    async def _connect(self, connection: RosterLink) -> socket.socket:
+    async def _connect(self, connection: ServerConnection) -> socket.socket:
         if len(self._open) >= self._admission.budget.available_to_servers():
             raise OSError(errno.EMFILE, "no descriptor is left for a server connection")
         self._open.add(connection)
         within_s = self._runner.core.settings.connect_timeout_s
         return await self._connector.connect(connection.server.record.address, within_s)
 
-    def _report_failure(self, connection: RosterLink, error: OSError) -> None:
+    def _report_failure(self, connection: ServerConnection, error: OSError) -> None:
         self._open.discard(connection)
         if error.errno in DESCRIPTORS_EXHAUSTED:
             self._admission.log_exhaustion("descriptors", error)
-        connection.failed(refused=isinstance(error, ConnectionRefusedError))
+        connection.connect_failed(refused=isinstance(error, ConnectionRefusedError))
 
-    async def _run(self, connection: RosterLink, sock: socket.socket) -> float:
+    async def _run(self, connection: ServerConnection, sock: socket.socket) -> float:
         """Run a connection that has come up until it ends; returns how long it was up, in seconds."""
         up_at = self._runner.loop.time()
-        connection.connected()
+        connection.connection_made()
         try:
             await self._runner.run(sock, connection)
         finally:
