--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/flows.py
@@ -37,12 +37,6 @@
     return ":" in host
 
 
-def host_port(place: Place) -> str:
-    """`host:port`, with IPv6 in brackets."""
-    host, port = place
-    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-
-
 class Flow:
     """A way back to a peer. `local` is our end of it."""
 
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -22,6 +22,7 @@
 from stairhatch.admission.overload_detector import OverloadLevel
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
+from stairhatch.node.address import format_address
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ReleaseCause
 from stairhatch.node.protocol import ConnectionProtocol
@@ -38,7 +39,6 @@
     SipConnection,
     SipDatagrams,
     UdpFlow,
-    host_port,
     is_address,
     is_v6,
 )
@@ -606,12 +606,12 @@
 
     def contact(self, flow: Flow) -> str:
         """The URI that callers are told to send later requests to."""
-        place = self.config.contact or host_port(self._local(flow))
+        place = self.config.contact or format_address(self._local(flow))
         return f"sip:{place};transport=tcp" if flow.reliable else f"sip:{place}"
 
     def sent_by(self, flow: Flow) -> str:
         """Where answers to requests of ours are to come."""
-        return self.config.contact or host_port(self._local(flow))
+        return self.config.contact or format_address(self._local(flow))
 
     def _local(self, flow: Flow) -> Place:
         if flow.local[1]:
