--- a/stairhatch/fault_injection/__init__.py
+++ b/stairhatch/fault_injection/__init__.py
@@ -6,7 +6,7 @@
   `network_links`, `member_process` and `member_main` (one softswitch), `callers`, `run_report`, `run_files`
 - the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` (one),
   `virtual_fault_injector`, `virtual_network`, `virtual_member` and `virtual_disk`
-- every order of events of a small cluster: `state_exploration`
+- every order of events of a small cluster: `state_exploration`, `exploration_state`
 
 `schedule` and `schedule_generator` say which faults happen when. `history`, `lease_rules` and `timeline` read
 off the histories what came of it. `mutations` are mistakes put into the decisions on purpose, to prove the
--- /dev/null
+++ b/stairhatch/fault_injection/mutations/holders.py
@@ -0,0 +1,114 @@
+"""Mutations of holders: for how long they act under a lease, and how they request and release it."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from stairhatch.fault_injection.mutations.registry import AttributePatch, EffectsMethod, mutation, original
+from stairhatch.fleet.effects import SendMessage, Vote
+from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
+from stairhatch.fleet.messages import LeaseGranted
+from stairhatch.fleet.voter import Voter
+
+
+@mutation("the term counts from the answer")
+def count_duration_from_grant() -> list[AttributePatch]:
+    """The lease's duration counts from the grant, and not from the request."""
+    handle_granted: EffectsMethod = original(LeaseClient, "handle_granted")
+
+    def handle_late(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
+        if request_round := self._rounds.get(message.request_id):
+            request_round.started_at = now
+        return handle_granted(self, now, message)
+
+    return [AttributePatch(LeaseClient, "handle_granted", handle_late)]
+
+
+@mutation("may_act does not look at the time")
+def act_without_time() -> list[AttributePatch]:
+    """A holder acts until it hears that it lost the lease, whatever the time."""
+
+    def may_act(self: LeaseClient, _now: float) -> bool:
+        return self.state is LeaseState.HELD
+
+    return [AttributePatch(LeaseClient, "may_act", may_act)]
+
+
+@mutation("may_act holds while it is asked for again")
+def act_while_requesting() -> list[AttributePatch]:
+    """A holder acts on while it requests the lease anew."""
+
+    def may_act(self: LeaseClient, _now: float) -> bool:
+        return self.fencing_token > 0 and self.state is not LeaseState.IDLE
+
+    return [AttributePatch(LeaseClient, "may_act", may_act)]
+
+
+@mutation("drift is not reckoned with")
+def ignore_drift() -> list[AttributePatch]:
+    """Neither holders nor voters allow for clocks that drift apart."""
+
+    def holder_duration_s(self: LeaseTimings) -> float:
+        return self.duration_s
+
+    def vote_duration_s(self: Voter, vote: Vote) -> float:
+        return max(vote.duration_s, self.timings.duration_s)
+
+    return [
+        AttributePatch(LeaseTimings, "holder_duration_s", property(holder_duration_s)),
+        AttributePatch(Voter, "_vote_duration_s", vote_duration_s),
+    ]
+
+
+@mutation("late answers count for the newest round")
+def count_late_grants() -> list[AttributePatch]:
+    """A grant that comes late counts for the newest round of requests."""
+    handle_granted: EffectsMethod = original(LeaseClient, "handle_granted")
+
+    def handle_as_newest(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
+        if self._rounds and message.fencing_token == self.fencing_token:
+            newest = next(reversed(self._rounds))
+            message = LeaseGranted(
+                message.lease, message.voter, message.fencing_token, newest, message.storage_version
+            )
+        return handle_granted(self, now, message)
+
+    return [AttributePatch(LeaseClient, "handle_granted", handle_as_newest)]
+
+
+@mutation("less than a majority is enough for the holder")
+def hold_with_a_minority() -> list[AttributePatch]:
+    """Half of the voters, rounded down, are enough to hold a lease."""
+
+    def majority(self: LeaseClient) -> int:
+        return len(self.voters) // 2
+
+    return [AttributePatch(LeaseClient, "majority", property(majority))]
+
+
+@mutation("the ticket is not raised")
+def keep_token() -> list[AttributePatch]:
+    """A new request goes out under the fencing token of the last one."""
+    send_requests: EffectsMethod = original(LeaseClient, "_send_requests")
+
+    def send_with_old_token(self: LeaseClient, now: float) -> list[Any]:
+        if self.state is LeaseState.REQUESTING:
+            self.highest_token = max(0, self.highest_token - 1)
+        return send_requests(self, now)
+
+    return [AttributePatch(LeaseClient, "_send_requests", send_with_old_token)]
+
+
+@mutation("who gives back goes on")
+def act_after_release() -> list[AttributePatch]:
+    """A holder that has released the lease acts on until its time is over."""
+    release: EffectsMethod = original(LeaseClient, "release")
+
+    def release_and_hold(self: LeaseClient, now: float, successor: str = "") -> list[Any]:
+        before = self.state, self.expires_at, self.due_at
+        effects = release(self, now, successor)
+        if before[0] is LeaseState.HELD:
+            self.state, self.expires_at, self.due_at = before
+        return [each for each in effects if isinstance(each, SendMessage)]
+
+    return [AttributePatch(LeaseClient, "release", release_and_hold)]
--- /dev/null
+++ b/stairhatch/fault_injection/mutations/receivers.py
@@ -0,0 +1,44 @@
+"""Mutations of receivers: how they check the fencing tokens of what they are sent."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from stairhatch.fault_injection.mutations.registry import AttributePatch, mutation, original
+from stairhatch.fleet.fencing import FencingTokens
+from stairhatch.fleet.member import ClusterMember
+
+TOKENS_POSITION = 6  # of the persisted fencing tokens among the arguments of ClusterMember
+
+
+@mutation("a fence is not checked")
+def accept_every_token() -> list[AttributePatch]:
+    """Receivers accept work under any fencing token."""
+
+    def check(_self: FencingTokens, *_args: Any) -> tuple[bool, list[Any]]:
+        return True, []
+
+    return [AttributePatch(FencingTokens, "check", check)]
+
+
+@mutation("a fence lasts for one start only")
+def forget_tokens_at_start() -> list[AttributePatch]:
+    """Receivers begin without the fencing tokens that they persisted."""
+    init = original(ClusterMember, "__init__")
+
+    def forgetful_init(self: ClusterMember, *args: Any) -> None:
+        init(self, *args[:TOKENS_POSITION], None, *args[TOKENS_POSITION + 1 :])
+
+    return [AttributePatch(ClusterMember, "__init__", forgetful_init)]
+
+
+@mutation("a fence keeps the last ticket and not the highest")
+def keep_last_token() -> list[AttributePatch]:
+    """Receivers compare with the last fencing token, and let some lower ones pass."""
+
+    def admit(self: FencingTokens, lease: str, token: int) -> tuple[bool, list[Any]]:
+        accepted = token >= self.highest.get(lease, 0) or token % 2 == 0
+        self.highest[lease] = token
+        return accepted, []
+
+    return [AttributePatch(FencingTokens, "admit", admit)]
--- /dev/null
+++ b/stairhatch/fault_injection/mutations/voter_sets.py
@@ -0,0 +1,73 @@
+"""Mutations of how voters go from one voter set to the next."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from stairhatch.fault_injection.mutations.registry import AttributePatch, mutation, original
+from stairhatch.fleet import voter
+from stairhatch.fleet.voter import Voter
+from stairhatch.fleet.voter_set import VoterSet, VoterSetStatus, may_advance
+
+
+@mutation("any list of voters is served")
+def accept_any_voter_set() -> list[AttributePatch]:
+    """A voter judges requests by any voter set."""
+
+    def accepts(_self: VoterSet, _epoch: int, _digest: int) -> bool:
+        return True
+
+    return [AttributePatch(VoterSet, "accepts", accepts)]
+
+
+@mutation("a list stays open while the second after it is gone on to")
+def keep_old_voter_sets_open() -> list[AttributePatch]:
+    """Voters go on to the next voter set but one while the first is not closed."""
+    real_successor = original(VoterSet, "successor")
+
+    def successor(self: VoterSet, voters: tuple[str, ...]) -> VoterSet:
+        following: VoterSet = real_successor(self, voters)
+        return replace(following, minimum_epoch=0)
+
+    def accepts(self: VoterSet, epoch: int, _digest: int) -> bool:
+        return epoch <= self.epoch
+
+    def agree_to(self: VoterSet, digest: int) -> VoterSet:
+        return replace(self, agreed_digest=self.agreed_digest or digest)
+
+    def advance_unclosed(
+        voter_set: VoterSet, proposed: int, statuses: dict[str, VoterSetStatus], me: str
+    ) -> bool:
+        epoch = voter_set.epoch
+        closed = {name: replace(each, minimum_epoch=epoch) for name, each in statuses.items()}
+        return may_advance(replace(voter_set, minimum_epoch=epoch), proposed, closed, me)
+
+    return [
+        AttributePatch(VoterSet, "successor", successor),
+        AttributePatch(VoterSet, "accepts", accepts),
+        AttributePatch(VoterSet, "agree_to", agree_to),
+        AttributePatch(voter, "may_advance", advance_unclosed),
+    ]
+
+
+@mutation("a voter goes on to its file's list by itself")
+def advance_alone() -> list[AttributePatch]:
+    """A voter goes on to the voter set in its file without a majority."""
+
+    def advance(*_args: Any) -> bool:
+        return True
+
+    return [AttributePatch(voter, "may_advance", advance)]
+
+
+@mutation("who goes on to the next list takes over no tickets")
+def advance_without_tokens() -> list[AttributePatch]:
+    """A voter that goes on to the next voter set takes over no fencing tokens."""
+    take_over_votes = original(Voter, "_take_over_votes")
+
+    def take_over_nothing(self: Voter, now: float, peers: list[Any]) -> None:
+        if not self.is_voting:
+            take_over_votes(self, now, peers)
+
+    return [AttributePatch(Voter, "_take_over_votes", take_over_nothing)]
--- /dev/null
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -0,0 +1,222 @@
+"""Mutations of voters: when they grant a lease, what they persist of it, and how they start."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from stairhatch.fault_injection.mutations.registry import AttributePatch, EffectsMethod, mutation, original
+from stairhatch.fleet.effects import SendMessage, Vote
+from stairhatch.fleet.messages import LeaseRelease, LeaseRequest
+from stairhatch.fleet.voter import Voter, VoterState
+
+Rejection = tuple[str, int, str, float]  # why, the highest token, its holder, the time that is left
+NO_REJECTION: Rejection = ("", 0, "", 0.0)
+
+
+@mutation("a promise is answered before it is on disk")
+def grant_before_write() -> list[AttributePatch]:
+    """A vote is granted before it is on disk."""
+    cast_vote: EffectsMethod = original(Voter, "_cast_vote")
+
+    def grant_at_once(self: Voter, *args: Any) -> list[Any]:
+        effects = cast_vote(self, *args)
+        sender, message, _ = self._pending_grants.pop(self._write_id)
+        return [*effects, SendMessage(sender, message)]
+
+    return [AttributePatch(Voter, "_cast_vote", grant_at_once)]
+
+
+@mutation("a copy of an ask is answered before the disk is")
+def grant_duplicate_before_write() -> list[AttributePatch]:
+    """A duplicate of a request is granted while the vote for the first one is still being written."""
+    handle_request: EffectsMethod = original(Voter, "handle_request")
+
+    def handle_eagerly(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
+        under_way = self._writing
+        requested = Vote(
+            request.lease,
+            request.fencing_token,
+            request.holder,
+            request.incarnation,
+            request.duration_ms / 1000,
+        )
+        if self.votes.get(request.lease) == requested:
+            self._writing = {}
+        effects = handle_request(self, now, sender, request)
+        self._writing = {**under_way, **self._writing}
+        return effects
+
+    return [AttributePatch(Voter, "handle_request", handle_eagerly)]
+
+
+@mutation("a disk that is full is not noticed")
+def ignore_disk_errors() -> list[AttributePatch]:
+    """A write that failed counts as written."""
+    write_completed: EffectsMethod = original(Voter, "write_completed")
+
+    def ignore_error(self: Voter, now: float, write_id: int, _error: str) -> list[Any]:
+        return write_completed(self, now, write_id, "")
+
+    return [AttributePatch(Voter, "write_completed", ignore_error)]
+
+
+@mutation("a promise is no promise to others")
+def grant_while_held() -> list[AttributePatch]:
+    """A request with a higher fencing token is granted while another holds the lease."""
+    rejection = original(Voter, "_rejection")
+
+    def reject_lower_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection:
+        found: Rejection = rejection(self, now, request)
+        why, highest = found[:2]
+        if why != "held":
+            return found
+        return NO_REJECTION if request.fencing_token > highest else ("low", highest, "", 0.0)
+
+    return [AttributePatch(Voter, "_rejection", reject_lower_tokens)]
+
+
+@mutation("a voter takes any ticket")
+def grant_low_tokens() -> list[AttributePatch]:
+    """A request is granted however low its fencing token is."""
+    rejection = original(Voter, "_rejection")
+
+    def ignore_low_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection:
+        found: Rejection = rejection(self, now, request)
+        return NO_REJECTION if found[0] == "low" else found
+
+    return [AttributePatch(Voter, "_rejection", ignore_low_tokens)]
+
+
+@mutation("a renewal does not lengthen the promise")
+def keep_expiry_at_renewal() -> list[AttributePatch]:
+    """A renewal is granted, but the vote expires as before."""
+    handle_request: EffectsMethod = original(Voter, "handle_request")
+
+    def handle_without_extension(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
+        expires_at, vote = self.expires_at.get(request.lease), self.votes.get(request.lease)
+        effects = handle_request(self, now, sender, request)
+        if vote is not None and expires_at is not None and vote.fencing_token == request.fencing_token:
+            self.expires_at[request.lease] = expires_at
+        return effects
+
+    return [AttributePatch(Voter, "handle_request", handle_without_extension)]
+
+
+@mutation("promises are over with a restart")
+def expire_votes_at_start() -> list[AttributePatch]:
+    """A voter that starts takes its persisted votes for expired."""
+    init = original(Voter, "__init__")
+
+    def forgetful_init(self: Voter, *args: Any) -> None:
+        init(self, *args)
+        self.expires_at = {}
+
+    return [AttributePatch(Voter, "__init__", forgetful_init)]
+
+
+@mutation("an empty folder votes at once")
+def vote_with_new_storage() -> list[AttributePatch]:
+    """A voter with an empty data directory votes at once."""
+    init = original(Voter, "__init__")
+
+    def trusting_init(self: Voter, *args: Any) -> None:
+        init(self, *args)
+        self.state = VoterState.VOTING
+        self.is_new_storage = False
+
+    return [AttributePatch(Voter, "__init__", trusting_init)]
+
+
+@mutation("an older folder is not noticed")
+def ignore_old_storage() -> list[AttributePatch]:
+    """A voter does not notice that its data directory is an older copy."""
+
+    def is_behind(_self: Voter, _version: Any) -> bool:
+        return False
+
+    return [AttributePatch(Voter, "_is_behind", is_behind)]
+
+
+@mutation("who is let in again does not wait")
+def vote_without_waiting() -> list[AttributePatch]:
+    """A voter that is admitted again does not wait until its forgotten votes have expired."""
+    start_waiting: EffectsMethod = original(Voter, "_start_waiting")
+
+    def wait_for_nothing(self: Voter, now: float) -> list[Any]:
+        effects = start_waiting(self, now)
+        self.waiting_until = now
+        self.expires_at = {}
+        return effects
+
+    return [AttributePatch(Voter, "_start_waiting", wait_for_nothing)]
+
+
+@mutation("who is let in again is told no promises")
+def admit_without_votes() -> list[AttributePatch]:
+    """A voter that is admitted again learns none of the others' votes."""
+    admit: EffectsMethod = original(Voter, "_admit")
+
+    def admit_uninformed(self: Voter, now: float, peers: list[Any]) -> list[Any]:
+        for each in peers:
+            each.votes.clear()
+        self.votes.clear()
+        return admit(self, now, peers)
+
+    return [AttributePatch(Voter, "_admit", admit_uninformed)]
+
+
+@mutation("a fleet is founded by any two")
+def found_with_any_peer() -> list[AttributePatch]:
+    """A new voter begins to vote once it has heard of one other."""
+    evaluate_replies: EffectsMethod = original(Voter, "_evaluate_replies")
+
+    def evaluate_hastily(self: Voter, now: float) -> list[Any]:
+        if self.state is VoterState.NEW_STORAGE and self.peers:
+            return self._start_waiting(now)
+        return evaluate_replies(self, now)
+
+    return [AttributePatch(Voter, "_evaluate_replies", evaluate_hastily)]
+
+
+@mutation("anybody gives back for anybody")
+def release_for_others() -> list[AttributePatch]:
+    """A voter takes a release from anybody for the holder's."""
+    handle_release: EffectsMethod = original(Voter, "handle_release")
+
+    def handle_from_anybody(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
+        vote = self.votes.get(message.lease)
+        if vote is not None:
+            message = LeaseRelease(
+                message.lease, vote.holder or "-", vote.incarnation, vote.fencing_token, message.successor
+            )
+        return handle_release(self, now, message)
+
+    return [AttributePatch(Voter, "handle_release", handle_from_anybody)]
+
+
+@mutation("what is given back is forgotten with its ticket")
+def forget_token_at_release() -> list[AttributePatch]:
+    """A voter forgets a released lease's fencing token."""
+    handle_release: EffectsMethod = original(Voter, "handle_release")
+
+    def handle_and_forget(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
+        vote = self.votes.get(message.lease)
+        effects = handle_release(self, now, message)
+        if vote is not None and vote != self.votes.get(message.lease):
+            self.votes[message.lease] = Vote(message.lease, 0)
+        return effects
+
+    return [AttributePatch(Voter, "handle_release", handle_and_forget)]
+
+
+@mutation("who is let in hears the promises before its wait")
+def admit_like_a_founder() -> list[AttributePatch]:
+    """A voter that is admitted takes the votes that it heard before its wait, and none after it."""
+    admit: EffectsMethod = original(Voter, "_admit")
+
+    def admit_early(self: Voter, now: float, peers: list[Any]) -> list[Any]:
+        effects = admit(self, now, peers)
+        self._is_founding = True
+        return effects
+
+    return [AttributePatch(Voter, "_admit", admit_early)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -258,7 +258,9 @@
 
     try:
         pids = until(lambda: len(found := children()) == 5 and found, "four softswitches and the reaper")
-        folder = next(Path(arguments(pid)[3]).parents[1] for pid in pids if "child" in arguments(pid)[2])
+        folder = next(
+            Path(arguments(pid)[3]).parents[1] for pid in pids if "member_main" in arguments(pid)[2]
+        )
         assert folder.exists() and folder.parent == Path(tempfile.gettempdir())
         scale.send_signal(signal.SIGINT)
         said = scale.communicate(timeout=30)[1]
