--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -19,17 +19,18 @@
 from stairhatch.components import Components, steady_unix_clock
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit, descriptor_limit
+from stairhatch.node.admin_console import AdminConsole
+from stairhatch.node.admin_endpoint import AdminConnection
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.console import Console, Door
 from stairhatch.node.counters import Counters
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer
+from stairhatch.node.event_log import EventLog
 from stairhatch.node.io.descriptor_budget import DescriptorBudget, open_descriptor_count
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
-from stairhatch.node.syslog import Log
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.reload import ConfigReloader
 from stairhatch.shutdown import GracefulShutdown
 from stairhatch.terminal import Terminal
@@ -74,7 +75,7 @@
 
     def _build(self, config: Config, rng: random.Random) -> Components:
         clock = steady_unix_clock()
-        log = Log("stairhatch", socket.gethostname(), clock, config.syslog)
+        log = EventLog("stairhatch", socket.gethostname(), clock, config.syslog)
         counters = Counters()
         scoped = None
         if config.scope is not None:
@@ -83,7 +84,7 @@
             scoped = ScopedController(config.settings, rng, config.scope)
         core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
         network = Network(core)
-        RosterSide(core, network.dial)
+        ServerConnectionPool(core, network.dial)
         if scoped is not None:
             core.servers.in_scope = scoped.in_scope
             scoped.on_scope_changed = self._scope_changed
@@ -132,7 +133,7 @@
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.platform_frontend = TrunkFront(parts.core)
+        parts.platform_frontend = PlatformFrontend(parts.core)
         at = address if config.inherited is None else inherited_socket(config.inherited)
         limits = ListenerLimits(caller_connection_limit(config))
         listener = parts.network.listen(at, parts.platform_frontend.connect, limits, config.inherited is None)
@@ -175,7 +176,7 @@
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
-        self.parts.network.listen(address, lambda _: Door(core), ADMIN_LIMITS)
+        self.parts.network.listen(address, lambda _: AdminConnection(core), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
@@ -282,7 +283,7 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: parts.log("counters", **parts.counters.counts))
     if hung_up():
         application.reloader.reload()
-    application.terminal.attach(Console(parts.core, stop.set, application.status_text))
+    application.terminal.attach(AdminConsole(parts.core, stop.set, application.status_text))
     parts.log("ready", name=application.config.name, listen=addresses)
     parts.network.spawn(application.serve_when_ready())
     gc.collect()
@@ -293,4 +294,4 @@
     await application.shut_down(stop)
     if parts.fleet is not None:
         parts.fleet.stop()
-    parts.log("counters", lines_left_out=parts.log.left_out, **parts.counters.counts)
+    parts.log("counters", lines_suppressed=parts.log.suppressed, **parts.counters.counts)
--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -8,7 +8,7 @@
 
 import pickle
 import random
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 
 from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState, PersistVotes, SendMessage, Vote
 from stairhatch.fleet.lease import LeaseTimings
@@ -21,7 +21,7 @@
     StatusRequest,
     StorageVersion,
 )
-from stairhatch.fleet.voter import VoterState
+from stairhatch.fleet.voter_startup import VoterState
 
 LEASE = "work"
 TIMINGS = LeaseTimings(3.0, 0.01, 0.25)
@@ -166,7 +166,7 @@
             expires_at
             for name in self.packed_members
             if (voter := self.member(name).voter) is not None
-            for expires_at in voter.expires_at.values()
+            for expires_at in voter.votes.expires_at.values()
         ]
         self._tick_clients(max([self.now, *ends]) + LEAP_MARGIN_S)
 
@@ -236,12 +236,11 @@
     return step.next_state(state.remaining)
 
 
-def find_violation(state: ClusterState) -> str:
-    """What is wrong with a state: two holders at once, or a fencing token that is not higher; empty if
-    nothing."""
+def find_violation(state: ClusterState, current: LastHolder) -> str:
+    """Two holders at once, or a fencing token not above the last; empty where nothing is wrong."""
     if len(state.held_until) > 1:
         return f"{' and '.join(name for name, _ in state.held_until)} hold it at once"
-    last, current = state.last_holder, current_holder(state)
+    last = state.last_holder
     is_lower = current.fencing_token < last.fencing_token
     if is_lower or (current.fencing_token == last.fencing_token and current.name != last.name):
         return f"{current.name} holds {current.fencing_token} after {last.name} held {last.fencing_token}"
@@ -254,8 +253,3 @@
         member: ClusterMember = pickle.loads(dict(state.members)[name])
         return LastHolder(member.leases[LEASE].fencing_token, name)
     return state.last_holder
-
-
-def with_current_holder(state: ClusterState) -> ClusterState:
-    """The same state, with its holder as the last one."""
-    return replace(state, last_holder=current_holder(state))
--- a/stairhatch/fault_injection/mutations/holders.py
+++ b/stairhatch/fault_injection/mutations/holders.py
@@ -8,7 +8,7 @@
 from stairhatch.fleet.effects import SendMessage, Vote
 from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
 from stairhatch.fleet.messages import LeaseGranted
-from stairhatch.fleet.voter import Voter
+from stairhatch.fleet.vote_table import VoteTable
 
 
 @mutation("the term counts from the answer")
@@ -51,12 +51,12 @@
     def holder_duration_s(self: LeaseTimings) -> float:
         return self.duration_s
 
-    def vote_duration_s(self: Voter, vote: Vote) -> float:
+    def vote_duration_s(self: VoteTable, vote: Vote) -> float:
         return max(vote.duration_s, self.timings.duration_s)
 
     return [
         AttributePatch(LeaseTimings, "holder_duration_s", property(holder_duration_s)),
-        AttributePatch(Voter, "_vote_duration_s", vote_duration_s),
+        AttributePatch(VoteTable, "duration_s", vote_duration_s),
     ]
 
 
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -6,11 +6,10 @@
 
 from stairhatch.fault_injection.mutations.registry import AttributePatch, EffectsMethod, mutation, original
 from stairhatch.fleet.effects import SendMessage, Vote
-from stairhatch.fleet.messages import LeaseRelease, LeaseRequest
-from stairhatch.fleet.voter import Voter, VoterState
-
-Rejection = tuple[str, int, str, float]  # why, the highest token, its holder, the time that is left
-NO_REJECTION: Rejection = ("", 0, "", 0.0)
+from stairhatch.fleet.messages import LeaseRelease, LeaseRequest, RejectionReason
+from stairhatch.fleet.vote_table import Rejection
+from stairhatch.fleet.voter import Voter
+from stairhatch.fleet.voter_startup import VoterState
 
 
 @mutation("a promise is answered before it is on disk")
@@ -20,8 +19,8 @@
 
     def grant_at_once(self: Voter, *args: Any) -> list[Any]:
         effects = cast_vote(self, *args)
-        sender, message, _ = self._pending_grants.pop(self._write_id)
-        return [*effects, SendMessage(sender, message)]
+        grant = self.log.pending_grants.pop(self.log.last_write_id)
+        return [*effects, SendMessage(grant.destination, grant.message)]
 
     return [AttributePatch(Voter, "_cast_vote", grant_at_once)]
 
@@ -32,7 +31,7 @@
     handle_request: EffectsMethod = original(Voter, "handle_request")
 
     def handle_eagerly(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
-        under_way = self._writing
+        under_way = self.log.under_way
         requested = Vote(
             request.lease,
             request.fencing_token,
@@ -40,10 +39,10 @@
             request.incarnation,
             request.duration_ms / 1000,
         )
-        if self.votes.get(request.lease) == requested:
-            self._writing = {}
+        if self.votes.by_lease.get(request.lease) == requested:
+            self.log.under_way = {}
         effects = handle_request(self, now, sender, request)
-        self._writing = {**under_way, **self._writing}
+        self.log.under_way = {**under_way, **self.log.under_way}
         return effects
 
     return [AttributePatch(Voter, "handle_request", handle_eagerly)]
@@ -65,12 +64,13 @@
     """A request with a higher fencing token is granted while another holds the lease."""
     rejection = original(Voter, "_rejection")
 
-    def reject_lower_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection:
-        found: Rejection = rejection(self, now, request)
-        why, highest = found[:2]
-        if why != "held":
+    def reject_lower_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection | None:
+        found: Rejection | None = rejection(self, now, request)
+        if found is None or found.reason != RejectionReason.HELD.value:
             return found
-        return NO_REJECTION if request.fencing_token > highest else ("low", highest, "", 0.0)
+        if request.fencing_token > found.highest_token:
+            return None
+        return Rejection(RejectionReason.TOKEN_TOO_LOW.value, found.highest_token)
 
     return [AttributePatch(Voter, "_rejection", reject_lower_tokens)]
 
@@ -80,9 +80,10 @@
     """A request is granted however low its fencing token is."""
     rejection = original(Voter, "_rejection")
 
-    def ignore_low_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection:
-        found: Rejection = rejection(self, now, request)
-        return NO_REJECTION if found[0] == "low" else found
+    def ignore_low_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection | None:
+        found: Rejection | None = rejection(self, now, request)
+        is_low = found is not None and found.reason == RejectionReason.TOKEN_TOO_LOW.value
+        return None if is_low else found
 
     return [AttributePatch(Voter, "_rejection", ignore_low_tokens)]
 
@@ -93,10 +94,10 @@
     handle_request: EffectsMethod = original(Voter, "handle_request")
 
     def handle_without_extension(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
-        expires_at, vote = self.expires_at.get(request.lease), self.votes.get(request.lease)
+        expires_at, vote = self.votes.expires_at.get(request.lease), self.votes.by_lease.get(request.lease)
         effects = handle_request(self, now, sender, request)
         if vote is not None and expires_at is not None and vote.fencing_token == request.fencing_token:
-            self.expires_at[request.lease] = expires_at
+            self.votes.expires_at[request.lease] = expires_at
         return effects
 
     return [AttributePatch(Voter, "handle_request", handle_without_extension)]
@@ -109,7 +110,7 @@
 
     def forgetful_init(self: Voter, *args: Any) -> None:
         init(self, *args)
-        self.expires_at = {}
+        self.votes.expires_at = {}
 
     return [AttributePatch(Voter, "__init__", forgetful_init)]
 
@@ -145,7 +146,7 @@
     def wait_for_nothing(self: Voter, now: float) -> list[Any]:
         effects = start_waiting(self, now)
         self.waiting_until = now
-        self.expires_at = {}
+        self.votes.expires_at = {}
         return effects
 
     return [AttributePatch(Voter, "_start_waiting", wait_for_nothing)]
@@ -159,7 +160,7 @@
     def admit_uninformed(self: Voter, now: float, peers: list[Any]) -> list[Any]:
         for each in peers:
             each.votes.clear()
-        self.votes.clear()
+        self.votes.by_lease.clear()
         return admit(self, now, peers)
 
     return [AttributePatch(Voter, "_admit", admit_uninformed)]
@@ -171,7 +172,7 @@
     evaluate_replies: EffectsMethod = original(Voter, "_evaluate_replies")
 
     def evaluate_hastily(self: Voter, now: float) -> list[Any]:
-        if self.state is VoterState.NEW_STORAGE and self.peers:
+        if self.state is VoterState.NEW_STORAGE and self.peers.by_voter:
             return self._start_waiting(now)
         return evaluate_replies(self, now)
 
@@ -184,7 +185,7 @@
     handle_release: EffectsMethod = original(Voter, "handle_release")
 
     def handle_from_anybody(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
-        vote = self.votes.get(message.lease)
+        vote = self.votes.by_lease.get(message.lease)
         if vote is not None:
             message = LeaseRelease(
                 message.lease, vote.holder or "-", vote.incarnation, vote.fencing_token, message.successor
@@ -200,10 +201,10 @@
     handle_release: EffectsMethod = original(Voter, "handle_release")
 
     def handle_and_forget(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
-        vote = self.votes.get(message.lease)
+        vote = self.votes.by_lease.get(message.lease)
         effects = handle_release(self, now, message)
-        if vote is not None and vote != self.votes.get(message.lease):
-            self.votes[message.lease] = Vote(message.lease, 0)
+        if vote is not None and vote != self.votes.by_lease.get(message.lease):
+            self.votes.by_lease[message.lease] = Vote(message.lease, 0)
         return effects
 
     return [AttributePatch(Voter, "handle_release", handle_and_forget)]
--- a/stairhatch/fault_injection/state_exploration.py
+++ b/stairhatch/fault_injection/state_exploration.py
@@ -22,9 +22,9 @@
     ClusterState,
     RemainingActions,
     Transition,
+    current_holder,
     find_violation,
     initial_state,
-    with_current_holder,
     with_first_client_holding,
 )
 
@@ -171,13 +171,14 @@
         for action in possible_actions(state):
             following = apply_action(state, action)
             path_to_it = (*path, str(action))
-            if violation := find_violation(following):
+            holder = current_holder(following)
+            if violation := find_violation(following, holder):
                 result.violation = violation
                 result.path = path_to_it
                 return result
-            following = with_current_holder(following)
+            following = replace(following, last_holder=holder)
             had_holder = bool(state.last_holder.name)
-            result.takeovers += had_holder and following.last_holder.name != state.last_holder.name
+            result.takeovers += had_holder and holder.name != state.last_holder.name
             depth_left = bounds.depth - len(path_to_it)
             if depth_left_at.get(following, -1) >= depth_left:
                 continue
@@ -197,4 +198,4 @@
     state = initial_state(bounds.voters, bounds.askers, bounds.to_remaining())
     if bounds.begins_held:
         state = with_first_client_holding(state)
-    return with_current_holder(state)
+    return replace(state, last_holder=current_holder(state))
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -15,12 +15,13 @@
 
 from stairhatch.config.model import ConfigError
 from stairhatch.config.platform import read_platform
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.roster import parse_load
-from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_messages import parse_load_report
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
 from stairhatch.settings.errors import SettingsError
@@ -153,7 +154,9 @@
         with pytest.raises(ConfigError) as error:
             read_platform({"RELAY_CONFIG": str(self.path)})
         text = str(error.value)
-        assert text.startswith(f"{self.path}: ") and "\n" not in text and len(text) < 250
+        assert text.startswith(f"{self.path}: ")
+        assert "\n" not in text
+        assert len(text) < 250
         return text.removeprefix(f"{self.path}: ")
 
 
@@ -333,7 +336,8 @@
     program = Program(tmp_path, RELAY_CONFIG=str(path))
     started.append(program)
     assert program.process.wait(20) == 2
-    assert program.text().count("\n") == 1 and f"{path}: {says}" in program.text()
+    assert program.text().count("\n") == 1
+    assert f"{path}: {says}" in program.text()
 
 
 class Stage:
@@ -349,7 +353,7 @@
         pools = told["family_info"]["allowed_pools"][0]
         lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
         self.core.update_servers(lines, True)
-        self.caller = TrunkFront(self.core).connect()
+        self.caller = PlatformFrontend(self.core).connect()
 
     def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
@@ -375,10 +379,10 @@
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
             self.core.timers.run_due()
-        parser = sip.StreamParser()
+        parser = sip_parser.StreamParser()
         parser.feed(self.caller.data_to_send())
         found = []
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             found.append(message.status)
         assert len(found) == 1, found
         return found[0]
@@ -390,12 +394,15 @@
     for another class. An unknown class gets the answer of the pages for a failed set-up, and goes nowhere.
     """
     stage, kind = Stage(told), told["classes"][0]["name"]
-    assert stage.ask("no-such-class") == 400 and stage.ask("") == 400 and stage.sent == 0
+    assert stage.ask("no-such-class") == 400
+    assert stage.ask("") == 400
+    assert stage.sent == 0
     assert stage.ask(kind) == 200
     assert stage.ask(kind, charged_party="region-nord") == 200
     assert stage.ask(kind, charged_party="no-such-tenant") == 200
     assert stage.ask(kind, charged_party="") == 200
-    assert stage.sent == 4 and not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
+    assert stage.sent == 4
+    assert not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
@@ -421,8 +428,8 @@
     """Guards against a figure taken for another, and an empty report taken for a server at rest: where
     nothing can be used the decisions are told nothing.
     """
-    assert parse_load(text) == report
+    assert parse_load_report(text) == report
     stage = Stage(TENDERS)
     stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
-    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load(text))
+    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load_report(text))
     assert len(stage.told) == (report != LoadReport())
