--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -10,9 +10,17 @@
 import random
 from dataclasses import dataclass
 
-from stairhatch.fleet.effects import Effect, PeerAddress, PersistedState, PersistVotes, SendMessage, Vote
+from stairhatch.fleet.effects import (
+    Effect,
+    MemberId,
+    PeerAddress,
+    PersistedState,
+    PersistVotes,
+    SendMessage,
+    Vote,
+)
 from stairhatch.fleet.lease import LeaseTimings
-from stairhatch.fleet.member import ClusterMember, MemberId
+from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import (
     FleetMessage,
     LeaseQuery,
--- a/stairhatch/fault_injection/mutations/receivers.py
+++ b/stairhatch/fault_injection/mutations/receivers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from stairhatch.fault_injection.mutations.registry import AttributePatch, mutation, original
-from stairhatch.fleet.fencing import FencingTokens
+from stairhatch.fleet.fencing import FencingTokens, TokenCheck
 from stairhatch.fleet.member import ClusterMember
 
 TOKENS_POSITION = 6  # of the persisted fencing tokens among the arguments of ClusterMember
@@ -15,8 +15,8 @@
 def accept_every_token() -> list[AttributePatch]:
     """Receivers accept work under any fencing token."""
 
-    def check(_self: FencingTokens, *_args: Any) -> tuple[bool, list[Any]]:
-        return True, []
+    def check(_self: FencingTokens, *_args: Any) -> TokenCheck:
+        return TokenCheck(True)
 
     return [AttributePatch(FencingTokens, "check", check)]
 
@@ -36,9 +36,9 @@
 def keep_last_token() -> list[AttributePatch]:
     """Receivers compare with the last fencing token, and let some lower ones pass."""
 
-    def admit(self: FencingTokens, lease: str, token: int) -> tuple[bool, list[Any]]:
+    def admit(self: FencingTokens, lease: str, token: int) -> TokenCheck:
         accepted = token >= self.highest.get(lease, 0) or token % 2 == 0
         self.highest[lease] = token
-        return accepted, []
+        return TokenCheck(accepted)
 
     return [AttributePatch(FencingTokens, "admit", admit)]
