--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -15,11 +15,11 @@
 
 from msgspec.structs import replace
 
-from stairhatch.fault_injection.background_tasks import BackgroundTasks
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.lease_rules import hold_intervals
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.network_links import NetworkLinks
+from stairhatch.fault_injection.run_tasks import RunTasks
 from stairhatch.fault_injection.schedule import (
     DATA_DIRECTORY_FAULTS,
     ENDPOINT_LIST_LEASE,
@@ -62,7 +62,7 @@
         self.links = links
         self.rng = rng
         self.write_config = write_config
-        self.tasks = BackgroundTasks()
+        self.tasks = RunTasks()
         self.started_at = 0.0
         self.activations: Counter[str] = Counter()
         self.waiting_faults: list[ScheduledFault] = []
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -17,7 +17,6 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from stairhatch.fault_injection.background_tasks import BackgroundTasks
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
@@ -31,6 +30,7 @@
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.network_links import NetworkLinks
 from stairhatch.fault_injection.run_report import RunObservations, RunReport
+from stairhatch.fault_injection.run_tasks import RunTasks
 from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
@@ -80,7 +80,7 @@
         self.members: dict[str, MemberProcess] = {}
         self.servers: list[StandIn] = []
         self.coordinator = Coordinator()
-        self.tasks = BackgroundTasks()
+        self.tasks = RunTasks()
         self.started_at = 0.0
         self.stall = Stall()
         self.used_ports: set[int] = set()
--- a/stairhatch/fault_injection/summary.py
+++ b/stairhatch/fault_injection/summary.py
@@ -8,7 +8,7 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Result(Protocol):
+class RunOutcome(Protocol):
     """What a summary needs of the result of one run."""
 
     @property
@@ -28,21 +28,21 @@
         """Whether all clocks kept to the drift bound."""
 
 
-ResultT = TypeVar("ResultT", bound=Result)
+OutcomeT = TypeVar("OutcomeT", bound=RunOutcome)
 
 
 @dataclass
-class Summary(Generic[ResultT]):
+class Summary(Generic[OutcomeT]):
     """The sum of many runs."""
 
     runs: int = 0
-    failed: list[ResultT] = field(default_factory=list)  # those that broke a rule
+    failed: list[OutcomeT] = field(default_factory=list)  # those that broke a rule
     runs_by_activation: Counter[str] = field(default_factory=Counter)  # runs in which each fault took effect
     beyond_drift_bound: int = 0
     holds: int = 0
     duration_s: float = 0.0
 
-    def add(self, result: ResultT) -> None:
+    def add(self, result: OutcomeT) -> None:
         """Add the result of one more run."""
         self.runs += 1
         self.beyond_drift_bound += not result.within_drift_bound
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Claims on real processes: several softswitches of this program with faults between them."""
+"""Fault injection into several softswitches of this program, their leases, and the store behind them."""
 
 from __future__ import annotations
 
@@ -39,43 +39,50 @@
 
 
 @pytest.mark.parametrize("path", CASES, ids=lambda path: path.stem)
-def test_a_hard_case_on_real_processes(path):
-    """Guards against two owners, a late owner that does harm, and a fault that a run only seems to have: each
-    file says what has to bite and how many owners there have to be.
+def test_a_timeline_on_real_processes_breaks_no_rule(path):
+    """No two hold a lease, and a late holder does no harm.
+
+    Each file says which faults must be activated, and how many holders there must be.
     """
     for _ in range(3):
         ran = run_batch.carry_out(run_batch.RunRequest(read_schedule(path), 1))
         if not ran.violations or not all(each.startswith("void ") for each in ran.violations):
-            break  # a fault that has not bitten, on a pressed machine, shows nothing: it is forced anew
-    assert not ran.error and not ran.violations
+            break  # a fault that was not activated, on a busy machine, shows nothing: it is injected anew
+    assert not ran.error
+    assert not ran.violations
     assert ran.calls["stood"] > 20
 
 
 @pytest.mark.parametrize(
-    ("fault", "case", "rule"),
+    ("mutation", "case", "rule"),
     [
         ("a fence is not checked", "stopped-at-work", "fenced"),
         ("an older folder is not noticed", "two-folders-gone", "rests"),
     ],
 )
-def test_a_fault_planted_in_real_processes_is_found(monkeypatch, fault, case, rule):
-    """Guards against hard cases that hold whatever the program does: a fence and a check are taken out."""
-    monkeypatch.setenv("STAIRHATCH_LAB_PLANTED", fault)
+def test_a_mutation_in_real_processes_breaks_the_rule_that_guards_against_it(
+    monkeypatch, mutation, case, rule
+):
+    """The timelines do not hold whatever the program does: a check is taken out of it."""
+    monkeypatch.setenv("STAIRHATCH_LAB_PLANTED", mutation)
     ran = run_batch.carry_out(
         run_batch.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1)
     )
-    assert not ran.error and any(each.startswith(rule) for each in ran.violations)
+    assert not ran.error
+    assert any(each.startswith(rule) for each in ran.violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_drawn_faults_on_real_processes(seed):
-    """Guards against what only a mixture of faults brings out."""
+def test_faults_drawn_from_a_seed_break_no_rule_on_real_processes(seed):
+    """A mixture of faults brings out what single ones do not."""
     ran = run_batch.carry_out(run_batch.RunRequest(draw_schedule(seed, scale=0.15), seed))
-    assert not ran.error and not ran.violations and ran.activations
+    assert not ran.error
+    assert not ran.violations
+    assert ran.activations
 
 
-def test_the_rules_find_what_is_wrong():
-    """Guards against rules that find nothing in a history: each line here breaks one."""
+def test_each_rule_finds_the_history_that_breaks_it():
+    """A history for each rule of leases, and one that breaks none."""
 
     def line(at, who, what, ticket, until=0.0):
         return HistoryRecord(at, who, what, 1, "list", ticket, until)
@@ -93,14 +100,14 @@
     )
 
 
-def test_a_lab_that_is_killed_leaves_nothing():
-    """Guards against softswitches and folders that outlive their lab, stopped ones as well."""
-    lab = subprocess.Popen(
+def test_a_run_that_is_killed_leaves_no_process_and_no_folder():
+    """Its softswitches end with it, stopped ones as well."""
+    run = subprocess.Popen(
         [sys.executable, "-m", "stairhatch", "lab", "replay", "5", "--keep", os.devnull], cwd=ROOT
     )
 
     def children():
-        path = Path(f"/proc/{lab.pid}/task/{lab.pid}/children")
+        path = Path(f"/proc/{run.pid}/task/{run.pid}/children")
         return [int(each) for each in path.read_text().split()]
 
     def arguments(pid):
@@ -115,12 +122,13 @@
     try:
         pids = until(lambda: len(found := members()) == 5 and found, "five softswitches")
         folder = Path(arguments(pids[0])[3]).parents[1]
-        assert folder.exists() and folder.parent == Path(tempfile.gettempdir())
+        assert folder.exists()
+        assert folder.parent == Path(tempfile.gettempdir())
         until(lambda: len(list(folder.glob("*/history.jsonl"))) == 5, "all at work")
         os.kill(pids[0], signal.SIGSTOP)
     finally:
-        lab.kill()
-        lab.wait()
+        run.kill()
+        run.wait()
     until(
         lambda: not any("stairhatch.fault_injection.member_main" in arguments(pid) for pid in pids),
         "their end",
@@ -128,14 +136,14 @@
     until(lambda: not folder.exists(), "the folder's end")
 
 
-def serve(folder, name, ports, doors, more=""):
-    """One softswitch of three, with a file and a folder of its own."""
+def serve(folder, name, ports, admin_ports, more=""):
+    """Start one softswitch of three, with a file and a data directory of its own."""
     voters = ", ".join(f'{each} = "127.0.0.1:{port}"' for each, port in ports.items())
     sip = free_port()
     text = TEXT.replace('name = "stairhatch"', f'name = "{name}"', 1).replace(
         "127.0.0.1:5060", f"127.0.0.1:{sip}"
     )
-    text = text.replace("127.0.0.1:5070", f"127.0.0.1:{doors[name]}").replace(
+    text = text.replace("127.0.0.1:5070", f"127.0.0.1:{admin_ports[name]}").replace(
         "balancers = 1", "balancers = 3"
     )
     text += f'\n[fleet]\nname = "t"\nlisten = "127.0.0.1:{ports[name]}"\nfolder = "{name}"\nterm_s = 0.6\n'
@@ -143,54 +151,68 @@
     path.write_text(text + f"voters = {{ {voters} }}\nrestarts = 1\n{more}")
     with (folder / f"{name}.log").open("ab") as log:
         return path, subprocess.Popen(
-            [sys.executable, "-m", "stairhatch", "serve", str(path)], cwd=ROOT, stdin=subprocess.DEVNULL,
-            stdout=log, stderr=log,
-        )  # fmt: skip
+            [sys.executable, "-m", "stairhatch", "serve", str(path)],
+            cwd=ROOT,
+            stdin=subprocess.DEVNULL,
+            stdout=log,
+            stderr=log,
+        )
 
 
-def told(door):
-    """What a softswitch says of its claims, or None while it can't be asked."""
+def lease_report(admin_port):
+    """A softswitch's report on its leases, or None while its admin endpoint does not answer."""
     try:
-        return admin_client.lease_report(("127.0.0.1", door))
+        return admin_client.lease_report(("127.0.0.1", admin_port))
     except admin_client.AdminClientError:
         return None
 
 
-def test_numbers_and_restart_slots_of_three(tmp_path):
-    """Guards against two softswitches with one number, two in a planned restart, and a second process on one
-    folder or under a voter's address.
+def test_three_softswitches_share_instance_indexes_and_one_restart_slot(tmp_path):
+    """Each gets an index of its own, and one the restart slot.
+
+    A second process on a data directory or under a voter's address does not start.
     """
     names = ("a", "b", "c")
-    ports, doors = {name: free_port() for name in names}, {name: free_port() for name in names}
-    started = {name: serve(tmp_path, name, ports, doors) for name in names}
+    ports, admin_ports = {name: free_port() for name in names}, {name: free_port() for name in names}
+    started = {name: serve(tmp_path, name, ports, admin_ports) for name in names}
     try:
 
         def start(path):
-            return subprocess.run([*RUN, "serve", str(path)], cwd=ROOT, stdin=subprocess.DEVNULL,
-                                  capture_output=True, text=True, timeout=60)  # fmt: skip
+            return subprocess.run(
+                [*RUN, "serve", str(path)],
+                cwd=ROOT,
+                stdin=subprocess.DEVNULL,
+                capture_output=True,
+                text=True,
+                timeout=60,
+            )
 
         def numbers():
-            found = [told(door) for door in doors.values()]
+            found = [lease_report(admin_port) for admin_port in admin_ports.values()]
             return all(found) and sorted(each["number"] for each in found) == [0, 1, 2]
 
         until(numbers, "three different numbers")
         path, _ = started["a"]
         twice = start(path)
-        assert twice.returncode == 2 and "in use" in twice.stderr
+        assert twice.returncode == 2
+        assert "in use" in twice.stderr
         other = path.with_name("twin.toml")  # addresses of its own, but the folder of `a`
         own = path.read_text()
-        for port in (ports["a"], doors["a"]):
+        for port in (ports["a"], admin_ports["a"]):
             own = own.replace(f'"127.0.0.1:{port}"', f'"127.0.0.1:{free_port()}"')
         sip = next(line for line in own.splitlines() if line.startswith("udp")).split('"')[1]
         other.write_text(own.replace(sip, f"127.0.0.1:{free_port()}"))
         twin = start(other)
-        assert twin.returncode == 2 and "another process has it open" in twin.stderr, twin.stderr
+        assert twin.returncode == 2, twin.stderr
+        assert "another process has it open" in twin.stderr
 
         got = subprocess.run([*RUN, "restart-slot", str(path)], cwd=ROOT, capture_output=True, text=True)
-        assert got.returncode == 0 and "slot 1 of 1" in got.stdout
+        assert got.returncode == 0
+        assert "slot 1 of 1" in got.stdout
         second = [*RUN, "restart-slot", str(started["b"][0]), "--wait", "1"]
         waits = subprocess.run(second, cwd=ROOT, capture_output=True, text=True)
-        assert waits.returncode == 1 and "not yet" in waits.stderr
+        assert waits.returncode == 1
+        assert "not yet" in waits.stderr
         started["a"][1].kill()  # its slot comes back by itself
         second[-1] = "20"
         assert subprocess.run(second, cwd=ROOT, capture_output=True, text=True).returncode == 0
@@ -200,7 +222,8 @@
         assert any(each["claim"] == "restart/0" for each in json.loads(shown.stdout)["claims"])
         watch = [*RUN, "claims", str(started["c"][0]), "--watch", "restart/0", "--seconds", "4"]
         seen = subprocess.run(watch, cwd=ROOT, capture_output=True, text=True)
-        assert "restart/0: held by b," in seen.stdout and "by 2 voters" in seen.stdout
+        assert "restart/0: held by b," in seen.stdout
+        assert "by 2 voters" in seen.stdout
         table = subprocess.run(watch[:5], cwd=ROOT, capture_output=True, text=True)
         assert "list          1: a b c\n" in table.stdout
         started["c"][1].send_signal(signal.SIGUSR1)
@@ -228,23 +251,24 @@
         ('name = "here"', 'name = "here"\nsecret = "none.key"', r"fleet\.secret: .*No such file"),
     ],
 )
-def test_a_key_of_the_fleet_that_cannot_be_used_is_named(old, new, complaint):
-    """Guards against a fleet that was mistyped and rests without a word."""
+def test_an_unusable_key_of_the_fleet_is_named_in_the_error(old, new, complaint):
+    """A mistyped section does not leave the fleet out without a word."""
     assert old in FLEET
     parse_appliance(TEXT + FLEET, "x.toml", {})
     with pytest.raises(ConfigError, match=complaint):
         parse_appliance(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
 
 
-def direct(act):
-    act()
+def run_at_once(action):
+    action()
 
 
-def test_a_folder_keeps_what_was_said_to_be_kept(tmp_path):
-    """Guards against promises that a restart forgets, a torn file that ends the start, two on one folder."""
+def test_the_store_holds_what_it_has_reported_as_persisted(tmp_path):
+    """A restart forgets no vote, a torn file does not end the start, and two processes share no directory."""
     kept = []
-    store = VoterStore(tmp_path, direct)
-    assert not store.stored.voter_state.admitted and store.stored.voter_state.storage_version.incarnation == 1
+    store = VoterStore(tmp_path, run_at_once)
+    assert not store.stored.voter_state.admitted
+    assert store.stored.voter_state.storage_version.incarnation == 1
     mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
     store.persist(
         PersistVotes(1, mark, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
@@ -253,29 +277,27 @@
     store.persist(PersistFencingToken("list", 4), kept.append)
     until(lambda: kept == ["", ""], "both kept")
     with pytest.raises(StoreError, match="another process"):
-        VoterStore(tmp_path, direct)
+        VoterStore(tmp_path, run_at_once)
     store.close()
-    again = VoterStore(tmp_path, direct)
+    again = VoterStore(tmp_path, run_at_once)
     assert again.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
-    assert (
-        again.stored.voter_state.storage_version == StorageVersion(mark.storage_id, 2, 7)
-        and again.stored.voter_state.admitted
-    )
-    assert again.stored.fencing_tokens == {"list": 4} and again.stored.voter_state.known_versions == {
-        "b": StorageVersion("f", 2, 3)
-    }
+    assert again.stored.voter_state.storage_version == StorageVersion(mark.storage_id, 2, 7)
+    assert again.stored.voter_state.admitted
+    assert again.stored.fencing_tokens == {"list": 4}
+    assert again.stored.voter_state.known_versions == {"b": StorageVersion("f", 2, 3)}
     again.close()
     (tmp_path / FILE_NAME).write_bytes(b"torn" * 2000)
-    torn = VoterStore(tmp_path, direct)
-    assert torn.stored.quarantined and not torn.stored.voter_state.admitted
+    torn = VoterStore(tmp_path, run_at_once)
+    assert torn.stored.quarantined
+    assert not torn.stored.voter_state.admitted
     assert list(tmp_path.glob("*.unreadable-*"))
     torn.close()
 
 
-def test_a_disk_that_takes_no_write_says_so(tmp_path, monkeypatch):
-    """Guards against an answer that stands for nothing on the disk."""
+def test_the_store_reports_a_write_that_the_disk_did_not_take(tmp_path, monkeypatch):
+    """No write is reported as done that is not on the disk."""
     kept = []
-    store = VoterStore(tmp_path, direct)
+    store = VoterStore(tmp_path, run_at_once)
 
     def full():
         raise OSError(28, "No space left on device")
@@ -287,10 +309,10 @@
     store.close()
 
 
-def test_a_bit_that_turned_in_a_folder_is_never_taken_for_a_promise(tmp_path):
-    """Guards against a lower ticket read off a disk whose pages have no sums: each row has its own."""
+def test_a_vote_with_a_flipped_bit_is_never_read(tmp_path):
+    """No lower fencing token is read off a disk whose pages have no checksums: each row has its own."""
     kept = []
-    store = VoterStore(tmp_path, direct)
+    store = VoterStore(tmp_path, run_at_once)
     mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
     store.persist(
         PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append
@@ -305,7 +327,7 @@
         folder = tmp_path / str(place)
         folder.mkdir()
         (folder / FILE_NAME).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
-        turned = VoterStore(folder, direct)
+        turned = VoterStore(folder, run_at_once)
         promises = turned.stored.voter_state.votes
         assert promises in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
         aside += bool(turned.stored.quarantined)
