--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -982,14 +982,14 @@
         box.tick = timed(look, deep)  # type: ignore[method-assign]
     send = world.shared.network.send
 
-    def counted(sender: str, to: str, message: Any) -> None:
+    def counted(sender: str, receiver: str, message: Any) -> None:
         if window:
             size_of = len(codec.encode(message))
-            for name in {sender, to}:
+            for name in {sender, receiver}:
                 role = "voter" if name in voters else "member"
                 counts[f"{role} messages"] += 1
                 counts[f"{role} bytes"] += size_of
-        send(sender, to, message)
+        send(sender, receiver, message)
 
     world.shared.network.send = counted  # type: ignore[method-assign]
 
