--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -82,8 +82,8 @@
                 due.append(upcoming.pop(0))
             for fault in due:
                 self._inject(fault)
-            for fault in [each for each in self.links.active_faults if _end_s(each) <= elapsed_s]:
-                self.links.active_faults.remove(fault)
+            for fault in [each for each in self.links.conditions.active if _end_s(each) <= elapsed_s]:
+                self.links.conditions.active.remove(fault)
             for member in self.members.values():
                 member.resume_if_due()
             on_progress(elapsed_s)
@@ -164,7 +164,7 @@
     def _add_network_condition(self, fault: ScheduledFault) -> None:
         blocks = any(blocks_traffic(fault, a, b) for a in self.members for b in self.members)
         if blocks or fault.amount:
-            self.links.active_faults.append(fault)
+            self.links.conditions.active.append(fault)
 
     def _kill_all(self, fault: ScheduledFault) -> None:
         for member in self.members.values():
--- a/stairhatch/fault_injection/network_links.py
+++ b/stairhatch/fault_injection/network_links.py
@@ -11,15 +11,15 @@
 import asyncio
 import contextlib
 import random
-from collections import Counter
 from collections.abc import Callable
 from functools import partial
 
-from stairhatch.fault_injection.schedule import FaultKind, ScheduledFault, blocks_traffic
+from stairhatch.fault_injection.network_conditions import NetworkConditions
 
 Address = tuple[str, int]
 READ_SIZE_BYTES = 16 * 1024
 POLL_INTERVAL_S = 0.01
+MAX_DUPLICATE_DELAY_S = (0.05, 0.5)  # one of these is drawn as the most
 COORDINATOR = "coordinator"
 HELD_CONNECTION = "connection held"  # the activation of a fault that holds back a connection's bytes
 
@@ -37,14 +37,13 @@
 
 
 class NetworkLinks:
-    """All links of one run. `active_faults` are the network conditions; whoever injects faults changes it."""
+    """All links of one run. Whoever injects faults changes their `conditions`."""
 
     def __init__(self, seed: int) -> None:
         """`seed` is that of the run. There are no links until `open`."""
         self.rng = random.Random(f"ways {seed}")
         self.loop = asyncio.get_running_loop()
-        self.active_faults: list[ScheduledFault] = []
-        self.activations: Counter[str] = Counter()
+        self.conditions = NetworkConditions(self.rng)
         self.datagrams_forwarded = 0
         self.addresses: dict[str, Address] = {}  # where each softswitch listens
         self.ports: dict[tuple[str, str], _LinkPort] = {}
@@ -69,7 +68,8 @@
         return host, port
 
     def _on_datagram(self, sender: str, receiver: str, data: bytes) -> None:
-        for delay_s in self._delivery_delays_s(sender, receiver):
+        delays_s = self.conditions.delivery_delays_s(sender, receiver, 0.0, self._draw_duplicate_delay_s)
+        for delay_s in delays_s:
             self.loop.call_later(delay_s, self._forward, sender, receiver, data)
 
     def _forward(self, sender: str, receiver: str, data: bytes) -> None:
@@ -78,25 +78,8 @@
         if not transport.is_closing():
             transport.sendto(data, self.addresses[receiver])
 
-    def _delivery_delays_s(self, sender: str, receiver: str) -> list[float]:
-        """When each copy of a datagram is delivered; empty where it is lost."""
-        delays_s = [0.0]
-        for fault in self.active_faults:
-            if blocks_traffic(fault, sender, receiver):
-                self.activations[fault.kind.value] += 1
-                return []
-            draw = self.rng.random()
-            match fault.kind:
-                case FaultKind.LOSS if draw < fault.amount:
-                    self.activations[fault.kind.value] += 1
-                    return []
-                case FaultKind.DELAY:
-                    self.activations[fault.kind.value] += 1
-                    delays_s = [each + fault.amount * self.rng.random() for each in delays_s]
-                case FaultKind.DUPLICATION if draw < fault.amount:
-                    self.activations[fault.kind.value] += 1
-                    delays_s.append(self.rng.random() * self.rng.choice((0.05, 0.5)))
-        return delays_s
+    def _draw_duplicate_delay_s(self) -> float:
+        return self.rng.random() * self.rng.choice(MAX_DUPLICATE_DELAY_S)
 
     async def open_connection_link(self, member: str, target: Address, peer: str = COORDINATOR) -> Address:
         """Open a TCP relay by which a softswitch reaches something outside, and return its address.
@@ -130,8 +113,8 @@
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await source.read(READ_SIZE_BYTES):
-                while any(blocks_traffic(fault, sender, receiver) for fault in self.active_faults):
-                    self.activations[HELD_CONNECTION] += 1
+                while self.conditions.block(sender, receiver):
+                    self.conditions.activations[HELD_CONNECTION] += 1
                     await asyncio.sleep(POLL_INTERVAL_S)
                 if target.is_closing():
                     break
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -188,7 +188,7 @@
             started_at=self.started_at,
             records=records,
             activations=self.injector.activations,
-            link_activations=self.links.activations,
+            link_activations=self.links.conditions.activations,
             calls={end.value: count for end, count in self.callers.end_counts.items()},
             call_violations=[each.line() for each in call_violations],
             lacks_calls_at_end=bool(
