--- a/stairhatch/fleet/instance_index.py
+++ b/stairhatch/fleet/instance_index.py
@@ -11,12 +11,13 @@
 from stairhatch.fleet.effects import Effect
 from stairhatch.fleet.lease_pool import NOT_HELD, LeasePool
 
+PREFIX = "number/"
 NO_INDEX = -1  # as in `Settings.instance_index`
 
 
 def lease_names(instance_count: int) -> list[str]:
     """The leases of that many indices."""
-    return [f"number/{index}" for index in range(instance_count)]
+    return [f"{PREFIX}{index}" for index in range(instance_count)]
 
 
 class InstanceIndexLease:
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -1,14 +1,15 @@
-"""The fleet's part of one softswitch at work: owns the wiring of the decisions to the socket, the folder, the
-clock, the core and the operators' door. It must never decide who owns what, nor hold up the loop or a call: a
-fault in here is logged and ends nothing else.
+"""The fleet's part of one softswitch at work: the member's decisions joined to the socket, the disk, the
+clock, the calls and the admin endpoint.
+
+It decides nothing of who holds what, and holds up neither the loop nor a call: a fault in here is logged and
+ends nothing else. `endpoint_list_runtime` has the relayed list, `admin_commands` what operators ask,
+`event_recorder` and `metrics` what is shown.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import math
-import os
 import random
 import secrets
 import time
@@ -18,29 +19,24 @@
 from typing import Any
 
 from stairhatch.fleet import instance_index, restart_slots
+from stairhatch.fleet.admin_commands import AdminCommands
 from stairhatch.fleet.config import FleetConfig
 from stairhatch.fleet.effects import (
     Effect,
     LeaseEvent,
-    LeaseEventKind,
     MemberId,
     PeerAddress,
     PersistFencingToken,
     PersistVotes,
     SendMessage,
 )
-from stairhatch.fleet.endpoint_relay import (
-    EndpointList,
-    EndpointListAssembler,
-    EndpointListFollower,
-    RelayTimings,
-    to_updates,
-)
-from stairhatch.fleet.instance_index import InstanceIndexLease
-from stairhatch.fleet.lease import LeaseState
+from stairhatch.fleet.endpoint_list_runtime import EndpointListRelay
+from stairhatch.fleet.event_recorder import EventRecorder, HistoryFile
+from stairhatch.fleet.instance_index import NO_INDEX, InstanceIndexLease
 from stairhatch.fleet.lease_pool import LeasePool
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetCodec, FleetMessage, Subscribe
+from stairhatch.fleet.metrics import lease_report, update_gauges
 from stairhatch.fleet.restart_slots import RestartSlotLease
 from stairhatch.fleet.store import StoreError, VoterStore
 from stairhatch.node.call_manager import CallManager
@@ -49,21 +45,12 @@
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
-ENDPOINT_LIST_LEASE = "list"
-MAX_TICK_S, MIN_TICK_S = 0.25, 0.001  # between two looks at what is due
-SETTLE_WINDOWS = 1.25  # the span in which a turn at a cold server opens and lapses, in `fall_s`
-LOGGED_EVENTS = (
-    LeaseEventKind.HELD,
-    LeaseEventKind.LOST,
-    LeaseEventKind.RELEASED,
-    LeaseEventKind.STEPPED_DOWN,
-    LeaseEventKind.VOTING,
-    LeaseEventKind.NOT_VOTING,
-    LeaseEventKind.VOTER_SET_ADVANCED,
-)
+MAX_TICK_S = 0.25  # between two looks at what is due
+MIN_TICK_S = 0.001
+SETTLE_WINDOWS = 1.25  # the span in which a slot at a cold server opens and lapses, in overload windows
 GAUGE_INTERVAL_S = 1.0
-MAX_LEASE_NAME_BYTES = 48  # bytes of a claim's
-REJECTION_LOG_INTERVAL_S = 1.0  # late news that is refused is logged so often at the most
+SEED_BITS = 64
+INCARNATION_BITS = 62  # as the numbers of a datagram
 
 
 def clock() -> float:
@@ -72,131 +59,121 @@
 
 
 def between_check_and_write() -> None:
-    """Stands at the one place where a stop does most harm, for a lab to stop the process there."""
-
-
-class HistoryFile:
-    """What this process did, one JSON object a line, for whoever checks a run from outside."""
-
-    def __init__(self, config: FleetConfig) -> None:
-        self.file = (
-            os.open(config.history_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-            if config.history_path
-            else -1
-        )
-
-    def __call__(self, what: str, **fields: object) -> None:
-        if self.file < 0:
-            return
-        line = {"at": time.monotonic(), "clock": clock(), "pid": os.getpid(), "what": what, **fields}
-        try:
-            os.write(self.file, json.dumps(line).encode() + b"\n")
-        except OSError:
-            self.file = -1
+    """Do nothing, at the one place where a stop does most harm: a fault-injection run stops the process
+    here.
+    """
 
 
 class FleetRuntime:
     """One softswitch's part in shared work."""
 
     def __init__(self, core: CallManager, network: Network, config: FleetConfig, settings: Settings) -> None:
-        """StoreError where the folder can't be used, OSError where the address can't."""
-        self.core, self.network, self.config = core, network, config
-        self.log, self.counters = core.log, core.counters
+        """StoreError: the data directory can't be used. OSError: the address or the history can't."""
+        self.core = core
+        self.network = network
+        self.config = config
+        self.log = core.log
+        self.counters = core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
         self.notify_writable: Callable[[], None] = do_nothing  # set by the driver
         self.codec = FleetCodec(config.fleet_name, config.secret)
-        self.history = HistoryFile(config)
-        self.random_source = random.Random(secrets.randbits(64))
+        # The clock is looked up at each call: a run on another clock puts its own in place of it.
+        self.history = HistoryFile(config.history_path, lambda: clock())
+        self.recorder = EventRecorder(self.log, self.counters, self.history, lambda: clock())
+        self.random_source = random.Random(secrets.randbits(SEED_BITS))
         now = clock()
-        self.store = (
-            VoterStore(config.data_directory, self._on_loop) if config.data_directory is not None else None
-        )
-        found = self.store.stored if self.store is not None else None
-        if found is not None and found.quarantined:
-            self.log("fleet", what="folder put aside", why=found.quarantined)
-        self.member = ClusterMember(
-            MemberId(config.member_name, secrets.randbits(62)),
-            config.voters,
-            config.timings,
-            self.random_source,
-            now,
-            found.voter_state if found is not None and config.is_voter else None,
-            found.fencing_tokens if found else {},
-            config.epoch,
-        )
+        self.store: VoterStore | None = None
+        if config.data_directory is not None:
+            self.store = VoterStore(config.data_directory, self._call_on_loop)
+        self.member = self._open_member(now)
         self.settings = settings  # as the file has them
-        self.instance_index_lease = self._numbers(settings)
-        slots = restart_slots.lease_names(config.restart_slots)
-        pick = (
-            LeasePool(slots, self.member.lease, self.random_source.randrange(len(slots))) if slots else None
-        )
-        self.restart_slot = RestartSlotLease(pick)
-        self.directory: ServiceDiscoveryClient | None = None
-        self.endpoint_list, self.assembler = EndpointList(), EndpointListAssembler()
-        self.follower = EndpointListFollower(list(config.voters), RelayTimings(), now)
-        self._owner_heard = self._beaten = -math.inf
-        self._asking = False
-        self._handed = 0  # the number of the list that was handed on last
+        self.instance_index_lease = self._lease_instance_index(settings)
+        self.restart_slot = RestartSlotLease(self._restart_pool())
+        self.relay = EndpointListRelay(self, lambda: clock(), lambda: between_check_and_write())
         self._timer: asyncio.TimerHandle | None = None
-        self._refusal_at = self._gauged = -math.inf
-        self._ended = False
+        self._gauges_updated_at = -math.inf
+        self._is_stopped = False
         network.open_datagram_port(config.listen, self)
-        core.admin_commands.update(
-            {
-                "claims": lambda: "ok " + json.dumps(self.lease_report()),
-                "restart-ask": lambda: self._order(self.restart_slot.request),
-                "restart-give": self._give,
-                "hand-over": self._hand_over,
-                "watch": self._watch,
-            }
+        core.admin_commands.update(self._admin_commands().by_name())
+        self.history.write("started", name=config.member_name, voter=config.is_voter)
+
+    def _open_member(self, now: float) -> ClusterMember:
+        stored = self.store.stored if self.store is not None else None
+        if stored is not None and stored.quarantined:
+            self.log("fleet", what="storage_quarantined", reason=stored.quarantined)
+        return ClusterMember(
+            MemberId(self.config.member_name, secrets.randbits(INCARNATION_BITS)),
+            self.config.voters,
+            self.config.timings,
+            self.random_source,
+            now,
+            stored.voter_state if stored is not None and self.config.is_voter else None,
+            stored.fencing_tokens if stored is not None else {},
+            self.config.epoch,
         )
-        self.history("started", name=config.member_name, voter=config.is_voter)
 
-    def _numbers(self, settings: Settings) -> InstanceIndexLease | None:
+    def _lease_instance_index(self, settings: Settings) -> InstanceIndexLease | None:
         if not self.config.lease_instance_index or settings.instance_count < 2:
             return None
         names = instance_index.lease_names(settings.instance_count)
-        first = (
-            settings.instance_index
-            if settings.instance_index >= 0
-            else self.random_source.randrange(len(names))
-        )
-        return InstanceIndexLease(
-            LeasePool(names, self.member.lease, first), SETTLE_WINDOWS * settings.safety.overload_window_s
+        first = settings.instance_index
+        if first < 0:
+            first = self.random_source.randrange(len(names))
+        pool = LeasePool(names, self.member.lease, first)
+        return InstanceIndexLease(pool, SETTLE_WINDOWS * settings.safety.overload_window_s)
+
+    def _restart_pool(self) -> LeasePool | None:
+        names = restart_slots.lease_names(self.config.restart_slots)
+        if not names:
+            return None
+        return LeasePool(names, self.member.lease, self.random_source.randrange(len(names)))
+
+    def _admin_commands(self) -> AdminCommands:
+        def report() -> dict[str, Any]:
+            leased = self.instance_index_lease
+            index = leased.in_use if leased is not None else None
+            return lease_report(self.config, self.member, index, clock())
+
+        return AdminCommands(
+            self.member,
+            self.restart_slot,
+            report,
+            self.carry_out,
+            lambda: self.network.loop.call_soon(self._tick),
+            lambda: clock(),
         )
 
     # ---- life ----
 
     def start(self) -> None:
-        """Start to ask."""
+        """Begin to request leases."""
         now = clock()
         if self.instance_index_lease is not None:
-            self.core.attempts.check_instance_index = self._look
+            self.core.attempts.check_instance_index = self._update_instance_index
             self.core.update_settings(self.settings_in_use(self.settings))
             self.instance_index_lease.pool.request(now)
-        if self.config.relay_endpoint_list and self.directory is not None:
-            self.member.lease(ENDPOINT_LIST_LEASE).request(now)
+        self.relay.start(now)
         self._tick()
 
     def stop(self) -> None:
-        """The program ends: what is held is given back, but for a slot, which lasts over the restart."""
-        self._ended = True
+        """The program ends: what is held is released, but a restart slot, which lasts over the restart."""
+        self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
         now = clock()
-        for claim in self.member.leases.values():
-            if not claim.name.startswith("restart/"):
-                self.carry_out(claim.release(now))
+        for lease in self.member.leases.values():
+            if not lease.name.startswith(restart_slots.PREFIX):
+                self.carry_out(lease.release(now))
         if self.store is not None:
             self.store.close()
 
     def settings_in_use(self, settings: Settings) -> Settings:
-        """A file's settings with the number that is held in place of the one that is typed."""
+        """A file's settings, with the index that is held in place of the one that is configured."""
         if settings.instance_count != self.settings.instance_count:
             now = clock()
             if self.instance_index_lease is not None:
                 self.carry_out(self.instance_index_lease.pool.release(now))
-            self.instance_index_lease = self._numbers(settings)
+            self.instance_index_lease = self._lease_instance_index(settings)
             if self.instance_index_lease is not None:
                 self.instance_index_lease.pool.request(now)
         self.settings = settings
@@ -204,43 +181,62 @@
             return settings
         return replace(settings, instance_index=self.instance_index_lease.in_use)
 
-    def _on_loop(self, act: Callable[[], None]) -> object:
+    def _call_on_loop(self, act: Callable[[], None]) -> object:
         return self.network.loop.call_soon_threadsafe(act)
 
-    # ---- the wire ----
+    # ---- service discovery ----
+
+    @property
+    def directory(self) -> ServiceDiscoveryClient | None:
+        """Whose list is relayed; None where this member follows none. To be set before `start`."""
+        return self.relay.directory
+
+    @directory.setter
+    def directory(self, directory: ServiceDiscoveryClient) -> None:
+        self.relay.directory = directory
+
+    def may_poll_coordinator(self) -> bool:
+        """Whether the coordinator is to be polled by this member now."""
+        return self.relay.may_poll_coordinator()
+
+    def coordinator_answered(self, answer: Any) -> None:
+        """The coordinator has answered this member."""
+        self.relay.coordinator_answered(answer)
+
+    # ---- messages and effects ----
 
     def receive(self, data: bytes, peer: PeerAddress) -> None:
-        """A datagram."""
+        """Take one datagram."""
         message = self.codec.decode(data)
         if message is None:
-            self.counters.add("fleet_strangers")
+            self.counters.add("fleet_rejected_datagrams")
             return
-        self.counters.add("fleet_heard")
+        self.counters.add("fleet_received")
         try:
-            self._take(clock(), peer, message)
+            self._dispatch(clock(), peer, message)
         except Exception as error:  # noqa: BLE001 - a message that upsets the decisions ends nothing else
-            self._fault(error)
+            self._log_fault(error)
         self._tick()
 
-    def _take(self, now: float, peer: PeerAddress, message: FleetMessage) -> None:
+    def _dispatch(self, now: float, peer: PeerAddress, message: FleetMessage) -> None:
         match message:
             case EndpointUpdate():
-                self._news(now, peer, message)
+                self.relay.handle_update(now, peer, message)
             case Subscribe():
-                self._tuned_in(peer, message)
+                self.relay.handle_subscribe(peer, message)
             case _:
                 self.carry_out(self.member.handle(now, peer, message))
 
-    def _fault(self, error: Exception) -> None:
+    def _log_fault(self, error: Exception) -> None:
         self.counters.add("fleet_faults")
         self.log("fault", why=f"{type(error).__name__}: {error}", component="Fleet")
 
-    def send(self, to: PeerAddress, message: FleetMessage) -> None:
-        """A message on its way."""
+    def send(self, destination: PeerAddress, message: FleetMessage) -> None:
+        """Send a message."""
         data = self.codec.encode(message)
         self.counters.add("fleet_sent")
         self.counters.add("fleet_sent_bytes", len(data))
-        self.output.append((data, to))
+        self.output.append((data, destination))
         self.notify_writable()
 
     def carry_out(self, effects: list[Effect]) -> None:
@@ -249,298 +245,76 @@
             match effect:
                 case SendMessage():
                     self.send(effect.destination, effect.message)
-                case PersistVotes():
-                    self._write(effect)
+                case PersistVotes() if self.store is not None:
+                    self._persist_votes(self.store, effect)
                 case PersistFencingToken() if self.store is not None:
-                    self.store.persist(effect, self._fence_kept)
+                    self.store.persist(effect, self._fencing_token_written)
                 case LeaseEvent():
-                    self._note(effect)
+                    self.recorder.record(effect)
 
-    def _write(self, write: PersistVotes) -> None:
-        if self.store is None:
-            return
-        self.counters.add("fleet_syncs")
+    def _persist_votes(self, store: VoterStore, write: PersistVotes) -> None:
+        self.counters.add("fleet_disk_writes")
 
-        def done(fault: str) -> None:
-            if not self._ended:
+        def completed(fault: str) -> None:
+            if not self._is_stopped:
                 self.carry_out(self.member.write_completed(clock(), write.write_id, fault))
                 self._tick()
 
-        self.store.persist(write, done)
+        store.persist(write, completed)
 
-    def _fence_kept(self, fault: str) -> None:
+    def _fencing_token_written(self, fault: str) -> None:
         if fault:
-            self.counters.add("fleet_fences_not_kept")
-
-    def _note(self, note: LeaseEvent) -> None:
-        self.history(
-            note.kind.value,
-            claim=note.lease,
-            ticket=note.fencing_token,
-            until=note.expires_at,
-            why=note.reason,
-        )
-        name = f"fleet_{note.kind.name.lower()}"
-        self.counters.add(name)
-        if note.kind in LOGGED_EVENTS:
-            self.log(
-                "fleet",
-                what=note.kind.value,
-                claim=note.lease or "-",
-                ticket=note.fencing_token,
-                why=note.reason or "-",
-            )
-        elif (
-            note.kind is LeaseEventKind.TOKEN_REJECTED
-            and clock() - self._refusal_at > REJECTION_LOG_INTERVAL_S
-        ):
-            self._refusal_at = clock()
-            self.log("fleet", what="refused", claim=note.lease, ticket=note.fencing_token, why=note.reason)
+            self.counters.add("fleet_fencing_tokens_not_written")
 
     # ---- what is due ----
 
     def _tick(self) -> None:
         """Carry out what is due, and come again whatever comes of it. Called after each message too."""
-        if self._ended:
+        if self._is_stopped:
             return
         now = clock()
-        due = now + MAX_TICK_S
+        next_due_at = now + MAX_TICK_S
         try:
-            due = self._due(now)
-        except Exception as error:  # noqa: BLE001 - without this look no claim would be renewed any more
-            self._fault(error)
+            next_due_at = self._do_what_is_due(now)
+        except Exception as error:  # noqa: BLE001 - without the next look no lease would be renewed any more
+            self._log_fault(error)
         if self._timer is not None:
             self._timer.cancel()
-        wait = min(MAX_TICK_S, max(MIN_TICK_S, due - now))
-        self._timer = self.network.loop.call_later(wait, self._tick)
+        wait_s = min(MAX_TICK_S, max(MIN_TICK_S, next_due_at - now))
+        self._timer = self.network.loop.call_later(wait_s, self._tick)
 
-    def _due(self, now: float) -> float:
+    def _do_what_is_due(self, now: float) -> float:
+        """The time at which something is due next."""
         self.carry_out(self.member.tick(now))
         if self.instance_index_lease is not None:
             self.carry_out(self.instance_index_lease.tick(now))
         self.carry_out(self.restart_slot.tick(now))
-        self._look()
-        self._list(now)
-        if now - self._gauged >= GAUGE_INTERVAL_S:
-            self._gauged = now
-            self._gauges(now)
-        return min(
-            self.member.next_due_at(),
-            self.instance_index_lease.next_due_at(now) if self.instance_index_lease is not None else math.inf,
-        )
+        self._update_instance_index()
+        self.relay.tick(now)
+        if now - self._gauges_updated_at >= GAUGE_INTERVAL_S:
+            self._gauges_updated_at = now
+            update_gauges(self.counters.counts, self.member, now)
+        next_due_at = self.member.next_due_at()
+        if self.instance_index_lease is not None:
+            next_due_at = min(next_due_at, self.instance_index_lease.next_due_at(now))
+        return next_due_at
+
+    def _update_instance_index(self) -> None:
+        """Go by the index that may be used at this moment.
 
-    def _look(self) -> None:
-        """Go by the number that may be used at this moment. Asked before each set-up at a cold server is
-        written too: since the last look the process may have been stopped.
+        Asked before each set-up at a cold server is written too: since the last look the process may have
+        been stopped.
         """
         if self.instance_index_lease is None:
             return
-        was = self.instance_index_lease.in_use
-        number = self.instance_index_lease.update(clock())
-        if number is not None:
-            self.history("number", claim=f"number/{number if number >= 0 else was}", number=number)
-            self.log("fleet", what="number", number=number if number >= 0 else "none")
-            self.core.update_settings(self.settings_in_use(self.settings))
-
-    # ---- the list ----
-
-    def may_poll_coordinator(self) -> bool:
-        """Whether the coordinator is to be asked by this softswitch now."""
-        now = clock()
-        return self.follower.polls_coordinator(
-            now, self.member.may_act(now, ENDPOINT_LIST_LEASE), self.endpoint_list.index > 0
-        )
-
-    def coordinator_answered(self, answer: Any) -> None:
-        """The coordinator has answered this softswitch."""
-        self.endpoint_list.apply(answer)
-        self._hand_on()
-
-    def _list(self, now: float) -> None:
-        if self.directory is None or not self.config.relay_endpoint_list:
-            return
-        owner = self.member.may_act(clock(), ENDPOINT_LIST_LEASE)
-        if owner and now - self._beaten >= self.follower.timings.poll_interval_s:
-            self._beaten = now
-            claim = self.member.leases[ENDPOINT_LIST_LEASE]
-            self._to_voters(
-                [
-                    EndpointUpdate(
-                        self.config.member_name, claim.fencing_token, self.endpoint_list.index, 0, 1, b""
-                    )
-                ]
-            )
-        to = self.follower.voter_to_poll(now, owner, self._owner_heard)
-        if to and to != self.config.member_name:
-            self.send(self.config.voters[to], Subscribe(self.endpoint_list.index))
-        asks = self.may_poll_coordinator()
-        if asks and not self._asking:
-            self.directory.reconnect_now()
-        self._asking = asks
-
-    def _to_voters(self, news: list[EndpointUpdate]) -> None:
-        for name, place in self.config.voters.items():
-            if name != self.config.member_name:
-                for each in news:
-                    self.send(place, each)
-
-    def _hand_on(self) -> None:
-        """The owner tells the voters, once a number, with its ticket; the check stands right before."""
-        checked = clock()
-        if not self.member.may_act(checked, ENDPOINT_LIST_LEASE) or self.endpoint_list.index == self._handed:
-            return
-        self._handed = self.endpoint_list.index
-        claim = self.member.leases[ENDPOINT_LIST_LEASE]
-        news = to_updates(self.endpoint_list, self.config.member_name, claim.fencing_token)
-        self.history("acted", claim=ENDPOINT_LIST_LEASE, ticket=claim.fencing_token, checked=checked)
-        between_check_and_write()
-        self._to_voters(news)
-
-    def _tuned_in(self, peer: PeerAddress, tune: Subscribe) -> None:
-        """Somebody asks for news: of the list that the owner handed on, under the owner's ticket."""
-        ticket = self.member.fencing_tokens.highest.get(ENDPOINT_LIST_LEASE, 0)
-        holder = ""
-        now = clock()
-        if self.member.may_act(now, ENDPOINT_LIST_LEASE):
-            ticket, holder = self.member.leases[ENDPOINT_LIST_LEASE].fencing_token, self.config.member_name
-        elif not ticket or now - self._owner_heard > self.follower.timings.fallback_after_s:
-            return  # the owner is not heard here either; what another voter says is not passed on again
-        if tune.after_index >= self.endpoint_list.index:
-            self.send(peer, EndpointUpdate(holder or "-", ticket, self.endpoint_list.index, 0, 1, b""))
-            return
-        for each in to_updates(self.endpoint_list, holder or "-", ticket):
-            self.send(peer, each)
-
-    def _news(self, now: float, peer: PeerAddress, news: EndpointUpdate) -> None:
-        """The list as its owner has it, or the word that nothing is new."""
-        if self.directory is None:
-            return
-        check = self.member.fencing_tokens.check(ENDPOINT_LIST_LEASE, news.fencing_token, peer)
-        self.carry_out(check.effects)
-        if not check.is_accepted:
-            return
-        self.follower.handle_update(now)
-        if news.holder != "-":
-            self._owner_heard = now
-        if not news.data:
-            if news.index > self.endpoint_list.index:  # what it handed on was lost
-                self.send(peer, Subscribe(self.endpoint_list.index))
+        previous = self.instance_index_lease.in_use
+        index = self.instance_index_lease.update(clock())
+        if index is None:
             return
-        if not news.part_index:  # let through by the fence, whatever comes of it
-            self.history(
-                LeaseEventKind.TOKEN_ACCEPTED.value,
-                claim=ENDPOINT_LIST_LEASE,
-                ticket=news.fencing_token,
-                index=news.index,
-            )
-        answer = self.assembler.add(news)
-        if answer is None or news.index <= self.endpoint_list.index:
-            return
-        self.counters.add("fleet_lists_taken")
-        self.endpoint_list.apply(answer)
-        self.directory.accept_relayed(self.endpoint_list.to_answer())
-
-    # ---- operators ----
-
-    def _order(self, ask: Callable[[float], str]) -> str:
-        answer = ask(clock())
-        self.network.loop.call_soon(self._tick)
-        return answer
-
-    def _give(self) -> str:
-        release = self.restart_slot.release(clock())
-        self.carry_out(release.effects)
-        return release.answer
-
-    def _hand_over(self, name: str, successor: str = "") -> str:
-        """Give a claim back, for a successor that is named or for whoever comes first."""
-        now, claim = clock(), self.member.leases.get(name)
-        if claim is None or not claim.may_act(now):
-            return f"fail {name} is not held here"
-        self.carry_out(claim.release(now, successor))
-        claim.request(now, self.config.timings.duration_s)
-        self.network.loop.call_soon(self._tick)
-        return f"ok {name} given back" + (f", {successor} goes first for a moment" if successor else "")
-
-    def _watch(self, name: str) -> str:
-        """Who holds a claim, by the voters' answers; the first answer comes before any of theirs has."""
-        now = clock()
-        watch = self.member.observe(now, name) if 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES else None
-        if watch is None:
-            return "fail no claim can have that name, or too many are watched"
-        self.network.loop.call_soon(self._tick)
-        seen = watch.observed(now)
-        answer = {
-            "holder": seen.holder,
-            "ticket": seen.fencing_token,
-            "left_s": round(seen.remaining_s, 3),
-            "voters": seen.answered_voters,
-        }
-        return "ok " + json.dumps(answer)
-
-    def _gauges(self, now: float) -> None:
-        """Among the counters: what is held and for how long, and whether this softswitch votes."""
-        counts, voter = self.counters.counts, self.member.voter
-        counts["fleet_claims_held"] = sum(each.may_act(now) for each in self.member.leases.values())
-        if voter is not None:
-            counts["fleet_votes_now"], counts["fleet_list_of_voters"] = (
-                int(voter.is_voting),
-                voter.voter_set.epoch,
-            )
-        for name, claim in self.member.leases.items():
-            left = max(0.0, claim.expires_at - now) if claim.state is LeaseState.HELD else 0.0
-            gauge = f"fleet_left_ms_{name}"
-            if left or gauge in counts:
-                counts[gauge], counts[f"fleet_ticket_{name}"] = int(1000 * left), claim.fencing_token
-
-    def lease_report(self) -> dict[str, Any]:
-        """What `stairhatch claims` shows."""
-        now, mate, voter = clock(), self.member, self.member.voter
-        claims = [
-            {
-                "claim": name,
-                "stage": claim.state.value,
-                "ticket": claim.fencing_token if claim.state is LeaseState.HELD else 0,
-                "left_s": round(max(0.0, claim.expires_at - now), 3)
-                if claim.state is LeaseState.HELD
-                else 0.0,
-                "holder": claim.known_holder,
-                "why": claim.reason,
-            }
-            for name, claim in mate.leases.items()
-            if claim.state is not LeaseState.IDLE
-        ]
-        told: dict[str, Any] = {
-            "fleet": self.config.fleet_name,
-            "name": self.config.member_name,
-            "voters": list(self.config.voters),
-            "claims": claims,
-            "fences": mate.fencing_tokens.highest,
-            "refused": mate.fencing_tokens.rejected_count,
-            "vote": None,
-        }
-        if self.instance_index_lease is not None:
-            told["number"] = self.instance_index_lease.in_use
-        if voter is not None:
-            promised = [
-                {
-                    "claim": p.lease,
-                    "ticket": p.fencing_token,
-                    "holder": p.holder,
-                    "left_s": round(max(0.0, voter.votes.expires_at.get(p.lease, 0.0) - now), 3),
-                }
-                for p in voter.votes.by_lease.values()
-            ]
-            told["vote"] = {
-                "votes": voter.is_voting,
-                "why": "" if voter.is_voting else voter.reason or voter.state.value,
-                "promises": promised,
-                "epoch": voter.voter_set.epoch,
-                "list": list(voter.voter_set.voters),
-                "wishes": voter.configured_voters if voter.proposed_digest else [],
-                "agreed": bool(voter.voter_set.agreed_digest),
-            }
-        return told
+        named = previous if index == NO_INDEX else index
+        self.history.write("number", claim=f"{instance_index.PREFIX}{named}", number=index)
+        self.log("fleet", what="instance_index", index="none" if index == NO_INDEX else index)
+        self.core.update_settings(self.settings_in_use(self.settings))
 
 
 __all__ = ["FleetRuntime", "StoreError", "clock"]
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -176,7 +176,7 @@
         if member.process.poll() is not None:
             raise ScaleError(f"real: {member.name} ended at its start: {' '.join(lines[-1:])}")
         numbered = self.plan.fleet is None or not self.plan.fleet.numbers
-        numbered = numbered or any(" fleet what=number " in each for each in lines)
+        numbered = numbered or any(" fleet what=instance_index " in each for each in lines)
         return numbered and any(" serving " in each for each in lines)
 
     async def _until(self, done: Callable[[], bool], why: str) -> None:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -53,7 +53,13 @@
 LEASE_S = 2.0  # after which the coordinator knows that a machine is off
 AFTER_S = 0.5  # beyond the longest that a caller waits
 FAULTS_KEPT = 5
-GAUGES = ("fleet_left_ms", "fleet_ticket", "fleet_claims_held", "fleet_list_of_voters", "fleet_votes_now")
+GAUGES = (
+    "fleet_remaining_ms",
+    "fleet_fencing_token",
+    "fleet_leases_held",
+    "fleet_voter_set_epoch",
+    "fleet_is_voting",
+)
 
 
 def nature_of(plan: Plan) -> Nature:
@@ -573,8 +579,8 @@
         """A line of its log."""
         if event == "server_listed":
             self.world.listed(self, str(fields["server"]))
-        elif event == "fleet" and fields.get("what") == "number":
-            self.numbered = fields["number"] != "none"
+        elif event == "fleet" and fields.get("what") == "instance_index":
+            self.numbered = fields["index"] != "none"
         elif event == "fault" and len(self.world.faults) < FAULTS_KEPT:
             self.world.faults.append(f"{self.name}: {fields.get('why')}")
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -204,7 +204,7 @@
         table = subprocess.run(watch[:5], cwd=ROOT, capture_output=True, text=True)
         assert "list          1: a b c\n" in table.stdout
         started["c"][1].send_signal(signal.SIGUSR1)
-        until(lambda: "fleet_left_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
+        until(lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
     finally:
         for _, process in started.values():
             process.kill()
