--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -227,7 +227,7 @@
         table = subprocess.run(watch[:5], cwd=ROOT, capture_output=True, text=True)
         assert "list          1: a b c\n" in table.stdout
         started["c"][1].send_signal(signal.SIGUSR1)
-        until(lambda: "fleet_left_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
+        until(lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
     finally:
         for _, process in started.values():
             process.kill()
