--- a/stairhatch/cli/main.py
+++ b/stairhatch/cli/main.py
@@ -36,7 +36,7 @@
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.version_option(package_name=None, version="0.5.0", prog_name="stairhatch")
+@click.version_option(package_name=None, version="0.6.0", prog_name="stairhatch")
 def main_group() -> None:
     """A small SIP softswitch for small sites. Without any word, the platform's program is run."""
 
