--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -13,7 +13,7 @@
 from stairhatch.cli.main import main_group
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import ConfigError
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 
 from .peers import ROOT, Caller, InProcessNode, Line, Program, RosterServer, sip_headers, until
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,12 +17,12 @@
 import pytest
 import uvloop
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
-from stairhatch.node.roster import RosterSide
-from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability
 
 from .peers import PATIENCE_S, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
@@ -267,7 +267,7 @@
         server = RosterServer(RosterServer.silent)
         core = inside.core
         inside.follow_loop(asyncio.get_running_loop())
-        network, side, front = Network(core), RosterSide(core, links.append), TrunkFront(core)
+        network, side, front = Network(core), ServerConnectionPool(core, links.append), PlatformFrontend(core)
         core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
@@ -287,8 +287,8 @@
         await come(lambda: core.calls.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
-            connected = link.connected
-            link.connected = lambda: (connected(), all_go())
+            connected = link.connection_made
+            link.connection_made = lambda: (connected(), all_go())
             server.script = RosterServer.answers
             network.dial(link)
             before = 0
@@ -344,8 +344,8 @@
         inside, links = InProcessNode(), []
         core = inside.core
         inside.follow_loop(asyncio.get_running_loop())
-        network, front = Network(core), TrunkFront(core)
-        RosterSide(core, links.append)
+        network, front = Network(core), PlatformFrontend(core)
+        ServerConnectionPool(core, links.append)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -371,7 +371,7 @@
         await come(lambda: link.writing)
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
-        begun = set(link.open)
+        begun = set(link.pending_setups)
         assert len(begun) <= 3, "the link is slow"
         assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
@@ -416,10 +416,10 @@
 def test_a_look_at_the_callers_does_not_count_after_a_standstill():
     """Guards against a process that stands still between the look and the write: its clock has moved on."""
     inside, links = InProcessNode(), []
-    side, front = RosterSide(inside.core, links.append), TrunkFront(inside.core)
+    side, front = ServerConnectionPool(inside.core, links.append), PlatformFrontend(inside.core)
     side.record_changed(inside.core.servers.by_id[1])
     (link,) = links
-    link.connected()
+    link.connection_made()
     callers, looks = [front.connect() for _ in range(3)], []
 
     def look():
@@ -440,5 +440,5 @@
 
     inside.core.attempts.claim_transmission = slow
     started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
-    assert len(looks) == 2 and started == idents[1:] and set(link.open) == set(idents[1:])
+    assert len(looks) == 2 and started == idents[1:] and set(link.pending_setups) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,10 +18,11 @@
 from stairhatch.application import Application
 from stairhatch.config.model import Config
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
+from stairhatch.node.admin_endpoint import MAX_COMMAND_BYTES, AdminConnection
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
-from stairhatch.node.console import MOST_ORDER, Door
 from stairhatch.node.io.accepted_connection import AcceptedConnection
 from stairhatch.node.io.listener import (
     DRAIN_FIRST_REQUEST_S,
@@ -30,10 +31,10 @@
     ListenerLimits,
 )
 from stairhatch.node.io.network import Network
+from stairhatch.node.platform_frontend import CALLER_AFTER_S, PlatformFrontend
 from stairhatch.node.readiness import REJECT_AFTER_S, RELEASE_PATH_S
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
-from stairhatch.node.trunk_front import GREET_S, TrunkFront
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
@@ -84,9 +85,9 @@
 
 def statuses(connection, ident):
     """The answers that a connection of the platform's front has queued for a call; takes them off it."""
-    parser, found = sip.StreamParser(), []
+    parser, found = sip_parser.StreamParser(), []
     parser.feed(connection.data_to_send())
-    while (message := parser.next()) is not None:
+    while (message := parser.next_message()) is not None:
         if message.get("call-id") == ident:
             found.append(message.status or message.method)
     return found
@@ -105,7 +106,7 @@
         ("", False, "empty line"),
         (b"\xff\xfe\x00\x1b[2J\n", False, "unknown order ????"),
         (b"check " * 100, False, "longer than"),
-        ("check " + "x" * MOST_ORDER, False, "longer than"),
+        ("check " + "x" * MAX_COMMAND_BYTES, False, "longer than"),
         (b"chec", True, "unfinished"),
         (b"", True, "unfinished"),
         (b"drain-", False, "no whole line came in time"),
@@ -138,7 +139,7 @@
     """Guards against a yes before calls can be served, and against one dead server that holds it at no."""
     inside, links = InProcessNode(), []
     core = inside.core
-    side = RosterSide(core, links.append)
+    side = ServerConnectionPool(core, links.append)
     core.servers.by_id.clear()
     core.servers.by_instance.clear()
     core.readiness.listening = core.readiness.list_known = False
@@ -150,16 +151,16 @@
     ]
     core.update_servers(lines, True)
     assert "live dead" in core.readiness.health().reason
-    links[0].connected()
+    links[0].connection_made()
     assert "tried yet: dead" in core.readiness.health().reason
-    links[1].failed(refused=False)
+    links[1].connect_failed(refused=False)
     assert "not listening" in core.readiness.health().reason
     core.readiness.listening = True
     assert core.readiness.health().reason == ""
     core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     links[0].connection_lost()
     assert core.readiness.health().reason == "", "what comes and goes later is for the decisions"
-    assert side.links
+    assert side.active
 
 
 def test_a_door_full_of_silent_operators_has_room_at_once():
@@ -169,7 +170,7 @@
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
     with socket.socketpair()[0] as end:
         for _ in range(ADMIN_LIMITS.max_connections):
-            listener.connections[AcceptedConnection(Door(inside.core), end, inside.now)] = None
+            listener.connections[AcceptedConnection(AdminConnection(inside.core), end, inside.now)] = None
         inside.run(0.1)
         assert listener.evict()
 
@@ -215,7 +216,7 @@
         inside.core.readiness.drain(on)
         lines.clear()
         for _ in range(10):
-            Door(inside.core).receive_data(b"check\n")
+            AdminConnection(inside.core).receive_data(b"check\n")
         assert len(lines) == 1
 
 
@@ -302,7 +303,7 @@
     """The platform's front on a core whose clock is set by hand, with a call that stands on one of two
     connections; both have heard a release.
     """
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     one, two = front.connect(), front.connect()
     for connection in (one, two):
         connection.receive_data(trunk_invite(ident := next(IDS)))
@@ -344,20 +345,20 @@
     (drain, snapshot 0737b4e5).
     """
     inside = InProcessNode()
-    _, one, two, ident = front_of(inside)
+    front, one, two, ident = front_of(inside)
     inside.core.readiness.drain(True)
     for each in (one, two):
         each.close_when_idle()
         each.connection_lost()
     inside.core.responses.call_released(inside.core.servers.by_id[1], ident, 16, "", inside.empty_report())
     inside.run(120.0)
-    tests = inside.written[0].call.caller_session.connection.front.connect()
+    tests = front.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     assert statuses(tests, "p") == [503]
-    inside.run(2 * GREET_S)
+    inside.run(2 * CALLER_AFTER_S)
     assert statuses(tests, ident) == []
-    silent = tests.front.connect()
-    inside.run(2 * GREET_S)
+    silent = front.connect()
+    inside.run(2 * CALLER_AFTER_S)
     assert statuses(silent, ident) == ["BYE"]
 
 
@@ -388,7 +389,7 @@
 def test_new_set_ups_are_refused_only_some_time_into_a_drain():
     """Guards against refusing callers who come before the front has heard the no."""
     inside = InProcessNode()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     inside.core.readiness.drain(True)
     inside.run(REJECT_AFTER_S - 0.1)
     connection.receive_data(trunk_invite(early := next(IDS)))
@@ -403,7 +404,7 @@
 def test_a_door_reads_one_line_and_no_more():
     """Guards against orders carried out that follow a first one, or come in pieces without an end."""
     inside = InProcessNode()
-    door = Door(inside.core)
+    door = AdminConnection(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         door.receive_data(piece)
     assert door.data_to_send().startswith(b"ok draining") and door.can_close()
@@ -539,7 +540,7 @@
 def test_open_calls_keep_their_class_and_their_attempts():
     """Guards against a call whose rules change, or that is lost, while it is open."""
     inside = InProcessNode()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
     kept = inside.core.calls.by_ident[old].request.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
@@ -565,7 +566,7 @@
 def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
     """Guards against calls turned away that left before their caller heard of the new settings."""
     inside = InProcessNode()
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     inside.core.update_settings(
         settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings
     )
@@ -796,9 +797,9 @@
 def test_links_that_were_left_are_not_opened_again():
     """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
     inside, links = InProcessNode(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
-    links[0].connected()
+    links[0].connection_made()
     side.send_release(links[0].server, next(IDS), 16)
     assert not side.is_flushed()
     links[0].data_to_send()
@@ -806,7 +807,7 @@
     side.shut_down()
     links[0].connection_lost()
     assert links[0].can_close()
-    side.drop(links[0])
+    side.remove(links[0])
     assert len(links) == 1
 
 
@@ -827,7 +828,7 @@
 
 def listener_of(inside, most, *ends):
     """A listener of the platform's front with one connection accepted for each given end of a pair."""
-    front = TrunkFront(inside.core)
+    front = PlatformFrontend(inside.core)
     loop = SimpleNamespace(time=lambda: inside.now)
     runner = SimpleNamespace(loop=loop, core=inside.core)
     listener = Listener(runner, None, None, front.connect, ListenerLimits(most))
@@ -893,10 +894,10 @@
     given up before it had been open long enough to make it suspect (pieces+silent+leave, snapshot 2875ccb7).
     """
     inside, links = InProcessNode(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    links[0].connected()
-    connection = TrunkFront(inside.core).connect()
+    links[0].connection_made()
+    connection = PlatformFrontend(inside.core).connect()
     for _ in range(4):
         connection.receive_data(trunk_invite(ident := next(IDS)))
         inside.run(0.01)
@@ -905,7 +906,7 @@
         headers = [("call-id", ident), ("cseq", "1 CANCEL")]
         connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
         links[0].data_to_send()
-    assert side.spares and not links[0].open
+    assert side.standby and not links[0].pending_setups
 
 
 def test_a_second_link_that_says_nothing_at_all_is_doubted_at_once():
@@ -913,13 +914,13 @@
     one before: 6 s without set-ups at that server (pieces+silent+leave, snapshot ee1e40c6).
     """
     inside, links = InProcessNode(), []
-    side = RosterSide(inside.core, links.append)
+    side = ServerConnectionPool(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    connection = TrunkFront(inside.core).connect()
+    connection = PlatformFrontend(inside.core).connect()
     began = inside.now
     while len(links) < 4:
-        links[-1].connected()
-        while not side.spares:
+        links[-1].connection_made()
+        while not side.standby:
             connection.receive_data(trunk_invite(ident := next(IDS), "9000"))
             inside.run(0.1)
             links[-1].data_to_send()
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -15,12 +15,13 @@
 
 from stairhatch.config.model import ConfigError
 from stairhatch.config.platform import read_platform
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.roster import parse_load
-from stairhatch.node.trunk_front import TrunkFront
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_messages import parse_load_report
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import SafetyLimits
 from stairhatch.settings.errors import SettingsError
@@ -352,7 +353,7 @@
         pools = told["family_info"]["allowed_pools"][0]
         lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
         self.core.update_servers(lines, True)
-        self.caller = TrunkFront(self.core).connect()
+        self.caller = PlatformFrontend(self.core).connect()
 
     def record_changed(self, server: object) -> None:
         """The core's view of the roster side."""
@@ -378,10 +379,10 @@
         for _ in range(200):  # what is held is looked at again
             self.now += 0.02
             self.core.timers.run_due()
-        parser = sip.StreamParser()
+        parser = sip_parser.StreamParser()
         parser.feed(self.caller.data_to_send())
         found = []
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             found.append(message.status)
         assert len(found) == 1, found
         return found[0]
@@ -427,8 +428,8 @@
     """Guards against a figure taken for another, and an empty report taken for a server at rest: where
     nothing can be used the decisions are told nothing.
     """
-    assert parse_load(text) == report
+    assert parse_load_report(text) == report
     stage = Stage(TENDERS)
     stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
-    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load(text))
+    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load_report(text))
     assert len(stage.told) == (report != LoadReport())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from stairhatch.node import message as sip
+from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import TERMINATED_KEPT_S, ServerRecord
 from stairhatch.node.counters import Counters
-from stairhatch.node.roster import RosterSide
+from stairhatch.node.event_log import MAX_WARNINGS, EventLog
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.node.service_discovery import ANSWER_TIMEOUT_S, ServiceDiscoveryClient
-from stairhatch.node.syslog import MOST_WARNINGS, Log
-from stairhatch.node.trunk_front import TrunkFront
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
@@ -388,7 +388,7 @@
         return caller.finals(waiting)
 
     until(told)
-    assert caller.finals(waiting) == [200] and program.lines("link_dead")
+    assert caller.finals(waiting) == [200] and program.lines("server_connection_dead")
     assert {m["tag"] for m in server.of("FINISH")} == {standing}
     until(lambda: len(server.links) >= 3, "a link for what was released on the dead one")
 
@@ -405,7 +405,7 @@
         time.sleep(0.2)
     server.say("STARTED", ident, server.links[0], blob="d")
     caller.expect(ident, 200)
-    assert len(server.of("START")) == 1 and not program.lines("link_dead")
+    assert len(server.of("START")) == 1 and not program.lines("server_connection_dead")
 
 
 def a_link(now):
@@ -418,10 +418,10 @@
         Counters(),
     )
     links, aborted = [], []
-    side = RosterSide(core, links.append)
+    side = ServerConnectionPool(core, links.append)
     core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
     links[0].abort = lambda: aborted.append(now[0])
-    links[0].connected()
+    links[0].connection_made()
     return core, side, links[0], aborted
 
 
@@ -431,46 +431,46 @@
     """
     now = [1000.0]
     core, side, _, _ = a_link(now)
-    caller = TrunkFront(core).connect()
+    caller = PlatformFrontend(core).connect()
 
     def silent_until_doubted():
         """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
-        link = side.links[1]
+        link = side.active[1]
         caller.receive_data(invite(ident=next(IDS), within="9000"))
         while not link.data_to_send():
             now[0] += 0.01
             core.timers.run_due()
         since = now[0]
-        while not side.spares:
+        while not side.standby:
             now[0] += 0.01
             core.timers.run_due()
             assert now[0] < since + 5, "it was not doubted"
-        spare = side.spares[1]
-        spare.connected()
+        spare = side.standby[1]
+        spare.connection_made()
         for _ in range(3):
             now[0] += 0.3
             spare.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
             core.timers.run_due()
-        for each in list(side.left):  # as the driver does
+        for each in list(side.superseded):  # as the driver does
             each.connection_lost()
-            side.drop(each)
+            side.remove(each)
         return now[0] - since
 
     first = silent_until_doubted()
     for _ in range(3):
         now[0] += 0.2
         core.timers.run_due()
-        for spare in list(side.spares.values()):
-            spare.connected()
+        for spare in list(side.standby.values()):
+            spare.connection_made()
         assert silent_until_doubted() < first + 0.2
 
 
 def asked(core, side, now, within="9000"):
     """A call whose set-up has been written on the link in use."""
-    caller, ident = TrunkFront(core).connect(), next(IDS)
+    caller, ident = PlatformFrontend(core).connect(), next(IDS)
     caller.receive_data(invite(ident=ident, within=within))
     for _ in range(100):
-        if b"START" in side.links[1].data_to_send():
+        if b"START" in side.active[1].data_to_send():
             return ident
         now[0] += 0.01
         core.timers.run_due()
@@ -494,8 +494,8 @@
     core, side, old, _ = a_link(now)
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
-    side.spares[1].connected()
-    assert side.left == [old] and not old.can_close()
+    side.standby[1].connection_made()
+    assert side.superseded == [old] and not old.can_close()
     pass_time(core, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     pass_time(core, now, 20.0)
@@ -515,13 +515,13 @@
     core, side, old, _ = a_link(now)
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
-    side.spares[1].connected()
+    side.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    assert core.calls.is_established(ident) and side.left == [old] and not side.spares
+    assert core.calls.is_established(ident) and side.superseded == [old] and not side.standby
     old.connection_lost()  # as the driver does
-    side.drop(old)
+    side.remove(old)
     pass_time(core, now, 0.2)
-    assert side.spares, "another is dialled"
+    assert side.standby, "another is dialled"
 
 
 def test_of_links_kept_for_calls_the_oldest_ends_before_another_is_opened():
@@ -531,18 +531,18 @@
     now = [1000.0]
     core, side, _, _ = a_link(now)
     for _ in range(6):
-        link = side.links[1]
+        link = side.active[1]
         link.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
         ident = asked(core, side, now)
         link.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-        side._second(link)
+        side.dial_standby(link)
         for each in [
-            each for each in side.left if each.can_close()
+            each for each in side.superseded if each.can_close()
         ]:  # as the driver does, before the next is up
             each.connection_lost()
-            side.drop(each)
-        side.spares[1].connected()
-        assert len(side.left) <= 3
+            side.remove(each)
+        side.standby[1].connection_made()
+        assert len(side.superseded) <= 3
 
 
 @pytest.mark.parametrize(("started", "ends"), [(999.9, False), (1004.0, True)])
@@ -573,14 +573,14 @@
 def test_a_flood_of_one_kind_of_line_is_cut_and_counted(capfd):
     """Guards against a log that takes more of the processor than the calls, at a hostile peer's will."""
     now = [1.0]
-    log = Log("stairhatch", "host", lambda: now[0])
+    log = EventLog("stairhatch", "host", lambda: now[0])
     for _ in range(500):
         log("malformed", side="caller")
     now[0] = 2.5
     log("malformed", side="caller")
     log.close()
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) == MOST_WARNINGS + 1 and lines[-1].endswith("left_out_before=480")
+    assert len(lines) == MAX_WARNINGS + 1 and lines[-1].endswith("suppressed_before=480")
 
 
 def test_timers_that_are_due_together_wake_the_loop_once():
@@ -608,8 +608,8 @@
         Counters(),
     )
     links = []
-    side = RosterSide(core, links.append)
-    front = TrunkFront(core)
+    side = ServerConnectionPool(core, links.append)
+    front = PlatformFrontend(core)
     connection = front.connect()
     for n in range(200):
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
@@ -618,11 +618,11 @@
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
         for link in [link for link in links if link.can_close()]:
             links.remove(link)
-            side.drop(link)  # as the driver does when a link has ended
+            side.remove(link)  # as the driver does when a link has ended
         now[0] += 5
         core.timers.run_due()
-    assert not core.servers.by_id and not core.servers.by_instance and not side.links
-    assert not core.calls.by_number and not front.calls and not core.calls.by_ident
+    assert not core.servers.by_id and not core.servers.by_instance and not side.active
+    assert not core.calls.by_number and not front.registry.calls and not core.calls.by_ident
     assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1
     assert len(core.controller.endpoints) <= 10 and len(core.timers._slots) <= 10
     assert not any("MADE" in name for name in core.counters.counts)
