--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -23,7 +23,7 @@
 from stairhatch.fault_injection.process_run import FaultInjectionRun
 from stairhatch.fault_injection.schedule import FaultSchedule
 from stairhatch.standin.coordinator import line
-from stairhatch.standin.processor import Nature, Processor, State
+from stairhatch.standin.processor import Nature, Processor, ProcessorState
 
 NAMES = ("s0", "s1", "s2", "s3")  # s3 replaces s1
 PAUSED_AT, COLD_AT, ON_AT, ENDS_AT = 10.0, 17.0, 19.0, 30.0
@@ -108,7 +108,7 @@
     print(
         f"{'claimed' if claimed else 'typed  '} seed {seed}: fullest window {100 * share:.0f} in 100 of what"
         f" pushes it over ({count} set-ups, {age:.1f} s after its start); {early} in the first 5 s"
-        f"{', PUSHED OVER' if processor.state is State.FALLEN else ''}",
+        f"{', PUSHED OVER' if processor.state is ProcessorState.FALLEN else ''}",
         flush=True,
     )
 
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -59,7 +59,7 @@
 from stairhatch.standin.behaviour import Say, ends
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import PER_CALL, Nature, Processor, State
+from stairhatch.standin.processor import PER_CALL, Nature, Processor, ProcessorState
 from stairhatch.standin.roster import StandIn
 
 EARLY_S = 12.0
@@ -637,7 +637,7 @@
             "seed": self.seed, "processes": self.count, "story": story.value, "killed": killed,
             "fullest": count, "begun_s": round(begun, 2), "budget": round(REAL.budget(begun), 1),
             "bound": round(REAL.bound(begun), 1), "share": round(share, 3), "early": result.early(),
-            "bearable": round(result.bearable()), "fell": cold.processor.state is State.FALLEN,
+            "bearable": round(result.bearable()), "fell": cold.processor.state is ProcessorState.FALLEN,
         }  # fmt: skip
 
 
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from stairhatch.standin.behaviour import stands
-from stairhatch.standin.caller import Caller, End, Placed
+from stairhatch.standin.caller import Caller, CallResult, Placed
 from stairhatch.standin.ports import free_port
 from stairhatch.standin.roster import StandIn
 
@@ -75,9 +75,9 @@
     ends: dict[str, int] = {}
     times: list[float] = []
 
-    def told(call: Placed, end: End, took_s: float, status: int) -> None:
+    def told(call: Placed, end: CallResult, took_s: float, status: int) -> None:
         ends[f"{end.value}_{status}"] = ends.get(f"{end.value}_{status}", 0) + 1
-        if end is End.STOOD:
+        if end is CallResult.STOOD:
             times.append(took_s)
 
     begun = due = loop.time()
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from stairhatch.conform.cases import Case
-    from stairhatch.conform.run import Result
+    from stairhatch.conform.run import CaseResult
 
 
 @click.command()
@@ -52,7 +52,7 @@
     sys.exit(EXIT_OK if all(finders.values()) else EXIT_FOUND_WRONG)
 
 
-def _show_results(results: list[Result], junit: Path | None) -> NoReturn:
+def _show_results(results: list[CaseResult], junit: Path | None) -> NoReturn:
     """Print the results, write them as JUnit XML if that is asked for, and end."""
     from stairhatch.conform import report
 
--- a/stairhatch/config/appliance/addresses.py
+++ b/stairhatch/config/appliance/addresses.py
@@ -8,7 +8,7 @@
 from stairhatch.config.model import ConfigError
 from stairhatch.node.address import AddressError, parse_address
 from stairhatch.sip.flows import Networks, Place, is_address
-from stairhatch.sip.front import Listener
+from stairhatch.sip.front import SipListener
 
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
@@ -21,7 +21,7 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def listeners_at(path: str, value: Listeners | None) -> tuple[Listener, ...]:
+def listeners_at(path: str, value: Listeners | None) -> tuple[SipListener, ...]:
     """Return what stands under a key of listeners: one or several, each an address or a table.
 
     Raises ConfigError for a name in place of an address, one that stands twice, or a network that is none.
@@ -30,7 +30,7 @@
         return ()
     if not isinstance(value, list):
         return (_listener(path, value),)
-    listeners: list[Listener] = []
+    listeners: list[SipListener] = []
     for index, each in enumerate(value):
         listener = _listener(f"{path}[{index}]", each)
         if any(listener.place == other.place for other in listeners):
@@ -40,13 +40,13 @@
     return tuple(listeners)
 
 
-def _listener(path: str, value: str | ListenerTable) -> Listener:
+def _listener(path: str, value: str | ListenerTable) -> SipListener:
     table = value if isinstance(value, ListenerTable) else ListenerTable(value)
     place = address_at(path, table.address)
     if not is_address(place[0]):
         raise ConfigError(f"{path}: {place[0]!r} is a name; names are not looked up")
     networks = (_network(f"{path}.allow[{order}]", text) for order, text in enumerate(table.allow))
-    return Listener(place, Networks(tuple(networks)))
+    return SipListener(place, Networks(tuple(networks)))
 
 
 def _network(path: str, text: str) -> Network:
--- a/stairhatch/conform/faults.py
+++ b/stairhatch/conform/faults.py
@@ -35,7 +35,7 @@
 
 def _no_resend_end(self: Any, key: bytes, gap: float, passed: float) -> None:
     transaction = self.servers.get(key)
-    if transaction is not None and transaction.state is transactions.State.COMPLETED:
+    if transaction is not None and transaction.state is transactions.TransactionState.COMPLETED:
         transaction.flow.send(transaction.last)
         self.clockwork.timers.schedule(
             self.clockwork.clock() + 4.0, lambda: _no_resend_end(self, key, gap, passed)
@@ -122,7 +122,9 @@
 
 def _always_good(self: Any, method: str, uri: str, values: Any) -> auth.Judged:
     found = list(values)
-    return auth.Judged(auth.Verdict.GOOD, "office") if found else auth.Judged(auth.Verdict.NONE)
+    return (
+        auth.Judged(auth.CredentialCheck.GOOD, "office") if found else auth.Judged(auth.CredentialCheck.NONE)
+    )
 
 
 def _closes(self: flows.SipConnection, data: Any) -> None:
@@ -182,7 +184,7 @@
     "transactions are told apart by the branch alone": [(heads.Head, "key_of", _own_key)],
     "a CANCEL ends nothing": [(L, "cancelled", _nothing)],
     "a late CANCEL ends the call": [(F, "_cancel", _cancel_always)],
-    "numbers may go back": [(dialogs.Dialog, "order", lambda self, cseq: dialogs.Order.NEXT)],
+    "numbers may go back": [(dialogs.Dialog, "order", lambda self, cseq: dialogs.SequenceOrder.NEXT)],
     "BYE goes before the ACK": [(L, "released", _bye_at_once)],
     "our requests are not sent again": [(T, "_unheard", _nothing)],
     "our requests are sent for ever": [(T, "_unheard", _bye_twice)],
--- a/stairhatch/conform/report.py
+++ b/stairhatch/conform/report.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 from xml.etree import ElementTree
 
-from stairhatch.conform.run import Result
+from stairhatch.conform.run import CaseResult
 
 
-def table(results: Iterable[Result]) -> str:
+def table(results: Iterable[CaseResult]) -> str:
     """A line for each section of an RFC."""
-    sections: dict[str, list[Result]] = {}
+    sections: dict[str, list[CaseResult]] = {}
     for result in results:
         sections.setdefault(result.case.section, []).append(result)
     lines = [f"{'section':34} {'passed':>7} {'failed':>7} {'skipped':>8}"]
@@ -28,7 +28,7 @@
     return words[0], numbers
 
 
-def failures(results: Iterable[Result], transcripts: bool = True) -> str:
+def failures(results: Iterable[CaseResult], transcripts: bool = True) -> str:
     """Each case that failed, with what went over the wire."""
     text = ""
     for result in results:
@@ -40,7 +40,7 @@
     return text
 
 
-def junit(results: list[Result]) -> str:
+def junit(results: list[CaseResult]) -> str:
     """The run as JUnit XML."""
     suite = ElementTree.Element(
         "testsuite", name="stairhatch-conform", tests=str(len(results)),
--- a/stairhatch/conform/run.py
+++ b/stairhatch/conform/run.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from stairhatch.conform.cases import Case
-from stairhatch.conform.stage import Stage, Wire, messages
+from stairhatch.conform.stage import CallerTransport, ConformanceEnvironment, messages
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.sip import auth, grammar
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Result:
+class CaseResult:
     """What came of a case."""
 
     case: Case
@@ -82,11 +82,11 @@
 class Player:
     """One case at play."""
 
-    def __init__(self, case: Case, stage: Stage) -> None:
+    def __init__(self, case: Case, stage: ConformanceEnvironment) -> None:
         self.case, self.stage = case, stage
         self.serial = next(_serials)
         self.begun = stage.now()
-        self.wires: dict[str, Wire] = {}
+        self.wires: dict[str, CallerTransport] = {}
         self.parsers: dict[str, sip_parser.StreamParser | None] = {}
         self.calls: dict[str, Held] = {}
         self.came: list[Came] = []
@@ -94,7 +94,7 @@
         self.branches = count(1)
         self.transcript: list[str] = []
 
-    def play(self) -> Result:
+    def play(self) -> CaseResult:
         """All steps; the first that fails ends it."""
         number, why = 0, ""
         try:
@@ -104,11 +104,11 @@
             why = str(error)
         except (sip_parser.SipError, grammar.GrammarError, OSError, ValueError) as error:
             why = f"{type(error).__name__}: {error}"
-        return Result(self.case, why, number, self.stage.now() - self.begun, "", self.transcript)
+        return CaseResult(self.case, why, number, self.stage.now() - self.begun, "", self.transcript)
 
     # ---- what the caller sends ----
 
-    def _wire(self, name: str) -> Wire:
+    def _wire(self, name: str) -> CallerTransport:
         if name not in self.wires:
             other = {"tcp": "udp", "udp": "tcp"}[self.case.transport]
             transport = other if name.startswith("other") else self.case.transport
@@ -405,7 +405,7 @@
             raise FailedError(f"{found} came, not {step['count']}")
 
 
-def play(case: Case, stage: Stage) -> Result:
+def play(case: Case, stage: ConformanceEnvironment) -> CaseResult:
     """One case; what it opened is closed."""
     try:
         return Player(case, stage).play()
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conform/stage.py
@@ -23,13 +23,13 @@
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.sip.flows import SipConnection
-from stairhatch.sip.front import Listener, SipConfig, SipFront
+from stairhatch.sip.front import SipConfig, SipFront, SipListener
 from stairhatch.standin.behaviour import Say, script_for
 
 Place = tuple[str, int]
 
 
-class Wire(Protocol):
+class CallerTransport(Protocol):
     """A caller's way: one connection, or one port."""
 
     host: str  # as its Via and Contact say
@@ -39,13 +39,13 @@
     def close(self) -> None: ...
 
 
-class Stage(Protocol):
+class ConformanceEnvironment(Protocol):
     """Where a case is played."""
 
-    def open(self, transport: str) -> Wire: ...
+    def open(self, transport: str) -> CallerTransport: ...
     def now(self) -> float: ...
     def wait(self, seconds: float) -> None: ...
-    def heard(self, wire: Wire) -> list[tuple[float, bytes]]: ...
+    def heard(self, wire: CallerTransport) -> list[tuple[float, bytes]]: ...
     def close(self) -> None: ...
 
 
@@ -99,7 +99,7 @@
         self.core.readiness.listening = self.core.readiness.list_known = True
         for server in self.core.servers.by_id.values():
             server.dial_attempted = server.connected = True
-        at = (Listener(("127.0.0.1", 5060)),)
+        at = (SipListener(("127.0.0.1", 5060)),)
         told: dict[str, Any] = {
             "udp": at, "tcp": at, "contact": "", "default_class": "read-roster",
             "numbers": (("7", "save-roster", 0),), **config,
@@ -208,7 +208,7 @@
         self.time = end
         self.carry()
 
-    def heard(self, wire: Wire) -> list[tuple[float, bytes]]:
+    def heard(self, wire: CallerTransport) -> list[tuple[float, bytes]]:
         """What came on a wire since this was asked last."""
         assert isinstance(wire, InnerWire)
         got, wire.got = wire.got, []
@@ -285,7 +285,7 @@
         else:
             time.sleep(seconds)
 
-    def heard(self, wire: Wire) -> list[tuple[float, bytes]]:
+    def heard(self, wire: CallerTransport) -> list[tuple[float, bytes]]:
         """What came on a wire since this was asked last."""
         assert isinstance(wire, OuterWire)
         got = []
--- a/stairhatch/conform/suite.py
+++ b/stairhatch/conform/suite.py
@@ -11,7 +11,7 @@
 
 from stairhatch.conform.cases import FOLDER, Case, read_cases
 from stairhatch.conform.faults import FAULTS, planted
-from stairhatch.conform.run import PASSWORD, REALM, USER, Result, play
+from stairhatch.conform.run import PASSWORD, REALM, USER, CaseResult, play
 from stairhatch.conform.stage import Inside, Outside, Place
 from stairhatch.sip import auth
 from stairhatch.sip.front import AuthConfig
@@ -31,7 +31,7 @@
     return Inside(auth=AuthConfig(REALM, users, ALGORITHMS, 300.0))
 
 
-def run_inside(cases: Iterable[Case]) -> list[Result]:
+def run_inside(cases: Iterable[Case]) -> list[CaseResult]:
     """Play cases in process."""
     return [play(case, inside_for(case)) for case in cases]
 
@@ -42,12 +42,12 @@
     tcp: Place | None,
     slow: bool = False,
     has_auth: bool = False,
-) -> list[Result]:
+) -> list[CaseResult]:
     """Play cases against a program that listens at these addresses; what it can't show is skipped. Where it
     asks for users, only the cases about that are played.
     """
 
-    def one(case: Case) -> Result:
+    def one(case: Case) -> CaseResult:
         why = ""
         if {"udp": udp, "tcp": tcp}[case.transport] is None:
             why = f"no {case.transport} address was given"
@@ -55,7 +55,7 @@
             why = "its waits are long: --slow"
         elif ("auth" in case.needs) is not has_auth:
             why = "it needs a program that asks " + ("for none" if has_auth else "for users")
-        result = Result(case, skipped=why) if why else play(case, Outside(udp, tcp))
+        result = CaseResult(case, skipped=why) if why else play(case, Outside(udp, tcp))
         for _ in range(AGAIN):
             if "503 came for INVITE" not in result.why:
                 break
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -17,7 +17,7 @@
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
 from stairhatch.node.address import format_address
-from stairhatch.standin.caller import Caller, End, Placed
+from stairhatch.standin.caller import Caller, CallResult, Placed
 from stairhatch.standin.roster import StandIn
 
 NUMBERS = ("1000",) * 8 + ("1100",) * 4 + ("7000",) * 4 + ("1400",) * 2 + ("1500",) * 2 + ("1700",)
@@ -88,7 +88,7 @@
         self.ends: Counter[str] = Counter()
         self.placed = 0
 
-    def ended(self, call: Placed, end: End, took_s: float, status: int) -> None:
+    def ended(self, call: Placed, end: CallResult, took_s: float, status: int) -> None:
         """A call has its final answer."""
         self.ends[end.value] += 1
         self.say(f"  call to {call.number}: {end.value} ({status}) after {took_s * 1000:.0f} ms")
--- a/stairhatch/fault_injection/background_tasks.py
+++ b/stairhatch/fault_injection/background_tasks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class BackgroundTasks:
+class RunTasks:
     """Tasks that are cancelled together, kept so that the event loop does not lose them."""
 
     def __init__(self) -> None:
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 
 from stairhatch.fault_injection.member_process import MemberProcess
-from stairhatch.load.rules import Broken, Checker, Seen, What
-from stairhatch.standin.caller import Caller, End, Placed
+from stairhatch.load.rules import Broken, Checker, ObservationKind, Seen
+from stairhatch.standin.caller import Caller, CallResult, Placed
 from stairhatch.standin.roster import StandIn
 
 CALL_DURATION_S = 0.5
@@ -36,7 +36,7 @@
         self.rng = random.Random(f"callers {seed}")
         self.observations: list[Seen] = []
         self.member_by_number: dict[str, MemberProcess] = {}  # by the number called
-        self.end_counts = dict.fromkeys(End, 0)
+        self.end_counts = dict.fromkeys(CallResult, 0)
         self.answer_times_s: list[float] = []  # to each final answer
         self.tasks: list[asyncio.Task[None]] = []
         for index, server in enumerate(servers):
@@ -44,12 +44,14 @@
 
     def _server_observer(self, server: str) -> Callable[[str, str], None]:
         def observe(what: str, number: str) -> None:
-            self.observations.append(Seen(time.monotonic(), What(what), number, server))
+            self.observations.append(Seen(time.monotonic(), ObservationKind(what), number, server))
 
         return observe
 
     def _observe_caller(self, what: str, call: Placed, status: int, text: str) -> None:
-        self.observations.append(Seen(time.monotonic(), What(what), call.number, value=status, text=text))
+        self.observations.append(
+            Seen(time.monotonic(), ObservationKind(what), call.number, value=status, text=text)
+        )
 
     async def open(self) -> None:
         """Begin to call."""
@@ -70,7 +72,7 @@
         finally:
             caller.close()
 
-    def _on_ended(self, _call: Placed, end: End, took_s: float, _status: int) -> None:
+    def _on_ended(self, _call: Placed, end: CallResult, took_s: float, _status: int) -> None:
         self.end_counts[end] += 1
         self.answer_times_s.append(took_s)
 
@@ -82,7 +84,7 @@
     def count_established_since(self, at_s: float) -> int:
         """Count the calls that were answered with 200 after that time."""
         return sum(
-            each.what is What.FINAL and each.value == STATUS_OK and each.at > at_s
+            each.what is ObservationKind.FINAL and each.value == STATUS_OK and each.at > at_s
             for each in self.observations
         )
 
@@ -93,7 +95,7 @@
         not be set up twice either.
         """
         found = Checker(time.monotonic(), slack_s, ANSWER_LIMIT_S).check(self.observations)
-        begun = {each.call: each.at for each in self.observations if each.what is What.ASKED}
+        begun = {each.call: each.at for each in self.observations if each.what is ObservationKind.ASKED}
         return [
             each
             for each in found
--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -15,7 +15,7 @@
 
 from msgspec.structs import replace
 
-from stairhatch.fault_injection.background_tasks import BackgroundTasks
+from stairhatch.fault_injection.background_tasks import RunTasks
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.lease_rules import hold_intervals
 from stairhatch.fault_injection.member_process import MemberProcess
@@ -62,7 +62,7 @@
         self.links = links
         self.rng = rng
         self.write_config = write_config
-        self.tasks = BackgroundTasks()
+        self.tasks = RunTasks()
         self.started_at = 0.0
         self.activations: Counter[str] = Counter()
         self.waiting_faults: list[ScheduledFault] = []
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from stairhatch.fault_injection.background_tasks import BackgroundTasks
+from stairhatch.fault_injection.background_tasks import RunTasks
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
@@ -35,7 +35,7 @@
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import Nature, Processor, State
+from stairhatch.standin.processor import Nature, Processor, ProcessorState
 from stairhatch.standin.roster import StandIn
 
 READY_TIMEOUT_S = 30.0
@@ -80,7 +80,7 @@
         self.members: dict[str, MemberProcess] = {}
         self.servers: list[StandIn] = []
         self.coordinator = Coordinator()
-        self.tasks = BackgroundTasks()
+        self.tasks = RunTasks()
         self.started_at = 0.0
         self.stall = Stall()
         self.used_ports: set[int] = set()
@@ -195,7 +195,7 @@
                 self.calls_per_s and not self.callers.count_established_since(quiet_since)
             ),
             overloaded_servers=sum(
-                server.processor is not None and server.processor.state is State.FALLEN
+                server.processor is not None and server.processor.state is ProcessorState.FALLEN
                 for server in self.servers
             ),
             datagrams_forwarded=self.links.datagrams_forwarded,
--- a/stairhatch/fault_injection/summary.py
+++ b/stairhatch/fault_injection/summary.py
@@ -8,7 +8,7 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Result(Protocol):
+class FaultInjectionResult(Protocol):
     """What a summary needs of the result of one run."""
 
     @property
@@ -28,7 +28,7 @@
         """Whether all clocks kept to the drift bound."""
 
 
-ResultT = TypeVar("ResultT", bound=Result)
+ResultT = TypeVar("ResultT", bound=FaultInjectionResult)
 
 
 @dataclass
--- a/stairhatch/load/experiment.py
+++ b/stairhatch/load/experiment.py
@@ -20,9 +20,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from stairhatch.load.plan import Phase, Plan, PlanError, checked
+from stairhatch.load.plan import LoadPlan, Phase, PlanError, checked
 from stairhatch.load.rosters import RosterPlan
-from stairhatch.load.run import ROOT, Order, Report, Setup, run
+from stairhatch.load.run import ROOT, OperatorCommand, Report, Setup, run
 from stairhatch.load.weather import Weather
 
 SHOWN = (  # figure, heading, form
@@ -52,7 +52,7 @@
     """The file of an experiment."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
-    load: Plan
+    load: LoadPlan
     side: Annotated[tuple[Side, ...], Meta(min_length=1)]
     rates: tuple[Annotated[float, Meta(gt=0, le=20_000)], ...] = ()  # in place of the load's own phases
     seconds: Annotated[float, Meta(gt=0, le=3600)] = 30.0  # at each rate
@@ -137,7 +137,7 @@
     return Setup(
         plan=plan, seed=experiment.seed + repeat, workers=experiment.workers, rosters=experiment.rosters,
         weather=experiment.weather, tree=tree, sip=side.sip,
-        orders=tuple(Order(each.at, each.signal) for each in experiment.signals),
+        orders=tuple(OperatorCommand(each.at, each.signal) for each in experiment.signals),
     )  # fmt: skip
 
 
--- a/stairhatch/load/habit.py
+++ b/stairhatch/load/habit.py
@@ -7,14 +7,14 @@
 import random
 from dataclasses import dataclass, field
 
-from stairhatch.load.plan import Due, Habits, Office
+from stairhatch.load.plan import DueCall, Habits, Office
 
 
 @dataclass(slots=True)
 class Try:
     """One call of a caller, over all its tries."""
 
-    due: Due
+    due: DueCall
     begun: float  # when the first try was due
     tries: int = 1
     over: bool = False  # it stands, or has been given up
--- a/stairhatch/load/office.py
+++ b/stairhatch/load/office.py
@@ -12,28 +12,28 @@
 
 from stairhatch.load.clock import Stall
 from stairhatch.load.habit import Throttle, Try, redial_after
-from stairhatch.load.plan import Due, Office, Plan, Transport, calls, offices
-from stairhatch.load.tally import Tally
+from stairhatch.load.plan import DueCall, LoadPlan, Office, Transport, calls, offices
+from stairhatch.load.tally import LoadTally
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
-from stairhatch.standin.caller import Caller, End, Placed
+from stairhatch.standin.caller import Caller, CallResult, Placed
 
 Place = tuple[str, int]
 VANISH_S = 0.02  # a caller that vanishes does so this soon after its set-up
 LAST_S = 3.0  # after the last call's time: ends of calls and their copies
-ENDS = {End.REFUSED: "refused", End.FAILED: "failed", End.UNHEARD: "unheard"}
+ENDS = {CallResult.REFUSED: "refused", CallResult.FAILED: "failed", CallResult.UNHEARD: "unheard"}
 
 
 class Desk:
     """The offices of one worker."""
 
     def __init__(
-        self, plan: Plan, seed: int, places: dict[Transport, Place], worker: int = 0, workers: int = 1
+        self, plan: LoadPlan, seed: int, places: dict[Transport, Place], worker: int = 0, workers: int = 1
     ) -> None:
         self.plan, self.seed, self.places = plan, seed, places
         self.worker, self.workers = worker, workers
         self.loop = asyncio.get_running_loop()
-        self.tally = Tally()
+        self.tally = LoadTally()
         self.record: list[tuple[float, str, str, int, str]] = []  # time, what, number called, status, text
         self.mine = [each for each in offices(plan) if each.index % workers == worker]
         self.callers: dict[int, Caller] = {}
@@ -86,7 +86,7 @@
 
     # ---- one call ----
 
-    def _first(self, due: Due) -> None:
+    def _first(self, due: DueCall) -> None:
         now = time.monotonic()
         begun = self.begun + due.at
         self.tally.asked(due.kind, due.at, now - begun)
@@ -118,12 +118,12 @@
         else:
             caller.cancel(call)
 
-    def _ended(self, this: Try, call: Placed, end: End, took_s: float, status: int) -> None:
+    def _ended(self, this: Try, call: Placed, end: CallResult, took_s: float, status: int) -> None:
         """A try has its answer, or never will."""
         if this.over:
             return
         now, due = time.monotonic(), this.due
-        if end is End.STOOD:
+        if end is CallResult.STOOD:
             this.over = True
             self.tally.ended(due.kind, due.at, "stood", now - this.begun)
             return
@@ -132,7 +132,9 @@
         wait = redial_after(this, now, call.return_s, mine, self.plan.habits, chance)
         if wait is None:
             this.over = True
-            self.tally.ended(due.kind, due.at, ENDS[end], None if end is End.UNHEARD else now - this.begun)
+            self.tally.ended(
+                due.kind, due.at, ENDS[end], None if end is CallResult.UNHEARD else now - this.begun
+            )
             return
         this.tries += 1
         self.loop.call_later(wait, self._redial, this)
--- a/stairhatch/load/plan.py
+++ b/stairhatch/load/plan.py
@@ -86,7 +86,7 @@
     oc_lies: Share = 0.0  # of the offices: say that they know it and send on
 
 
-class Plan(Struct, forbid_unknown_fields=True, frozen=True):
+class LoadPlan(Struct, forbid_unknown_fields=True, frozen=True):
     """A load."""
 
     phase: Annotated[tuple[Phase, ...], Meta(min_length=1)]
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class DueCall:
     """One call, as it is due."""
 
     at: float  # seconds after the beginning
@@ -143,7 +143,7 @@
     oc_lies: bool  # and does not do as it is told
 
 
-def read_plan(path: Path) -> Plan:
+def read_plan(path: Path) -> LoadPlan:
     """A load from a TOML file; PlanError names what can't be used."""
     try:
         return plan_from(tomllib.loads(path.read_text(encoding="utf-8")))
@@ -155,16 +155,16 @@
         raise PlanError(f"{path}: {error}") from None
 
 
-def plan_from(raw: object) -> Plan:
+def plan_from(raw: object) -> LoadPlan:
     """A load from decoded TOML."""
     try:
-        plan = msgspec.convert(raw, Plan)
+        plan = msgspec.convert(raw, LoadPlan)
     except msgspec.ValidationError as error:
         raise PlanError(str(error)) from None
     return checked(plan)
 
 
-def checked(plan: Plan) -> Plan:
+def checked(plan: LoadPlan) -> LoadPlan:
     """The load, if its parts fit together; PlanError names what does not."""
     if abs(sum(kind.share for kind in plan.kind) - 1.0) > 1e-6:
         raise PlanError("kind: the shares come to other than 1")
@@ -175,7 +175,7 @@
     return plan
 
 
-def offices(plan: Plan) -> list[Office]:
+def offices(plan: LoadPlan) -> list[Office]:
     """All sources. Each share is of their number, to the nearest whole one; who has it is drawn by its name,
     so that the traits are independent.
     """
@@ -199,7 +199,7 @@
     ]
 
 
-def calls(plan: Plan, seed: int, worker: int = 0, workers: int = 1) -> Iterator[Due]:
+def calls(plan: LoadPlan, seed: int, worker: int = 0, workers: int = 1) -> Iterator[DueCall]:
     """The calls of one worker's offices (those whose index is `worker` modulo `workers`), in order.
 
     A Poisson process of changing rate by thinning (Lewis and Shedler, 1979). All workers draw the same calls
@@ -223,5 +223,5 @@
         vanishes = fate < plan.habits.vanish
         cancels = not vanishes and fate < plan.habits.vanish + plan.habits.cancels
         if office % workers == worker:
-            yield Due(at, serial, office, kind, hold_s, vanishes, cancels)
+            yield DueCall(at, serial, office, kind, hold_s, vanishes, cancels)
         serial += 1
--- a/stairhatch/load/rosters.py
+++ b/stairhatch/load/rosters.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from stairhatch.load.clock import Stall
-from stairhatch.standin.processor import Nature, Processor, State
+from stairhatch.standin.processor import Nature, Processor, ProcessorState
 from stairhatch.standin.roster import StandIn
 
 LINES = 100_000
@@ -85,10 +85,10 @@
                 server.cut()
                 processor.start_cold(now)
             case "drain":
-                processor.state = State.DRAINING
+                processor.state = ProcessorState.DRAINING
             case "down":
                 await server.close()
-                processor.state = State.GONE
+                processor.state = ProcessorState.GONE
             case "up":
                 processor.start_cold(now)
                 await server.listen(*server.place)
--- a/stairhatch/load/rules.py
+++ b/stairhatch/load/rules.py
@@ -17,7 +17,7 @@
 UNACKED_S = 32.0  # 64 T1
 
 
-class What(Enum):
+class ObservationKind(Enum):
     """What was seen, by whom."""
 
     ASKED = "asked"  # a caller sent its set-up; copies count not
@@ -39,7 +39,7 @@
     """One event. `call` is the name that both sides know."""
 
     at: float
-    what: What
+    what: ObservationKind
     call: str
     server: str = ""
     value: int = 0
@@ -84,7 +84,7 @@
         """All rules over one run."""
         by_call: dict[str, list[Seen]] = defaultdict(list)
         for seen in sorted(events, key=lambda each: each.at):
-            if seen.what is What.TOLD_DRAIN:
+            if seen.what is ObservationKind.TOLD_DRAIN:
                 self.drains.setdefault(seen.server, seen.at)
             else:
                 by_call[seen.call].append(seen)
@@ -100,8 +100,8 @@
 
     def _answers(self, call: str, story: list[Seen]) -> None:
         """One final answer a call, and no other one after it."""
-        asked = next((each for each in story if each.what is What.ASKED), None)
-        finals = [each for each in story if each.what is What.FINAL]
+        asked = next((each for each in story if each.what is ObservationKind.ASKED), None)
+        finals = [each for each in story if each.what is ObservationKind.FINAL]
         if asked is None:
             if finals:
                 self._break("answer", call, finals[0].at, "an answer to a call that nobody asked for")
@@ -109,7 +109,9 @@
         for other in finals[1:]:
             if (other.value, other.text) != (finals[0].value, finals[0].text):
                 self._break("answer", call, other.at, f"{other.value} after {finals[0].value}")
-        left = any(each.what in (What.HUNG_UP, What.VANISHED) for each in story)  # none is owed
+        left = any(
+            each.what in (ObservationKind.HUNG_UP, ObservationKind.VANISHED) for each in story
+        )  # none is owed
         if not finals and not left and self.until > asked.at + self.limit_s + self.slack_s:
             self._break("answer", call, asked.at, "no final answer")
 
@@ -118,14 +120,14 @@
         last: _Out | None = None
         count = 0
         for seen in story:
-            if seen.what is What.SET_UP:
+            if seen.what is ObservationKind.SET_UP:
                 count += 1
                 self._set_up(call, seen, last)
                 last = _Out(seen.server, seen.at)
             elif last is not None and last.ended is None and seen.server == last.server:
-                if seen.what in (What.REFUSED, What.ENDED):
+                if seen.what in (ObservationKind.REFUSED, ObservationKind.ENDED):
                     last.ended = seen.at
-                elif seen.what in (What.GIVEN_UP, What.BROKE):
+                elif seen.what in (ObservationKind.GIVEN_UP, ObservationKind.BROKE):
                     last.ended, last.unclear = seen.at, True
         if count > MOST_ATTEMPTS:
             self._break("attempts", call, story[0].at, f"{count} set-ups")
@@ -146,18 +148,18 @@
         """What stood at a server and is over for its caller is released there, and the reverse. That a
         caller has vanished is known only once its ACK has not come for 64 T1 (RFC 3261, 13.3.1.4).
         """
-        stood = next((each for each in reversed(story) if each.what is What.STOOD), None)
+        stood = next((each for each in reversed(story) if each.what is ObservationKind.STOOD), None)
         if stood is None:
             return
-        ends = (What.GIVEN_UP, What.ENDED, What.BROKE)
+        ends = (ObservationKind.GIVEN_UP, ObservationKind.ENDED, ObservationKind.BROKE)
         over_there = [e for e in story if e.at >= stood.at and e.what in ends]
-        gone = [e for e in story if e.what is What.VANISHED]
-        over_here = [e for e in story if e.what in (What.HUNG_UP, What.TOLD_END)]
-        refused = [e for e in story if e.what is What.FINAL and e.value >= 300]
+        gone = [e for e in story if e.what is ObservationKind.VANISHED]
+        over_here = [e for e in story if e.what in (ObservationKind.HUNG_UP, ObservationKind.TOLD_END)]
+        refused = [e for e in story if e.what is ObservationKind.FINAL and e.value >= 300]
         done = over_here or refused
         if done and not over_there and self.until > max(done[0].at, stood.at) + RELEASE_S:
             self._break("release", call, stood.at, f"it still stands at {stood.server}")
-        ended = next((each for each in over_there if each.what is What.ENDED), None)
+        ended = next((each for each in over_there if each.what is ObservationKind.ENDED), None)
         if gone and not over_there and self.until > stood.at + UNACKED_S + RELEASE_S:
             self._break("release", call, stood.at, f"its caller vanished, it still stands at {stood.server}")
         if ended and not done and not gone and self.until > ended.at + RELEASE_S:
--- a/stairhatch/load/run.py
+++ b/stairhatch/load/run.py
@@ -21,10 +21,10 @@
 
 import msgspec
 
-from stairhatch.load.plan import Plan, Transport, offices
+from stairhatch.load.plan import LoadPlan, Transport, offices
 from stairhatch.load.rosters import RosterPlan
-from stairhatch.load.rules import SLACK_S, Broken, Checker, Seen, What
-from stairhatch.load.tally import Tally
+from stairhatch.load.rules import SLACK_S, Broken, Checker, ObservationKind, Seen
+from stairhatch.load.tally import LoadTally
 from stairhatch.load.weather import Weather
 from stairhatch.standin.ports import free_port
 
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class OperatorCommand:
     """Something done to the program while the load is on."""
 
     at: float
@@ -82,7 +82,7 @@
 class Setup:
     """What a run is made of. Without `places` the program is started from `tree`."""
 
-    plan: Plan
+    plan: LoadPlan
     seed: int = 1
     workers: int = 2
     places: dict[Transport, tuple[str, int]] = field(default_factory=dict)
@@ -90,14 +90,14 @@
     weather: Weather = field(default_factory=Weather)
     tree: Path = ROOT
     sip: str = ""  # more lines of [sip]
-    orders: tuple[Order, ...] = ()
+    orders: tuple[OperatorCommand, ...] = ()
 
 
 @dataclass(slots=True)
 class Report:
     """What came of a run."""
 
-    tally: Tally
+    tally: LoadTally
     seconds: float
     broken: list[Broken]
     servers: list[dict[str, Any]]
@@ -292,7 +292,7 @@
 def _report(
     setup: Setup, found: list[dict[str, Any]], rosters: Child | None, program: Program | None
 ) -> Report:
-    tally = Tally()
+    tally = LoadTally()
     for each in found:
         tally.add(each["tally"])
     used = program.told() if program is not None else {}
@@ -311,6 +311,6 @@
 
 def _seen(callers: list[Any], servers: list[Any]) -> Iterator[Seen]:
     for at, what, call, status, text in callers:
-        yield Seen(at, What(what), call, value=status, text=text)
+        yield Seen(at, ObservationKind(what), call, value=status, text=text)
     for at, what, call, server in servers:
-        yield Seen(at, What(what), call, server=server)
+        yield Seen(at, ObservationKind(what), call, server=server)
--- a/stairhatch/load/tally.py
+++ b/stairhatch/load/tally.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class LoadTally:
     """One process's count of a run, or the sum of several."""
 
     counts: Counter[str] = field(default_factory=Counter)
--- a/stairhatch/load/worker.py
+++ b/stairhatch/load/worker.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from stairhatch.load.office import Desk
-from stairhatch.load.plan import Plan, Transport
+from stairhatch.load.plan import LoadPlan, Transport
 from stairhatch.load.relay import Relay
 from stairhatch.load.rosters import RosterPlan, Rosters
 from stairhatch.load.weather import Weather
@@ -38,7 +38,7 @@
     told = json.loads(await lines.readline())
     match told["role"]:
         case "offices":
-            plan = msgspec.convert(told["plan"], Plan)
+            plan = msgspec.convert(told["plan"], LoadPlan)
             places = {Transport(name): (host, port) for name, (host, port) in told["places"].items()}
             desk = Desk(plan, told["seed"], places, told["worker"], told["workers"])
             await desk.open()
--- a/stairhatch/scale/clock.py
+++ b/stairhatch/scale/clock.py
@@ -16,7 +16,7 @@
 
 from stairhatch.fault_injection.schedule import ScheduledFault as Cut
 from stairhatch.load.weather import Way, Weather
-from stairhatch.scale.plan import Happens, Places, Plan, What
+from stairhatch.scale.plan import Happens, Places, PlannedEventKind, ScalePlan
 
 BEGIN = 1_000_000.0  # what the clock shows at first: a Unix time, since the list tells starts in those
 RESEND_S = 0.2  # after which a stream sends again what was lost (the least RTO that Linux has)
@@ -53,7 +53,7 @@
             self.leave()
 
 
-class Due:
+class ScheduledEvent:
     """Something that is due; a loop's handle to those who asked for it."""
 
     __slots__ = ("act", "args")
@@ -74,23 +74,23 @@
         self.now = BEGIN
         self.done = 0
         self._order = count()
-        self._queue: list[tuple[float, int, Due]] = []
+        self._queue: list[tuple[float, int, ScheduledEvent]] = []
 
     def time(self) -> float:
         """Seconds."""
         return self.now
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """Have something done."""
-        due = Due(callback, args)
+        due = ScheduledEvent(callback, args)
         heapq.heappush(self._queue, (max(when, self.now), next(self._order), due))
         return due
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """The same, after so long."""
         return self.call_at(self.now + delay, callback, *args)
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """After what is being done now."""
         return self.call_at(self.now, callback, *args)
 
@@ -107,7 +107,7 @@
         self.now = max(self.now, until)
 
 
-class Part:
+class ProcessClock:
     """The clock as one part of a run has it: what it asks for is its own time, and nothing more comes once
     its process is over.
     """
@@ -120,15 +120,15 @@
         """Seconds."""
         return self.clock.now
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """Have something done."""
         return self.clock.call_at(when, self._run, callback, args)
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """The same, after so long."""
         return self.clock.call_at(self.clock.now + delay, self._run, callback, args)
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Due:
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
         """After what is being done now."""
         return self.clock.call_at(self.clock.now, self._run, callback, args)
 
@@ -144,10 +144,10 @@
 class Net:
     """The wire between the machines of a run."""
 
-    def __init__(self, plan: Plan, places: Places, clock: Clock) -> None:
+    def __init__(self, plan: ScalePlan, places: Places, clock: Clock) -> None:
         self.plan, self.places, self.clock = plan, places, clock
         self.bites: Counter[str] = Counter()
-        self.cuts: list[tuple[float, What, Cut]] = []  # those that are on, and until when
+        self.cuts: list[tuple[float, PlannedEventKind, Cut]] = []  # those that are on, and until when
         self.stream_bytes = 0
         chance = random.Random(f"wire {plan.seed}")
 
@@ -164,7 +164,7 @@
 
     def cut_until(self, one: int, other: int) -> float:
         """When the way between two machines is open again; 0 where it is open."""
-        until, by = 0.0, What.ZONE
+        until, by = 0.0, PlannedEventKind.ZONE
         for ends, what, cut in self.cuts:
             if ends > until and self.places.apart(cut, one, other):
                 until, by = ends, what
--- a/stairhatch/scale/keep.py
+++ b/stairhatch/scale/keep.py
@@ -11,16 +11,16 @@
 import msgspec
 
 from stairhatch.load.experiment import commit_now
-from stairhatch.scale.plan import End
-from stairhatch.scale.run import Result
+from stairhatch.scale.plan import SimulatedCallResult
+from stairhatch.scale.run import ScaleResult
 
 
-def lines(result: Result) -> str:
+def lines(result: ScaleResult) -> str:
     """A run in a few lines."""
     told, machine = result.figures, result.machine
     calls, changes = told["calls"], told["changes"]
     spent = told["a_second_and_softswitch"]
-    ends = ", ".join(f"{calls[end.value]} {end.value}" for end in End)
+    ends = ", ".join(f"{calls[end.value]} {end.value}" for end in SimulatedCallResult)
     out = [
         f"calls      {calls['asked']} asked, {ends}; {calls['cut']} cut as they stood; "
         f"the deepest {calls['deepest']}",
@@ -54,19 +54,19 @@
     return "\n".join(out) + "\n"
 
 
-def result_json(result: Result) -> str:
+def result_json(result: ScaleResult) -> str:
     """What the seed decides."""
     value = {"plan": msgspec.to_builtins(result.plan), "figures": result.figures}
     return json.dumps(value, indent=1, sort_keys=True) + "\n"
 
 
-def table(result: Result, commit: str, command: str) -> str:
+def table(result: ScaleResult, commit: str, command: str) -> str:
     """The run as Markdown."""
     head = f"# {result.plan.name}\n\nCommit {commit}; `{command}`; `result.json` has all figures.\n\n"
     return f"{head}```\n{lines(result)}```\n"
 
 
-def keep(result: Result, folder: Path, command: str) -> Path:
+def keep(result: ScaleResult, folder: Path, command: str) -> Path:
     """Write JSON, table and chart into a folder of the run's name; returns it."""
     where = folder / result.plan.name
     where.mkdir(parents=True, exist_ok=True)
@@ -82,7 +82,7 @@
     return where
 
 
-def draw(result: Result, path: Path) -> None:
+def draw(result: ScaleResult, path: Path) -> None:
     """Answers by the second, and the share of calls that stood, by depth. matplotlib is imported here."""
     import matplotlib
 
@@ -93,7 +93,7 @@
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.5))
     seconds = result.figures["by_second"]
     at = [int(each) for each in seconds]
-    for end in End:
+    for end in SimulatedCallResult:
         often = [seconds[str(each)].get(end.value, 0) for each in at]
         if any(often):
             left.plot(at, often, marker="o", markersize=2, label=end.value)
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale/plan.py
@@ -38,7 +38,7 @@
     """A run that can't be carried out as it is asked for; the text names the key."""
 
 
-class What(Enum):
+class PlannedEventKind(Enum):
     """Something that happens during a run."""
 
     CHANGE = "change"  # lines of the list are told anew, `count` times, evenly over `lasts`
@@ -54,7 +54,7 @@
     """One of them."""
 
     at: Seconds
-    what: What
+    what: PlannedEventKind
     lasts: Seconds = 0.0
     count: Count = 1
     zone: Annotated[int, Meta(ge=0)] = 0
@@ -75,7 +75,7 @@
     limit_s: Annotated[float, Meta(gt=0, le=60)] = 3.0
 
 
-class Server(Struct, forbid_unknown_fields=True, frozen=True):
+class SimulatedServerPlan(Struct, forbid_unknown_fields=True, frozen=True):
     """A roster server, as `standin/processor.py` has it."""
 
     set_up_ms: Annotated[float, Meta(gt=0, le=60_000)] = 5.0
@@ -88,7 +88,7 @@
     fall_s: Annotated[float, Meta(gt=0, le=60)] = 1.5
 
 
-class Wire(Struct, forbid_unknown_fields=True, frozen=True):
+class NetworkDelays(Struct, forbid_unknown_fields=True, frozen=True):
     """The ways between two machines, by how far apart they are."""
 
     zone: Weather = Weather(delay_ms=0.1, jitter_ms=0.1)
@@ -133,7 +133,7 @@
 )  # fmt: skip
 
 
-class Plan(Struct, forbid_unknown_fields=True, frozen=True):
+class ScalePlan(Struct, forbid_unknown_fields=True, frozen=True):
     """The file of a run."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
@@ -145,12 +145,12 @@
     regions: Annotated[int, Meta(ge=1, le=8)] = 1
     zones: Annotated[int, Meta(ge=1, le=64)] = 1
     calls: Calls = Calls()
-    server: Server = Server()
-    wire: Wire = Wire()
+    server: SimulatedServerPlan = SimulatedServerPlan()
+    wire: NetworkDelays = NetworkDelays()
     fleet: Fleet | None = None
     event: tuple[Happens, ...] = ()
     lead_s: Annotated[float, Meta(ge=0.5, le=600)] = 2.0  # from the start to the first call
-    must_bite: tuple[What, ...] = ()  # else the run proves nothing
+    must_bite: tuple[PlannedEventKind, ...] = ()  # else the run proves nothing
     window: bool = False  # the fullest window at each cold server must keep to N + 2 root N + 2
     drain_s: Seconds = 5.0  # a softswitch that is restarted waits so long for its calls at the most
     down_s: Seconds = 1.0  # and is away so long
@@ -159,7 +159,7 @@
     bounds: dict[Literal[FIGURES], Bound] = {}  # type: ignore[valid-type]
 
 
-def read_plan(path: Path) -> Plan:
+def read_plan(path: Path) -> ScalePlan:
     """A run from a TOML file; ScaleError names what can't be used."""
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -168,10 +168,10 @@
         raise ScaleError(f"{path}: {error}") from None
 
 
-def plan_from(raw: object) -> Plan:
+def plan_from(raw: object) -> ScalePlan:
     """A run from decoded TOML."""
     try:
-        return checked(msgspec.convert(raw, Plan))
+        return checked(msgspec.convert(raw, ScalePlan))
     except msgspec.ValidationError as error:
         raise ScaleError(_complaint(str(error))) from None
 
@@ -185,13 +185,13 @@
             key = f"{at}.{found.group(1)}" if at else found.group(1)
             if "missing" in form:
                 return f"{key}: is missing"
-            known = {each.name for each in msgspec.structs.fields(Plan)} if not at else set()
+            known = {each.name for each in msgspec.structs.fields(ScalePlan)} if not at else set()
             near = difflib.get_close_matches(found.group(1), known, 1, 0.6)
             return f"{key}: unknown key" + (f"; did you mean {near[0]}?" if near else "")
     return f"{at}: {what[:1].lower()}{what[1:].replace('`', '')}" if at else what
 
 
-def checked(plan: Plan) -> Plan:
+def checked(plan: ScalePlan) -> ScalePlan:
     """The run, if its parts fit together; ScaleError names what does not."""
 
     def need(good: bool, text: str) -> None:
@@ -206,9 +206,9 @@
         need(event.zone < plan.zones, f"{at}.zone: there is no such zone")
         need(event.service < plan.services, f"{at}.service: there is no such service")
         need(event.region < plan.regions, f"{at}.region: there is no such region")
-        if event.what is What.REGIONS:
+        if event.what is PlannedEventKind.REGIONS:
             need(plan.regions > 1, f"{at}.what: there is one region only")
-        if event.what in (What.RACK, What.ZONE, What.REGIONS):
+        if event.what in (PlannedEventKind.RACK, PlannedEventKind.ZONE, PlannedEventKind.REGIONS):
             need(event.lasts > 0, f"{at}.lasts: must be above 0")
     for what in plan.must_bite:
         need(any(each.what is what for each in plan.event), f"must_bite: there is no event {what.value!r}")
@@ -226,21 +226,31 @@
     return plan
 
 
-def twin(plan: Plan) -> Plan:
+def twin(plan: ScalePlan) -> ScalePlan:
     """The scenario that is played by real processes and by hollow ones: no faults, ways as on loopback."""
     real = plan.real
     assert real is not None
     way = Weather(delay_ms=0.05, jitter_ms=0.05)
-    change = Happens(real.seconds * 0.1, What.CHANGE, real.seconds * 0.8, max(1, real.changes))
+    change = Happens(real.seconds * 0.1, PlannedEventKind.CHANGE, real.seconds * 0.8, max(1, real.changes))
     return msgspec.structs.replace(
-        plan, seconds=real.seconds, softswitches=real.softswitches, servers=real.servers,
-        services=real.services, regions=1, zones=1, wire=Wire(way, way, way), must_bite=(), window=False,
+        plan,
+        seconds=real.seconds,
+        softswitches=real.softswitches,
+        servers=real.servers,
+        services=real.services,
+        regions=1,
+        zones=1,
+        wire=NetworkDelays(way, way, way),
+        must_bite=(),
+        window=False,
         calls=msgspec.structs.replace(plan.calls, rate=real.rate, depth=real.depth, service=-1),
-        event=(change,) if real.changes else (), real=None, bounds={},
-    )  # fmt: skip
+        event=(change,) if real.changes else (),
+        real=None,
+        bounds={},
+    )
 
 
-def settings_for(plan: Plan) -> dict[str, Any]:
+def settings_for(plan: ScalePlan) -> dict[str, Any]:
     """What each softswitch is told, in the form of its file. A class a service, with the numbers of its
     servers.
     """
@@ -267,7 +277,7 @@
     }  # fmt: skip
 
 
-def read_settings(plan: Plan) -> Any:
+def read_settings(plan: ScalePlan) -> Any:
     """The same as the program reads it."""
     return settings_from_object(settings_for(plan)).settings
 
@@ -275,7 +285,7 @@
 class Places:
     """Who stands where. Machine `n` has roster server `n` and softswitch `n`, as far as there are so many."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: ScalePlan) -> None:
         self.plan = plan
         zones = [n % plan.zones for n in range(max(plan.softswitches, plan.servers))]
         random.Random(f"places {plan.seed}").shuffle(zones)
@@ -299,7 +309,7 @@
 
     def cut(self, event: Happens) -> Cut:
         """A cut as the lab has it, between zones or between regions."""
-        if event.what is What.ZONE:
+        if event.what is PlannedEventKind.ZONE:
             return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=(f"z{event.zone}",))
         side = tuple(f"z{z}" for z in range(self.plan.zones) if z % self.plan.regions == 0)
         return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=side)
@@ -312,7 +322,7 @@
 class Graph:
     """Which service asks which. Services lie in levels; each asks `fan_out` of the next level."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: ScalePlan) -> None:
         depth = min(plan.calls.depth, plan.services) if plan.services > 1 else plan.calls.depth
         chance = random.Random(f"graph {plan.seed}")
         self.depth = plan.calls.depth
@@ -326,7 +336,7 @@
                 self.below[service] = chance.sample(under, min(len(under), plan.calls.fan_out))
 
 
-class End(Enum):
+class SimulatedCallResult(Enum):
     """What came of a call."""
 
     STOOD = "stood"
@@ -346,7 +356,7 @@
     depth: int  # 1: from outside
     softswitch: int
     hold_s: float
-    end: End | None = None
+    end: SimulatedCallResult | None = None
 
     @property
     def number(self) -> str:
@@ -355,7 +365,7 @@
 
 
 @dataclass
-class Tally:
+class ScaleTally:
     """What came of the calls."""
 
     asked: int = 0
@@ -370,12 +380,15 @@
         """For JSON."""
         took = sorted(self.took_ms)
         return {
-            "asked": self.asked, **{end.value: self.ends[end.value] for end in End}, "cut": self.cut,
+            "asked": self.asked,
+            **{end.value: self.ends[end.value] for end in SimulatedCallResult},
+            "cut": self.cut,
             "depths": {str(n): self.depths[n] for n in sorted(self.depths)},
             "stood_at_depth": {str(n): self.stood_at_depth[n] for n in sorted(self.stood_at_depth)},
             "deepest": max(self.stood_at_depth, default=0),
-            "to_stand_p50_ms": quantile(took, 0.5), "to_stand_p99_ms": quantile(took, 0.99),
-        }  # fmt: skip
+            "to_stand_p50_ms": quantile(took, 0.5),
+            "to_stand_p99_ms": quantile(took, 0.99),
+        }
 
 
 def quantile(ordered: list[float], part: float) -> float:
@@ -389,9 +402,9 @@
     on the order in which answers come.
     """
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: ScalePlan) -> None:
         self.plan, self.places, self.graph = plan, Places(plan), Graph(plan)
-        self.tally = Tally()
+        self.tally = ScaleTally()
         self.serial = 0
         self.open: dict[str, Wanted] = {}  # by number
         self.place: Callable[[Wanted], None]
@@ -422,7 +435,7 @@
         if number in self.open:
             self.servers[number] = server
 
-    def ended(self, wanted: Wanted, end: End, at: float) -> None:
+    def ended(self, wanted: Wanted, end: SimulatedCallResult, at: float) -> None:
         """Its one final answer, so many seconds after the beginning."""
         if wanted.end is not None:
             raise AssertionError(f"{wanted.number}: {wanted.end.value} and then {end.value}")
@@ -431,7 +444,7 @@
         server = self.servers.pop(wanted.number, 0)
         self.tally.ends[end.value] += 1
         self.tally.by_second[int(at)][end.value] += 1
-        if end is End.STOOD:
+        if end is SimulatedCallResult.STOOD:
             self.tally.took_ms.append(1000 * (at - wanted.at))
             self.tally.stood_at_depth[wanted.depth] += 1
             if at < self.plan.seconds:
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale/real.py
@@ -26,13 +26,13 @@
 from stairhatch.load.clock import Stall
 from stairhatch.scale.plan import (
     NUMBERS,
-    End,
     Happens,
-    Plan,
+    PlannedEventKind,
     ScaleError,
+    ScalePlan,
+    SimulatedCallResult,
     Traffic,
     Wanted,
-    What,
     quantile,
     settings_for,
 )
@@ -56,9 +56,11 @@
 restart_wait_s = 1.0
 """
 ENDS = {
-    callers.End.STOOD: End.STOOD, callers.End.REFUSED: End.REFUSED, callers.End.FAILED: End.FAILED,
-    callers.End.UNHEARD: End.FAILED,
-}  # fmt: skip
+    callers.CallResult.STOOD: SimulatedCallResult.STOOD,
+    callers.CallResult.REFUSED: SimulatedCallResult.REFUSED,
+    callers.CallResult.FAILED: SimulatedCallResult.FAILED,
+    callers.CallResult.UNHEARD: SimulatedCallResult.FAILED,
+}
 
 
 def toml_of(value: Any) -> str:
@@ -78,7 +80,7 @@
 class Processes:
     """One run."""
 
-    def __init__(self, plan: Plan, settle_s: float) -> None:
+    def __init__(self, plan: ScalePlan, settle_s: float) -> None:
         self.plan, self.settle_s = plan, settle_s
         self.folder = Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
         self.reaper = subprocess.Popen(
@@ -197,7 +199,7 @@
         return seen
 
     def _place(self, wanted: Wanted) -> None:
-        def told(call: Placed, end: callers.End, took_s: float, status: int) -> None:
+        def told(call: Placed, end: callers.CallResult, took_s: float, status: int) -> None:
             self.traffic.ended(wanted, ENDS[end], self._passed())
 
         now = asyncio.get_running_loop().time()
@@ -210,7 +212,7 @@
 
     async def _happen(self, event: Happens) -> None:
         """The scenario has changes of the list only."""
-        assert event.what is What.CHANGE
+        assert event.what is PlannedEventKind.CHANGE
         for order in range(event.count):
             due = event.at + event.lasts * order / event.count
             await asyncio.sleep(max(0.0, due - self._passed()))
@@ -259,9 +261,12 @@
         grown = {name: counted[name] - before[name] for name in counted}
         grown["set_ups"] = sum(each.set_ups for each in self.servers) - before["set_ups"]
         compared = {
-            "stood": ends[End.STOOD.value], "refused": ends[End.REFUSED.value],
-            "failed": ends[End.FAILED.value], **grown, "in_force_ms": quantile(force, 0.5),
-        }  # fmt: skip
+            "stood": ends[SimulatedCallResult.STOOD.value],
+            "refused": ends[SimulatedCallResult.REFUSED.value],
+            "failed": ends[SimulatedCallResult.FAILED.value],
+            **grown,
+            "in_force_ms": quantile(force, 0.5),
+        }
         missed = len(self.members) * sum(map(len, self.told.values())) - len(force)
         return {
             "compared": compared, "not_heard": missed, "unanswered": len(self.traffic.open),
--- a/stairhatch/scale/run.py
+++ b/stairhatch/scale/run.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from stairhatch.scale.clock import BEGIN
-from stairhatch.scale.plan import FIGURES, Bound, Fleet, Plan, ScaleError, What, twin
+from stairhatch.scale.plan import FIGURES, Bound, Fleet, PlannedEventKind, ScaleError, ScalePlan, twin
 from stairhatch.scale.real import Processes
 from stairhatch.scale.world import World
 
@@ -39,18 +39,20 @@
     server: float
     rest: float
 
-    def of(self, plan: Plan) -> float:
+    def of(self, plan: ScalePlan) -> float:
         """A run's. The link to a server that is replaced is kept for a while beside the new one."""
-        replaced = sum(each.count for each in plan.event if each.what in (What.COLD, What.RACK))
+        replaced = sum(
+            each.count for each in plan.event if each.what in (PlannedEventKind.COLD, PlannedEventKind.RACK)
+        )
         links = self.link * plan.softswitches * (plan.servers + replaced)
         return self.rest + self.softswitch * plan.softswitches + self.server * plan.servers + links
 
 
 @dataclass
-class Result:
+class ScaleResult:
     """What came of a run."""
 
-    plan: Plan
+    plan: ScalePlan
     figures: dict[str, Any]  # of the hollow run: the same for the same file
     machine: dict[str, Any]  # what it took
     compared: dict[str, dict[str, float]] = field(default_factory=dict)
@@ -76,7 +78,7 @@
     return msgspec.structs.replace(fleet, voters=min(fleet.voters, most))
 
 
-def _held(plan: Plan, softswitches: int, servers: int) -> float:
+def _held(plan: ScalePlan, softswitches: int, servers: int) -> float:
     """Bytes of a small run of the same form, with all links up and nothing asked."""
     small = msgspec.structs.replace(
         plan, softswitches=softswitches, servers=servers, services=min(plan.services, servers), regions=1,
@@ -94,7 +96,7 @@
     return tracemalloc.get_traced_memory()[0] - before
 
 
-def measure(plan: Plan) -> Need:
+def measure(plan: ScalePlan) -> Need:
     """What each softswitch, server and link takes: four small runs, solved for the four."""
     (few, less), (many, more) = SAMPLES
     tracemalloc.start()
@@ -110,7 +112,7 @@
     return Need(softswitch, link, server, own + rest)
 
 
-def fit(plan: Plan) -> Need:
+def fit(plan: ScalePlan) -> Need:
     """ScaleError where the machine has too little memory, with what it would need."""
     need = measure(plan)
     wanted, has = need.of(plan), machine_memory()
@@ -125,7 +127,7 @@
 
 
 def play(
-    plan: Plan, tell: Tell = lambda text: None, settle_s: float | None = None
+    plan: ScalePlan, tell: Tell = lambda text: None, settle_s: float | None = None
 ) -> tuple[World, dict[str, Any]]:
     """The hollow run, and what it took of the machine."""
     world, most = World(plan), MEMORY_PART * machine_memory()
@@ -168,7 +170,9 @@
     return (hollow + bound.grain) / low if low else (1.0 if not hollow else math.inf)
 
 
-def held_against(plan: Plan, hollow: dict[str, float], real: dict[str, float]) -> dict[str, dict[str, float]]:
+def held_against(
+    plan: ScalePlan, hollow: dict[str, float], real: dict[str, float]
+) -> dict[str, dict[str, float]]:
     """Each figure of both, their ratio and its bounds."""
     found = {}
     for name in FIGURES:
@@ -191,7 +195,7 @@
     ]
 
 
-def judged(plan: Plan, figures: dict[str, Any]) -> list[str]:
+def judged(plan: ScalePlan, figures: dict[str, Any]) -> list[str]:
     """What is wrong with a hollow run, or with what it proves."""
     found = []
     if figures["unanswered"]:
@@ -224,7 +228,7 @@
     return found
 
 
-def carry_out(plan: Plan, tell: Tell = lambda text: None) -> Result:
+def carry_out(plan: ScalePlan, tell: Tell = lambda text: None) -> ScaleResult:
     """All of it."""
     need = fit(plan)
     tell(
@@ -235,7 +239,7 @@
     machine["needed_mb"] = round(need.of(plan) / 2**20)
     machine["softswitch_kb"] = round(need.softswitch / 1024, 1)
     machine["link_kb"] = round(need.link / 1024, 2)
-    result = Result(plan, world.figures(), machine)
+    result = ScaleResult(plan, world.figures(), machine)
     result.broken += judged(plan, result.figures)
     del world
     if plan.real is not None:
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale/world.py
@@ -40,11 +40,21 @@
 from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
-from stairhatch.scale.clock import BEGIN, Clock, Due, Meter, Net, Part, Stream
-from stairhatch.scale.plan import End, Happens, Places, Plan, Traffic, Wanted, What, quantile, read_settings
+from stairhatch.scale.clock import BEGIN, Clock, Meter, Net, ProcessClock, ScheduledEvent, Stream
+from stairhatch.scale.plan import (
+    Happens,
+    Places,
+    PlannedEventKind,
+    ScalePlan,
+    SimulatedCallResult,
+    Traffic,
+    Wanted,
+    quantile,
+    read_settings,
+)
 from stairhatch.standin.caller import OFFER
 from stairhatch.standin.coordinator import Numbered, line, read_question
-from stairhatch.standin.processor import Nature, Processor, State
+from stairhatch.standin.processor import Nature, Processor, ProcessorState
 from stairhatch.standin.roster import Link, StandIn
 
 STARTS_S = 0.5  # within which all are started
@@ -56,7 +66,7 @@
 GAUGES = ("fleet_left_ms", "fleet_ticket", "fleet_claims_held", "fleet_list_of_voters", "fleet_votes_now")
 
 
-def nature_of(plan: Plan) -> Nature:
+def nature_of(plan: ScalePlan) -> Nature:
     """What its roster servers can do."""
     told = plan.server
     return Nature(
@@ -161,7 +171,7 @@
         self.list = Numbered()
         self.machine = next(n for n in range(len(world.places.zones)) if world.places.region(n) == region)
         self.place = (f"10.9.{region}.1", 8000)
-        self.waiting: dict[Stream, tuple[int, Due]] = {}
+        self.waiting: dict[Stream, tuple[int, ScheduledEvent]] = {}
         self.stamps: dict[str, tuple[float, int]] = {}
         self._reached: dict[int, float] = {}  # when the last change to each other region arrives
         self.left_out = 0  # lines told later than a newer one
@@ -357,7 +367,7 @@
         super().__init__(softswitch, link)
         self.link = link
         self._wanted = False
-        self._again: Due | None = None
+        self._again: ScheduledEvent | None = None
         self.clock.call_soon(self._dial)
 
     def _want(self) -> None:
@@ -424,7 +434,7 @@
         directory.reconnect_now = self._hurry
         self._hurried = False
         self._answers = 0
-        self._again: Due | None = None
+        self._again: ScheduledEvent | None = None
         self._later(0.0)
 
     def _hurry(self) -> None:
@@ -475,7 +485,7 @@
         self.call: Call | None = None
         self.over = False
 
-    def _end(self, end: End) -> None:
+    def _end(self, end: SimulatedCallResult) -> None:
         world = self.softswitch.world
         world.traffic.ended(self.wanted, end, world.passed)
 
@@ -486,15 +496,15 @@
         """It is held for a while, then its caller hangs up."""
         world = self.softswitch.world
         world.clock.call_later(self.wanted.hold_s, self._hang_up, self.softswitch.life)
-        self._end(End.STOOD)
+        self._end(SimulatedCallResult.STOOD)
 
     def rejected(self, retry_after_s: float) -> None:
         """Turned away."""
-        self._end(End.REFUSED)
+        self._end(SimulatedCallResult.REFUSED)
 
     def failed(self, timed_out: bool) -> None:
         """Given up."""
-        self._end(End.FAILED)
+        self._end(SimulatedCallResult.FAILED)
 
     def released(self, cause: int) -> None:
         """The other side has ended it."""
@@ -508,13 +518,13 @@
     def lose(self) -> None:
         """Its softswitch has gone."""
         if self.wanted.end is None:
-            self._end(End.LOST)
+            self._end(SimulatedCallResult.LOST)
         elif not self.over:
             self.softswitch.world.traffic.tally.cut += 1
         self.over = True
 
 
-class Life(Part):
+class Life(ProcessClock):
     """One process of a softswitch, as its fleet has it: loop and network."""
 
     def __init__(self, softswitch: Softswitch) -> None:
@@ -560,7 +570,7 @@
         self.fleet: FleetRuntime | None = None
         self.process: Life
         self.store: HollowStore | None = None
-        self._timer: Due | None = None
+        self._timer: ScheduledEvent | None = None
 
     def datagram(self, data: bytes, peer: tuple[str, int]) -> None:
         """One has come."""
@@ -603,7 +613,7 @@
     def _keep(self, link: ServerConnection) -> None:
         Keeper(self, link)
 
-    def _join(self, plan: Plan, directory: ServiceDiscoveryClient) -> None:
+    def _join(self, plan: ScalePlan, directory: ServiceDiscoveryClient) -> None:
         told, voters = plan.fleet, self.world.voters
         assert told is not None
         config = FleetConfig(
@@ -664,10 +674,10 @@
         readiness = self.core.readiness
         started = self.running and readiness.startup_health().is_ready
         if not started or (readiness.shutting_down and readiness.rejects_new_calls()):
-            traffic.ended(wanted, End.UNREACHED, world.passed)
+            traffic.ended(wanted, SimulatedCallResult.UNREACHED, world.passed)
             return
         if readiness.rejects_new_calls():
-            traffic.ended(wanted, End.REFUSED, world.passed)
+            traffic.ended(wanted, SimulatedCallResult.REFUSED, world.passed)
             return
         caller = HollowCaller(self, wanted)
         offer = CallRequest(
@@ -737,9 +747,9 @@
 class World:
     """One run on the virtual clock."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: ScalePlan) -> None:
         self.plan, self.clock, self.meter = plan, Clock(), Meter()
-        self.stand_ins = Part(self.clock, self.meter, "stand-ins")
+        self.stand_ins = ProcessClock(self.clock, self.meter, "stand-ins")
         self.places = Places(plan)
         self.net = Net(plan, self.places, self.clock)
         self.chance = random.Random(f"world {plan.seed}")
@@ -793,7 +803,10 @@
             self.clock.call_later(within_s, failed, False)
             return
         trip = 2 * self.net.trip_s(near, far)
-        fallen = isinstance(target, HollowServer) and target.processor.state in (State.FALLEN, State.GONE)
+        fallen = isinstance(target, HollowServer) and target.processor.state in (
+            ProcessorState.FALLEN,
+            ProcessorState.GONE,
+        )
         if target is None or fallen:
             self.clock.call_later(trip, failed, True)
             return
@@ -854,17 +867,17 @@
 
     def _strike(self, event: Happens, region: int) -> None:
         match event.what:
-            case What.CHANGE:
+            case PlannedEventKind.CHANGE:
                 server = self.servers[self.changes % len(self.servers)]
                 self.change([{**server.line(), "weight": 2 + self.changes}], region)
-                self.bites[What.CHANGE.value] += 1
-            case What.RESTART:
+                self.bites[PlannedEventKind.CHANGE.value] += 1
+            case PlannedEventKind.RESTART:
                 pass
-            case What.START:
+            case PlannedEventKind.START:
                 for each in self._in_zone(event.zone):
-                    self.bites[What.START.value] += not each.running
+                    self.bites[PlannedEventKind.START.value] += not each.running
                     each.start()
-            case What.COLD:
+            case PlannedEventKind.COLD:
                 picked = self.places.of_service(event.service)[: event.count]
                 lines = []
                 for index in picked:
@@ -873,11 +886,11 @@
                     server.end()
                     server.start_cold()
                     lines += [server.line(), gone]
-                    self.bites[What.COLD.value] += 1
+                    self.bites[PlannedEventKind.COLD.value] += 1
                 self.change(lines, region)
-            case What.RACK:
+            case PlannedEventKind.RACK:
                 self._rack(event, region)
-            case What.ZONE | What.REGIONS:
+            case PlannedEventKind.ZONE | PlannedEventKind.REGIONS:
                 self.net.strike(event)
 
     def _in_zone(self, zone: int) -> list[Softswitch]:
@@ -888,7 +901,7 @@
         picked = machines[: event.count]
         gone = []
         for machine in picked:
-            self.bites[What.RACK.value] += 1
+            self.bites[PlannedEventKind.RACK.value] += 1
             if machine < len(self.servers):
                 server = self.servers[machine]
                 gone.append(server.line("terminated"))
@@ -914,22 +927,24 @@
             self.change(lines, region)
 
     def _restart(self, softswitch: Softswitch) -> None:
-        self.bites[What.RESTART.value] += softswitch.restart()
+        self.bites[PlannedEventKind.RESTART.value] += softswitch.restart()
 
     def _plan_events(self) -> None:
         turn = 0
         for event in self.plan.event:
-            if event.what is What.RESTART:
+            if event.what is PlannedEventKind.RESTART:
                 picked = self.chance.sample(self.softswitches, min(event.count, len(self.softswitches)))
                 for order, each in enumerate(picked):
                     at = event.at + event.lasts * order / len(picked)
                     self.clock.call_at(self.begin + at, self._restart, each)
                 continue
-            times = event.count if event.what is What.CHANGE else 1
+            times = event.count if event.what is PlannedEventKind.CHANGE else 1
             for order in range(times):
                 turn += 1
                 region = event.region if event.region >= 0 else turn % self.plan.regions
-                at = event.at + (event.lasts * order / times if event.what is What.CHANGE else 0.0)
+                at = event.at + (
+                    event.lasts * order / times if event.what is PlannedEventKind.CHANGE else 0.0
+                )
                 self.clock.call_at(self.begin + at, self._strike, event, region)
 
     def _calls(self, due: Iterator[Wanted]) -> None:
@@ -974,7 +989,7 @@
             lines = [server.line() for server in self.servers]
             coordinator.stamps.update((each["instanceId"], (0.0, region)) for each in lines)
             coordinator.list.tell(lines, reset=True)
-        late = {each.zone for each in self.plan.event if each.what is What.START}
+        late = {each.zone for each in self.plan.event if each.what is PlannedEventKind.START}
         for softswitch in self.softswitches:
             at = BEGIN + self.chance.uniform(0.0, STARTS_S)
             if self.places.zones[softswitch.index] not in late:
@@ -1023,13 +1038,18 @@
         grown = {name: self.counted[name] - self.before[name] for name in self.counted}
         ends, force = self.traffic.tally.ends, sorted(self.force_ms)
         return {
-            "stood": ends[End.STOOD.value], "refused": ends[End.REFUSED.value],
-            "failed": ends[End.FAILED.value] + ends[End.UNREACHED.value] + ends[End.LOST.value],
+            "stood": ends[SimulatedCallResult.STOOD.value],
+            "refused": ends[SimulatedCallResult.REFUSED.value],
+            "failed": ends[SimulatedCallResult.FAILED.value]
+            + ends[SimulatedCallResult.UNREACHED.value]
+            + ends[SimulatedCallResult.LOST.value],
             "set_ups": sum(each.standin.set_ups for each in self.servers) - self.before["set_ups"],
-            "list_messages": grown["list_messages"], "list_bytes": grown["list_bytes"],
-            "claim_messages": grown["claim_messages"], "claim_bytes": grown["claim_bytes"],
+            "list_messages": grown["list_messages"],
+            "list_bytes": grown["list_bytes"],
+            "claim_messages": grown["claim_messages"],
+            "claim_bytes": grown["claim_bytes"],
             "in_force_ms": quantile(force, 0.5),
-        }  # fmt: skip
+        }
 
     def windows(self) -> list[dict[str, Any]]:
         """For each cold start the most set-ups in any `fall_s`, against N + 2 root N + 2, where N is what the
@@ -1045,12 +1065,17 @@
                     while came[first] <= at - nature.fall_s:
                         first += 1
                     fullest = max(fullest, last - first + 1)
-                found.append({
-                    "server": server.index, "start": start + 1, "set_ups": len(came), "fullest": fullest,
-                    "most": round(able + 2 * able**0.5 + 2, 1),
-                    "falls_above": round(able * nature.fall_multiple, 1),
-                    "fell": server.processor.state is State.FALLEN,
-                })  # fmt: skip
+                found.append(
+                    {
+                        "server": server.index,
+                        "start": start + 1,
+                        "set_ups": len(came),
+                        "fullest": fullest,
+                        "most": round(able + 2 * able**0.5 + 2, 1),
+                        "falls_above": round(able * nature.fall_multiple, 1),
+                        "fell": server.processor.state is ProcessorState.FALLEN,
+                    }
+                )
         return found
 
     def figures(self) -> dict[str, Any]:
@@ -1064,7 +1089,7 @@
             "compared": self.compared(),
             "servers": {
                 "turned_away": sum(each.processor.turned_away for each in self.servers),
-                "fallen": sum(each.processor.state is State.FALLEN for each in self.servers),
+                "fallen": sum(each.processor.state is ProcessorState.FALLEN for each in self.servers),
             },
             "a_second_and_softswitch": {
                 "list_bytes": round(grown["list_bytes"] / share, 1),
@@ -1073,13 +1098,18 @@
                 "stream_bytes": round(grown["stream_bytes"] / share, 1),
             },
             "changes": {
-                "told": self.changes, "not_heard": self.not_heard(), "lists_apart": self.lists_apart(),
+                "told": self.changes,
+                "not_heard": self.not_heard(),
+                "lists_apart": self.lists_apart(),
                 "older_left_out": sum(each.left_out for each in self.coordinators),
-                "in_force_p50_ms": quantile(force, 0.5), "in_force_p99_ms": quantile(force, 0.99),
+                "in_force_p50_ms": quantile(force, 0.5),
+                "in_force_p99_ms": quantile(force, 0.99),
                 "in_force_longest_ms": quantile(force, 1.0),
             },
             "windows": self.windows(),
-            "bites": {each.value: self.bites[each.value] + self.net.bites[each.value] for each in What},
+            "bites": {
+                each.value: self.bites[each.value] + self.net.bites[each.value] for each in PlannedEventKind
+            },
             "faults": self.faults,
             "counters": {
                 name: often for name, often in sorted(self._counters().items()) if not name.startswith(GAUGES)
@@ -1087,7 +1117,7 @@
             "by_second": {
                 str(n): dict(sorted(ends.items())) for n, ends in sorted(self.traffic.tally.by_second.items())
             },
-        }  # fmt: skip
+        }
 
 
 def _nobody(data: bytes) -> None:
--- a/stairhatch/sip/auth.py
+++ b/stairhatch/sip/auth.py
@@ -62,7 +62,7 @@
     return found
 
 
-class Verdict(Enum):
+class CredentialCheck(Enum):
     """What a request's credentials are worth."""
 
     GOOD = "good"
@@ -76,7 +76,7 @@
 class Judged:
     """A verdict and, where it is good, whose credentials they were."""
 
-    verdict: Verdict
+    verdict: CredentialCheck
     user: str = ""
 
 
@@ -141,17 +141,17 @@
 
     def judge(self, method: str, uri: str, values: Iterable[str]) -> Judged:
         """Judge a request by its Authorization headers."""
-        worst = Judged(Verdict.NONE)
+        worst = Judged(CredentialCheck.NONE)
         for value in values:
             try:
                 scheme, given = grammar.read_credentials(value)
             except grammar.GrammarError:
-                worst = Judged(Verdict.BAD)
+                worst = Judged(CredentialCheck.BAD)
                 continue
             if scheme != "digest" or given.get("realm") != self.realm:
                 continue
             judged = self._judge(method, uri, given)
-            if judged.verdict is Verdict.GOOD:
+            if judged.verdict is CredentialCheck.GOOD:
                 return judged
             worst = judged
         return worst
@@ -162,24 +162,24 @@
         client, answer = given.get("cnonce", ""), given.get("response", "").lower()
         known = self.users.get((user, algorithm)) if algorithm in self.algorithms else None
         if algorithm not in self.algorithms or given.get("qop", "").lower() != "auth" or not client:
-            return Judged(Verdict.BAD)
+            return Judged(CredentialCheck.BAD)
         if (
             len(count) != 8
             or any(c not in "0123456789abcdefABCDEF" for c in count)
             or given.get("uri") != uri
         ):
-            return Judged(Verdict.BAD)
+            return Judged(CredentialCheck.BAD)
         kept = known or hashed(algorithm, "")  # the same work for a user that isn't known
         asked = hashed(algorithm, f"{method}:{uri}")
         right = hashed(algorithm, f"{kept}:{nonce}:{count}:{client}:auth:{asked}")
         if not hmac.compare_digest(right.encode(), answer.encode("utf-8", "replace")) or known is None:
-            return Judged(Verdict.BAD)
+            return Judged(CredentialCheck.BAD)
         fresh = self._made_here(nonce) and 0 <= self._age(nonce) <= self.nonce_s
         if not fresh or (nonce not in self._counts and nonce[:STAMP] <= self._floor):
-            return Judged(Verdict.STALE)
+            return Judged(CredentialCheck.STALE)
         if not self._use(nonce, int(count, 16)):
-            return Judged(Verdict.REPLAYED)
-        return Judged(Verdict.GOOD, user)
+            return Judged(CredentialCheck.REPLAYED)
+        return Judged(CredentialCheck.GOOD, user)
 
     def _use(self, nonce: str, count: int) -> bool:
         """Note a nonce's count as used; whether it was not before."""
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -14,7 +14,7 @@
 Key = tuple[str, str, str]  # Call-ID, our tag, the caller's
 
 
-class Stage(Enum):
+class DialogState(Enum):
     """Of a dialog."""
 
     EARLY = "early"
@@ -22,7 +22,7 @@
     OVER = "over"
 
 
-class Order(Enum):
+class SequenceOrder(Enum):
     """How a request's CSeq stands to those before it."""
 
     NEXT = "next"
@@ -42,19 +42,19 @@
     routes: tuple[str, ...]  # Record-Route as it came, in its order (12.1.1)
     remote_cseq: int
     local_cseq: int = 0
-    stage: Stage = Stage.EARLY
+    stage: DialogState = DialogState.EARLY
 
     @property
     def key(self) -> Key:
         """What its requests are found by."""
         return self.call_id, self.local_tag, self.remote_tag
 
-    def order(self, cseq: int) -> Order:
+    def order(self, cseq: int) -> SequenceOrder:
         """Take note of a request's number. A gap is no fault (12.2.2)."""
         if cseq <= self.remote_cseq:
-            return Order.OLD
+            return SequenceOrder.OLD
         self.remote_cseq = cseq
-        return Order.NEXT
+        return SequenceOrder.NEXT
 
     def retarget(self, message: sip.SipMessage) -> None:
         """A target refresh request names a new Contact (12.2.2); one that can't be read changes nothing."""
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/front.py
@@ -31,7 +31,7 @@
 from stairhatch.node.sip_message import called_number, release_cause
 from stairhatch.overload.settings import CallClass
 from stairhatch.sip import auth, grammar, sessions
-from stairhatch.sip.dialogs import Order, Stage, key_of
+from stairhatch.sip.dialogs import DialogState, SequenceOrder, key_of
 from stairhatch.sip.flows import (
     Flow,
     Networks,
@@ -46,7 +46,7 @@
 from stairhatch.sip.leg import ACCEPT, ALLOW, SUPPORTED, Leg, Ours
 from stairhatch.sip.peek import is_ack_to_shed, peek
 from stairhatch.sip.sessions import Exchange, Offered, Prack, Refusal, TimerPolicy
-from stairhatch.sip.transactions import Server, Transactions
+from stairhatch.sip.transactions import ServerTransaction, Transactions
 
 METHODS = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "PRACK", "UPDATE", "INFO")
 GUARDED = ("INVITE", "BYE", "UPDATE", "INFO")  # what must prove who sends it, where that is asked for
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listener:
+class SipListener:
     """An address that is listened on, and whom it hears."""
 
     place: Place
@@ -76,8 +76,8 @@
 class SipConfig:
     """Where the front listens, how it reads an INVITE, and its limits."""
 
-    udp: tuple[Listener, ...]
-    tcp: tuple[Listener, ...]
+    udp: tuple[SipListener, ...]
+    tcp: tuple[SipListener, ...]
     contact: str  # "": of each listener its own address
     default_class: str
     numbers: tuple[tuple[str, str, int], ...]  # prefix, class, first choice; the longest prefix first
@@ -138,7 +138,7 @@
 
     # ---- what comes in ----
 
-    def connector(self, listener: Listener) -> Callable[[Place], ConnectionProtocol]:
+    def connector(self, listener: SipListener) -> Callable[[Place], ConnectionProtocol]:
         """What makes the machine of a connection that has been taken at an address."""
 
         def connect(peer: Place) -> SipConnection:
@@ -205,7 +205,7 @@
                 shed=f"{self.gate.overload.shed_fraction:.2f}",
             )
 
-    def _feedback(self, transaction: Server) -> str:
+    def _feedback(self, transaction: ServerTransaction) -> str:
         return self._told(transaction.source, transaction.oc)
 
     def _told(self, source: str, asked: str) -> str:
@@ -350,7 +350,7 @@
             return 483, []
         return None
 
-    def _request(self, transaction: Server, head: Head) -> None:
+    def _request(self, transaction: ServerTransaction, head: Head) -> None:
         method = head.method
         leg = self.dialogs.get(key_of(head)) if head.to_tag else None
         if method == "CANCEL":
@@ -370,7 +370,7 @@
         if head.to_tag:
             if leg is None or leg.dialog is None:
                 self.final(transaction, 481, [])
-            elif leg.dialog.order(head.cseq) is Order.OLD:
+            elif leg.dialog.order(head.cseq) is SequenceOrder.OLD:
                 self.final(transaction, 500, [])
             else:
                 leg.came_by(transaction.flow)
@@ -384,17 +384,17 @@
         else:
             self.final(transaction, 481, [])
 
-    def _who(self, transaction: Server, head: Head) -> str | None:
+    def _who(self, transaction: ServerTransaction, head: Head) -> str | None:
         """Who sends a request; None where that is not proved, and the request is answered."""
         assert self.guard is not None
         judged = self.guard.judge(head.method, head.message.uri, head.message.get_lines("authorization"))
-        if judged.verdict is auth.Verdict.GOOD:
+        if judged.verdict is auth.CredentialCheck.GOOD:
             return judged.user
-        if judged.verdict is not auth.Verdict.NONE:
+        if judged.verdict is not auth.CredentialCheck.NONE:
             self.counters.add(f"auth_{judged.verdict.value}")
             source = transaction.flow.peer[0]
             self.core.log("credentials", verdict=judged.verdict.value, source=source, method=head.method)
-        stale = judged.verdict is auth.Verdict.STALE
+        stale = judged.verdict is auth.CredentialCheck.STALE
         self.final(transaction, 401, [("www-authenticate", each) for each in self.guard.challenges(stale)])
         return None
 
@@ -418,7 +418,7 @@
             patience = min(patience, float(expires[:9]))
         return patience
 
-    def _invite(self, transaction: Server, head: Head, user: str) -> None:
+    def _invite(self, transaction: ServerTransaction, head: Head, user: str) -> None:
         message, uri = head.message, grammar.read_uri(head.message.uri)
         ident = head.ident
         if ident in self.core.calls.by_ident:  # it is here already, by another way
@@ -479,7 +479,7 @@
         elif leg is None:
             self.counters.add("acks_unmatched")
 
-    def _cancel(self, transaction: Server, head: Head) -> None:
+    def _cancel(self, transaction: ServerTransaction, head: Head) -> None:
         """CANCEL names its INVITE by the branch. It has no effect once a final answer is out."""
         key = head.key_of("INVITE")
         invite = self.transactions.find(key)
@@ -494,7 +494,7 @@
 
     # ---- within a dialog ----
 
-    def _within(self, transaction: Server, head: Head, leg: Leg) -> None:
+    def _within(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
         """A request of a dialog that has come in its order."""
         early = leg.invite is not None
         match head.method:
@@ -516,20 +516,20 @@
             case _:
                 self.final(transaction, 200, CAPABILITIES)
 
-    def _prack(self, transaction: Server, head: Head, leg: Leg) -> None:
+    def _prack(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
         ringing = leg.ringing
         if ringing is None or ringing.prack(head.message) is Prack.UNMATCHED:
             self.final(transaction, 481, [])
         else:
             self.final(transaction, 200, [])
 
-    def _reinvite(self, transaction: Server, head: Head, leg: Leg) -> None:
+    def _reinvite(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
         """An INVITE in a dialog refreshes its session, or is refused and changes nothing (14.2)."""
         theirs = leg.invite is not None
         ours = self.asking(leg, "INVITE") or bool(leg.answer)  # 2xx without ACK: the last is not over
         self._offered(transaction, head, leg, sessions.crossing(ours, theirs), refusable=True)
 
-    def _update(self, transaction: Server, head: Head, leg: Leg) -> None:
+    def _update(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
         """RFC 3311, 5.2. Without a description it never crosses anything."""
         has_body = bool(head.message.body)
         theirs = has_body and leg.invite is not None
@@ -538,7 +538,9 @@
         )
         self._offered(transaction, head, leg, sessions.crossing(ours, theirs), refusable=False)
 
-    def _offered(self, transaction: Server, head: Head, leg: Leg, crossed: Exchange, refusable: bool) -> None:
+    def _offered(
+        self, transaction: ServerTransaction, head: Head, leg: Leg, crossed: Exchange, refusable: bool
+    ) -> None:
         message = head.message
         if crossed is Exchange.OURS_OPEN:
             self.final(transaction, 491, [])
@@ -568,7 +570,7 @@
         extra += [("contact", f"<{self.contact(transaction.flow)}>"), ALLOW, SUPPORTED]
         if own:
             extra.append(("content-type", sessions.MEDIA))
-        if leg.dialog.stage is Stage.CONFIRMED:
+        if leg.dialog.stage is DialogState.CONFIRMED:
             leg.refreshed(timer)
         if refusable:  # an INVITE: its 200 goes again until the ACK, as the first did
             leg.answer_refresh(transaction, extra, own, awaits=offered is Offered.NOTHING)
@@ -643,7 +645,7 @@
         """The way of an answer whose connection has gone: a new one to where its Via says (18.2.2)."""
         return self._connection(place) if used.reliable else used
 
-    def _way_of_answer(self, transaction: Server) -> Flow:
+    def _way_of_answer(self, transaction: ServerTransaction) -> Flow:
         return self.way_back(transaction.flow, transaction.place)
 
     def _connection(self, place: Place) -> SipConnection:
@@ -660,7 +662,12 @@
     # ---- answers ----
 
     def respond(
-        self, transaction: Server, status: int, extra: sip.Headers, tag: str = "", body: bytes = b""
+        self,
+        transaction: ServerTransaction,
+        status: int,
+        extra: sip.Headers,
+        tag: str = "",
+        body: bytes = b"",
     ) -> bytes:
         """Answer a transaction."""
         head = transaction.head
@@ -679,7 +686,7 @@
         return data
 
     def answered(
-        self, transaction: Server, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
+        self, transaction: ServerTransaction, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
     ) -> None:
         """Count and trace an answer."""
         self.counters.add(f"sent_{status}")
@@ -690,12 +697,17 @@
             )  # fmt: skip
 
     def final(
-        self, transaction: Server, status: int, extra: sip.Headers, tag: str = "", body: bytes = b""
+        self,
+        transaction: ServerTransaction,
+        status: int,
+        extra: sip.Headers,
+        tag: str = "",
+        body: bytes = b"",
     ) -> None:
         """A final answer other than the 200 to a first INVITE."""
         self.respond(transaction, status, extra, tag, body)
 
-    def refuse(self, transaction: Server, fault: Refusal) -> None:
+    def refuse(self, transaction: ServerTransaction, fault: Refusal) -> None:
         """Answer what a body or a timer could not be taken for, and say so in the log."""
         self.core.log("unusable", source=transaction.flow.peer[0], status=fault.status, why=fault.why)
         self.final(transaction, fault.status, list(fault.extra))
--- a/stairhatch/sip/grammar.py
+++ b/stairhatch/sip/grammar.py
@@ -338,7 +338,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class BodyPart:
     """One part of a multipart body."""
 
     kind: str
@@ -346,7 +346,7 @@
     body: bytes
 
 
-def read_parts(body: bytes, boundary: str) -> list[Part]:
+def read_parts(body: bytes, boundary: str) -> list[BodyPart]:
     """The parts of a multipart body (RFC 2046, 5.1.1). The end mark must be there."""
     if not boundary or len(boundary) > 70 or not boundary.isascii():
         raise GrammarError("no usable boundary")
@@ -371,5 +371,5 @@
         kind = media_type(fields.get("content-type", "text/plain"))[0]
         disposition, semicolon, more = fields.get("content-disposition", "").partition(";")
         optional = bool(semicolon) and read_parameters(";" + more).get("handling", "").lower() == "optional"
-        parts.append(Part(kind, not optional, content))
+        parts.append(BodyPart(kind, not optional, content))
     return parts
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/leg.py
@@ -13,11 +13,11 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.sip import grammar, sessions
-from stairhatch.sip.dialogs import Dialog, Key, Stage, open_dialog
+from stairhatch.sip.dialogs import Dialog, DialogState, Key, open_dialog
 from stairhatch.sip.flows import Flow, Place, SipConnection
 from stairhatch.sip.heads import MAGIC, lines
-from stairhatch.sip.sessions import Due, Lease, Reliable, SessionTimer
-from stairhatch.sip.transactions import LAST, T1, T2, Client, Server, Transactions
+from stairhatch.sip.sessions import Lease, Reliable, SessionTimer, SessionTimerAction
+from stairhatch.sip.transactions import LAST, T1, T2, Client, ServerTransaction, Transactions
 
 ALLOW = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS, PRACK, UPDATE, INFO")
 SUPPORTED = ("supported", ", ".join(sessions.SUPPORTED))
@@ -46,13 +46,23 @@
     def asking(self, leg: Leg, method: str) -> bool: ...
     def ask(self, leg: Leg, method: str, extra: sip.Headers, body: bytes = b"") -> None: ...
     def answered(
-        self, transaction: Server, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
+        self, transaction: ServerTransaction, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
     ) -> None: ...
     def respond(
-        self, transaction: Server, status: int, extra: sip.Headers, tag: str = "", body: bytes = b""
+        self,
+        transaction: ServerTransaction,
+        status: int,
+        extra: sip.Headers,
+        tag: str = "",
+        body: bytes = b"",
     ) -> bytes: ...
     def final(
-        self, transaction: Server, status: int, extra: sip.Headers, tag: str = "", body: bytes = b""
+        self,
+        transaction: ServerTransaction,
+        status: int,
+        extra: sip.Headers,
+        tag: str = "",
+        body: bytes = b"",
     ) -> None: ...
 
 
@@ -64,9 +74,9 @@
         "lease", "methods", "place", "ringing", "tag", "timer", "user",
     )  # fmt: skip
 
-    def __init__(self, front: Front, invite: Server, ident: str, tag: str, offer: bytes) -> None:
+    def __init__(self, front: Front, invite: ServerTransaction, ident: str, tag: str, offer: bytes) -> None:
         self.front, self.ident, self.tag = front, ident, tag
-        self.invite: Server | None = invite  # until its final answer
+        self.invite: ServerTransaction | None = invite  # until its final answer
         self.flow, self.place = invite.flow, invite.place
         self.call: Call | None = None
         self.dialog: Dialog | None = None
@@ -137,7 +147,7 @@
             self._early()
         dialog = self.dialog
         assert dialog is not None
-        dialog.stage = Stage.CONFIRMED
+        dialog.stage = DialogState.CONFIRMED
         self.descriptions.own = description
         if invite.head is not None:
             self.methods = invite.head.message.get("allow")
@@ -226,7 +236,9 @@
         if call is not None:
             self.front.core.release(call, cause)
 
-    def answer_refresh(self, transaction: Server, extra: sip.Headers, own: bytes, awaits: bool) -> None:
+    def answer_refresh(
+        self, transaction: ServerTransaction, extra: sip.Headers, own: bytes, awaits: bool
+    ) -> None:
         """200 to a re-INVITE: sent until its ACK, as the first was."""
         front, dialog = self.front, self.dialog
         assert dialog is not None and transaction.head is not None
@@ -254,17 +266,17 @@
 
     def _over(self) -> None:
         """The dialog is over; nothing is found by it any more."""
-        if self.dialog is not None and self.dialog.stage is not Stage.OVER:
-            if self.dialog.stage is Stage.CONFIRMED:
+        if self.dialog is not None and self.dialog.stage is not DialogState.OVER:
+            if self.dialog.stage is DialogState.CONFIRMED:
                 self._stands_on(self.flow, -1)
-            self.dialog.stage = Stage.OVER
+            self.dialog.stage = DialogState.OVER
             self.front.dialogs.pop(self.dialog.key, None)
         self.answer = b""
         self.lease.agree(None, 0.0)
 
     def came_by(self, flow: Flow) -> None:
         """A request of the dialog came this way: ours go the same."""
-        if flow is not self.flow and self.dialog is not None and self.dialog.stage is Stage.CONFIRMED:
+        if flow is not self.flow and self.dialog is not None and self.dialog.stage is DialogState.CONFIRMED:
             self._stands_on(self.flow, -1)
             self._stands_on(flow, 1)
             self.flow = flow
@@ -301,9 +313,9 @@
             return
         front = self.front
         match self.lease.due(front.core.clock()):
-            case Due.REFRESH:
+            case SessionTimerAction.REFRESH:
                 self.refresh()
-            case Due.RELEASE:
+            case SessionTimerAction.RELEASE:
                 front.core.counters.add("sessions_expired")
                 front.core.log("session_expired", call=self.ident)
                 call, self.call = self.call, None
@@ -330,7 +342,7 @@
 
     def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
         """What came of our refresh (RFC 4028, 7.4 and 10)."""
-        if self.dialog is None or self.dialog.stage is Stage.OVER:
+        if self.dialog is None or self.dialog.stage is DialogState.OVER:
             return
         front, now = self.front, self.front.core.clock()
         if 200 <= status < 300 and message is not None:
@@ -365,7 +377,7 @@
 
     def bye(self, cause: int) -> None:
         """End the dialog from our side."""
-        if self.dialog is None or self.dialog.stage is Stage.OVER:
+        if self.dialog is None or self.dialog.stage is DialogState.OVER:
             return
         self._over()
         self.front.ask(self, "BYE", [("reason", f"Q.850;cause={cause}")])
--- a/stairhatch/sip/sessions.py
+++ b/stairhatch/sip/sessions.py
@@ -216,7 +216,7 @@
     return SessionTimer(max(interval, 1), Refresher.OURS if ours else Refresher.CALLER)
 
 
-class Due(Enum):
+class SessionTimerAction(Enum):
     """What a session timer asks for."""
 
     NOTHING = "nothing"
@@ -251,16 +251,16 @@
         ours = self.timer.refresher is Refresher.OURS and self.refresh_at < self.ends_at
         return min(self.refresh_at, self.ends_at) if ours else self.ends_at
 
-    def due(self, now: float) -> Due:
+    def due(self, now: float) -> SessionTimerAction:
         """What is to be done now."""
         if self.timer is None:
-            return Due.NOTHING
+            return SessionTimerAction.NOTHING
         if now >= self.ends_at:
-            return Due.RELEASE
+            return SessionTimerAction.RELEASE
         if self.timer.refresher is Refresher.OURS and now >= self.refresh_at:
             self.refresh_at = self.ends_at
-            return Due.REFRESH
-        return Due.NOTHING
+            return SessionTimerAction.REFRESH
+        return SessionTimerAction.NOTHING
 
 
 # ---- reliable provisional answers (RFC 3262) ----
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -28,7 +28,7 @@
 SOURCE_SHARE = 0.25  # of the open transactions' room, that one source may hold once half is in use
 
 
-class State(Enum):
+class TransactionState(Enum):
     """Of any of the four machines."""
 
     CALLING = "calling"
@@ -48,7 +48,7 @@
     timers: TimerWheel
 
 
-class Server:
+class ServerTransaction:
     """A server transaction. Its user answers it by `Transactions.respond` and may hang itself on `user`."""
 
     __slots__ = (
@@ -61,7 +61,7 @@
         self.head: Head | None = head  # until its final answer
         self.echo, self.oc = head.echo, head.oc
         self.invite = head.method == "INVITE"
-        self.state = State.PROCEEDING if self.invite else State.TRYING
+        self.state = TransactionState.PROCEEDING if self.invite else TransactionState.TRYING
         self.place = head.place(flow.peer, flow.reliable)
         self.last = b""
         self.size = LIVE_BYTES + len(head.message.body)
@@ -70,7 +70,7 @@
     @property
     def open(self) -> bool:
         """Whether its final answer is still to come."""
-        return self.state in (State.TRYING, State.PROCEEDING)
+        return self.state in (TransactionState.TRYING, TransactionState.PROCEEDING)
 
 
 class User(Protocol):
@@ -88,13 +88,13 @@
 
     def __init__(self, branch: str, method: str, data: bytes, flow: Flow, user: User) -> None:
         self.branch, self.method, self.data, self.flow, self.user = branch, method, data, flow, user
-        self.state = State.CALLING if method == "INVITE" else State.TRYING
+        self.state = TransactionState.CALLING if method == "INVITE" else TransactionState.TRYING
         self.ack = b""  # what answers each copy of the final answer to an INVITE
 
     @property
     def waits(self) -> bool:
         """Whether its final answer is still to come."""
-        return self.state in (State.CALLING, State.TRYING, State.PROCEEDING)
+        return self.state in (TransactionState.CALLING, TransactionState.TRYING, TransactionState.PROCEEDING)
 
 
 class Memory:
@@ -136,13 +136,17 @@
 
     def __init__(self, clockwork: Clockwork, most_bytes: int) -> None:
         self.clockwork, self.most_bytes = clockwork, most_bytes
-        self.servers: dict[bytes, Server] = {}
+        self.servers: dict[bytes, ServerTransaction] = {}
         self.clients: dict[tuple[str, str], Client] = {}
         self.memory = Memory()
         self.live_bytes = 0
         self.by_source: dict[str, int] = {}  # bytes of open transactions
-        self.reroute: Callable[[Server], Flow] = lambda transaction: transaction.flow  # where a flow died
-        self.feedback: Callable[[Server], str] = lambda transaction: ""  # what its caller is told of our load
+        self.reroute: Callable[[ServerTransaction], Flow] = (
+            lambda transaction: transaction.flow
+        )  # where a flow died
+        self.feedback: Callable[[ServerTransaction], str] = (
+            lambda transaction: ""
+        )  # what its caller is told of our load
         self._sweeping = False
 
     # ---- server ----
@@ -156,7 +160,7 @@
             transaction = self.servers.get(key)
             if transaction is None:
                 return key in self.memory.records and head.to_tag == ""
-            if transaction.state is State.COMPLETED:
+            if transaction.state is TransactionState.COMPLETED:
                 self._confirm(transaction)
             return True
         return self._repeated(key, flow, lambda: head.place(flow.peer, False))
@@ -192,9 +196,9 @@
             return self.by_source.get(source, 0) < SOURCE_SHARE * self.most_bytes
         return True
 
-    def open(self, head: Head, flow: Flow) -> Server:
+    def open(self, head: Head, flow: Flow) -> ServerTransaction:
         """A new request: its transaction."""
-        transaction = self.servers[head.key] = Server(head.key, head, flow)
+        transaction = self.servers[head.key] = ServerTransaction(head.key, head, flow)
         self.live_bytes += transaction.size
         self.by_source[transaction.source] = self.by_source.get(transaction.source, 0) + transaction.size
         while self.live_bytes + self.memory.bytes > self.most_bytes and self.memory.bundles:
@@ -203,12 +207,12 @@
             flow.owed.add(transaction.key)
         return transaction
 
-    def find(self, key: bytes) -> Server | None:
+    def find(self, key: bytes) -> ServerTransaction | None:
         """The open transaction of a key."""
         return self.servers.get(key)
 
     def respond(
-        self, transaction: Server, status: int, tag: str, extra: str = "", body: bytes = b""
+        self, transaction: ServerTransaction, status: int, tag: str, extra: str = "", body: bytes = b""
     ) -> bytes:
         """Answer. A second final answer, or a provisional one behind it, is not sent; returns the bytes."""
         if not transaction.open:
@@ -220,30 +224,32 @@
         if status >= 200:
             self._answered(transaction, status)
         elif not transaction.invite:
-            transaction.state = State.PROCEEDING
+            transaction.state = TransactionState.PROCEEDING
         self._send(transaction, data)
         return data
 
-    def _answered(self, transaction: Server, status: int) -> None:
+    def _answered(self, transaction: ServerTransaction, status: int) -> None:
         """The final answer is on its way: only what copies need stays."""
         now, flow = self.clockwork.clock(), transaction.flow
         transaction.head, transaction.user = None, None
         if isinstance(flow, SipConnection):
             flow.owed.discard(transaction.key)
         if transaction.invite and status >= 300:
-            transaction.state = State.COMPLETED  # until the ACK
+            transaction.state = TransactionState.COMPLETED  # until the ACK
             self.clockwork.timers.schedule(now + T1, partial(self._unacked, transaction.key, T1, T1))
         else:
-            transaction.state = State.ACCEPTED if transaction.invite else State.TERMINATED
+            transaction.state = (
+                TransactionState.ACCEPTED if transaction.invite else TransactionState.TERMINATED
+            )
             self._close(transaction)
             if transaction.invite:  # timer L; its user sends the 2xx again (RFC 6026, 7.1)
                 self._remember(transaction.key, b"", LAST)
             elif not flow.reliable:  # timer J
                 self._remember(transaction.key, transaction.last, LAST)
 
-    def _confirm(self, transaction: Server) -> None:
+    def _confirm(self, transaction: ServerTransaction) -> None:
         """The ACK to a refusal has come (timer I)."""
-        transaction.state = State.CONFIRMED
+        transaction.state = TransactionState.CONFIRMED
         self._close(transaction)
         if not transaction.flow.reliable:
             self._remember(transaction.key, b"", T4)
@@ -251,11 +257,11 @@
     def _unacked(self, key: bytes, gap: float, passed: float) -> None:
         """Timers G and H of a refusal."""
         transaction = self.servers.get(key)
-        if transaction is None or transaction.state is not State.COMPLETED:
+        if transaction is None or transaction.state is not TransactionState.COMPLETED:
             return
         if passed >= LAST:
             self._count("refusals_never_acked")
-            transaction.state = State.TERMINATED
+            transaction.state = TransactionState.TERMINATED
             self._close(transaction)
             return
         if not transaction.flow.reliable:
@@ -266,7 +272,7 @@
             self.clockwork.clock() + gap, partial(self._unacked, key, gap, passed + gap)
         )
 
-    def _copy(self, transaction: Server, flow: Flow) -> None:
+    def _copy(self, transaction: ServerTransaction, flow: Flow) -> None:
         """A request sent again: the same transaction, the same answer."""
         self._count("retransmissions")
         if flow.reliable or not transaction.flow.alive:
@@ -278,7 +284,7 @@
         if transaction.last:
             self._send(transaction, transaction.last)
 
-    def _send(self, transaction: Server, data: bytes) -> None:
+    def _send(self, transaction: ServerTransaction, data: bytes) -> None:
         flow = transaction.flow
         if not flow.alive:
             flow = transaction.flow = self.reroute(transaction)
@@ -286,14 +292,14 @@
             flow = transaction.flow = UdpFlow(flow.port, transaction.place)
         flow.send(data)
 
-    def forget(self, transaction: Server) -> None:
+    def forget(self, transaction: ServerTransaction) -> None:
         """Drop one unanswered: its request must leave no trace."""
         if isinstance(transaction.flow, SipConnection):
             transaction.flow.owed.discard(transaction.key)
-        transaction.state = State.TERMINATED
+        transaction.state = TransactionState.TERMINATED
         self._close(transaction)
 
-    def _close(self, transaction: Server) -> None:
+    def _close(self, transaction: ServerTransaction) -> None:
         if self.servers.pop(transaction.key, None) is None:
             return
         self.live_bytes -= transaction.size
@@ -332,18 +338,20 @@
         client = self.clients.get((branch, method))
         if client is None or not client.waits:
             return
-        if passed >= LAST and not (method == "INVITE" and client.state is State.PROCEEDING):
-            client.state = State.TERMINATED
+        if passed >= LAST and not (method == "INVITE" and client.state is TransactionState.PROCEEDING):
+            client.state = TransactionState.TERMINATED
             del self.clients[(branch, method)]
             self._count("requests_unanswered")
             client.user.final(408, None)
             return
-        again = not client.flow.reliable and client.state is not State.PROCEEDING
-        if again or (client.state is State.PROCEEDING and method != "INVITE" and not client.flow.reliable):
+        again = not client.flow.reliable and client.state is not TransactionState.PROCEEDING
+        if again or (
+            client.state is TransactionState.PROCEEDING and method != "INVITE" and not client.flow.reliable
+        ):
             client.flow.send(client.data)
             self._count("resent")
         slow = T2 if method != "INVITE" else LAST  # timer A doubles without bound, timer E up to T2
-        gap = T2 if client.state is State.PROCEEDING else min(2 * gap, slow)
+        gap = T2 if client.state is TransactionState.PROCEEDING else min(2 * gap, slow)
         gap = min(gap, LAST - passed) if passed < LAST else LAST
         due = self.clockwork.clock() + gap
         self.clockwork.timers.schedule(due, partial(self._unheard, branch, method, gap, passed + gap))
@@ -357,7 +365,7 @@
             return False
         if client.waits:
             if message.status < 200:
-                client.state = State.PROCEEDING
+                client.state = TransactionState.PROCEEDING
                 client.user.provisional(message.status, message)
                 return True
             self._heard(client, message)
@@ -367,7 +375,7 @@
 
     def _heard(self, client: Client, message: sip.SipMessage) -> None:
         accepted = message.status < 300
-        client.state = State.ACCEPTED if accepted else State.COMPLETED
+        client.state = TransactionState.ACCEPTED if accepted else TransactionState.COMPLETED
         keep = LAST if client.method == "INVITE" else T4  # timers D and M, and K
         if client.flow.reliable and not (client.method == "INVITE" and accepted):
             keep = 0.0
@@ -398,7 +406,7 @@
     def flow_lost(self, flow: Flow) -> None:
         """A connection has ended: what waited on it for an answer is begun anew by its user, elsewhere."""
         for client in [each for each in self.clients.values() if each.flow is flow and each.waits]:
-            client.state = State.TERMINATED
+            client.state = TransactionState.TERMINATED
             self.clients.pop((client.branch, client.method), None)
             self._count("requests_rerouted")
             client.user.unreachable()
--- a/stairhatch/standin/caller.py
+++ b/stairhatch/standin/caller.py
@@ -23,7 +23,7 @@
 )
 
 
-class End(Enum):
+class CallResult(Enum):
     """What came of a call."""
 
     STOOD = "stood"
@@ -40,12 +40,12 @@
     number: str
     hold_s: float
     due: float  # when it was to be placed
-    told: Callable[[Placed, End, float, int], None]  # its end, seconds since it was due, status
+    told: Callable[[Placed, CallResult, float, int], None]  # its end, seconds since it was due, status
     branch: str = ""
     data: bytes = b""
     copies: int = 0
     rang: bool = False
-    end: End | None = None
+    end: CallResult | None = None
     return_s: float | None = None  # when a refusal told it to return
     vanished: bool = False  # its caller is gone without a word
     to: str = ""
@@ -147,7 +147,7 @@
     # calls
 
     def place(
-        self, number: str, hold_s: float, due: float, told: Callable[[Placed, End, float, int], None]
+        self, number: str, hold_s: float, due: float, told: Callable[[Placed, CallResult, float, int], None]
     ) -> Placed:
         """Place a call now; `told` hears its end once."""
         self._serial += 1
@@ -173,12 +173,12 @@
         if call.end is None:
             self.seen("vanished", call, 0, "")
             call.vanished = call.over = True
-            self._ended(call, End.UNHEARD, 0)
+            self._ended(call, CallResult.UNHEARD, 0)
             self.calls.pop(call.ident, None)
 
     def hang_up(self, call: Placed) -> None:
         """End a call that stands."""
-        if call.end is End.STOOD and not call.over:
+        if call.end is CallResult.STOOD and not call.over:
             call.over = True
             self.seen("hung up", call, 0, "")
             call.bye = self._request(call, "BYE", 2, call.branch + "b")
@@ -221,10 +221,10 @@
 
     def _unheard(self, call: Placed) -> None:
         if call.end is None:
-            self._ended(call, End.UNHEARD, 0)
+            self._ended(call, CallResult.UNHEARD, 0)
             self.calls.pop(call.ident, None)
 
-    def _ended(self, call: Placed, end: End, status: int) -> None:
+    def _ended(self, call: Placed, end: CallResult, status: int) -> None:
         call.end = end
         call.data = b""
         call.told(call, end, self.loop.time() - call.due, status)
@@ -261,11 +261,13 @@
             call.target = contact[contact.find("<") + 1 : contact.find(">")] or call.target
             self._send(self._request(call, "ACK", 1, call.branch + "a"))
             if call.end is None:
-                self._ended(call, End.STOOD, message.status)
+                self._ended(call, CallResult.STOOD, message.status)
                 self.loop.call_later(call.hold_s, self.hang_up, call)
             return
         self._send(self._request(call, "ACK", 1, call.branch))
         if call.end is None:
             call.return_s = seconds(message.get("retry-after"))
-            self._ended(call, End.REFUSED if message.status == 503 else End.FAILED, message.status)
+            self._ended(
+                call, CallResult.REFUSED if message.status == 503 else CallResult.FAILED, message.status
+            )
         self.loop.call_later(T2, self.calls.pop, call.ident, None)
--- a/stairhatch/standin/processor.py
+++ b/stairhatch/standin/processor.py
@@ -28,7 +28,7 @@
 PER_CALL = COSTS[Work.SET_UP] + COSTS[Work.ANSWER] + COSTS[Work.RELEASE]
 
 
-class State(Enum):
+class ProcessorState(Enum):
     """What a server is like now."""
 
     SERVING = "serving"
@@ -38,7 +38,7 @@
     GONE = "gone"
 
 
-class Verdict(Enum):
+class SetupAdmission(Enum):
     """What becomes of a set-up as it comes."""
 
     QUEUED = "queued"
@@ -79,7 +79,7 @@
     nature: Nature
     chance: random.Random
     born: float | None = None  # when it started cold; None: long ago
-    state: State = State.SERVING
+    state: ProcessorState = ProcessorState.SERVING
     slow: float = 1.0  # so many times slower
     free_at: float = 0.0  # when all that is queued will be done
     queue: list[Item] = field(default_factory=list)
@@ -119,33 +119,33 @@
 
     # ---- what comes ----
 
-    def offer(self, now: float, call: str) -> Verdict:
+    def offer(self, now: float, call: str) -> SetupAdmission:
         """A set-up comes."""
-        if self.state in (State.FALLEN, State.GONE):
-            return Verdict.DOWN
+        if self.state in (ProcessorState.FALLEN, ProcessorState.GONE):
+            return SetupAdmission.DOWN
         self._press(now, Work.SET_UP)
-        if self.state is State.FALLEN:
-            return Verdict.DOWN
-        if self.state is State.HUNG:
-            return Verdict.SWALLOWED
-        if self.state is State.DRAINING or self.wait(now) > self.nature.longest_wait_s:
+        if self.state is ProcessorState.FALLEN:
+            return SetupAdmission.DOWN
+        if self.state is ProcessorState.HUNG:
+            return SetupAdmission.SWALLOWED
+        if self.state is ProcessorState.DRAINING or self.wait(now) > self.nature.longest_wait_s:
             self.turned_away += 1
             self._add(now, call, Work.TURN_AWAY)
-            return Verdict.TURNED_AWAY
+            return SetupAdmission.TURNED_AWAY
         repeats = self._repeats(self.wait(now))
         for _ in range(repeats):  # each is work, and tells nothing new
             self._add(now, call, Work.REPEAT)
         self._add(now, call, Work.SET_UP)
         self._add(now, call, Work.ANSWER)
-        return Verdict.QUEUED
+        return SetupAdmission.QUEUED
 
     def release(self, now: float, call: str) -> None:
         """A call is released, or a set-up given up. What was given up may still be worked on."""
-        if self.state in (State.FALLEN, State.GONE):
+        if self.state in (ProcessorState.FALLEN, ProcessorState.GONE):
             return
         if any(item.call == call and item.work is Work.ANSWER for item in self.queue):
             self.given_up.add(call)
-        if self.state is not State.HUNG:
+        if self.state is not ProcessorState.HUNG:
             self._add(now, call, Work.RELEASE)
 
     def done(self, now: float) -> list[str]:
@@ -159,17 +159,21 @@
                     self.wasted_s += self.nature.set_up_s
                 else:
                     answered.append(item.call)
-        return answered if self.state not in (State.HUNG, State.FALLEN, State.GONE) else []
+        return (
+            answered
+            if self.state not in (ProcessorState.HUNG, ProcessorState.FALLEN, ProcessorState.GONE)
+            else []
+        )
 
     def next_due(self) -> float | None:
         """When `done` is to be asked next."""
-        return self.queue[0].done_at if self.queue and self.state is not State.HUNG else None
+        return self.queue[0].done_at if self.queue and self.state is not ProcessorState.HUNG else None
 
     # ---- troubles ----
 
     def start_cold(self, now: float) -> None:
         """Another process, which knows nothing of what was queued."""
-        self.born, self.state, self.slow, self.free_at = now, State.SERVING, 1.0, now
+        self.born, self.state, self.slow, self.free_at = now, ProcessorState.SERVING, 1.0, now
         self.queue.clear()
         self.given_up.clear()
         self.recent.clear()
@@ -177,13 +181,13 @@
 
     def hang(self, now: float) -> None:
         """It takes set-ups and answers none."""
-        if self.state in (State.SERVING, State.DRAINING):
-            self.state = State.HUNG
+        if self.state in (ProcessorState.SERVING, ProcessorState.DRAINING):
+            self.state = ProcessorState.HUNG
 
     def recover(self, now: float) -> None:
         """What it took while it hung is lost."""
-        if self.state is State.HUNG:
-            self.state, self.free_at = State.SERVING, now
+        if self.state is ProcessorState.HUNG:
+            self.state, self.free_at = ProcessorState.SERVING, now
             self.queue.clear()
 
     # ---- inside ----
@@ -214,5 +218,5 @@
             self.recent.pop(0)
         budget = self.nature.fall_multiple * self.capacity(now) * self.nature.fall_s
         if sum(value for _, value in self.recent) > budget:
-            self.state = State.FALLEN
+            self.state = ProcessorState.FALLEN
             self.queue.clear()
--- a/stairhatch/standin/roster.py
+++ b/stairhatch/standin/roster.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol, cast
 
 from stairhatch.standin.behaviour import FULL, Say, ends, script_for, stands
-from stairhatch.standin.processor import Processor, Verdict
+from stairhatch.standin.processor import Processor, SetupAdmission
 
 STATE_S = 0.4  # how often its state is told
 SIZE = 64  # of its lines
@@ -160,9 +160,9 @@
     def _bear(self, tag: str, processor: Processor) -> None:
         """A set-up meets the processor."""
         match processor.offer(self.timers.time(), tag):
-            case Verdict.TURNED_AWAY:
+            case SetupAdmission.TURNED_AWAY:
                 self._say(tag, ends(0.0, FULL))
-            case Verdict.DOWN:
+            case SetupAdmission.DOWN:
                 self.cut()
         self._look()
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -30,7 +30,7 @@
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings.parser import settings_from_object
 from stairhatch.sip.flows import Flow
-from stairhatch.sip.front import Listener, SipConfig, SipFront
+from stairhatch.sip.front import SipConfig, SipFront, SipListener
 from stairhatch.standin.ports import free_port
 
 ROOT = Path(__file__).parent.parent
@@ -495,7 +495,7 @@
         self.core.servers.pool = self
         self.written: list[Attempt] = []
         self.releases: list[tuple[str, int]] = []
-        at = (Listener(("127.0.0.1", 1)),)
+        at = (SipListener(("127.0.0.1", 1)),)
         config = replace(SipConfig(at, at, "127.0.0.1:1", *NUMBERED), **config)
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from stairhatch.load import experiment as exp
 from stairhatch.load.habit import Throttle, Try, redial_after
 from stairhatch.load.plan import (
-    Due,
+    DueCall,
     Habits,
     Kind,
     Office,
@@ -27,11 +27,11 @@
     read_plan,
 )
 from stairhatch.load.rosters import RosterPlan, Trouble
-from stairhatch.load.rules import Checker, Seen, What
-from stairhatch.load.run import LoadError, Order, Setup, on_this_machine, run
-from stairhatch.load.tally import Tally
+from stairhatch.load.rules import Checker, ObservationKind, Seen
+from stairhatch.load.run import LoadError, OperatorCommand, Setup, on_this_machine, run
+from stairhatch.load.tally import LoadTally
 from stairhatch.load.weather import Way, Weather
-from stairhatch.standin.processor import PER_CALL, Nature, Processor, State, Verdict
+from stairhatch.standin.processor import PER_CALL, Nature, Processor, ProcessorState, SetupAdmission
 
 from .peers import ROOT
 
@@ -105,7 +105,7 @@
 # ---- callers ----
 
 KIND = Kind("read-roster", 1.0, "1000")
-DUE = Due(0.0, 0, 0, KIND, 1.0, False, False)
+DUE = DueCall(0.0, 0, 0, KIND, 1.0, False, False)
 
 
 @pytest.mark.parametrize(
@@ -147,8 +147,8 @@
     """Guards against stand-ins that bear any load at once, before which overload never shows."""
     processor = Processor(Nature(set_up_s=0.1, longest_wait_s=1.0, noise=0.0, resend_s=0), random.Random(1))
     verdicts = [processor.offer(100.0, f"c{n}") for n in range(20)]
-    queued = verdicts.count(Verdict.QUEUED)
-    assert 7 <= queued <= 9 and verdicts[queued:] == [Verdict.TURNED_AWAY] * (20 - queued)
+    queued = verdicts.count(SetupAdmission.QUEUED)
+    assert 7 <= queued <= 9 and verdicts[queued:] == [SetupAdmission.TURNED_AWAY] * (20 - queued)
     assert processor.turned_away == 20 - queued and processor.wasted_s > 0
     answered = []
     while (due := processor.next_due()) is not None:
@@ -175,18 +175,18 @@
     processor = Processor(Nature(set_up_s=0.1, cold_from=0.3, warm_after_s=14.0), random.Random(1))
     processor.start_cold(100.0)
     verdicts = [processor.offer(100.0 + n / rate, f"c{n}") for n in range(int(3 * rate))]
-    assert (processor.state is State.FALLEN) is falls is (Verdict.DOWN in verdicts)
+    assert (processor.state is ProcessorState.FALLEN) is falls is (SetupAdmission.DOWN in verdicts)
     processor.recover(200.0)
-    assert (processor.offer(200.0, "x") is Verdict.DOWN) is falls
+    assert (processor.offer(200.0, "x") is SetupAdmission.DOWN) is falls
 
 
 def test_a_hung_server_takes_and_answers_nothing_and_forgets_it_all():
     """Guards against a silence that ends in a burst of answers to calls long given up."""
     processor = Processor(Nature(set_up_s=0.1), random.Random(1))
     processor.hang(100.0)
-    assert processor.offer(100.0, "a") is Verdict.SWALLOWED and processor.next_due() is None
+    assert processor.offer(100.0, "a") is SetupAdmission.SWALLOWED and processor.next_due() is None
     processor.recover(105.0)
-    assert processor.offer(105.0, "b") is Verdict.QUEUED and processor.done(106.0) == ["b"]
+    assert processor.offer(105.0, "b") is SetupAdmission.QUEUED and processor.done(106.0) == ["b"]
 
 
 def test_the_weather_of_a_seed_is_the_same_and_a_loss_moves_no_other():
@@ -205,12 +205,18 @@
 # ---- the rules ----
 
 KEPT = [
-    Seen(0.0, What.ASKED, "c"), Seen(0.1, What.SET_UP, "c", "r0"), Seen(0.5, What.GIVEN_UP, "c", "r0"),
-    Seen(1.1, What.SET_UP, "c", "r1"), Seen(1.2, What.REFUSED, "c", "r1"), Seen(1.21, What.SET_UP, "c", "r0"),
-    Seen(1.3, What.STOOD, "c", "r0"), Seen(1.31, What.FINAL, "c", value=200, text="a"),
-    Seen(1.9, What.FINAL, "c", value=200, text="a"), Seen(5.0, What.HUNG_UP, "c"),
-    Seen(5.01, What.GIVEN_UP, "c", "r0"),
-]  # fmt: skip
+    Seen(0.0, ObservationKind.ASKED, "c"),
+    Seen(0.1, ObservationKind.SET_UP, "c", "r0"),
+    Seen(0.5, ObservationKind.GIVEN_UP, "c", "r0"),
+    Seen(1.1, ObservationKind.SET_UP, "c", "r1"),
+    Seen(1.2, ObservationKind.REFUSED, "c", "r1"),
+    Seen(1.21, ObservationKind.SET_UP, "c", "r0"),
+    Seen(1.3, ObservationKind.STOOD, "c", "r0"),
+    Seen(1.31, ObservationKind.FINAL, "c", value=200, text="a"),
+    Seen(1.9, ObservationKind.FINAL, "c", value=200, text="a"),
+    Seen(5.0, ObservationKind.HUNG_UP, "c"),
+    Seen(5.01, ObservationKind.GIVEN_UP, "c", "r0"),
+]
 
 
 def changed(*without, more=()):
@@ -222,23 +228,57 @@
     [
         (KEPT, []),
         (changed(7, 8, 9, 10), ["answer"]),
-        (changed(more=[Seen(2.0, What.FINAL, "c", value=503, text="b")]), ["answer"]),
-        (changed(more=[Seen(2.0, What.FINAL, "c", value=200, text="b")]), ["answer"]),
+        (changed(more=[Seen(2.0, ObservationKind.FINAL, "c", value=503, text="b")]), ["answer"]),
+        (changed(more=[Seen(2.0, ObservationKind.FINAL, "c", value=200, text="b")]), ["answer"]),
         (changed(0), ["answer"]),
         (changed(2), ["one attempt"]),
-        (changed(3, 4, more=[Seen(0.8, What.SET_UP, "c", "r1"), Seen(0.9, What.REFUSED, "c", "r1")]),
-         ["pause"]),
+        (
+            changed(
+                3,
+                4,
+                more=[
+                    Seen(0.8, ObservationKind.SET_UP, "c", "r1"),
+                    Seen(0.9, ObservationKind.REFUSED, "c", "r1"),
+                ],
+            ),
+            ["pause"],
+        ),
         (changed(10), ["release"]),
-        (changed(9, 10, more=[Seen(1.25, What.VANISHED, "c")]), ["release"]),
-        (changed(9, 10, more=[Seen(1.25, What.VANISHED, "c"), Seen(33.4, What.GIVEN_UP, "c", "r0")]), []),
-        (changed(9, 10, more=[Seen(5.0, What.ENDED, "c", "r0")]), ["release"]),
-        (changed(9, 10, more=[Seen(5.0, What.ENDED, "c", "r0"), Seen(5.1, What.TOLD_END, "c")]), []),
-        (changed(more=[Seen(0.0, What.TOLD_DRAIN, "", "r1")]), ["drain"]),
-        (changed(more=[Seen(0.3, What.TOLD_DRAIN, "", "r1")]), []),
-        (changed(more=[Seen(1.2 + n / 1000, w, "c", "r1") for n in range(1, 5)
-                       for w in (What.SET_UP, What.REFUSED)]), ["attempts"]),
+        (changed(9, 10, more=[Seen(1.25, ObservationKind.VANISHED, "c")]), ["release"]),
+        (
+            changed(
+                9,
+                10,
+                more=[
+                    Seen(1.25, ObservationKind.VANISHED, "c"),
+                    Seen(33.4, ObservationKind.GIVEN_UP, "c", "r0"),
+                ],
+            ),
+            [],
+        ),
+        (changed(9, 10, more=[Seen(5.0, ObservationKind.ENDED, "c", "r0")]), ["release"]),
+        (
+            changed(
+                9,
+                10,
+                more=[Seen(5.0, ObservationKind.ENDED, "c", "r0"), Seen(5.1, ObservationKind.TOLD_END, "c")],
+            ),
+            [],
+        ),
+        (changed(more=[Seen(0.0, ObservationKind.TOLD_DRAIN, "", "r1")]), ["drain"]),
+        (changed(more=[Seen(0.3, ObservationKind.TOLD_DRAIN, "", "r1")]), []),
+        (
+            changed(
+                more=[
+                    Seen(1.2 + n / 1000, w, "c", "r1")
+                    for n in range(1, 5)
+                    for w in (ObservationKind.SET_UP, ObservationKind.REFUSED)
+                ]
+            ),
+            ["attempts"],
+        ),
     ],
-)  # fmt: skip
+)
 def test_each_rule_is_read_off_the_record_and_no_other(story, rules):
     """Guards against a checker that passes everything, or calls one thing by another's name."""
     assert [each.rule for each in Checker(60.0).check(list(story))] == rules
@@ -250,13 +290,13 @@
 
 def test_tallies_add_up_and_a_tool_that_was_late_proves_nothing():
     """Guards against figures of a load that was never brought."""
-    one, two = Tally(), Tally()
+    one, two = LoadTally(), LoadTally()
     for tally, count, late_s in ((one, 300, 0.001), (two, 10, 0.4)):
         for number in range(count):
             tally.asked(KIND, number / 10, late_s)
             tally.ended(KIND, number / 10, "stood", 0.2 if number % 2 else 2.0)
-    assert not one.void() and "late" in two.void() and Tally().void()
-    whole = Tally()
+    assert not one.void() and "late" in two.void() and LoadTally().void()
+    whole = LoadTally()
     for each in (one, two):
         whole.add(json.loads(json.dumps(each.told())))
     assert whole.counts["asked"] == 310 and whole.worth == 310 and whole.earned == 155 and whole.void()
@@ -272,14 +312,16 @@
     the machine can bear is not judged here: only the rules are, and that calls stood.
     """
     plan = load(
-        phase=[{"seconds": 6.0, "rate": 40.0}], tcp=0.34, cuts=[3.0],
+        phase=[{"seconds": 6.0, "rate": 40.0}],
+        tcp=0.34,
+        cuts=[3.0],
         habits={"vanish": 0.05, "cancels": 0.05, "cancel_s": 0.3, "oc": 0.3, "oc_lies": 0.2},
-    )  # fmt: skip
+    )
     rosters = RosterPlan(
         count=2, set_up_ms=5.0, trouble=(Trouble(1.0, 0, "hang"), Trouble(4.0, 0, "recover"))
     )
     weather = Weather(loss=0.1, copies=0.1, jitter_ms=5.0)
-    orders = (Order(2.0, signal.SIGHUP), Order(2.5, signal.SIGUSR1))
+    orders = (OperatorCommand(2.0, signal.SIGHUP), OperatorCommand(2.5, signal.SIGUSR1))
     report = run(Setup(plan, 2, 2, rosters=rosters, weather=weather, orders=orders))
     assert report.checked and [each.line() for each in report.broken] == []
     assert report.tally.counts["stood"] > 50 and report.program["counters"]["reloads"] == 1
@@ -325,7 +367,7 @@
 
     def one(setup):
         drawn.append((setup.seed, setup.plan.rate(1.0)))
-        tally = Tally()
+        tally = LoadTally()
         for due in calls(setup.plan, setup.seed):
             tally.asked(due.kind, due.at, 0.5 if len(drawn) == 1 else 0.0)
             tally.ended(due.kind, due.at, "stood", 0.1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from stairhatch.scale.plan import ScaleError, plan_from, read_plan, twin
 from stairhatch.scale.real import Processes
 from stairhatch.scale.world import World
-from stairhatch.standin.processor import Processor, Verdict
+from stairhatch.standin.processor import Processor, SetupAdmission
 
 from .peers import ROOT, until
 
@@ -127,7 +127,7 @@
 
     def offer(self, now, call):
         came.append(call)
-        return Verdict.TURNED_AWAY if len(came) % each == 0 else inner(self, now, call)
+        return SetupAdmission.TURNED_AWAY if len(came) % each == 0 else inner(self, now, call)
 
     monkeypatch.setattr(Processor, "offer", offer)
 
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -17,7 +17,7 @@
 from stairhatch.sip import auth, grammar, sessions
 from stairhatch.sip.flows import Flow, Networks
 from stairhatch.sip.heads import Head
-from stairhatch.sip.sessions import Due, Lease, Refresher, SessionTimer, TimerPolicy
+from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, TimerPolicy
 from stairhatch.sip.transactions import LAST, T4, Transactions
 
 from .peers import InProcessNode, Line, sip_headers
@@ -287,10 +287,12 @@
         refreshed = now
         now += wait
         due = lease.due(now)
-        assert (due is Due.RELEASE) is (now - refreshed >= SessionTimer(interval, refresher).lasts_s)
-        if due is Due.REFRESH:
+        assert (due is SessionTimerAction.RELEASE) is (
+            now - refreshed >= SessionTimer(interval, refresher).lasts_s
+        )
+        if due is SessionTimerAction.REFRESH:
             assert refresher is Refresher.OURS and now - refreshed >= interval / 2
-            assert lease.due(now) is Due.NOTHING  # asked for once
+            assert lease.due(now) is SessionTimerAction.NOTHING  # asked for once
         lease.agree(SessionTimer(interval, refresher), now)
 
 
@@ -344,9 +346,9 @@
     for count in counts:
         verdict = gate.judge("INVITE", "sip:7@net", credentials(nonce, count)).verdict
         if count in used or count == 0:
-            assert verdict is auth.Verdict.REPLAYED
+            assert verdict is auth.CredentialCheck.REPLAYED
         elif count > highest - auth.WINDOW:
-            assert verdict is auth.Verdict.GOOD
+            assert verdict is auth.CredentialCheck.GOOD
         used.add(count)
         highest = max(highest, count)
 
@@ -356,15 +358,18 @@
     monkeypatch.setattr(auth, "MOST_NONCES", 3)
     gate, clock = guard()
     first = gate.nonce()
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.Verdict.GOOD
+    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.GOOD
     for _ in range(5):
         clock.now += 0.01
-        assert gate.judge("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).verdict is auth.Verdict.GOOD
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.Verdict.STALE
+        assert (
+            gate.judge("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).verdict
+            is auth.CredentialCheck.GOOD
+        )
+    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.STALE
     clock.now += 301
     assert (
         gate.judge("INVITE", "sip:7@net", credentials(gate.nonce()[:-1] + "x", 1)).verdict
-        is auth.Verdict.STALE
+        is auth.CredentialCheck.STALE
     )
 
 
@@ -374,7 +379,8 @@
     nonce = gate.nonce()
     for count in range(1, 2000):
         assert (
-            gate.judge("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).verdict is auth.Verdict.BAD
+            gate.judge("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).verdict
+            is auth.CredentialCheck.BAD
         )
     assert not gate._counts
 
@@ -410,10 +416,10 @@
 
 def test_a_barred_datagram_leaves_no_trace():
     """Guards against work done for whoever is outside the listener's networks."""
-    from stairhatch.sip.front import Listener
+    from stairhatch.sip.front import SipListener
 
     only = Networks((ipaddress.ip_network("10.0.0.0/8"),))
-    inside = InProcessNode(udp=(Listener(("127.0.0.1", 1), only),))
+    inside = InProcessNode(udp=(SipListener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
     assert not inside.front.ports[0].output and inside.core.counters.counts == {"datagrams_barred": 1}
