--- a/stairhatch/fleet/config.py
+++ b/stairhatch/fleet/config.py
@@ -1,4 +1,4 @@
-"""What a softswitch is told of its fleet: owns that form. It must never read a file."""
+"""What a softswitch is configured with for its fleet, as read from the appliance's file."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     """`[fleet]` of the appliance's file."""
 
     fleet_name: str
-    member_name: str  # this softswitch's
+    member_name: str
     listen: PeerAddress
     voters: dict[str, PeerAddress]
-    epoch: int = 1  # of that list, counted up with each change
+    epoch: int = 1  # of the voters, counted up with each change of them
     secret: bytes = field(default=b"", repr=False)
     data_directory: Path | None = None
     history_path: Path | None = None
     timings: LeaseTimings = field(default_factory=LeaseTimings)
-    lease_instance_index: bool = True  # which of `balancers` this one is, is claimed
-    relay_endpoint_list: bool = False  # one follows the coordinator for all
-    restart_slots: int = 0  # so many may be in a planned restart at a time; 0: nobody asks
+    lease_instance_index: bool = True  # which of `settings.balancers` this one is, is leased
+    relay_endpoint_list: bool = False  # one member follows the coordinator for all
+    restart_slots: int = 0  # so many may be in a planned restart at a time; 0: none needs a slot
 
     @property
     def is_voter(self) -> bool:
--- a/stairhatch/fleet/endpoint_list_runtime.py
+++ b/stairhatch/fleet/endpoint_list_runtime.py
@@ -1,5 +1,4 @@
-"""The relayed endpoint list of one member at work: what `endpoint_relay` decides, joined to service discovery
-and to the other members.
+"""The relayed endpoint list at work: `endpoint_relay` joined to service discovery and the other members.
 
 The holder of the lease `list` tells the voters its list with its fencing token, and once per poll interval
 that it is there. Nothing that a voter passes on was heard from another voter.
--- a/stairhatch/fleet/endpoint_relay.py
+++ b/stairhatch/fleet/endpoint_relay.py
@@ -1,5 +1,4 @@
-"""The endpoint list of the roster servers, followed by one member for all: who polls the coordinator, what is
-handed on, and what of it is taken.
+"""The endpoint list of the roster servers, which one member follows for all and hands on.
 
 The holder of the lease `list` follows the coordinator and hands the whole list with its index and its fencing
 token to the voters; every other member asks one voter after the other what is newer than its own list. So a
--- a/stairhatch/fleet/fencing.py
+++ b/stairhatch/fleet/fencing.py
@@ -1,5 +1,4 @@
-"""The fencing tokens that a receiver of shared work goes by: what comes under a lower one than seen is
-rejected.
+"""The fencing tokens that a receiver of shared work goes by: a lower one than seen is rejected.
 
 A lease alone binds nobody who is stopped between its check and its write; the receiver's memory does
 (fencing: Burrows, OSDI 2006, section 2.4, 'sequencer'). The highest tokens are kept over restarts by the
--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -1,5 +1,4 @@
-"""Who holds a lease, for a member that does not request it: which voters are asked, and what their answers
-come to.
+"""Who holds a lease, by what the voters answer to a member that does not request it.
 
 A holder is seen once a majority of the voters names it with one fencing token; nobody holds the lease once a
 majority says so or says nothing that agrees. Voters are asked while somebody observes, which must be said
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -45,8 +45,9 @@
         fencing_tokens: dict[str, int] | None = None,
         epoch: int = 1,
     ) -> None:
-        """Without `kept` it is no voter. `epoch` is that of the voters, counted up with each change of
-        them.
+        """Without `kept` it is no voter.
+
+        `epoch` is that of the voters, counted up with each change of them.
         """
         self.epoch = epoch
         self.identity = identity
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -1,7 +1,9 @@
-"""What softswitches say to each other about claims: owns the forms of the messages and how they lie in a
-datagram. It must never judge one. A datagram is 16 bytes of keyed BLAKE2b (RFC 7693) over the rest, and the
-rest is MessagePack; the key is made of the fleet's name and its secret, so that strangers and a second fleet
-on the same net are passed over alike.
+"""What the members of a fleet say to each other about leases, and how it lies in a datagram.
+
+A datagram is 16 bytes of keyed BLAKE2b (RFC 7693) over the rest, and the rest is MessagePack; the key is made
+of the fleet's name and its secret, so that strangers and a second fleet on the same net are passed over
+alike. The encoded names (`tag`, `field(name=...)`) are older than the fields' names and stay: members of
+several versions talk to each other.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
 
 TAG_BYTES = 16
 MAX_DATAGRAM_BYTES = 1400
-VOTES_PER_PAGE = 8  # promises in one answer to a roll call: names have 48 bytes at most
+VOTES_PER_PAGE = 8  # in one status reply, so that it fits: names have 48 bytes at most
 
 Name = Annotated[str, Meta(min_length=1, max_length=48)]
 Number = Annotated[int, Meta(ge=0, le=2**62)]
@@ -34,7 +36,7 @@
 
 
 class StorageVersion(Struct, frozen=True, array_like=True):
-    """How far a voter's folder had come when somebody heard of it: which folder, its start, its promises."""
+    """How far a voter's data directory had come: which it is, how often it was opened, votes cast from it."""
 
     storage_id: Annotated[str, Meta(max_length=32)]
     incarnation: Number
@@ -46,7 +48,7 @@
 
 
 class LeaseRequest(FleetMessage, frozen=True, tag="ask"):
-    """Promise me this claim: anew, or for another term where the ticket is the one promised."""
+    """Grant me this lease: anew, or for another duration where the fencing token is the one voted for."""
 
     lease: Name = field(name="claim")
     holder: Name
@@ -56,13 +58,13 @@
     request_id: Number = field(name="serial")
     storage_versions: dict[Name, StorageVersion] = field(
         default_factory=dict, name="marks"
-    )  # of the voters, as the asker has heard
-    epoch: Number = 1  # of the list of voters that are asked
-    voter_set_digest: Number = field(default=0, name="roll")  # that list's digest
+    )  # of the voters, as the requester has heard
+    epoch: Number = 1  # of the voter set that is asked
+    voter_set_digest: Number = field(default=0, name="roll")  # of that set
 
 
 class LeaseGranted(FleetMessage, frozen=True, tag="yes"):
-    """Promised, and on disk."""
+    """Granted, and the vote is on disk."""
 
     lease: Name = field(name="claim")
     voter: Name
@@ -72,7 +74,7 @@
 
 
 class LeaseRejected(FleetMessage, frozen=True, tag="no"):
-    """Not promised: what stands in the way, and for how long."""
+    """Not granted: what stands against it, and for how long."""
 
     lease: Name = field(name="claim")
     voter: Name
@@ -84,7 +86,7 @@
 
 
 class LeaseRelease(FleetMessage, frozen=True, tag="back"):
-    """The asker wants it no longer; a successor that is named goes first for a while."""
+    """The requester wants it no longer; a successor that is named is preferred for a while."""
 
     lease: Name = field(name="claim")
     holder: Name
@@ -94,14 +96,14 @@
 
 
 class LeaseQuery(FleetMessage, frozen=True, tag="look"):
-    """Who holds it?"""
+    """Ask who holds a lease."""
 
     lease: Name = field(name="claim")
     query_id: Number = field(name="serial")
 
 
 class LeaseStatus(FleetMessage, frozen=True, tag="shown"):
-    """What a voter has promised."""
+    """What a voter has voted for."""
 
     lease: Name = field(name="claim")
     voter: Name
@@ -112,20 +114,20 @@
 
 
 class StatusRequest(FleetMessage, frozen=True, tag="roll"):
-    """A voter that has started asks the others what they know of it, page by page."""
+    """A voter tells the others how far it has come, and asks what they know of it, page by page."""
 
     voter: Name
     storage_version: StorageVersion = field(name="mark")
-    is_new_storage: bool = field(name="fresh")  # its folder was empty
-    is_voting: bool = field(default=False, name="good")  # it votes
+    is_new_storage: bool = field(name="fresh")  # its data directory was empty
+    is_voting: bool = field(default=False, name="good")
     after_lease: Annotated[str, Meta(max_length=48)] = field(default="", name="after")
     request_id: Number = field(default=0, name="serial")  # answers to an earlier one don't count
     epoch: Number = 1
-    proposed_digest: Number = field(default=0, name="wish")  # the digest of the next list that it would go by
+    proposed_digest: Number = field(default=0, name="wish")  # of the next voter set that it would go by
 
 
 class VoteReport(Struct, frozen=True, array_like=True):
-    """A promise as it is told."""
+    """A vote as it is reported."""
 
     lease: Name
     fencing_token: Number
@@ -135,7 +137,7 @@
 
 
 class StatusReply(FleetMessage, frozen=True, tag="here"):
-    """What another voter knows of the one that asked, and some of its own promises, by name."""
+    """What another voter knows of the one that asked, and some of its own votes, by the leases' names."""
 
     voter: Name
     storage_version: StorageVersion = field(name="mark")
@@ -146,21 +148,21 @@
     after_lease: Annotated[str, Meta(max_length=48)] = field(default="", name="after")
     votes: Annotated[tuple[VoteReport, ...], Meta(max_length=VOTES_PER_PAGE)] = field(default=(), name="kept")
     has_more: bool = field(default=False, name="more")
-    request_id: Number = field(default=0, name="serial")  # of the call
-    epoch: Number = 1  # of the list that it goes by, and its digest
+    request_id: Number = field(default=0, name="serial")  # of the status request
+    epoch: Number = 1  # of the voter set that it goes by
     voter_set_digest: Number = field(default=0, name="roll")
-    minimum_epoch: Number = field(default=0, name="floor")  # asks by lists of lower epochs are refused
-    agreed_digest: Number = field(default=0, name="agreed")  # the digest of the next list that it agreed to
+    minimum_epoch: Number = field(default=0, name="floor")  # requests by sets of lower epochs are rejected
+    agreed_digest: Number = field(default=0, name="agreed")  # of the next voter set that it agreed to
 
 
 class Subscribe(FleetMessage, frozen=True, tag="tune"):
-    """What is new in the list after this number?"""
+    """Ask for the endpoint list after this index."""
 
     after_index: Number = field(name="after")
 
 
 class EndpointUpdate(FleetMessage, frozen=True, tag="news"):
-    """Events of the list from its owner, one part of them."""
+    """One part of the endpoint list as its holder has it; no data where nothing is new."""
 
     holder: Name
     fencing_token: Number = field(name="ticket")
@@ -171,7 +173,7 @@
 
 
 class Superseded(FleetMessage, frozen=True, tag="stale"):
-    """A receiver's answer to a ticket below the highest it has seen: stand down."""
+    """A receiver's answer to a fencing token below the highest it has seen: step down."""
 
     lease: Name = field(name="claim")
     highest_token: Number = field(name="highest")
@@ -196,6 +198,7 @@
     """Messages to datagrams and back, for one fleet."""
 
     def __init__(self, fleet: str, secret: bytes = b"") -> None:
+        """Members of one fleet have its name and its secret in common."""
         self._key = hashlib.blake2b(secret, key=hashlib.blake2b(fleet.encode()).digest()).digest()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(AnyMessage)
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -1,5 +1,4 @@
-"""The fleet's part of one softswitch at work: the member's decisions joined to the socket, the disk, the
-clock, the calls and the admin endpoint.
+"""The fleet's part of one softswitch at work: its member joined to sockets, disk, clock and calls.
 
 It decides nothing of who holds what, and holds up neither the loop nor a call: a fault in here is logged and
 ends nothing else. `endpoint_list_runtime` has the relayed list, `admin_commands` what operators ask,
@@ -59,9 +58,7 @@
 
 
 def between_check_and_write() -> None:
-    """Do nothing, at the one place where a stop does most harm: a fault-injection run stops the process
-    here.
-    """
+    """Do nothing, where a stop does most harm: a fault-injection run stops the process here."""
 
 
 class FleetRuntime:
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -1,13 +1,12 @@
-"""The folder of one softswitch: owns the file of its promises, marks and fences, and the thread that writes
-it. It must never hold up the loop, say that something is kept before it is synced, or share its folder with a
-second process.
+"""The data directory of one member: the file of its votes, storage versions and fencing tokens.
 
 SQLite by the standard library, in WAL with `synchronous=FULL`: each transaction is synced before it is
-answered (sqlite.org/pragma.html#pragma_synchronous), and one that was cut off is not there. Writes that wait
-are committed together. SQLite has no sums over what lies in its pages, so each row has one (CRC-32): a bit
-that has turned is found at the next start. The file is locked for as long as the process lives. One that is
-no readable database is put aside under another name, never deleted, and the softswitch goes on with an empty
-folder, which does not vote until it is let in.
+answered (sqlite.org/pragma.html#pragma_synchronous), and one that was cut off is not there. A thread writes,
+and writes that wait are committed together. SQLite has no sums over what lies in its pages, so each row has
+one (CRC-32): a bit that has turned is found at the next start. The file is locked for as long as the process
+lives. One that is no readable database is put aside under another name, never deleted, and the member goes on
+with an empty directory, which does not vote until it is admitted. The tables' and columns' names are stored
+data and stay as they are.
 """
 
 from __future__ import annotations
@@ -26,6 +25,7 @@
 from typing import Any
 
 from stairhatch.fleet.effects import PersistedState, PersistFencingToken, PersistVotes, Vote
+from stairhatch.fleet.errors import StoreError as StoreError
 from stairhatch.fleet.messages import StorageVersion
 from stairhatch.fleet.voter_set import VoterSet
 
@@ -40,17 +40,14 @@
 CREATE TABLE IF NOT EXISTS fences (claim TEXT PRIMARY KEY, ticket INTEGER NOT NULL, sum INTEGER)
     WITHOUT ROWID;
 """
+CLOSE_TIMEOUT_S = 5.0
 TABLES = ("own", "promises", "known", "fences")
 Row = tuple[Any, ...]
 
 
-class StoreError(Exception):
-    """A folder that can't be used, with the reason in one line."""
-
-
 @dataclass(frozen=True)
 class StoredState:
-    """What a folder held."""
+    """What a data directory held."""
 
     voter_state: PersistedState
     fencing_tokens: dict[str, int]
@@ -94,45 +91,50 @@
 
 
 def no_fault() -> None:
-    """Before a commit nothing happens. A lab puts a disk that fails in its place."""
+    """Do nothing before a commit. A fault-injection run puts a disk that fails in its place."""
 
 
 class VoterStore:
-    """One folder, open."""
+    """One data directory, open, and the thread that writes it."""
 
     before_commit: CommitHook = staticmethod(no_fault)
 
-    def __init__(self, folder: Path, call: Callable[[Callable[[], None]], object]) -> None:
-        """`call` has something done on the loop, from any thread. StoreError: the folder can't be used."""
-        self.path, self._call = folder / FILE_NAME, call
+    def __init__(self, directory: Path, call: Callable[[Callable[[], None]], object]) -> None:
+        """`call` has something done on the loop, from any thread. StoreError: the directory can't be used."""
+        self.path = directory / FILE_NAME
+        self._call = call
         self._work: queue.SimpleQueue[tuple[PersistVotes | PersistFencingToken, WriteCallback] | None] = (
             queue.SimpleQueue()
         )
         self._base: sqlite3.Connection
         try:
-            folder.mkdir(parents=True, exist_ok=True)
+            directory.mkdir(parents=True, exist_ok=True)
             self.stored = self._open()
         except (OSError, sqlite3.Error) as error:
             text = "another process has it open" if "locked" in str(error) else str(error)
-            raise StoreError(f"{folder}: {text}") from None
+            raise StoreError(f"{directory}: {text}") from error
         self._thread = threading.Thread(target=self._run, name="fleet-store", daemon=True)
         self._thread.start()
 
     def _open(self) -> StoredState:
-        aside = ""
         try:
             return self._read()
         except sqlite3.DatabaseError as error:
             if isinstance(error, sqlite3.OperationalError):
                 raise  # locked, read-only or full: the file itself may be well
-            aside = f"{FILE_NAME}.unreadable-{secrets.token_hex(4)}"
-            with contextlib.suppress(sqlite3.Error):
-                self._base.close()
-            os.replace(self.path, self.path.with_name(aside))
-            for end in ("-wal", "-shm"):
-                self.path.with_name(FILE_NAME + end).unlink(missing_ok=True)
-            found = self._read()
-            return StoredState(found.voter_state, found.fencing_tokens, f"{aside}: {error}")
+            quarantine = self._quarantine()
+            stored = self._read()
+            return StoredState(stored.voter_state, stored.fencing_tokens, f"{quarantine}: {error}")
+
+    def _quarantine(self) -> str:
+        """Put a file that can't be read aside; under which name."""
+        name = f"{FILE_NAME}.unreadable-{secrets.token_hex(4)}"
+        with contextlib.suppress(sqlite3.Error):
+            self._base.close()
+        os.replace(self.path, self.path.with_name(name))
+        for end in ("-wal", "-shm"):
+            self.path.with_name(FILE_NAME + end).unlink(missing_ok=True)
+        return name
 
     def _read(self) -> StoredState:
         base = self._base = sqlite3.connect(
@@ -148,28 +150,39 @@
         version = base.execute("PRAGMA user_version").fetchone()[0]
         if version > SCHEMA_VERSION:
             raise StoreError(f"{self.path}: written by a later version of the program ({version})")
-        for statement in SCHEMA.split(";"):
-            base.execute(statement)
-        if version == 1:  # the tables are there, without sums
-            for table in TABLES:
-                base.execute(f"ALTER TABLE {table} ADD COLUMN sum INTEGER")
-                self._rows(table, [row[:-1] for row in base.execute(f"SELECT * FROM {table}").fetchall()])
-        base.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
-        found = {table: self._checked(table) for table in TABLES}
-        own: dict[str, str] = {str(key): str(value) for key, value in found["own"]}
-        folder, life = own.get("folder") or secrets.token_hex(8), int(own.get("life", 0)) + 1
-        self._put({"folder": folder, "life": life, "promises": own.get("promises", 0)})
-        kept = PersistedState(
-            StorageVersion(folder, life, int(own.get("promises", 0))),
+        self._create_tables(version)
+        rows = {table: self._checked_rows(table) for table in TABLES}
+        own: dict[str, str] = {str(key): str(value) for key, value in rows["own"]}
+        version_now = self._count_start(own)
+        voter_state = PersistedState(
+            version_now,
             bool(int(own.get("admitted", 0))),
-            tuple(Vote(*row) for row in found["promises"]),
-            {row[0]: StorageVersion(*row[1:]) for row in found["known"]},
+            tuple(Vote(*row) for row in rows["promises"]),
+            {row[0]: StorageVersion(*row[1:]) for row in rows["known"]},
             _decode_voter_set(own),
         )
         base.execute("COMMIT")
-        return StoredState(kept, dict(found["fences"]))
+        return StoredState(voter_state, dict(rows["fences"]))
 
-    def _checked(self, table: str) -> list[Row]:
+    def _create_tables(self, version: int) -> None:
+        for statement in SCHEMA.split(";"):
+            self._base.execute(statement)
+        if version == 1:  # the tables are there, without sums
+            for table in TABLES:
+                self._base.execute(f"ALTER TABLE {table} ADD COLUMN sum INTEGER")
+                rows = self._base.execute(f"SELECT * FROM {table}").fetchall()
+                self._put_rows(table, [row[:-1] for row in rows])
+        self._base.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
+
+    def _count_start(self, own: dict[str, str]) -> StorageVersion:
+        """This opening is a start of its own."""
+        storage_id = own.get("folder") or secrets.token_hex(8)
+        incarnation = int(own.get("life", 0)) + 1
+        vote_count = int(own.get("promises", 0))
+        self._put_own({"folder": storage_id, "life": incarnation, "promises": vote_count})
+        return StorageVersion(storage_id, incarnation, vote_count)
+
+    def _checked_rows(self, table: str) -> list[Row]:
         """All rows, without their sums."""
         rows = self._base.execute(f"SELECT * FROM {table}").fetchall()
         for row in rows:
@@ -177,7 +190,7 @@
                 raise sqlite3.DatabaseError(f"a row of {table} is not as it was written")
         return [row[:-1] for row in rows]
 
-    def _rows(self, table: str, rows: list[Row]) -> None:
+    def _put_rows(self, table: str, rows: list[Row]) -> None:
         if not rows:
             return
         marks = ", ".join("?" * (len(rows[0]) + 1))
@@ -185,17 +198,17 @@
             f"INSERT OR REPLACE INTO {table} VALUES ({marks})", [(*row, _sum(row)) for row in rows]
         )
 
-    def _put(self, own: dict[str, object]) -> None:
-        self._rows("own", [(key, str(value)) for key, value in own.items()])
+    def _put_own(self, own: dict[str, object]) -> None:
+        self._put_rows("own", [(key, str(value)) for key, value in own.items()])
 
     def persist(self, what: PersistVotes | PersistFencingToken, done: WriteCallback) -> None:
-        """Put it on disk; `done` hears of it on the loop."""
+        """Put it on disk; `done` hears of it on the loop, with what went wrong or ""."""
         self._work.put((what, done))
 
     def close(self) -> None:
-        """Write what waits, and let go of the folder."""
+        """Write what waits, and let go of the directory."""
         self._work.put(None)
-        self._thread.join(5.0)
+        self._thread.join(CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         while True:
@@ -222,21 +235,9 @@
             base.execute("BEGIN IMMEDIATE")
             for each in work:
                 if isinstance(each, PersistFencingToken):
-                    self._rows("fences", [(each.lease, each.fencing_token)])
-                    continue
-                promises = [
-                    (p.lease, p.fencing_token, p.holder, p.incarnation, p.duration_s) for p in each.votes
-                ]
-                self._rows("promises", promises)
-                self._rows(
-                    "known",
-                    [(n, m.storage_id, m.incarnation, m.vote_count) for n, m in each.known_versions.items()],
-                )
-                self._put({"promises": each.storage_version.vote_count})
-                if each.admitted:
-                    self._put({"admitted": 1})
-                if each.voter_set is not None:
-                    self._put({"roll": _encode_voter_set(each.voter_set)})
+                    self._put_rows("fences", [(each.lease, each.fencing_token)])
+                else:
+                    self._put_votes(each)
             base.execute("COMMIT")
         except (OSError, sqlite3.Error) as error:
             with contextlib.suppress(sqlite3.Error):
@@ -244,3 +245,24 @@
                     base.execute("ROLLBACK")
             return str(error) or type(error).__name__
         return ""
+
+    def _put_votes(self, write: PersistVotes) -> None:
+        self._put_rows(
+            "promises",
+            [
+                (each.lease, each.fencing_token, each.holder, each.incarnation, each.duration_s)
+                for each in write.votes
+            ],
+        )
+        self._put_rows(
+            "known",
+            [
+                (voter, version.storage_id, version.incarnation, version.vote_count)
+                for voter, version in write.known_versions.items()
+            ],
+        )
+        self._put_own({"promises": write.storage_version.vote_count})
+        if write.admitted:
+            self._put_own({"admitted": 1})
+        if write.voter_set is not None:
+            self._put_own({"roll": _encode_voter_set(write.voter_set)})
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -35,6 +35,7 @@
     """The writes of one voter."""
 
     def __init__(self, kept: PersistedState, first_write: int) -> None:
+        """`kept` is what the data directory held; writes are numbered from `first_write` on."""
         self.storage_version = kept.storage_version  # on disk, so that others may be told of it
         self.voter_set = kept.voter_set  # on disk
         self.known_versions = dict(kept.known_versions)  # of the other voters
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -122,7 +122,9 @@
         self.by_lease[release.lease] = Vote(release.lease, self.by_lease[release.lease].fencing_token)
 
     def take_over(self, now: float, report: VoteReport) -> bool:
-        """Adopt what another voter has voted for; whether that changed anything. Who has the lease may hold
+        """Adopt what another voter has voted for; whether that changed anything.
+
+        Who has the lease may hold
         it for its duration from now. Where two holders are reported for one lease, a majority may stand
         behind either: the higher token counts, and for the duration nobody gets the lease.
         """
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -168,8 +168,9 @@
         return [write]
 
     def handle_release(self, now: float, release: LeaseRelease) -> list[Effect]:
-        """The holder wants a lease no longer. The loss of this costs one duration, so no write is made for
-        it.
+        """The holder wants a lease no longer.
+
+        The loss of this costs one duration, so no write is made for it.
         """
         if self.votes.is_cast_for(release):
             self.log.withhold_grant(release.lease)
@@ -198,8 +199,9 @@
     # ---- the disk ----
 
     def write_completed(self, now: float, write_id: int, fault: str) -> list[Effect]:
-        """A write has ended; `fault` says what went wrong, "" for nothing. Only now is said what it holds; a
-        fault ends the voting until a write succeeds.
+        """A write has ended; `fault` says what went wrong, "" for nothing.
+
+        Only now is said what it holds; a fault ends the voting until a write succeeds.
         """
         write = self.log.complete(write_id)
         if fault:
@@ -240,9 +242,7 @@
     # ---- whether it votes ----
 
     def _compare_versions(self, now: float, versions: dict[str, StorageVersion]) -> list[Effect]:
-        """What a requester has heard of the voters: one that has heard more of this storage than is in it
-        ends the voting.
-        """
+        """Learn what a requester has heard of the voters: more of this storage than is in it ends the voting."""
         for name, version in versions.items():
             if name == self.name:
                 if self._is_behind(version):
@@ -271,10 +271,7 @@
         """What is due: status requests, the end of a wait, and a disk that is tried again."""
         if now < self.due_at:
             return []
-        effects: list[Effect] = []
-        if self.state is VoterState.NEW_STORAGE and not self._new_storage_reported:
-            self._new_storage_reported = True
-            effects.append(LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.state.value))
+        effects = self._report_new_storage()
         if self.state is VoterState.DISK_FAILED:
             self.due_at = now + DISK_RETRY_S
             return [self.log.retry(self.voter_set)]
@@ -300,6 +297,13 @@
             self.due_at = min(self.due_at, self.waiting_until)
         return effects
 
+    def _report_new_storage(self) -> list[Effect]:
+        """Said once, at the first tick."""
+        if self.state is not VoterState.NEW_STORAGE or self._new_storage_reported:
+            return []
+        self._new_storage_reported = True
+        return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self.state.value)]
+
     def _status_requests(self) -> list[Effect]:
         proposed_digest = self.proposed_digest if self.is_voting else 0
         return [
@@ -439,9 +443,7 @@
                 self.log.withhold_grant(report.lease)
 
     def _start_waiting(self, now: float) -> list[Effect]:
-        """What it may have voted for before it forgot must be over, and what others voted for counts as
-        new.
-        """
+        """Wait until what it may have voted for before it forgot is over; other votes count as new."""
         longest_s = self.votes.longest_duration_s
         self.waiting_until = self.started_at + longest_s * (1 + self.timings.clock_drift)
         self.votes.restart_durations(now)
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -116,8 +116,9 @@
 def may_advance(
     current: VoterSet, proposed_digest: int, statuses: dict[str, VoterSetStatus], member: str
 ) -> bool:
-    """Whether a majority of the current set, this member included, has agreed to the proposed one and is
-    closed for the one before.
+    """Whether a majority of the current set has agreed to the proposed one and is closed for the one before.
+
+    This member counts where it is one of the voters.
     """
 
     def is_ready(status: VoterSetStatus) -> bool:
--- a/stairhatch/fleet/voter_startup.py
+++ b/stairhatch/fleet/voter_startup.py
@@ -1,5 +1,4 @@
-"""Whether one voter votes, and what the other voters say that decides it: the voter's states, and the replies
-to its status requests.
+"""Whether one voter votes: its states, and the replies of the other voters that decide.
 
 A voter that has started asks the others what they have seen of its storage.
   `STARTING`     no less than any of them has seen, as a majority with itself says: it votes.
@@ -87,6 +86,7 @@
     """The replies of the other voters to the status requests that count."""
 
     def __init__(self, request_id: int) -> None:
+        """`request_id` is the first of this start."""
         self.request_id = request_id
         self.by_voter: dict[str, PeerStatus] = {}
 
