--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -35,7 +35,7 @@
 from stairhatch.load.clock import Stall
 from stairhatch.standin.coordinator import Coordinator, line
 from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import Nature, Processor, State
+from stairhatch.standin.processor import Nature, Processor, ProcessorState
 from stairhatch.standin.roster import StandIn
 
 READY_TIMEOUT_S = 30.0
@@ -188,14 +188,14 @@
             started_at=self.started_at,
             records=records,
             activations=self.injector.activations,
-            link_activations=self.links.activations,
+            link_activations=self.links.conditions.activations,
             calls={end.value: count for end, count in self.callers.end_counts.items()},
             call_violations=[each.line() for each in call_violations],
             lacks_calls_at_end=bool(
                 self.calls_per_s and not self.callers.count_established_since(quiet_since)
             ),
             overloaded_servers=sum(
-                server.processor is not None and server.processor.state is State.FALLEN
+                server.processor is not None and server.processor.state is ProcessorState.FALLEN
                 for server in self.servers
             ),
             datagrams_forwarded=self.links.datagrams_forwarded,
