--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -242,7 +242,7 @@
     # ---- whether it votes ----
 
     def _compare_versions(self, now: float, versions: dict[str, StorageVersion]) -> list[Effect]:
-        """Learn what a requester has heard of the voters: more of this storage than is in it ends the voting."""
+        """Learn what a requester has heard of the voters; more of this storage than is in it ends voting."""
         for name, version in versions.items():
             if name == self.name:
                 if self._is_behind(version):
