--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -16,7 +16,7 @@
 from stairhatch.fleet.messages import LeaseQuery, LeaseStatus
 
 QUERY_INTERVAL_S = 0.5
-OBSERVATION_S = 5.0  # so long after the last wish
+OBSERVATION_S = 5.0  # so long after it was last asked for
 STATUS_VALID_S = 2.0  # what a voter said longer ago counts no longer
 
 
