--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,9 +37,10 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.fault_injection.member_config import format_address, loopback_host
+from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
+from stairhatch.node.address import format_address
 from stairhatch.overload.actions import SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
--- a/stairhatch/fault_injection/member_config.py
+++ b/stairhatch/fault_injection/member_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of each softswitch of a run, and the addresses that stand in it.
+"""The configuration file of each softswitch of a run, and the host of its addresses.
 
 The keys are those of the appliance's configuration (`stairhatch.config.appliance`).
 """
@@ -12,6 +12,7 @@
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.network_links import Address
 from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
+from stairhatch.node.address import format_address
 
 MAX_FALL_S = 1.0
 
@@ -73,11 +74,6 @@
 CONFIG_TEMPLATE_WITHOUT_FLEET = CONFIG_TEMPLATE.partition("[fleet]")[0]
 
 
-def format_address(address: Address) -> str:
-    """An address as configuration files have it."""
-    return f"{address[0]}:{address[1]}"
-
-
 def loopback_host() -> str:
     """A loopback address for the softswitches of this process's run.
 
