--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -1,5 +1,4 @@
-"""Who holds a lease, for a member that does not request it: which voters are asked, and what their answers
-come to.
+"""Who holds a lease, by what the voters answer to a member that does not request it.
 
 A holder is seen once a majority of the voters names it with one fencing token; nobody holds the lease once a
 majority says so or says nothing that agrees. Voters are asked while somebody observes, which must be said
@@ -17,7 +16,7 @@
 from stairhatch.fleet.messages import LeaseQuery, LeaseStatus
 
 QUERY_INTERVAL_S = 0.5
-OBSERVATION_S = 5.0  # so long after the last wish
+OBSERVATION_S = 5.0  # so long after it was last asked for
 STATUS_VALID_S = 2.0  # what a voter said longer ago counts no longer
 
 
