--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -19,11 +19,11 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
+from stairhatch.emulators.coordinator import line
+from stairhatch.emulators.processor import Nature, Processor, ProcessorState
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.process_run import FaultInjectionRun
 from stairhatch.fault_injection.schedule import FaultSchedule
-from stairhatch.standin.coordinator import line
-from stairhatch.standin.processor import Nature, Processor, ProcessorState
 
 NAMES = ("s0", "s1", "s2", "s3")  # s3 replaces s1
 PAUSED_AT, COLD_AT, ON_AT, ENDS_AT = 10.0, 17.0, 19.0, 30.0
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,6 +37,11 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
+from stairhatch.emulators.behaviour import Say, ends
+from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState
+from stairhatch.emulators.roster import StandIn
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
@@ -57,11 +62,6 @@
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.standin.behaviour import Say, ends
-from stairhatch.standin.coordinator import Coordinator, line
-from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import PER_CALL, Nature, Processor, ProcessorState
-from stairhatch.standin.roster import StandIn
 
 EARLY_S = 12.0
 STATE_S = 0.4  # how often a server tells its state
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -29,9 +29,9 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
+from stairhatch.emulators.coordinator import line
+from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
-from stairhatch.standin.coordinator import line
-from stairhatch.standin.ports import free_port
 
 ROOT = Path(__file__).parents[1]
 LISTENERS = 8
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -39,6 +39,9 @@
 
 from benchmarks import capacity
 from stairhatch.components import steady_unix_clock
+from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.roster import Link, StandIn
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import FleetCodec
@@ -68,9 +71,6 @@
 )
 from stairhatch.overload.settings import Settings
 from stairhatch.settings.parser import settings_from_object
-from stairhatch.standin.coordinator import Coordinator, line
-from stairhatch.standin.ports import free_port
-from stairhatch.standin.roster import Link, StandIn
 
 ROOT = Path(__file__).resolve().parents[1]
 Decisions = Callable[[Settings, random.Random], Any]
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -25,10 +25,10 @@
 
 import uvloop
 
-from stairhatch.standin.behaviour import stands
-from stairhatch.standin.caller import Caller, CallResult, Placed
-from stairhatch.standin.ports import free_port
-from stairhatch.standin.roster import StandIn
+from stairhatch.emulators.behaviour import stands
+from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.roster import StandIn
 
 ROOT = Path(__file__).resolve().parents[1]
 FILE = """\
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -14,8 +14,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from stairhatch.conform.run import OFFER
-from stairhatch.conform.stage import Inside
+from stairhatch.conformance.run import OFFER
+from stairhatch.conformance.stage import Inside
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.sip.heads import Head
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -11,8 +11,8 @@
 from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
 
 if TYPE_CHECKING:
-    from stairhatch.conform.cases import Case
-    from stairhatch.conform.run import CaseResult
+    from stairhatch.conformance.cases import Case
+    from stairhatch.conformance.run import CaseResult
 
 
 @click.command()
@@ -25,8 +25,8 @@
 @click.option("--junit", type=click.Path(path_type=Path), help="write the results as JUnit XML")
 def conform(udp: str, tcp: str, only: str, slow: bool, users: bool, faults: bool, junit: Path | None) -> None:
     """Play the conformance suite, in process or against a program on this machine."""
-    from stairhatch.conform import suite
-    from stairhatch.conform.cases import CaseError, read_cases
+    from stairhatch.conformance import suite
+    from stairhatch.conformance.cases import CaseError, read_cases
 
     with failing_with(EXIT_UNUSABLE, CaseError, ValueError):
         cases = [each for each in read_cases() if each.name.startswith(only) or each.section.startswith(only)]
@@ -43,7 +43,7 @@
 
 def _show_mutations(cases: list[Case]) -> NoReturn:
     """Print which case finds each planted fault, and end."""
-    from stairhatch.conform import suite
+    from stairhatch.conformance import suite
 
     finders = {fault: suite.finder(cases, fault) for fault in suite.FAULTS}
     for fault, case in finders.items():
@@ -54,7 +54,7 @@
 
 def _show_results(results: list[CaseResult], junit: Path | None) -> NoReturn:
     """Print the results, write them as JUnit XML if that is asked for, and end."""
-    from stairhatch.conform import report
+    from stairhatch.conformance import report
 
     click.echo(report.failures(results), nl=False)
     click.echo(report.table(results))
--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -20,10 +20,10 @@
     """Carry out the experiment that FILE describes; keep every run as JSON, a table and a chart under --out.
     Exit code 1: a rule was broken, or a run proves nothing.
     """
-    from stairhatch.load.experiment import carry_out, keep, read_experiment, smaller
-    from stairhatch.load.plan import PlanError
-    from stairhatch.load.report import run_line
-    from stairhatch.load.run import LoadError
+    from stairhatch.load_test.experiment import carry_out, keep, read_experiment, smaller
+    from stairhatch.load_test.plan import PlanError
+    from stairhatch.load_test.report import run_line
+    from stairhatch.load_test.run import LoadError
 
     command = f"stairhatch experiment {file.name}" + (f" --short {short}" if short else "")
     with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
--- a/stairhatch/cli/load.py
+++ b/stairhatch/cli/load.py
@@ -33,9 +33,9 @@
     """Place the calls of PLAN. Without an address the appliance and its roster servers are started for it,
     and the rules are read off both sides. Exit code 1: a rule was broken, or the run proves nothing.
     """
-    from stairhatch.load.plan import PlanError, Transport, read_plan
-    from stairhatch.load.report import lines
-    from stairhatch.load.run import LoadError, Setup, run
+    from stairhatch.load_test.plan import PlanError, Transport, read_plan
+    from stairhatch.load_test.report import lines
+    from stairhatch.load_test.run import LoadError, Setup, run
 
     given = {Transport.UDP: optional_address(udp, "--udp"), Transport.TCP: optional_address(tcp, "--tcp")}
     with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -27,9 +27,9 @@
     run as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run
     proves nothing. 130: Ctrl-C; nothing is kept.
     """
-    from stairhatch.scale import keep
-    from stairhatch.scale.plan import ScaleError, read_plan
-    from stairhatch.scale.run import carry_out
+    from stairhatch.scale_test import keep
+    from stairhatch.scale_test.plan import ScaleError, read_plan
+    from stairhatch.scale_test.run import carry_out
 
     def tell(text: str) -> None:
         if not quiet:
--- a/stairhatch/conform/report.py
+++ b/stairhatch/conformance/report.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from xml.etree import ElementTree
 
-from stairhatch.conform.run import CaseResult
+from stairhatch.conformance.run import CaseResult
 
 
 def table(results: Iterable[CaseResult]) -> str:
--- a/stairhatch/conform/run.py
+++ b/stairhatch/conformance/run.py
@@ -11,8 +11,8 @@
 from itertools import count
 from typing import Any
 
-from stairhatch.conform.cases import Case
-from stairhatch.conform.stage import CallerTransport, ConformanceEnvironment, messages
+from stairhatch.conformance.cases import Case
+from stairhatch.conformance.stage import CallerTransport, ConformanceEnvironment, messages
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.sip import auth, grammar
--- a/stairhatch/conform/stage.py
+++ b/stairhatch/conformance/stage.py
@@ -15,6 +15,7 @@
 from itertools import count
 from typing import Any, Protocol
 
+from stairhatch.emulators.behaviour import Say, script_for
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
@@ -24,7 +25,6 @@
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
 from stairhatch.sip.flows import SipConnection
 from stairhatch.sip.front import SipConfig, SipFront, SipListener
-from stairhatch.standin.behaviour import Say, script_for
 
 Place = tuple[str, int]
 
--- a/stairhatch/conform/suite.py
+++ b/stairhatch/conformance/suite.py
@@ -9,10 +9,10 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from stairhatch.conform.cases import FOLDER, Case, read_cases
-from stairhatch.conform.faults import FAULTS, planted
-from stairhatch.conform.run import PASSWORD, REALM, USER, CaseResult, play
-from stairhatch.conform.stage import Inside, Outside, Place
+from stairhatch.conformance.cases import FOLDER, Case, read_cases
+from stairhatch.conformance.faults import FAULTS, planted
+from stairhatch.conformance.run import PASSWORD, REALM, USER, CaseResult, play
+from stairhatch.conformance.stage import Inside, Outside, Place
 from stairhatch.sip import auth
 from stairhatch.sip.front import AuthConfig
 
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -16,9 +16,9 @@
 from stairhatch.application import Application
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
+from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.roster import StandIn
 from stairhatch.node.address import format_address
-from stairhatch.standin.caller import Caller, CallResult, Placed
-from stairhatch.standin.roster import StandIn
 
 NUMBERS = ("1000",) * 8 + ("1100",) * 4 + ("7000",) * 4 + ("1400",) * 2 + ("1500",) * 2 + ("1700",)
 FILE = """\
--- a/stairhatch/standin/roster.py
+++ b/stairhatch/emulators/roster.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol, cast
 
-from stairhatch.standin.behaviour import FULL, Say, ends, script_for, stands
-from stairhatch.standin.processor import Processor, SetupAdmission
+from stairhatch.emulators.behaviour import FULL, Say, ends, script_for, stands
+from stairhatch.emulators.processor import Processor, SetupAdmission
 
 STATE_S = 0.4  # how often its state is told
 SIZE = 64  # of its lines
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -1,7 +1,7 @@
 """Callers of a run: a few SIP calls a second to each softswitch, and what both ends saw of each call.
 
-The rules of calls (`stairhatch.load.rules`) are checked over these observations. A softswitch is called at
-its rate however it fares.
+The rules of calls (`stairhatch.load_test.rules`) are checked over these observations. A softswitch is
+called at its rate however it fares.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 import time
 from collections.abc import Callable
 
+from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.roster import StandIn
 from stairhatch.fault_injection.member_process import MemberProcess
-from stairhatch.load.rules import Broken, Checker, ObservationKind, Seen
-from stairhatch.standin.caller import Caller, CallResult, Placed
-from stairhatch.standin.roster import StandIn
+from stairhatch.load_test.rules import Broken, Checker, ObservationKind, Seen
 
 CALL_DURATION_S = 0.5
 ANSWER_LIMIT_S = 3.0
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -17,6 +17,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.roster import StandIn
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
@@ -32,11 +36,7 @@
 from stairhatch.fault_injection.run_report import RunObservations, RunReport
 from stairhatch.fault_injection.run_tasks import RunTasks
 from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
-from stairhatch.load.clock import Stall
-from stairhatch.standin.coordinator import Coordinator, line
-from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import Nature, Processor, ProcessorState
-from stairhatch.standin.roster import StandIn
+from stairhatch.load_test.clock import Stall
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
--- a/stairhatch/load/experiment.py
+++ b/stairhatch/load_test/experiment.py
@@ -20,10 +20,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from stairhatch.load.plan import LoadPlan, Phase, PlanError, checked
-from stairhatch.load.rosters import RosterPlan
-from stairhatch.load.run import ROOT, OperatorCommand, Report, Setup, run
-from stairhatch.load.weather import Weather
+from stairhatch.load_test.plan import LoadPlan, Phase, PlanError, checked
+from stairhatch.load_test.rosters import RosterPlan
+from stairhatch.load_test.run import ROOT, OperatorCommand, Report, Setup, run
+from stairhatch.load_test.weather import Weather
 
 SHOWN = (  # figure, heading, form
     ("in_time_a_second", "in time a second", "{:.0f}"), ("worth", "worth", "{:.3f}"),
@@ -207,7 +207,7 @@
 
 def keep(experiment: Experiment, runs: list[Run], folder: Path, command: str) -> Path:
     """Write JSON, table and chart into a folder of the experiment's name; returns it."""
-    from stairhatch.load.chart import draw
+    from stairhatch.load_test.chart import draw
 
     where = folder / experiment.name
     where.mkdir(parents=True, exist_ok=True)
--- a/stairhatch/load/office.py
+++ b/stairhatch/load_test/office.py
@@ -10,13 +10,13 @@
 from functools import partial
 from typing import Any
 
-from stairhatch.load.clock import Stall
-from stairhatch.load.habit import Throttle, Try, redial_after
-from stairhatch.load.plan import DueCall, LoadPlan, Office, Transport, calls, offices
-from stairhatch.load.tally import LoadTally
+from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.load_test.clock import Stall
+from stairhatch.load_test.habit import Throttle, Try, redial_after
+from stairhatch.load_test.plan import DueCall, LoadPlan, Office, Transport, calls, offices
+from stairhatch.load_test.tally import LoadTally
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
-from stairhatch.standin.caller import Caller, CallResult, Placed
 
 Place = tuple[str, int]
 VANISH_S = 0.02  # a caller that vanishes does so this soon after its set-up
--- a/stairhatch/load/relay.py
+++ b/stairhatch/load_test/relay.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from stairhatch.load.weather import Way, Weather
+from stairhatch.load_test.weather import Way, Weather
 
 Place = tuple[str, int]
 
--- a/stairhatch/load/report.py
+++ b/stairhatch/load_test/report.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from stairhatch.load.experiment import Run
-from stairhatch.load.run import Report
+from stairhatch.load_test.experiment import Run
+from stairhatch.load_test.run import Report
 
 
 def lines(report: Report) -> str:
--- a/stairhatch/load/rosters.py
+++ b/stairhatch/load_test/rosters.py
@@ -11,9 +11,9 @@
 
 from msgspec import Meta, Struct
 
-from stairhatch.load.clock import Stall
-from stairhatch.standin.processor import Nature, Processor, ProcessorState
-from stairhatch.standin.roster import StandIn
+from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.roster import StandIn
+from stairhatch.load_test.clock import Stall
 
 LINES = 100_000
 
--- a/stairhatch/load/run.py
+++ b/stairhatch/load_test/run.py
@@ -21,12 +21,12 @@
 
 import msgspec
 
-from stairhatch.load.plan import LoadPlan, Transport, offices
-from stairhatch.load.rosters import RosterPlan
-from stairhatch.load.rules import SLACK_S, Broken, Checker, ObservationKind, Seen
-from stairhatch.load.tally import LoadTally
-from stairhatch.load.weather import Weather
-from stairhatch.standin.ports import free_port
+from stairhatch.emulators.ports import free_port
+from stairhatch.load_test.plan import LoadPlan, Transport, offices
+from stairhatch.load_test.rosters import RosterPlan
+from stairhatch.load_test.rules import SLACK_S, Broken, Checker, ObservationKind, Seen
+from stairhatch.load_test.tally import LoadTally
+from stairhatch.load_test.weather import Weather
 
 ROOT = Path(__file__).resolve().parents[2]
 START_S, LEAD_S = 30.0, 0.3
@@ -132,7 +132,7 @@
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.load.worker"], cwd=ROOT, stdin=subprocess.PIPE,
+            [sys.executable, "-m", "stairhatch.load_test.worker"], cwd=ROOT, stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )  # fmt: skip
         self.say(told)
--- a/stairhatch/load/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -13,11 +13,11 @@
 import msgspec
 import uvloop
 
-from stairhatch.load.office import Desk
-from stairhatch.load.plan import LoadPlan, Transport
-from stairhatch.load.relay import Relay
-from stairhatch.load.rosters import RosterPlan, Rosters
-from stairhatch.load.weather import Weather
+from stairhatch.load_test.office import Desk
+from stairhatch.load_test.plan import LoadPlan, Transport
+from stairhatch.load_test.relay import Relay
+from stairhatch.load_test.rosters import RosterPlan, Rosters
+from stairhatch.load_test.weather import Weather
 
 
 def _say(value: Any) -> None:
--- a/stairhatch/scale/clock.py
+++ b/stairhatch/scale_test/clock.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from stairhatch.fault_injection.schedule import ScheduledFault as Cut
-from stairhatch.load.weather import Way, Weather
-from stairhatch.scale.plan import Happens, Places, PlannedEventKind, ScalePlan
+from stairhatch.load_test.weather import Way, Weather
+from stairhatch.scale_test.plan import Happens, Places, PlannedEventKind, ScalePlan
 
 BEGIN = 1_000_000.0  # what the clock shows at first: a Unix time, since the list tells starts in those
 RESEND_S = 0.2  # after which a stream sends again what was lost (the least RTO that Linux has)
--- a/stairhatch/scale/keep.py
+++ b/stairhatch/scale_test/keep.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from stairhatch.load.experiment import commit_now
-from stairhatch.scale.plan import SimulatedCallResult
-from stairhatch.scale.run import ScaleResult
+from stairhatch.load_test.experiment import commit_now
+from stairhatch.scale_test.plan import SimulatedCallResult
+from stairhatch.scale_test.run import ScaleResult
 
 
 def lines(result: ScaleResult) -> str:
--- a/stairhatch/scale/plan.py
+++ b/stairhatch/scale_test/plan.py
@@ -21,7 +21,7 @@
 
 from stairhatch.fault_injection.schedule import FaultKind, blocks_traffic
 from stairhatch.fault_injection.schedule import ScheduledFault as Cut
-from stairhatch.load.weather import Weather
+from stairhatch.load_test.weather import Weather
 from stairhatch.settings.parser import settings_from_object
 
 MOST_DEPTH = 11
--- a/stairhatch/scale/real.py
+++ b/stairhatch/scale_test/real.py
@@ -19,12 +19,18 @@
 from pathlib import Path
 from typing import Any
 
+from stairhatch.emulators import caller as callers
+from stairhatch.emulators.caller import Caller, Placed
+from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.processor import Processor
+from stairhatch.emulators.roster import StandIn
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
-from stairhatch.load.clock import Stall
-from stairhatch.scale.plan import (
+from stairhatch.load_test.clock import Stall
+from stairhatch.scale_test.plan import (
     NUMBERS,
     Happens,
     PlannedEventKind,
@@ -36,13 +42,7 @@
     quantile,
     settings_for,
 )
-from stairhatch.scale.world import AFTER_S, nature_of
-from stairhatch.standin import caller as callers
-from stairhatch.standin.caller import Caller, Placed
-from stairhatch.standin.coordinator import Coordinator, line
-from stairhatch.standin.ports import free_port
-from stairhatch.standin.processor import Processor
-from stairhatch.standin.roster import StandIn
+from stairhatch.scale_test.world import AFTER_S, nature_of
 
 LOOK_S = 0.05
 HEAD = """\
--- a/stairhatch/scale/run.py
+++ b/stairhatch/scale_test/run.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-from stairhatch.scale.clock import BEGIN
-from stairhatch.scale.plan import FIGURES, Bound, Fleet, PlannedEventKind, ScaleError, ScalePlan, twin
-from stairhatch.scale.real import Processes
-from stairhatch.scale.world import World
+from stairhatch.scale_test.clock import BEGIN
+from stairhatch.scale_test.plan import FIGURES, Bound, Fleet, PlannedEventKind, ScaleError, ScalePlan, twin
+from stairhatch.scale_test.real import Processes
+from stairhatch.scale_test.world import World
 
 TOLD_S = 5.0  # between two lines of progress
 MEMORY_PART = 0.5  # of the machine's, the most
--- a/stairhatch/scale/world.py
+++ b/stairhatch/scale_test/world.py
@@ -15,6 +15,10 @@
 from pathlib import Path
 from typing import Any
 
+from stairhatch.emulators.caller import OFFER
+from stairhatch.emulators.coordinator import Numbered, line, read_question
+from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.roster import Link, StandIn
 from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
@@ -40,8 +44,8 @@
 from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
-from stairhatch.scale.clock import BEGIN, Clock, Meter, Net, ProcessClock, ScheduledEvent, Stream
-from stairhatch.scale.plan import (
+from stairhatch.scale_test.clock import BEGIN, Clock, Meter, Net, ProcessClock, ScheduledEvent, Stream
+from stairhatch.scale_test.plan import (
     Happens,
     Places,
     PlannedEventKind,
@@ -52,10 +56,6 @@
     quantile,
     read_settings,
 )
-from stairhatch.standin.caller import OFFER
-from stairhatch.standin.coordinator import Numbered, line, read_question
-from stairhatch.standin.processor import Nature, Processor, ProcessorState
-from stairhatch.standin.roster import Link, StandIn
 
 STARTS_S = 0.5  # within which all are started
 READY_S = 30.0  # and serve at the latest
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,6 +22,7 @@
 from pathlib import Path
 from typing import Any
 
+from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
@@ -31,7 +32,6 @@
 from stairhatch.settings.parser import settings_from_object
 from stairhatch.sip.flows import Flow
 from stairhatch.sip.front import SipConfig, SipFront, SipListener
-from stairhatch.standin.ports import free_port
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 20.0  # how long a story waits for what must come; far more than it takes
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from stairhatch.conform import report, suite
-from stairhatch.conform.cases import CaseError, read_cases
+from stairhatch.conformance import report, suite
+from stairhatch.conformance.cases import CaseError, read_cases
 
 from .peers import ROOT, free_port, until
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -14,6 +14,7 @@
 
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import ConfigError
+from stairhatch.emulators.ports import free_port
 from stairhatch.fault_injection import lease_rules, run_batch
 from stairhatch.fault_injection.history import HistoryRecord
 from stairhatch.fault_injection.schedule import read_schedule
@@ -22,7 +23,6 @@
 from stairhatch.fleet.effects import PersistFencingToken, PersistVotes, Vote
 from stairhatch.fleet.messages import StorageVersion
 from stairhatch.fleet.store import FILE_NAME, StoreError, VoterStore
-from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, until
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,9 +12,10 @@
 
 import pytest
 
-from stairhatch.load import experiment as exp
-from stairhatch.load.habit import Throttle, Try, redial_after
-from stairhatch.load.plan import (
+from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState, SetupAdmission
+from stairhatch.load_test import experiment as exp
+from stairhatch.load_test.habit import Throttle, Try, redial_after
+from stairhatch.load_test.plan import (
     DueCall,
     Habits,
     Kind,
@@ -26,12 +27,11 @@
     plan_from,
     read_plan,
 )
-from stairhatch.load.rosters import RosterPlan, Trouble
-from stairhatch.load.rules import Checker, ObservationKind, Seen
-from stairhatch.load.run import LoadError, OperatorCommand, Setup, on_this_machine, run
-from stairhatch.load.tally import LoadTally
-from stairhatch.load.weather import Way, Weather
-from stairhatch.standin.processor import PER_CALL, Nature, Processor, ProcessorState, SetupAdmission
+from stairhatch.load_test.rosters import RosterPlan, Trouble
+from stairhatch.load_test.rules import Checker, ObservationKind, Seen
+from stairhatch.load_test.run import LoadError, OperatorCommand, Setup, on_this_machine, run
+from stairhatch.load_test.tally import LoadTally
+from stairhatch.load_test.weather import Way, Weather
 
 from .peers import ROOT
 
@@ -371,7 +371,7 @@
         for due in calls(setup.plan, setup.seed):
             tally.asked(due.kind, due.at, 0.5 if len(drawn) == 1 else 0.0)
             tally.ended(due.kind, due.at, "stood", 0.1)
-        from stairhatch.load.run import Report
+        from stairhatch.load_test.run import Report
 
         return Report(tally, setup.plan.seconds, [], [], {}, True)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,11 +15,11 @@
 from click.testing import CliRunner
 
 from stairhatch.cli.main import main_group
-from stairhatch.scale import run, world
-from stairhatch.scale.plan import ScaleError, plan_from, read_plan, twin
-from stairhatch.scale.real import Processes
-from stairhatch.scale.world import World
-from stairhatch.standin.processor import Processor, SetupAdmission
+from stairhatch.emulators.processor import Processor, SetupAdmission
+from stairhatch.scale_test import run, world
+from stairhatch.scale_test.plan import ScaleError, plan_from, read_plan, twin
+from stairhatch.scale_test.real import Processes
+from stairhatch.scale_test.world import World
 
 from .peers import ROOT, until
 
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -14,6 +14,7 @@
 
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import ConfigError
+from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import CallRequest, ServerRecord
@@ -40,7 +41,6 @@
 from stairhatch.scope.controller import IDLE_TIMER_ID, ScopedController
 from stairhatch.scope.scoped_set import ANSWER_OVERDUE_S
 from stairhatch.scope.server_sets import server_sets
-from stairhatch.standin.ports import free_port
 
 from .peers import ROOT, Caller, Program, RosterServer, sip_headers, until
 
