--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -41,7 +41,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
@@ -435,7 +435,7 @@
 REAL = Site(length_s=HOLD_S, servers=4)
 
 
-class Roster(StandIn):
+class Roster(ServerEmulator):
     """A roster server that counts set-ups as they come, ends calls, and tells its processor's figures in
     releases alone, as the platform's do.
     """
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -41,7 +41,7 @@
 from stairhatch.components import steady_unix_clock
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.roster import Link, StandIn
+from stairhatch.emulators.roster import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import FleetCodec
@@ -234,7 +234,7 @@
 # Stand-ins in processes of their own, told what to do by a pipe.
 
 
-class CountedLink(Link):
+class CountedLink(ServerEmulatorConnection):
     """A link whose bytes and messages are counted."""
 
     server: Roster
@@ -252,7 +252,7 @@
         super().data_received(data)
 
 
-class Roster(StandIn):
+class Roster(ServerEmulator):
     """A stand-in roster server that counts."""
 
     def __init__(self, counts: Counter[str]) -> None:
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -28,7 +28,7 @@
 from stairhatch.emulators.behaviour import stands
 from stairhatch.emulators.caller import Caller, CallResult, Placed
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 
 ROOT = Path(__file__).resolve().parents[1]
 FILE = """\
@@ -59,7 +59,7 @@
 
 async def serve_rosters(count: int) -> None:
     """Stand-in roster servers that set everything up at once, until the input ends."""
-    servers = [await StandIn(lambda key: (stands(),), lines=100_000).listen() for _ in range(count)]
+    servers = [await ServerEmulator(lambda key: (stands(),), lines=100_000).listen() for _ in range(count)]
     print(json.dumps([each.place[1] for each in servers]), flush=True)
     loop, over = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(0, lambda: os.read(0, 1) or over.set())
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -17,7 +17,7 @@
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
 from stairhatch.emulators.caller import Caller, CallResult, Placed
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.node.address import format_address
 
 NUMBERS = ("1000",) * 8 + ("1100",) * 4 + ("7000",) * 4 + ("1400",) * 2 + ("1500",) * 2 + ("1700",)
@@ -67,7 +67,7 @@
     seed: int = 1
 
 
-def configuration(demo: Demo, servers: list[StandIn]) -> Config:
+def configuration(demo: Demo, servers: list[ServerEmulator]) -> Config:
     """The embedded configuration, read as any file is."""
     listen = "\n".join(f'{name} = "{at}"' for name, at in (("udp", demo.udp), ("tcp", demo.tcp)) if at)
     lines = [
@@ -105,7 +105,7 @@
 
 async def demonstrate(demo: Demo, say: Callable[[str], None]) -> int:
     """Run it; returns 0 if every call that ended had one final answer and some stood, else 1."""
-    servers = [await StandIn().listen() for _ in range(2)]
+    servers = [await ServerEmulator().listen() for _ in range(2)]
     config = configuration(demo, servers)
     application = Application(config, lambda: config)
     listening = application.open_listeners()
--- a/stairhatch/emulators/roster.py
+++ b/stairhatch/emulators/roster.py
@@ -31,10 +31,10 @@
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Any: ...
 
 
-class Link(asyncio.Protocol):
+class ServerEmulatorConnection(asyncio.Protocol):
     """One connection of a softswitch."""
 
-    def __init__(self, server: StandIn) -> None:
+    def __init__(self, server: ServerEmulator) -> None:
         self.server, self.data, self.closed = server, b"", False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -69,7 +69,7 @@
             self.server.told(self, json.loads(line))
 
 
-class StandIn:
+class ServerEmulator:
     """One roster server. `script` gives what is said to a set-up for a number."""
 
     def __init__(
@@ -87,8 +87,8 @@
         self.numbers: dict[str, str] = {}  # of the calls that are open
         self._due: Any = None
         self.place: tuple[str, int] = ("127.0.0.1", 0)
-        self.open: dict[str, Link] = {}
-        self.links: dict[Link, None] = {}  # in the order of their coming
+        self.open: dict[str, ServerEmulatorConnection] = {}
+        self.links: dict[ServerEmulatorConnection, None] = {}  # in the order of their coming
         self.stood = self.set_ups = self.released = 0
         self._server: asyncio.Server | None = None
 
@@ -97,10 +97,10 @@
         """The clock it serves by: the running loop's, unless another was given."""
         return self._timers if self._timers is not None else asyncio.get_running_loop()
 
-    async def listen(self, host: str = "127.0.0.1", port: int = 0) -> StandIn:
+    async def listen(self, host: str = "127.0.0.1", port: int = 0) -> ServerEmulator:
         """Begin to serve, at a port of the system's choice unless one is named."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Link(self), host, port)
+        self._server = await loop.create_server(lambda: ServerEmulatorConnection(self), host, port)
         self.place = self._server.sockets[0].getsockname()[:2]
         return self
 
@@ -131,7 +131,7 @@
         assert self.processor is not None
         return self.processor.told(self.timers.time())
 
-    def told(self, link: Link, message: dict[str, Any]) -> None:
+    def told(self, link: ServerEmulatorConnection, message: dict[str, Any]) -> None:
         """A line has come."""
         tag = message["tag"]
         match message["verb"]:
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from stairhatch.emulators.caller import Caller, CallResult, Placed
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.load_test.rules import Broken, Checker, ObservationKind, Seen
 
@@ -27,7 +27,7 @@
     """The callers of all softswitches of a run."""
 
     def __init__(
-        self, seed: int, members: list[MemberProcess], servers: list[StandIn], calls_per_s: float
+        self, seed: int, members: list[MemberProcess], servers: list[ServerEmulator], calls_per_s: float
     ) -> None:
         """Observe the servers from now on; calls are placed once it is opened."""
         self.seed = seed
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -20,7 +20,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
@@ -78,7 +78,7 @@
             stdin=subprocess.PIPE,
         )
         self.members: dict[str, MemberProcess] = {}
-        self.servers: list[StandIn] = []
+        self.servers: list[ServerEmulator] = []
         self.coordinator = Coordinator()
         self.tasks = RunTasks()
         self.started_at = 0.0
@@ -132,7 +132,7 @@
     async def _open_servers(self) -> None:
         for index in range(ROSTER_SERVERS):
             processor = Processor(ROSTER_NATURE, random.Random(self.seed * 31 + index))
-            self.servers.append(await StandIn(lines=ROSTER_LINES, processor=processor).listen())
+            self.servers.append(await ServerEmulator(lines=ROSTER_LINES, processor=processor).listen())
         await self.coordinator.listen()
         self.coordinator.tell(
             [line(f"r{index}", server.place, index) for index, server in enumerate(self.servers)]
--- a/stairhatch/load_test/rosters.py
+++ b/stairhatch/load_test/rosters.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.load_test.clock import Stall
 
 LINES = 100_000
@@ -45,7 +45,7 @@
         self.stall = Stall()
         nature = Nature(set_up_s=plan.set_up_ms / 1000, longest_wait_s=plan.longest_wait_s)
         self.servers = [
-            StandIn(lines=LINES, processor=Processor(nature, random.Random(seed * 31 + index)))
+            ServerEmulator(lines=LINES, processor=Processor(nature, random.Random(seed * 31 + index)))
             for index in range(plan.count)
         ]
         for index, server in enumerate(self.servers):
@@ -69,7 +69,7 @@
             if trouble.server < len(self.servers):
                 await self._strike(trouble, self.servers[trouble.server])
 
-    async def _strike(self, trouble: Trouble, server: StandIn) -> None:
+    async def _strike(self, trouble: Trouble, server: ServerEmulator) -> None:
         processor = server.processor
         assert processor is not None
         now = asyncio.get_running_loop().time()
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -24,7 +24,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Processor
-from stairhatch.emulators.roster import StandIn
+from stairhatch.emulators.roster import ServerEmulator
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
@@ -91,7 +91,7 @@
         self.traffic = Traffic(plan)
         self.traffic.place = self._place
         self.members: list[MemberProcess] = []
-        self.servers: list[StandIn] = []
+        self.servers: list[ServerEmulator] = []
         self.callers: list[Caller] = []
         self.coordinator = Coordinator()
         self.stall = Stall()
@@ -127,7 +127,7 @@
         plan, host = self.plan, loopback_host()
         for index in range(plan.servers):
             processor = Processor(nature_of(plan), random.Random(plan.seed * 31 + index))
-            server = StandIn(lines=plan.server.lines, processor=processor, state_s=plan.server.state_s)
+            server = ServerEmulator(lines=plan.server.lines, processor=processor, state_s=plan.server.state_s)
             server.seen = self._seen(index)
             self.servers.append(await server.listen())
         await self.coordinator.listen()
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -18,7 +18,7 @@
 from stairhatch.emulators.caller import OFFER
 from stairhatch.emulators.coordinator import Numbered, line, read_question
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import Link, StandIn
+from stairhatch.emulators.roster import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
@@ -108,7 +108,7 @@
         self.streams: dict[Stream, None] = {}
         self.cold_set_ups: list[list[float]] = []  # by start, when each came while it was cold
         processor = Processor(nature_of(world.plan), random.Random(world.plan.seed * 31 + index))
-        self.standin = StandIn(
+        self.standin = ServerEmulator(
             lines=world.plan.server.lines, processor=processor, timers=world.stand_ins,
             state_s=world.plan.server.state_s,
         )  # fmt: skip
@@ -138,7 +138,7 @@
 
     def accept(self, stream: Stream) -> tuple[Callable[[bytes], None], Callable[[], None]]:
         """A connection has come up: who takes its bytes, and its end."""
-        meter, link = self.world.meter, Link(self.standin)
+        meter, link = self.world.meter, ServerEmulatorConnection(self.standin)
         self.streams[stream] = None
 
         def take(data: bytes) -> None:
