--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -41,7 +41,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -41,7 +41,7 @@
 from stairhatch.components import steady_unix_clock
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.roster import ServerEmulator, ServerEmulatorConnection
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.messages import FleetCodec
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -28,7 +28,7 @@
 from stairhatch.emulators.behaviour import stands
 from stairhatch.emulators.caller import Caller, CallResult, Placed
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 
 ROOT = Path(__file__).resolve().parents[1]
 FILE = """\
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -17,7 +17,7 @@
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
 from stairhatch.emulators.caller import Caller, CallResult, Placed
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.node.address import format_address
 
 NUMBERS = ("1000",) * 8 + ("1100",) * 4 + ("7000",) * 4 + ("1400",) * 2 + ("1500",) * 2 + ("1700",)
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from stairhatch.emulators.caller import Caller, CallResult, Placed
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.load_test.rules import Broken, Checker, ObservationKind, Seen
 
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -20,7 +20,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
 from stairhatch.fault_injection.fault_injector import FaultInjector
--- a/stairhatch/load_test/rosters.py
+++ b/stairhatch/load_test/rosters.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.load_test.clock import Stall
 
 LINES = 100_000
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -24,7 +24,7 @@
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Processor
-from stairhatch.emulators.roster import ServerEmulator
+from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -18,7 +18,7 @@
 from stairhatch.emulators.caller import OFFER
 from stairhatch.emulators.coordinator import Numbered, line, read_question
 from stairhatch.emulators.processor import Nature, Processor, ProcessorState
-from stairhatch.emulators.roster import ServerEmulator, ServerEmulatorConnection
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.fleet.config import FleetConfig
