--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,10 +37,10 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.emulators.behaviour import Say, ends
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState
+from stairhatch.emulators.scripted_replies import ScriptedReply, ends
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.node import sip_message as sip
@@ -459,7 +459,7 @@
         """Figures below 0 count as missing."""
         return super().told_load() if self.in_release else (-1.0, -1.0)
 
-    def _say(self, tag: str, what: Say) -> None:
+    def _say(self, tag: str, what: ScriptedReply) -> None:
         self.in_release = True
         super()._say(tag, what)
         self.in_release = False
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -25,9 +25,9 @@
 
 import uvloop
 
-from stairhatch.emulators.behaviour import stands
 from stairhatch.emulators.caller import Caller, CallResult, Placed
 from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.scripted_replies import stands
 from stairhatch.emulators.server_emulator import ServerEmulator
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/stairhatch/conformance/stage.py
+++ b/stairhatch/conformance/stage.py
@@ -15,7 +15,7 @@
 from itertools import count
 from typing import Any, Protocol
 
-from stairhatch.emulators.behaviour import Say, script_for
+from stairhatch.emulators.scripted_replies import ScriptedReply, script_for
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
@@ -131,7 +131,7 @@
             act = self._saying(attempt.server, ident, each)
             heapq.heappush(self._later, (self.time + each.after_s, next(self._order), act))
 
-    def _saying(self, server: RosterServer, ident: str, what: Say) -> Callable[[], None]:
+    def _saying(self, server: RosterServer, ident: str, what: ScriptedReply) -> Callable[[], None]:
         def act() -> None:
             if ident in self.released:
                 return
--- a/stairhatch/emulators/behaviour.py
+++ b/stairhatch/emulators/scripted_replies.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class ScriptedReply:
     """A line of the server's, so many seconds after the set-up came."""
 
     after_s: float
@@ -24,23 +24,23 @@
     opts: dict[str, str] = field(default_factory=dict)
 
 
-def stands(after_s: float = 0.0) -> Say:
+def stands(after_s: float = 0.0) -> ScriptedReply:
     """The call is set up."""
-    return Say(after_s, "STARTED", blob=ANSWER)
+    return ScriptedReply(after_s, "STARTED", blob=ANSWER)
 
 
-def rings(after_s: float = 0.0) -> Say:
+def rings(after_s: float = 0.0) -> ScriptedReply:
     """The server is at work on it."""
-    return Say(after_s, "PENDING")
+    return ScriptedReply(after_s, "PENDING")
 
 
-def ends(after_s: float, cause: int = ENDED) -> Say:
+def ends(after_s: float, cause: int = ENDED) -> ScriptedReply:
     """The server refuses the set-up, or ends the call."""
-    return Say(after_s, "FINISH", cause)
+    return ScriptedReply(after_s, "FINISH", cause)
 
 
 # By the first two digits of the number called.
-SCRIPTS: dict[str, tuple[Say, ...]] = {
+SCRIPTS: dict[str, tuple[ScriptedReply, ...]] = {
     "10": (stands(),),
     "11": (rings(), stands(0.3)),
     "12": (),
@@ -54,6 +54,6 @@
 }
 
 
-def script_for(key: str) -> tuple[Say, ...]:
+def script_for(key: str) -> tuple[ScriptedReply, ...]:
     """What comes of a set-up for a number; any other stands at once."""
     return SCRIPTS.get(key[:2], (stands(),))
--- a/stairhatch/emulators/server_emulator.py
+++ b/stairhatch/emulators/server_emulator.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol, cast
 
-from stairhatch.emulators.behaviour import FULL, Say, ends, script_for, stands
 from stairhatch.emulators.processor import Processor, SetupAdmission
+from stairhatch.emulators.scripted_replies import FULL, ScriptedReply, ends, script_for, stands
 
 STATE_S = 0.4  # how often its state is told
 SIZE = 64  # of its lines
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        script: Callable[[str], tuple[Say, ...]] = script_for,
+        script: Callable[[str], tuple[ScriptedReply, ...]] = script_for,
         lines: int = SIZE,
         processor: Processor | None = None,
         timers: Timers | None = None,
@@ -179,7 +179,7 @@
         if (due := processor.next_due()) is not None:
             self._due = loop.call_at(due, self._look)
 
-    def _say(self, tag: str, what: Say) -> None:
+    def _say(self, tag: str, what: ScriptedReply) -> None:
         link = self.open.get(tag)
         if link is None:
             return  # it was given up
