--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
 from stairhatch.emulators.coordinator import line
-from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.process_run import FaultInjectionRun
 from stairhatch.fault_injection.schedule import FaultSchedule
@@ -28,7 +28,7 @@
 NAMES = ("s0", "s1", "s2", "s3")  # s3 replaces s1
 PAUSED_AT, COLD_AT, ON_AT, ENDS_AT = 10.0, 17.0, 19.0, 30.0
 CALLS = 25.0  # a second at each
-NATURE = Nature(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
+NATURE = ProcessorProfile(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
 
 
 class Shared(FaultInjectionRun):
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -39,7 +39,7 @@
 
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState
+from stairhatch.emulators.processor import PER_CALL, Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.scripted_replies import ScriptedReply, ends
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_config import loopback_host
@@ -442,7 +442,7 @@
 
     def __init__(self, seed: int) -> None:
         self.chance, self.times, self.in_release = random.Random(seed), [], False
-        nature = Nature(
+        nature = ProcessorProfile(
             set_up_s=1 / (REAL.capacity * PER_CALL), cold_from=REAL.safety.initial_capacity_fraction,
             warm_after_s=REAL.safety.warm_up_s, fall_multiple=REAL.safety.overload_multiple,
             fall_s=REAL.safety.overload_window_s, noise=NOISE,
--- a/stairhatch/emulators/processor.py
+++ b/stairhatch/emulators/processor.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nature:
+class ProcessorProfile:
     """What a server can do. Times in seconds."""
 
     set_up_s: float = 0.01  # work of one set-up on a warm server
@@ -76,7 +76,7 @@
 class Processor:
     """One server's processor."""
 
-    nature: Nature
+    nature: ProcessorProfile
     chance: random.Random
     born: float | None = None  # when it started cold; None: long ago
     state: ProcessorState = ProcessorState.SERVING
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -19,7 +19,7 @@
 
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
@@ -44,7 +44,7 @@
 CALLS_PER_S = 3.0  # to each softswitch
 ROSTER_SERVERS = 2
 ROSTER_LINES = 200
-ROSTER_NATURE = Nature(set_up_s=0.005, warm_after_s=4.0, fall_s=1.0)
+ROSTER_NATURE = ProcessorProfile(set_up_s=0.005, warm_after_s=4.0, fall_s=1.0)
 MAX_CLOCK_OFFSET_S = 1e5
 CALL_SLACK_S = 0.05  # of the rules of calls, beside the time for which this process did not run
 
--- a/stairhatch/load_test/rosters.py
+++ b/stairhatch/load_test/rosters.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta, Struct
 
-from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.load_test.clock import Stall
 
@@ -43,7 +43,7 @@
         self.plan = plan
         self.record: list[tuple[float, str, str, str]] = []  # time, what, number called, server
         self.stall = Stall()
-        nature = Nature(set_up_s=plan.set_up_ms / 1000, longest_wait_s=plan.longest_wait_s)
+        nature = ProcessorProfile(set_up_s=plan.set_up_ms / 1000, longest_wait_s=plan.longest_wait_s)
         self.servers = [
             ServerEmulator(lines=LINES, processor=Processor(nature, random.Random(seed * 31 + index)))
             for index in range(plan.count)
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -17,7 +17,7 @@
 
 from stairhatch.emulators.caller import OFFER
 from stairhatch.emulators.coordinator import Numbered, line, read_question
-from stairhatch.emulators.processor import Nature, Processor, ProcessorState
+from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
 from stairhatch.fleet import runtime as fleet_runtime
@@ -72,10 +72,10 @@
 )
 
 
-def nature_of(plan: ScalePlan) -> Nature:
+def nature_of(plan: ScalePlan) -> ProcessorProfile:
     """What its roster servers can do."""
     told = plan.server
-    return Nature(
+    return ProcessorProfile(
         set_up_s=told.set_up_ms / 1000, longest_wait_s=told.longest_wait_s, cold_from=told.cold_from,
         warm_after_s=told.warm_after_s, fall_multiple=told.fall_multiple, fall_s=told.fall_s,
     )  # fmt: skip
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,13 @@
 
 import pytest
 
-from stairhatch.emulators.processor import PER_CALL, Nature, Processor, ProcessorState, SetupAdmission
+from stairhatch.emulators.processor import (
+    PER_CALL,
+    Processor,
+    ProcessorProfile,
+    ProcessorState,
+    SetupAdmission,
+)
 from stairhatch.load_test import experiment as exp
 from stairhatch.load_test.habit import Throttle, Try, redial_after
 from stairhatch.load_test.plan import (
@@ -145,7 +151,9 @@
 
 def test_a_processor_answers_in_turn_turns_away_past_its_wait_and_tells_both():
     """Guards against stand-ins that bear any load at once, before which overload never shows."""
-    processor = Processor(Nature(set_up_s=0.1, longest_wait_s=1.0, noise=0.0, resend_s=0), random.Random(1))
+    processor = Processor(
+        ProcessorProfile(set_up_s=0.1, longest_wait_s=1.0, noise=0.0, resend_s=0), random.Random(1)
+    )
     verdicts = [processor.offer(100.0, f"c{n}") for n in range(20)]
     queued = verdicts.count(SetupAdmission.QUEUED)
     assert 7 <= queued <= 9 and verdicts[queued:] == [SetupAdmission.TURNED_AWAY] * (20 - queued)
@@ -162,7 +170,7 @@
 
 def test_what_was_given_up_is_worked_on_and_not_answered():
     """Guards against a stand-in to which a CANCEL is free."""
-    processor = Processor(Nature(set_up_s=0.1, resend_s=0), random.Random(1))
+    processor = Processor(ProcessorProfile(set_up_s=0.1, resend_s=0), random.Random(1))
     processor.offer(100.0, "a")
     processor.offer(100.0, "b")
     processor.release(100.01, "a")
@@ -172,7 +180,7 @@
 @pytest.mark.parametrize(("rate", "falls"), [(2.0, False), (12.0, True)])
 def test_a_cold_server_that_gets_too_much_falls_and_stays_down(rate, falls):
     """Guards against a stand-in that forgives what the fourth rule forbids; set-ups it turns away count."""
-    processor = Processor(Nature(set_up_s=0.1, cold_from=0.3, warm_after_s=14.0), random.Random(1))
+    processor = Processor(ProcessorProfile(set_up_s=0.1, cold_from=0.3, warm_after_s=14.0), random.Random(1))
     processor.start_cold(100.0)
     verdicts = [processor.offer(100.0 + n / rate, f"c{n}") for n in range(int(3 * rate))]
     assert (processor.state is ProcessorState.FALLEN) is falls is (SetupAdmission.DOWN in verdicts)
@@ -182,7 +190,7 @@
 
 def test_a_hung_server_takes_and_answers_nothing_and_forgets_it_all():
     """Guards against a silence that ends in a burst of answers to calls long given up."""
-    processor = Processor(Nature(set_up_s=0.1), random.Random(1))
+    processor = Processor(ProcessorProfile(set_up_s=0.1), random.Random(1))
     processor.hang(100.0)
     assert processor.offer(100.0, "a") is SetupAdmission.SWALLOWED and processor.next_due() is None
     processor.recover(105.0)
