--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -25,7 +25,7 @@
 
 import uvloop
 
-from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.scripted_replies import stands
 from stairhatch.emulators.server_emulator import ServerEmulator
@@ -70,12 +70,12 @@
 async def place_calls(port: int, rate: float, seconds: float, hold: float, tcp: bool, seed: int) -> None:
     """Calls at random times at a rate, from several offices; prints what came of them."""
     loop, chance = asyncio.get_running_loop(), random.Random(seed)
-    make = Caller.over_tcp if tcp else Caller.over_udp
+    make = CallerEmulator.over_tcp if tcp else CallerEmulator.over_udp
     callers = [await make(("127.0.0.1", port), f"o{seed}x{n}", seed + n) for n in range(4)]
     ends: dict[str, int] = {}
     times: list[float] = []
 
-    def told(call: Placed, end: CallResult, took_s: float, status: int) -> None:
+    def told(call: PlacedCall, end: CallResult, took_s: float, status: int) -> None:
         ends[f"{end.value}_{status}"] = ends.get(f"{end.value}_{status}", 0) + 1
         if end is CallResult.STOOD:
             times.append(took_s)
--- a/stairhatch/demo/run.py
+++ b/stairhatch/demo/run.py
@@ -16,7 +16,7 @@
 from stairhatch.application import Application
 from stairhatch.config.appliance.reader import parse_appliance
 from stairhatch.config.model import Config
-from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.node.address import format_address
 
@@ -88,7 +88,7 @@
         self.ends: Counter[str] = Counter()
         self.placed = 0
 
-    def ended(self, call: Placed, end: CallResult, took_s: float, status: int) -> None:
+    def ended(self, call: PlacedCall, end: CallResult, took_s: float, status: int) -> None:
         """A call has its final answer."""
         self.ends[end.value] += 1
         self.say(f"  call to {call.number}: {end.value} ({status}) after {took_s * 1000:.0f} ms")
@@ -138,7 +138,9 @@
         return
     chance, loop = random.Random(demo.seed), asyncio.get_running_loop()
     callers = []
-    for order, (at, make) in enumerate(((demo.udp, Caller.over_udp), (demo.tcp, Caller.over_tcp))):
+    for order, (at, make) in enumerate(
+        ((demo.udp, CallerEmulator.over_udp), (demo.tcp, CallerEmulator.over_tcp))
+    ):
         if at:
             host, _, port = at.rpartition(":")
             callers.append(await make((host.strip("[]"), int(port)), f"office{order + 1}", demo.seed + order))
--- a/stairhatch/emulators/caller.py
+++ b/stairhatch/emulators/caller_emulator.py
@@ -33,14 +33,14 @@
 
 
 @dataclass(slots=True)
-class Placed:
+class PlacedCall:
     """One call of a caller."""
 
     ident: str
     number: str
     hold_s: float
     due: float  # when it was to be placed
-    told: Callable[[Placed, CallResult, float, int], None]  # its end, seconds since it was due, status
+    told: Callable[[PlacedCall, CallResult, float, int], None]  # its end, seconds since it was due, status
     branch: str = ""
     data: bytes = b""
     copies: int = 0
@@ -60,13 +60,13 @@
     return float(digits) if digits.isdecimal() and len(digits) < 10 else None
 
 
-class Caller(asyncio.DatagramProtocol, asyncio.Protocol):
+class CallerEmulator(asyncio.DatagramProtocol, asyncio.Protocol):
     """One office: a UDP port or a TCP connection, with any number of calls."""
 
     def __init__(self, name: str, seed: int, kind: str, udp: bool) -> None:
         self.name, self.kind, self.udp = name, kind, udp
         self.random = random.Random(seed)
-        self.calls: dict[str, Placed] = {}
+        self.calls: dict[str, PlacedCall] = {}
         self.counts = {"copies": 0, "byes_heard": 0, "byes_sent": 0, "rings": 0}
         self.loop = asyncio.get_running_loop()
         self.host, self.lost = "", False
@@ -76,10 +76,10 @@
         self.via = ""  # what its Via says beside branch and rport
         self.heard: Callable[[sip.SipMessage], None] = lambda message: None  # each final answer to an INVITE
         # For whoever checks: what was asked, answered or ended, the status and what tells answers apart.
-        self.seen: Callable[[str, Placed, int, str], None] = lambda what, call, status, text: None
+        self.seen: Callable[[str, PlacedCall, int, str], None] = lambda what, call, status, text: None
 
     @classmethod
-    async def over_udp(cls, place: tuple[str, int], name: str, seed: int, kind: str = "") -> Caller:
+    async def over_udp(cls, place: tuple[str, int], name: str, seed: int, kind: str = "") -> CallerEmulator:
         """A caller on a port of its own."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_datagram_endpoint(
@@ -88,7 +88,7 @@
         return caller
 
     @classmethod
-    async def over_tcp(cls, place: tuple[str, int], name: str, seed: int, kind: str = "") -> Caller:
+    async def over_tcp(cls, place: tuple[str, int], name: str, seed: int, kind: str = "") -> CallerEmulator:
         """A caller on a connection of its own."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_connection(lambda: cls(name, seed, kind, False), *place)
@@ -147,11 +147,15 @@
     # calls
 
     def place(
-        self, number: str, hold_s: float, due: float, told: Callable[[Placed, CallResult, float, int], None]
-    ) -> Placed:
+        self,
+        number: str,
+        hold_s: float,
+        due: float,
+        told: Callable[[PlacedCall, CallResult, float, int], None],
+    ) -> PlacedCall:
         """Place a call now; `told` hears its end once."""
         self._serial += 1
-        call = Placed(f"{self.name}.{self._serial}@{self.host}", number, hold_s, due, told)
+        call = PlacedCall(f"{self.name}.{self._serial}@{self.host}", number, hold_s, due, told)
         call.branch = f"z9hG4bK{self.name}.{self._serial}"
         call.data = self._request(call, "INVITE", 1, call.branch, OFFER)
         self.calls[call.ident] = call
@@ -162,13 +166,13 @@
         self.loop.call_later(64 * T1, self._unheard, call)
         return call
 
-    def cancel(self, call: Placed) -> None:
+    def cancel(self, call: PlacedCall) -> None:
         """Give a call up before its answer."""
         if call.end is None and not call.vanished:
             self.seen("hung up", call, 0, "")
             self._send(self._request(call, "CANCEL", 1, call.branch))
 
-    def vanish(self, call: Placed) -> None:
+    def vanish(self, call: PlacedCall) -> None:
         """Its caller is gone: nothing more is sent, and what comes for it is not answered."""
         if call.end is None:
             self.seen("vanished", call, 0, "")
@@ -176,7 +180,7 @@
             self._ended(call, CallResult.UNHEARD, 0)
             self.calls.pop(call.ident, None)
 
-    def hang_up(self, call: Placed) -> None:
+    def hang_up(self, call: PlacedCall) -> None:
         """End a call that stands."""
         if call.end is CallResult.STOOD and not call.over:
             call.over = True
@@ -188,7 +192,7 @@
                 self.loop.call_later(T1, self._copy_bye, call, T1, 0)
             self.loop.call_later(64 * T1, self.calls.pop, call.ident, None)
 
-    def _request(self, call: Placed, method: str, cseq: int, branch: str, body: bytes = b"") -> bytes:
+    def _request(self, call: PlacedCall, method: str, cseq: int, branch: str, body: bytes = b"") -> bytes:
         way = "" if self.udp else ";transport=tcp"
         headers = [
             ("via", f"SIP/2.0/{'UDP' if self.udp else 'TCP'} {self.host};branch={branch};rport{self.via}"),
@@ -206,25 +210,25 @@
             headers += [("call-kind", self.kind)] if self.kind else []
         return sip.request(method, call.target or f"sip:{call.number}@softswitch", headers, body)
 
-    def _copy(self, call: Placed, gap: float) -> None:
+    def _copy(self, call: PlacedCall, gap: float) -> None:
         if call.end is None and not call.rang and not call.vanished and call.copies < MOST_COPIES:
             call.copies += 1
             self.counts["copies"] += 1
             self._send(call.data)
             self.loop.call_later(2 * gap, self._copy, call, 2 * gap)
 
-    def _copy_bye(self, call: Placed, gap: float, copies: int) -> None:
+    def _copy_bye(self, call: PlacedCall, gap: float, copies: int) -> None:
         if call.bye and copies < MOST_COPIES:
             self._send(call.bye)
             gap = min(2 * gap, T2)
             self.loop.call_later(gap, self._copy_bye, call, gap, copies + 1)
 
-    def _unheard(self, call: Placed) -> None:
+    def _unheard(self, call: PlacedCall) -> None:
         if call.end is None:
             self._ended(call, CallResult.UNHEARD, 0)
             self.calls.pop(call.ident, None)
 
-    def _ended(self, call: Placed, end: CallResult, status: int) -> None:
+    def _ended(self, call: PlacedCall, end: CallResult, status: int) -> None:
         call.end = end
         call.data = b""
         call.told(call, end, self.loop.time() - call.due, status)
@@ -252,7 +256,7 @@
         elif method == "INVITE":
             self._answered(call, message)
 
-    def _answered(self, call: Placed, message: sip.SipMessage) -> None:
+    def _answered(self, call: PlacedCall, message: sip.SipMessage) -> None:
         call.to = message.get("to")
         self.heard(message)
         self.seen("final", call, message.status, message.get("to") + message.body.decode("utf-8", "replace"))
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.load_test.rules import Broken, Checker, ObservationKind, Seen
@@ -48,7 +48,7 @@
 
         return observe
 
-    def _observe_caller(self, what: str, call: Placed, status: int, text: str) -> None:
+    def _observe_caller(self, what: str, call: PlacedCall, status: int, text: str) -> None:
         self.observations.append(
             Seen(time.monotonic(), ObservationKind(what), call.number, value=status, text=text)
         )
@@ -56,11 +56,13 @@
     async def open(self) -> None:
         """Begin to call."""
         for index, member in enumerate(self.members):
-            caller = await Caller.over_udp(member.sip, f"c{self.seed}x{index}", self.seed * 100 + index)
+            caller = await CallerEmulator.over_udp(
+                member.sip, f"c{self.seed}x{index}", self.seed * 100 + index
+            )
             caller.seen = self._observe_caller
             self.tasks.append(asyncio.create_task(self._place_calls(index, member, caller)))
 
-    async def _place_calls(self, index: int, member: MemberProcess, caller: Caller) -> None:
+    async def _place_calls(self, index: int, member: MemberProcess, caller: CallerEmulator) -> None:
         serial = 0
         try:
             while True:
@@ -72,7 +74,7 @@
         finally:
             caller.close()
 
-    def _on_ended(self, _call: Placed, end: CallResult, took_s: float, _status: int) -> None:
+    def _on_ended(self, _call: PlacedCall, end: CallResult, took_s: float, _status: int) -> None:
         self.end_counts[end] += 1
         self.answer_times_s.append(took_s)
 
--- a/stairhatch/load_test/office.py
+++ b/stairhatch/load_test/office.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from stairhatch.emulators.caller import Caller, CallResult, Placed
+from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.load_test.clock import Stall
 from stairhatch.load_test.habit import Throttle, Try, redial_after
 from stairhatch.load_test.plan import DueCall, LoadPlan, Office, Transport, calls, offices
@@ -36,7 +36,7 @@
         self.tally = LoadTally()
         self.record: list[tuple[float, str, str, int, str]] = []  # time, what, number called, status, text
         self.mine = [each for each in offices(plan) if each.index % workers == worker]
-        self.callers: dict[int, Caller] = {}
+        self.callers: dict[int, CallerEmulator] = {}
         self.throttles = {each.index: Throttle(each) for each in self.mine}
         self.chances = {each.index: random.Random(seed * 7919 + each.index) for each in self.mine}
         self.begun, self.stall = 0.0, Stall()
@@ -44,7 +44,7 @@
     async def open(self) -> None:
         """Open every port and connection."""
         for office in self.mine:
-            make = Caller.over_tcp if office.transport is Transport.TCP else Caller.over_udp
+            make = CallerEmulator.over_tcp if office.transport is Transport.TCP else CallerEmulator.over_udp
             place = self.places[office.transport]
             caller = await make(place, f"o{self.seed}x{office.index}", self.seed + office.index)
             if office.oc:
@@ -106,7 +106,7 @@
             self.loop.call_later(self.plan.habits.cancel_s, self._leaves, this, call, False)
         self.loop.call_later(min(due.kind.try_s, max(0.0, this.left(time.monotonic()))), office.cancel, call)
 
-    def _leaves(self, this: Try, call: Placed, vanishes: bool) -> None:
+    def _leaves(self, this: Try, call: PlacedCall, vanishes: bool) -> None:
         """Its caller wants it no more."""
         if this.over or call.end is not None:
             return
@@ -118,7 +118,7 @@
         else:
             caller.cancel(call)
 
-    def _ended(self, this: Try, call: Placed, end: CallResult, took_s: float, status: int) -> None:
+    def _ended(self, this: Try, call: PlacedCall, end: CallResult, took_s: float, status: int) -> None:
         """A try has its answer, or never will."""
         if this.over:
             return
@@ -164,5 +164,5 @@
         now = time.monotonic()
         throttle.told(now, figure("oc"), algorithm, figure("oc-validity"), figure("oc-seq"))
 
-    def _seen(self, what: str, call: Placed, status: int, text: str) -> None:
+    def _seen(self, what: str, call: PlacedCall, status: int, text: str) -> None:
         self.record.append((time.monotonic(), what, call.number, status, f"{hash(text):x}" if text else ""))
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.emulators import caller as callers
-from stairhatch.emulators.caller import Caller, Placed
+from stairhatch.emulators import caller_emulator as callers
+from stairhatch.emulators.caller_emulator import CallerEmulator, PlacedCall
 from stairhatch.emulators.coordinator import Coordinator, line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Processor
@@ -92,7 +92,7 @@
         self.traffic.place = self._place
         self.members: list[MemberProcess] = []
         self.servers: list[ServerEmulator] = []
-        self.callers: list[Caller] = []
+        self.callers: list[CallerEmulator] = []
         self.coordinator = Coordinator()
         self.stall = Stall()
         self.told: dict[str, list[float]] = defaultdict(list)  # when lines were told anew, in Unix time
@@ -145,7 +145,7 @@
             member.start()
         await self._until(lambda: all(map(self._ready, self.members)), "a softswitch does not serve")
         for member in self.members:
-            self.callers.append(await Caller.over_udp(member.sip, f"c{member.name}", plan.seed))
+            self.callers.append(await CallerEmulator.over_udp(member.sip, f"c{member.name}", plan.seed))
 
     def _line(self, index: int) -> dict[str, Any]:
         return line(f"r{index}", self.servers[index].place, index)
@@ -199,7 +199,7 @@
         return seen
 
     def _place(self, wanted: Wanted) -> None:
-        def told(call: Placed, end: callers.CallResult, took_s: float, status: int) -> None:
+        def told(call: PlacedCall, end: callers.CallResult, took_s: float, status: int) -> None:
             self.traffic.ended(wanted, ENDS[end], self._passed())
 
         now = asyncio.get_running_loop().time()
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.emulators.caller import OFFER
+from stairhatch.emulators.caller_emulator import OFFER
 from stairhatch.emulators.coordinator import Numbered, line, read_question
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
