--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.emulators.coordinator import line
+from stairhatch.emulators.coordinator_emulator import endpoint_line
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.process_run import FaultInjectionRun
@@ -74,9 +74,9 @@
         cold.cut()
         cold.processor.start_cold(time.monotonic())
         self.coordinator.tell([
-            line("r0", gone.place, 0, "terminated"),
-            line("r1", cold.place, 1, "terminated"),
-            line("r1b", cold.place, 1, "in_service", int(1000 * now)),
+            endpoint_line("r0", gone.place, 0, "terminated"),
+            endpoint_line("r1", cold.place, 1, "terminated"),
+            endpoint_line("r1b", cold.place, 1, "in_service", int(1000 * now)),
         ])  # fmt: skip
         gone.cut()
         self.took.clear()
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -37,7 +37,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import PER_CALL, Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.scripted_replies import ScriptedReply, ends
@@ -520,7 +520,10 @@
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed, self.folder, self.count = seed, folder, (20, 30)[seed % 2]
         self.chance, self.host = random.Random(seed), loopback_host()
-        self.coordinators = (Coordinator(), Coordinator())  # of the prompt and of the late half
+        self.coordinators = (
+            CoordinatorEmulator(),
+            CoordinatorEmulator(),
+        )  # of the prompt and of the late half
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         self.ports = {n: (self.host, free_port(self.host)) for n in range(self.count)}
         self.servers: dict[str, Roster] = {}
@@ -581,7 +584,9 @@
         try:
             for coordinator in self.coordinators:
                 await coordinator.listen(self.host)
-            lines = [line(f"r{n}", (await self.server(f"r{n}")).place, n) for n in range(REAL.servers)]
+            lines = [
+                endpoint_line(f"r{n}", (await self.server(f"r{n}")).place, n) for n in range(REAL.servers)
+            ]
             self.tell(lines)
             await asyncio.sleep(0.05)
             for number in range(self.count):
@@ -613,8 +618,8 @@
         began = loop.time()
         assert cold.processor is not None
         cold.processor.start_cold(began)
-        told = [line(old, gone.place, 0, "terminated"),
-                line(name, cold.place, 0, "in_service", int(1000 * time.time()))]  # fmt: skip
+        told = [endpoint_line(old, gone.place, 0, "terminated"),
+                endpoint_line(name, cold.place, 0, "in_service", int(1000 * time.time()))]  # fmt: skip
         self.tell(told, LATE_S if story is Story.LATE else 0.0)
         await gone.close()
         await asyncio.sleep(self.chance.uniform(2.0, 4.0))
@@ -627,7 +632,10 @@
                 killed += 1
         if story is Story.ALONE:
             self.tell(
-                [line(f"r{n}", self.servers[f"r{n}"].place, n, "terminated") for n in range(1, REAL.servers)]
+                [
+                    endpoint_line(f"r{n}", self.servers[f"r{n}"].place, n, "terminated")
+                    for n in range(1, REAL.servers)
+                ]
             )
             for number in range(1, REAL.servers):
                 await self.servers[f"r{number}"].close()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -29,7 +29,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from stairhatch.emulators.coordinator import line
+from stairhatch.emulators.coordinator_emulator import endpoint_line
 from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
 
@@ -166,12 +166,12 @@
     for _ in range(LISTENERS):
         listening.append(await loop.create_server(asyncio.Protocol, "127.0.0.1", 0, backlog=4096))
     places = [each.sockets[0].getsockname()[:2] for each in listening]
-    lines = [line(f"s-{n}", places[n % LISTENERS], n % 64) for n in range(options.servers)]
+    lines = [endpoint_line(f"s-{n}", places[n % LISTENERS], n % 64) for n in range(options.servers)]
     for number in range(options.stuck):
         place, held_by = stuck_place()
         held += held_by
-        lines.append(line(f"stuck-{number}", place, number % 64))
-    lines += [line(f"dead-{n}", ("127.0.0.1", free_port()), n % 64) for n in range(options.dead)]
+        lines.append(endpoint_line(f"stuck-{number}", place, number % 64))
+    lines += [endpoint_line(f"dead-{n}", ("127.0.0.1", free_port()), n % 64) for n in range(options.dead)]
     discovery = Discovery(way, 1)
     server = await asyncio.start_server(discovery.took, "127.0.0.1", 0, backlog=4096)
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": options.connect_s}
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -39,7 +39,7 @@
 
 from benchmarks import capacity
 from stairhatch.components import steady_unix_clock
-from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultSchedule
@@ -267,7 +267,7 @@
         return self
 
 
-class Directories(Coordinator):
+class Directories(CoordinatorEmulator):
     """A stand-in coordinator that counts."""
 
     def __init__(self) -> None:
@@ -465,7 +465,7 @@
         self.rosters = [Helper(rosters, count) for count in counts]
         self.helpers += self.rosters
         self.places = [tuple(place) for each in self.rosters for place in each.first]
-        self.lines = [line(f"r{index}", place, index) for index, place in enumerate(self.places)]
+        self.lines = [endpoint_line(f"r{index}", place, index) for index, place in enumerate(self.places)]
         self.directory = Helper(directories, self.lines)
         self.helpers.append(self.directory)
         self.place, host = ("127.0.0.1", free_port()), "127.0.0.1"
@@ -894,7 +894,7 @@
 
 def of_followers(size: int, told: argparse.Namespace) -> dict[str, float]:
     """By softswitches that follow one coordinator."""
-    lines = [line(f"r{index}", ("127.0.0.1", 9), index) for index in range(24)]
+    lines = [endpoint_line(f"r{index}", ("127.0.0.1", 9), index) for index in range(24)]
     helpers = [Helper(directories, lines)]
     try:
         place = tuple(helpers[0].first)
--- a/stairhatch/emulators/coordinator.py
+++ b/stairhatch/emulators/coordinator_emulator.py
@@ -14,7 +14,7 @@
 MOST_KEPT = 64  # answers
 
 
-def line(
+def endpoint_line(
     name: str, place: Place, number: int, state: str = "in_service", started_ms: int = 0
 ) -> dict[str, Any]:
     """One server of the list."""
@@ -24,7 +24,7 @@
     }  # fmt: skip
 
 
-class Numbered:
+class EndpointEventLog:
     """The list as a coordinator keeps it: each change has the next number. Free of I/O."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         return data
 
 
-def read_question(line: bytes) -> tuple[int, float]:
+def parse_poll_request(line: bytes) -> tuple[int, float]:
     """The number that a question names, and how long it wants to wait, in seconds. ValueError or IndexError
     where it is none.
     """
@@ -62,7 +62,7 @@
     return after, min(LONGEST_S, int(line.split(b"wait_ms=")[1].split(b" ")[0]) / 1000)
 
 
-class Coordinator(Numbered):
+class CoordinatorEmulator(EndpointEventLog):
     """Such a list on a socket."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def listen(self, host: str = "127.0.0.1", port: int = 0) -> Coordinator:
+    async def listen(self, host: str = "127.0.0.1", port: int = 0) -> CoordinatorEmulator:
         """Begin to serve."""
         self._server = await asyncio.start_server(self._took, host, port)
         self.place = self._server.sockets[0].getsockname()[:2]
@@ -106,7 +106,7 @@
             writer.close()
 
     async def _answer(self, text: bytes, writer: asyncio.StreamWriter) -> None:
-        after, wait_s = read_question(text)
+        after, wait_s = parse_poll_request(text)
         self.asked += 1
         if len(self.events) <= after:
             with contextlib.suppress(TimeoutError):
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator
@@ -79,7 +79,7 @@
         )
         self.members: dict[str, MemberProcess] = {}
         self.servers: list[ServerEmulator] = []
-        self.coordinator = Coordinator()
+        self.coordinator = CoordinatorEmulator()
         self.tasks = RunTasks()
         self.started_at = 0.0
         self.stall = Stall()
@@ -135,7 +135,7 @@
             self.servers.append(await ServerEmulator(lines=ROSTER_LINES, processor=processor).listen())
         await self.coordinator.listen()
         self.coordinator.tell(
-            [line(f"r{index}", server.place, index) for index, server in enumerate(self.servers)]
+            [endpoint_line(f"r{index}", server.place, index) for index, server in enumerate(self.servers)]
         )
 
     def _create_members(self) -> None:
@@ -177,7 +177,7 @@
             await asyncio.sleep(self.schedule.lease_duration_s * ENDPOINT_CHANGE_LEASES)
             serial += 1
             state = "terminated" if serial % 2 else "terminating"
-            self.coordinator.tell([line("ghost", ("127.0.0.1", 9), 9, state)])
+            self.coordinator.tell([endpoint_line("ghost", ("127.0.0.1", 9), 9, state)])
 
     def _observations(self) -> RunObservations:
         records = sorted(self.injector.records(), key=lambda each: each.at_s)
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -21,7 +21,7 @@
 
 from stairhatch.emulators import caller_emulator as callers
 from stairhatch.emulators.caller_emulator import CallerEmulator, PlacedCall
-from stairhatch.emulators.coordinator import Coordinator, line
+from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.processor import Processor
 from stairhatch.emulators.server_emulator import ServerEmulator
@@ -93,7 +93,7 @@
         self.members: list[MemberProcess] = []
         self.servers: list[ServerEmulator] = []
         self.callers: list[CallerEmulator] = []
-        self.coordinator = Coordinator()
+        self.coordinator = CoordinatorEmulator()
         self.stall = Stall()
         self.told: dict[str, list[float]] = defaultdict(list)  # when lines were told anew, in Unix time
         self.begin = 0.0
@@ -148,7 +148,7 @@
             self.callers.append(await CallerEmulator.over_udp(member.sip, f"c{member.name}", plan.seed))
 
     def _line(self, index: int) -> dict[str, Any]:
-        return line(f"r{index}", self.servers[index].place, index)
+        return endpoint_line(f"r{index}", self.servers[index].place, index)
 
     def _file(self, member: MemberProcess) -> str:
         plan, index = self.plan, int(member.name[1:])
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from stairhatch.emulators.caller_emulator import OFFER
-from stairhatch.emulators.coordinator import Numbered, line, read_question
+from stairhatch.emulators.coordinator_emulator import EndpointEventLog, endpoint_line, parse_poll_request
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.fault_injection.virtual_disk import DISK_SYNC_S, VirtualDisk
@@ -123,7 +123,9 @@
     def line(self, state: str = "in_service") -> dict[str, Any]:
         """In the list."""
         started = self.processor.born
-        return line(self.instance, self.place, self.index, state, int(1000 * started) if started else 0)
+        return endpoint_line(
+            self.instance, self.place, self.index, state, int(1000 * started) if started else 0
+        )
 
     def _seen(self, what: str, number: str) -> None:
         now = self.world.clock.now
@@ -174,7 +176,7 @@
 
     def __init__(self, world: World, region: int) -> None:
         self.world, self.region = world, region
-        self.list = Numbered()
+        self.list = EndpointEventLog()
         self.machine = next(n for n in range(len(world.places.zones)) if world.places.region(n) == region)
         self.place = (f"10.9.{region}.1", 8000)
         self.waiting: dict[Stream, tuple[int, ScheduledEvent]] = {}
@@ -229,7 +231,7 @@
         return take, lost
 
     def _asked(self, stream: Stream, text: bytes) -> None:
-        after, wait_s = read_question(text)
+        after, wait_s = parse_poll_request(text)
         self.list.asked += 1
         if len(self.list.events) > after:
             self._answer(stream, after)
