--- a/stairhatch/load_test/weather.py
+++ b/stairhatch/load_test/datagram_conditions.py
@@ -14,7 +14,7 @@
 Millis = Annotated[float, Meta(ge=0, le=60_000)]
 
 
-class Weather(Struct, forbid_unknown_fields=True, frozen=True):
+class DatagramConditions(Struct, forbid_unknown_fields=True, frozen=True):
     """How the way is. All zero is a clear one."""
 
     loss: Share = 0.0
@@ -31,10 +31,10 @@
 
 
 @dataclass(slots=True)
-class Way:
+class DatagramLink:
     """One direction between two parties."""
 
-    weather: Weather
+    weather: DatagramConditions
     chance: random.Random
     lost: int = 0
     copied: int = 0
--- a/stairhatch/load_test/experiment.py
+++ b/stairhatch/load_test/experiment.py
@@ -20,10 +20,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.load_test.plan import LoadPlan, Phase, PlanError, checked
 from stairhatch.load_test.rosters import RosterPlan
 from stairhatch.load_test.run import ROOT, OperatorCommand, Report, Setup, run
-from stairhatch.load_test.weather import Weather
 
 SHOWN = (  # figure, heading, form
     ("in_time_a_second", "in time a second", "{:.0f}"), ("worth", "worth", "{:.3f}"),
@@ -60,7 +60,7 @@
     workers: Annotated[int, Meta(ge=1, le=64)] = 4
     seed: int = 1
     rosters: RosterPlan = RosterPlan()
-    weather: Weather = Weather()
+    weather: DatagramConditions = DatagramConditions()
     signals: tuple[Signal, ...] = ()
 
 
--- a/stairhatch/load_test/relay.py
+++ b/stairhatch/load_test/relay.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from stairhatch.load_test.weather import Way, Weather
+from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 
 Place = tuple[str, int]
 
@@ -28,10 +28,10 @@
 class Relay:
     """Both directions between callers and one softswitch."""
 
-    def __init__(self, target: Place, weather: Weather, seed: int) -> None:
+    def __init__(self, target: Place, weather: DatagramConditions, seed: int) -> None:
         self.target, self.loop = target, asyncio.get_running_loop()
-        self.there = Way(weather, random.Random(seed * 2))
-        self.back = Way(weather, random.Random(seed * 2 + 1))
+        self.there = DatagramLink(weather, random.Random(seed * 2))
+        self.back = DatagramLink(weather, random.Random(seed * 2 + 1))
         self.ports: dict[Place, _Port] = {}  # by the caller's address
         self.opening: dict[Place, asyncio.Task[_Port]] = {}
         self.front: _Port
--- a/stairhatch/load_test/run.py
+++ b/stairhatch/load_test/run.py
@@ -22,11 +22,11 @@
 import msgspec
 
 from stairhatch.emulators.ports import free_port
+from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.load_test.plan import LoadPlan, Transport, offices
 from stairhatch.load_test.rosters import RosterPlan
 from stairhatch.load_test.rules import SLACK_S, Broken, Checker, ObservationKind, Seen
 from stairhatch.load_test.tally import LoadTally
-from stairhatch.load_test.weather import Weather
 
 ROOT = Path(__file__).resolve().parents[2]
 START_S, LEAD_S = 30.0, 0.3
@@ -87,7 +87,7 @@
     workers: int = 2
     places: dict[Transport, tuple[str, int]] = field(default_factory=dict)
     rosters: RosterPlan = field(default_factory=RosterPlan)
-    weather: Weather = field(default_factory=Weather)
+    weather: DatagramConditions = field(default_factory=DatagramConditions)
     tree: Path = ROOT
     sip: str = ""  # more lines of [sip]
     orders: tuple[OperatorCommand, ...] = ()
--- a/stairhatch/load_test/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -13,11 +13,11 @@
 import msgspec
 import uvloop
 
+from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.load_test.office import Desk
 from stairhatch.load_test.plan import LoadPlan, Transport
 from stairhatch.load_test.relay import Relay
 from stairhatch.load_test.rosters import RosterPlan, Rosters
-from stairhatch.load_test.weather import Weather
 
 
 def _say(value: Any) -> None:
@@ -55,7 +55,7 @@
                 running.cancel()
                 _say(rosters.told())
         case "relay":
-            weather = msgspec.convert(told["weather"], Weather)
+            weather = msgspec.convert(told["weather"], DatagramConditions)
             relay = await Relay(tuple(told["target"]), weather, told["seed"]).open()
             _say({"port": relay.place[1]})
             await lines.read()
--- a/stairhatch/scale_test/clock.py
+++ b/stairhatch/scale_test/clock.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from stairhatch.fault_injection.schedule import ScheduledFault as Cut
-from stairhatch.load_test.weather import Way, Weather
+from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 from stairhatch.scale_test.plan import Happens, Places, PlannedEventKind, ScalePlan
 
 BEGIN = 1_000_000.0  # what the clock shows at first: a Unix time, since the list tells starts in those
@@ -151,8 +151,8 @@
         self.stream_bytes = 0
         chance = random.Random(f"wire {plan.seed}")
 
-        def way(weather: Weather) -> Way:
-            return Way(weather, random.Random(chance.getrandbits(64)))
+        def way(weather: DatagramConditions) -> DatagramLink:
+            return DatagramLink(weather, random.Random(chance.getrandbits(64)))
 
         self.near, self.zones, self.far = map(way, (plan.wire.zone, plan.wire.zones, plan.wire.regions))
 
@@ -172,7 +172,7 @@
             self.bites[by.value] += 1
         return until
 
-    def _way(self, one: int, other: int) -> Way:
+    def _way(self, one: int, other: int) -> DatagramLink:
         places = self.places
         if places.zones[one] == places.zones[other]:
             return self.near
--- a/stairhatch/scale_test/plan.py
+++ b/stairhatch/scale_test/plan.py
@@ -21,7 +21,7 @@
 
 from stairhatch.fault_injection.schedule import FaultKind, blocks_traffic
 from stairhatch.fault_injection.schedule import ScheduledFault as Cut
-from stairhatch.load_test.weather import Weather
+from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.settings.parser import settings_from_object
 
 MOST_DEPTH = 11
@@ -91,9 +91,9 @@
 class NetworkDelays(Struct, forbid_unknown_fields=True, frozen=True):
     """The ways between two machines, by how far apart they are."""
 
-    zone: Weather = Weather(delay_ms=0.1, jitter_ms=0.1)
-    zones: Weather = Weather(delay_ms=0.6, jitter_ms=0.2)
-    regions: Weather = Weather(delay_ms=12.0, jitter_ms=1.0)
+    zone: DatagramConditions = DatagramConditions(delay_ms=0.1, jitter_ms=0.1)
+    zones: DatagramConditions = DatagramConditions(delay_ms=0.6, jitter_ms=0.2)
+    regions: DatagramConditions = DatagramConditions(delay_ms=12.0, jitter_ms=1.0)
 
 
 class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
@@ -230,7 +230,7 @@
     """The scenario that is played by real processes and by hollow ones: no faults, ways as on loopback."""
     real = plan.real
     assert real is not None
-    way = Weather(delay_ms=0.05, jitter_ms=0.05)
+    way = DatagramConditions(delay_ms=0.05, jitter_ms=0.05)
     change = Happens(real.seconds * 0.1, PlannedEventKind.CHANGE, real.seconds * 0.8, max(1, real.changes))
     return msgspec.structs.replace(
         plan,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -20,6 +20,7 @@
     SetupAdmission,
 )
 from stairhatch.load_test import experiment as exp
+from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 from stairhatch.load_test.habit import Throttle, Try, redial_after
 from stairhatch.load_test.plan import (
     DueCall,
@@ -37,7 +38,6 @@
 from stairhatch.load_test.rules import Checker, ObservationKind, Seen
 from stairhatch.load_test.run import LoadError, OperatorCommand, Setup, on_this_machine, run
 from stairhatch.load_test.tally import LoadTally
-from stairhatch.load_test.weather import Way, Weather
 
 from .peers import ROOT
 
@@ -199,12 +199,22 @@
 
 def test_the_weather_of_a_seed_is_the_same_and_a_loss_moves_no_other():
     """Guards against runs that can't be repeated."""
-    clear, rough = Weather(delay_ms=5.0), Weather(loss=0.2, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0)
-    ways = [Way(weather, random.Random(9)) for weather in (rough, rough, clear)]
+    clear, rough = (
+        DatagramConditions(delay_ms=5.0),
+        DatagramConditions(loss=0.2, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0),
+    )
+    ways = [DatagramLink(weather, random.Random(9)) for weather in (rough, rough, clear)]
     told = [[way.fate() for _ in range(2000)] for way in ways]
-    assert told[0] == told[1] and set(told[2]) == {(0.005,)} and clear.clear is False and Weather().clear
+    assert (
+        told[0] == told[1]
+        and set(told[2]) == {(0.005,)}
+        and clear.clear is False
+        and DatagramConditions().clear
+    )
     assert 340 < told[0].count(()) < 460 and 120 < ways[0].copied < 220 and 120 < ways[0].late < 220
-    drier = Way(Weather(loss=0.1, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0), random.Random(9))
+    drier = DatagramLink(
+        DatagramConditions(loss=0.1, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0), random.Random(9)
+    )
     assert all(
         other in ((), one) for one, other in zip((drier.fate() for _ in range(2000)), told[0], strict=True)
     )
@@ -328,7 +338,7 @@
     rosters = RosterPlan(
         count=2, set_up_ms=5.0, trouble=(Trouble(1.0, 0, "hang"), Trouble(4.0, 0, "recover"))
     )
-    weather = Weather(loss=0.1, copies=0.1, jitter_ms=5.0)
+    weather = DatagramConditions(loss=0.1, copies=0.1, jitter_ms=5.0)
     orders = (OperatorCommand(2.0, signal.SIGHUP), OperatorCommand(2.5, signal.SIGUSR1))
     report = run(Setup(plan, 2, 2, rosters=rosters, weather=weather, orders=orders))
     assert report.checked and [each.line() for each in report.broken] == []
