--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -36,7 +36,7 @@
 from stairhatch.fault_injection.run_report import RunObservations, RunReport
 from stairhatch.fault_injection.run_tasks import RunTasks
 from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
-from stairhatch.load_test.clock import Stall
+from stairhatch.load_test.event_loop_stall import EventLoopStall
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
@@ -82,7 +82,7 @@
         self.coordinator = CoordinatorEmulator()
         self.tasks = RunTasks()
         self.started_at = 0.0
-        self.stall = Stall()
+        self.stall = EventLoopStall()
         self.used_ports: set[int] = set()
 
     async def run(self, on_progress: Callable[[float], None] = lambda _elapsed_s: None) -> RunReport:
--- a/stairhatch/load_test/clock.py
+++ b/stairhatch/load_test/event_loop_stall.py
@@ -10,7 +10,7 @@
 LOOK_S = 0.01
 
 
-class Stall:
+class EventLoopStall:
     """The longest time for which a loop did not come round."""
 
     def __init__(self) -> None:
--- a/stairhatch/load_test/office.py
+++ b/stairhatch/load_test/office.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
-from stairhatch.load_test.clock import Stall
+from stairhatch.load_test.event_loop_stall import EventLoopStall
 from stairhatch.load_test.habit import Throttle, Try, redial_after
 from stairhatch.load_test.plan import DueCall, LoadPlan, Office, Transport, calls, offices
 from stairhatch.load_test.tally import LoadTally
@@ -39,7 +39,7 @@
         self.callers: dict[int, CallerEmulator] = {}
         self.throttles = {each.index: Throttle(each) for each in self.mine}
         self.chances = {each.index: random.Random(seed * 7919 + each.index) for each in self.mine}
-        self.begun, self.stall = 0.0, Stall()
+        self.begun, self.stall = 0.0, EventLoopStall()
 
     async def open(self) -> None:
         """Open every port and connection."""
--- a/stairhatch/load_test/rosters.py
+++ b/stairhatch/load_test/rosters.py
@@ -13,7 +13,7 @@
 
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator
-from stairhatch.load_test.clock import Stall
+from stairhatch.load_test.event_loop_stall import EventLoopStall
 
 LINES = 100_000
 
@@ -42,7 +42,7 @@
     def __init__(self, plan: RosterPlan, seed: int) -> None:
         self.plan = plan
         self.record: list[tuple[float, str, str, str]] = []  # time, what, number called, server
-        self.stall = Stall()
+        self.stall = EventLoopStall()
         nature = ProcessorProfile(set_up_s=plan.set_up_ms / 1000, longest_wait_s=plan.longest_wait_s)
         self.servers = [
             ServerEmulator(lines=LINES, processor=Processor(nature, random.Random(seed * 31 + index)))
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -29,7 +29,7 @@
 from stairhatch.fault_injection.member_config import loopback_host
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
-from stairhatch.load_test.clock import Stall
+from stairhatch.load_test.event_loop_stall import EventLoopStall
 from stairhatch.scale_test.plan import (
     NUMBERS,
     Happens,
@@ -94,7 +94,7 @@
         self.servers: list[ServerEmulator] = []
         self.callers: list[CallerEmulator] = []
         self.coordinator = CoordinatorEmulator()
-        self.stall = Stall()
+        self.stall = EventLoopStall()
         self.told: dict[str, list[float]] = defaultdict(list)  # when lines were told anew, in Unix time
         self.begin = 0.0
         self.tasks: list[asyncio.Task[None]] = []
