--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -14,7 +14,12 @@
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.member_process import MemberProcess
-from stairhatch.load_test.rules import Broken, Checker, ObservationKind, Seen
+from stairhatch.load_test.call_rules import (
+    CallObservation,
+    CallRuleChecker,
+    CallRuleViolation,
+    ObservationKind,
+)
 
 CALL_DURATION_S = 0.5
 ANSWER_LIMIT_S = 3.0
@@ -34,7 +39,7 @@
         self.members = members
         self.calls_per_s = calls_per_s  # to each softswitch
         self.rng = random.Random(f"callers {seed}")
-        self.observations: list[Seen] = []
+        self.observations: list[CallObservation] = []
         self.member_by_number: dict[str, MemberProcess] = {}  # by the number called
         self.end_counts = dict.fromkeys(CallResult, 0)
         self.answer_times_s: list[float] = []  # to each final answer
@@ -44,13 +49,13 @@
 
     def _server_observer(self, server: str) -> Callable[[str, str], None]:
         def observe(what: str, number: str) -> None:
-            self.observations.append(Seen(time.monotonic(), ObservationKind(what), number, server))
+            self.observations.append(CallObservation(time.monotonic(), ObservationKind(what), number, server))
 
         return observe
 
     def _observe_caller(self, what: str, call: PlacedCall, status: int, text: str) -> None:
         self.observations.append(
-            Seen(time.monotonic(), ObservationKind(what), call.number, value=status, text=text)
+            CallObservation(time.monotonic(), ObservationKind(what), call.number, value=status, text=text)
         )
 
     async def open(self) -> None:
@@ -90,13 +95,13 @@
             for each in self.observations
         )
 
-    def find_violations(self, slack_s: float) -> list[Broken]:
+    def find_violations(self, slack_s: float) -> list[CallRuleViolation]:
         """Check the rules of calls over what both ends saw.
 
         A call whose softswitch was killed or stopped under it is owed no answer and no release, but it must
         not be set up twice either.
         """
-        found = Checker(time.monotonic(), slack_s, ANSWER_LIMIT_S).check(self.observations)
+        found = CallRuleChecker(time.monotonic(), slack_s, ANSWER_LIMIT_S).check(self.observations)
         begun = {each.call: each.at for each in self.observations if each.what is ObservationKind.ASKED}
         return [
             each
@@ -104,7 +109,7 @@
             if each.rule in RULES_DESPITE_OUTAGE or not self._was_interrupted(each, begun)
         ]
 
-    def _was_interrupted(self, violation: Broken, begun: dict[str, float]) -> bool:
+    def _was_interrupted(self, violation: CallRuleViolation, begun: dict[str, float]) -> bool:
         member = self.member_by_number.get(violation.call)
         at_s = begun.get(violation.call, violation.at)
         return member is None or any(
--- a/stairhatch/load_test/rules.py
+++ b/stairhatch/load_test/call_rules.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class CallObservation:
     """One event. `call` is the name that both sides know."""
 
     at: float
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class CallRuleViolation:
     """A rule that was not kept."""
 
     rule: str
@@ -71,18 +71,18 @@
 
 
 @dataclass(slots=True)
-class Checker:
+class CallRuleChecker:
     """Reads events in the order of their times; `broken` grows."""
 
     until: float  # the run's end: what is open then counts as unfinished only if its time was up
     slack_s: float = SLACK_S  # how far times may lie from the truth
     limit_s: float = 9.0  # the longest that a caller waits
     drains: dict[str, float] = field(default_factory=dict)  # server -> when a softswitch was told
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[CallRuleViolation] = field(default_factory=list)
 
-    def check(self, events: list[Seen]) -> list[Broken]:
+    def check(self, events: list[CallObservation]) -> list[CallRuleViolation]:
         """All rules over one run."""
-        by_call: dict[str, list[Seen]] = defaultdict(list)
+        by_call: dict[str, list[CallObservation]] = defaultdict(list)
         for seen in sorted(events, key=lambda each: each.at):
             if seen.what is ObservationKind.TOLD_DRAIN:
                 self.drains.setdefault(seen.server, seen.at)
@@ -96,9 +96,9 @@
         return self.broken
 
     def _break(self, rule: str, call: str, at: float, how: str) -> None:
-        self.broken.append(Broken(rule, call, at, how))
+        self.broken.append(CallRuleViolation(rule, call, at, how))
 
-    def _answers(self, call: str, story: list[Seen]) -> None:
+    def _answers(self, call: str, story: list[CallObservation]) -> None:
         """One final answer a call, and no other one after it."""
         asked = next((each for each in story if each.what is ObservationKind.ASKED), None)
         finals = [each for each in story if each.what is ObservationKind.FINAL]
@@ -115,7 +115,7 @@
         if not finals and not left and self.until > asked.at + self.limit_s + self.slack_s:
             self._break("answer", call, asked.at, "no final answer")
 
-    def _attempts(self, call: str, story: list[Seen]) -> None:
+    def _attempts(self, call: str, story: list[CallObservation]) -> None:
         """One attempt out, the pause, the drain, and six at most."""
         last: _Out | None = None
         count = 0
@@ -132,7 +132,7 @@
         if count > MOST_ATTEMPTS:
             self._break("attempts", call, story[0].at, f"{count} set-ups")
 
-    def _set_up(self, call: str, seen: Seen, last: _Out | None) -> None:
+    def _set_up(self, call: str, seen: CallObservation, last: _Out | None) -> None:
         told = self.drains.get(seen.server)
         if told is not None and seen.at > told + DRAIN_S + self.slack_s:
             self._break("drain", call, seen.at, f"{seen.server} was told to drain {seen.at - told:.2f} s ago")
@@ -144,7 +144,7 @@
             gap_ms = 1000 * (seen.at - last.ended)
             self._break("pause", call, seen.at, f"{gap_ms:.0f} ms after an unclear end")
 
-    def _releases(self, call: str, story: list[Seen]) -> None:
+    def _releases(self, call: str, story: list[CallObservation]) -> None:
         """What stood at a server and is over for its caller is released there, and the reverse. That a
         caller has vanished is known only once its ACK has not come for 64 T1 (RFC 3261, 13.3.1.4).
         """
--- a/stairhatch/load_test/run.py
+++ b/stairhatch/load_test/run.py
@@ -22,10 +22,16 @@
 import msgspec
 
 from stairhatch.emulators.ports import free_port
+from stairhatch.load_test.call_rules import (
+    SLACK_S,
+    CallObservation,
+    CallRuleChecker,
+    CallRuleViolation,
+    ObservationKind,
+)
 from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.load_test.plan import LoadPlan, Transport, offices
 from stairhatch.load_test.rosters import RosterPlan
-from stairhatch.load_test.rules import SLACK_S, Broken, Checker, ObservationKind, Seen
 from stairhatch.load_test.tally import LoadTally
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -99,7 +105,7 @@
 
     tally: LoadTally
     seconds: float
-    broken: list[Broken]
+    broken: list[CallRuleViolation]
     servers: list[dict[str, Any]]
     program: dict[str, Any]  # processor time, memory, counters; empty where it was not ours
     checked: bool  # whether both sides were seen, so that the rules could be read off
@@ -297,7 +303,7 @@
         tally.add(each["tally"])
     used = program.told() if program is not None else {}
     servers: list[dict[str, Any]] = []
-    broken: list[Broken] = []
+    broken: list[CallRuleViolation] = []
     if rosters is not None:
         rosters.say("end")
         told = rosters.hear()
@@ -305,12 +311,12 @@
         events = list(_seen([line for each in found for line in each["record"]], told["record"]))
         longest = max(kind.limit_s for kind in setup.plan.kind)
         stalled_s = max(each["stalled_s"] for each in [*found, told])
-        broken = Checker(time.monotonic(), SLACK_S + stalled_s, longest).check(events)
+        broken = CallRuleChecker(time.monotonic(), SLACK_S + stalled_s, longest).check(events)
     return Report(tally, setup.plan.seconds, broken, servers, used, rosters is not None)
 
 
-def _seen(callers: list[Any], servers: list[Any]) -> Iterator[Seen]:
+def _seen(callers: list[Any], servers: list[Any]) -> Iterator[CallObservation]:
     for at, what, call, status, text in callers:
-        yield Seen(at, ObservationKind(what), call, value=status, text=text)
+        yield CallObservation(at, ObservationKind(what), call, value=status, text=text)
     for at, what, call, server in servers:
-        yield Seen(at, ObservationKind(what), call, server=server)
+        yield CallObservation(at, ObservationKind(what), call, server=server)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -20,6 +20,7 @@
     SetupAdmission,
 )
 from stairhatch.load_test import experiment as exp
+from stairhatch.load_test.call_rules import CallObservation, CallRuleChecker, ObservationKind
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 from stairhatch.load_test.habit import Throttle, Try, redial_after
 from stairhatch.load_test.plan import (
@@ -35,7 +36,6 @@
     read_plan,
 )
 from stairhatch.load_test.rosters import RosterPlan, Trouble
-from stairhatch.load_test.rules import Checker, ObservationKind, Seen
 from stairhatch.load_test.run import LoadError, OperatorCommand, Setup, on_this_machine, run
 from stairhatch.load_test.tally import LoadTally
 
@@ -223,17 +223,17 @@
 # ---- the rules ----
 
 KEPT = [
-    Seen(0.0, ObservationKind.ASKED, "c"),
-    Seen(0.1, ObservationKind.SET_UP, "c", "r0"),
-    Seen(0.5, ObservationKind.GIVEN_UP, "c", "r0"),
-    Seen(1.1, ObservationKind.SET_UP, "c", "r1"),
-    Seen(1.2, ObservationKind.REFUSED, "c", "r1"),
-    Seen(1.21, ObservationKind.SET_UP, "c", "r0"),
-    Seen(1.3, ObservationKind.STOOD, "c", "r0"),
-    Seen(1.31, ObservationKind.FINAL, "c", value=200, text="a"),
-    Seen(1.9, ObservationKind.FINAL, "c", value=200, text="a"),
-    Seen(5.0, ObservationKind.HUNG_UP, "c"),
-    Seen(5.01, ObservationKind.GIVEN_UP, "c", "r0"),
+    CallObservation(0.0, ObservationKind.ASKED, "c"),
+    CallObservation(0.1, ObservationKind.SET_UP, "c", "r0"),
+    CallObservation(0.5, ObservationKind.GIVEN_UP, "c", "r0"),
+    CallObservation(1.1, ObservationKind.SET_UP, "c", "r1"),
+    CallObservation(1.2, ObservationKind.REFUSED, "c", "r1"),
+    CallObservation(1.21, ObservationKind.SET_UP, "c", "r0"),
+    CallObservation(1.3, ObservationKind.STOOD, "c", "r0"),
+    CallObservation(1.31, ObservationKind.FINAL, "c", value=200, text="a"),
+    CallObservation(1.9, ObservationKind.FINAL, "c", value=200, text="a"),
+    CallObservation(5.0, ObservationKind.HUNG_UP, "c"),
+    CallObservation(5.01, ObservationKind.GIVEN_UP, "c", "r0"),
 ]
 
 
@@ -246,8 +246,8 @@
     [
         (KEPT, []),
         (changed(7, 8, 9, 10), ["answer"]),
-        (changed(more=[Seen(2.0, ObservationKind.FINAL, "c", value=503, text="b")]), ["answer"]),
-        (changed(more=[Seen(2.0, ObservationKind.FINAL, "c", value=200, text="b")]), ["answer"]),
+        (changed(more=[CallObservation(2.0, ObservationKind.FINAL, "c", value=503, text="b")]), ["answer"]),
+        (changed(more=[CallObservation(2.0, ObservationKind.FINAL, "c", value=200, text="b")]), ["answer"]),
         (changed(0), ["answer"]),
         (changed(2), ["one attempt"]),
         (
@@ -255,40 +255,43 @@
                 3,
                 4,
                 more=[
-                    Seen(0.8, ObservationKind.SET_UP, "c", "r1"),
-                    Seen(0.9, ObservationKind.REFUSED, "c", "r1"),
+                    CallObservation(0.8, ObservationKind.SET_UP, "c", "r1"),
+                    CallObservation(0.9, ObservationKind.REFUSED, "c", "r1"),
                 ],
             ),
             ["pause"],
         ),
         (changed(10), ["release"]),
-        (changed(9, 10, more=[Seen(1.25, ObservationKind.VANISHED, "c")]), ["release"]),
+        (changed(9, 10, more=[CallObservation(1.25, ObservationKind.VANISHED, "c")]), ["release"]),
         (
             changed(
                 9,
                 10,
                 more=[
-                    Seen(1.25, ObservationKind.VANISHED, "c"),
-                    Seen(33.4, ObservationKind.GIVEN_UP, "c", "r0"),
+                    CallObservation(1.25, ObservationKind.VANISHED, "c"),
+                    CallObservation(33.4, ObservationKind.GIVEN_UP, "c", "r0"),
                 ],
             ),
             [],
         ),
-        (changed(9, 10, more=[Seen(5.0, ObservationKind.ENDED, "c", "r0")]), ["release"]),
+        (changed(9, 10, more=[CallObservation(5.0, ObservationKind.ENDED, "c", "r0")]), ["release"]),
         (
             changed(
                 9,
                 10,
-                more=[Seen(5.0, ObservationKind.ENDED, "c", "r0"), Seen(5.1, ObservationKind.TOLD_END, "c")],
+                more=[
+                    CallObservation(5.0, ObservationKind.ENDED, "c", "r0"),
+                    CallObservation(5.1, ObservationKind.TOLD_END, "c"),
+                ],
             ),
             [],
         ),
-        (changed(more=[Seen(0.0, ObservationKind.TOLD_DRAIN, "", "r1")]), ["drain"]),
-        (changed(more=[Seen(0.3, ObservationKind.TOLD_DRAIN, "", "r1")]), []),
+        (changed(more=[CallObservation(0.0, ObservationKind.TOLD_DRAIN, "", "r1")]), ["drain"]),
+        (changed(more=[CallObservation(0.3, ObservationKind.TOLD_DRAIN, "", "r1")]), []),
         (
             changed(
                 more=[
-                    Seen(1.2 + n / 1000, w, "c", "r1")
+                    CallObservation(1.2 + n / 1000, w, "c", "r1")
                     for n in range(1, 5)
                     for w in (ObservationKind.SET_UP, ObservationKind.REFUSED)
                 ]
@@ -299,8 +302,8 @@
 )
 def test_each_rule_is_read_off_the_record_and_no_other(story, rules):
     """Guards against a checker that passes everything, or calls one thing by another's name."""
-    assert [each.rule for each in Checker(60.0).check(list(story))] == rules
-    assert Checker(1.25).check(KEPT[:3]) == [], "a call that is under way owes nothing yet"
+    assert [each.rule for each in CallRuleChecker(60.0).check(list(story))] == rules
+    assert CallRuleChecker(1.25).check(KEPT[:3]) == [], "a call that is under way owes nothing yet"
 
 
 # ---- what came of it ----
