--- /dev/null
+++ b/tests/support/in_process_node.py
@@ -0,0 +1,93 @@
+"""The SIP frontend and the call manager in the test's process, without sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from dataclasses import replace
+from typing import Any
+
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import Attempt, ServerRecord
+from stairhatch.node.counters import Counters
+from stairhatch.overload.events import Availability, LoadReport
+from stairhatch.settings.parser import settings_from_object
+from stairhatch.sip.front import SipConfig, SipFront, SipListener
+
+from .platform_config import SETTINGS
+
+NUMBERING_PLAN = ("read-roster", (("7", "save-roster", 0),))  # the default class, and one for a prefix
+
+
+class InProcessNode:
+    """The SIP frontend and the call manager with a clock set by hand; in place of server connections it
+    records what would be written.
+    """
+
+    def __init__(self, **config: Any) -> None:
+        self.now = 1000.0
+        self.settings = settings_from_object(SETTINGS).settings
+        self.clock = lambda: self.now
+        self.log = lambda *_args, **_fields: None
+        self.core = CallManager(
+            self.settings,
+            random.Random(1),
+            lambda: self.clock(),
+            lambda *args, **fields: self.log(*args, **fields),
+            Counters(),
+        )
+        self.core.servers.pool = self
+        self.written: list[Attempt] = []
+        self.releases: list[tuple[str, int]] = []
+        listeners = (SipListener(("127.0.0.1", 1)),)
+        sip_config = replace(SipConfig(listeners, listeners, "127.0.0.1:1", *NUMBERING_PLAN), **config)
+        tokens = (f"t{n}" for n in range(10**6))
+        self.front = SipFront(self.core, sip_config, lambda: next(tokens), random.Random(1).random, b"secret")
+        self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.core.readiness.listening = True
+        self.core.readiness.list_known = True
+        self.core.servers.by_id[1].dial_attempted = True
+
+    def follow_loop(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Let the clock run on with an event loop's, from where it stands: it never goes back, however short
+        the machine has been up.
+        """
+        offset_s = self.now - loop.time()
+        self.clock = lambda: loop.time() + offset_s
+
+    def record_changed(self, server: object) -> None:
+        """Take the endpoint list's news of a server (the pool's interface)."""
+
+    def send_setup(self, attempt: Attempt) -> None:
+        """Write a set-up at once, if it may still be sent (the pool's interface)."""
+        if self.core.attempts.claim_transmission(attempt):
+            self.written.append(attempt)
+
+    def shut_down(self) -> None:
+        """Take that the process is about to end (the pool's interface)."""
+
+    def is_flushed(self) -> bool:
+        """Whether all is written: always, as nothing is queued (the pool's interface)."""
+        return True
+
+    def send_release(self, _server: object, ident: str, cause: int) -> None:
+        """Record a set-up given up, or a call released (the pool's interface)."""
+        self.releases.append((ident, cause))
+
+    def establish(self) -> None:
+        """The server establishes the call whose set-up was written last."""
+        attempt = self.written[-1]
+        self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
+
+    @staticmethod
+    def empty_report() -> LoadReport:
+        """A load report without a figure."""
+        return LoadReport()
+
+    def run(self, seconds: float) -> None:
+        """Let time pass, timer by timer."""
+        end = self.now + seconds
+        while (due := self.core.timers.next_due()) is not None and due <= end:
+            self.now = max(self.now, due)
+            self.core.timers.run_due()
+        self.now = end
--- /dev/null
+++ b/tests/support/program.py
@@ -0,0 +1,200 @@
+"""The real program as a process: started as the platform or an operator does, watched by its log."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+from stairhatch.emulators.ports import free_port
+
+from .paths import APPLIANCE_TOML, ROOT
+from .platform_config import platform_config
+from .scripted_coordinator import ScriptedCoordinator
+from .scripted_server import ScriptedServer
+from .sip_caller import SipCaller
+from .waiting import WAIT_LIMIT_S, wait_until
+
+# Lowers its own limit of descriptors, then becomes the program.
+LIMIT_DESCRIPTORS = (
+    "import os, resource, sys; most = int(sys.argv[1]); "
+    "resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)); os.execv(sys.argv[2], sys.argv[2:])"
+)
+
+
+class Program:
+    """The program as a process. Ports come from the system; a start whose port was taken is tried again."""
+
+    descriptor_limit = 0  # the limit that the process is started under (RLIMIT_NOFILE); 0: this one's
+
+    def __init__(
+        self, folder: Path, *arguments: str, inherited: tuple[int, ...] = (), **environ: str
+    ) -> None:
+        self.path = folder  # of the configuration, once there is one
+        self.address = ("", 0)  # of the callers' listener
+        self.admin_address = ("", 0)
+        self.log = folder / f"log-{time.monotonic_ns()}.txt"
+        with self.log.open("wb") as file:
+            self.start(folder, file, *arguments, inherited=inherited, **environ)
+
+    def start(
+        self, folder: Path, output: Any, *arguments: str, inherited: tuple[int, ...] = (), **environ: str
+    ) -> None:
+        """Start the process, with its log to a file or a pipe, and descriptors that it inherits."""
+        env = {**os.environ, "STAIRHATCH_TRACE": "1", "TMPDIR": str(folder), **environ}
+        limit = self.descriptor_limit
+        limited = [sys.executable, "-c", LIMIT_DESCRIPTORS, str(limit)] if limit else []
+        self.process = subprocess.Popen(
+            [*limited, sys.executable, "-m", "stairhatch", *arguments],
+            cwd=ROOT, env=env, stdin=subprocess.PIPE, stdout=output, stderr=output,
+            pass_fds=inherited,
+        )  # fmt: skip
+
+    @classmethod
+    def on_platform(
+        cls,
+        folder: Path,
+        coordinator: ScriptedCoordinator,
+        settings: dict[str, Any] | None = None,
+        sockets: int = 1024,
+    ) -> Program:
+        """Start it with the platform's configuration."""
+        port, admin_port = free_port(), free_port()
+        path = folder / "config.json"
+        path.write_text(json.dumps(platform_config(coordinator, port, admin_port, settings, sockets)))
+        program = cls(folder, RELAY_CONFIG=str(path)).wait_until_ready(port, admin_port)
+        if program is None:
+            return cls.on_platform(folder, coordinator, settings, sockets)
+        program.path = path
+        return program
+
+    @classmethod
+    def on_socket(
+        cls, folder: Path, sock: socket.socket, coordinator: ScriptedCoordinator, known: dict[str, Any]
+    ) -> Program:
+        """Start it beside others on a listener that the platform owns, with an admin endpoint of its own."""
+        port, admin_port = sock.getsockname()[1], free_port()
+        path = folder / "config.json"
+        path.write_text(json.dumps({**platform_config(coordinator, port, 1), "known": known}))
+        program = cls(
+            folder, inherited=(sock.fileno(),), RELAY_CONFIG=str(path),
+            RELAY_CONSOLE=f"127.0.0.1:{admin_port}", RELAY_INHERITED_FD=str(sock.fileno()),
+        ).wait_until_ready(port, admin_port)  # fmt: skip
+        if program is None:
+            return cls.on_socket(folder, sock, coordinator, known)
+        program.path = path
+        return program
+
+    @classmethod
+    def as_appliance(cls, folder: Path, *servers: ScriptedServer, syslog: str = "") -> Program:
+        """Start it by a copy of deploy/sip.toml with ports of its own."""
+        text = APPLIANCE_TOML.read_text()
+        port, admin_port = free_port(), free_port()
+        addresses = {"127.0.0.1:5060": f"127.0.0.1:{port}", "127.0.0.1:5070": f"127.0.0.1:{admin_port}"}
+        addresses.update(
+            {f"127.0.0.1:{7001 + i}": f"127.0.0.1:{server.port}" for i, server in enumerate(servers)}
+        )
+        for old, new in addresses.items():
+            text = text.replace(old, new)
+        text = text.replace("[sip]", "[sip]\nrestart_wait_s = 0.2", 1)
+        if syslog:
+            text = text.replace('# syslog = "127.0.0.1:514"', f'syslog = "{syslog}"')
+        path = folder / "sip.toml"
+        path.write_text(text)
+        program = cls(folder, "--sip", str(path)).wait_until_ready(port, admin_port)
+        if program is None:
+            return cls.as_appliance(folder, *servers, syslog=syslog)
+        program.path = path
+        return program
+
+    def wait_until_ready(self, port: int, admin_port: int) -> Program | None:
+        """Wait until it listens; None if something else took its port in the meantime."""
+        self.address, self.admin_address = ("127.0.0.1", port), ("127.0.0.1", admin_port)
+        wait_until(lambda: " ready " in self.log_text() or self.process.poll() is not None, "the ready event")
+        taken = "can't listen" in self.log_text()
+        assert taken or self.process.poll() is None, self.log_text()
+        return None if taken else self
+
+    def wait_until_serving(self) -> Program:
+        """Wait until its health check at the admin endpoint says that it serves."""
+        wait_until(lambda: self.admin_command("check").startswith("ok"), "ok to check")
+        return self
+
+    def reload(self, text: str) -> dict[str, str]:
+        """Replace its configuration and send SIGHUP; returns the event that tells what came of it."""
+        before = len(self.log_events("reload"))
+        self.path.write_text(text)
+        self.process.send_signal(signal.SIGHUP)
+        wait_until(
+            lambda: len(self.log_events("reload")) > before or self.process.poll() is not None, "the reload"
+        )
+        assert self.process.poll() is None, self.log_text()
+        return self.log_events("reload")[-1]
+
+    def counters(self) -> dict[str, str]:
+        """The counters, as the program logs them on SIGUSR1."""
+        before = len(self.log_events("counters"))
+        self.process.send_signal(signal.SIGUSR1)
+        wait_until(lambda: len(self.log_events("counters")) > before, "the counters")
+        return self.log_events("counters")[-1]
+
+    def log_text(self) -> str:
+        """Its log so far."""
+        return self.log.read_text()
+
+    def log_events(self, event: str) -> list[dict[str, str]]:
+        """The lines of one event in its log, as their fields; `at` is the time of the line."""
+        found = []
+        for line in self.log_text().splitlines():
+            words = line.split(" ")
+            if len(words) > 1 and words[1] == event:
+                pairs = (word.split("=", 1) for word in words[2:] if "=" in word)
+                found.append({"at": words[0], **dict(pairs)})
+        return found
+
+    def admin_command(self, line: str | bytes, half_closes: bool = False) -> str:
+        """What the admin endpoint answers to a line; `half_closes` ends our sending side after it."""
+        with socket.create_connection(self.admin_address, WAIT_LIMIT_S) as sock:
+            sock.sendall(line if isinstance(line, bytes) else line.encode() + b"\n")
+            if half_closes:
+                sock.shutdown(socket.SHUT_WR)
+            data = b""
+            while piece := sock.recv(4096):
+                data += piece
+        assert data.endswith(b"\n"), data
+        assert data.count(b"\n") == 1, data
+        return data.decode().strip()
+
+    def type_command(self, command: str) -> None:
+        """Type a command at the appliance's terminal console."""
+        assert self.process.stdin is not None
+        self.process.stdin.write(command.encode() + b"\n")
+        self.process.stdin.flush()
+
+    def health_check_status(self) -> int:
+        """The status that a frontend's OPTIONS is answered with, on a connection of its own."""
+        caller = self.caller()
+        caller.send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
+        status = wait_until(lambda: caller.received)[0][1].status
+        caller.close()
+        return status
+
+    def caller(self) -> SipCaller:
+        """A new caller's TCP connection."""
+        return SipCaller(self.address)
+
+    def stop(self) -> int:
+        """Send SIGTERM, wait for the end and return the exit code."""
+        self.process.send_signal(signal.SIGTERM)
+        return self.process.wait(WAIT_LIMIT_S)
+
+    def kill(self) -> None:
+        """End it at once, as a crash would."""
+        self.process.kill()
+        self.process.wait(WAIT_LIMIT_S)
--- /dev/null
+++ b/tests/support/scripted_server.py
@@ -0,0 +1,100 @@
+"""A roster server whose answers a test scripts, on a real socket."""
+
+from __future__ import annotations
+
+import json
+import socket
+import threading
+import time
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+Message = dict[str, Any]
+Send = Callable[..., None]
+Script = Callable[[Message, Send], None]
+
+
+class ScriptedServer:
+    """A roster server that records each message and answers as its script says.
+
+    The script is called with the message and a function that sends on the connection it came on.
+    """
+
+    def __init__(
+        self,
+        script: Script | None = None,
+        port: int = 0,
+        host: str = "127.0.0.1",
+        listener: socket.socket | None = None,
+    ) -> None:
+        self.script = script or self.establishes
+        self.listener = listener or socket.create_server((host, port))
+        self.port = self.listener.getsockname()[1]
+        self.received: list[tuple[float, Message]] = []
+        self.connections: list[socket.socket] = []
+        if listener is None:
+            self.start_accepting()
+
+    @staticmethod
+    def establishes(message: Message, send: Send) -> None:
+        """The default script: establish each call at once."""
+        if message["verb"] == "START":
+            send("STARTED", message["tag"], blob="v=0 " + message["blob"])
+
+    @staticmethod
+    def never_answers(_message: Message, _send: Send) -> None:
+        """A script that accepts set-ups and answers none."""
+
+    @staticmethod
+    def ends(cause: int, note: str = "") -> Script:
+        """A script that ends each set-up with a cause."""
+
+        def script(message: Message, send: Send) -> None:
+            if message["verb"] == "START":
+                send("FINISH", message["tag"], rc=cause, opts={"note": note} if note else {})
+
+        return script
+
+    def start_accepting(self) -> None:
+        """Accept connections in a thread; a listener that was passed in waits for this call."""
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        while True:
+            try:
+                connection, _ = self.listener.accept()
+            except OSError:
+                return
+            self.connections.append(connection)
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
+
+    def _serve(self, connection: socket.socket) -> None:
+        data = b""
+        try:
+            while piece := connection.recv(65536):
+                data += piece
+                *lines, data = data.split(b"\n")
+                for line in lines:
+                    message = json.loads(line)
+                    self.received.append((time.monotonic(), message))
+                    self.script(message, partial(self.send, connection=connection))
+        except OSError:
+            return
+
+    def send(self, verb: str, tag: str, connection: socket.socket | None = None, **fields: Any) -> None:
+        """Send a message, on the newest connection unless one is given."""
+        text = json.dumps({"verb": verb, "tag": tag, "opts": {}, **fields})
+        (connection or self.connections[-1]).sendall(text.encode() + b"\n")
+
+    def messages(self, verb: str) -> list[Message]:
+        """The messages received of one type."""
+        return [message for _, message in self.received if message["verb"] == verb]
+
+    def close(self) -> None:
+        """End as a process that dies: its connections are reset."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
+        self.listener.close()
+        for connection in self.connections:
+            connection.shutdown(socket.SHUT_RDWR)
+            connection.close()
--- /dev/null
+++ b/tests/support/sip_messages.py
@@ -0,0 +1,38 @@
+"""Requests as callers of either frontend send them, as headers and as bytes."""
+
+from __future__ import annotations
+
+from stairhatch.node import sip_message as sip
+
+PLATFORM_URI = "sip:7f3a9c21e0b4d655@net"  # its user part is the key of the call
+
+
+def sip_headers(  # noqa: PLR0913  # a keyword for each part of the headers that tests vary
+    method: str,
+    number: str = "1",
+    branch: str = "z9hG4bKa",
+    call: str = "c1",
+    host: str = "127.0.0.1:4000",
+    transport: str = "UDP",
+    to_tag: str = "",
+) -> dict[str, str]:
+    """The headers of a plain SIP request (RFC 3261)."""
+    return {
+        "via": f"SIP/2.0/{transport} {host};branch={branch};rport", "max-forwards": "70",
+        "from": "<sip:office@net>;tag=f1", "to": "<sip:7@net>" + (f";tag={to_tag}" if to_tag else ""),
+        "call-id": call, "cseq": f"{number} {method}",
+        "contact": f"<sip:office@{host}{';transport=tcp' if transport == 'TCP' else ''}>",
+    }  # fmt: skip
+
+
+def platform_invite(
+    ident: str, call_class: str = "read-roster", answer_within_ms: str = "3000", body: bytes = b"d"
+) -> bytes:
+    """The bytes of a set-up in the platform's form."""
+    headers = {
+        "call-id": ident,
+        "cseq": "1 INVITE",
+        "call-kind": call_class,
+        "answer-within": answer_within_ms,
+    }
+    return sip.request("INVITE", PLATFORM_URI, list(headers.items()), body)
--- /dev/null
+++ b/tests/support/waiting.py
@@ -0,0 +1,36 @@
+"""Waiting for conditions in place of fixed times, in threads and in an event loop."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from typing import Any
+
+WAIT_LIMIT_S = 20.0  # far more than any awaited condition takes
+THREAD_POLL_S = 0.005
+LOOP_POLL_S = 0.001
+
+
+def wait_until(condition: Callable[[], Any], what: str = "the awaited condition") -> Any:
+    """Wait until a condition is true and return its value.
+
+    Raises AssertionError, naming `what`, after `WAIT_LIMIT_S`.
+    """
+    deadline = time.monotonic() + WAIT_LIMIT_S
+    while not (value := condition()):
+        assert time.monotonic() < deadline, f"never came: {what}"
+        time.sleep(THREAD_POLL_S)
+    return value
+
+
+async def wait_in_loop(condition: Callable[[], Any], what: str = "the awaited condition") -> None:
+    """Wait in the running event loop until a condition is true.
+
+    Raises AssertionError, naming `what`, after `WAIT_LIMIT_S`.
+    """
+    loop = asyncio.get_running_loop()
+    deadline = loop.time() + WAIT_LIMIT_S
+    while not condition():
+        assert loop.time() < deadline, f"never came: {what}"
+        await asyncio.sleep(LOOP_POLL_S)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -26,7 +26,8 @@
 from stairhatch.sip.heads import Head
 from stairhatch.sip.peek import peek
 
-from .peers import InProcessNode, sip_headers
+from .support.in_process_node import InProcessNode
+from .support.sip_messages import sip_headers
 
 BOUNDED = settings(
     derandomize=True, max_examples=150, deadline=None, database=None,
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -15,7 +15,14 @@
 from stairhatch.config.model import ConfigError
 from stairhatch.node import sip_message as sip
 
-from .peers import ROOT, Caller, InProcessNode, Line, Program, RosterServer, sip_headers, until
+from .support.in_process_node import InProcessNode
+from .support.paths import ROOT
+from .support.program import Program
+from .support.recording_flow import RecordingFlow
+from .support.scripted_server import ScriptedServer
+from .support.sip_caller import SipCaller
+from .support.sip_messages import sip_headers
+from .support.waiting import wait_until
 
 TEXT = (ROOT / "deploy" / "sip.toml").read_text()
 
@@ -101,9 +108,9 @@
 
 def test_users_are_taken_by_a_reload_and_ipv6_is_served(tmp_path):
     """Guards against a user who must wait for a restart, and listeners of one family alone."""
-    program = Program.as_appliance(tmp_path, RosterServer(), RosterServer())
+    program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer())
     host, port = program.address
-    caller = Caller(program.address, udp=True)
+    caller = SipCaller(program.address, udp=True)
 
     def ask(number, call):
         headers = sip_headers("INVITE", "1", f"z9hG4bK{number}", call, caller.host)
@@ -131,10 +138,10 @@
     lists = lists.replace(f'tcp = "{host}:{port}"', f'tcp = ["{host}:{port}", "[::1]:{port}"]')
     assert lists != text
     program.path.write_text(lists)
-    both = Program(tmp_path, "serve", str(program.path)).ready(port, program.door[1])
-    assert both is not None and both.serves()
+    both = Program(tmp_path, "serve", str(program.path)).wait_until_ready(port, program.admin_address[1])
+    assert both is not None and both.wait_until_serving()
     for udp in (True, False):
-        six = Caller(("::1", port), udp=udp, six=True)
+        six = SipCaller(("::1", port), udp=udp, ipv6=True)
         name = f"six{udp}"
         way = "UDP" if udp else "TCP"
         six.send("OPTIONS", "sip:x@net", sip_headers("OPTIONS", "1", f"z9hG4bK{name}", name, six.host, way))
@@ -145,43 +152,46 @@
 @pytest.mark.parametrize("hangs_up", [True, False], ids=["the caller hangs up", "a second SIGTERM"])
 def test_a_restart_waits_for_calls_that_stand(tmp_path, hangs_up):
     """Guards against dialogs that are forgotten with the process, and a restart that can't be hurried."""
-    server = RosterServer()
-    first = Program.as_appliance(tmp_path, server, RosterServer())
+    server = ScriptedServer()
+    first = Program.as_appliance(tmp_path, server, ScriptedServer())
     text = first.path.read_text().replace("restart_wait_s = 0.2", "restart_wait_s = 60")
     assert first.stop() == 0
     first.path.write_text(text)
-    program = Program(tmp_path, "serve", str(first.path)).ready(first.address[1], first.door[1])
-    assert program is not None and program.serves()
-    caller = Caller(program.address, udp=True)
+    program = Program(tmp_path, "serve", str(first.path)).wait_until_ready(
+        first.address[1], first.admin_address[1]
+    )
+    assert program is not None and program.wait_until_serving()
+    caller = SipCaller(program.address, udp=True)
     caller.send("INVITE", "sip:71@net", sip_headers("INVITE", host=caller.host), b"v=0")
     tag = sip.parameters(caller.expect("c1", 200).get("to"))["tag"]
     caller.send("ACK", "sip:71@net", sip_headers("ACK", "1", "z9hG4bKb", host=caller.host, to_tag=tag))
     program.process.send_signal(signal.SIGTERM)
-    until(lambda: program.lines("waiting_for_dialogs"), "the line that tells whom it waits for")
+    wait_until(lambda: program.log_events("waiting_for_dialogs"), "the line that tells whom it waits for")
     assert (
-        program.lines("waiting_for_dialogs")[0]["dialogs"] == "1" and "waiting for 1 calls" in program.text()
+        program.log_events("waiting_for_dialogs")[0]["dialogs"] == "1"
+        and "waiting for 1 calls" in program.log_text()
     )
-    assert not server.of("FINISH") and program.process.poll() is None
+    assert not server.messages("FINISH") and program.process.poll() is None
     if hangs_up:
         caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKc", host=caller.host, to_tag=tag))
-        until(lambda: any(m.cseq() == (2, "BYE") for m in caller.of("c1", 200)), "200 to the BYE")
+        wait_until(lambda: any(m.cseq() == (2, "BYE") for m in caller.messages("c1", 200)), "200 to the BYE")
     else:
         program.process.send_signal(signal.SIGTERM)
-        caller.answer(caller.expect("c1", "BYE"), 200)
+        caller.respond(caller.expect("c1", "BYE"), 200)
     assert program.process.wait(20) == 0
-    assert len(program.lines("ended")) == (not hangs_up)
-    until(lambda: server.of("FINISH"), "the release at the roster server")
+    assert len(program.log_events("ended")) == (not hangs_up)
+    wait_until(lambda: server.messages("FINISH"), "the release at the roster server")
 
 
 def test_a_request_too_large_for_udp_goes_by_tcp_and_by_udp_if_nobody_listens():
     """Guards against a BYE that is lost because it does not fit (RFC 3261, 18.1.1)."""
     inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
-    line = Line(inside)
+    line = RecordingFlow(inside)
     routes = ", ".join(f"<sip:127.0.0.1:{4100 + n};lr;padding={'x' * 200}>" for n in range(8))
-    line.ask(record_route=routes)
+    line.request(record_route=routes)
     inside.establish()
-    line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
+    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
     attempt = inside.written[0]
     inside.core.responses.call_released(
         attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -12,8 +12,10 @@
 
 from stairhatch.conformance import report, suite
 from stairhatch.conformance.cases import CaseError, read_cases
+from stairhatch.emulators.ports import free_port
 
-from .peers import ROOT, free_port, until
+from .support.paths import ROOT
+from .support.waiting import wait_until
 
 CASES = read_cases()
 
@@ -60,7 +62,7 @@
             [*run, "demo", "--quiet", "--udp", at, "--tcp", at], cwd=ROOT, stdout=out, stderr=out
         )
     try:
-        until(lambda: "listens on" in (tmp_path / "demo.txt").read_text(), "the demonstration")
+        wait_until(lambda: "listens on" in (tmp_path / "demo.txt").read_text(), "the demonstration")
         done = subprocess.run(
             [*run, "conform", "--udp", at, "--tcp", at, "--junit", str(junit)],
             cwd=ROOT, capture_output=True, text=True, timeout=120,
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,7 +9,7 @@
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import LoadReport, TimerExpired
 
-from .peers import InProcessNode
+from .support.in_process_node import InProcessNode
 
 IDENT = "00000000000c0001"
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,6 @@
 import signal
 import socket
 import struct
-import threading
 from itertools import pairwise
 
 import pytest
@@ -22,6 +21,7 @@
 from stairhatch import shutdown as shutdown_module
 from stairhatch.application import Application
 from stairhatch.config.model import Config
+from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
@@ -30,22 +30,17 @@
 from stairhatch.node.service_discovery import EMPTY_ANSWER_PAUSE_S, ServiceDiscoveryClient
 from stairhatch.settings.parser import settings_from_object
 
-from .peers import (
-    PATIENCE_S,
-    Caller,
-    Coordinator,
-    InProcessNode,
-    Program,
-    RosterServer,
-    free_port,
-    instance,
-    platform_config,
-    sip_headers,
-    until,
-)
+from .support.in_process_node import InProcessNode
+from .support.platform_config import platform_config
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.sip_caller import SipCaller
+from .support.sip_messages import sip_headers
+from .support.waiting import WAIT_LIMIT_S, wait_until
 
 IDS = iter(f"{n:016x}" for n in range(0xE0D0001, 0xE0D9999))
-SILENT, RESET = RosterServer.silent, RosterServer.ends(41)
+SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
 TIDE = {
     "balancers": 1,
     "me": 0,
@@ -82,14 +77,15 @@
     started = []
 
     def start(*scripts, front="platform", servers=None):
-        servers = servers or [RosterServer(script) for script in scripts]
+        servers = servers or [ScriptedServer(script) for script in scripts]
         lines = [
-            instance(f"s-{cell}", each.port, cell) for cell, each in zip((31, 47), servers, strict=False)
+            endpoint_entry(f"s-{cell}", each.port, cell)
+            for cell, each in zip((31, 47), servers, strict=False)
         ]
         if front == "platform":
-            program = Program.on_platform(tmp_path, Coordinator(*lines), TIDE)
+            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), TIDE)
         else:
-            servers += [RosterServer(script) for script in scripts]  # the file lists two
+            servers += [ScriptedServer(script) for script in scripts]  # the file lists two
             program = Program.as_appliance(tmp_path, *servers)
         started.append(program)
         return program, servers
@@ -113,13 +109,13 @@
     else:  # reset
         caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         caller.sock.shutdown(socket.SHUT_RD)  # frees the thread that reads
-        until(lambda: caller.closed)
+        wait_until(lambda: caller.closed)
         caller.sock.close()
 
 
 def ask(program, front, by_udp=False):
     """A caller with a set-up of its own; returns both."""
-    caller, ident = Caller(program.address, udp=by_udp), next(IDS)
+    caller, ident = SipCaller(program.address, udp=by_udp), next(IDS)
     if front == "platform":
         caller.invite(ident, "ebb", 15_000)
     else:
@@ -131,7 +127,7 @@
 
 def starts(*servers):
     """The ids of the set-ups that roster servers got."""
-    return [message["tag"] for server in servers for message in server.of("START")]
+    return [message["tag"] for server in servers for message in server.messages("START")]
 
 
 # ---- the caller leaves ----
@@ -145,22 +141,23 @@
     """
     program, servers = stage(RESET, front=front)
     caller, _ = ask(program, front)
-    until(
-        lambda: [line for line in program.lines("attempt_ended") if line["outcome"] == "reset"], "the pause"
+    wait_until(
+        lambda: [line for line in program.log_events("attempt_ended") if line["outcome"] == "reset"],
+        "the pause",
     )
     (first,) = starts(*servers)
-    leave(caller, next(iter([m.get("call-id") for _, m in caller.got] or [first])), by, front)
-    until(
-        lambda: program.lines("call_abandoned") or program.lines("call_answered"),
+    leave(caller, next(iter([m.get("call-id") for _, m in caller.received] or [first])), by, front)
+    wait_until(
+        lambda: program.log_events("call_abandoned") or program.log_events("call_answered"),
         "that it is known to have left",
     )
-    assert len(program.lines("attempt_ended")) == 1, "it left within the pause"
+    assert len(program.log_events("attempt_ended")) == 1, "it left within the pause"
     ask(program, front)
-    until(lambda: len([tag for tag in starts(*servers) if tag != first]) == 2, "the other sent again")
+    wait_until(lambda: len([tag for tag in starts(*servers) if tag != first]) == 2, "the other sent again")
     assert starts(*servers).count(first) == 1
     if by == "half-close":  # it still reads, and is told once
-        until(lambda: caller.closed, "the end of the connection")
-        finals = [m.status for _, m in caller.got if m.status >= 200 and m.cseq()[1] == "INVITE"]
+        wait_until(lambda: caller.closed, "the end of the connection")
+        finals = [m.status for _, m in caller.received if m.status >= 200 and m.cseq()[1] == "INVITE"]
         assert len(finals) == 1 and finals[0] in (480, 503)
 
 
@@ -172,10 +169,12 @@
     caller, ident = ask(program, "platform")
     caller.expect(ident, 200)
     leave(caller, ident, "cancel")
-    caller.answer(caller.expect(ident, "BYE"), 200)
-    until(lambda: [m for m in server.of("FINISH") if m["tag"] == ident], "the release at the server")
-    assert counted(program)["cancels_crossed"] == "1"
-    assert caller.finals(ident) == [200]
+    caller.respond(caller.expect(ident, "BYE"), 200)
+    wait_until(
+        lambda: [m for m in server.messages("FINISH") if m["tag"] == ident], "the release at the server"
+    )
+    assert program.counters()["cancels_crossed"] == "1"
+    assert caller.final_statuses(ident) == [200]
 
 
 @pytest.mark.parametrize("by", ["close", "half-close", "reset"])
@@ -183,17 +182,17 @@
     """Guards against the other order on the appliance, where what is out may still stand: it is the last."""
     program, servers = stage(SILENT, front="appliance")
     caller, _ = ask(program, "appliance")
-    until(lambda: starts(*servers))
+    wait_until(lambda: starts(*servers))
     (first,) = starts(*servers)
     leave(caller, first, by, "appliance")
-    until(lambda: "callers_disconnected" in counted(program), "that it is known to have gone")
+    wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
     for server in servers:
         server.script = RESET
     server = next(each for each in servers if starts(each))
-    server.say("FINISH", first, rc=41)
-    until(lambda: program.lines("call_answered"), "its final answer")
+    server.send("FINISH", first, rc=41)
+    wait_until(lambda: program.log_events("call_answered"), "its final answer")
     ask(program, "appliance")
-    until(lambda: len(starts(*servers)) >= 3, "the other sent again")
+    wait_until(lambda: len(starts(*servers)) >= 3, "the other sent again")
     assert starts(*servers).count(first) == 1
 
 
@@ -207,12 +206,12 @@
 
     program, (server,) = stage(script)
     caller, ident = ask(program, "platform")
-    until(lambda: starts(server) == [ident])
+    wait_until(lambda: starts(server) == [ident])
     leave(caller, ident, by)
-    until(lambda: [m for m in server.of("FINISH") if m["tag"] == ident], "that it is given up")
+    wait_until(lambda: [m for m in server.messages("FINISH") if m["tag"] == ident], "that it is given up")
     server.script = RESET
     ask(program, "platform")
-    until(lambda: len(starts(server)) == 3, "the other sent again")
+    wait_until(lambda: len(starts(server)) == 3, "the other sent again")
     assert starts(server).count(ident) == 1
 
 
@@ -235,22 +234,22 @@
     the link can't come up before the story takes the connections in it.
     """
     gate, full = full_gate()
-    shut = RosterServer.__new__(RosterServer)
-    shut.script, shut.listener, shut.port, shut.got, shut.links = None, gate, gate.getsockname()[1], [], []
-    shut.script = RosterServer.answers
+    shut = ScriptedServer(listener=gate)
     program, _ = stage(servers=[shut])
     caller, ident = ask(program, "platform")
-    until(lambda: program.lines("call_offered"))
+    wait_until(lambda: program.log_events("call_offered"))
     leave(caller, ident, by)
-    until(lambda: program.lines("call_abandoned"))
-    assert not program.lines("attempt_sent"), "it left before the link was up"
-    assert not program.lines("server_connected"), "it left before the link was up"
+    wait_until(lambda: program.log_events("call_abandoned"))
+    assert not program.log_events("attempt_sent"), "it left before the link was up"
+    assert not program.log_events("server_connected"), "it left before the link was up"
     other, stays = ask(program, "platform")
-    until(lambda: len(program.lines("call_offered")) == 2)
-    threading.Thread(target=shut._accept, daemon=True).start()
+    wait_until(lambda: len(program.log_events("call_offered")) == 2)
+    shut.start_accepting()
     other.expect(stays, 200)
     assert starts(shut) == [stays]
-    assert not program.lines("server_connect_failed"), "the settings' time to connect holds, and no other"
+    assert not program.log_events(
+        "server_connect_failed"
+    ), "the settings' time to connect holds, and no other"
     for each in full:
         each.close()
 
@@ -272,30 +271,22 @@
     """Guards against a call that stands and is told to nobody: the Via says where (RFC 3261, 18.2.2)."""
     program, servers = stage(SILENT, front="appliance")
     home = socket.create_server(("127.0.0.1", 0))
-    caller, call = Caller(program.address), next(IDS)
+    caller, call = SipCaller(program.address), next(IDS)
     host = f"127.0.0.1:{home.getsockname()[1]}"
     caller.send("INVITE", "sip:75@net", sip_headers("INVITE", "1", f"z9hG4bK{call}", call, host, "TCP"), b"d")
-    until(lambda: starts(*servers))
+    wait_until(lambda: starts(*servers))
     caller.close()
-    until(lambda: "callers_disconnected" in counted(program), "that it is known to have gone")
+    wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
     server = next(each for each in servers if starts(each))
-    server.say("STARTED", starts(server)[0], blob="late")
-    home.settimeout(PATIENCE_S)
+    server.send("STARTED", starts(server)[0], blob="late")
+    home.settimeout(WAIT_LIMIT_S)
     link, _ = home.accept()
-    link.settimeout(PATIENCE_S)
+    link.settimeout(WAIT_LIMIT_S)
     assert link.recv(65536).startswith(b"SIP/2.0 200")
     link.close()
     home.close()
 
 
-def counted(program):
-    """The counters as the program tells them when asked by signal."""
-    before = len(program.lines("counters"))
-    program.process.send_signal(signal.SIGUSR1)
-    until(lambda: len(program.lines("counters")) > before)
-    return program.lines("counters")[-1]
-
-
 # ---- the connection is closed ----
 
 
@@ -304,16 +295,16 @@
     """Guards against a good set-up lost with its connection: what came behind it on the same was noise."""
     program, (server,) = stage(SILENT)
     caller, ident = ask(program, "platform")
-    until(lambda: starts(server) == [ident])
-    caller.raw(b"\x00\x01 noise without sense\r\n\r\n")
-    until(lambda: program.lines("malformed"), "that the noise has been read")
+    wait_until(lambda: starts(server) == [ident])
+    caller.send_bytes(b"\x00\x01 noise without sense\r\n\r\n")
+    wait_until(lambda: program.log_events("malformed"), "that the noise has been read")
     assert not caller.closed
     if by == "its answer":
-        server.say("STARTED", ident, blob="kept")
+        server.send("STARTED", ident, blob="kept")
         assert caller.expect(ident, 200).body == b"kept"
     else:  # by another connection: nothing more is read on this one
         leave(program.caller(), ident, "cancel")
-    until(lambda: caller.closed, "the end of the connection")
+    wait_until(lambda: caller.closed, "the end of the connection")
 
 
 def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
@@ -462,7 +453,7 @@
             return found[-1]
 
         application.parts.core.is_settled = watched
-        await asyncio.wait_for(application.shut_down(asyncio.Event()), PATIENCE_S)
+        await asyncio.wait_for(application.shut_down(asyncio.Event()), WAIT_LIMIT_S)
         assert found.count(True) > 2, "the crossing took place"
         caller.setblocking(False)
         answers.append(caller.recv(65536))
@@ -476,17 +467,17 @@
 
 def test_the_end_comes_though_nobody_reads_the_log(tmp_path):
     """Guards against a program that never ends, or ends in a fault: the pipe that its lines go to is full."""
-    server, port, door = RosterServer(), free_port(), free_port()
-    config = platform_config(Coordinator(instance("s-31", server.port, 31)), port, door, TIDE)
+    server, port, door = ScriptedServer(), free_port(), free_port()
+    config = platform_config(ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, TIDE)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     reader, writer = os.pipe()
     program = Program.__new__(Program)
     program.start(tmp_path, writer, RELAY_CONFIG=str(path))
-    program.address, program.door = ("127.0.0.1", port), ("127.0.0.1", door)
+    program.address, program.admin_address = ("127.0.0.1", port), ("127.0.0.1", door)
     try:
-        until(lambda: can_connect(program.door))
-        program.serves()
+        wait_until(lambda: can_connect(program.admin_address))
+        program.wait_until_serving()
         caller = program.caller()
         os.set_blocking(writer, False)
         with contextlib.suppress(BlockingIOError):
@@ -520,12 +511,12 @@
     configuration had been read and its own handler did not stand yet. The file is a pipe: the program is
     known to be reading it when the signal goes.
     """
-    old, new = Coordinator(), Coordinator(instance("s-31", RosterServer().port, 31))
+    old, new = ScriptedCoordinator(), ScriptedCoordinator(endpoint_entry("s-31", ScriptedServer().port, 31))
     while (program := reloaded_at_its_start(tmp_path, ignored, old, new)) is None:
         pass  # something else has taken its port
     try:
-        assert program.lines("reload")[0]["coordinator"].endswith(f":{new.port}")
-        until(lambda: new.asked, "a question to the new coordinator")
+        assert program.log_events("reload")[0]["coordinator"].endswith(f":{new.port}")
+        wait_until(lambda: new.polled_indices, "a question to the new coordinator")
     finally:
         program.kill()
 
@@ -547,18 +538,18 @@
             pipe.flush()
             later.rename(path)
             program.process.send_signal(signal.SIGHUP)
-        until(lambda: program.lines("reload") or program.process.poll() is not None, "the reload")
+        wait_until(lambda: program.log_events("reload") or program.process.poll() is not None, "the reload")
     except BaseException:
         program.kill()
         raise
-    return None if "can't listen" in program.text() else program
+    return None if "can't listen" in program.log_text() else program
 
 
 def test_nothing_of_the_old_settings_is_left_after_a_reload(stage):
     """Guards against another customer's figures: other classes, pause and most attempts hold at once."""
     program, (server,) = stage(RESET)
     caller, ident = ask(program, "platform")
-    until(lambda: caller.finals(ident))
+    wait_until(lambda: caller.final_statuses(ident))
     assert starts(server).count(ident) == 3, "the old most attempts"
     config = json.loads(program.path.read_text())
     settings = config["settings"]
@@ -569,8 +560,8 @@
     assert program.reload(json.dumps(config))["result"] == "applied"
     ident = next(IDS)
     caller.invite(ident, "slack", 20_000)
-    until(lambda: caller.finals(ident))
-    times = [at for at, message in server.got if message["verb"] == "START" and message["tag"] == ident]
+    wait_until(lambda: caller.final_statuses(ident))
+    times = [at for at, message in server.received if message["verb"] == "START" and message["tag"] == ident]
     assert len(times) == 2 and all(b - a >= 0.83 for a, b in pairwise(times))
 
 
@@ -618,45 +609,45 @@
             stand.add(message["tag"])
             send("STARTED", message["tag"], blob="kept")
 
-    servers = [RosterServer(script), RosterServer(script)]
+    servers = [ScriptedServer(script), ScriptedServer(script)]
     gate, full = full_gate()
     if front == "platform":
-        servers[1] = RosterServer.__new__(RosterServer)
-        servers[1].port, servers[1].got = gate.getsockname()[1], []
+        servers[1] = ScriptedServer(listener=gate)
     program, _ = stage(servers=servers, front=front)
-    calls = [(Caller(program.address), next(IDS)) for _ in range(60)]
+    calls = [(SipCaller(program.address), next(IDS)) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
         place(caller, ident, front, (31, 47)[number % 2])
-    until(
-        lambda: len(program.lines("call_offered")) == len(calls) and len(starts(*servers)) >= len(stand) + 3
+    wait_until(
+        lambda: len(program.log_events("call_offered")) == len(calls)
+        and len(starts(*servers)) >= len(stand) + 3
     )
-    until(lambda: sum(200 in caller.finals(ident) for caller, ident in calls) == len(stand))
+    wait_until(lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(stand))
     answered, paused, *_ = (tag for tag in starts(*servers) if tag not in stand)
-    say = {m["tag"]: each.say for each in servers for m in each.of("START")}
+    say = {m["tag"]: each.send for each in servers for m in each.messages("START")}
     say[paused]("FINISH", paused, rc=41)
-    until(lambda: paused in [line["call"] for line in program.lines("attempt_ended")])
+    wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
     program.process.send_signal(signal.SIGSTOP)
     say[answered]("STARTED", answered, blob="late")
     assert len(set(starts(*servers))) < len(calls), "some wait"
     program.process.send_signal(signal.SIGTERM)
     program.process.send_signal(signal.SIGCONT)
-    assert program.process.wait(PATIENCE_S) == 0
+    assert program.process.wait(WAIT_LIMIT_S) == 0
     for caller, _ in calls:
-        until(lambda caller=caller: caller.closed, "the end of the connection")
-    finals = [caller.finals(ident) for caller, ident in calls]
+        wait_until(lambda caller=caller: caller.closed, "the end of the connection")
+    finals = [caller.final_statuses(ident) for caller, ident in calls]
     if front == "appliance":  # a 200 goes again until its ACK, which is not sent here
         finals = [sorted(set(each)) for each in finals]
     assert all(len(each) == 1 for each in finals), finals
     assert finals.count([200]) == len(stand) + 1 and {each[0] for each in finals} <= {200, 408, 480, 500, 503}
-    text = program.text()
+    text = program.log_text()
     limit = text.find(" drain_deadline_reached ")
     assert text.count(" drain_deadline_reached ") == (
         front == "platform"
     ), "there the limit ends it, at once for all"
     assert " attempt_sent " not in text[limit:] or front != "platform", "nothing new after it"
-    tags = [line["call"] for line in program.lines("attempt_sent")]
+    tags = [line["call"] for line in program.log_events("attempt_sent")]
     assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
-    ended = [m["tag"] for each in servers for m in each.of("FINISH")]
+    ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
     assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
     for each in (gate, *full):
         each.close()
@@ -677,21 +668,21 @@
     """
     program, (server,) = stage(None)
     caller = program.caller()
-    assert program.order("drain-on").startswith("ok")
+    assert program.admin_command("drain-on").startswith("ok")
     kept, refused = next(IDS), []
     caller.invite(kept, "ebb", 15_000)
-    until(lambda: caller.finals(kept))
+    wait_until(lambda: caller.final_statuses(kept))
     while len(refused) < 20:  # without a pause; the first ones may come while calls are still taken
         ident = next(IDS)
         caller = program.caller() if caller.closed else caller
         caller.invite(ident, "ebb", 15_000)
-        until(lambda ident=ident, caller=caller: caller.finals(ident) or caller.closed)
-        if caller.finals(ident) == [503]:
+        wait_until(lambda ident=ident, caller=caller: caller.final_statuses(ident) or caller.closed)
+        if caller.final_statuses(ident) == [503]:
             refused.append((caller, ident))
     for told, ident in refused:
-        (answer,) = told.of(ident, 503)
+        (answer,) = told.messages(ident, 503)
         assert int(answer.get("come-back-ms")) > 0 and ident not in starts(server)
-    assert program.order("drain-off").startswith("ok")
+    assert program.admin_command("drain-off").startswith("ok")
     caller, ident = ask(program, "platform")
     caller.expect(ident, 200)
     assert program.stop() == 0
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -24,7 +24,8 @@
 from stairhatch.fleet.messages import StorageVersion
 from stairhatch.fleet.store import FILE_NAME, StoreError, VoterStore
 
-from .peers import ROOT, until
+from .support.paths import ROOT
+from .support.waiting import wait_until
 
 TEXT = (ROOT / "deploy" / "sip.toml").read_text()
 FLEET = """
@@ -120,20 +121,20 @@
         return [pid for pid in children() if "stairhatch.fault_injection.member_main" in arguments(pid)]
 
     try:
-        pids = until(lambda: len(found := members()) == 5 and found, "five softswitches")
+        pids = wait_until(lambda: len(found := members()) == 5 and found, "five softswitches")
         folder = Path(arguments(pids[0])[3]).parents[1]
         assert folder.exists()
         assert folder.parent == Path(tempfile.gettempdir())
-        until(lambda: len(list(folder.glob("*/history.jsonl"))) == 5, "all at work")
+        wait_until(lambda: len(list(folder.glob("*/history.jsonl"))) == 5, "all at work")
         os.kill(pids[0], signal.SIGSTOP)
     finally:
         run.kill()
         run.wait()
-    until(
+    wait_until(
         lambda: not any("stairhatch.fault_injection.member_main" in arguments(pid) for pid in pids),
         "their end",
     )
-    until(lambda: not folder.exists(), "the folder's end")
+    wait_until(lambda: not folder.exists(), "the folder's end")
 
 
 def serve(folder, name, ports, admin_ports, more=""):
@@ -191,7 +192,7 @@
             found = [lease_report(admin_port) for admin_port in admin_ports.values()]
             return all(found) and sorted(each["number"] for each in found) == [0, 1, 2]
 
-        until(numbers, "three different numbers")
+        wait_until(numbers, "three different numbers")
         path, _ = started["a"]
         twice = start(path)
         assert twice.returncode == 2
@@ -227,7 +228,7 @@
         table = subprocess.run(watch[:5], cwd=ROOT, capture_output=True, text=True)
         assert "list          1: a b c\n" in table.stdout
         started["c"][1].send_signal(signal.SIGUSR1)
-        until(lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
+        wait_until(lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
     finally:
         for _, process in started.values():
             process.kill()
@@ -275,7 +276,7 @@
         kept.append,
     )
     store.persist(PersistFencingToken("list", 4), kept.append)
-    until(lambda: kept == ["", ""], "both kept")
+    wait_until(lambda: kept == ["", ""], "both kept")
     with pytest.raises(StoreError, match="another process"):
         VoterStore(tmp_path, run_at_once)
     store.close()
@@ -304,7 +305,7 @@
 
     monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
     store.persist(PersistFencingToken("list", 4), kept.append)
-    until(lambda: kept, "an answer")
+    wait_until(lambda: kept, "an answer")
     assert "No space left" in kept[0]
     store.close()
 
@@ -317,7 +318,7 @@
     store.persist(
         PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append
     )
-    until(lambda: kept == [""], "it is kept")
+    wait_until(lambda: kept == [""], "it is kept")
     store.close()
     path = tmp_path / FILE_NAME
     data = path.read_bytes()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .peers import ROOT
+from .support.paths import ROOT
 
 # From the lowest up; a module may import from its own layer and those before it.
 LAYERS = (
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,8 +25,13 @@
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability
 
-from .peers import PATIENCE_S, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
-from .peers import sip_headers as headers_of
+from .support.in_process_node import InProcessNode
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.sip_caller import SipCaller
+from .support.sip_messages import sip_headers as headers_of
+from .support.waiting import WAIT_LIMIT_S, wait_until
 from .test_endings import RESET, TIDE, leave, trunk_invite
 
 IDS = iter(f"{n:016x}" for n in range(0x1EA70001, 0x1EA79999))
@@ -48,7 +53,7 @@
 
     def __post_init__(self):
         self.udp = self.way.startswith("UDP")
-        self.ident, self.caller = next(IDS), Caller(self.program.address, udp=self.udp)
+        self.ident, self.caller = next(IDS), SipCaller(self.program.address, udp=self.udp)
         self.transport = "UDP" if self.udp else "TCP"
         self.invite(self.ident)
 
@@ -76,7 +81,7 @@
     def go(self):
         """Leave in its way, if it has one."""
         if self.way == "another's cancel":
-            Caller(self.program.address).send("CANCEL", "sip:5@net", self.headers("CANCEL"))
+            SipCaller(self.program.address).send("CANCEL", "sip:5@net", self.headers("CANCEL"))
         elif self.way.endswith("cancel"):
             self.caller.send("CANCEL", "sip:5@net", self.headers("CANCEL"))
         elif self.way != "stays":
@@ -84,7 +89,7 @@
 
     def attempts(self, servers):
         """The set-ups that came for it: their ids."""
-        return [m["tag"] for each in servers for m in each.of("START") if m["blob"] == self.ident]
+        return [m["tag"] for each in servers for m in each.messages("START") if m["blob"] == self.ident]
 
 
 @pytest.fixture
@@ -93,10 +98,12 @@
     started = []
 
     def start(script, front="platform"):
-        servers = [RosterServer(script) for _ in range(2)]
+        servers = [ScriptedServer(script) for _ in range(2)]
         if front == "platform":
-            lines = [instance(f"s-{n}", each.port, n) for n, each in zip((31, 47), servers, strict=True)]
-            program = Program.on_platform(tmp_path, Coordinator(*lines), TIDE)
+            lines = [
+                endpoint_entry(f"s-{n}", each.port, n) for n, each in zip((31, 47), servers, strict=True)
+            ]
+            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), TIDE)
         else:
             program = Program.as_appliance(tmp_path, *servers)
         started.append(program)
@@ -112,7 +119,7 @@
     """Stop the process, as a machine that gives it no time; returns once it stands still."""
     program.process.send_signal(signal.SIGSTOP)
     state = Path(f"/proc/{program.process.pid}/stat")
-    until(lambda: state.read_text().rpartition(")")[2].split()[0] == "T", "that it stands still")
+    wait_until(lambda: state.read_text().rpartition(")")[2].split()[0] == "T", "that it stands still")
 
 
 def go_on(program):
@@ -122,14 +129,14 @@
 
 def told(program, event):
     """The ids of the calls that lines of an event name."""
-    return [line["call"] for line in program.lines(event)]
+    return [line["call"] for line in program.log_events(event)]
 
 
 def reset(program, servers, callers):
     """Wait until the first attempt of each has been reset; returns their ids."""
-    until(lambda: all(each.attempts(servers) for each in callers), "the first attempts")
+    wait_until(lambda: all(each.attempts(servers) for each in callers), "the first attempts")
     tags = {each.attempts(servers)[0] for each in callers}
-    until(lambda: tags <= set(told(program, "attempt_ended")), "their resets")
+    wait_until(lambda: tags <= set(told(program, "attempt_ended")), "their resets")
     return tags
 
 
@@ -162,20 +169,20 @@
         each.go()
     time.sleep(PAUSE_S[front] + 0.3)  # the pause runs out, 0.1 s and more after they left
     go_on(program)
-    until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
+    wait_until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
     tags = {each.attempts(servers)[0] for each in gone}
-    until(
+    wait_until(
         lambda: tags <= {*told(program, "call_abandoned"), *told(program, "call_answered")},
         "that the others have left",
     )
     later = Leaver(program, front)
-    until(lambda: len(later.attempts(servers)) > 1, "one who came after")
+    wait_until(lambda: len(later.attempts(servers)) > 1, "one who came after")
     sent_on = [each.way for each in gone if len(each.attempts(servers)) > 1]
     assert not sent_on, f"{len(sent_on)} of {len(gone)} were sent on for nobody: {sent_on}"
     for each in gone:
         if each.way == "half-close":  # it still reads, and is told once
-            until(lambda each=each: each.caller.closed, "the end of the connection")
-            assert each.caller.finals(each.ident) in ([480], [500], [503])
+            wait_until(lambda each=each: each.caller.closed, "the end of the connection")
+            assert each.caller.final_statuses(each.ident) in ([480], [500], [503])
 
 
 @pytest.mark.parametrize("front", sorted(WAYS))
@@ -188,7 +195,10 @@
     ways = [way for way in ("close", "reset", "half-close") for _ in range(TIMES)]
     if known:
         callers = [Leaver(program, front, way) for way in ways]
-        until(lambda: all(each.caller.finals(each.ident) for each in callers), "their connections in use")
+        wait_until(
+            lambda: all(each.caller.final_statuses(each.ident) for each in callers),
+            "their connections in use",
+        )
         stop(program)
     else:
         stop(program)
@@ -199,12 +209,14 @@
     stays = Leaver(program, front)
     time.sleep(0.3)
     go_on(program)
-    until(lambda: stays.attempts(servers), "who stays sent on")
-    until(lambda: all(len(finals(each)) >= 80 for each, _ in many if each.way == "half-close"), "answers")
+    wait_until(lambda: stays.attempts(servers), "who stays sent on")
+    wait_until(
+        lambda: all(len(finals(each)) >= 80 for each, _ in many if each.way == "half-close"), "answers"
+    )
     later = Leaver(program, front)
-    until(lambda: later.attempts(servers), "one who came after")
+    wait_until(lambda: later.attempts(servers), "one who came after")
     stay = {stays.ident, later.ident, *(each.ident for each in callers if known)}
-    sent_on = {m["blob"][:16] for each in servers for m in each.of("START")} - stay
+    sent_on = {m["blob"][:16] for each in servers for m in each.messages("START")} - stay
     assert not sent_on, f"{len(sent_on)} of {80 * len(many)} were sent on for nobody"
     for each, idents in many:
         if each.way == "half-close":  # it still reads, and each is answered once
@@ -213,7 +225,7 @@
 
 def finals(leaver):
     """Which of a caller's set-ups had a final answer that is no 200, each as often as it had one."""
-    said = [m for _, m in list(leaver.caller.got) if m.status >= 300 and m.cseq()[1] == "INVITE"]
+    said = [m for _, m in list(leaver.caller.received) if m.status >= 300 and m.cseq()[1] == "INVITE"]
     return [m.get("call-id") for m in said]
 
 
@@ -234,14 +246,14 @@
         data = sip.request("CANCEL", "sip:5@net", list(each.headers("CANCEL").items()))
         by_whom.caller.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for at in range(0, len(data), 40):
-            by_whom.caller.raw(data[at : at + 40])
+            by_whom.caller.send_bytes(data[at : at + 40])
     time.sleep(PAUSE_S[front] + 0.3)
     go_on(program)
-    until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
+    wait_until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
     cancelled = [*waiting, *fresh]
-    until(lambda: all(heard_cancel(each, front, by) for each in cancelled), "that the CANCELs were read")
+    wait_until(lambda: all(heard_cancel(each, front, by) for each in cancelled), "that the CANCELs were read")
     later = Leaver(program, front)
-    until(lambda: len(later.attempts(servers)) > 1, "one who came after")
+    wait_until(lambda: len(later.attempts(servers)) > 1, "one who came after")
     assert [len(each.attempts(servers)) for each in waiting] == [1] * TIMES
     assert [len(each.attempts(servers)) for each in fresh] == [0] * TIMES
 
@@ -251,7 +263,7 @@
     platform nothing but the answer to the CANCEL, which another may have got.
     """
     if front == "appliance":
-        return 487 in leaver.caller.finals(leaver.ident)
+        return 487 in leaver.caller.final_statuses(leaver.ident)
     known = set(told(leaver.program, "call_abandoned"))
     return leaver.ident in known
 
@@ -264,7 +276,7 @@
 
     async def story():
         inside, links = InProcessNode(), []
-        server = RosterServer(RosterServer.silent)
+        server = ScriptedServer(ScriptedServer.never_answers)
         core = inside.core
         inside.follow_loop(asyncio.get_running_loop())
         network, side, front = Network(core), ServerConnectionPool(core, links.append), PlatformFrontend(core)
@@ -280,7 +292,7 @@
                 go_now(caller, ident, way)
 
         def asked(which):
-            return [m["tag"] for m in server.of("START") if m["tag"] in which]
+            return [m["tag"] for m in server.messages("START") if m["tag"] in which]
 
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster"))
@@ -289,7 +301,7 @@
         if when == "the link comes up":
             connected = link.connection_made
             link.connection_made = lambda: (connected(), all_go())
-            server.script = RosterServer.answers
+            server.script = ScriptedServer.establishes
             network.dial(link)
             before = 0
         else:
@@ -304,9 +316,9 @@
                     all_go()
 
             side.send_setup = queued
-            server.script = RosterServer.answers
+            server.script = ScriptedServer.establishes
             for ident in idents:
-                server.say("FINISH", ident, rc=41)
+                server.send("FINISH", ident, rc=41)
             before = len(gone)
         await come(lambda: core.calls.is_established(stays))
         late = next(IDS)
@@ -398,7 +410,7 @@
 
 async def come(condition):
     """Wait for a condition in the loop."""
-    until_s = asyncio.get_running_loop().time() + PATIENCE_S
+    until_s = asyncio.get_running_loop().time() + WAIT_LIMIT_S
     while not condition():
         assert asyncio.get_running_loop().time() < until_s
         await asyncio.sleep(0.001)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -39,7 +39,7 @@
 from stairhatch.load_test.run import LoadError, OperatorCommand, Setup, on_this_machine, run
 from stairhatch.load_test.tally import LoadTally
 
-from .peers import ROOT
+from .support.paths import ROOT
 
 KINDS = [
     {"name": "read-roster", "share": 0.75, "number": "1000", "hold_s": 0.5},
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -39,21 +39,17 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
-from .peers import (
-    SETTINGS,
-    Caller,
-    Coordinator,
-    InProcessNode,
-    Program,
-    RosterServer,
-    instance,
-    platform_config,
-    sip_headers,
-    until,
-)
+from .support.in_process_node import InProcessNode
+from .support.platform_config import SETTINGS, platform_config
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.sip_caller import SipCaller
+from .support.sip_messages import sip_headers
+from .support.waiting import wait_until
 
 IDS = iter(f"{n:016x}" for n in range(0x0A0001, 0x0A9999))
-SILENT = RosterServer.silent
+SILENT = ScriptedServer.never_answers
 
 
 @pytest.fixture
@@ -62,14 +58,16 @@
     started = []
 
     def start(*scripts, front="platform", sockets=1024):
-        servers = [RosterServer(script) for script in scripts]
+        servers = [ScriptedServer(script) for script in scripts]
         if front == "platform":
-            lines = [instance(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-            program = Program.on_platform(tmp_path, Coordinator(*lines), sockets=sockets)
+            lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
+            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), sockets=sockets)
         else:
-            program = Program.as_appliance(tmp_path, *servers, *(RosterServer() for _ in servers[1:2] or "x"))
+            program = Program.as_appliance(
+                tmp_path, *servers, *(ScriptedServer() for _ in servers[1:2] or "x")
+            )
         started.append(program)
-        return program.serves(), servers
+        return program.wait_until_serving(), servers
 
     start.started = started
     yield start
@@ -100,7 +98,7 @@
 def test_the_door_answers_each_line_with_ok_or_fail_and_a_reason(stage, front):
     """Guards against operators who get no answer, or a wrong one: a line each, whatever is sent."""
     program, _ = stage(None, front=front)
-    assert program.order("check").startswith("ok serving")
+    assert program.admin_command("check").startswith("ok serving")
     for line, ends, says in [
         ("restart", False, "unknown order restart"),
         ("", False, "empty line"),
@@ -111,13 +109,13 @@
         (b"", True, "unfinished"),
         (b"drain-", False, "no whole line came in time"),
     ]:
-        answer = program.order(line, ends)
+        answer = program.admin_command(line, ends)
         assert answer.startswith("fail ") and says in answer
-    assert program.order(b"check\r\nand more").startswith("ok serving")
-    assert program.order("drain-on").startswith("ok draining")
-    assert program.order("check") == "fail draining"
-    assert program.order("drain-off").startswith("ok serving")
-    assert program.order("check").startswith("ok serving")
+    assert program.admin_command(b"check\r\nand more").startswith("ok serving")
+    assert program.admin_command("drain-on").startswith("ok draining")
+    assert program.admin_command("check") == "fail draining"
+    assert program.admin_command("drain-off").startswith("ok serving")
+    assert program.admin_command("check").startswith("ok serving")
 
 
 def test_neither_callers_nor_silent_operators_shut_the_door(stage):
@@ -125,10 +123,10 @@
     program, (server,) = stage(SILENT, sockets=40)
     callers = [program.caller() for _ in range(30)]
     for caller in callers:
-        caller.invite(next(IDS), within=9000)
-    until(lambda: len(server.of("START")) >= 8)
-    silent = [socket.create_connection(program.door) for _ in range(60)]
-    assert program.order("check").startswith("ok")
+        caller.invite(next(IDS), answer_within_ms=9000)
+    wait_until(lambda: len(server.messages("START")) >= 8)
+    silent = [socket.create_connection(program.admin_address) for _ in range(60)]
+    assert program.admin_command("check").startswith("ok")
     for each in silent:
         each.settimeout(20)
         assert each.recv(100).startswith(b"fail "), "also who says nothing is told why it ends"
@@ -179,13 +177,13 @@
     """Guards against a drain that is undone though the process is about to go."""
     program, (server,) = stage(SILENT)
     caller, ident = program.caller(), next(IDS)
-    caller.invite(ident, within=3000)
-    until(lambda: server.of("START"))
+    caller.invite(ident, answer_within_ms=3000)
+    wait_until(lambda: server.messages("START"))
     program.process.terminate()
-    until(lambda: program.lines("stopping"))
-    assert program.order("check") == "fail draining"
-    assert program.order("drain-off") == "fail the program is ending"
-    server.say("STARTED", ident, blob="d")
+    wait_until(lambda: program.log_events("stopping"))
+    assert program.admin_command("check") == "fail draining"
+    assert program.admin_command("drain-off") == "fail the program is ending"
+    server.send("STARTED", ident, blob="d")
     caller.expect(ident, 200)
     assert program.process.wait(20) == 0
 
@@ -199,10 +197,10 @@
         ("status", "state      draining for"), ("drain-off", "ok serving, 2 of 2"),
         ("status", "state      serving"), ("drain", "unknown command 'drain'"),
     ]:  # fmt: skip
-        before = len(program.text())
+        before = len(program.log_text())
         stdin.write(command.encode() + b"\n")
         stdin.flush()
-        until(lambda shows=shows, before=before: shows in program.text()[before:], shows)
+        wait_until(lambda shows=shows, before=before: shows in program.log_text()[before:], shows)
     stdin.write(b"quit\n")
     stdin.flush()
     assert program.process.wait(20) == 0
@@ -229,27 +227,27 @@
     """
     program, (server,) = stage(SILENT)
     idle, busy, ident, late = program.caller(), program.caller(), next(IDS), next(IDS)
-    idle.invite(next(IDS), kind="none")
-    until(lambda: idle.got)
+    idle.invite(next(IDS), call_class="none")
+    wait_until(lambda: idle.received)
     busy.invite(ident)
-    until(lambda: server.of("START"))
-    assert program.order("drain-on") == "ok draining, 1 calls are still to be answered"
-    assert program.tested() == 503
-    until(lambda: idle.closed, "the end of an idle connection")
+    wait_until(lambda: server.messages("START"))
+    assert program.admin_command("drain-on") == "ok draining, 1 calls are still to be answered"
+    assert program.health_check_status() == 503
+    wait_until(lambda: idle.closed, "the end of an idle connection")
     newcomer = program.caller()
     newcomer.invite(late)
-    until(lambda: len(server.of("START")) == 2, "a set-up that comes early in a drain")
+    wait_until(lambda: len(server.messages("START")) == 2, "a set-up that comes early in a drain")
     assert not busy.closed
     for each in (ident, late):
-        server.say("STARTED", each, blob="d")
+        server.send("STARTED", each, blob="d")
     busy.expect(ident, 200)
     newcomer.expect(late, 200)
-    server.say("FINISH", ident, rc=16)
-    until(lambda: busy.of(ident, "BYE") or newcomer.of(ident, "BYE"), "a release in a drain")
-    assert program.order("drain-off").startswith("ok serving")
-    assert program.tested() == 200
+    server.send("FINISH", ident, rc=16)
+    wait_until(lambda: busy.messages(ident, "BYE") or newcomer.messages(ident, "BYE"), "a release in a drain")
+    assert program.admin_command("drain-off").startswith("ok serving")
+    assert program.health_check_status() == 200
     caller, again = program.caller(), next(IDS)
-    server.script = RosterServer.answers
+    server.script = ScriptedServer.establishes
     caller.invite(again)
     caller.expect(again, 200)
 
@@ -258,44 +256,46 @@
     """Guards against a connection that is never idle and so outlives the drain."""
     program, (server,) = stage(SILENT)
     caller, open_one = program.caller(), next(IDS)
-    caller.invite(open_one, within=9000)
-    until(lambda: server.of("START"))
-    program.order("drain-on")
+    caller.invite(open_one, answer_within_ms=9000)
+    wait_until(lambda: server.messages("START"))
+    program.admin_command("drain-on")
 
     def refused():
         ident = next(IDS)
-        caller.invite(ident, within=9000)
-        until(lambda: caller.finals(ident) or len(server.of("START")) > refused.seen, "its fate")
-        refused.seen = len(server.of("START"))
-        return caller.of(ident, 503)
+        caller.invite(ident, answer_within_ms=9000)
+        wait_until(
+            lambda: caller.final_statuses(ident) or len(server.messages("START")) > refused.seen, "its fate"
+        )
+        refused.seen = len(server.messages("START"))
+        return caller.messages(ident, 503)
 
     refused.seen = 1
-    answer = until(refused, "a refusal")[0]
+    answer = wait_until(refused, "a refusal")[0]
     assert int(answer.get("come-back-ms")) > 0
-    for start in server.of("START"):
-        server.say("STARTED", start["tag"], blob="d")
+    for start in server.messages("START"):
+        server.send("STARTED", start["tag"], blob="d")
     caller.expect(open_one, 200)
-    until(lambda: caller.closed, "the end of its connection")
+    wait_until(lambda: caller.closed, "the end of its connection")
 
 
 @pytest.mark.parametrize("udp", [True, False], ids=["udp", "tcp"])
 def test_the_appliance_drains_by_the_same_rules(stage, udp):
     """Guards against an appliance that refuses callers at once in a drain, or serves them for good."""
     program, _ = stage(None, front="appliance")
-    program.order("drain-on")
+    program.admin_command("drain-on")
 
     def ask(number, method="INVITE"):
-        caller = Caller(program.address, udp=udp)
+        caller = SipCaller(program.address, udp=udp)
         call, transport = f"drain-{method}-{number}", "UDP" if udp else "TCP"
         headers = sip_headers(method, "1", f"z9hG4bK{call}", call, caller.host, transport)
         caller.send(method, "sip:71@net", headers)
-        return until(lambda: [m for m in caller.of(call, "") if m.status >= 200])[0]
+        return wait_until(lambda: [m for m in caller.messages(call, "") if m.status >= 200])[0]
 
     assert ask(0, "OPTIONS").status == 503
     answers = []
-    until(lambda: answers.append(ask(len(answers))) or answers[-1].status == 503, "a refusal")
+    wait_until(lambda: answers.append(ask(len(answers))) or answers[-1].status == 503, "a refusal")
     assert answers[0].status == 200 and answers[-1].get("retry-after") == "1"
-    program.order("drain-off")
+    program.admin_command("drain-off")
     assert ask(0, "OPTIONS").status == 200 and ask(-1).status == 200
 
 
@@ -471,14 +471,14 @@
         bad += [marked.replace(name, number) for number in NO_NUMBERS]
     for index, each in enumerate(bad):
         assert program.reload(each)["result"] == "rejected", each
-        assert len(program.lines("reload")) == index + 1, "one line each"
+        assert len(program.log_events("reload")) == index + 1, "one line each"
     caller, ident = program.caller(), next(IDS)
-    caller.invite(ident, "save-roster", within=9000)
+    caller.invite(ident, "save-roster", answer_within_ms=9000)
     caller.expect(ident, 200)
     line = program.reload(json.dumps(changed(raw, "settings", "classes", 0, "hard_limit_s", value=8)))
     assert (line["result"], line["settings"], line["restart_required"]) == ("applied", "new", "-")
     program.stop()
-    counted = program.lines("counters")[-1]
+    counted = program.log_events("counters")[-1]
     assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(bad)), "1")
 
 
@@ -498,12 +498,15 @@
     new = text.replace('"save-roster"', '"plan-roster"').replace(limit, "hard_limit_s = 4.0 #")
     line = program.reload(new)
     assert (line["result"], line["added"], line["removed"]) == ("applied", "plan-roster", "save-roster")
-    caller = Caller(program.address, udp=True)
+    caller = SipCaller(program.address, udp=True)
     caller.send("INVITE", "sip:71@net", sip_headers("INVITE", host=caller.host))
     caller.expect("c1", 200)
     program.process.stdin.write(b"classes\n")
     program.process.stdin.flush()
-    until(lambda: "plan-roster" in program.text().split("stairhatch> ")[-1] or "      4s" in program.text())
+    wait_until(
+        lambda: "plan-roster" in program.log_text().split("stairhatch> ")[-1]
+        or "      4s" in program.log_text()
+    )
 
 
 def test_a_class_is_added_and_another_removed_under_open_calls(stage):
@@ -513,28 +516,30 @@
     program, (server, _) = stage(SILENT, SILENT)
     raw = json.loads(program.path.read_text())
     caller, open_one = program.caller(), next(IDS)
-    caller.invite(open_one, "save-roster", within=9000)
-    until(lambda: server.of("START"))
+    caller.invite(open_one, "save-roster", answer_within_ms=9000)
+    wait_until(lambda: server.messages("START"))
     new = [class_line("night-roster"), class_line("read-roster", effect="keyed")]
     line = program.reload(json.dumps({**raw, "settings": tuned(new, cap=1)}))
     assert (line["added"], line["removed"], line["restart_required"]) == ("night-roster", "save-roster", "-")
-    server.script = RosterServer.answers
+    server.script = ScriptedServer.establishes
     for kind in ("night-roster", "read-roster", "save-roster"):
         ident = next(IDS)
         caller.invite(ident, kind)
         caller.expect(ident, 200)
-    named = [m["opts"]["class"] for m in server.of("START")]
+    named = [m["opts"]["class"] for m in server.messages("START")]
     assert named == ["save-roster", "night-roster", "read-roster", "save-roster"]
 
     def unknown():
         ident = next(IDS)
         caller.invite(ident, "save-roster")
-        return until(lambda: caller.finals(ident)) == [400]
+        return wait_until(lambda: caller.final_statuses(ident)) == [400]
 
-    until(unknown, "the end of the old class")
-    server.say("FINISH", open_one, rc=41)
+    wait_until(unknown, "the end of the old class")
+    server.send("FINISH", open_one, rc=41)
     caller.expect(open_one, 200)
-    assert len([m for m in server.of("START") if m["tag"] == open_one]) == 2, "it keeps its six attempts"
+    assert (
+        len([m for m in server.messages("START") if m["tag"] == open_one]) == 2
+    ), "it keeps its six attempts"
 
 
 def test_open_calls_keep_their_class_and_their_attempts():
@@ -613,19 +618,19 @@
 
     def __init__(self, folder, *scripts):
         self.folder, self.programs = folder, []
-        self.servers = [RosterServer(script) for script in scripts]
-        lines = [instance(f"s-{cell}", each.port, cell) for cell, each in enumerate(self.servers)]
-        self.coordinator = Coordinator(*lines)
+        self.servers = [ScriptedServer(script) for script in scripts]
+        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(self.servers)]
+        self.coordinator = ScriptedCoordinator(*lines)
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = self.sock.getsockname()
-        self.known = self.coordinator.known()
+        self.known = self.coordinator.known_events()
         (folder / "left by another").write_text("{")
 
     def start(self, waits=True):
         """One more process, with a door of its own and everything else unchanged."""
         program = Program.on_socket(self.folder, self.sock, self.coordinator, self.known)
         self.programs.append(program)
-        return program.serves() if waits else program
+        return program.wait_until_serving() if waits else program
 
 
 @pytest.fixture
@@ -652,32 +657,37 @@
     old = platform.start()
     keeps, waits, standing, open_one = old.caller(), old.caller(), next(IDS), next(IDS)
     for caller, ident in ((keeps, standing), (waits, open_one)):
-        caller.invite(ident, within=9000)
-        until(lambda ident=ident: ident in [m["tag"] for m in server.of("START")])
-    server.say("STARTED", standing, blob="d")
+        caller.invite(ident, answer_within_ms=9000)
+        wait_until(lambda ident=ident: ident in [m["tag"] for m in server.messages("START")])
+    server.send("STARTED", standing, blob="d")
     keeps.expect(standing, 200)
     new = platform.start()
     old.process.terminate()
-    until(lambda: keeps.closed, "the end of a kept connection at an idle moment")
+    wait_until(lambda: keeps.closed, "the end of a kept connection at an idle moment")
     assert old.process.poll() is None and not waits.closed
-    server.script = RosterServer.answers
+    server.script = ScriptedServer.establishes
     callers = [new.caller() for _ in range(8)]
     for caller in callers:
         caller.invite(ident := next(IDS))
         caller.expect(ident, 200)
-    assert old.order("check") == "fail draining"
-    server.say("STARTED", open_one, link=server.links[0], blob="d")
+    assert old.admin_command("check") == "fail draining"
+    server.send("STARTED", open_one, connection=server.connections[0], blob="d")
     waits.expect(open_one, 200)
     assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
-    counted = [program.lines("counters")[-1] for program in (old,)]
+    counted = [program.log_events("counters")[-1] for program in (old,)]
     assert counted[0]["calls_established"] == "2", "what came after SIGTERM is the new process's"
-    for link in server.links:  # the old process may have dialled more than one, all closed by now
+    for link in server.connections:  # the old process may have dialled more than one, all closed by now
         with contextlib.suppress(OSError):
-            server.say("FINISH", standing, link, rc=16)
-    until(lambda: [c for c in callers if c.of(standing, "BYE")], "the end of a call that the old one set up")
+            server.send("FINISH", standing, link, rc=16)
+    wait_until(
+        lambda: [c for c in callers if c.messages(standing, "BYE")],
+        "the end of a call that the old one set up",
+    )
     callers[0].send("BYE", "sip:x@net", {"call-id": open_one, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
-    until(lambda: [m for m in server.of("FINISH") if m["tag"] == open_one], "its release by a caller")
-    platform.start().order("check")
+    wait_until(
+        lambda: [m for m in server.messages("FINISH") if m["tag"] == open_one], "its release by a caller"
+    )
+    platform.start().admin_command("check")
     new.process.terminate()
     assert new.process.wait(20) == 0
     newest = platform.programs[-1].caller()
@@ -689,17 +699,17 @@
     """Guards against callers taken by a process that knows no roster server yet: they wait for the other."""
     platform = upgrade(None)
     platform.known = {"index": 0, "updates": []}
-    platform.coordinator.held = True
+    platform.coordinator.withholds_answers = True
     program = platform.start(waits=False)
-    assert program.order("check").startswith("fail ")
+    assert program.admin_command("check").startswith("fail ")
     caller, ident = program.caller(), next(IDS)
     caller.invite(ident)
     for _ in range(20):  # each is one more round of its loop
-        assert program.order("check").startswith("fail ")
-    assert not program.lines("call_offered")
-    platform.coordinator.release()
+        assert program.admin_command("check").startswith("fail ")
+    assert not program.log_events("call_offered")
+    platform.coordinator.resume_answers()
     caller.expect(ident, 200)
-    assert program.order("check").startswith("ok")
+    assert program.admin_command("check").startswith("ok")
 
 
 def test_a_drain_told_before_the_upgrade_holds_in_the_new_process(upgrade):
@@ -707,7 +717,7 @@
     platform = upgrade(None, None)
     first, second = platform.servers
     platform.start()
-    platform.coordinator.tell(instance("s-0", first.port, 0, "terminating"))
+    platform.coordinator.publish(endpoint_entry("s-0", first.port, 0, "terminating"))
     new = platform.start()
     platform.programs[0].process.terminate()
     assert platform.programs[0].process.wait(20) == 0
@@ -715,7 +725,7 @@
     for _ in range(5):
         caller.invite(ident := next(IDS))
         caller.expect(ident, 200)
-    assert len(second.of("START")) == 5 and not first.of("START")
+    assert len(second.messages("START")) == 5 and not first.messages("START")
 
 
 def test_unanswered_calls_end_before_an_upgrades_sigkill(upgrade):
@@ -723,12 +733,12 @@
     platform = upgrade(SILENT)
     old = platform.start()
     caller, ident = old.caller(), next(IDS)
-    caller.invite(ident, within=9000)
-    until(lambda: platform.servers[0].of("START"))
+    caller.invite(ident, answer_within_ms=9000)
+    wait_until(lambda: platform.servers[0].messages("START"))
     old.process.terminate()
     assert old.process.wait(20) == 0
-    assert caller.finals(ident) == [503]
-    at = {name: float(old.lines(name)[-1]["at"]) for name in ("stopping", "drain_deadline_reached")}
+    assert caller.final_statuses(ident) == [503]
+    at = {name: float(old.log_events(name)[-1]["at"]) for name in ("stopping", "drain_deadline_reached")}
     assert 5.0 < at["drain_deadline_reached"] - at["stopping"] < 5.7, "by its own clock"
 
 
@@ -780,10 +790,10 @@
 def test_a_descriptor_that_is_no_socket_ends_in_one_plain_line(tmp_path, given, says):
     """Guards against a traceback, or a softswitch that listens nowhere."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(platform_config(Coordinator(), 1, 2)))
+    path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
     program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given)
     assert program.process.wait(20) == 2
-    assert program.text().count("\n") == 1 and says in program.text()
+    assert program.log_text().count("\n") == 1 and says in program.log_text()
 
 
 def test_two_processes_together_keep_within_the_limits():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,7 +12,9 @@
 from stairhatch.node.server_messages import parse_load_report
 from stairhatch.node.syslog import Origin, Severity, format_message, structured_data
 
-from .peers import Program, RosterServer, until
+from .support.program import Program
+from .support.scripted_server import ScriptedServer
+from .support.waiting import wait_until
 
 FOLDED = (
     b"\r\n\r\nINVITE sip:7@net SIP/2.0\r\nv: SIP/2.0/UDP a;branch=z9hG4bK1,\r\n  SIP/2.0/TCP b\r\n"
@@ -101,8 +103,10 @@
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(20)
         address = f"127.0.0.1:{receiver.getsockname()[1]}"
-        program = Program.as_appliance(tmp_path, RosterServer(), RosterServer(), syslog=address)
+        program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer(), syslog=address)
         got = []
-        until(lambda: got.append(receiver.recv(9999).decode()) or any(" ready [" in each for each in got))
+        wait_until(
+            lambda: got.append(receiver.recv(9999).decode()) or any(" ready [" in each for each in got)
+        )
         assert all(re.match(r"<13[24]>1 \d{4}-", each) for each in got)
         assert program.stop() == 0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,10 +10,16 @@
 
 import pytest
 
-from .peers import SETTINGS, Coordinator, Program, RosterServer, free_port, instance, until
+from stairhatch.emulators.ports import free_port
+
+from .support.platform_config import SETTINGS
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.waiting import wait_until
 
 IDS = iter(f"{n:016x}" for n in range(1, 1000))
-RESET, SILENT = RosterServer.ends(41), RosterServer.silent
+RESET, SILENT = ScriptedServer.ends(41), ScriptedServer.never_answers
 
 
 @pytest.fixture
@@ -22,9 +28,9 @@
     started = []
 
     def start(*scripts):
-        servers = [RosterServer(script) for script in scripts]
-        lines = [instance(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-        coordinator = Coordinator(*lines)
+        servers = [ScriptedServer(script) for script in scripts]
+        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
+        coordinator = ScriptedCoordinator(*lines)
         program = Program.on_platform(tmp_path, coordinator)
         started.append(program)
         return program, coordinator, servers
@@ -38,9 +44,9 @@
     ("scripts", "kind", "status", "sends"),
     [
         ([None], "read-roster", 200, 1),
-        ([RosterServer.ends(34), None], "save-roster", 200, 2),  # full: at once to the other one
-        ([RosterServer.ends(16), None], "read-roster", 500, 1),  # it stood and is over, its answer got lost
-        ([RosterServer.ends(17, "lines_busy")], "read-roster", 500, 1),  # a busy number is not tried again
+        ([ScriptedServer.ends(34), None], "save-roster", 200, 2),  # full: at once to the other one
+        ([ScriptedServer.ends(16), None], "read-roster", 500, 1),  # it stood and is over, its answer got lost
+        ([ScriptedServer.ends(17, "lines_busy")], "read-roster", 500, 1),  # a busy number is not tried again
         ([SILENT], "read-roster", 500, 1),
         ([], "read-roster", 503, 0),
         ([None], "no-such-class", 400, 0),
@@ -51,16 +57,16 @@
     program, _, servers = stage(*scripts)
     caller, ident = program.caller(), next(IDS)
     began = time.monotonic()
-    caller.invite(ident, kind, within=1000, body='quotes " and æøå\r\n'.encode())
-    until(lambda: caller.finals(ident), "a final answer")
+    caller.invite(ident, kind, answer_within_ms=1000, body='quotes " and æøå\r\n'.encode())
+    wait_until(lambda: caller.final_statuses(ident), "a final answer")
     assert time.monotonic() - began < 1.0 or status != 500, "the caller would have given up"
     assert program.stop() == 0
-    assert caller.finals(ident) == [status]
-    assert sum(len(server.of("START")) for server in servers) == sends
+    assert caller.final_statuses(ident) == [status]
+    assert sum(len(server.messages("START")) for server in servers) == sends
     if status == 200:
-        start = servers[-1].of("START")[0]
+        start = servers[-1].messages("START")[0]
         assert start["opts"]["class"] == kind and start["opts"]["key"] == "7f3a9c21e0b4d655"
-        assert caller.of(ident, 200)[0].body == ("v=0 " + start["blob"]).encode()
+        assert caller.messages(ident, 200)[0].body == ("v=0 " + start["blob"]).encode()
         assert start["blob"] == 'quotes " and æøå\r\n'
 
 
@@ -74,7 +80,7 @@
     if reopened:
         caller.close()
         caller = program.caller()
-    server.say("FINISH", ident, rc=16)
+    server.send("FINISH", ident, rc=16)
     assert caller.expect(ident, "BYE").get("reason") == "Q.850;cause=16"
 
 
@@ -85,8 +91,8 @@
     caller.invite(ident)
     caller.expect(ident, 200)
     caller.close()
-    server.say("FINISH", ident, rc=16)
-    until(lambda: program.lines("call_released"))
+    server.send("FINISH", ident, rc=16)
+    wait_until(lambda: program.log_events("call_released"))
     program.caller().expect(ident, "BYE")
 
 
@@ -94,12 +100,17 @@
     """Guards against calls that outlive the softswitch that set them up."""
     program, _, (server,) = stage(None)
     caller, old, other = program.caller(), next(IDS), next(IDS)
-    until(lambda: server.links)
-    server.say("FINISH", old, rc=16)
+    wait_until(lambda: server.connections)
+    server.send("FINISH", old, rc=16)
     caller.expect(old, "BYE")
     caller.send("BYE", "sip:x@net", {"call-id": other, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
     caller.expect(other, 200)
-    assert until(lambda: server.of("FINISH"))[0] == {"verb": "FINISH", "tag": other, "opts": {}, "rc": 31}
+    assert wait_until(lambda: server.messages("FINISH"))[0] == {
+        "verb": "FINISH",
+        "tag": other,
+        "opts": {},
+        "rc": 31,
+    }
 
 
 @pytest.mark.parametrize("by", ["cancel", "close"])
@@ -108,24 +119,24 @@
     program, _, (server,) = stage(SILENT)
     caller, ident = program.caller(), next(IDS)
     caller.invite(ident)
-    until(lambda: server.of("START"))
+    wait_until(lambda: server.messages("START"))
     if by == "cancel":
         caller.send("CANCEL", "sip:x@net", {"call-id": ident, "cseq": "1 CANCEL"})
     else:
         caller.close()
-    until(lambda: len(server.of("FINISH")) == 1, "the set-up given up")
-    server.say("STARTED", ident, blob="late")
-    until(lambda: len(server.of("FINISH")) == 2, "the late answer released")
-    assert not caller.finals(ident)
+    wait_until(lambda: len(server.messages("FINISH")) == 1, "the set-up given up")
+    server.send("STARTED", ident, blob="late")
+    wait_until(lambda: len(server.messages("FINISH")) == 2, "the late answer released")
+    assert not caller.final_statuses(ident)
 
 
 def test_the_release_pause_is_kept_and_never_two_attempts_are_out(stage):
     """Guards against the rules on release and on second copies, as a server sees them."""
     program, _, (server,) = stage(RESET)
     caller, ident = program.caller(), next(IDS)
-    caller.invite(ident, within=2500)
-    until(lambda: caller.finals(ident))
-    times = [at for at, message in server.got if message["verb"] == "START"]
+    caller.invite(ident, answer_within_ms=2500)
+    wait_until(lambda: caller.final_statuses(ident))
+    times = [at for at, message in server.received if message["verb"] == "START"]
     assert len(times) >= 2
     assert all(b - a >= 0.5 for a, b in pairwise(times))
 
@@ -138,29 +149,29 @@
     caller.expect(standing, 200)
     server.script = SILENT
     caller.invite(waiting)
-    until(lambda: len(server.of("START")) == 2)
+    wait_until(lambda: len(server.messages("START")) == 2)
     server.close()
     assert caller.expect(standing, "BYE").get("reason") == "Q.850;cause=41"
     caller.expect(waiting, 200)
-    assert [m["tag"] for m in other.of("START")] == [waiting]
+    assert [m["tag"] for m in other.messages("START")] == [waiting]
 
 
 def test_a_drained_server_gets_nothing_and_its_address_may_be_used_again(stage):
     """Guards against servers known by address: a new one had that of one that drains."""
     program, coordinator, (server, other) = stage(None, None)
     caller = program.caller()
-    coordinator.tell(instance("s-0", server.port, 0, "terminating"))
+    coordinator.publish(endpoint_entry("s-0", server.port, 0, "terminating"))
     first, second = next(IDS), next(IDS)
     caller.invite(first)
     caller.expect(first, 200)
-    assert not server.of("START") and other.of("START")
-    coordinator.tell(
-        instance("s-0", server.port, 0, "terminated"), instance("s-9", server.port, 0),
-        instance("s-1", other.port, 1, "terminating"),
+    assert not server.messages("START") and other.messages("START")
+    coordinator.publish(
+        endpoint_entry("s-0", server.port, 0, "terminated"), endpoint_entry("s-9", server.port, 0),
+        endpoint_entry("s-1", other.port, 1, "terminating"),
     )  # fmt: skip
     caller.invite(second)
     caller.expect(second, 200)
-    assert [m["tag"] for m in server.of("START")] == [second]
+    assert [m["tag"] for m in server.messages("START")] == [second]
 
 
 def test_sigterm_finishes_what_was_taken_and_still_takes_what_comes(stage):
@@ -168,17 +179,17 @@
     program, _, (server,) = stage(SILENT)
     caller, early, late = program.caller(), next(IDS), next(IDS)
     caller.invite(early)
-    until(lambda: server.of("START"))
+    wait_until(lambda: server.messages("START"))
     program.process.terminate()
-    until(lambda: program.lines("stopping"))
+    wait_until(lambda: program.log_events("stopping"))
     newcomer = program.caller()
     newcomer.invite(late)
-    until(lambda: len(server.of("START")) == 2)
+    wait_until(lambda: len(server.messages("START")) == 2)
     for ident in (early, late):
-        server.say("STARTED", ident, blob="d")
+        server.send("STARTED", ident, blob="d")
     assert program.process.wait(20) == 0
-    assert caller.finals(early) == [200] and newcomer.finals(late) == [200]
-    counted = program.lines("counters")[-1]
+    assert caller.final_statuses(early) == [200] and newcomer.final_statuses(late) == [200]
+    counted = program.log_events("counters")[-1]
     assert counted["calls_offered"] == "2" and counted["calls_established"] == "2"
 
 
@@ -196,7 +207,7 @@
     bad, good, ident = program.caller(), program.caller(), next(IDS)
     bad.sock.sendall(data)
     bad.expect("x", status)
-    until(lambda: bad.closed)
+    wait_until(lambda: bad.closed)
     good.invite(ident)
     good.expect(ident, 200)
 
@@ -204,7 +215,7 @@
 def test_a_test_is_passed_and_other_methods_are_refused(stage):
     """Guards against a front that never takes the softswitch in."""
     program, _, _ = stage(None)
-    program.serves()
+    program.wait_until_serving()
     caller = program.caller()
     caller.send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
     caller.send("REFER", "sip:ping@net", {"call-id": "q", "cseq": "1 REFER"})
@@ -235,4 +246,4 @@
     path.write_text(change if isinstance(change, str) else json.dumps({**config, **(change or {})}))
     program = Program(tmp_path, RELAY_CONFIG=str(path) if change else "")
     assert program.process.wait(20) == 2
-    assert program.text().count("\n") == 1 and says in program.text()
+    assert program.log_text().count("\n") == 1 and says in program.log_text()
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -27,42 +27,17 @@
 from stairhatch.node.service_discovery import MAX_REQUESTS, ServiceDiscoveryClient
 from stairhatch.overload.events import Availability
 
-from .peers import SETTINGS, Coordinator, InProcessNode, Program, RosterServer, instance, until
+from .support.in_process_node import InProcessNode
+from .support.platform_config import SETTINGS
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.waiting import wait_until
 
 IDS = iter(f"{n:016x}" for n in range(0xF1E0001, 0xF1E9999))
 PING = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 
 
-class Discovery(Coordinator):
-    """A coordinator that can go, and come again at its address."""
-
-    def __init__(self, *lines):
-        self.links = []
-        super().__init__(*lines)
-
-    def _serve(self, link):
-        self.links.append(link)
-        super()._serve(link)
-
-    def _accept(self):
-        try:
-            super()._accept()
-        except OSError:
-            return  # it has gone
-
-    def go(self):
-        """Its process dies."""
-        self.listener.shutdown(socket.SHUT_RDWR)
-        self.listener.close()
-        for link in self.links:
-            link.shutdown(socket.SHUT_RDWR)
-
-    def come(self):
-        """It is there again, with what it knew."""
-        self.listener = socket.create_server(("127.0.0.1", self.port))
-        threading.Thread(target=self._accept, daemon=True).start()
-
-
 class Crowd:
     """Callers who hold connections and want nothing: silent, within a message, or after one test. Who is put
     out comes again at once, or never; those who stay then have asked once.
@@ -103,11 +78,7 @@
 
 def counters(program):
     """What the program has counted so far."""
-    before = len(program.lines("counters"))
-    program.process.send_signal(signal.SIGUSR1)
-    until(lambda: len(program.lines("counters")) > before, "the counters")
-    told = program.lines("counters")[-1]
-    return Counter({name: int(value) for name, value in told.items() if value.isdigit()})
+    return Counter({name: int(value) for name, value in program.counters().items() if value.isdigit()})
 
 
 def held(program):
@@ -124,35 +95,39 @@
     """
 
     class Limited(Program):
-        descriptors = real
+        descriptor_limit = real
 
-    servers = [RosterServer() for _ in range(6)]
-    coordinator = Discovery(*(instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)))
-    program = Limited.on_platform(tmp_path, coordinator, sockets=told).serves()
+    servers = [ScriptedServer() for _ in range(6)]
+    coordinator = ScriptedCoordinator(
+        *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
+    )
+    program = Limited.on_platform(tmp_path, coordinator, sockets=told).wait_until_serving()
     started.append(program)
-    for each in (coordinator.go, *(each.close for each in servers)):
+    for each in (coordinator.close, *(each.close for each in servers)):
         each()
-    until(lambda: len(program.lines("server_connection_lost")) == 6, "that all are away")
+    wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
     before = counters(program)
     crowd = Crowd(program.address, 2 * min(told, real), again)
-    until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
+    wait_until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
     missed = ("server_connections_failed", "discovery_unreachable")
-    until(lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed")
+    wait_until(
+        lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed"
+    )
     assert counters(program)["connections_evicted"] > 0, "callers who hold on were in excess"
-    asked = len(coordinator.asked)
-    coordinator.come()
-    back = [RosterServer(port=each.port) for each in servers]
-    until(lambda: len(program.lines("server_connected")) >= 12, "the roster servers, reached again")
-    until(lambda: len(coordinator.asked) > asked, "the coordinator, asked again")
-    coordinator.tell(instance("s-0", back[0].port, 0, "terminating"))
-    until(lambda: program.lines("server_listed")[-1]["state"] == "draining", "its news")
-    assert program.order("check").startswith("ok")
+    asked = len(coordinator.polled_indices)
+    coordinator.reopen()
+    back = [ScriptedServer(port=each.port) for each in servers]
+    wait_until(lambda: len(program.log_events("server_connected")) >= 12, "the roster servers, reached again")
+    wait_until(lambda: len(coordinator.polled_indices) > asked, "the coordinator, asked again")
+    coordinator.publish(endpoint_entry("s-0", back[0].port, 0, "terminating"))
+    wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its news")
+    assert program.admin_command("check").startswith("ok")
     ident, newcomer = next(IDS), program.caller()
-    newcomer.invite(ident, within=9000)
+    newcomer.invite(ident, answer_within_ms=9000)
     newcomer.expect(ident, 200)
     assert held(program) <= min(told, real)
     crowd.go()
-    lines = Counter(line.split(".")[0] for line in program.text().splitlines() if " accept " in line)
+    lines = Counter(line.split(".")[0] for line in program.log_text().splitlines() if " accept " in line)
     assert max(lines.values(), default=0) <= 2, "one line a second says that descriptors have run out"
 
 
@@ -162,23 +137,27 @@
     """
 
     class Limited(Program):
-        descriptors = 64
+        descriptor_limit = 64
 
-    servers = [RosterServer() for _ in range(70)]
-    coordinator = Coordinator(*(instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)))
-    program = Limited.on_platform(tmp_path, coordinator, sockets=1024).serves()
+    servers = [ScriptedServer() for _ in range(70)]
+    coordinator = ScriptedCoordinator(
+        *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
+    )
+    program = Limited.on_platform(tmp_path, coordinator, sockets=1024).wait_until_serving()
     started.append(program)
-    until(lambda: len(program.lines("server_connect_failed")) >= 20, "servers without a descriptor")
-    assert program.lines("server_connected"), "others are reached"
+    wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
+    assert program.log_events("server_connected"), "others are reached"
     crowd = Crowd(program.address, 64, False)
-    until(lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are evicted")
-    assert program.order("check").startswith("ok")
+    wait_until(
+        lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are evicted"
+    )
+    assert program.admin_command("check").startswith("ok")
     ident, newcomer = next(IDS), program.caller()
-    newcomer.invite(ident, within=9000)
-    until(lambda: newcomer.finals(ident), "an answer")
+    newcomer.invite(ident, answer_within_ms=9000)
+    wait_until(lambda: newcomer.final_statuses(ident), "an answer")
     assert held(program) <= 64
     crowd.go()
-    said = Counter(line["at"].split(".")[0] for line in program.lines("descriptors")[1:])
+    said = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
     assert 0 < max(said.values()) <= 2, "said, and not in a spin"
 
 
@@ -233,22 +212,27 @@
     """Guards against softswitches that are not ready for as long as the settings allow a connection to take:
     one listed server that never answers held up the start of all. Here that is longer than the story waits.
     """
-    stuck, server = Unanswered(), RosterServer()
+    stuck, server = Unanswered(), ScriptedServer()
     assert len(stuck.fill) >= 2, "its queue was filled until a dial got no answer"
-    coordinator = Coordinator(instance("s-0", server.port, 0), instance("s-1", stuck.port, 1))
-    coordinator.held = silent
+    coordinator = ScriptedCoordinator(
+        endpoint_entry("s-0", server.port, 0), endpoint_entry("s-1", stuck.port, 1)
+    )
+    coordinator.withholds_answers = silent
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": 600.0}
     program = Program.on_platform(tmp_path, coordinator, {**SETTINGS, "permissions": permissions})
     started.append(program)
-    until(lambda: program.lines("serving"), "that it serves")
-    assert not program.lines("server_connect_failed"), "it was still being dialled"
-    assert program.tested() == 200 and program.order("check").startswith("ok")
+    wait_until(lambda: program.log_events("serving"), "that it serves")
+    assert not program.log_events("server_connect_failed"), "it was still being dialled"
+    assert program.health_check_status() == 200 and program.admin_command("check").startswith("ok")
     ident, caller = next(IDS), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
     stuck.answer()  # the dial that waits in the kernel comes up late
-    until(lambda: any(line["server"] == "s-1" for line in program.lines("server_connected")), "the late one")
-    assert not program.lines("server_connect_failed")
+    wait_until(
+        lambda: any(line["server"] == "s-1" for line in program.log_events("server_connected")),
+        "the late one",
+    )
+    assert not program.log_events("server_connect_failed")
     stuck.close()
 
 
@@ -274,34 +258,38 @@
     """Guards against a list that stands still for one line of it: the drain told beside it went unheard for
     as long as the line was there, and calls went on to that server.
     """
-    servers = [RosterServer() for _ in range(3)]
-    coordinator = Coordinator(*(instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)))
-    program = Program.on_platform(tmp_path, coordinator).serves()
+    servers = [ScriptedServer() for _ in range(3)]
+    coordinator = ScriptedCoordinator(
+        *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
+    )
+    program = Program.on_platform(tmp_path, coordinator).wait_until_serving()
     started.append(program)
     caller, stands = program.caller(), next(IDS)
     caller.invite(stands, routing_data="dest:0;width:1;via:-1")
     caller.expect(stands, 200)
-    (home,) = [each for each in servers if each.of("START")]
-    lines = [instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
+    (home,) = [each for each in servers if each.messages("START")]
+    lines = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
     at = servers.index(home)
     drained, open_ = [n for n in range(3) if n != at]
     lines[at]["lifecycle"] = "napping"
     lines[drained]["lifecycle"] = "terminating"
-    coordinator.tell(lines[at], {"cell": "no name"}, lines[drained])  # returns once the next number is asked
+    coordinator.publish(
+        lines[at], {"cell": "no name"}, lines[drained]
+    )  # returns once the next number is asked
     expected = {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{open_}": "ready"}
-    until(  # the log has a thread of its own
-        lambda: {line["server"]: line["state"] for line in program.lines("server_listed")} == expected,
+    wait_until(  # the log has a thread of its own
+        lambda: {line["server"]: line["state"] for line in program.log_events("server_listed")} == expected,
         "the states in the log",
     )
-    passed = [line for line in program.lines("service_discovery") if line["why"].startswith("passed")]
+    passed = [line for line in program.log_events("service_discovery") if line["why"].startswith("passed")]
     assert len(passed) == 1, "said once"
-    before = [len(each.of("START")) for each in servers]
+    before = [len(each.messages("START")) for each in servers]
     for _ in range(6):
-        caller.invite(ident := next(IDS), within=9000)
+        caller.invite(ident := next(IDS), answer_within_ms=9000)
         caller.expect(ident, 200)
-    after = [len(each.of("START")) for each in servers]
+    after = [len(each.messages("START")) for each in servers]
     assert [n for n in range(3) if after[n] > before[n]] == [open_]
-    home.say("FINISH", stands, rc=16)
+    home.send("FINISH", stands, rc=16)
     caller.expect(stands, "BYE")
 
 
@@ -327,8 +315,11 @@
 
 def test_a_list_spoilt_on_its_way_is_asked_for_again_before_its_other_lines_are_taken():
     """Guards against a server that gets nothing more for a line that was spoilt once."""
-    good = {"reset": False, "instances": [instance("a", 9, state="terminating"), instance("b", 9)]}
-    odd = {"reset": False, "instances": [good["instances"][0], {**instance("b", 9), "hostPort": "?"}]}
+    good = {
+        "reset": False,
+        "instances": [endpoint_entry("a", 9, state="terminating"), endpoint_entry("b", 9)],
+    }
+    odd = {"reset": False, "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}]}
     directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1))
     assert directory.last_index == 4 and set(standings.values()) == {"ready"}
     directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1), good)
@@ -342,9 +333,9 @@
 @pytest.mark.parametrize(
     ("line", "left"),
     [
-        ({**instance("b", 9), "hostPort": "?"}, {"a": "ready", "b": "draining"}),
-        ({**instance("b", 9, state="terminated"), "cell": []}, {"a": "ready"}),
-        ({**instance("new", 9), "lifecycle": []}, {"a": "ready"}),
+        ({**endpoint_entry("b", 9), "hostPort": "?"}, {"a": "ready", "b": "draining"}),
+        ({**endpoint_entry("b", 9, state="terminated"), "cell": []}, {"a": "ready"}),
+        ({**endpoint_entry("new", 9), "lifecycle": []}, {"a": "ready"}),
         ({"cell": 1}, {"a": "ready", "b": "draining", "c": "draining"}),
         ("b", {"a": "ready", "b": "draining", "c": "draining"}),
     ],
@@ -352,7 +343,7 @@
 )
 def test_a_whole_list_with_a_line_that_cannot_be_read_cuts_no_calls_for_it(line, left):
     """Guards against a server held to be gone, and its calls cut, as its line in a whole list is spoilt."""
-    odd = {"reset": True, "instances": [instance("a", 9), line]}
+    odd = {"reset": True, "instances": [endpoint_entry("a", 9), line]}
     directory, standings, _ = directory_of(*[odd] * MAX_REQUESTS)
     assert directory.last_index == 5
     assert {name: state for name, state in standings.items() if state != "gone"} == left
@@ -372,9 +363,11 @@
     """Starts a program before roster servers with the given scripts."""
 
     def start(*scripts, sockets=1024):
-        servers = [RosterServer(script) for script in scripts]
-        lines = [instance(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
-        started.append(Program.on_platform(tmp_path, Coordinator(*lines), sockets=sockets).serves())
+        servers = [ScriptedServer(script) for script in scripts]
+        lines = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
+        started.append(
+            Program.on_platform(tmp_path, ScriptedCoordinator(*lines), sockets=sockets).wait_until_serving()
+        )
         return started[-1]
 
     return start
@@ -388,7 +381,7 @@
     flood, idents = socket.create_connection(here.address), [next(IDS) for _ in range(300)]
     flood.sendall(b"".join(trunk_invite(ident) for ident in idents))
     other = here.caller()
-    other.invite(ident := next(IDS), within=9000)
+    other.invite(ident := next(IDS), answer_within_ms=9000)
     other.expect(ident, 200)
     parser, got = sip_parser.StreamParser(), Counter()
     flood.settimeout(20)
@@ -411,12 +404,12 @@
     here.process.send_signal(signal.SIGSTOP)
     callers = [(here.caller(), next(IDS)) for _ in range(many)]
     for caller, ident in callers:
-        caller.raw(trunk_invite(ident))
-    assert not any(caller.got for caller, _ in callers)
+        caller.send_bytes(trunk_invite(ident))
+    assert not any(caller.received for caller, _ in callers)
     here.process.send_signal(signal.SIGCONT)
     for caller, ident in callers:
         caller.expect(ident, 200)
-        assert caller.finals(ident) == [200]
+        assert caller.final_statuses(ident) == [200]
 
 
 def test_line_ends_between_messages_keep_no_connection(program):
@@ -440,10 +433,10 @@
     threads = [threading.Thread(target=dribble, args=(n,), daemon=True) for n in range(64)]
     for each in threads:
         each.start()
-    until(lambda: sum(sent.values()) > 64, "that they send")
+    wait_until(lambda: sum(sent.values()) > 64, "that they send")
     newcomers = [(here.caller(), next(IDS)) for _ in range(3)]
     for caller, ident in newcomers:
-        caller.invite(ident, within=9000)
+        caller.invite(ident, answer_within_ms=9000)
         caller.expect(ident, 200)
     assert counters(here)["connections_evicted"] > 0, "there was no room"
     over.set()
@@ -455,16 +448,16 @@
     """Guards against a repeat that is taken for its first, lost, or answered twice: the caller is told when
     to come back, and comes again at once under a new id.
     """
-    here = program(RosterServer.ends(34))
+    here = program(ScriptedServer.ends(34))
     caller, advised = here.caller(), 0
     for _ in range(20):
-        caller.invite(ident := next(IDS), repeat_mark="1", within=9000)
-        until(lambda ident=ident: caller.finals(ident), "its answer")
-        advised += bool(caller.of(ident, 503) and caller.of(ident, 503)[0].get("come-back-ms"))
+        caller.invite(ident := next(IDS), repeat_mark="1", answer_within_ms=9000)
+        wait_until(lambda ident=ident: caller.final_statuses(ident), "its answer")
+        advised += bool(caller.messages(ident, 503) and caller.messages(ident, 503)[0].get("come-back-ms"))
         again = next(IDS)
         caller.invite(again, repeat_mark="1")
-        until(lambda again=again: caller.finals(again), "its answer")
-        assert len(caller.finals(ident)) == len(caller.finals(again)) == 1
+        wait_until(lambda again=again: caller.final_statuses(again), "its answer")
+        assert len(caller.final_statuses(ident)) == len(caller.final_statuses(again)) == 1
     assert advised, "it was told when to come back"
 
 
@@ -474,7 +467,7 @@
     dial's time limit, due by then, before it looks at the socket. One that did not come up fails as before.
     """
     stuck = None if answers else Unanswered()
-    server = RosterServer() if answers else stuck
+    server = ScriptedServer() if answers else stuck
 
     async def story():
         inside = InProcessNode()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,8 @@
 from stairhatch.scale_test.real import Processes
 from stairhatch.scale_test.world import World
 
-from .peers import ROOT, until
+from .support.paths import ROOT
+from .support.waiting import wait_until
 
 FILE = ROOT / "experiments" / "scale" / "ci.toml"
 SMALL = {
@@ -257,7 +258,7 @@
         return [int(pid) for pid in pids if "stairhatch.fault_injection." in " ".join(arguments(pid))]
 
     try:
-        pids = until(lambda: len(found := children()) == 5 and found, "four softswitches and the reaper")
+        pids = wait_until(lambda: len(found := children()) == 5 and found, "four softswitches and the reaper")
         folder = next(
             Path(arguments(pid)[3]).parents[1] for pid in pids if "member_main" in arguments(pid)[2]
         )
@@ -268,8 +269,8 @@
         scale.kill()
         scale.wait()
     assert scale.returncode == 130 and said.endswith("stairhatch: ended by Ctrl-C; nothing is kept\n")
-    until(lambda: not any(map(arguments, pids)), "their end")
-    until(lambda: not folder.exists(), "the folder's end")
+    wait_until(lambda: not any(map(arguments, pids)), "their end")
+    wait_until(lambda: not folder.exists(), "the folder's end")
     assert not (tmp_path / "kept").exists()
 
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -15,6 +15,7 @@
 
 from stairhatch.config.model import ConfigError
 from stairhatch.config.platform import read_platform
+from stairhatch.emulators.ports import free_port
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.call_manager import CallManager
@@ -35,7 +36,8 @@
     TextShape,
 )
 
-from .peers import Program, free_port, instance
+from .support.program import Program
+from .support.scripted_coordinator import endpoint_entry
 
 PLAIN = (1.0, 0.1, "read_like")
 
@@ -312,7 +314,7 @@
 
 TOO_LARGE = {
     "index": 1,
-    "updates": [{"index": 1, "endpoints": {"instances": [instance("s", 9, cell=10**9)]}}],
+    "updates": [{"index": 1, "endpoints": {"instances": [endpoint_entry("s", 9, cell=10**9)]}}],
 }
 
 
@@ -336,8 +338,8 @@
     program = Program(tmp_path, RELAY_CONFIG=str(path))
     started.append(program)
     assert program.process.wait(20) == 2
-    assert program.text().count("\n") == 1
-    assert f"{path}: {says}" in program.text()
+    assert program.log_text().count("\n") == 1
+    assert f"{path}: {says}" in program.log_text()
 
 
 class Stage:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,10 +21,16 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
-from .peers import SETTINGS, Caller, Coordinator, InProcessNode, Program, RosterServer, instance, until
+from .support.in_process_node import InProcessNode
+from .support.platform_config import SETTINGS
+from .support.program import Program
+from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_server import ScriptedServer
+from .support.sip_caller import SipCaller
+from .support.waiting import wait_until
 
 IDS = iter(f"{n:016x}" for n in range(0x5E0001, 0x5E9999))
-SILENT = RosterServer.silent
+SILENT = ScriptedServer.never_answers
 
 
 @pytest.fixture
@@ -33,9 +39,9 @@
     started = []
 
     def start(*scripts, sockets=1024):
-        servers = [RosterServer(script) for script in scripts]
-        lines = [instance(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-        coordinator = Coordinator(*lines)
+        servers = [ScriptedServer(script) for script in scripts]
+        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
+        coordinator = ScriptedCoordinator(*lines)
         program = Program.on_platform(tmp_path, coordinator, sockets=sockets)
         started.append(program)
         return program, coordinator, servers
@@ -60,16 +66,16 @@
 def test_a_reload_moves_to_the_new_coordinator_and_keeps_the_number(stage):
     """Guards against a softswitch that ends on SIGHUP, stays with the old coordinator or begins anew."""
     program, old, (server,) = stage(None)
-    other = RosterServer()
-    new = Coordinator()
+    other = ScriptedServer()
+    new = ScriptedCoordinator()
     new.events = list(old.events)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "coordinator": f"127.0.0.1:{new.port}"}))
     assert line["result"] == "applied" and line["restart_required"] == "-"
-    new.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
-    assert new.asked[0] == 1, "the number of the last event was not kept"
+    new.publish(endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1))
+    assert new.polled_indices[0] == 1, "the number of the last event was not kept"
     served(program)
-    assert other.of("START") and not server.of("START")
+    assert other.messages("START") and not server.messages("START")
 
 
 ODD = {"index": 1, "updates": [{"index": 1}, 5]}
@@ -82,10 +88,12 @@
     text = program.path.read_text()
     bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
     assert program.reload(bad)["result"] == "rejected"
-    other = RosterServer()
-    coordinator.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
+    other = ScriptedServer()
+    coordinator.publish(
+        endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
+    )
     served(program)
-    assert other.of("START")
+    assert other.messages("START")
     assert program.reload(text)["result"] == "applied"
 
 
@@ -100,20 +108,20 @@
 
 def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, stage):
     """Guards against a small site that must end its calls to change a prefix or a roster server."""
-    one, two = RosterServer(), RosterServer()
+    one, two = ScriptedServer(), ScriptedServer()
     program = Program.as_appliance(tmp_path, one, one)
     stage.started.append(program)
     text = program.path.read_text().replace(f"127.0.0.1:{one.port}", f"127.0.0.1:{two.port}")
     text = text.replace('"roster-a"', '"roster-c"').replace('"roster-b"', '"roster-d"')
     assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "applied"
-    caller = Caller(program.address, udp=True)
+    caller = SipCaller(program.address, udp=True)
     headers = {
         "via": f"SIP/2.0/UDP {caller.host};branch=z9hG4bKr", "from": "<sip:a@net>;tag=1",
         "to": "<sip:812@net>", "call-id": "r", "cseq": "1 INVITE", "contact": f"<sip:a@{caller.host}>",
     }  # fmt: skip
     caller.send("INVITE", "sip:812@net", headers)
     caller.expect("r", 200)
-    assert two.of("START")[0]["opts"]["class"] == "save-roster" and not one.of("START")
+    assert two.messages("START")[0]["opts"]["class"] == "save-roster" and not one.messages("START")
 
 
 def test_a_drain_answers_who_still_waits_before_the_process_is_killed(stage):
@@ -122,11 +130,11 @@
     """
     program, _, (server,) = stage(SILENT)
     caller, ident = program.caller(), next(IDS)
-    caller.invite(ident, within=9000)
-    until(lambda: server.of("START"))
+    caller.invite(ident, answer_within_ms=9000)
+    wait_until(lambda: server.messages("START"))
     assert program.stop() == 0
-    until(lambda: caller.closed)
-    assert caller.finals(ident) == [503] and program.lines("drain_deadline_reached")
+    wait_until(lambda: caller.closed)
+    assert caller.final_statuses(ident) == [503] and program.log_events("drain_deadline_reached")
 
 
 # ---- the coordinator ----
@@ -138,12 +146,14 @@
     leaves the connection open.
     """
     program, coordinator, (server,) = stage(None)
-    other = RosterServer()
-    coordinator.spoil = [spoil, spoil]
-    coordinator.tell(instance("s-0", server.port, 0, "terminating"), instance("s-1", other.port, 1))
-    assert coordinator.asked.count(1) >= 3, "the number moved on before the event was whole"
+    other = ScriptedServer()
+    coordinator.answer_faults = [spoil, spoil]
+    coordinator.publish(
+        endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
+    )
+    assert coordinator.polled_indices.count(1) >= 3, "the number moved on before the event was whole"
     served(program)
-    assert other.of("START")
+    assert other.messages("START")
 
 
 def test_a_silent_coordinator_is_left_within_the_time_that_changes_count_as_told():
@@ -172,8 +182,8 @@
     """
     program, _, (slow, other) = stage(SILENT, None, sockets=32)
     waiting, ident = program.caller(), next(IDS)
-    waiting.invite(ident, within=9000)
-    until(lambda: slow.of("START"))
+    waiting.invite(ident, answer_within_ms=9000)
+    wait_until(lambda: slow.messages("START"))
     crowd = []
     for _ in range(60):
         crowd.append(program.caller())
@@ -181,10 +191,10 @@
             crowd[-1].send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
     # At the silent server it might rightly be refused: on a loaded machine it came once that was flagged.
     newcomer, late = program.caller(), next(IDS)
-    newcomer.invite(late, within=9000, routing_data="dest:1;width:1;via:-1")
+    newcomer.invite(late, answer_within_ms=9000, routing_data="dest:1;width:1;via:-1")
     newcomer.expect(late, 200)
-    assert [m["tag"] for m in other.of("START")] == [late]
-    slow.say("STARTED", ident, blob="d")
+    assert [m["tag"] for m in other.messages("START")] == [late]
+    slow.send("STARTED", ident, blob="d")
     waiting.expect(ident, 200)
 
 
@@ -199,12 +209,12 @@
     if front == "platform":
         program = stage(None)[0]
     else:
-        program = Program.as_appliance(tmp_path, RosterServer(), RosterServer())
+        program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer())
         stage.started.append(program)
     caller = program.caller()
-    caller.raw(data)
-    until(lambda: caller.closed, "the end of the connection")
-    assert [m.status for _, m in caller.got] == ([status] if status else [])
+    caller.send_bytes(data)
+    wait_until(lambda: caller.closed, "the end of the connection")
+    assert [m.status for _, m in caller.received] == ([status] if status else [])
 
 
 def test_a_release_goes_on_the_calls_own_connection(stage):
@@ -214,10 +224,10 @@
     caller.invite(ident)
     caller.expect(ident, 200)
     passer.send("BYE", "sip:x@net", {"call-id": next(IDS), "cseq": "1 BYE"})
-    until(lambda: passer.got)
-    server.say("FINISH", ident, rc=16)
+    wait_until(lambda: passer.received)
+    server.send("FINISH", ident, rc=16)
     caller.expect(ident, "BYE")
-    assert not passer.of(ident, "BYE")
+    assert not passer.messages(ident, "BYE")
 
 
 def test_a_release_that_is_not_heard_goes_on_another_connection(stage):
@@ -229,9 +239,9 @@
     others = [program.caller() for _ in range(2)]
     for other in others:
         other.send("BYE", "sip:x@net", {"call-id": next(IDS), "cseq": "1 BYE"})
-        until(lambda other=other: other.got)
+        wait_until(lambda other=other: other.received)
     caller.close()
-    server.say("FINISH", ident, rc=16)
+    server.send("FINISH", ident, rc=16)
     for other in others:
         other.expect(ident, "BYE")
 
@@ -277,13 +287,13 @@
     program, _, (server,) = stage(SILENT)
     good, bad, ident = program.caller(), program.caller(), next(IDS)
     good.invite(ident)
-    until(lambda: server.of("START"))
-    bad.raw(data)
-    until(lambda: bad.got, "a refusal")
-    assert [m.status for _, m in bad.got] == [400]
-    server.say("STARTED", ident, blob="d")
+    wait_until(lambda: server.messages("START"))
+    bad.send_bytes(data)
+    wait_until(lambda: bad.received, "a refusal")
+    assert [m.status for _, m in bad.received] == [400]
+    server.send("STARTED", ident, blob="d")
     good.expect(ident, 200)
-    assert len(server.of("START")) == 1 and "fault" not in program.text()
+    assert len(server.messages("START")) == 1 and "fault" not in program.log_text()
 
 
 def test_an_id_is_used_once(stage):
@@ -291,16 +301,16 @@
     program, _, (server,) = stage(SILENT)
     good, bad, ident = program.caller(), program.caller(), next(IDS)
     good.invite(ident)
-    until(lambda: server.of("START"))
+    wait_until(lambda: server.messages("START"))
     bad.invite(ident, body=b"another")
     bad.expect(ident, 482)
-    server.say("STARTED", ident, blob="d")
+    server.send("STARTED", ident, blob="d")
     good.expect(ident, 200)
-    server.say("FINISH", ident, rc=16)
+    server.send("FINISH", ident, rc=16)
     good.expect(ident, "BYE")
     bad.invite(ident)
-    until(lambda: bad.finals(ident) == [482, 482], "the second refusal")
-    assert len(server.of("START")) == 1 and good.finals(ident) == [200]
+    wait_until(lambda: bad.final_statuses(ident) == [482, 482], "the second refusal")
+    assert len(server.messages("START")) == 1 and good.final_statuses(ident) == [200]
 
 
 def test_callers_that_bring_nothing_usable_are_cut(stage):
@@ -308,8 +318,8 @@
     program, _, _ = stage(None)
     bad = program.caller()
     for _ in range(200):
-        bad.raw(invite(within="-5"))
-    until(lambda: bad.closed, "the end of the connection")
+        bad.send_bytes(invite(within="-5"))
+    wait_until(lambda: bad.closed, "the end of the connection")
     served(program)
 
 
@@ -335,9 +345,9 @@
 
     def spoil(message, send):
         """At the second set-up, at once: later the link would be held for silent, another one dialled."""
-        if len(server.of("START")) == 2:
-            server.script = RosterServer.answers
-            server.links[0].sendall(noise)
+        if len(server.messages("START")) == 2:
+            server.script = ScriptedServer.establishes
+            server.connections[0].sendall(noise)
 
     server.script = spoil
     caller, idents = program.caller(), [next(IDS), next(IDS)]
@@ -345,7 +355,7 @@
         caller.invite(ident)
     for ident in idents:
         caller.expect(ident, 200)
-    assert len(server.links) == 2, "a new link, and only one"
+    assert len(server.connections) == 2, "a new link, and only one"
 
 
 def test_second_copies_and_unknown_tags_harm_nothing(stage):
@@ -360,10 +370,10 @@
     caller, ident = program.caller(), next(IDS)
     caller.invite(ident)
     caller.expect(ident, 200)
-    server.say("FINISH", ident, rc=16)
+    server.send("FINISH", ident, rc=16)
     caller.expect(ident, "BYE")
-    assert caller.finals(ident) == [200] and len(server.links) == 1
-    assert not server.of("FINISH"), "what is none of ours is not released"
+    assert caller.final_statuses(ident) == [200] and len(server.connections) == 1
+    assert not server.messages("FINISH"), "what is none of ours is not released"
 
 
 def test_a_link_cut_off_without_a_word_is_found_out_and_its_set_ups_go_on(stage):
@@ -376,21 +386,21 @@
     caller.expect(standing, 200)
     server.script = SILENT
     caller.invite(waiting)
-    until(lambda: len(server.of("START")) == 2)
+    wait_until(lambda: len(server.messages("START")) == 2)
     caller.send("BYE", "sip:x@net", {"call-id": standing, "cseq": "2 BYE"})
-    until(lambda: len(server.links) == 2, "a second link")
-    until(lambda: len(server.of("FINISH")) == 2, "the release, written again")
-    server.script = RosterServer.answers
+    wait_until(lambda: len(server.connections) == 2, "a second link")
+    wait_until(lambda: len(server.messages("FINISH")) == 2, "the release, written again")
+    server.script = ScriptedServer.establishes
 
     def told():
-        server.say("LOAD", "", opts={"load": "free:50;size:90"})
+        server.send("LOAD", "", opts={"load": "free:50;size:90"})
         time.sleep(0.1)
-        return caller.finals(waiting)
+        return caller.final_statuses(waiting)
 
-    until(told)
-    assert caller.finals(waiting) == [200] and program.lines("server_connection_dead")
-    assert {m["tag"] for m in server.of("FINISH")} == {standing}
-    until(lambda: len(server.links) >= 3, "a link for what was released on the dead one")
+    wait_until(told)
+    assert caller.final_statuses(waiting) == [200] and program.log_events("server_connection_dead")
+    assert {m["tag"] for m in server.messages("FINISH")} == {standing}
+    wait_until(lambda: len(server.connections) >= 3, "a link for what was released on the dead one")
 
 
 def test_a_link_that_is_merely_slow_keeps_its_set_ups(stage):
@@ -398,14 +408,14 @@
     program, _, (server,) = stage(SILENT)
     caller, ident = program.caller(), next(IDS)
     caller.invite(ident)
-    until(lambda: len(server.links) == 2, "a second link")
+    wait_until(lambda: len(server.connections) == 2, "a second link")
     for _ in range(5):
-        for link in server.links:
-            server.say("LOAD", "", link, opts={"load": "free:50;size:90"})
+        for link in server.connections:
+            server.send("LOAD", "", link, opts={"load": "free:50;size:90"})
         time.sleep(0.2)
-    server.say("STARTED", ident, server.links[0], blob="d")
+    server.send("STARTED", ident, server.connections[0], blob="d")
     caller.expect(ident, 200)
-    assert len(server.of("START")) == 1 and not program.lines("server_connection_dead")
+    assert len(server.messages("START")) == 1 and not program.log_events("server_connection_dead")
 
 
 def a_link(now):
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -20,7 +20,9 @@
 from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, TimerPolicy
 from stairhatch.sip.transactions import LAST, T4, Transactions
 
-from .peers import InProcessNode, Line, sip_headers
+from .support.in_process_node import InProcessNode
+from .support.recording_flow import RecordingFlow
+from .support.sip_messages import sip_headers
 
 BOUNDED = settings(
     derandomize=True, max_examples=150, deadline=None, database=None,
@@ -427,27 +429,23 @@
 
 def test_a_restart_ends_on_both_sides_what_it_cannot_wait_for():
     """Guards against dialogs that the next process knows nothing of, and calls that nobody releases."""
-    line = Line(InProcessNode())
-    line.ask()
-    line.inside.establish()
-    line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
-    assert line.inside.front.end_dialogs() == 1
+    line = RecordingFlow(InProcessNode())
+    line.request()
+    line.node.establish()
+    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
+    assert line.node.front.end_dialogs() == 1
     assert line.sent[-1].method == "BYE" and "cause=41" in line.sent[-1].get("reason")
-    assert (
-        len(line.inside.releases) == 1
-        and not line.inside.core.calls.by_number
-        and not line.inside.front.dialogs
-    )
+    assert len(line.node.releases) == 1 and not line.node.core.calls.by_number and not line.node.front.dialogs
 
 
 def test_a_bye_whose_connection_dies_goes_another_way():
     """Guards against a release that is lost with its connection (client transactions fail over)."""
     inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
-    line = Line(inside, reliable=True)
-    line.ask(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
+    line = RecordingFlow(inside, reliable=True)
+    line.request(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
     inside.establish()
-    line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
+    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
     attempt = inside.written[0]
     inside.core.responses.call_released(
         attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
@@ -462,12 +460,12 @@
 
 def test_a_call_from_before_users_were_asked_for_can_still_end():
     """Guards against dialogs that nobody can hang up once a reload has turned users on."""
-    line = Line(InProcessNode())
-    line.ask()
-    line.inside.establish()
-    tag = line.tag()
-    line.ask("ACK", to=f"<sip:7@net>;tag={tag}")
-    front = line.inside.front
+    line = RecordingFlow(InProcessNode())
+    line.request()
+    line.node.establish()
+    tag = line.to_tag()
+    line.request("ACK", to=f"<sip:7@net>;tag={tag}")
+    front = line.node.front
     front.guard, _ = guard()
-    assert line.ask("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
-    assert line.ask(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
+    assert line.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
+    assert line.request(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
