--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -103,7 +103,7 @@
     """Guards against a collapse past capacity, and a control that sheds what could be served: at twice
     the capacity 0.9 of what the shedding itself leaves, with a short queue.
     """
-    served, worst = goodput(lambda now: 1000.0 * load)
+    served, worst = goodput(lambda _now: 1000.0 * load)
     left = 1000.0 * (1 - 0.08 * load) / (1 - 0.08) if load > 1 else 1000.0 * load
     assert served > 0.9 * left
     assert worst < 0.25
@@ -187,7 +187,7 @@
     for number in range(5000):
         served += limiter.take(f"10.1.2.{number % 250}", number * 0.0001, True) == 0.0
         assert len(limiter.sources) <= 100
-        assert len(limiter._network_names) <= 100
+        assert len(limiter._network_names) <= 100  # noqa: SLF001  # nothing public tells its size
     assert served <= 10 + 10 * 0.5 + 1
     assert limiter.take("192.168.1.1", 1.0, True) == 0.0
 
@@ -331,13 +331,13 @@
 # ---- at the front ----
 
 
-def ask(inside, method="INVITE", number=1, via_more="", to_tag="", peer=("127.0.0.1", 4000), uri="sip:1@net"):
+def ask(inside, method="INVITE", number=1, via_more="", to_tag=""):
     """A datagram to the front; returns the answers it led to."""
     lines = sip_headers(method, "1", f"z9hG4bK{number}", f"c{number}", to_tag=to_tag)
     lines["via"] += via_more
-    data = sip.request(method, uri, list(lines.items()))
+    data = sip.request(method, "sip:1@net", list(lines.items()))
     port = inside.front.ports[0]
-    port.receive(data, peer)
+    port.receive(data, ("127.0.0.1", 4000))
     sent = [sip_parser.parse_datagram(each) for each, _ in port.output]
     port.output.clear()
     return sent
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -65,33 +65,41 @@
     )
     config = parse_appliance(text, "x.toml", {})
     assert [each.place for each in config.sip.udp] == [("127.0.0.1", 5060), ("::1", 5060)]
-    assert config.sip.udp[1].networks.admits("::1") and not config.sip.udp[1].networks.admits("::2")
+    assert config.sip.udp[1].networks.admits("::1")
+    assert not config.sip.udp[1].networks.admits("::2")
 
 
 def test_the_words_of_the_command_line(tmp_path):
     """Guards against commands that fail without saying so, or in a way that scripts can't see."""
     run, users = CliRunner(), tmp_path / "users.txt"
     good = run.invoke(main_group, ["check-config", str(ROOT / "deploy" / "sip.toml")])
-    assert good.exit_code == 0 and "roster-a, roster-b" in good.output and "everybody" in good.output
+    assert good.exit_code == 0
+    assert "roster-a, roster-b" in good.output
+    assert "everybody" in good.output
     bad = tmp_path / "bad.toml"
     bad.write_text(TEXT.replace("importance", "importanse"))
     refused = run.invoke(main_group, ["check-config", str(bad)])
-    assert refused.exit_code == 2 and "importanse" in refused.output
+    assert refused.exit_code == 2
+    assert "importanse" in refused.output
     added = run.invoke(
         main_group, ["users", "add", str(users), "office", "--realm", "r", "--stdin"], input="long word\n"
     )
     assert added.exit_code == 0, added.output
-    assert users.stat().st_mode & 0o077 == 0 and "long word" not in users.read_text()
-    assert users.read_text().count("office:r:SHA-") == 2 and "MD5" not in users.read_text()
+    assert users.stat().st_mode & 0o077 == 0
+    assert "long word" not in users.read_text()
+    assert users.read_text().count("office:r:SHA-") == 2
+    assert "MD5" not in users.read_text()
     run.invoke(main_group, ["users", "add", str(users), "office", "--realm", "r", "--stdin"], input="other\n")
     assert users.read_text().count("office:r:SHA-") == 2
     shown = run.invoke(main_group, ["users", "list", str(users)]).output
-    assert shown.split()[:2] == ["office", "r"] and not re.search("[0-9a-f]{64}", shown)
+    assert shown.split()[:2] == ["office", "r"]
+    assert not re.search("[0-9a-f]{64}", shown)
     assert run.invoke(main_group, ["users", "remove", str(users), "nobody"]).exit_code == 1
     assert run.invoke(main_group, ["users", "remove", str(users), "office"]).exit_code == 0
     users.write_text("spoilt\n")
     spoilt = run.invoke(main_group, ["users", "add", str(users), "a", "--realm", "r", "--stdin"], input="x\n")
-    assert spoilt.exit_code == 1 and users.read_text() == "spoilt\n"
+    assert spoilt.exit_code == 1
+    assert users.read_text() == "spoilt\n"
 
 
 def test_the_platforms_program_imports_nothing_of_the_appliance():
@@ -139,7 +147,8 @@
     assert lists != text
     program.path.write_text(lists)
     both = Program(tmp_path, "serve", str(program.path)).wait_until_ready(port, program.admin_address[1])
-    assert both is not None and both.wait_until_serving()
+    assert both is not None
+    assert both.wait_until_serving()
     for udp in (True, False):
         six = SipCaller(("::1", port), udp=udp, ipv6=True)
         name = f"six{udp}"
@@ -160,18 +169,18 @@
     program = Program(tmp_path, "serve", str(first.path)).wait_until_ready(
         first.address[1], first.admin_address[1]
     )
-    assert program is not None and program.wait_until_serving()
+    assert program is not None
+    assert program.wait_until_serving()
     caller = SipCaller(program.address, udp=True)
     caller.send("INVITE", "sip:71@net", sip_headers("INVITE", host=caller.host), b"v=0")
     tag = sip.parameters(caller.expect("c1", 200).get("to"))["tag"]
     caller.send("ACK", "sip:71@net", sip_headers("ACK", "1", "z9hG4bKb", host=caller.host, to_tag=tag))
     program.process.send_signal(signal.SIGTERM)
     wait_until(lambda: program.log_events("waiting_for_dialogs"), "the line that tells whom it waits for")
-    assert (
-        program.log_events("waiting_for_dialogs")[0]["dialogs"] == "1"
-        and "waiting for 1 calls" in program.log_text()
-    )
-    assert not server.messages("FINISH") and program.process.poll() is None
+    assert program.log_events("waiting_for_dialogs")[0]["dialogs"] == "1"
+    assert "waiting for 1 calls" in program.log_text()
+    assert not server.messages("FINISH")
+    assert program.process.poll() is None
     if hangs_up:
         caller.send("BYE", "sip:71@net", sip_headers("BYE", "2", "z9hG4bKc", host=caller.host, to_tag=tag))
         wait_until(lambda: any(m.cseq() == (2, "BYE") for m in caller.messages("c1", 200)), "200 to the BYE")
@@ -196,7 +205,8 @@
     inside.core.responses.call_released(
         attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
     )
-    assert not inside.front.ports[0].output and dialled[0].peer == ("127.0.0.1", 4100)
+    assert not inside.front.ports[0].output
+    assert dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
     dialled[1].connection_lost()  # tried twice in vain
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -23,16 +23,16 @@
     def progressing(self):
         self.events.append("progressing")
 
-    def established(self, description):
+    def established(self, _description):
         self.events.append("established")
 
-    def rejected(self, retry_after_s):
+    def rejected(self, _retry_after_s):
         self.events.append("rejected")
 
     def failed(self, timed_out):
-        self.events.append("failed")
+        self.events.append("timed out" if timed_out else "failed")
 
-    def released(self, cause):
+    def released(self, _cause):
         self.events.append("released")
 
 
@@ -46,13 +46,13 @@
 
 
 ENDINGS = {
-    "established": lambda inside, call: inside.establish(),
+    "established": lambda inside, _call: inside.establish(),
     "abandoned": lambda inside, call: inside.core.abandon(call),
-    "the process ends": lambda inside, call: inside.core.answer_pending(),
-    "over before it was heard": lambda inside, call: inside.core.responses.call_released(
+    "the process ends": lambda inside, _call: inside.core.answer_pending(),
+    "over before it was heard": lambda inside, _call: inside.core.responses.call_released(
         inside.core.servers.by_id[1], IDENT, 16, "", LoadReport()
     ),
-    "its time is up": lambda inside, call: inside.run(3.5),
+    "its time is up": lambda inside, _call: inside.run(3.5),
 }
 
 
@@ -64,12 +64,16 @@
     inside = InProcessNode()
     call, caller = offered(inside)
     decided = inside.core.controller
-    assert decided.calls and decided.endpoints[1].pending_setups
+    assert decided.calls
+    assert decided.endpoints[1].pending_setups
     ENDINGS[how](inside, call)
-    assert not decided.calls and not decided.pending and not decided.endpoints[1].pending_setups
+    assert not decided.calls
+    assert not decided.pending
+    assert not decided.endpoints[1].pending_setups
     assert len(caller.events) == (how != "abandoned")
     inside.run(20.0)
-    assert len(inside.written) == 1 and len(caller.events) == (how != "abandoned")
+    assert len(inside.written) == 1
+    assert len(caller.events) == (how != "abandoned")
     assert inside.releases == ([] if how in ("established", "over before it was heard") else [(IDENT, 16)])
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,7 +37,7 @@
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
 from .support.sip_messages import sip_headers
-from .support.waiting import WAIT_LIMIT_S, wait_until
+from .support.waiting import WAIT_LIMIT_S, wait_in_loop, wait_until
 
 IDS = iter(f"{n:016x}" for n in range(0xE0D0001, 0xE0D9999))
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
@@ -158,7 +158,8 @@
     if by == "half-close":  # it still reads, and is told once
         wait_until(lambda: caller.closed, "the end of the connection")
         finals = [m.status for _, m in caller.received if m.status >= 200 and m.cseq()[1] == "INVITE"]
-        assert len(finals) == 1 and finals[0] in (480, 503)
+        assert len(finals) == 1
+        assert finals[0] in (480, 503)
 
 
 def test_a_cancel_that_crosses_the_answer_ends_the_call_on_both_sides(stage):
@@ -313,12 +314,15 @@
     front = PlatformFrontend(inside.core)
     connection, ident = front.connect(), next(IDS)
     connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
-    assert inside.written and connection.has_partial_message()
+    assert inside.written
+    assert connection.has_partial_message()
     connection.read_timed_out()
     connection.data_to_send()
-    assert connection.closing and not connection.can_close()
+    assert connection.closing
+    assert not connection.can_close()
     inside.establish()
-    assert b"SIP/2.0 200" in connection.data_to_send() and connection.can_close()
+    assert b"SIP/2.0 200" in connection.data_to_send()
+    assert connection.can_close()
 
 
 def trunk_invite(ident, kind="ebb", body=b"d"):
@@ -341,11 +345,11 @@
         sock = socket.create_server(("127.0.0.1", 0))
         listener = network.listen(sock, front.connect, ListenerLimits(1, eviction_grace_s=0.05))
         old = socket.create_connection(sock.getsockname())
-        while not listener.connections:
-            await asyncio.sleep(0.001)
+        await wait_in_loop(lambda: listener.connections)
         one = next(iter(listener.connections))
-        while one.reading_ended is None or network.loop.time() <= one.received_at + 0.05:
-            await asyncio.sleep(0.001)  # it is read, and old enough to be evicted
+        await wait_in_loop(  # it is read, and old enough to be evicted
+            lambda: one.reading_ended is not None and network.loop.time() > one.received_at + 0.05
+        )
         new = socket.socket()
         new.setblocking(False)
         ident = next(IDS)
@@ -364,7 +368,8 @@
             if inside.written or one not in listener.connections:
                 break
         assert [each.call.request.ident for each in inside.written] == [ident]
-        assert one in listener.connections and not one.protocol.closing
+        assert one in listener.connections
+        assert not one.protocol.closing
         old.close()
         new.close()
         for task in list(network.tasks.running):
@@ -389,9 +394,8 @@
     inside.run(0.2)
     assert late.data_to_send().count(b"BYE sip:") == 1
     inside.run(60.0)
-    assert (
-        not front.registry.deliveries.pending and inside.core.counters.counts["releases_unacknowledged"] == 1
-    )
+    assert not front.registry.deliveries.pending
+    assert inside.core.counters.counts["releases_unacknowledged"] == 1
 
 
 def test_a_fault_in_a_timer_takes_no_other_with_it():
@@ -400,7 +404,8 @@
     inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
     inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
     inside.run(0.2)
-    assert done == ["the answer"] and inside.core.counters.counts["timer_faults"] == 1
+    assert done == ["the answer"]
+    assert inside.core.counters.counts["timer_faults"] == 1
 
 
 # ---- the end of the program ----
@@ -442,8 +447,7 @@
         application.start_discovery()
         application.parts.core.readiness.reject_after_s = 0.0
         caller = socket.create_connection(application.parts.caller_listeners[0].sock.getsockname())
-        while not application.parts.caller_listeners[0].connections:
-            await asyncio.sleep(0.001)
+        await wait_in_loop(lambda: application.parts.caller_listeners[0].connections)
         settled, found = application.parts.core.is_settled, []
 
         def watched():
@@ -562,7 +566,8 @@
     caller.invite(ident, "slack", 20_000)
     wait_until(lambda: caller.final_statuses(ident))
     times = [at for at, message in server.received if message["verb"] == "START" and message["tag"] == ident]
-    assert len(times) == 2 and all(b - a >= 0.83 for a, b in pairwise(times))
+    assert len(times) == 2
+    assert all(b - a >= 0.83 for a, b in pairwise(times))
 
 
 def test_an_older_number_of_the_list_is_told_and_changes_nothing():
@@ -582,9 +587,8 @@
     answer(9)
     directory.data_to_send()
     answer(4)
-    assert directory.last_index == 9 and [
-        fields["why"] for event, fields in told if event == "service_discovery"
-    ]
+    assert directory.last_index == 9
+    assert [fields["why"] for event, fields in told if event == "service_discovery"]
     assert not directory.data_to_send(), "it answered at once: the next question waits"
     inside.run(EMPTY_ANSWER_PAUSE_S + 0.01)
     assert b"follow=9" in directory.data_to_send()
@@ -638,7 +642,8 @@
     if front == "appliance":  # a 200 goes again until its ACK, which is not sent here
         finals = [sorted(set(each)) for each in finals]
     assert all(len(each) == 1 for each in finals), finals
-    assert finals.count([200]) == len(stand) + 1 and {each[0] for each in finals} <= {200, 408, 480, 500, 503}
+    assert finals.count([200]) == len(stand) + 1
+    assert {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.log_text()
     limit = text.find(" drain_deadline_reached ")
     assert text.count(" drain_deadline_reached ") == (
@@ -646,7 +651,8 @@
     ), "there the limit ends it, at once for all"
     assert " attempt_sent " not in text[limit:] or front != "platform", "nothing new after it"
     tags = [line["call"] for line in program.log_events("attempt_sent")]
-    assert tags.count(answered) == 1 and all(tags.count(tag) == 1 for tag in stand)
+    assert tags.count(answered) == 1
+    assert all(tags.count(tag) == 1 for tag in stand)
     ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
     assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
     for each in (gate, *full):
@@ -681,7 +687,8 @@
             refused.append((caller, ident))
     for told, ident in refused:
         (answer,) = told.messages(ident, 503)
-        assert int(answer.get("come-back-ms")) > 0 and ident not in starts(server)
+        assert int(answer.get("come-back-ms")) > 0
+        assert ident not in starts(server)
     assert program.admin_command("drain-off").startswith("ok")
     caller, ident = ask(program, "platform")
     caller.expect(ident, 200)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -31,7 +31,7 @@
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
 from .support.sip_messages import sip_headers as headers_of
-from .support.waiting import WAIT_LIMIT_S, wait_until
+from .support.waiting import wait_in_loop, wait_until
 from .test_endings import RESET, TIDE, leave, trunk_invite
 
 IDS = iter(f"{n:016x}" for n in range(0x1EA70001, 0x1EA79999))
@@ -251,14 +251,14 @@
     go_on(program)
     wait_until(lambda: len(stays.attempts(servers)) > 1, "who stays sent again")
     cancelled = [*waiting, *fresh]
-    wait_until(lambda: all(heard_cancel(each, front, by) for each in cancelled), "that the CANCELs were read")
+    wait_until(lambda: all(heard_cancel(each, front) for each in cancelled), "that the CANCELs were read")
     later = Leaver(program, front)
     wait_until(lambda: len(later.attempts(servers)) > 1, "one who came after")
     assert [len(each.attempts(servers)) for each in waiting] == [1] * TIMES
     assert [len(each.attempts(servers)) for each in fresh] == [0] * TIMES
 
 
-def heard_cancel(leaver, front, by):
+def heard_cancel(leaver, front):
     """Whether what a CANCEL leads to has come: on the appliance the final answer to the INVITE, on the
     platform nothing but the answer to the CANCEL, which another may have got.
     """
@@ -296,7 +296,7 @@
 
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster"))
-        await come(lambda: core.calls.unanswered == len(idents))
+        await wait_in_loop(lambda: core.calls.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
             connected = link.connection_made
@@ -306,7 +306,7 @@
             before = 0
         else:
             network.dial(link)
-            await come(lambda: len(asked(set(idents))) == len(idents))
+            await wait_in_loop(lambda: len(asked(set(idents))) == len(idents))
             left, set_up = set(gone), side.send_setup
 
             def queued(attempt):
@@ -320,10 +320,10 @@
             for ident in idents:
                 server.send("FINISH", ident, rc=41)
             before = len(gone)
-        await come(lambda: core.calls.is_established(stays))
+        await wait_in_loop(lambda: core.calls.is_established(stays))
         late = next(IDS)
         callers[-1].sendall(trunk_invite(late, "read-roster"))
-        await come(lambda: late in asked({late}))
+        await wait_in_loop(lambda: late in asked({late}))
         assert len(asked(gone)) == before, f"{len(asked(gone)) - before} of {len(gone)} were sent on"
         server.close()
         await end(network, *callers)
@@ -378,9 +378,9 @@
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(trunk_invite(ident, "read-roster", b"d" * 12_000))
-        await come(lambda: core.calls.unanswered == len(idents))
+        await wait_in_loop(lambda: core.calls.unanswered == len(idents))
         network.dial(link)
-        await come(lambda: link.writing)
+        await wait_in_loop(lambda: link.writing)
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
         begun = set(link.pending_setups)
@@ -388,7 +388,7 @@
         assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             go_now(caller, ident, way)
-        await come(lambda: core.calls.unanswered == 1)
+        await wait_in_loop(lambda: core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
         lines, data = [], b""
@@ -408,14 +408,6 @@
     return {each["tag"] for each in lines if each["verb"] == "START"}
 
 
-async def come(condition):
-    """Wait for a condition in the loop."""
-    until_s = asyncio.get_running_loop().time() + WAIT_LIMIT_S
-    while not condition():
-        assert asyncio.get_running_loop().time() < until_s
-        await asyncio.sleep(0.001)
-
-
 async def end(network, *socks):
     """Nothing is left behind."""
     for each in socks:
@@ -452,5 +444,7 @@
 
     inside.core.attempts.claim_transmission = slow
     started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
-    assert len(looks) == 2 and started == idents[1:] and set(link.pending_setups) == set(idents[1:])
+    assert len(looks) == 2
+    assert started == idents[1:]
+    assert set(link.pending_setups) == set(idents[1:])
     assert inside.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -110,7 +110,8 @@
         (b"drain-", False, "no whole line came in time"),
     ]:
         answer = program.admin_command(line, ends)
-        assert answer.startswith("fail ") and says in answer
+        assert answer.startswith("fail ")
+        assert says in answer
     assert program.admin_command(b"check\r\nand more").startswith("ok serving")
     assert program.admin_command("drain-on").startswith("ok draining")
     assert program.admin_command("check") == "fail draining"
@@ -209,7 +210,7 @@
 def test_a_check_is_logged_when_its_answer_changes():
     """Guards against a log full of checks: a front asks ten times a second, for as long as a drain lasts."""
     inside, lines = InProcessNode(), []
-    inside.log = lambda event, **fields: lines.append(fields.get("answer"))
+    inside.log = lambda _event, **fields: lines.append(fields.get("answer"))
     for on in (False, True, False):
         inside.core.readiness.drain(on)
         lines.clear()
@@ -294,9 +295,11 @@
     assert ask(0, "OPTIONS").status == 503
     answers = []
     wait_until(lambda: answers.append(ask(len(answers))) or answers[-1].status == 503, "a refusal")
-    assert answers[0].status == 200 and answers[-1].get("retry-after") == "1"
+    assert answers[0].status == 200
+    assert answers[-1].get("retry-after") == "1"
     program.admin_command("drain-off")
-    assert ask(0, "OPTIONS").status == 200 and ask(-1).status == 200
+    assert ask(0, "OPTIONS").status == 200
+    assert ask(-1).status == 200
 
 
 def front_of(inside):
@@ -319,13 +322,15 @@
     inside = InProcessNode()
     _, one, two, _ = front_of(inside)
     inside.core.readiness.drain(True)
-    assert one.is_idle() and two.is_idle(), "each may go while the other stays"
+    assert one.is_idle(), "each may go while the other stays"
+    assert two.is_idle(), "each may go while the other stays"
     two.close_when_idle()
     assert not one.is_idle(), "the last one is kept for the call that stands"
     inside.run(RELEASE_PATH_S - 0.1)
     assert not one.is_idle()
     inside.run(0.2)
-    assert one.is_idle() and RELEASE_PATH_S < 3.8
+    assert one.is_idle()
+    assert RELEASE_PATH_S < 3.8
 
 
 def test_an_ending_program_keeps_no_connection_for_calls_that_live_on():
@@ -383,7 +388,8 @@
     assert statuses(one.protocol, ident) == [200]
     inside.core.release(inside.core.calls.by_ident[ident], 16)
     listener.close_idle()
-    assert one.protocol.closing and theirs.recv(1) == b"", "it ends cleanly"
+    assert one.protocol.closing
+    assert theirs.recv(1) == b"", "it ends cleanly"
 
 
 def test_new_set_ups_are_refused_only_some_time_into_a_drain():
@@ -395,7 +401,8 @@
     connection.receive_data(trunk_invite(early := next(IDS)))
     inside.run(0.2)
     connection.receive_data(trunk_invite(late := next(IDS)))
-    assert statuses(connection, late) == [503] and early in inside.core.calls.by_ident
+    assert statuses(connection, late) == [503]
+    assert early in inside.core.calls.by_ident
     inside.core.readiness.drain(False)
     connection.receive_data(trunk_invite(again := next(IDS)))
     assert again in inside.core.calls.by_ident
@@ -407,7 +414,8 @@
     door = AdminConnection(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         door.receive_data(piece)
-    assert door.data_to_send().startswith(b"ok draining") and door.can_close()
+    assert door.data_to_send().startswith(b"ok draining")
+    assert door.can_close()
     assert inside.core.readiness.drain_since is not None
 
 
@@ -494,7 +502,8 @@
         *(text.replace(limit, f"hard_limit_s = {bad} #") for bad in ("nan", "inf", "true", '"9"', "0", "-1")),
         *(text.replace(cap, f"send_cap = {bad}") for bad in ("nan", "inf", "true", '"9"', "0", "-1", "2.5")),
     ]:  # fmt: skip
-        assert each != text and program.reload(each)["result"] == "rejected", each
+        assert each != text
+        assert program.reload(each)["result"] == "rejected", each
     new = text.replace('"save-roster"', '"plan-roster"').replace(limit, "hard_limit_s = 4.0 #")
     line = program.reload(new)
     assert (line["result"], line["added"], line["removed"]) == ("applied", "plan-roster", "save-roster")
@@ -553,19 +562,19 @@
     connection.receive_data(trunk_invite(new := next(IDS), "3000"))
     call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
-    assert (
-        call.request.call_class is kept
-        and kept.idempotent
-        and (call.max_attempts, other.max_attempts) == (6, 1)
-    )
+    assert call.request.call_class is kept
+    assert kept.idempotent
+    assert (call.max_attempts, other.max_attempts) == (6, 1)
     assert not other.request.call_class.idempotent
     server = inside.core.servers.by_id[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
             inside.core.responses.call_released(server, ident, 41, "", inside.empty_report())
         inside.run(2.0)
-    assert statuses(connection, new) == [500] and statuses(connection, old) == []
-    assert call.attempts > 1 and old in inside.core.calls.by_ident
+    assert statuses(connection, new) == [500]
+    assert statuses(connection, old) == []
+    assert call.attempts > 1
+    assert old in inside.core.calls.by_ident
 
 
 def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
@@ -600,11 +609,10 @@
         replace(controller.settings, classes=(shorter,), instance_count=10, max_attempts=1)
     )
     fresh = Controller(controller.settings, random.Random(1))
-    assert vars(controller.thresholds) == vars(fresh.thresholds) and controller.settings.max_attempts == 1
-    assert (
-        controller.endpoints[10].concurrency_limit == 7.5
-        and controller.parts.durations.expected.mean == length
-    )
+    assert vars(controller.thresholds) == vars(fresh.thresholds)
+    assert controller.settings.max_attempts == 1
+    assert controller.endpoints[10].concurrency_limit == 7.5
+    assert controller.parts.durations.expected.mean == length
     assert controller.parts.caller_retries.usual_timeout_s == {
         "vital": kept["vital"] / 2
     }, "by its name, and in proportion"
@@ -664,7 +672,8 @@
     new = platform.start()
     old.process.terminate()
     wait_until(lambda: keeps.closed, "the end of a kept connection at an idle moment")
-    assert old.process.poll() is None and not waits.closed
+    assert old.process.poll() is None
+    assert not waits.closed
     server.script = ScriptedServer.establishes
     callers = [new.caller() for _ in range(8)]
     for caller in callers:
@@ -725,7 +734,8 @@
     for _ in range(5):
         caller.invite(ident := next(IDS))
         caller.expect(ident, 200)
-    assert len(second.messages("START")) == 5 and not first.messages("START")
+    assert len(second.messages("START")) == 5
+    assert not first.messages("START")
 
 
 def test_unanswered_calls_end_before_an_upgrades_sigkill(upgrade):
@@ -751,10 +761,8 @@
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
     directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert (
-        inside.core.readiness.list_known
-        and int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
-    )
+    assert inside.core.readiness.list_known
+    assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
 def test_a_coordinator_that_says_nothing_does_not_keep_a_known_list_from_serving():
@@ -767,7 +775,7 @@
     assert inside.core.readiness.health().is_ready
 
 
-def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch, tmp_path):
+def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
     """Guards against a program that never ends because somebody takes no answer."""
     settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
@@ -793,7 +801,8 @@
     path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
     program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given)
     assert program.process.wait(20) == 2
-    assert program.log_text().count("\n") == 1 and says in program.log_text()
+    assert program.log_text().count("\n") == 1
+    assert says in program.log_text()
 
 
 def test_two_processes_together_keep_within_the_limits():
@@ -830,7 +839,7 @@
     def __init__(self, unread=b""):
         self.unread = unread
 
-    def recv(self, size, flags):
+    def recv(self, size, _flags):
         if not self.unread:
             raise BlockingIOError
         return self.unread[:size]
@@ -882,7 +891,8 @@
     statuses(idle.protocol, "p")
     inside.run(1.0)
     for expected in (silent, idle, under_way):
-        assert listener.evict() and expected.protocol.closing
+        assert listener.evict()
+        assert expected.protocol.closing
         closing = sum(one.protocol.closing for one in (silent, idle, under_way))
         assert closing == 3 - len(listener.connections)
 
@@ -895,8 +905,11 @@
     inside = InProcessNode()
     listener, (newcomer, silent) = listener_of(inside, 2, End(trunk_invite(next(IDS))), End())
     inside.run(1.0)
-    assert listener.evict() and silent.protocol.closing and not newcomer.protocol.closing
-    assert not listener.evict() and list(listener.connections) == [newcomer]
+    assert listener.evict()
+    assert silent.protocol.closing
+    assert not newcomer.protocol.closing
+    assert not listener.evict()
+    assert list(listener.connections) == [newcomer]
 
 
 def test_a_silent_link_is_doubted_though_its_set_ups_are_given_up_early():
@@ -916,7 +929,8 @@
         headers = [("call-id", ident), ("cseq", "1 CANCEL")]
         connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
         links[0].data_to_send()
-    assert side.standby and not links[0].pending_setups
+    assert side.standby
+    assert not links[0].pending_setups
 
 
 def test_a_second_link_that_says_nothing_at_all_is_doubted_at_once():
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -33,8 +33,10 @@
     assert len(found) == 3
     for message in found:
         assert message.get_all("via") == ["SIP/2.0/UDP a;branch=z9hG4bK1", "SIP/2.0/TCP b"]
-        assert message.cseq() == (7, "INVITE") and message.body == b"abc"
-        assert message.get("from").startswith('"A, B"') and message.get_all("to") == ["<sip:7@net;x=1,2>"]
+        assert message.cseq() == (7, "INVITE")
+        assert message.body == b"abc"
+        assert message.get("from").startswith('"A, B"')
+        assert message.get_all("to") == ["<sip:7@net;x=1,2>"]
 
 
 @pytest.mark.parametrize("length", ["-1", "3 ", "x", "3\r\nContent-Length: 4", "99999999999"])
@@ -52,10 +54,14 @@
 def test_a_head_without_end_is_refused():
     """Guards against memory filled by one connection."""
     parser = sip_parser.StreamParser()
-    with pytest.raises(sip_parser.SipError) as error:
+
+    def read_20_header_fields():
         for _ in range(20):
             parser.feed(b"a: " + b"b" * 1000 + b"\r\n")
             parser.next_message()
+
+    with pytest.raises(sip_parser.SipError) as error:
+        read_20_header_fields()
     assert error.value.status == 413
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -65,7 +65,8 @@
     assert sum(len(server.messages("START")) for server in servers) == sends
     if status == 200:
         start = servers[-1].messages("START")[0]
-        assert start["opts"]["class"] == kind and start["opts"]["key"] == "7f3a9c21e0b4d655"
+        assert start["opts"]["class"] == kind
+        assert start["opts"]["key"] == "7f3a9c21e0b4d655"
         assert caller.messages(ident, 200)[0].body == ("v=0 " + start["blob"]).encode()
         assert start["blob"] == 'quotes " and æøå\r\n'
 
@@ -164,7 +165,8 @@
     first, second = next(IDS), next(IDS)
     caller.invite(first)
     caller.expect(first, 200)
-    assert not server.messages("START") and other.messages("START")
+    assert not server.messages("START")
+    assert other.messages("START")
     coordinator.publish(
         endpoint_entry("s-0", server.port, 0, "terminated"), endpoint_entry("s-9", server.port, 0),
         endpoint_entry("s-1", other.port, 1, "terminating"),
@@ -188,9 +190,11 @@
     for ident in (early, late):
         server.send("STARTED", ident, blob="d")
     assert program.process.wait(20) == 0
-    assert caller.final_statuses(early) == [200] and newcomer.final_statuses(late) == [200]
+    assert caller.final_statuses(early) == [200]
+    assert newcomer.final_statuses(late) == [200]
     counted = program.log_events("counters")[-1]
-    assert counted["calls_offered"] == "2" and counted["calls_established"] == "2"
+    assert counted["calls_offered"] == "2"
+    assert counted["calls_established"] == "2"
 
 
 @pytest.mark.parametrize(
@@ -246,4 +250,5 @@
     path.write_text(change if isinstance(change, str) else json.dumps({**config, **(change or {})}))
     program = Program(tmp_path, RELAY_CONFIG=str(path) if change else "")
     assert program.process.wait(20) == 2
-    assert program.log_text().count("\n") == 1 and says in program.log_text()
+    assert program.log_text().count("\n") == 1
+    assert says in program.log_text()
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -170,7 +170,8 @@
         assert short.available_to_callers() == most // 3
         assert most // 4 <= short.available_to_servers() < most - most // 3
     long = DescriptorBudget(4096, 26, 1901)
-    assert long.available_to_callers() > 4096 / 2 and long.available_to_servers() > 1900
+    assert long.available_to_callers() > 4096 / 2
+    assert long.available_to_servers() > 1900
     few = DescriptorBudget(1024, 26, 25)
     assert few.available_to_callers() > 768, "three quarters, which the settings allow"
     unlimited = DescriptorBudget()
@@ -223,7 +224,8 @@
     started.append(program)
     wait_until(lambda: program.log_events("serving"), "that it serves")
     assert not program.log_events("server_connect_failed"), "it was still being dialled"
-    assert program.health_check_status() == 200 and program.admin_command("check").startswith("ok")
+    assert program.health_check_status() == 200
+    assert program.admin_command("check").startswith("ok")
     ident, caller = next(IDS), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
@@ -239,8 +241,7 @@
 def test_a_start_waits_for_links_and_not_for_good():
     """Guards against a start that waits for no link, or for each server that is listed while it waits."""
     inside = InProcessNode()
-    inside.core.readiness._started = False
-    ServerConnectionPool(inside.core, lambda link: None)
+    ServerConnectionPool(inside.core, lambda _link: None)
     for number in range(20):
         name = f"s-{number}"
         line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
@@ -296,7 +297,7 @@
 def directory_of(*events, names="abc"):
     """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
     inside = InProcessNode()
-    ServerConnectionPool(inside.core, lambda link: None)
+    ServerConnectionPool(inside.core, lambda _link: None)
     inside.core.servers.by_id.clear()
     inside.core.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
@@ -321,11 +322,14 @@
     }
     odd = {"reset": False, "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}]}
     directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1))
-    assert directory.last_index == 4 and set(standings.values()) == {"ready"}
+    assert directory.last_index == 4
+    assert set(standings.values()) == {"ready"}
     directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1), good)
-    assert directory.last_index == 5 and standings == {"a": "draining", "b": "ready", "c": "ready"}
+    assert directory.last_index == 5
+    assert standings == {"a": "draining", "b": "ready", "c": "ready"}
     directory, standings, told = directory_of(*[odd] * MAX_REQUESTS)
-    assert directory.last_index == 5 and standings == {"a": "draining", "b": "draining", "c": "ready"}
+    assert directory.last_index == 5
+    assert standings == {"a": "draining", "b": "draining", "c": "ready"}
     states = {raw["instanceId"]: raw["lifecycle"] for raw in told[0]["updates"][0]["endpoints"]["instances"]}
     assert states == {"a": "terminating", "b": "terminating"}, "whoever is handed the list is told the same"
 
@@ -476,7 +480,7 @@
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
             await asyncio.sleep(0)
-        time.sleep(0.5)  # the loop stands still beyond the limit
+        time.sleep(0.5)  # noqa: ASYNC251  # the loop stands still beyond the limit
         if answers:
             (await dial).close()
         else:
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -72,7 +72,7 @@
     all, with errors; what happens to a call depends on the call alone, so that two worlds can be compared.
     """
 
-    def __init__(self, decisions, seed=1, slow_s=0.15, log=None):
+    def __init__(self, decisions, seed=1, slow_s=0.15):
         self.decisions, self.seed, self.slow_s = decisions, seed, slow_s
         self.now, self.calls, self.order = 1000.0, 0, 0
         self.due, self.actions, self.kinds = [], [], {}
@@ -156,7 +156,8 @@
     def finish(self):
         """Let all calls come to their end; each has had one answer, from a server that it may use."""
         self.run(self.now + 60)
-        assert self.calls and set(self.answers) == set(self.kinds), "a call without its answer"
+        assert self.calls
+        assert set(self.answers) == set(self.kinds), "a call without its answer"
         assert set(self.answers.values()) == {1}, "a call with two"
         return self
 
@@ -224,9 +225,10 @@
         worlds.append(world)
     assert worlds[0].actions == worlds[1].actions
     kinds = Counter(type(action).__name__ for _, action in worlds[0].actions)
-    assert (
-        kinds["SendSetup"] > 100 and kinds["RejectCall"] and kinds["LogMessage"] and kinds["SetTimer"]
-    ), kinds
+    assert kinds["SendSetup"] > 100, kinds
+    assert kinds["RejectCall"], kinds
+    assert kinds["LogMessage"], kinds
+    assert kinds["SetTimer"], kinds
 
 
 def test_a_set_comes_with_its_first_call_and_hears_of_its_own_servers_alone():
@@ -375,7 +377,8 @@
         assert pools is None or world.number_of[server] in pools, (at, call, server)
     world.run(world.now + 20)
     world.tell(CallAbandoned(0))
-    assert not decisions.sets.by_numbers and not decisions.owners, "sets that nobody uses stay"
+    assert not decisions.sets.by_numbers, "sets that nobody uses stay"
+    assert not decisions.owners, "sets that nobody uses stay"
 
 
 def test_a_set_made_of_two_keeps_one_timer_and_of_one_made_of_two_each_is_woken():
@@ -581,7 +584,7 @@
         self.told = []
 
     def __getattr__(self, name):
-        return lambda *each: self.told.append(name)
+        return lambda *_arguments: self.told.append(name)
 
 
 class Linked:
@@ -593,14 +596,14 @@
         self.scoped = scoped(settings, idle_s=4.0)
         self.scoped.on_scope_changed = self.changed
         self.core = CallManager(
-            settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters(),
+            settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
         self.core.servers.in_scope = self.scoped.in_scope
         self.side = ServerConnectionPool(self.core, self.dialled.append)
         self.core.readiness.list_known = self.core.readiness.listening = True
 
-    def changed(self, numbers, classes, came):
+    def changed(self, _numbers, _classes, _came):
         for server in list(self.core.servers.by_id.values()):
             self.side.record_changed(server)
 
@@ -629,9 +632,8 @@
     inside = Linked(a, b)
     for name, number in (("x", 1), ("y", 2), ("z", 3)):
         inside.listing(name, number)
-    assert (
-        not inside.dialled and inside.core.readiness.startup_health().is_ready
-    ), "it waits for what is out of scope"
+    assert not inside.dialled
+    assert inside.core.readiness.startup_health().is_ready, "it waits for what is out of scope"
     call, caller = inside.offer(a)
     assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
     for link in inside.dialled:
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -319,22 +319,22 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "place", "text", "says"),
+    ("told", "edit", "says"),
     [
-        (ROSTER, '"period_s": 0.005', f'"period_s": 1{"0" * 400}', "settings.period_s: must be at least 0"),
-        (TENDERS, '"cell": 1000000000', '"cell": 1e999', "known: "),
-        (MADE_UP, '"memory_mb": 192', '"memory_mb": 1e999', "limits.memory_mb: must be at least 1"),
-        (TENDERS, '"clear_wait_s": 0.3, ', "", "settings.family_info.clear_wait_s: is missing"),
+        (ROSTER, ('"period_s": 0.005', f'"period_s": 1{"0" * 400}'), "settings.period_s: must be at least 0"),
+        (TENDERS, ('"cell": 1000000000', '"cell": 1e999'), "known: "),
+        (MADE_UP, ('"memory_mb": 192', '"memory_mb": 1e999'), "limits.memory_mb: must be at least 1"),
+        (TENDERS, ('"clear_wait_s": 0.3, ', ""), "settings.family_info.clear_wait_s: is missing"),
     ],
     ids=["a number no float holds", "a server's number", "memory", "a pause left out"],
 )
-def test_the_program_ends_with_one_line_and_2(tmp_path, started, told, place, text, says):
+def test_the_program_ends_with_one_line_and_2(tmp_path, started, told, edit, says):
     """Guards against a start that ends in a traceback and exit code 1, as the first three did, or that goes
     on with another site's pause, as the last did.
     """
     path, whole = tmp_path / "config.json", json.dumps(platform(told, known=TOO_LARGE))
-    assert whole.count(place) == 1
-    path.write_text(whole.replace(place, text))
+    assert whole.count(edit[0]) == 1
+    path.write_text(whole.replace(*edit))
     program = Program(tmp_path, RELAY_CONFIG=str(path))
     started.append(program)
     assert program.process.wait(20) == 2
@@ -349,7 +349,7 @@
         self.now, self.sent, self.told = 1000.0, 0, []
         settings = parse_settings_json(json.dumps(told)).settings
         self.core = CallManager(
-            settings, random.Random(1), lambda: self.now, lambda *a, **k: None, Counters()
+            settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters()
         )
         self.core.servers.pool = self
         pools = told["family_info"]["allowed_pools"][0]
@@ -432,6 +432,6 @@
     """
     assert parse_load_report(text) == report
     stage = Stage(TENDERS)
-    stage.core.controller.handle = lambda now, event: stage.told.append(event) or iter(())
+    stage.core.controller.handle = lambda _now, event: stage.told.append(event) or iter(())
     stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load_report(text))
     assert len(stage.told) == (report != LoadReport())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -71,11 +71,13 @@
     new.events = list(old.events)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "coordinator": f"127.0.0.1:{new.port}"}))
-    assert line["result"] == "applied" and line["restart_required"] == "-"
+    assert line["result"] == "applied"
+    assert line["restart_required"] == "-"
     new.publish(endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1))
     assert new.polled_indices[0] == 1, "the number of the last event was not kept"
     served(program)
-    assert other.messages("START") and not server.messages("START")
+    assert other.messages("START")
+    assert not server.messages("START")
 
 
 ODD = {"index": 1, "updates": [{"index": 1}, 5]}
@@ -121,7 +123,8 @@
     }  # fmt: skip
     caller.send("INVITE", "sip:812@net", headers)
     caller.expect("r", 200)
-    assert two.messages("START")[0]["opts"]["class"] == "save-roster" and not one.messages("START")
+    assert two.messages("START")[0]["opts"]["class"] == "save-roster"
+    assert not one.messages("START")
 
 
 def test_a_drain_answers_who_still_waits_before_the_process_is_killed(stage):
@@ -134,7 +137,8 @@
     wait_until(lambda: server.messages("START"))
     assert program.stop() == 0
     wait_until(lambda: caller.closed)
-    assert caller.final_statuses(ident) == [503] and program.log_events("drain_deadline_reached")
+    assert caller.final_statuses(ident) == [503]
+    assert program.log_events("drain_deadline_reached")
 
 
 # ---- the coordinator ----
@@ -293,7 +297,8 @@
     assert [m.status for _, m in bad.received] == [400]
     server.send("STARTED", ident, blob="d")
     good.expect(ident, 200)
-    assert len(server.messages("START")) == 1 and "fault" not in program.log_text()
+    assert len(server.messages("START")) == 1
+    assert "fault" not in program.log_text()
 
 
 def test_an_id_is_used_once(stage):
@@ -310,7 +315,8 @@
     good.expect(ident, "BYE")
     bad.invite(ident)
     wait_until(lambda: bad.final_statuses(ident) == [482, 482], "the second refusal")
-    assert len(server.messages("START")) == 1 and good.final_statuses(ident) == [200]
+    assert len(server.messages("START")) == 1
+    assert good.final_statuses(ident) == [200]
 
 
 def test_callers_that_bring_nothing_usable_are_cut(stage):
@@ -343,7 +349,7 @@
     """Guards against set-ups that wait for answers on a link that can't be read any more."""
     program, _, (server,) = stage(SILENT)
 
-    def spoil(message, send):
+    def spoil(_message, _send):
         """At the second set-up, at once: later the link would be held for silent, another one dialled."""
         if len(server.messages("START")) == 2:
             server.script = ScriptedServer.establishes
@@ -372,7 +378,8 @@
     caller.expect(ident, 200)
     server.send("FINISH", ident, rc=16)
     caller.expect(ident, "BYE")
-    assert caller.final_statuses(ident) == [200] and len(server.connections) == 1
+    assert caller.final_statuses(ident) == [200]
+    assert len(server.connections) == 1
     assert not server.messages("FINISH"), "what is none of ours is not released"
 
 
@@ -398,7 +405,8 @@
         return caller.final_statuses(waiting)
 
     wait_until(told)
-    assert caller.final_statuses(waiting) == [200] and program.log_events("server_connection_dead")
+    assert caller.final_statuses(waiting) == [200]
+    assert program.log_events("server_connection_dead")
     assert {m["tag"] for m in server.messages("FINISH")} == {standing}
     wait_until(lambda: len(server.connections) >= 3, "a link for what was released on the dead one")
 
@@ -415,7 +423,8 @@
         time.sleep(0.2)
     server.send("STARTED", ident, server.connections[0], blob="d")
     caller.expect(ident, 200)
-    assert len(server.messages("START")) == 1 and not program.log_events("server_connection_dead")
+    assert len(server.messages("START")) == 1
+    assert not program.log_events("server_connection_dead")
 
 
 def a_link(now):
@@ -424,7 +433,7 @@
         settings_from_object(SETTINGS).settings,
         random.Random(1),
         lambda: now[0],
-        lambda *a, **k: None,
+        lambda *_args, **_fields: None,
         Counters(),
     )
     links, aborted = [], []
@@ -505,16 +514,19 @@
     ident = asked(core, side, now, within="13000")
     pass_time(core, now, 0.6)
     side.standby[1].connection_made()
-    assert side.superseded == [old] and not old.can_close()
+    assert side.superseded == [old]
+    assert not old.can_close()
     pass_time(core, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     pass_time(core, now, 20.0)
-    assert core.calls.is_established(ident) and not old.can_close()
+    assert core.calls.is_established(ident)
+    assert not old.can_close()
     if ends == "by the server":
         old.receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     else:
         core.release(core.calls.by_ident[ident], 16)
-    assert not core.calls.is_established(ident) and old.can_close()
+    assert not core.calls.is_established(ident)
+    assert old.can_close()
 
 
 def test_a_link_passed_over_that_breaks_under_calls_is_followed_by_another():
@@ -527,7 +539,9 @@
     pass_time(core, now, 0.6)
     side.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    assert core.calls.is_established(ident) and side.superseded == [old] and not side.standby
+    assert core.calls.is_established(ident)
+    assert side.superseded == [old]
+    assert not side.standby
     old.connection_lost()  # as the driver does
     side.remove(old)
     pass_time(core, now, 0.2)
@@ -574,7 +588,8 @@
     assert not link.can_close()
     now[0] += 11
     core.timers.run_due()
-    assert aborted and link.can_close()
+    assert aborted
+    assert link.can_close()
 
 
 # ---- the long day ----
@@ -590,7 +605,8 @@
     log("malformed", side="caller")
     log.close()
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) == MAX_WARNINGS + 1 and lines[-1].endswith("suppressed_before=480")
+    assert len(lines) == MAX_WARNINGS + 1
+    assert lines[-1].endswith("suppressed_before=480")
 
 
 def test_timers_that_are_due_together_wake_the_loop_once():
@@ -604,7 +620,8 @@
     inside.run(0.49)
     assert not rung
     inside.run(0.02)
-    assert len(rung) == 1000 and all(rung), "none rings before its time"
+    assert len(rung) == 1000
+    assert all(rung), "none rings before its time"
 
 
 def test_what_is_kept_of_servers_and_calls_goes_with_them():
@@ -614,7 +631,7 @@
         settings_from_object(SETTINGS).settings,
         random.Random(1),
         lambda: now[0],
-        lambda *a, **k: None,
+        lambda *_args, **_fields: None,
         Counters(),
     )
     links = []
@@ -631,8 +648,13 @@
             side.remove(link)  # as the driver does when a link has ended
         now[0] += 5
         core.timers.run_due()
-    assert not core.servers.by_id and not core.servers.by_instance and not side.active
-    assert not core.calls.by_number and not front.registry.calls and not core.calls.by_ident
-    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1
-    assert len(core.controller.endpoints) <= 10 and len(core.timers._slots) <= 10
+    assert not core.servers.by_id
+    assert not core.servers.by_instance
+    assert not side.active
+    assert not core.calls.by_number
+    assert not front.registry.calls
+    assert not core.calls.by_ident
+    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # nothing public tells
+    assert len(core.controller.endpoints) <= 10
+    assert len(core.timers._slots) <= 10  # noqa: SLF001  # nothing public tells its size
     assert not any("MADE" in name for name in core.counters.counts)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -162,7 +162,7 @@
     adapter = SimulatorAdapter()
     adapter.answer(codec.EventBatch(1, 10.0, list(DAY)))
 
-    def broken(now, event):
+    def broken(_now, _event):
         raise RuntimeError("out of order")
 
     monkeypatch.setattr(adapter.instances[3].controller, "handle", broken)
