--- a/tests/support/sip_messages.py
+++ b/tests/support/sip_messages.py
@@ -4,7 +4,8 @@
 
 from stairhatch.node import sip_message as sip
 
-PLATFORM_URI = "sip:7f3a9c21e0b4d655@net"  # its user part is the key of the call
+CALL_KEY = "7f3a9c21e0b4d655"
+PLATFORM_URI = f"sip:{CALL_KEY}@net"
 
 
 def sip_headers(  # noqa: PLR0913  # a keyword for each part of the headers that tests vary
@@ -26,13 +27,19 @@
 
 
 def platform_invite(
-    ident: str, call_class: str = "read-roster", answer_within_ms: str = "3000", body: bytes = b"d"
+    ident: str,
+    call_class: str = "read-roster",
+    answer_within_ms: str = "3000",
+    body: bytes = b"d",
+    key: str = CALL_KEY,
+    **headers: str,
 ) -> bytes:
-    """The bytes of a set-up in the platform's form."""
-    headers = {
+    """The bytes of a set-up in the platform's form, with further headers or others in their place."""
+    fields = {
         "call-id": ident,
         "cseq": "1 INVITE",
         "call-kind": call_class,
         "answer-within": answer_within_ms,
     }
-    return sip.request("INVITE", PLATFORM_URI, list(headers.items()), body)
+    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
+    return sip.request("INVITE", f"sip:{key}@net", list(fields.items()), body)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,6 @@
 from stairhatch.application import Application
 from stairhatch.config.model import Config
 from stairhatch.emulators.ports import free_port
-from stairhatch.node import sip_message as sip
 from stairhatch.node.io.listener import ListenerLimits
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import PlatformFrontend
@@ -30,69 +29,20 @@
 from stairhatch.node.service_discovery import EMPTY_ANSWER_PAUSE_S, ServiceDiscoveryClient
 from stairhatch.settings.parser import settings_from_object
 
+from .support.call_ids import next_call_id
+from .support.deployment import APPLIANCE
+from .support.full_listener import FullListener
 from .support.in_process_node import InProcessNode
 from .support.platform_config import platform_config
 from .support.program import Program
 from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
-from .support.sip_messages import sip_headers
+from .support.sip_messages import platform_invite, sip_headers
+from .support.unusual_settings import UNUSUAL_SETTINGS
 from .support.waiting import WAIT_LIMIT_S, wait_in_loop, wait_until
 
-IDS = iter(f"{n:016x}" for n in range(0xE0D0001, 0xE0D9999))
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
-TIDE = {
-    "balancers": 1,
-    "me": 0,
-    "period_s": 0.005,
-    "classes": [
-        {
-            "name": "ebb", "aim_s": 3.1, "hard_limit_s": 17.0, "importance": 7.0, "late_worth": 0.45,
-            "effect": "read_like",
-        },
-        {
-            "name": "flood", "aim_s": 0.7, "hard_limit_s": 5.3, "importance": 0.3, "late_worth": 0.0,
-            "effect": "read_like",
-        },
-    ],
-    "family_info": {
-        "allowed_pools": [[31, 47], [31]], "call_length_s": [10.0, 10.0], "clear_wait_s": 0.37,
-        "retransmit_s": 0.0, "self_no": -1,
-    },
-    "load_report": {"names": ["depth", "can_take"]},
-    "permissions": {
-        "send_cap": 3, "may_probe": False, "peers": False, "cancel": True, "retry_after": True,
-        "max_retry_after_s": 1.1, "connect_timeout_s": 11.0,
-    },
-    "safety": {
-        "answer_slack_s": 0.03, "drain_grace_s": 0.6, "cold_from": 0.55, "warm_after_s": 15.0,
-        "fall_multiple": 4.0, "fall_s": 1.0,
-    },
-}  # fmt: skip
-
-
-@pytest.fixture
-def stage(tmp_path):
-    """Starts a program of either front before roster servers with the given scripts; ends it afterwards."""
-    started = []
-
-    def start(*scripts, front="platform", servers=None):
-        servers = servers or [ScriptedServer(script) for script in scripts]
-        lines = [
-            endpoint_entry(f"s-{cell}", each.port, cell)
-            for cell, each in zip((31, 47), servers, strict=False)
-        ]
-        if front == "platform":
-            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), TIDE)
-        else:
-            servers += [ScriptedServer(script) for script in scripts]  # the file lists two
-            program = Program.as_appliance(tmp_path, *servers)
-        started.append(program)
-        return program, servers
-
-    yield start
-    for program in started:
-        program.kill()
 
 
 def leave(caller, ident, by, front="platform"):
@@ -115,7 +65,7 @@
 
 def ask(program, front, by_udp=False):
     """A caller with a set-up of its own; returns both."""
-    caller, ident = SipCaller(program.address, udp=by_udp), next(IDS)
+    caller, ident = SipCaller(program.address, udp=by_udp), next_call_id()
     if front == "platform":
         caller.invite(ident, "ebb", 15_000)
     else:
@@ -135,11 +85,12 @@
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_call_waits_is_not_sent_on(stage, by, front):
+def test_who_leaves_while_the_call_waits_is_not_sent_on(start_unusual, by, front):
     """Guards against a call set up for nobody: its caller left in the pause after a reset. A second caller,
     whose call waits the same pause from later on and is sent again, shows when the first would have been.
     """
-    program, servers = stage(RESET, front=front)
+    scripts = [RESET] * (2 if front == APPLIANCE else 1)
+    program, _, servers = start_unusual(*scripts, frontend=front)
     caller, _ = ask(program, front)
     wait_until(
         lambda: [line for line in program.log_events("attempt_ended") if line["outcome"] == "reset"],
@@ -162,11 +113,11 @@
         assert finals[0] in (480, 503)
 
 
-def test_a_cancel_that_crosses_the_answer_ends_the_call_on_both_sides(stage):
+def test_a_cancel_that_crosses_the_answer_ends_the_call_on_both_sides(start_unusual):
     """Guards against a call that is over and whose caller is not told: its CANCEL came when the answer had
     been written. The caller sends it once it has the answer, as one does whose time ran out on its way.
     """
-    program, (server,) = stage(None)
+    program, _, (server,) = start_unusual(None)
     caller, ident = ask(program, "platform")
     caller.expect(ident, 200)
     leave(caller, ident, "cancel")
@@ -179,9 +130,9 @@
 
 
 @pytest.mark.parametrize("by", ["close", "half-close", "reset"])
-def test_a_sip_caller_who_leaves_while_the_set_up_is_out_has_no_further_one(stage, by):
+def test_a_sip_caller_who_leaves_while_the_set_up_is_out_has_no_further_one(start_unusual, by):
     """Guards against the other order on the appliance, where what is out may still stand: it is the last."""
-    program, servers = stage(SILENT, front="appliance")
+    program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
     caller, _ = ask(program, "appliance")
     wait_until(lambda: starts(*servers))
     (first,) = starts(*servers)
@@ -198,14 +149,14 @@
 
 
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_set_up_is_out_is_given_up_and_not_sent_again(stage, by):
+def test_who_leaves_while_the_set_up_is_out_is_given_up_and_not_sent_again(start_unusual, by):
     """Guards against the other order: the server's reset comes once the caller has left."""
 
     def script(message, send):
         if message["verb"] == "FINISH":
             send("FINISH", message["tag"], rc=41)  # crosses what it was told
 
-    program, (server,) = stage(script)
+    program, _, (server,) = start_unusual(script)
     caller, ident = ask(program, "platform")
     wait_until(lambda: starts(server) == [ident])
     leave(caller, ident, by)
@@ -216,27 +167,14 @@
     assert starts(server).count(ident) == 1
 
 
-def full_gate():
-    """A listener whose queue is full, so that nobody comes through it, and those who fill it."""
-    gate = socket.socket()
-    gate.bind(("127.0.0.1", 0))
-    gate.listen(0)
-    full = [socket.socket() for _ in range(3)]
-    for each in full:
-        each.setblocking(False)
-        with contextlib.suppress(BlockingIOError):
-            each.connect(gate.getsockname())
-    return gate, full
-
-
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_link_comes_up_is_not_sent_on(stage, by):
+def test_who_leaves_while_the_link_comes_up_is_not_sent_on(start_unusual, by):
     """Guards against set-ups that lie in a link's queue until it is up. Its listener's queue is full, so that
     the link can't come up before the story takes the connections in it.
     """
-    gate, full = full_gate()
-    shut = ScriptedServer(listener=gate)
-    program, _ = stage(servers=[shut])
+    gate = FullListener()
+    shut = ScriptedServer(listener=gate.listener)
+    program, _, _ = start_unusual(servers=[shut])
     caller, ident = ask(program, "platform")
     wait_until(lambda: program.log_events("call_offered"))
     leave(caller, ident, by)
@@ -251,14 +189,13 @@
     assert not program.log_events(
         "server_connect_failed"
     ), "the settings' time to connect holds, and no other"
-    for each in full:
-        each.close()
+    gate.close()
 
 
-def test_a_set_up_that_is_read_after_its_cancel_is_not_sent_on(stage):
+def test_a_set_up_that_is_read_after_its_cancel_is_not_sent_on(start_unusual):
     """Guards against a set-up that lay unread on one connection while its CANCEL was read on another."""
-    program, (server,) = stage(None)
-    ident, early, late = next(IDS), program.caller(), program.caller()
+    program, _, (server,) = start_unusual(None)
+    ident, early, late = next_call_id(), program.caller(), program.caller()
     early.send("CANCEL", "sip:x@net", {"call-id": ident, "cseq": "1 CANCEL"})
     early.expect(ident, 481)
     late.invite(ident, "ebb")
@@ -268,11 +205,13 @@
     assert starts(server) == [stays]
 
 
-def test_an_answer_finds_a_sip_caller_whose_connection_closed_once_the_set_up_was_out(stage):
+def test_an_answer_finds_a_sip_caller_whose_connection_closed_once_the_set_up_was_out(
+    start_unusual,
+):
     """Guards against a call that stands and is told to nobody: the Via says where (RFC 3261, 18.2.2)."""
-    program, servers = stage(SILENT, front="appliance")
+    program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
     home = socket.create_server(("127.0.0.1", 0))
-    caller, call = SipCaller(program.address), next(IDS)
+    caller, call = SipCaller(program.address), next_call_id()
     host = f"127.0.0.1:{home.getsockname()[1]}"
     caller.send("INVITE", "sip:75@net", sip_headers("INVITE", "1", f"z9hG4bK{call}", call, host, "TCP"), b"d")
     wait_until(lambda: starts(*servers))
@@ -292,9 +231,9 @@
 
 
 @pytest.mark.parametrize("by", ["its answer", "its CANCEL"])
-def test_a_set_up_outlives_what_can_not_be_read_behind_it(stage, by):
+def test_a_set_up_outlives_what_can_not_be_read_behind_it(start_unusual, by):
     """Guards against a good set-up lost with its connection: what came behind it on the same was noise."""
-    program, (server,) = stage(SILENT)
+    program, _, (server,) = start_unusual(SILENT)
     caller, ident = ask(program, "platform")
     wait_until(lambda: starts(server) == [ident])
     caller.send_bytes(b"\x00\x01 noise without sense\r\n\r\n")
@@ -312,8 +251,11 @@
     """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
     inside = InProcessNode()
     front = PlatformFrontend(inside.core)
-    connection, ident = front.connect(), next(IDS)
-    connection.receive_data(trunk_invite(ident, "read-roster") + trunk_invite(next(IDS), "read-roster")[:40])
+    connection, ident = front.connect(), next_call_id()
+    connection.receive_data(
+        platform_invite(ident, answer_within_ms="4000")
+        + platform_invite(next_call_id(), answer_within_ms="4000")[:40]
+    )
     assert inside.written
     assert connection.has_partial_message()
     connection.read_timed_out()
@@ -325,12 +267,6 @@
     assert connection.can_close()
 
 
-def trunk_invite(ident, kind="ebb", body=b"d"):
-    """The bytes of the platform's set-up."""
-    headers = {"call-id": ident, "cseq": "1 INVITE", "call-kind": kind, "answer-within": "4000"}
-    return sip.request("INVITE", "sip:7f3a9c21e0b4d655@net", list(headers.items()), body)
-
-
 @pytest.mark.parametrize("first", ["request", "newcomer"])
 def test_a_request_read_in_the_turn_in_which_a_newcomer_needs_room_is_not_thrown_away(first):
     """Guards against a caller evicted as idle whose request the loop has read, but not yet given to its
@@ -352,15 +288,15 @@
         )
         new = socket.socket()
         new.setblocking(False)
-        ident = next(IDS)
+        ident = next_call_id()
 
         def both():  # within one turn: the loop finds both when it looks next
             if first == "request":
-                old.sendall(trunk_invite(ident, "read-roster"))
+                old.sendall(platform_invite(ident, answer_within_ms="4000"))
             with contextlib.suppress(BlockingIOError):
                 new.connect(sock.getsockname())
             if first != "request":
-                old.sendall(trunk_invite(ident, "read-roster"))
+                old.sendall(platform_invite(ident, answer_within_ms="4000"))
 
         both()
         for _ in range(500):
@@ -384,8 +320,8 @@
     """Guards against an end of a call that is dropped after four tries at callers who don't read."""
     inside = InProcessNode()
     front = PlatformFrontend(inside.core)
-    deaf, ident = front.connect(), next(IDS)
-    deaf.receive_data(trunk_invite(ident, "read-roster"))
+    deaf, ident = front.connect(), next_call_id()
+    deaf.receive_data(platform_invite(ident, answer_within_ms="4000"))
     inside.establish()
     inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.empty_report())
     inside.run(3.0)
@@ -440,7 +376,10 @@
 
     async def story():
         known = {"index": 0, "updates": []}
-        settings = {**TIDE, "permissions": {**TIDE["permissions"], "retry_after": False}}
+        settings = {
+            **UNUSUAL_SETTINGS,
+            "permissions": {**UNUSUAL_SETTINGS["permissions"], "retry_after": False},
+        }
         config = Config("n", settings_from_object(settings).settings, listen=("127.0.0.1", 0), known=known)
         application = Application(config, lambda: config)
         application.open_listeners()
@@ -453,7 +392,7 @@
         def watched():
             found.append(settled())
             if found.count(True) == 2:
-                caller.sendall(trunk_invite(next(IDS)))
+                caller.sendall(platform_invite(next_call_id(), "ebb", "4000"))
             return found[-1]
 
         application.parts.core.is_settled = watched
@@ -472,7 +411,9 @@
 def test_the_end_comes_though_nobody_reads_the_log(tmp_path):
     """Guards against a program that never ends, or ends in a fault: the pipe that its lines go to is full."""
     server, port, door = ScriptedServer(), free_port(), free_port()
-    config = platform_config(ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, TIDE)
+    config = platform_config(
+        ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, UNUSUAL_SETTINGS
+    )
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     reader, writer = os.pipe()
@@ -489,7 +430,7 @@
                 os.write(writer, b"x" * 512)  # the pipe is full from here on ...
         os.set_blocking(writer, True)
         for _ in range(5):  # ... and the program's own lines wait
-            ident = next(IDS)
+            ident = next_call_id()
             caller.invite(ident, "ebb")
             caller.expect(ident, 200)
         assert program.stop() == 0
@@ -529,7 +470,7 @@
     """A program that was sent SIGHUP as it read its configuration; None if its port was taken meanwhile."""
     port, door = free_port(), free_port()
     path, later = folder / "config.json", folder / "later.json"
-    later.write_text(json.dumps(platform_config(new, port, door, TIDE)))
+    later.write_text(json.dumps(platform_config(new, port, door, UNUSUAL_SETTINGS)))
     path.unlink(missing_ok=True)
     os.mkfifo(path)
     before = signal.signal(signal.SIGHUP, signal.SIG_IGN) if ignored else None
@@ -538,7 +479,7 @@
         signal.signal(signal.SIGHUP, before)
     try:
         with path.open("w") as pipe:  # returns once the program has opened its end
-            pipe.write(json.dumps(platform_config(old, port, door, TIDE)))
+            pipe.write(json.dumps(platform_config(old, port, door, UNUSUAL_SETTINGS)))
             pipe.flush()
             later.rename(path)
             program.process.send_signal(signal.SIGHUP)
@@ -549,9 +490,9 @@
     return None if "can't listen" in program.log_text() else program
 
 
-def test_nothing_of_the_old_settings_is_left_after_a_reload(stage):
+def test_nothing_of_the_old_settings_is_left_after_a_reload(start_unusual):
     """Guards against another customer's figures: other classes, pause and most attempts hold at once."""
-    program, (server,) = stage(RESET)
+    program, _, (server,) = start_unusual(RESET)
     caller, ident = ask(program, "platform")
     wait_until(lambda: caller.final_statuses(ident))
     assert starts(server).count(ident) == 3, "the old most attempts"
@@ -562,7 +503,7 @@
     settings["family_info"] |= {"allowed_pools": [[31]], "call_length_s": [10.0], "clear_wait_s": 0.83}
     settings["permissions"] |= {"send_cap": 2}
     assert program.reload(json.dumps(config))["result"] == "applied"
-    ident = next(IDS)
+    ident = next_call_id()
     caller.invite(ident, "slack", 20_000)
     wait_until(lambda: caller.final_statuses(ident))
     times = [at for at, message in server.received if message["verb"] == "START" and message["tag"] == ident]
@@ -600,7 +541,7 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_the_end_answers_each_call_once_wherever_it_is(stage, front):
+def test_the_end_answers_each_call_once_wherever_it_is(start_unusual, front):
     """Guards against a call that the end forgets, answers twice, or sends on when the drain's limit is past:
     one stands, some are out, some wait for room, some lie in the queue of a link that can't come up (on the
     platform, where the settings let it take its time), one waits in a pause, and the answer to one lies
@@ -614,11 +555,11 @@
             send("STARTED", message["tag"], blob="kept")
 
     servers = [ScriptedServer(script), ScriptedServer(script)]
-    gate, full = full_gate()
+    gate = FullListener()
     if front == "platform":
-        servers[1] = ScriptedServer(listener=gate)
-    program, _ = stage(servers=servers, front=front)
-    calls = [(SipCaller(program.address), next(IDS)) for _ in range(60)]
+        servers[1] = ScriptedServer(listener=gate.listener)
+    program, _, _ = start_unusual(servers=servers, frontend=front)
+    calls = [(SipCaller(program.address), next_call_id()) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
         place(caller, ident, front, (31, 47)[number % 2])
     wait_until(
@@ -655,8 +596,7 @@
     assert all(tags.count(tag) == 1 for tag in stand)
     ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
     assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
-    for each in (gate, *full):
-        each.close()
+    gate.close()
 
 
 def place(caller, ident, front, first):
@@ -668,18 +608,18 @@
         caller.send("INVITE", "sip:5@net", headers | {"expires": "3"}, b"d")
 
 
-def test_who_comes_again_too_soon_is_answered_and_not_served(stage):
+def test_who_comes_again_too_soon_is_answered_and_not_served(start_unusual):
     """Guards against a drain that a caller holds up who does not stay away as long as told: each time it has
     one refusal with the same advice, nothing goes to a server, and the drain that is undone serves it.
     """
-    program, (server,) = stage(None)
+    program, _, (server,) = start_unusual(None)
     caller = program.caller()
     assert program.admin_command("drain-on").startswith("ok")
-    kept, refused = next(IDS), []
+    kept, refused = next_call_id(), []
     caller.invite(kept, "ebb", 15_000)
     wait_until(lambda: caller.final_statuses(kept))
     while len(refused) < 20:  # without a pause; the first ones may come while calls are still taken
-        ident = next(IDS)
+        ident = next_call_id()
         caller = program.caller() if caller.closed else caller
         caller.invite(ident, "ebb", 15_000)
         wait_until(lambda ident=ident, caller=caller: caller.final_statuses(ident) or caller.closed)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -25,16 +25,16 @@
 from stairhatch.node.server_pool import ServerConnectionPool
 from stairhatch.overload.events import Availability
 
+from .support.call_ids import next_call_id
 from .support.in_process_node import InProcessNode
 from .support.program import Program
-from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
+from .support.sip_messages import platform_invite
 from .support.sip_messages import sip_headers as headers_of
 from .support.waiting import wait_in_loop, wait_until
-from .test_endings import RESET, TIDE, leave, trunk_invite
+from .test_endings import RESET, leave
 
-IDS = iter(f"{n:016x}" for n in range(0x1EA70001, 0x1EA79999))
 WAYS = {
     "platform": ("close", "reset", "half-close", "cancel", "another's cancel"),
     "appliance": ("close", "reset", "half-close", "cancel", "another's cancel", "UDP cancel"),
@@ -53,7 +53,7 @@
 
     def __post_init__(self):
         self.udp = self.way.startswith("UDP")
-        self.ident, self.caller = next(IDS), SipCaller(self.program.address, udp=self.udp)
+        self.ident, self.caller = next_call_id(), SipCaller(self.program.address, udp=self.udp)
         self.transport = "UDP" if self.udp else "TCP"
         self.invite(self.ident)
 
@@ -67,7 +67,7 @@
 
     def more(self, size):
         """One more set-up on its connection; returns its id."""
-        ident = next(IDS)
+        ident = next_call_id()
         self.invite(ident, size)
         return ident
 
@@ -92,29 +92,6 @@
         return [m["tag"] for each in servers for m in each.messages("START") if m["blob"] == self.ident]
 
 
-@pytest.fixture
-def stage(tmp_path):
-    """Starts a program of either front before roster servers with a script; ends it afterwards."""
-    started = []
-
-    def start(script, front="platform"):
-        servers = [ScriptedServer(script) for _ in range(2)]
-        if front == "platform":
-            lines = [
-                endpoint_entry(f"s-{n}", each.port, n) for n, each in zip((31, 47), servers, strict=True)
-            ]
-            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), TIDE)
-        else:
-            program = Program.as_appliance(tmp_path, *servers)
-        started.append(program)
-        return program, servers
-
-    yield start
-    for program in started:
-        program.process.send_signal(signal.SIGCONT)
-        program.kill()
-
-
 def stop(program):
     """Stop the process, as a machine that gives it no time; returns once it stands still."""
     program.process.send_signal(signal.SIGSTOP)
@@ -157,13 +134,13 @@
 
 
 @pytest.mark.parametrize("front", sorted(WAYS))
-def test_who_leaves_while_the_process_stands_still_is_not_sent_on(stage, front):
+def test_who_leaves_while_the_process_stands_still_is_not_sent_on(start_unusual, front):
     """Guards against timers that act before what came is read: the process stood still while callers left
     and their calls' pause ran out. On 9507ebf the timers' set-ups were written before the loop looked at a
     socket (a wait for input that was stopped ends with EINTR), and 15 of 15 were sent on.
     """
     ways = [way for way in WAYS[front] for _ in range(TIMES)]
-    program, servers = stage(RESET, front)
+    program, _, servers = start_unusual(RESET, RESET, frontend=front)
     *gone, stays = stopped_in_a_pause(program, servers, front, [*ways, "stays"])
     for each in gone:
         each.go()
@@ -187,11 +164,11 @@
 
 @pytest.mark.parametrize("front", sorted(WAYS))
 @pytest.mark.parametrize("known", [True, False], ids=["known", "not yet taken"])
-def test_set_ups_before_the_end_of_a_stream_that_lies_behind_more_than_a_look_reads(stage, front, known):
+def test_setups_before_the_end_of_a_stream_behind_much_unread_data_are_not_sent(start_unusual, front, known):
     """Guards against an end of a stream that is seen late: more lies before it than is read at once. Each
     caller brings set-ups of 128 KiB in all, and leaves, while the process stands still.
     """
-    program, servers = stage(None, front)
+    program, _, servers = start_unusual(None, None, frontend=front)
     ways = [way for way in ("close", "reset", "half-close") for _ in range(TIMES)]
     if known:
         callers = [Leaver(program, front, way) for way in ways]
@@ -231,12 +208,12 @@
 
 @pytest.mark.parametrize("front", sorted(WAYS))
 @pytest.mark.parametrize("by", ["the same", "another"])
-def test_a_cancel_in_pieces_behind_other_messages_is_read_before_the_set_up_is_written(stage, front, by):
+def test_a_cancel_in_pieces_behind_other_messages_is_read_before_the_setup_is_sent(start_unusual, front, by):
     """Guards against a CANCEL that is read too late: on its connection lie 30 KiB before it, and it came in
     pieces. Some calls wait in a pause, of others the set-up itself lies unread; all is there when the process
     goes on.
     """
-    program, servers = stage(RESET, front)
+    program, _, servers = start_unusual(RESET, RESET, frontend=front)
     *waiting, stays = stopped_in_a_pause(program, servers, front, [*["cancel"] * TIMES, "stays"])
     fresh = [Leaver(program, front, "cancel") for _ in range(TIMES)]  # unread until the process goes on
     ahead = []
@@ -284,7 +261,7 @@
         (link,) = links
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
-        idents = [next(IDS) for _ in (*ways, "stays")]  # as many as may be open there at a time
+        idents = [next_call_id() for _ in (*ways, "stays")]  # as many as may be open there at a time
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
 
         def all_go():
@@ -295,7 +272,7 @@
             return [m["tag"] for m in server.messages("START") if m["tag"] in which]
 
         for ident, caller in zip(idents, callers, strict=True):
-            caller.sendall(trunk_invite(ident, "read-roster"))
+            caller.sendall(platform_invite(ident, answer_within_ms="4000"))
         await wait_in_loop(lambda: core.calls.unanswered == len(idents))
         gone, (stays,) = set(idents[:-1]), idents[-1:]
         if when == "the link comes up":
@@ -321,8 +298,8 @@
                 server.send("FINISH", ident, rc=41)
             before = len(gone)
         await wait_in_loop(lambda: core.calls.is_established(stays))
-        late = next(IDS)
-        callers[-1].sendall(trunk_invite(late, "read-roster"))
+        late = next_call_id()
+        callers[-1].sendall(platform_invite(late, answer_within_ms="4000"))
         await wait_in_loop(lambda: late in asked({late}))
         assert len(asked(gone)) == before, f"{len(asked(gone)) - before} of {len(gone)} were sent on"
         server.close()
@@ -373,11 +350,11 @@
         network.connector.connect = narrow
         network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
         (link,) = links
-        idents = [next(IDS) for _ in range(10)]
+        idents = [next_call_id() for _ in range(10)]
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 3]
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
         for ident, caller in zip(idents, callers, strict=True):
-            caller.sendall(trunk_invite(ident, "read-roster", b"d" * 12_000))
+            caller.sendall(platform_invite(ident, answer_within_ms="4000", body=b"d" * 12_000))
         await wait_in_loop(lambda: core.calls.unanswered == len(idents))
         network.dial(link)
         await wait_in_loop(lambda: link.writing)
@@ -433,9 +410,9 @@
         looks.append(inside.now)
 
     inside.core.read_callers = look
-    idents = [next(IDS) for _ in callers]
+    idents = [next_call_id() for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
-        caller.receive_data(trunk_invite(ident, "read-roster"))
+        caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
     may_write, stops = inside.core.attempts.claim_transmission, [0.3]
 
     def slow(attempt):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -39,48 +39,19 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
+from .support.call_ids import next_call_id
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS, platform_config
 from .support.program import Program
 from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
-from .support.sip_messages import sip_headers
+from .support.sip_messages import platform_invite, sip_headers
 from .support.waiting import wait_until
 
-IDS = iter(f"{n:016x}" for n in range(0x0A0001, 0x0A9999))
 SILENT = ScriptedServer.never_answers
 
 
-@pytest.fixture
-def stage(tmp_path):
-    """Starts a program of either kind before roster servers with the given scripts; ends it afterwards."""
-    started = []
-
-    def start(*scripts, front="platform", sockets=1024):
-        servers = [ScriptedServer(script) for script in scripts]
-        if front == "platform":
-            lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-            program = Program.on_platform(tmp_path, ScriptedCoordinator(*lines), sockets=sockets)
-        else:
-            program = Program.as_appliance(
-                tmp_path, *servers, *(ScriptedServer() for _ in servers[1:2] or "x")
-            )
-        started.append(program)
-        return program.wait_until_serving(), servers
-
-    start.started = started
-    yield start
-    for program in started:
-        program.kill()
-
-
-def trunk_invite(ident, within="3000", kind="read-roster"):
-    """The bytes of the platform's set-up."""
-    headers = {"call-id": ident, "cseq": "1 INVITE", "call-kind": kind, "answer-within": within}
-    return sip.request("INVITE", "sip:7f3a9c21e0b4d655@net", list(headers.items()), b"d")
-
-
 def statuses(connection, ident):
     """The answers that a connection of the platform's front has queued for a call; takes them off it."""
     parser, found = sip_parser.StreamParser(), []
@@ -95,9 +66,9 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_the_door_answers_each_line_with_ok_or_fail_and_a_reason(stage, front):
+def test_the_door_answers_each_line_with_ok_or_fail_and_a_reason(start_deployment, front):
     """Guards against operators who get no answer, or a wrong one: a line each, whatever is sent."""
-    program, _ = stage(None, front=front)
+    program, _, _ = start_deployment(None, frontend=front, wait_until_serving=True)
     assert program.admin_command("check").startswith("ok serving")
     for line, ends, says in [
         ("restart", False, "unknown order restart"),
@@ -119,12 +90,12 @@
     assert program.admin_command("check").startswith("ok serving")
 
 
-def test_neither_callers_nor_silent_operators_shut_the_door(stage):
+def test_neither_callers_nor_silent_operators_shut_the_door(start_deployment):
     """Guards against a door that shares its descriptors with callers, or is filled by silent operators."""
-    program, (server,) = stage(SILENT, sockets=40)
+    program, _, (server,) = start_deployment(SILENT, sockets=40, wait_until_serving=True)
     callers = [program.caller() for _ in range(30)]
     for caller in callers:
-        caller.invite(next(IDS), answer_within_ms=9000)
+        caller.invite(next_call_id(), answer_within_ms=9000)
     wait_until(lambda: len(server.messages("START")) >= 8)
     silent = [socket.create_connection(program.admin_address) for _ in range(60)]
     assert program.admin_command("check").startswith("ok")
@@ -174,10 +145,10 @@
         assert listener.evict()
 
 
-def test_the_door_answers_while_the_program_ends(stage):
+def test_the_door_answers_while_the_program_ends(start_deployment):
     """Guards against a drain that is undone though the process is about to go."""
-    program, (server,) = stage(SILENT)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=3000)
     wait_until(lambda: server.messages("START"))
     program.process.terminate()
@@ -189,9 +160,9 @@
     assert program.process.wait(20) == 0
 
 
-def test_the_terminal_takes_the_doors_orders(stage):
+def test_the_terminal_takes_the_doors_orders(start_deployment):
     """Guards against two sets of names for one thing: the terminal's `drain` has given way."""
-    program, _ = stage(None, front="appliance")
+    program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     stdin = program.process.stdin
     for command, shows in [
         ("check", "ok serving, 2 of 2"), ("drain-on", "ok draining, 0 calls"),
@@ -222,13 +193,13 @@
 # ---- drains ----
 
 
-def test_a_drain_sends_callers_away_and_can_be_undone(stage):
+def test_a_drain_sends_callers_away_and_can_be_undone(start_deployment):
     """Guards against a drain that is no state: tests are told no at once, what was taken is served, each
     connection ends once nothing is owed on it, and all of it is undone by one order.
     """
-    program, (server,) = stage(SILENT)
-    idle, busy, ident, late = program.caller(), program.caller(), next(IDS), next(IDS)
-    idle.invite(next(IDS), call_class="none")
+    program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
+    idle, busy, ident, late = program.caller(), program.caller(), next_call_id(), next_call_id()
+    idle.invite(next_call_id(), call_class="none")
     wait_until(lambda: idle.received)
     busy.invite(ident)
     wait_until(lambda: server.messages("START"))
@@ -247,22 +218,22 @@
     wait_until(lambda: busy.messages(ident, "BYE") or newcomer.messages(ident, "BYE"), "a release in a drain")
     assert program.admin_command("drain-off").startswith("ok serving")
     assert program.health_check_status() == 200
-    caller, again = program.caller(), next(IDS)
+    caller, again = program.caller(), next_call_id()
     server.script = ScriptedServer.establishes
     caller.invite(again)
     caller.expect(again, 200)
 
 
-def test_a_caller_that_never_pauses_is_sent_away_all_the_same(stage):
+def test_a_caller_that_never_pauses_is_sent_away_all_the_same(start_deployment):
     """Guards against a connection that is never idle and so outlives the drain."""
-    program, (server,) = stage(SILENT)
-    caller, open_one = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
+    caller, open_one = program.caller(), next_call_id()
     caller.invite(open_one, answer_within_ms=9000)
     wait_until(lambda: server.messages("START"))
     program.admin_command("drain-on")
 
     def refused():
-        ident = next(IDS)
+        ident = next_call_id()
         caller.invite(ident, answer_within_ms=9000)
         wait_until(
             lambda: caller.final_statuses(ident) or len(server.messages("START")) > refused.seen, "its fate"
@@ -280,9 +251,9 @@
 
 
 @pytest.mark.parametrize("udp", [True, False], ids=["udp", "tcp"])
-def test_the_appliance_drains_by_the_same_rules(stage, udp):
+def test_the_appliance_drains_by_the_same_rules(start_deployment, udp):
     """Guards against an appliance that refuses callers at once in a drain, or serves them for good."""
-    program, _ = stage(None, front="appliance")
+    program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     program.admin_command("drain-on")
 
     def ask(number, method="INVITE"):
@@ -309,7 +280,7 @@
     front = PlatformFrontend(inside.core)
     one, two = front.connect(), front.connect()
     for connection in (one, two):
-        connection.receive_data(trunk_invite(ident := next(IDS)))
+        connection.receive_data(platform_invite(ident := next_call_id()))
         inside.establish()
         assert statuses(connection, ident) == [200]
     return front, one, two, ident
@@ -376,7 +347,7 @@
     listener.close_idle()
     assert not one.protocol.closing, "it is new and has not asked yet"
     inside.run(DRAIN_FIRST_REQUEST_S + 0.1)
-    theirs.send(trunk_invite(ident := next(IDS)))
+    theirs.send(platform_invite(ident := next_call_id()))
     listener.close_idle()
     assert not one.protocol.closing
     one.protocol.receive_data(ours.recv(4096))
@@ -398,13 +369,13 @@
     connection = PlatformFrontend(inside.core).connect()
     inside.core.readiness.drain(True)
     inside.run(REJECT_AFTER_S - 0.1)
-    connection.receive_data(trunk_invite(early := next(IDS)))
+    connection.receive_data(platform_invite(early := next_call_id()))
     inside.run(0.2)
-    connection.receive_data(trunk_invite(late := next(IDS)))
+    connection.receive_data(platform_invite(late := next_call_id()))
     assert statuses(connection, late) == [503]
     assert early in inside.core.calls.by_ident
     inside.core.readiness.drain(False)
-    connection.receive_data(trunk_invite(again := next(IDS)))
+    connection.receive_data(platform_invite(again := next_call_id()))
     assert again in inside.core.calls.by_ident
 
 
@@ -461,11 +432,11 @@
 NO_NUMBERS = ["NaN", "Infinity", "-Infinity", "1e999", "true", "false", '"3"', "0", "-5", "null", "[]", "{}"]
 
 
-def test_a_file_that_is_cut_short_or_lacks_a_key_or_a_number_changes_nothing(stage):
+def test_a_file_that_is_cut_short_or_lacks_a_key_or_a_number_changes_nothing(start_deployment):
     """Guards against settings put together from half a file and the parser's defaults: each such file is
     refused whole, with one line and a count, and what was in force stays.
     """
-    program, _ = stage(None)
+    program, _, _ = start_deployment(None, wait_until_serving=True)
     text = program.path.read_text()
     raw = json.loads(text)
     bad = ["", " ", "{}", "[]", "null", "3", text[: len(text) // 2], text[:-1]]
@@ -480,7 +451,7 @@
     for index, each in enumerate(bad):
         assert program.reload(each)["result"] == "rejected", each
         assert len(program.log_events("reload")) == index + 1, "one line each"
-    caller, ident = program.caller(), next(IDS)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident, "save-roster", answer_within_ms=9000)
     caller.expect(ident, 200)
     line = program.reload(json.dumps(changed(raw, "settings", "classes", 0, "hard_limit_s", value=8)))
@@ -490,9 +461,9 @@
     assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(bad)), "1")
 
 
-def test_the_appliances_file_is_held_to_the_same(stage):
+def test_the_appliances_file_is_held_to_the_same(start_deployment):
     """Guards against a small site's file that is cut short by an editor, or mistyped."""
-    program, _ = stage(None, front="appliance")
+    program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     text = program.path.read_text()
     limit, cap = "hard_limit_s = 9.0             #", "send_cap = 6"
     for each in [
@@ -518,13 +489,13 @@
     )
 
 
-def test_a_class_is_added_and_another_removed_under_open_calls(stage):
+def test_a_class_is_added_and_another_removed_under_open_calls(start_deployment):
     """Guards against classes told by their place: an open call stays what it was, callers may name the old
     class for a while, and then it is one that does not exist.
     """
-    program, (server, _) = stage(SILENT, SILENT)
+    program, _, (server, _) = start_deployment(SILENT, SILENT, wait_until_serving=True)
     raw = json.loads(program.path.read_text())
-    caller, open_one = program.caller(), next(IDS)
+    caller, open_one = program.caller(), next_call_id()
     caller.invite(open_one, "save-roster", answer_within_ms=9000)
     wait_until(lambda: server.messages("START"))
     new = [class_line("night-roster"), class_line("read-roster", effect="keyed")]
@@ -532,14 +503,14 @@
     assert (line["added"], line["removed"], line["restart_required"]) == ("night-roster", "save-roster", "-")
     server.script = ScriptedServer.establishes
     for kind in ("night-roster", "read-roster", "save-roster"):
-        ident = next(IDS)
+        ident = next_call_id()
         caller.invite(ident, kind)
         caller.expect(ident, 200)
     named = [m["opts"]["class"] for m in server.messages("START")]
     assert named == ["save-roster", "night-roster", "read-roster", "save-roster"]
 
     def unknown():
-        ident = next(IDS)
+        ident = next_call_id()
         caller.invite(ident, "save-roster")
         return wait_until(lambda: caller.final_statuses(ident)) == [400]
 
@@ -555,11 +526,11 @@
     """Guards against a call whose rules change, or that is lost, while it is open."""
     inside = InProcessNode()
     connection = PlatformFrontend(inside.core).connect()
-    connection.receive_data(trunk_invite(old := next(IDS), "9000", "save-roster"))
+    connection.receive_data(platform_invite(old := next_call_id(), "save-roster", "9000"))
     kept = inside.core.calls.by_ident[old].request.call_class
     lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
     inside.core.update_settings(settings_from_object(tuned(lines, cap=1)).settings)
-    connection.receive_data(trunk_invite(new := next(IDS), "3000"))
+    connection.receive_data(platform_invite(new := next_call_id()))
     call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
     assert call.request.call_class is kept
@@ -585,12 +556,12 @@
         settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings
     )
     inside.run(1.3)
-    for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
-        connection.receive_data(trunk_invite(ident, "9000", kind))
+    for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
+        connection.receive_data(platform_invite(ident, kind, "9000"))
         assert ident in inside.core.calls.by_ident
     inside.run(FORMER_CLASS_S)
-    for ident, kind in ((next(IDS), "save-roster"), (next(IDS), "read-roster")):
-        connection.receive_data(trunk_invite(ident, "9000", kind))
+    for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
+        connection.receive_data(platform_invite(ident, kind, "9000"))
         assert statuses(connection, ident) == [400]
 
 
@@ -663,7 +634,7 @@
     platform = upgrade(SILENT)
     (server,) = platform.servers
     old = platform.start()
-    keeps, waits, standing, open_one = old.caller(), old.caller(), next(IDS), next(IDS)
+    keeps, waits, standing, open_one = old.caller(), old.caller(), next_call_id(), next_call_id()
     for caller, ident in ((keeps, standing), (waits, open_one)):
         caller.invite(ident, answer_within_ms=9000)
         wait_until(lambda ident=ident: ident in [m["tag"] for m in server.messages("START")])
@@ -677,7 +648,7 @@
     server.script = ScriptedServer.establishes
     callers = [new.caller() for _ in range(8)]
     for caller in callers:
-        caller.invite(ident := next(IDS))
+        caller.invite(ident := next_call_id())
         caller.expect(ident, 200)
     assert old.admin_command("check") == "fail draining"
     server.send("STARTED", open_one, connection=server.connections[0], blob="d")
@@ -700,7 +671,7 @@
     new.process.terminate()
     assert new.process.wait(20) == 0
     newest = platform.programs[-1].caller()
-    newest.invite(ident := next(IDS))
+    newest.invite(ident := next_call_id())
     newest.expect(ident, 200)
 
 
@@ -711,7 +682,7 @@
     platform.coordinator.withholds_answers = True
     program = platform.start(waits=False)
     assert program.admin_command("check").startswith("fail ")
-    caller, ident = program.caller(), next(IDS)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     for _ in range(20):  # each is one more round of its loop
         assert program.admin_command("check").startswith("fail ")
@@ -732,7 +703,7 @@
     assert platform.programs[0].process.wait(20) == 0
     caller = new.caller()
     for _ in range(5):
-        caller.invite(ident := next(IDS))
+        caller.invite(ident := next_call_id())
         caller.expect(ident, 200)
     assert len(second.messages("START")) == 5
     assert not first.messages("START")
@@ -742,7 +713,7 @@
     """Guards against calls without an answer: SIGKILL comes 0.7 s after the longest deadline, 5 s at most."""
     platform = upgrade(SILENT)
     old = platform.start()
-    caller, ident = old.caller(), next(IDS)
+    caller, ident = old.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=9000)
     wait_until(lambda: platform.servers[0].messages("START"))
     old.process.terminate()
@@ -819,7 +790,7 @@
     side = ServerConnectionPool(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     links[0].connection_made()
-    side.send_release(links[0].server, next(IDS), 16)
+    side.send_release(links[0].server, next_call_id(), 16)
     assert not side.is_flushed()
     links[0].data_to_send()
     assert side.is_flushed()
@@ -867,9 +838,9 @@
     """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
     inside = InProcessNode()
     listener, (usual, silent, never_ends) = listener_of(inside, 9, End(), End(), End())
-    come(inside, usual, trunk_invite(next(IDS)))
+    come(inside, usual, platform_invite(next_call_id()))
     come(inside, never_ends, b"INVITE sip:1@net")
-    message = trunk_invite(late := next(IDS))
+    message = platform_invite(late := next_call_id())
     for start in range(0, len(message), 40):
         come(inside, usual, message[start : start + 40])
         inside.run(0.7)
@@ -886,7 +857,7 @@
     """Guards against callers evicted for newcomers between two pieces of a message."""
     inside = InProcessNode()
     listener, (under_way, silent, idle) = listener_of(inside, 3, End(), End(), End())
-    come(inside, under_way, trunk_invite(next(IDS))[:60])
+    come(inside, under_way, platform_invite(next_call_id())[:60])
     come(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     statuses(idle.protocol, "p")
     inside.run(1.0)
@@ -903,7 +874,7 @@
     that says nothing.
     """
     inside = InProcessNode()
-    listener, (newcomer, silent) = listener_of(inside, 2, End(trunk_invite(next(IDS))), End())
+    listener, (newcomer, silent) = listener_of(inside, 2, End(platform_invite(next_call_id())), End())
     inside.run(1.0)
     assert listener.evict()
     assert silent.protocol.closing
@@ -922,7 +893,7 @@
     links[0].connection_made()
     connection = PlatformFrontend(inside.core).connect()
     for _ in range(4):
-        connection.receive_data(trunk_invite(ident := next(IDS)))
+        connection.receive_data(platform_invite(ident := next_call_id()))
         inside.run(0.01)
         assert b"START" in links[0].data_to_send()
         inside.run(0.15)
@@ -945,7 +916,7 @@
     while len(links) < 4:
         links[-1].connection_made()
         while not side.standby:
-            connection.receive_data(trunk_invite(ident := next(IDS), "9000"))
+            connection.receive_data(platform_invite(ident := next_call_id(), answer_within_ms="9000"))
             inside.run(0.1)
             links[-1].data_to_send()
             headers = [("call-id", ident), ("cseq", "1 CANCEL")]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,34 +12,16 @@
 
 from stairhatch.emulators.ports import free_port
 
+from .support.call_ids import next_call_id
 from .support.platform_config import SETTINGS
 from .support.program import Program
-from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
+from .support.scripted_coordinator import endpoint_entry
 from .support.scripted_server import ScriptedServer
 from .support.waiting import wait_until
 
-IDS = iter(f"{n:016x}" for n in range(1, 1000))
 RESET, SILENT = ScriptedServer.ends(41), ScriptedServer.never_answers
 
 
-@pytest.fixture
-def stage(tmp_path):
-    """Starts a program before roster servers with the given scripts; ends all of it afterwards."""
-    started = []
-
-    def start(*scripts):
-        servers = [ScriptedServer(script) for script in scripts]
-        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-        coordinator = ScriptedCoordinator(*lines)
-        program = Program.on_platform(tmp_path, coordinator)
-        started.append(program)
-        return program, coordinator, servers
-
-    yield start
-    for program in started:
-        program.kill()
-
-
 @pytest.mark.parametrize(
     ("scripts", "kind", "status", "sends"),
     [
@@ -52,10 +34,10 @@
         ([None], "no-such-class", 400, 0),
     ],
 )
-def test_one_final_answer_whatever_the_servers_do(stage, scripts, kind, status, sends):
+def test_one_final_answer_whatever_the_servers_do(start_deployment, scripts, kind, status, sends):
     """Guards against a call that is answered twice, late or never."""
-    program, _, servers = stage(*scripts)
-    caller, ident = program.caller(), next(IDS)
+    program, _, servers = start_deployment(*scripts)
+    caller, ident = program.caller(), next_call_id()
     began = time.monotonic()
     caller.invite(ident, kind, answer_within_ms=1000, body='quotes " and æøå\r\n'.encode())
     wait_until(lambda: caller.final_statuses(ident), "a final answer")
@@ -72,10 +54,10 @@
 
 
 @pytest.mark.parametrize("reopened", [False, True])
-def test_a_release_reaches_the_caller_on_any_connection(stage, reopened):
+def test_a_release_reaches_the_caller_on_any_connection(start_deployment, reopened):
     """Guards against a call left standing because its own connection has gone."""
-    program, _, (server,) = stage(None)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
     if reopened:
@@ -85,10 +67,10 @@
     assert caller.expect(ident, "BYE").get("reason") == "Q.850;cause=16"
 
 
-def test_a_release_waits_for_a_caller_to_connect(stage):
+def test_a_release_waits_for_a_caller_to_connect(start_deployment):
     """Guards against a release that is lost because nobody is connected just then."""
-    program, _, (server,) = stage(None)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
     caller.close()
@@ -97,10 +79,10 @@
     program.caller().expect(ident, "BYE")
 
 
-def test_a_call_from_before_a_restart_is_released_both_ways(stage):
+def test_a_call_from_before_a_restart_is_released_both_ways(start_deployment):
     """Guards against calls that outlive the softswitch that set them up."""
-    program, _, (server,) = stage(None)
-    caller, old, other = program.caller(), next(IDS), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, old, other = program.caller(), next_call_id(), next_call_id()
     wait_until(lambda: server.connections)
     server.send("FINISH", old, rc=16)
     caller.expect(old, "BYE")
@@ -115,10 +97,10 @@
 
 
 @pytest.mark.parametrize("by", ["cancel", "close"])
-def test_a_set_up_given_up_is_given_up_at_the_server_and_a_late_answer_released(stage, by):
+def test_a_set_up_given_up_is_given_up_at_the_server_and_a_late_answer_released(start_deployment, by):
     """Guards against calls that stand at a server with no caller."""
-    program, _, (server,) = stage(SILENT)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     wait_until(lambda: server.messages("START"))
     if by == "cancel":
@@ -131,10 +113,10 @@
     assert not caller.final_statuses(ident)
 
 
-def test_the_release_pause_is_kept_and_never_two_attempts_are_out(stage):
+def test_the_release_pause_is_kept_and_never_two_attempts_are_out(start_deployment):
     """Guards against the rules on release and on second copies, as a server sees them."""
-    program, _, (server,) = stage(RESET)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(RESET)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=2500)
     wait_until(lambda: caller.final_statuses(ident))
     times = [at for at, message in server.received if message["verb"] == "START"]
@@ -142,10 +124,10 @@
     assert all(b - a >= 0.5 for a, b in pairwise(times))
 
 
-def test_a_dying_server_resets_its_set_ups_and_cuts_its_calls(stage):
+def test_a_dying_server_resets_its_set_ups_and_cuts_its_calls(start_deployment):
     """Guards against calls left standing, and set-ups left waiting, at a process that is gone."""
-    program, _, (server, other) = stage(None, None)
-    caller, standing, waiting = program.caller(), next(IDS), next(IDS)
+    program, _, (server, other) = start_deployment(None, None)
+    caller, standing, waiting = program.caller(), next_call_id(), next_call_id()
     caller.invite(standing)
     caller.expect(standing, 200)
     server.script = SILENT
@@ -157,12 +139,12 @@
     assert [m["tag"] for m in other.messages("START")] == [waiting]
 
 
-def test_a_drained_server_gets_nothing_and_its_address_may_be_used_again(stage):
+def test_a_drained_server_gets_nothing_and_its_address_may_be_used_again(start_deployment):
     """Guards against servers known by address: a new one had that of one that drains."""
-    program, coordinator, (server, other) = stage(None, None)
+    program, coordinator, (server, other) = start_deployment(None, None)
     caller = program.caller()
     coordinator.publish(endpoint_entry("s-0", server.port, 0, "terminating"))
-    first, second = next(IDS), next(IDS)
+    first, second = next_call_id(), next_call_id()
     caller.invite(first)
     caller.expect(first, 200)
     assert not server.messages("START")
@@ -176,10 +158,10 @@
     assert [m["tag"] for m in server.messages("START")] == [second]
 
 
-def test_sigterm_finishes_what_was_taken_and_still_takes_what_comes(stage):
+def test_sigterm_finishes_what_was_taken_and_still_takes_what_comes(start_deployment):
     """Guards against calls lost at a planned restart."""
-    program, _, (server,) = stage(SILENT)
-    caller, early, late = program.caller(), next(IDS), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    caller, early, late = program.caller(), next_call_id(), next_call_id()
     caller.invite(early)
     wait_until(lambda: server.messages("START"))
     program.process.terminate()
@@ -205,10 +187,10 @@
         (b"INVITE sip:1@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 99999\r\n\r\n", 413),
     ],
 )
-def test_what_is_malformed_ends_its_connection_only(stage, data, status):
+def test_what_is_malformed_ends_its_connection_only(start_deployment, data, status):
     """Guards against one caller's bad bytes taking the others down."""
-    program, _, _ = stage(None)
-    bad, good, ident = program.caller(), program.caller(), next(IDS)
+    program, _, _ = start_deployment(None)
+    bad, good, ident = program.caller(), program.caller(), next_call_id()
     bad.sock.sendall(data)
     bad.expect("x", status)
     wait_until(lambda: bad.closed)
@@ -216,9 +198,9 @@
     good.expect(ident, 200)
 
 
-def test_a_test_is_passed_and_other_methods_are_refused(stage):
+def test_a_test_is_passed_and_other_methods_are_refused(start_deployment):
     """Guards against a front that never takes the softswitch in."""
-    program, _, _ = stage(None)
+    program, _, _ = start_deployment(None)
     program.wait_until_serving()
     caller = program.caller()
     caller.send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -27,14 +27,16 @@
 from stairhatch.node.service_discovery import MAX_REQUESTS, ServiceDiscoveryClient
 from stairhatch.overload.events import Availability
 
+from .support.call_ids import next_call_id
+from .support.full_listener import FullListener
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS
 from .support.program import Program
 from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .support.scripted_server import ScriptedServer
+from .support.sip_messages import platform_invite
 from .support.waiting import wait_until
 
-IDS = iter(f"{n:016x}" for n in range(0xF1E0001, 0xF1E9999))
 PING = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 
 
@@ -88,7 +90,9 @@
 
 @pytest.mark.parametrize("again", [True, False], ids=["who come again", "who stay"])
 @pytest.mark.parametrize(("told", "real"), [(64, 64), (1024, 64), (64, 1024)])
-def test_callers_that_hold_on_do_not_keep_what_is_away_from_coming_back(tmp_path, started, told, real, again):
+def test_idle_callers_leave_descriptors_for_servers_and_coordinator_that_return(
+    tmp_path, started_programs, told, real, again
+):
     """Guards against descriptors filled by idle callers while the coordinator and all roster servers are
     away: none was left to dial them when they were there again. The limit is what the settings tell, what
     the system sets, or both.
@@ -102,7 +106,7 @@
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
     )
     program = Limited.on_platform(tmp_path, coordinator, sockets=told).wait_until_serving()
-    started.append(program)
+    started_programs.append(program)
     for each in (coordinator.close, *(each.close for each in servers)):
         each()
     wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
@@ -122,7 +126,7 @@
     coordinator.publish(endpoint_entry("s-0", back[0].port, 0, "terminating"))
     wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its news")
     assert program.admin_command("check").startswith("ok")
-    ident, newcomer = next(IDS), program.caller()
+    ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     newcomer.expect(ident, 200)
     assert held(program) <= min(told, real)
@@ -131,7 +135,7 @@
     assert max(lines.values(), default=0) <= 2, "one line a second says that descriptors have run out"
 
 
-def test_a_list_longer_than_the_limit_leaves_the_door_and_callers_theirs(tmp_path, started):
+def test_a_list_longer_than_the_limit_leaves_the_door_and_callers_theirs(tmp_path, started_programs):
     """Guards against links that take every descriptor, so that neither the door nor callers have one: so many
     roster servers are listed, and all are there.
     """
@@ -144,7 +148,7 @@
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
     )
     program = Limited.on_platform(tmp_path, coordinator, sockets=1024).wait_until_serving()
-    started.append(program)
+    started_programs.append(program)
     wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
     assert program.log_events("server_connected"), "others are reached"
     crowd = Crowd(program.address, 64, False)
@@ -152,7 +156,7 @@
         lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are evicted"
     )
     assert program.admin_command("check").startswith("ok")
-    ident, newcomer = next(IDS), program.caller()
+    ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     wait_until(lambda: newcomer.final_statuses(ident), "an answer")
     assert held(program) <= 64
@@ -179,57 +183,28 @@
     assert least > 10**6, "where no limit is set"
 
 
-class Unanswered:
-    """A roster server whose machine answers no dial: the queue of its listener is full, so that what comes
-    waits in the sender's kernel.
-    """
-
-    def __init__(self):
-        self.listener = socket.socket()
-        self.listener.bind(("127.0.0.1", 0))
-        self.listener.listen(0)
-        self.port = self.listener.getsockname()[1]
-        self.fill = []
-        while True:
-            sock = socket.socket()
-            sock.settimeout(0.3)
-            self.fill.append(sock)
-            try:
-                sock.connect(("127.0.0.1", self.port))
-            except TimeoutError:
-                return
-
-    def answer(self):
-        """Take who waits in the queue; who was not let in comes again by itself."""
-        self.fill += [self.listener.accept()[0] for _ in self.fill[:-1]]
-
-    def close(self):
-        for each in (*self.fill, self.listener):
-            each.close()
-
-
 @pytest.mark.parametrize("silent", [False, True], ids=["coordinator up", "coordinator silent"])
-def test_a_start_waits_for_no_server_that_never_answers_its_dial(tmp_path, started, silent):
+def test_a_start_waits_for_no_server_that_never_answers_its_dial(tmp_path, started_programs, silent):
     """Guards against softswitches that are not ready for as long as the settings allow a connection to take:
     one listed server that never answers held up the start of all. Here that is longer than the story waits.
     """
-    stuck, server = Unanswered(), ScriptedServer()
-    assert len(stuck.fill) >= 2, "its queue was filled until a dial got no answer"
+    stuck, server = FullListener(), ScriptedServer()
+    assert len(stuck.connections) >= 2, "its queue was filled until a dial got no answer"
     coordinator = ScriptedCoordinator(
         endpoint_entry("s-0", server.port, 0), endpoint_entry("s-1", stuck.port, 1)
     )
     coordinator.withholds_answers = silent
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": 600.0}
     program = Program.on_platform(tmp_path, coordinator, {**SETTINGS, "permissions": permissions})
-    started.append(program)
+    started_programs.append(program)
     wait_until(lambda: program.log_events("serving"), "that it serves")
     assert not program.log_events("server_connect_failed"), "it was still being dialled"
     assert program.health_check_status() == 200
     assert program.admin_command("check").startswith("ok")
-    ident, caller = next(IDS), program.caller()
+    ident, caller = next_call_id(), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
-    stuck.answer()  # the dial that waits in the kernel comes up late
+    stuck.empty_queue()  # the dial that waits in the kernel comes up late
     wait_until(
         lambda: any(line["server"] == "s-1" for line in program.log_events("server_connected")),
         "the late one",
@@ -255,7 +230,7 @@
 # ---- a list that can't be read in part ----
 
 
-def test_a_line_that_cannot_be_read_holds_no_other_up_and_gets_nothing_new(tmp_path, started):
+def test_a_line_that_cannot_be_read_holds_no_other_up_and_gets_nothing_new(tmp_path, started_programs):
     """Guards against a list that stands still for one line of it: the drain told beside it went unheard for
     as long as the line was there, and calls went on to that server.
     """
@@ -264,8 +239,8 @@
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
     )
     program = Program.on_platform(tmp_path, coordinator).wait_until_serving()
-    started.append(program)
-    caller, stands = program.caller(), next(IDS)
+    started_programs.append(program)
+    caller, stands = program.caller(), next_call_id()
     caller.invite(stands, routing_data="dest:0;width:1;via:-1")
     caller.expect(stands, 200)
     (home,) = [each for each in servers if each.messages("START")]
@@ -286,7 +261,7 @@
     assert len(passed) == 1, "said once"
     before = [len(each.messages("START")) for each in servers]
     for _ in range(6):
-        caller.invite(ident := next(IDS), answer_within_ms=9000)
+        caller.invite(ident := next_call_id(), answer_within_ms=9000)
         caller.expect(ident, 200)
     after = [len(each.messages("START")) for each in servers]
     assert [n for n in range(3) if after[n] > before[n]] == [open_]
@@ -356,23 +331,17 @@
 # ---- floods ----
 
 
-def trunk_invite(ident):
-    """The bytes of the platform's set-up."""
-    headers = {"call-id": ident, "cseq": "1 INVITE", "call-kind": "read-roster", "answer-within": "9000"}
-    return sip.request("INVITE", "sip:7f3a9c21e0b4d655@net", list(headers.items()), b"d")
-
-
 @pytest.fixture
-def program(tmp_path, started):
+def program(tmp_path, started_programs):
     """Starts a program before roster servers with the given scripts."""
 
     def start(*scripts, sockets=1024):
         servers = [ScriptedServer(script) for script in scripts]
         lines = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
-        started.append(
+        started_programs.append(
             Program.on_platform(tmp_path, ScriptedCoordinator(*lines), sockets=sockets).wait_until_serving()
         )
-        return started[-1]
+        return started_programs[-1]
 
     return start
 
@@ -382,10 +351,10 @@
     later, and against others who wait for it.
     """
     here = program(None, None)
-    flood, idents = socket.create_connection(here.address), [next(IDS) for _ in range(300)]
-    flood.sendall(b"".join(trunk_invite(ident) for ident in idents))
+    flood, idents = socket.create_connection(here.address), [next_call_id() for _ in range(300)]
+    flood.sendall(b"".join(platform_invite(ident, answer_within_ms="9000") for ident in idents))
     other = here.caller()
-    other.invite(ident := next(IDS), answer_within_ms=9000)
+    other.invite(ident := next_call_id(), answer_within_ms=9000)
     other.expect(ident, 200)
     parser, got = sip_parser.StreamParser(), Counter()
     flood.settimeout(20)
@@ -406,9 +375,9 @@
     room = DescriptorBudget(sockets, 26, 3).available_to_callers()
     assert (many > room) is (sockets == 64)
     here.process.send_signal(signal.SIGSTOP)
-    callers = [(here.caller(), next(IDS)) for _ in range(many)]
+    callers = [(here.caller(), next_call_id()) for _ in range(many)]
     for caller, ident in callers:
-        caller.send_bytes(trunk_invite(ident))
+        caller.send_bytes(platform_invite(ident, answer_within_ms="9000"))
     assert not any(caller.received for caller, _ in callers)
     here.process.send_signal(signal.SIGCONT)
     for caller, ident in callers:
@@ -438,7 +407,7 @@
     for each in threads:
         each.start()
     wait_until(lambda: sum(sent.values()) > 64, "that they send")
-    newcomers = [(here.caller(), next(IDS)) for _ in range(3)]
+    newcomers = [(here.caller(), next_call_id()) for _ in range(3)]
     for caller, ident in newcomers:
         caller.invite(ident, answer_within_ms=9000)
         caller.expect(ident, 200)
@@ -455,10 +424,10 @@
     here = program(ScriptedServer.ends(34))
     caller, advised = here.caller(), 0
     for _ in range(20):
-        caller.invite(ident := next(IDS), repeat_mark="1", answer_within_ms=9000)
+        caller.invite(ident := next_call_id(), repeat_mark="1", answer_within_ms=9000)
         wait_until(lambda ident=ident: caller.final_statuses(ident), "its answer")
         advised += bool(caller.messages(ident, 503) and caller.messages(ident, 503)[0].get("come-back-ms"))
-        again = next(IDS)
+        again = next_call_id()
         caller.invite(again, repeat_mark="1")
         wait_until(lambda again=again: caller.final_statuses(again), "its answer")
         assert len(caller.final_statuses(ident)) == len(caller.final_statuses(again)) == 1
@@ -470,7 +439,7 @@
     """Guards against a link held for unreached, and its server for cold, since the loop carries out the
     dial's time limit, due by then, before it looks at the socket. One that did not come up fails as before.
     """
-    stuck = None if answers else Unanswered()
+    stuck = None if answers else FullListener()
     server = ScriptedServer() if answers else stuck
 
     async def story():
--- a/tests/test_scope.py
+++ b/tests/test_scope.py
@@ -743,7 +743,7 @@
     return program
 
 
-def test_a_first_call_brings_its_servers_into_scope_and_no_others(tmp_path, started):
+def test_a_first_call_brings_its_servers_into_scope_and_no_others(tmp_path, started_programs):
     """Guards against links to the whole list, a first call that finds nothing, and a release that is lost
     with its scope. Of four services one is asked for, and later one none of whose servers is there.
     """
@@ -754,7 +754,7 @@
         each.bind((host, 0))
     ports = [*(each.port for each in servers), *(each.getsockname()[1] for each in mute)]
     program = serve(tmp_path, [f"{host}:{port}" for port in ports])
-    started.append(program)
+    started_programs.append(program)
     program.wait_until_serving()
     assert program.admin_command("check") == "ok serving, 0 of 0 roster servers connected"
     assert not any(each.connections for each in servers)
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -328,7 +328,7 @@
     ],
     ids=["a number no float holds", "a server's number", "memory", "a pause left out"],
 )
-def test_the_program_ends_with_one_line_and_2(tmp_path, started, told, edit, says):
+def test_the_program_ends_with_one_line_and_2(tmp_path, started_programs, told, edit, says):
     """Guards against a start that ends in a traceback and exit code 1, as the first three did, or that goes
     on with another site's pause, as the last did.
     """
@@ -336,7 +336,7 @@
     assert whole.count(edit[0]) == 1
     path.write_text(whole.replace(*edit))
     program = Program(tmp_path, RELAY_CONFIG=str(path))
-    started.append(program)
+    started_programs.append(program)
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
     assert f"{path}: {says}" in program.log_text()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,40 +21,22 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
+from .support.call_ids import next_call_id
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS
 from .support.program import Program
 from .support.scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
+from .support.sip_messages import platform_invite
 from .support.waiting import wait_until
 
-IDS = iter(f"{n:016x}" for n in range(0x5E0001, 0x5E9999))
 SILENT = ScriptedServer.never_answers
 
 
-@pytest.fixture
-def stage(tmp_path):
-    """Starts a program before roster servers with the given scripts; ends all of it afterwards."""
-    started = []
-
-    def start(*scripts, sockets=1024):
-        servers = [ScriptedServer(script) for script in scripts]
-        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(servers)]
-        coordinator = ScriptedCoordinator(*lines)
-        program = Program.on_platform(tmp_path, coordinator, sockets=sockets)
-        started.append(program)
-        return program, coordinator, servers
-
-    start.started = started
-    yield start
-    for program in started:
-        program.kill()
-
-
 def served(program):
     """A new caller's call stands."""
-    caller, ident = program.caller(), next(IDS)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
     return caller
@@ -63,9 +45,9 @@
 # ---- new configurations ----
 
 
-def test_a_reload_moves_to_the_new_coordinator_and_keeps_the_number(stage):
+def test_a_reload_moves_to_the_new_coordinator_and_keeps_the_number(start_deployment):
     """Guards against a softswitch that ends on SIGHUP, stays with the old coordinator or begins anew."""
-    program, old, (server,) = stage(None)
+    program, old, (server,) = start_deployment(None)
     other = ScriptedServer()
     new = ScriptedCoordinator()
     new.events = list(old.events)
@@ -84,9 +66,9 @@
 
 
 @pytest.mark.parametrize("change", ["{", {"coordinator": "nowhere"}, {"settings": {}}, {"known": ODD}])
-def test_a_configuration_that_cannot_be_used_changes_nothing(stage, change):
+def test_a_configuration_that_cannot_be_used_changes_nothing(start_deployment, change):
     """Guards against one mistyped file taking down what serves."""
-    program, coordinator, (server,) = stage(None)
+    program, coordinator, (server,) = start_deployment(None)
     text = program.path.read_text()
     bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
     assert program.reload(bad)["result"] == "rejected"
@@ -99,20 +81,20 @@
     assert program.reload(text)["result"] == "applied"
 
 
-def test_a_reload_says_what_wants_a_restart(stage):
+def test_a_reload_says_what_wants_a_restart(start_deployment):
     """Guards against an operator who believes that a change has been taken over."""
-    program, _, _ = stage(None)
+    program, _, _ = start_deployment(None)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
     assert line["restart_required"] == "listen,console"
     served(program)
 
 
-def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, stage):
+def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, start_deployment):
     """Guards against a small site that must end its calls to change a prefix or a roster server."""
     one, two = ScriptedServer(), ScriptedServer()
     program = Program.as_appliance(tmp_path, one, one)
-    stage.started.append(program)
+    start_deployment.programs.append(program)
     text = program.path.read_text().replace(f"127.0.0.1:{one.port}", f"127.0.0.1:{two.port}")
     text = text.replace('"roster-a"', '"roster-c"').replace('"roster-b"', '"roster-d"')
     assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "applied"
@@ -127,12 +109,12 @@
     assert not one.messages("START")
 
 
-def test_a_drain_answers_who_still_waits_before_the_process_is_killed(stage):
+def test_a_drain_answers_who_still_waits_before_the_process_is_killed(start_deployment):
     """Guards against a planned restart that leaves callers with deadlines of 9 s without any answer:
     SIGKILL may come 3.7 s after SIGTERM.
     """
-    program, _, (server,) = stage(SILENT)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=9000)
     wait_until(lambda: server.messages("START"))
     assert program.stop() == 0
@@ -145,11 +127,11 @@
 
 
 @pytest.mark.parametrize("spoil", ["break", "stop"])
-def test_an_answer_cut_short_is_asked_for_again(stage, spoil):
+def test_an_answer_cut_short_is_asked_for_again(start_deployment, spoil):
     """Guards against changes that are never heard: a coordinator breaks off in mid-event, or stops there and
     leaves the connection open.
     """
-    program, coordinator, (server,) = stage(None)
+    program, coordinator, (server,) = start_deployment(None)
     other = ScriptedServer()
     coordinator.answer_faults = [spoil, spoil]
     coordinator.publish(
@@ -180,12 +162,12 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["silent", "asks once and holds on"])
-def test_callers_that_hold_connections_shut_out_no_other(stage, asks):
+def test_callers_that_hold_connections_shut_out_no_other(start_deployment, asks):
     """Guards against a limit on connections that is filled by those who want nothing more. What is owed an
     answer keeps its connection.
     """
-    program, _, (slow, other) = stage(SILENT, None, sockets=32)
-    waiting, ident = program.caller(), next(IDS)
+    program, _, (slow, other) = start_deployment(SILENT, None, sockets=32)
+    waiting, ident = program.caller(), next_call_id()
     waiting.invite(ident, answer_within_ms=9000)
     wait_until(lambda: slow.messages("START"))
     crowd = []
@@ -194,7 +176,7 @@
         if asks:
             crowd[-1].send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
     # At the silent server it might rightly be refused: on a loaded machine it came once that was flagged.
-    newcomer, late = program.caller(), next(IDS)
+    newcomer, late = program.caller(), next_call_id()
     newcomer.invite(late, answer_within_ms=9000, routing_data="dest:1;width:1;via:-1")
     newcomer.expect(late, 200)
     assert [m["tag"] for m in other.messages("START")] == [late]
@@ -208,41 +190,41 @@
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
 @pytest.mark.parametrize(("data", "status"), [(b"", 0), (HEAD, 0), (HEAD + b"\r\nhalf", 408)])
-def test_a_first_request_must_come_whole_in_time(tmp_path, stage, front, data, status):
+def test_a_first_request_must_come_whole_in_time(tmp_path, start_deployment, front, data, status):
     """Guards against connections that are held for good by callers who never finish a request."""
     if front == "platform":
-        program = stage(None)[0]
+        program = start_deployment(None)[0]
     else:
         program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer())
-        stage.started.append(program)
+        start_deployment.programs.append(program)
     caller = program.caller()
     caller.send_bytes(data)
     wait_until(lambda: caller.closed, "the end of the connection")
     assert [m.status for _, m in caller.received] == ([status] if status else [])
 
 
-def test_a_release_goes_on_the_calls_own_connection(stage):
+def test_a_release_goes_on_the_calls_own_connection(start_deployment):
     """Guards against a release told to whoever spoke last, which may be one that asks once (churn)."""
-    program, _, (server,) = stage(None)
-    caller, passer, ident = program.caller(), program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, passer, ident = program.caller(), program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
-    passer.send("BYE", "sip:x@net", {"call-id": next(IDS), "cseq": "1 BYE"})
+    passer.send("BYE", "sip:x@net", {"call-id": next_call_id(), "cseq": "1 BYE"})
     wait_until(lambda: passer.received)
     server.send("FINISH", ident, rc=16)
     caller.expect(ident, "BYE")
     assert not passer.messages(ident, "BYE")
 
 
-def test_a_release_that_is_not_heard_goes_on_another_connection(stage):
+def test_a_release_that_is_not_heard_goes_on_another_connection(start_deployment):
     """Guards against a call left standing because the one connection that was told of its end is not read."""
-    program, _, (server,) = stage(None)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
     others = [program.caller() for _ in range(2)]
     for other in others:
-        other.send("BYE", "sip:x@net", {"call-id": next(IDS), "cseq": "1 BYE"})
+        other.send("BYE", "sip:x@net", {"call-id": next_call_id(), "cseq": "1 BYE"})
         wait_until(lambda other=other: other.received)
     caller.close()
     server.send("FINISH", ident, rc=16)
@@ -250,46 +232,43 @@
         other.expect(ident, "BYE")
 
 
-def invite(ident="00000000005e0000", within="1000", body=b"d", key="7f3a9c21e0b4d655", **more):
-    """The bytes of a set-up."""
-    headers = {"call-id": ident, "cseq": "1 INVITE", "call-kind": "read-roster", "answer-within": within}
-    headers.update(more)
-    lines = [(name.replace("_", "-"), value) for name, value in headers.items()]
-    return sip.request("INVITE", f"sip:{key}@net", lines, body)
+def unusable_invite(ident="00000000005e0000", answer_within_ms="1000", **fields):
+    """The bytes of a set-up with one field that no server could use."""
+    return platform_invite(ident, answer_within_ms=answer_within_ms, **fields)
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        invite(ident="no id"),
-        invite(ident=""),
-        invite(ident="5e" * 9),
-        invite(body=b"\xff\xfe"),
-        invite(body=b"\xed\xa0\x80"),
-        invite(key="\udcff"),
-        invite(within="0"),
-        invite(within="-5"),
-        invite(within="1_0"),
-        invite(within="\u0661"),
-        invite(within="99999999"),
-        invite(within="9" * 400),
-        invite(within="9" * 5000),
-        invite(within="inf"),
-        invite(routing_data="dest:inf"),
-        invite(routing_data="dest:nan;width:1"),
-        invite(routing_data="dest:0;width:-3"),
-        invite(cseq="9" * 5000 + " INVITE"),
-        invite(cseq="1 BYE"),
-        invite(call_kind="none"),
+        unusable_invite(ident="no id"),
+        unusable_invite(ident=""),
+        unusable_invite(ident="5e" * 9),
+        unusable_invite(body=b"\xff\xfe"),
+        unusable_invite(body=b"\xed\xa0\x80"),
+        unusable_invite(key="\udcff"),
+        unusable_invite(answer_within_ms="0"),
+        unusable_invite(answer_within_ms="-5"),
+        unusable_invite(answer_within_ms="1_0"),
+        unusable_invite(answer_within_ms="\u0661"),
+        unusable_invite(answer_within_ms="99999999"),
+        unusable_invite(answer_within_ms="9" * 400),
+        unusable_invite(answer_within_ms="9" * 5000),
+        unusable_invite(answer_within_ms="inf"),
+        unusable_invite(routing_data="dest:inf"),
+        unusable_invite(routing_data="dest:nan;width:1"),
+        unusable_invite(routing_data="dest:0;width:-3"),
+        unusable_invite(cseq="9" * 5000 + " INVITE"),
+        unusable_invite(cseq="1 BYE"),
+        unusable_invite(call_kind="none"),
     ],
     ids=range(20),
 )
-def test_what_no_roster_server_could_use_is_refused_here(stage, data):
+def test_what_no_roster_server_could_use_is_refused_here(start_deployment, data):
     """Guards against one caller's bytes that make a roster server close a link under others' set-ups, and
     against figures that raise where they are read.
     """
-    program, _, (server,) = stage(SILENT)
-    good, bad, ident = program.caller(), program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    good, bad, ident = program.caller(), program.caller(), next_call_id()
     good.invite(ident)
     wait_until(lambda: server.messages("START"))
     bad.send_bytes(data)
@@ -301,10 +280,10 @@
     assert "fault" not in program.log_text()
 
 
-def test_an_id_is_used_once(stage):
+def test_an_id_is_used_once(start_deployment):
     """Guards against a second set-up under an id that is open, or was: it is refused and touches neither."""
-    program, _, (server,) = stage(SILENT)
-    good, bad, ident = program.caller(), program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    good, bad, ident = program.caller(), program.caller(), next_call_id()
     good.invite(ident)
     wait_until(lambda: server.messages("START"))
     bad.invite(ident, body=b"another")
@@ -319,12 +298,12 @@
     assert good.final_statuses(ident) == [200]
 
 
-def test_callers_that_bring_nothing_usable_are_cut(stage):
+def test_callers_that_bring_nothing_usable_are_cut(start_deployment):
     """Guards against a caller that sends the same again the moment it is turned away."""
-    program, _, _ = stage(None)
+    program, _, _ = start_deployment(None)
     bad = program.caller()
     for _ in range(200):
-        bad.send_bytes(invite(within="-5"))
+        bad.send_bytes(unusable_invite(answer_within_ms="-5"))
     wait_until(lambda: bad.closed, "the end of the connection")
     served(program)
 
@@ -345,9 +324,9 @@
     ],
     ids=["bytes", "without end", "tag", "no blob", "surrogate", "figure", "deep"],
 )
-def test_a_spoilt_answer_ends_its_link_and_all_its_set_ups_go_on(stage, noise):
+def test_a_spoilt_answer_ends_its_link_and_all_its_set_ups_go_on(start_deployment, noise):
     """Guards against set-ups that wait for answers on a link that can't be read any more."""
-    program, _, (server,) = stage(SILENT)
+    program, _, (server,) = start_deployment(SILENT)
 
     def spoil(_message, _send):
         """At the second set-up, at once: later the link would be held for silent, another one dialled."""
@@ -356,7 +335,7 @@
             server.connections[0].sendall(noise)
 
     server.script = spoil
-    caller, idents = program.caller(), [next(IDS), next(IDS)]
+    caller, idents = program.caller(), [next_call_id(), next_call_id()]
     for ident in idents:
         caller.invite(ident)
     for ident in idents:
@@ -364,7 +343,7 @@
     assert len(server.connections) == 2, "a new link, and only one"
 
 
-def test_second_copies_and_unknown_tags_harm_nothing(stage):
+def test_second_copies_and_unknown_tags_harm_nothing(start_deployment):
     """Guards against a link given up, or a call answered twice, for more than was asked for."""
 
     def twice(message, send):
@@ -372,8 +351,8 @@
             for tag in ("00000000deadbeef", message["tag"], message["tag"]):
                 send("STARTED", tag, blob="d")
 
-    program, _, (server,) = stage(twice)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(twice)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
     server.send("FINISH", ident, rc=16)
@@ -383,12 +362,12 @@
     assert not server.messages("FINISH"), "what is none of ours is not released"
 
 
-def test_a_link_cut_off_without_a_word_is_found_out_and_its_set_ups_go_on(stage):
+def test_a_link_cut_off_without_a_word_is_found_out_and_its_set_ups_go_on(start_deployment):
     """Guards against a connection that stays open and silent: all set-ups went there and none came back, for
     the rest of the day (rate+silent+leave). What was released there is released again.
     """
-    program, _, (server,) = stage(None)
-    caller, standing, waiting = program.caller(), next(IDS), next(IDS)
+    program, _, (server,) = start_deployment(None)
+    caller, standing, waiting = program.caller(), next_call_id(), next_call_id()
     caller.invite(standing)
     caller.expect(standing, 200)
     server.script = SILENT
@@ -411,10 +390,10 @@
     wait_until(lambda: len(server.connections) >= 3, "a link for what was released on the dead one")
 
 
-def test_a_link_that_is_merely_slow_keeps_its_set_ups(stage):
+def test_a_link_that_is_merely_slow_keeps_its_set_ups(start_deployment):
     """Guards against set-ups given up at a server that takes its time but is heard on the same link."""
-    program, _, (server,) = stage(SILENT)
-    caller, ident = program.caller(), next(IDS)
+    program, _, (server,) = start_deployment(SILENT)
+    caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
     wait_until(lambda: len(server.connections) == 2, "a second link")
     for _ in range(5):
@@ -455,7 +434,7 @@
     def silent_until_doubted():
         """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
         link = side.active[1]
-        caller.receive_data(invite(ident=next(IDS), within="9000"))
+        caller.receive_data(platform_invite(next_call_id(), answer_within_ms="9000"))
         while not link.data_to_send():
             now[0] += 0.01
             core.timers.run_due()
@@ -486,8 +465,8 @@
 
 def asked(core, side, now, within="9000"):
     """A call whose set-up has been written on the link in use."""
-    caller, ident = PlatformFrontend(core).connect(), next(IDS)
-    caller.receive_data(invite(ident=ident, within=within))
+    caller, ident = PlatformFrontend(core).connect(), next_call_id()
+    caller.receive_data(platform_invite(ident, answer_within_ms=within))
     for _ in range(100):
         if b"START" in side.active[1].data_to_send():
             return ident
@@ -640,7 +619,7 @@
     connection = front.connect()
     for n in range(200):
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
-        connection.receive_data(invite(ident=f"{n:016x}", call_kind="read-roster"))
+        connection.receive_data(platform_invite(f"{n:016x}", call_kind="read-roster"))
         connection.receive_data(sip.request(f"MADE{n}", "sip:x@net", [], b"") if n < 7 else b"")
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
         for link in [link for link in links if link.can_close()]:
