--- /dev/null
+++ b/tests/support/accepted_connections.py
@@ -0,0 +1,57 @@
+"""A platform frontend's listener over connections whose bytes a test hands in, without an event loop."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import Any
+
+from stairhatch.node import sip_parser
+from stairhatch.node.io.accepted_connection import AcceptedConnection
+from stairhatch.node.io.listener import Listener, ListenerLimits
+from stairhatch.node.platform_frontend import PlatformFrontend
+from stairhatch.node.protocol import ConnectionProtocol
+
+from .in_process_node import InProcessNode
+
+
+class UnreadSocket:
+    """Our end of a connection on which some bytes lie unread, as far as a listener looks at it."""
+
+    def __init__(self, unread: bytes = b"") -> None:
+        self.unread = unread
+
+    def recv(self, size: int, _flags: int) -> bytes:
+        """The bytes, without taking them; raises BlockingIOError where there are none."""
+        if not self.unread:
+            raise BlockingIOError
+        return self.unread[:size]
+
+
+def listener_with_connections(
+    node: InProcessNode, max_connections: int, *sockets: Any
+) -> tuple[Listener, list[AcceptedConnection]]:
+    """A listener of the platform's frontend with one connection accepted for each given socket."""
+    frontend = PlatformFrontend(node.core)
+    network = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
+    listener = Listener(network, None, None, frontend.connect, ListenerLimits(max_connections))
+    accepted = [AcceptedConnection(frontend.connect(), sock, node.now) for sock in sockets]
+    listener.connections.update((connection, None) for connection in accepted)
+    return listener, accepted
+
+
+def receive(node: InProcessNode, connection: AcceptedConnection, data: bytes) -> None:
+    """Bytes have come on a connection, as the network notes them."""
+    connection.protocol.receive_data(data)
+    connection.received_at = node.now
+    partial = connection.protocol.has_partial_message()
+    connection.partial_since = (connection.partial_since or node.now) if partial else 0.0
+
+
+def take_statuses(connection: ConnectionProtocol, ident: str) -> list[int | str]:
+    """Takes the queued output of a platform connection; returns the statuses and methods for one call."""
+    parser, found = sip_parser.StreamParser(), []
+    parser.feed(connection.data_to_send())
+    while (message := parser.next_message()) is not None:
+        if message.get("call-id") == ident:
+            found.append(message.status or message.method)
+    return found
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -6,9 +6,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from .call_ids import next_call_id
 from .program import Program
 from .scripted_coordinator import ScriptedCoordinator, endpoint_entry
 from .scripted_server import Script, ScriptedServer
+from .sip_caller import SipCaller
 
 PLATFORM = "platform"
 APPLIANCE = "appliance"
@@ -65,3 +67,11 @@
         for program in self.programs:
             program.process.send_signal(signal.SIGCONT)
             program.kill()
+
+
+def establish_call(program: Program) -> SipCaller:
+    """Place a call by a new caller, wait until it is established and return the caller."""
+    caller, ident = program.caller(), next_call_id()
+    caller.invite(ident)
+    caller.expect(ident, 200)
+    return caller
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import time
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
@@ -137,12 +138,13 @@
         assert self.process.poll() is None, self.log_text()
         return self.log_events("reload")[-1]
 
-    def counters(self) -> dict[str, str]:
-        """The counters, as the program logs them on SIGUSR1."""
+    def counters(self) -> Counter[str]:
+        """The counters so far, as the program logs them on SIGUSR1."""
         before = len(self.log_events("counters"))
         self.process.send_signal(signal.SIGUSR1)
         wait_until(lambda: len(self.log_events("counters")) > before, "the counters")
-        return self.log_events("counters")[-1]
+        fields = self.log_events("counters")[-1]
+        return Counter({name: int(value) for name, value in fields.items() if value.isdigit()})
 
     def log_text(self) -> str:
         """Its log so far."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -12,7 +12,6 @@
 import os
 import signal
 import socket
-import struct
 from itertools import pairwise
 
 import pytest
@@ -30,6 +29,7 @@
 from stairhatch.settings.parser import settings_from_object
 
 from .support.call_ids import next_call_id
+from .support.caller_disconnects import disconnect, place_call, setup_ids
 from .support.deployment import APPLIANCE
 from .support.full_listener import FullListener
 from .support.in_process_node import InProcessNode
@@ -45,41 +45,6 @@
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
 
 
-def leave(caller, ident, by, front="platform"):
-    """The caller gives its open set-up up, in one of the ways that there are."""
-    if by == "cancel" and front == "platform":
-        caller.send("CANCEL", "sip:x@net", {"call-id": ident, "cseq": "1 CANCEL"})
-    elif by == "cancel":
-        headers = sip_headers("CANCEL", "1", f"z9hG4bK{ident}", ident, caller.host, "TCP")
-        caller.send("CANCEL", "sip:5@net", headers)
-    elif by == "half-close":
-        caller.sock.shutdown(socket.SHUT_WR)
-    elif by == "close":
-        caller.close()
-    else:  # reset
-        caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        caller.sock.shutdown(socket.SHUT_RD)  # frees the thread that reads
-        wait_until(lambda: caller.closed)
-        caller.sock.close()
-
-
-def ask(program, front, by_udp=False):
-    """A caller with a set-up of its own; returns both."""
-    caller, ident = SipCaller(program.address, udp=by_udp), next_call_id()
-    if front == "platform":
-        caller.invite(ident, "ebb", 15_000)
-    else:
-        transport = "UDP" if by_udp else "TCP"
-        headers = sip_headers("INVITE", "1", f"z9hG4bK{ident}", ident, caller.host, transport)
-        caller.send("INVITE", "sip:5@net", headers, b"d")
-    return caller, ident
-
-
-def starts(*servers):
-    """The ids of the set-ups that roster servers got."""
-    return [message["tag"] for server in servers for message in server.messages("START")]
-
-
 # ---- the caller leaves ----
 
 
@@ -91,21 +56,21 @@
     """
     scripts = [RESET] * (2 if front == APPLIANCE else 1)
     program, _, servers = start_unusual(*scripts, frontend=front)
-    caller, _ = ask(program, front)
+    caller, _ = place_call(program, front)
     wait_until(
         lambda: [line for line in program.log_events("attempt_ended") if line["outcome"] == "reset"],
         "the pause",
     )
-    (first,) = starts(*servers)
-    leave(caller, next(iter([m.get("call-id") for _, m in caller.received] or [first])), by, front)
+    (first,) = setup_ids(*servers)
+    disconnect(caller, next(iter([m.get("call-id") for _, m in caller.received] or [first])), by, front)
     wait_until(
         lambda: program.log_events("call_abandoned") or program.log_events("call_answered"),
         "that it is known to have left",
     )
     assert len(program.log_events("attempt_ended")) == 1, "it left within the pause"
-    ask(program, front)
-    wait_until(lambda: len([tag for tag in starts(*servers) if tag != first]) == 2, "the other sent again")
-    assert starts(*servers).count(first) == 1
+    place_call(program, front)
+    wait_until(lambda: len([tag for tag in setup_ids(*servers) if tag != first]) == 2, "the other sent again")
+    assert setup_ids(*servers).count(first) == 1
     if by == "half-close":  # it still reads, and is told once
         wait_until(lambda: caller.closed, "the end of the connection")
         finals = [m.status for _, m in caller.received if m.status >= 200 and m.cseq()[1] == "INVITE"]
@@ -118,14 +83,14 @@
     been written. The caller sends it once it has the answer, as one does whose time ran out on its way.
     """
     program, _, (server,) = start_unusual(None)
-    caller, ident = ask(program, "platform")
+    caller, ident = place_call(program, "platform")
     caller.expect(ident, 200)
-    leave(caller, ident, "cancel")
+    disconnect(caller, ident, "cancel")
     caller.respond(caller.expect(ident, "BYE"), 200)
     wait_until(
         lambda: [m for m in server.messages("FINISH") if m["tag"] == ident], "the release at the server"
     )
-    assert program.counters()["cancels_crossed"] == "1"
+    assert program.counters()["cancels_crossed"] == 1
     assert caller.final_statuses(ident) == [200]
 
 
@@ -133,19 +98,19 @@
 def test_a_sip_caller_who_leaves_while_the_set_up_is_out_has_no_further_one(start_unusual, by):
     """Guards against the other order on the appliance, where what is out may still stand: it is the last."""
     program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
-    caller, _ = ask(program, "appliance")
-    wait_until(lambda: starts(*servers))
-    (first,) = starts(*servers)
-    leave(caller, first, by, "appliance")
+    caller, _ = place_call(program, "appliance")
+    wait_until(lambda: setup_ids(*servers))
+    (first,) = setup_ids(*servers)
+    disconnect(caller, first, by, "appliance")
     wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
     for server in servers:
         server.script = RESET
-    server = next(each for each in servers if starts(each))
+    server = next(each for each in servers if setup_ids(each))
     server.send("FINISH", first, rc=41)
     wait_until(lambda: program.log_events("call_answered"), "its final answer")
-    ask(program, "appliance")
-    wait_until(lambda: len(starts(*servers)) >= 3, "the other sent again")
-    assert starts(*servers).count(first) == 1
+    place_call(program, "appliance")
+    wait_until(lambda: len(setup_ids(*servers)) >= 3, "the other sent again")
+    assert setup_ids(*servers).count(first) == 1
 
 
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
@@ -157,14 +122,14 @@
             send("FINISH", message["tag"], rc=41)  # crosses what it was told
 
     program, _, (server,) = start_unusual(script)
-    caller, ident = ask(program, "platform")
-    wait_until(lambda: starts(server) == [ident])
-    leave(caller, ident, by)
+    caller, ident = place_call(program, "platform")
+    wait_until(lambda: setup_ids(server) == [ident])
+    disconnect(caller, ident, by)
     wait_until(lambda: [m for m in server.messages("FINISH") if m["tag"] == ident], "that it is given up")
     server.script = RESET
-    ask(program, "platform")
-    wait_until(lambda: len(starts(server)) == 3, "the other sent again")
-    assert starts(server).count(ident) == 1
+    place_call(program, "platform")
+    wait_until(lambda: len(setup_ids(server)) == 3, "the other sent again")
+    assert setup_ids(server).count(ident) == 1
 
 
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
@@ -175,17 +140,17 @@
     gate = FullListener()
     shut = ScriptedServer(listener=gate.listener)
     program, _, _ = start_unusual(servers=[shut])
-    caller, ident = ask(program, "platform")
+    caller, ident = place_call(program, "platform")
     wait_until(lambda: program.log_events("call_offered"))
-    leave(caller, ident, by)
+    disconnect(caller, ident, by)
     wait_until(lambda: program.log_events("call_abandoned"))
     assert not program.log_events("attempt_sent"), "it left before the link was up"
     assert not program.log_events("server_connected"), "it left before the link was up"
-    other, stays = ask(program, "platform")
+    other, stays = place_call(program, "platform")
     wait_until(lambda: len(program.log_events("call_offered")) == 2)
     shut.start_accepting()
     other.expect(stays, 200)
-    assert starts(shut) == [stays]
+    assert setup_ids(shut) == [stays]
     assert not program.log_events(
         "server_connect_failed"
     ), "the settings' time to connect holds, and no other"
@@ -200,9 +165,9 @@
     early.expect(ident, 481)
     late.invite(ident, "ebb")
     late.expect(ident, 480)
-    other, stays = ask(program, "platform")
+    other, stays = place_call(program, "platform")
     other.expect(stays, 200)
-    assert starts(server) == [stays]
+    assert setup_ids(server) == [stays]
 
 
 def test_an_answer_finds_a_sip_caller_whose_connection_closed_once_the_set_up_was_out(
@@ -214,11 +179,11 @@
     caller, call = SipCaller(program.address), next_call_id()
     host = f"127.0.0.1:{home.getsockname()[1]}"
     caller.send("INVITE", "sip:75@net", sip_headers("INVITE", "1", f"z9hG4bK{call}", call, host, "TCP"), b"d")
-    wait_until(lambda: starts(*servers))
+    wait_until(lambda: setup_ids(*servers))
     caller.close()
     wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
-    server = next(each for each in servers if starts(each))
-    server.send("STARTED", starts(server)[0], blob="late")
+    server = next(each for each in servers if setup_ids(each))
+    server.send("STARTED", setup_ids(server)[0], blob="late")
     home.settimeout(WAIT_LIMIT_S)
     link, _ = home.accept()
     link.settimeout(WAIT_LIMIT_S)
@@ -234,8 +199,8 @@
 def test_a_set_up_outlives_what_can_not_be_read_behind_it(start_unusual, by):
     """Guards against a good set-up lost with its connection: what came behind it on the same was noise."""
     program, _, (server,) = start_unusual(SILENT)
-    caller, ident = ask(program, "platform")
-    wait_until(lambda: starts(server) == [ident])
+    caller, ident = place_call(program, "platform")
+    wait_until(lambda: setup_ids(server) == [ident])
     caller.send_bytes(b"\x00\x01 noise without sense\r\n\r\n")
     wait_until(lambda: program.log_events("malformed"), "that the noise has been read")
     assert not caller.closed
@@ -243,7 +208,7 @@
         server.send("STARTED", ident, blob="kept")
         assert caller.expect(ident, 200).body == b"kept"
     else:  # by another connection: nothing more is read on this one
-        leave(program.caller(), ident, "cancel")
+        disconnect(program.caller(), ident, "cancel")
     wait_until(lambda: caller.closed, "the end of the connection")
 
 
@@ -493,9 +458,9 @@
 def test_nothing_of_the_old_settings_is_left_after_a_reload(start_unusual):
     """Guards against another customer's figures: other classes, pause and most attempts hold at once."""
     program, _, (server,) = start_unusual(RESET)
-    caller, ident = ask(program, "platform")
+    caller, ident = place_call(program, "platform")
     wait_until(lambda: caller.final_statuses(ident))
-    assert starts(server).count(ident) == 3, "the old most attempts"
+    assert setup_ids(server).count(ident) == 3, "the old most attempts"
     config = json.loads(program.path.read_text())
     settings = config["settings"]
     slack = {"name": "slack", "aim_s": 6.0, "hard_limit_s": 31.0, "importance": 2.0, "late_worth": 0.9}
@@ -564,16 +529,16 @@
         place(caller, ident, front, (31, 47)[number % 2])
     wait_until(
         lambda: len(program.log_events("call_offered")) == len(calls)
-        and len(starts(*servers)) >= len(stand) + 3
+        and len(setup_ids(*servers)) >= len(stand) + 3
     )
     wait_until(lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(stand))
-    answered, paused, *_ = (tag for tag in starts(*servers) if tag not in stand)
+    answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in stand)
     say = {m["tag"]: each.send for each in servers for m in each.messages("START")}
     say[paused]("FINISH", paused, rc=41)
     wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
     program.process.send_signal(signal.SIGSTOP)
     say[answered]("STARTED", answered, blob="late")
-    assert len(set(starts(*servers))) < len(calls), "some wait"
+    assert len(set(setup_ids(*servers))) < len(calls), "some wait"
     program.process.send_signal(signal.SIGTERM)
     program.process.send_signal(signal.SIGCONT)
     assert program.process.wait(WAIT_LIMIT_S) == 0
@@ -628,8 +593,8 @@
     for told, ident in refused:
         (answer,) = told.messages(ident, 503)
         assert int(answer.get("come-back-ms")) > 0
-        assert ident not in starts(server)
+        assert ident not in setup_ids(server)
     assert program.admin_command("drain-off").startswith("ok")
-    caller, ident = ask(program, "platform")
+    caller, ident = place_call(program, "platform")
     caller.expect(ident, 200)
     assert program.stop() == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,6 +26,7 @@
 from stairhatch.overload.events import Availability
 
 from .support.call_ids import next_call_id
+from .support.caller_disconnects import disconnect
 from .support.in_process_node import InProcessNode
 from .support.program import Program
 from .support.scripted_server import ScriptedServer
@@ -33,8 +34,8 @@
 from .support.sip_messages import platform_invite
 from .support.sip_messages import sip_headers as headers_of
 from .support.waiting import wait_in_loop, wait_until
-from .test_endings import RESET, leave
 
+RESET = ScriptedServer.ends(41)
 WAYS = {
     "platform": ("close", "reset", "half-close", "cancel", "another's cancel"),
     "appliance": ("close", "reset", "half-close", "cancel", "another's cancel", "UDP cancel"),
@@ -85,7 +86,7 @@
         elif self.way.endswith("cancel"):
             self.caller.send("CANCEL", "sip:5@net", self.headers("CANCEL"))
         elif self.way != "stays":
-            leave(self.caller, self.ident, self.way)
+            disconnect(self.caller, self.ident, self.way)
 
     def attempts(self, servers):
         """The set-ups that came for it: their ids."""
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,7 +19,6 @@
 from stairhatch.config.model import Config
 from stairhatch.connection_limits import ADMIN_LIMITS, caller_connection_limit
 from stairhatch.node import sip_message as sip
-from stairhatch.node import sip_parser
 from stairhatch.node.admin_endpoint import MAX_COMMAND_BYTES, AdminConnection
 from stairhatch.node.call_classes import FORMER_CLASS_S
 from stairhatch.node.calls import ServerRecord
@@ -28,7 +27,6 @@
     DRAIN_FIRST_REQUEST_S,
     FIRST_REQUEST_TIMEOUT_S,
     Listener,
-    ListenerLimits,
 )
 from stairhatch.node.io.network import Network
 from stairhatch.node.platform_frontend import CALLER_AFTER_S, PlatformFrontend
@@ -39,6 +37,7 @@
 from stairhatch.overload.events import Availability
 from stairhatch.settings.parser import settings_from_object
 
+from .support.accepted_connections import UnreadSocket, listener_with_connections, receive, take_statuses
 from .support.call_ids import next_call_id
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS, platform_config
@@ -52,16 +51,6 @@
 SILENT = ScriptedServer.never_answers
 
 
-def statuses(connection, ident):
-    """The answers that a connection of the platform's front has queued for a call; takes them off it."""
-    parser, found = sip_parser.StreamParser(), []
-    parser.feed(connection.data_to_send())
-    while (message := parser.next_message()) is not None:
-        if message.get("call-id") == ident:
-            found.append(message.status or message.method)
-    return found
-
-
 # ---- the door ----
 
 
@@ -282,7 +271,7 @@
     for connection in (one, two):
         connection.receive_data(platform_invite(ident := next_call_id()))
         inside.establish()
-        assert statuses(connection, ident) == [200]
+        assert take_statuses(connection, ident) == [200]
     return front, one, two, ident
 
 
@@ -330,19 +319,19 @@
     inside.run(120.0)
     tests = front.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
-    assert statuses(tests, "p") == [503]
+    assert take_statuses(tests, "p") == [503]
     inside.run(2 * CALLER_AFTER_S)
-    assert statuses(tests, ident) == []
+    assert take_statuses(tests, ident) == []
     silent = front.connect()
     inside.run(2 * CALLER_AFTER_S)
-    assert statuses(silent, ident) == ["BYE"]
+    assert take_statuses(silent, ident) == ["BYE"]
 
 
 def test_no_connection_is_ended_over_bytes_that_were_not_read():
     """Guards against a drain that resets a connection under a request which has come but was not read yet."""
     inside = InProcessNode()
     ours, theirs = socket.socketpair()
-    listener, (one,) = listener_of(inside, 4, ours)
+    listener, (one,) = listener_with_connections(inside, 4, ours)
     inside.core.readiness.drain(True)
     listener.close_idle()
     assert not one.protocol.closing, "it is new and has not asked yet"
@@ -356,7 +345,7 @@
     listener.close_idle()
     assert not one.protocol.closing, "an answer is owed"
     inside.establish()
-    assert statuses(one.protocol, ident) == [200]
+    assert take_statuses(one.protocol, ident) == [200]
     inside.core.release(inside.core.calls.by_ident[ident], 16)
     listener.close_idle()
     assert one.protocol.closing
@@ -372,7 +361,7 @@
     connection.receive_data(platform_invite(early := next_call_id()))
     inside.run(0.2)
     connection.receive_data(platform_invite(late := next_call_id()))
-    assert statuses(connection, late) == [503]
+    assert take_statuses(connection, late) == [503]
     assert early in inside.core.calls.by_ident
     inside.core.readiness.drain(False)
     connection.receive_data(platform_invite(again := next_call_id()))
@@ -542,8 +531,8 @@
         for ident in (old, new):
             inside.core.responses.call_released(server, ident, 41, "", inside.empty_report())
         inside.run(2.0)
-    assert statuses(connection, new) == [500]
-    assert statuses(connection, old) == []
+    assert take_statuses(connection, new) == [500]
+    assert take_statuses(connection, old) == []
     assert call.attempts > 1
     assert old in inside.core.calls.by_ident
 
@@ -562,7 +551,7 @@
     inside.run(FORMER_CLASS_S)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
         connection.receive_data(platform_invite(ident, kind, "9000"))
-        assert statuses(connection, ident) == [400]
+        assert take_statuses(connection, ident) == [400]
 
 
 def test_settings_are_swapped_in_one_step_and_what_was_learnt_stays(make_node):
@@ -804,45 +793,17 @@
 # ---- rough days ----
 
 
-class End:
-    """Our end of a connection on which `unread` lies, as far as a listener looks at it."""
-
-    def __init__(self, unread=b""):
-        self.unread = unread
-
-    def recv(self, size, _flags):
-        if not self.unread:
-            raise BlockingIOError
-        return self.unread[:size]
-
-
-def listener_of(inside, most, *ends):
-    """A listener of the platform's front with one connection accepted for each given end of a pair."""
-    front = PlatformFrontend(inside.core)
-    loop = SimpleNamespace(time=lambda: inside.now)
-    runner = SimpleNamespace(loop=loop, core=inside.core)
-    listener = Listener(runner, None, None, front.connect, ListenerLimits(most))
-    accepted = [AcceptedConnection(front.connect(), end, inside.now) for end in ends]
-    listener.connections.update((one, None) for one in accepted)
-    return listener, accepted
-
-
-def come(inside, one, data):
-    """Bytes have come on a connection, as the driver notes them."""
-    one.protocol.receive_data(data)
-    one.received_at = inside.now
-    one.partial_since = (one.partial_since or inside.now) if one.protocol.has_partial_message() else 0.0
-
-
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
     """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
     inside = InProcessNode()
-    listener, (usual, silent, never_ends) = listener_of(inside, 9, End(), End(), End())
-    come(inside, usual, platform_invite(next_call_id()))
-    come(inside, never_ends, b"INVITE sip:1@net")
+    listener, (usual, silent, never_ends) = listener_with_connections(
+        inside, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
+    )
+    receive(inside, usual, platform_invite(next_call_id()))
+    receive(inside, never_ends, b"INVITE sip:1@net")
     message = platform_invite(late := next_call_id())
     for start in range(0, len(message), 40):
-        come(inside, usual, message[start : start + 40])
+        receive(inside, usual, message[start : start + 40])
         inside.run(0.7)
         listener.close_overdue()
         assert not usual.protocol.closing
@@ -856,10 +817,12 @@
 def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
     """Guards against callers evicted for newcomers between two pieces of a message."""
     inside = InProcessNode()
-    listener, (under_way, silent, idle) = listener_of(inside, 3, End(), End(), End())
-    come(inside, under_way, platform_invite(next_call_id())[:60])
-    come(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
-    statuses(idle.protocol, "p")
+    listener, (under_way, silent, idle) = listener_with_connections(
+        inside, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
+    )
+    receive(inside, under_way, platform_invite(next_call_id())[:60])
+    receive(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
+    take_statuses(idle.protocol, "p")
     inside.run(1.0)
     for expected in (silent, idle, under_way):
         assert listener.evict()
@@ -874,7 +837,9 @@
     that says nothing.
     """
     inside = InProcessNode()
-    listener, (newcomer, silent) = listener_of(inside, 2, End(platform_invite(next_call_id())), End())
+    listener, (newcomer, silent) = listener_with_connections(
+        inside, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
+    )
     inside.run(1.0)
     assert listener.evict()
     assert silent.protocol.closing
--- a/tests/test_pressed.py
+++ b/tests/test_pressed.py
@@ -78,11 +78,6 @@
             each.join()
 
 
-def counters(program):
-    """What the program has counted so far."""
-    return Counter({name: int(value) for name, value in program.counters().items() if value.isdigit()})
-
-
 def held(program):
     """How many descriptors the process holds."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
@@ -110,14 +105,14 @@
     for each in (coordinator.close, *(each.close for each in servers)):
         each()
     wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
-    before = counters(program)
+    before = program.counters()
     crowd = Crowd(program.address, 2 * min(told, real), again)
     wait_until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
     missed = ("server_connections_failed", "discovery_unreachable")
     wait_until(
-        lambda: all((counters(program) - before)[name] >= 12 for name in missed), "that all are missed"
+        lambda: all((program.counters() - before)[name] >= 12 for name in missed), "that all are missed"
     )
-    assert counters(program)["connections_evicted"] > 0, "callers who hold on were in excess"
+    assert program.counters()["connections_evicted"] > 0, "callers who hold on were in excess"
     asked = len(coordinator.polled_indices)
     coordinator.reopen()
     back = [ScriptedServer(port=each.port) for each in servers]
@@ -153,7 +148,7 @@
     assert program.log_events("server_connected"), "others are reached"
     crowd = Crowd(program.address, 64, False)
     wait_until(
-        lambda: crowd.came == 64 and counters(program)["connections_evicted"] > 0, "that some are evicted"
+        lambda: crowd.came == 64 and program.counters()["connections_evicted"] > 0, "that some are evicted"
     )
     assert program.admin_command("check").startswith("ok")
     ident, newcomer = next_call_id(), program.caller()
@@ -411,7 +406,7 @@
     for caller, ident in newcomers:
         caller.invite(ident, answer_within_ms=9000)
         caller.expect(ident, 200)
-    assert counters(here)["connections_evicted"] > 0, "there was no room"
+    assert here.counters()["connections_evicted"] > 0, "there was no room"
     over.set()
     for each in threads:
         each.join()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -22,6 +22,7 @@
 from stairhatch.settings.parser import settings_from_object
 
 from .support.call_ids import next_call_id
+from .support.deployment import establish_call
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS
 from .support.program import Program
@@ -34,14 +35,6 @@
 SILENT = ScriptedServer.never_answers
 
 
-def served(program):
-    """A new caller's call stands."""
-    caller, ident = program.caller(), next_call_id()
-    caller.invite(ident)
-    caller.expect(ident, 200)
-    return caller
-
-
 # ---- new configurations ----
 
 
@@ -57,7 +50,7 @@
     assert line["restart_required"] == "-"
     new.publish(endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1))
     assert new.polled_indices[0] == 1, "the number of the last event was not kept"
-    served(program)
+    establish_call(program)
     assert other.messages("START")
     assert not server.messages("START")
 
@@ -76,7 +69,7 @@
     coordinator.publish(
         endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
     )
-    served(program)
+    establish_call(program)
     assert other.messages("START")
     assert program.reload(text)["result"] == "applied"
 
@@ -87,7 +80,7 @@
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
     assert line["restart_required"] == "listen,console"
-    served(program)
+    establish_call(program)
 
 
 def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, start_deployment):
@@ -138,7 +131,7 @@
         endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
     )
     assert coordinator.polled_indices.count(1) >= 3, "the number moved on before the event was whole"
-    served(program)
+    establish_call(program)
     assert other.messages("START")
 
 
@@ -305,7 +298,7 @@
     for _ in range(200):
         bad.send_bytes(unusable_invite(answer_within_ms="-5"))
     wait_until(lambda: bad.closed, "the end of the connection")
-    served(program)
+    establish_call(program)
 
 
 # ---- roster servers that do harm ----
