--- a/stairhatch/cli/__init__.py
+++ b/stairhatch/cli/__init__.py
@@ -1,5 +1,6 @@
 """The appliance's command line, on click: a module for each command, `main` for the group and the start.
 
-No command has logic of its own: each calls the part that does the work, imported only when the command runs.
-Exit codes: 0 done, 1 something was found wrong, 2 the words or the configuration cannot be used, 130 Ctrl-C.
+No command has logic of its own: each calls the package that does the work, imported only when the command
+runs. Exit codes: 0 done, 1 something was found wrong, 2 the command line or the configuration cannot be used,
+130 ended by Ctrl-C.
 """
--- a/stairhatch/cli/claims.py
+++ b/stairhatch/cli/claims.py
@@ -1,4 +1,4 @@
-"""`stairhatch claims`: the leases of a softswitch, asked at its admin endpoint."""
+"""`stairhatch claims`: print the leases of a softswitch, as its admin endpoint reports them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @click.command()
 @click.argument("file", type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="as one JSON object")
-@click.option("--watch", default="", metavar="CLAIM", help="who holds it, a line at each change")
+@click.option("--json", "as_json", is_flag=True, help="print one JSON object")
+@click.option("--watch", default="", metavar="CLAIM", help="print its holder, a line at each change")
 @click.option("--seconds", default=3600.0, show_default=True, help="watch for so long")
 def claims(file: str, as_json: bool, watch: str, seconds: float) -> None:
-    """Ask the softswitch that FILE describes, by its door, for its claims: names, holders, tickets, terms
-    left, whether it votes, and why there is no majority.
+    """Ask the softswitch that FILE describes, at its admin endpoint, for its leases (claims): names, holders,
+    fencing tokens (tickets), time left, whether it votes, and why there is no majority.
     """
     from stairhatch.fleet import admin_client
 
--- a/stairhatch/cli/common.py
+++ b/stairhatch/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: exit codes, plain complaints, and values of options."""
+"""What several commands share: exit codes, error lines, and the parsing of options."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def fail(code: int, reason: object) -> NoReturn:
-    """End the command with one plain line on standard error."""
+    """Print one line on standard error and end the command with an exit code."""
     click.echo(f"stairhatch: {reason}", err=True)
     sys.exit(code)
 
 
 @contextlib.contextmanager
 def failing_with(code: int, *errors: type[Exception]) -> Iterator[None]:
-    """End the command in one plain line where one of these errors is raised."""
+    """End the command with an exit code and one line where one of these errors is raised inside."""
     try:
         yield
     except errors as error:
@@ -35,21 +35,24 @@
 
 
 def read_config(file: str) -> Config:
-    """Return the appliance's configuration; one that cannot be used ends the command."""
+    """Return the configuration in a TOML file; one that cannot be used ends the command (exit code 2)."""
     with failing_with(EXIT_UNUSABLE, ConfigError):
         return read_appliance(file, dict(os.environ))
 
 
 def admin_address(file: str) -> tuple[str, int]:
-    """Return the address of the admin endpoint in a configuration; without one the command ends."""
+    """Return the host and port of a configuration's admin endpoint; without one the command ends."""
     config = read_config(file)
     if config.console is None:
-        fail(EXIT_UNUSABLE, f"{file}: console is not set: the door is where this is asked")
+        fail(EXIT_UNUSABLE, f"{file}: console is not set: this is asked at the admin endpoint")
     return config.console
 
 
 def optional_address(text: str, option: str) -> tuple[str, int] | None:
-    """Return the address that an option gives, None where it is empty."""
+    """Return the host and port in an option's value, None where it is empty.
+
+    Raises click.BadParameter, which ends the command, where it is no address.
+    """
     from stairhatch.node.address import AddressError, parse_address
 
     try:
@@ -59,7 +62,10 @@
 
 
 def seed_range(text: str) -> range:
-    """Return the seeds of A-B, or of A alone."""
+    """Return the seeds from A to B of `A-B`, or A alone of `A`.
+
+    Raises click.BadParameter, which ends the command, where there is none in it.
+    """
     first, _, last = text.partition("-")
     try:
         seeds = range(int(first), int(last or first) + 1)
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -1,4 +1,4 @@
-"""`stairhatch conform`: the SIP conformance suite, in process or against a program on this machine."""
+"""`stairhatch conform`: run the SIP conformance suite, in process or against a program on this machine."""
 
 from __future__ import annotations
 
@@ -16,15 +16,17 @@
 
 
 @click.command()
-@click.option("--udp", default="", help="host:port of a program to ask over UDP")
-@click.option("--tcp", default="", help="host:port of a program to ask over TCP")
-@click.option("--only", default="", help="cases whose name begins so, or whose section does")
-@click.option("--slow", is_flag=True, help="over sockets, also the cases that wait for long")
-@click.option("--users", is_flag=True, help="the program asks for users: play the cases about that")
-@click.option("--faults", is_flag=True, help="plant each known fault and show which case finds it")
+@click.option("--udp", default="", help="host:port of a program to test over UDP")
+@click.option("--tcp", default="", help="host:port of a program to test over TCP")
+@click.option("--only", default="", help="only cases whose name, or whose section, begins so")
+@click.option("--slow", is_flag=True, help="over sockets, also run the cases with long waits")
+@click.option("--users", is_flag=True, help="the program authenticates users: run the cases about that")
+@click.option("--faults", is_flag=True, help="apply each known mutation and show which case finds it")
 @click.option("--junit", type=click.Path(path_type=Path), help="write the results as JUnit XML")
 def conform(udp: str, tcp: str, only: str, slow: bool, users: bool, faults: bool, junit: Path | None) -> None:
-    """Play the conformance suite, in process or against a program on this machine."""
+    """Run the conformance suite, in process or against a program on this machine. Exit code 1: a case failed,
+    or a mutation was not found.
+    """
     from stairhatch.conformance import suite
     from stairhatch.conformance.cases import CaseError, read_cases
 
@@ -42,7 +44,7 @@
 
 
 def _show_mutations(cases: list[Case]) -> NoReturn:
-    """Print which case finds each planted fault, and end."""
+    """Print which case finds each mutation, and end the command."""
     from stairhatch.conformance import suite
 
     finders = {fault: suite.finder(cases, fault) for fault in suite.FAULTS}
@@ -53,7 +55,7 @@
 
 
 def _show_results(results: list[CaseResult], junit: Path | None) -> NoReturn:
-    """Print the results, write them as JUnit XML if that is asked for, and end."""
+    """Print the results, write them as JUnit XML if a file is given, and end the command."""
     from stairhatch.conformance import report
 
     click.echo(report.failures(results), nl=False)
--- a/stairhatch/cli/demo.py
+++ b/stairhatch/cli/demo.py
@@ -14,12 +14,12 @@
 @click.command()
 @click.option("--udp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
 @click.option("--tcp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
-@click.option("--rate", default=3.0, show_default=True, help="calls a second from stand-in callers")
-@click.option("--seconds", default=0.0, help="end by itself after so long")
+@click.option("--rate", default=3.0, show_default=True, help="calls a second from emulated callers")
+@click.option("--seconds", default=0.0, help="end after so long; 0: run until Ctrl-C")
 @click.option("--users", "auth", default="", help="a file of users: only those may call (realm stairhatch)")
-@click.option("--quiet", is_flag=True, help="place no calls: something else will, such as `conform`")
+@click.option("--quiet", is_flag=True, help="place no calls, where something else does, such as `conform`")
 def demo(udp: str, tcp: str, rate: float, seconds: float, auth: str, quiet: bool) -> None:
-    """Run the appliance with two embedded stand-in roster servers and a few calls a second, and tell."""
+    """Run the appliance with two emulated roster servers and a few calls a second, and print what happens."""
     import uvloop
 
     from stairhatch.demo.run import Demo, demonstrate
--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`stairhatch experiment`: carry out an experiment of many loads and keep its runs."""
+"""`stairhatch experiment`: run a load test at several rates, against several programs, and keep the runs."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
 @click.option(
-    "--short", type=click.FloatRange(0.01, 1.0), help="this part of each run's time, and one repeat"
+    "--short", type=click.FloatRange(0.01, 1.0), help="this fraction of each run's time, and one repeat"
 )
 def experiment(file: Path, out: Path, short: float | None) -> None:
-    """Carry out the experiment that FILE describes; keep every run as JSON, a table and a chart under --out.
-    Exit code 1: a rule was broken, or a run proves nothing.
+    """Run the experiment that FILE describes; keep every run as JSON, a table and a chart under --out. Exit
+    code 1: a rule was broken, or a run is void.
     """
     from stairhatch.load_test.experiment import carry_out, keep, read_experiment, smaller
     from stairhatch.load_test.plan import PlanError
--- a/stairhatch/cli/lab.py
+++ b/stairhatch/cli/lab.py
@@ -1,4 +1,4 @@
-"""`stairhatch lab`: softswitches with faults between them, on real processes or on a virtual clock."""
+"""`stairhatch lab`: fault-injection runs of several softswitches, on real processes or on a virtual clock."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 @click.group()
 def lab() -> None:
-    """Several softswitches of this program with faults between them, and rules read off what happened."""
+    """Run several softswitches with faults between them, and check the rules of their shared work."""
 
 
 def _activations(runs_by_activation: Mapping[str, int]) -> str:
-    """Return the line that tells in how many runs each fault did something."""
+    """Return the line that says in how many runs each fault took effect."""
     counts = ", ".join(f"{name} {runs}" for name, runs in sorted(runs_by_activation.items()))
     return f"runs in which each fault bit: {counts}"
 
 
 def _show_summary(summary: RunSummary, as_json: bool) -> NoReturn:
-    """Print the sum of the runs, and end."""
+    """Print the summary of the runs, and end the command: exit code 1 unless all were good."""
     if as_json:
         click.echo(json.dumps(summary.to_json_dict()))
     else:
@@ -61,11 +61,11 @@
 @lab.command("run")
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 @click.option("--seeds", default="", help="A-B: schedules drawn from these seeds, in place of FILE")
-@click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="runs side by side")
+@click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="runs at a time")
 @click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
-@click.option("--keep", type=click.Path(path_type=Path), help="keep histories and time lines there")
-@click.option("--json", "as_json", is_flag=True, help="the sum as one JSON object")
+@click.option("--keep", type=click.Path(path_type=Path), help="keep histories and timelines there")
+@click.option("--json", "as_json", is_flag=True, help="print the summary as one JSON object")
 @click.option("--progress", is_flag=True, help="show how far it is")
 def lab_run(
     file: Path | None,
@@ -77,7 +77,7 @@
     as_json: bool,
     progress: bool,
 ) -> None:
-    """Start real softswitches with stand-ins around them and carry out the timeline of FILE, or those drawn
+    """Start real softswitches with emulators around them and run the timeline of FILE, or timelines drawn
     from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
     """
     from stairhatch.fault_injection import run_batch
@@ -102,12 +102,13 @@
 
 
 def _show_progress(summary: RunSummary, run: RunResult) -> None:
+    """Overwrite one line of standard error with how far the runs are."""
     not_good = len(summary.failed) + len(summary.not_carried_out)
     click.echo(f"\r{summary.runs} runs, {not_good} not good, seed {run.seed} last ", nl=False, err=True)
 
 
 def _show_nothing(summary: RunSummary, run: RunResult) -> None:
-    pass
+    """Take the place of `_show_progress` where no progress is wanted."""
 
 
 @lab.command("replay")
@@ -116,7 +117,7 @@
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
 @click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
-    """Carry out the run of SEED once more, keep all of it and show who held what."""
+    """Repeat the run of SEED, keep all of it and show who held which lease."""
     from stairhatch.fault_injection import run_batch
     from stairhatch.fault_injection.schedule_generator import draw_schedule
 
@@ -136,7 +137,7 @@
 @lab.command("check")
 @click.argument("folder", type=click.Path(path_type=Path))
 def lab_check(folder: Path) -> None:
-    """Judge once more what a run has kept, and show who held what."""
+    """Check again the rules on what a run has kept in FOLDER, and show who held which lease."""
     from stairhatch.fault_injection.errors import RunError
     from stairhatch.fault_injection.run_files import check_kept_run
 
@@ -153,11 +154,11 @@
 @click.option("--seeds", default="0-199", show_default=True, help="A-B")
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="processes")
 @click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
-@click.option("--planted", default="", help="with this fault in the decisions; `list` names them")
-@click.option("--faults", is_flag=True, help="plant each fault and show after how many seeds it is found")
+@click.option("--planted", default="", help="apply this mutation to the decisions; `list` names them")
+@click.option("--faults", is_flag=True, help="apply each mutation and show after how many seeds it is found")
 def lab_trial(seeds: str, jobs: int, members: int, planted: str, faults: bool) -> None:
-    """The same decisions on a virtual clock, from seeds. Exit code 1: a rule was broken (with --faults: a
-    fault was not found).
+    """Run the same decisions on a virtual clock, with faults drawn from seeds. Exit code 1: a rule was broken
+    (with --faults: a mutation was not found).
     """
     from stairhatch.fault_injection.mutations import MUTATIONS
     from stairhatch.fault_injection.trial import TrialOptions, run_seeds
@@ -183,7 +184,7 @@
 
 
 def _try_mutations(seeds: range, jobs: int, members: int) -> NoReturn:
-    """Print after how many seeds each planted fault breaks a rule, and end."""
+    """Print after how many seeds each mutation breaks a rule, and end the command."""
     from stairhatch.fault_injection.mutations import MUTATIONS
     from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 
@@ -200,17 +201,19 @@
 
 @lab.command("explore")
 @click.option("--depth", default=8, show_default=True, type=click.IntRange(1, 40))
-@click.option("--crashes", default=0, show_default=True, help="of voters, on one path")
-@click.option("--copies", default=0, show_default=True, help="of messages")
-@click.option("--slow", default=0, show_default=True, help="writes that take their time")
-@click.option("--steps", default=0, show_default=True, help="of the clock, to what is due next")
-@click.option("--leaps", default=1, show_default=True, help="of the clock, past the end of a promise")
-@click.option("--held", is_flag=True, help="begin with a claim that is held")
+@click.option("--crashes", default=0, show_default=True, help="at most so many crashes of voters on one path")
+@click.option("--copies", default=0, show_default=True, help="at most so many duplicated messages")
+@click.option("--slow", default=0, show_default=True, help="at most so many slow writes")
+@click.option("--steps", default=0, show_default=True, help="at most so many clock steps to what is due next")
+@click.option(
+    "--leaps", default=1, show_default=True, help="at most so many clock steps past the end of a vote"
+)
+@click.option("--held", is_flag=True, help="begin with a lease that is held")
 @click.option("--seconds", default=60.0, show_default=True, help="stop after so long")
-@click.option("--planted", default="", help="with this fault in the decisions")
+@click.option("--planted", default="", help="apply this mutation to the decisions")
 def lab_explore(planted: str, **bounds: Any) -> None:
-    """Every order of events in a small world, to a depth. Exit code 1: a rule was broken, or not all was
-    seen.
+    """Explore every order of events in a small cluster, to a depth. Exit code 1: a rule was broken, or not
+    all states were seen.
     """
     from stairhatch.fault_injection import state_exploration
     from stairhatch.fault_injection.mutations import MUTATIONS, mutation_applied
--- a/stairhatch/cli/load.py
+++ b/stairhatch/cli/load.py
@@ -1,4 +1,4 @@
-"""`stairhatch load`: place the calls of a plan and check the rules."""
+"""`stairhatch load`: generate the calls of a plan and check the rules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def _progress(shown: bool, seconds: float) -> Callable[[float], None]:
-    """Return what shows how far a load is, where there is a terminal to show it on."""
+    """Return a callback that prints the seconds that have passed; it prints nothing unless `shown`."""
     if not shown:
         return lambda _: None
     return lambda passed: click.echo(f"\r{passed:6.1f} of {seconds:g} s", nl=False, err=True)
@@ -25,13 +25,13 @@
 @click.option("--tcp", default="", help="host:port of a program on this machine to call over TCP")
 @click.option("--seed", default=1, show_default=True, help="the same seed draws the same calls")
 @click.option(
-    "--workers", default=2, show_default=True, type=click.IntRange(1, 64), help="processes that call"
+    "--workers", default=2, show_default=True, type=click.IntRange(1, 64), help="processes that place calls"
 )
-@click.option("--json", "as_json", is_flag=True, help="all figures as one JSON object")
+@click.option("--json", "as_json", is_flag=True, help="print all figures as one JSON object")
 @click.option("--progress", is_flag=True, help="show how far it is")
 def load(plan: Path, udp: str, tcp: str, seed: int, workers: int, as_json: bool, progress: bool) -> None:
-    """Place the calls of PLAN. Without an address the appliance and its roster servers are started for it,
-    and the rules are read off both sides. Exit code 1: a rule was broken, or the run proves nothing.
+    """Generate the calls of PLAN. Without an address the appliance and emulated roster servers are started,
+    and the rules are checked on both sides. Exit code 1: a rule was broken, or the run is void.
     """
     from stairhatch.load_test.plan import PlanError, Transport, read_plan
     from stairhatch.load_test.report import lines
--- a/stairhatch/cli/main.py
+++ b/stairhatch/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands, and the entry point of the command line."""
+"""The group of all commands, and the entry point of the command line (`main`)."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name=None, version="0.6.0", prog_name="stairhatch")
 def main_group() -> None:
-    """A small SIP softswitch for small sites. Without any word, the platform's program is run."""
+    """A small SIP softswitch for small sites. Without a command the platform's softswitch is run."""
 
 
 for _command in COMMANDS:
@@ -46,7 +46,10 @@
 
 
 def main() -> int:
-    """Carry out the command line. `--sip FILE` is the old spelling of `serve FILE`."""
+    """Run the command in `sys.argv`; return the exit code.
+
+    `--sip FILE` is the old spelling of `serve FILE`.
+    """
     words = sys.argv[1:]
     if len(words) == 2 and words[0] == "--sip":
         words = ["serve", words[1]]
--- a/stairhatch/cli/restart_slot.py
+++ b/stairhatch/cli/restart_slot.py
@@ -1,4 +1,4 @@
-"""`stairhatch restart-slot`: a permit for a planned restart, asked at the admin endpoint."""
+"""`stairhatch restart-slot`: take a restart slot for a planned restart, at the admin endpoint."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @click.command("restart-slot")
 @click.argument("file", type=click.Path())
-@click.option("--wait", default=60.0, show_default=True, help="so many seconds at the most")
-@click.option("--give", is_flag=True, help="give it back: there will be no restart")
+@click.option("--wait", default=60.0, show_default=True, help="wait at most so many seconds for a slot")
+@click.option("--give", is_flag=True, help="release the slot: there will be no restart")
 def restart_slot(file: str, wait: float, give: bool) -> None:
-    """Take one of the fleet's slots for a planned restart of the softswitch that FILE describes, then end it
-    with SIGTERM. Exit code 0: it is held, until a term after that softswitch has gone. 1: there was none in
-    time.
+    """Take one of the fleet's restart slots for the softswitch that FILE describes; then end that one with
+    SIGTERM. Exit code 0: the slot is held, until a lease duration after that softswitch has gone. 1: none was
+    free in time.
     """
     from stairhatch.fleet import admin_client
 
--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stairhatch scale`: many softswitches on a virtual clock, held against real processes."""
+"""`stairhatch scale`: simulate many softswitches on a virtual clock, compared with real processes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="what the seed decides as one JSON object")
-@click.option("--quiet", is_flag=True, help="no lines of progress")
+@click.option("--json", "as_json", is_flag=True, help="print what the seed determines as one JSON object")
+@click.option("--quiet", is_flag=True, help="print no progress")
 def scale(file: Path, out: Path, as_json: bool, quiet: bool) -> None:
-    """Play the many softswitches of FILE on a virtual clock and hold them against real processes; keep the
-    run as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run
-    proves nothing. 130: Ctrl-C; nothing is kept.
+    """Simulate the softswitches of FILE on a virtual clock and compare them with real processes; keep the run
+    as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run is void.
+    130: ended by Ctrl-C; nothing is kept.
     """
     from stairhatch.scale_test import keep
     from stairhatch.scale_test.plan import ScaleError, read_plan
--- a/stairhatch/cli/serve.py
+++ b/stairhatch/cli/serve.py
@@ -1,4 +1,4 @@
-"""`stairhatch serve`: run the appliance."""
+"""`stairhatch serve`: run the appliance until it is stopped."""
 
 from __future__ import annotations
 
--- a/stairhatch/cli/users.py
+++ b/stairhatch/cli/users.py
@@ -1,4 +1,4 @@
-"""`stairhatch users`: the file of SIP users, changed by command."""
+"""`stairhatch users`: add, remove and list the users in a file of SIP users."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @click.group()
 def users() -> None:
-    """Who may call: a file of hashes, named by `sip.auth.users`."""
+    """Change who may call: the file of password hashes that `sip.auth.users` names."""
 
 
 @users.command("add")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.argument("name")
-@click.option("--realm", required=True, help="as `sip.auth.realm` has it")
-@click.option("--md5", is_flag=True, help="also a hash for old telephones that know MD5 alone")
+@click.option("--realm", required=True, help="the value of `sip.auth.realm`")
+@click.option("--md5", is_flag=True, help="also keep a hash for old telephones that know only MD5")
 @click.option(
     "--stdin", "from_stdin", is_flag=True, help="read the password from the first line of standard input"
 )
@@ -39,9 +39,9 @@
 @users.command("remove")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.argument("name")
-@click.option("--realm", default="", help="of this realm alone")
+@click.option("--realm", default="", help="only in this realm")
 def users_remove(file: Path, name: str, realm: str) -> None:
-    """Take NAME out of FILE."""
+    """Remove NAME from FILE."""
     from stairhatch.sip.auth import UsersError
     from stairhatch.users import remove
 
@@ -52,7 +52,7 @@
 @users.command("list")
 @click.argument("file", type=click.Path(path_type=Path))
 def users_list(file: Path) -> None:
-    """The users in FILE, with realm and algorithms."""
+    """List the users in FILE, with realm and algorithms."""
     from stairhatch.sip.auth import UsersError
     from stairhatch.users import list_users
 
