--- a/stairhatch/cli/lab.py
+++ b/stairhatch/cli/lab.py
@@ -62,7 +62,7 @@
 @click.argument("file", required=False, type=click.Path(path_type=Path))
 @click.option("--seeds", default="", help="A-B: schedules drawn from these seeds, in place of FILE")
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="runs at a time")
-@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9), help="softswitches")
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
 @click.option("--keep", type=click.Path(path_type=Path), help="keep histories and timelines there")
 @click.option("--json", "as_json", is_flag=True, help="print the summary as one JSON object")
@@ -113,7 +113,7 @@
 
 @lab.command("replay")
 @click.argument("seed", type=int)
-@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9), help="softswitches")
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
 @click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
@@ -151,9 +151,9 @@
 
 
 @lab.command("trial")
-@click.option("--seeds", default="0-199", show_default=True, help="A-B")
+@click.option("--seeds", default="0-199", show_default=True, help="A-B: runs from these seeds")
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="processes")
-@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9))
+@click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9), help="softswitches")
 @click.option("--planted", default="", help="apply this mutation to the decisions; `list` names them")
 @click.option("--faults", is_flag=True, help="apply each mutation and show after how many seeds it is found")
 def lab_trial(seeds: str, jobs: int, members: int, planted: str, faults: bool) -> None:
@@ -200,7 +200,7 @@
 
 
 @lab.command("explore")
-@click.option("--depth", default=8, show_default=True, type=click.IntRange(1, 40))
+@click.option("--depth", default=8, show_default=True, type=click.IntRange(1, 40), help="events on a path")
 @click.option("--crashes", default=0, show_default=True, help="at most so many crashes of voters on one path")
 @click.option("--copies", default=0, show_default=True, help="at most so many duplicated messages")
 @click.option("--slow", default=0, show_default=True, help="at most so many slow writes")
--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -31,16 +31,17 @@
     from stairhatch.scale_test.plan import ScaleError, read_plan
     from stairhatch.scale_test.run import carry_out
 
-    def tell(text: str) -> None:
+    def show_progress(text: str) -> None:
+        """Print a line on standard error, unless that is not wanted."""
         if not quiet:
             click.echo(text, err=True)
 
     try:
         with failing_with(EXIT_UNUSABLE, ScaleError):
-            result = carry_out(read_plan(file), tell)
+            result = carry_out(read_plan(file), show_progress)
             kept_in = keep.keep(result, out, f"stairhatch scale {file.name}")
     except KeyboardInterrupt:
         fail(EXIT_INTERRUPTED, "ended by Ctrl-C; nothing is kept")
     click.echo(keep.result_json(result) if as_json else keep.lines(result), nl=False)
-    tell(f"kept in {kept_in}")
+    show_progress(f"kept in {kept_in}")
     sys.exit(EXIT_FOUND_WRONG if result.broken else EXIT_OK)
