--- a/tests/test_sip_front.py
+++ b/tests/test_sip_front.py
@@ -82,14 +82,17 @@
     line.inside.run(3.6)
     assert line.statuses() == [100, 200, 200, 200, 200]  # after 0.5, 1.5 and 3.5 s
     answer = line.sent[-1]
-    assert answer.body == "v=0 æ".encode() and answer.get("content-type") == "application/sdp"
-    assert answer.get_all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"] and answer.get("contact")
+    assert answer.body == "v=0 æ".encode()
+    assert answer.get("content-type") == "application/sdp"
+    assert answer.get_all("record-route") == ["<sip:p1;lr>", "<sip:p2;lr>"]
+    assert answer.get("contact")
     assert (
         line.inside.written[0].call.request.call_class.name == "save-roster"
     )  # by the prefix 7 of the number
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     line.inside.run(60)
-    assert len(line.statuses()) == 5 and not line.inside.front.transactions.servers
+    assert len(line.statuses()) == 5
+    assert not line.inside.front.transactions.servers
 
 
 def test_a_call_whose_answer_is_never_acknowledged_is_ended(line):
@@ -98,9 +101,11 @@
     line.inside.establish()
     line.inside.run(33)
     assert line.sent[-1].method == "BYE" or "BYE" in [m.method for m in line.sent]
-    assert line.inside.releases and not line.inside.core.calls.by_number
+    assert line.inside.releases
+    assert not line.inside.core.calls.by_number
     line.inside.run(40)
-    assert not line.inside.front.transactions.servers and not line.inside.front.dialogs
+    assert not line.inside.front.transactions.servers
+    assert not line.inside.front.dialogs
 
 
 @pytest.mark.parametrize("acked", [True, False])
@@ -135,9 +140,11 @@
     line.ask("CANCEL", branch="z9hG4bKINVITE1")
     assert line.statuses("CANCEL") == [200]
     if after == "after the answer":
-        assert line.statuses() == [100, 200] and line.inside.core.calls.by_number
+        assert line.statuses() == [100, 200]
+        assert line.inside.core.calls.by_number
     else:
-        assert line.statuses() == [100, 487] and not line.inside.core.calls.by_number
+        assert line.statuses() == [100, 487]
+        assert not line.inside.core.calls.by_number
         assert len(line.inside.releases) == 1
 
 
@@ -164,7 +171,9 @@
     line.alive = False
     assert inside.core.calls.by_number
     assert other.ask("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
-    assert len(inside.releases) == 1 and not inside.core.calls.by_number and not inside.front.dialogs
+    assert len(inside.releases) == 1
+    assert not inside.core.calls.by_number
+    assert not inside.front.dialogs
 
 
 @pytest.mark.parametrize("transport", ["", ";transport=tcp"])
@@ -185,8 +194,10 @@
         data, peer = inside.front.ports[0].output[0]
     assert peer == ("127.0.0.1", 4010)
     bye = sip_parser.parse_datagram(data)
-    assert bye.method == "BYE" and bye.get("to") == "<sip:office@net>;tag=f1"
-    assert sip.parameters(bye.get("from"))["tag"] and bye.cseq() == (1, "BYE")
+    assert bye.method == "BYE"
+    assert bye.get("to") == "<sip:office@net>;tag=f1"
+    assert sip.parameters(bye.get("from"))["tag"]
+    assert bye.cseq() == (1, "BYE")
 
 
 def test_requests_of_a_dialog_come_in_order(line):
@@ -208,7 +219,8 @@
     line.inside.core.responses.call_released(attempt.server, attempt.call.request.ident, 41, "", REPORT)
     line.inside.run(2.0)
     byes = [m for m in line.sent if m.method == "BYE"]
-    assert len(byes) == (1 if line.reliable else 3) and byes[0].get("reason") == "Q.850;cause=41"
+    assert len(byes) == (1 if line.reliable else 3)
+    assert byes[0].get("reason") == "Q.850;cause=41"
     line.inside.front.receive(line, sip_parser.parse_datagram(sip.response(200, sip.echoed(byes[0]))))
     line.inside.run(40)
     assert len([m for m in line.sent if m.method == "BYE"]) == len(byes)
@@ -235,7 +247,8 @@
     line.ask()
     line.inside.front.transactions.most_bytes = 1
     answer = line.ask(branch="z9hG4bKz", call_id="c2")
-    assert answer.status == 503 and int(answer.get("retry-after")) >= 1
+    assert answer.status == 503
+    assert int(answer.get("retry-after")) >= 1
 
 
 def test_a_fault_in_the_decisions_is_still_answered(line, monkeypatch):
@@ -246,7 +259,8 @@
 
     monkeypatch.setattr(line.inside.core.controller, "handle", broken)
     answer = line.ask()
-    assert answer.status == 500 and answer.get("retry-after")
+    assert answer.status == 500
+    assert answer.get("retry-after")
     assert line.inside.core.counters.counts["decision_faults"] >= 1
 
 
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -93,7 +93,8 @@
 def test_uris_are_compared_as_the_rfc_says(one, other, same):
     """Guards against two names taken for one resource, or one for two (RFC 3261, 19.1.4)."""
     first, second = grammar.read_uri(one), grammar.read_uri(other)
-    assert grammar.same_uri(first, second) is same and grammar.same_uri(second, first) is same
+    assert grammar.same_uri(first, second) is same
+    assert grammar.same_uri(second, first) is same
 
 
 @BOUNDED
@@ -158,12 +159,18 @@
         flow = Kept()
         request = head("OPTIONS", f"z9hG4bK{number}", f"c{number}")
         table.respond(table.open(request, flow), 200, "tag")
-    assert not table.servers and table.live_bytes == 0 and not table.by_source
-    assert len(table.memory.records) == 1000 and table.memory.bytes < 1000 * 1024
+    assert not table.servers
+    assert table.live_bytes == 0
+    assert not table.by_source
+    assert len(table.memory.records) == 1000
+    assert table.memory.bytes < 1000 * 1024
     flow = Kept()
-    assert table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow) and flow.sent
+    assert table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow)
+    assert flow.sent
     clock.run(LAST + 5)
-    assert not table.memory.records and table.memory.bytes == 0 and not clock.pending
+    assert not table.memory.records
+    assert table.memory.bytes == 0
+    assert not clock.pending
     assert not table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow)
 
 
@@ -187,7 +194,8 @@
             flow = Kept("10.0.0.66")
             table.open(head("INVITE", f"z9hG4bK{number}", f"c{number}", peer), flow)
             taken += 1
-    assert 0 < taken < 5000 and not table.room("10.0.0.66")
+    assert 0 < taken < 5000
+    assert not table.room("10.0.0.66")
     assert table.room("10.0.0.7")
     for number in range(200):
         assert table.room("10.0.0.7")
@@ -229,14 +237,18 @@
     table.begin("z9hG4bKours", method, sip.request(method, "sip:7@net", list(lines.items())), flow, user)
     if status is None:
         clock.run(LAST - 0.1)
-        assert table.clients and not user.told
+        assert table.clients
+        assert not user.told
         clock.run(0.3)
-        assert not table.clients and user.told == [408]
+        assert not table.clients
+        assert user.told == [408]
         clock.run(LAST)
-        assert user.told == [408] and not clock.pending
+        assert user.told == [408]
+        assert not clock.pending
         return
     answer = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
-    assert table.response(answer) and user.told == [status]
+    assert table.response(answer)
+    assert user.told == [status]
     acks = [sip_parser.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
     assert [m.cseq() for m in acks] == ([(7, "ACK")] if method == "INVITE" and status >= 300 else [])
     for at in (0.0, kept_s - 0.2):
@@ -244,7 +256,8 @@
         assert bool(table.clients) is (kept_s > 0) is table.response(answer)
         assert user.told == [status]
     clock.run(0.3)
-    assert not table.clients and not table.response(answer)
+    assert not table.clients
+    assert not table.response(answer)
 
 
 @BOUNDED
@@ -291,7 +304,8 @@
             now - refreshed >= SessionTimer(interval, refresher).lasts_s
         )
         if due is SessionTimerAction.REFRESH:
-            assert refresher is Refresher.OURS and now - refreshed >= interval / 2
+            assert refresher is Refresher.OURS
+            assert now - refreshed >= interval / 2
             assert lease.due(now) is SessionTimerAction.NOTHING  # asked for once
         lease.agree(SessionTimer(interval, refresher), now)
 
@@ -311,10 +325,14 @@
         message.headers.append(("supported", "timer"))
     got = sessions.negotiate(message, TimerPolicy(1800, ours))
     if isinstance(got, sessions.Refusal):
-        assert got.status == 422 and knows and asked < ours
+        assert got.status == 422
+        assert knows
+        assert asked < ours
     else:
-        assert got is not None and got.interval_s >= min(ours, sessions.MOST_SE_S)
-        assert got.required is knows and (knows or got.refresher is Refresher.OURS)
+        assert got is not None
+        assert got.interval_s >= min(ours, sessions.MOST_SE_S)
+        assert got.required is knows
+        assert knows or got.refresher is Refresher.OURS
 
 
 # ---- who may call ----
@@ -422,7 +440,8 @@
     inside = InProcessNode(udp=(SipListener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
-    assert not inside.front.ports[0].output and inside.core.counters.counts == {"datagrams_barred": 1}
+    assert not inside.front.ports[0].output
+    assert inside.core.counters.counts == {"datagrams_barred": 1}
 
 
 def test_a_restart_ends_on_both_sides_what_it_cannot_wait_for():
@@ -432,12 +451,11 @@
     line.inside.establish()
     line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
     assert line.inside.front.end_dialogs() == 1
-    assert line.sent[-1].method == "BYE" and "cause=41" in line.sent[-1].get("reason")
-    assert (
-        len(line.inside.releases) == 1
-        and not line.inside.core.calls.by_number
-        and not line.inside.front.dialogs
-    )
+    assert line.sent[-1].method == "BYE"
+    assert "cause=41" in line.sent[-1].get("reason")
+    assert len(line.inside.releases) == 1
+    assert not line.inside.core.calls.by_number
+    assert not line.inside.front.dialogs
 
 
 def test_a_bye_whose_connection_dies_goes_another_way():
@@ -455,7 +473,8 @@
     assert line.sent[-1].method == "BYE"
     line.alive = False
     inside.front.flow_lost(line)
-    assert dialled and b"BYE sip:office@127.0.0.1:4010" in dialled[0].data_to_send()
+    assert dialled
+    assert b"BYE sip:office@127.0.0.1:4010" in dialled[0].data_to_send()
     dialled[0].connection_lost()  # nobody listens there: UDP is left
     assert inside.front.ports[0].output[-1][1] == ("127.0.0.1", 4010)
 
