--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -18,7 +18,7 @@
 from stairhatch.conformance.stage import Inside
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
-from stairhatch.sip.heads import Head
+from stairhatch.sip.request_head import RequestHead
 
 
 def invite(number: int, host: str) -> bytes:
@@ -72,7 +72,7 @@
     begun = time.process_time()
     for _ in range(5):
         for each in data:
-            Head(sip_parser.parse_datagram(each), ("127.0.0.1", 40000))
+            RequestHead(sip_parser.parse_datagram(each), ("127.0.0.1", 40000))
     print(f"parser and heads: {5 * size / (time.process_time() - begun) / 1e6:.1f} MB/s of processor time")
     stage = Inside(dialogs=10**6)
     begun = time.process_time()
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -39,7 +39,7 @@
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
     from stairhatch.scope.server_sets import ServerNumbers
-    from stairhatch.sip.front import SipConfig, SipFront
+    from stairhatch.sip.frontend import SipConfig, SipFrontend
 
 READY_POLL_S = 0.01
 SECRET_BYTES = 32  # of the SIP frontend's nonces and tags
@@ -156,12 +156,12 @@
             opened.append(f"tcp:{format_address(listener.place)}")
         return opened
 
-    def _sip_frontend(self, config: SipConfig) -> SipFront:
-        from stairhatch.sip.front import SipFront
+    def _sip_frontend(self, config: SipConfig) -> SipFrontend:
+        from stairhatch.sip.frontend import SipFrontend
 
         network = self.parts.network
         rng = random.Random(secrets.randbits(64))
-        front = SipFront(
+        front = SipFrontend(
             self.parts.core,
             config,
             lambda: secrets.token_hex(IDENT_BYTES),
--- a/stairhatch/cli/users.py
+++ b/stairhatch/cli/users.py
@@ -25,14 +25,14 @@
 )
 def users_add(file: Path, name: str, realm: str, md5: bool, from_stdin: bool) -> None:
     """Add NAME to FILE, or give it a new password. The password is asked for and not kept."""
-    from stairhatch.sip.auth import UsersError
+    from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import add
 
     if from_stdin:
         password = sys.stdin.readline().rstrip("\r\n")
     else:
         password = click.prompt("password", hide_input=True, confirmation_prompt=True)
-    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
         click.echo(add(file, name, realm, password, md5))
 
 
@@ -42,10 +42,10 @@
 @click.option("--realm", default="", help="of this realm alone")
 def users_remove(file: Path, name: str, realm: str) -> None:
     """Take NAME out of FILE."""
-    from stairhatch.sip.auth import UsersError
+    from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import remove
 
-    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
         click.echo(remove(file, name, realm))
 
 
@@ -53,8 +53,8 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def users_list(file: Path) -> None:
     """The users in FILE, with realm and algorithms."""
-    from stairhatch.sip.auth import UsersError
+    from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import list_users
 
-    with failing_with(EXIT_FOUND_WRONG, UsersError, OSError):
+    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
         click.echo(list_users(file))
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from stairhatch.fleet.runtime import FleetRuntime
     from stairhatch.scope.controller import ScopedController
-    from stairhatch.sip.front import SipFront
+    from stairhatch.sip.frontend import SipFrontend
 
 
 def steady_unix_clock() -> Callable[[], float]:
@@ -46,7 +46,7 @@
     network: Network
     scoped: ScopedController | None = None
     platform_frontend: PlatformFrontend | None = None
-    sip_frontend: SipFront | None = None
+    sip_frontend: SipFrontend | None = None
     discovery: ServiceDiscoveryClient | None = None
     fleet: FleetRuntime | None = None
     caller_listeners: list[Listener] = field(default_factory=list)
--- a/stairhatch/config/appliance/addresses.py
+++ b/stairhatch/config/appliance/addresses.py
@@ -7,13 +7,13 @@
 from stairhatch.config.appliance.schema import Listeners, ListenerTable
 from stairhatch.config.model import ConfigError
 from stairhatch.node.address import AddressError, parse_address
-from stairhatch.sip.flows import Networks, Place, is_address
-from stairhatch.sip.front import SipListener
+from stairhatch.sip.frontend import SipListener
+from stairhatch.sip.transport import AllowedNetworks, TransportAddress, is_ip_address
 
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
-def address_at(path: str, text: str) -> Place:
+def address_at(path: str, text: str) -> TransportAddress:
     """Return the address under a key. Raises ConfigError that names the key if it is none."""
     try:
         return parse_address(text)
@@ -43,10 +43,10 @@
 def _listener(path: str, value: str | ListenerTable) -> SipListener:
     table = value if isinstance(value, ListenerTable) else ListenerTable(value)
     place = address_at(path, table.address)
-    if not is_address(place[0]):
+    if not is_ip_address(place[0]):
         raise ConfigError(f"{path}: {place[0]!r} is a name; names are not looked up")
     networks = (_network(f"{path}.allow[{order}]", text) for order, text in enumerate(table.allow))
-    return SipListener(place, Networks(tuple(networks)))
+    return SipListener(place, AllowedNetworks(tuple(networks)))
 
 
 def _network(path: str, text: str) -> Network:
--- a/stairhatch/config/appliance/fleet.py
+++ b/stairhatch/config/appliance/fleet.py
@@ -10,7 +10,7 @@
 from stairhatch.config.reading import read_text
 from stairhatch.fleet.config import MAX_VOTERS, FleetConfig
 from stairhatch.fleet.lease import LeaseTimings
-from stairhatch.sip.flows import Place
+from stairhatch.sip.transport import TransportAddress
 
 MAX_NAME_CHARACTERS = 48
 MIN_SECRET_CHARACTERS = 16
@@ -45,7 +45,9 @@
     )
 
 
-def _check_voters(table: FleetTable, name: str, listen: Place, voters: dict[str, Place]) -> None:
+def _check_voters(
+    table: FleetTable, name: str, listen: TransportAddress, voters: dict[str, TransportAddress]
+) -> None:
     """Raise ConfigError for voters of one address, or one of this `name` that does not fit the other keys."""
     if len(set(voters.values())) < len(voters):
         raise ConfigError("fleet.voters: two have one address")
--- a/stairhatch/config/appliance/reader.py
+++ b/stairhatch/config/appliance/reader.py
@@ -17,7 +17,7 @@
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.config.reading import checked_settings, read_text
 from stairhatch.settings.errors import SettingsError
-from stairhatch.sip.flows import Place
+from stairhatch.sip.transport import TransportAddress
 
 SERVER_STATES = ("in_service", "terminating")
 
@@ -98,7 +98,7 @@
     return instances
 
 
-def _syslog(value: str | None) -> Place | str | None:
+def _syslog(value: str | None) -> TransportAddress | str | None:
     """Return the receiver's address, or the path of its socket."""
     if not value or value.startswith("/"):
         return value or None
--- a/stairhatch/config/appliance/sip.py
+++ b/stairhatch/config/appliance/sip.py
@@ -14,9 +14,9 @@
 from stairhatch.config.model import ConfigError
 from stairhatch.config.reading import read_text
 from stairhatch.overload.settings import Settings
-from stairhatch.sip import auth
-from stairhatch.sip.front import AuthConfig, SipConfig
-from stairhatch.sip.sessions import TimerPolicy
+from stairhatch.sip import digest_auth
+from stairhatch.sip.frontend import AuthConfig, SipConfig
+from stairhatch.sip.sessions import SessionTimerPolicy
 
 ALGORITHM_SIMILARITY = 0.3  # names are short: a suggestion may be further off than that for a key
 MS_PER_S = 1000
@@ -65,7 +65,7 @@
         memory_mb=table.memory_mb,
         dialogs=table.dialogs,
         restart_wait_s=table.restart_wait_s,
-        timers=TimerPolicy(table.timers.session_expires_s, table.timers.min_se_s),
+        timers=SessionTimerPolicy(table.timers.session_expires_s, table.timers.min_se_s),
         auth=_auth_config(table.auth, folder) if table.auth is not None else None,
         gate=_admission_policy(table.admission) if table.admission.on else None,
     )
@@ -73,17 +73,17 @@
 
 def _auth_config(table: AuthTable, folder: Path) -> AuthConfig:
     for index, name in enumerate(table.algorithms):
-        if name not in auth.ALGORITHMS:
-            hint = suggestion(name, auth.ALGORITHMS, ALGORITHM_SIMILARITY)
+        if name not in digest_auth.ALGORITHMS:
+            hint = suggestion(name, digest_auth.ALGORITHMS, ALGORITHM_SIMILARITY)
             raise ConfigError(f"sip.auth.algorithms[{index}]: unknown {name!r}{hint}")
     path = str(folder / table.users)
     try:
-        users = auth.read_users(read_text(path), table.realm, table.algorithms)
-    except auth.UsersError as error:
+        users = digest_auth.parse_users(read_text(path), table.realm, table.algorithms)
+    except digest_auth.UserFileError as error:
         raise ConfigError(f"sip.auth.users: {path}: {error}") from error
     except ConfigError as error:
         raise ConfigError(f"sip.auth.users: {error}") from error
-    ordered = tuple(name for name in auth.ALGORITHMS if name in table.algorithms)
+    ordered = tuple(name for name in digest_auth.ALGORITHMS if name in table.algorithms)
     return AuthConfig(table.realm, users, ordered, table.nonce_s)
 
 
--- a/stairhatch/conformance/faults.py
+++ b/stairhatch/conformance/faults.py
@@ -10,23 +10,33 @@
 from typing import Any, cast
 
 from stairhatch.node import sip_message as sip
-from stairhatch.sip import auth, dialogs, flows, front, grammar, heads, leg, sessions, transactions
+from stairhatch.sip import (
+    call_leg,
+    dialogs,
+    digest_auth,
+    frontend,
+    grammar,
+    request_head,
+    sessions,
+    transactions,
+    transport,
+)
 
 Change = tuple[Any, str, Any]
 
 
 def _loosely(part: int) -> list[Change]:
     """Dialogs are found though one part of their key differs."""
-    whole = front.SipFront._request
+    whole = frontend.SipFrontend._request
 
-    def request(self: front.SipFront, transaction: Any, head: heads.Head) -> None:
+    def request(self: frontend.SipFrontend, transaction: Any, head: request_head.RequestHead) -> None:
         named = dialogs.key_of(head)
         for key in list(self.dialogs):
             if all(key[i] == named[i] for i in range(3) if i != part):
                 head.call_id, head.to_tag, head.from_tag = key
         whole(self, transaction, head)
 
-    return [(front.SipFront, "_request", request)]
+    return [(frontend.SipFrontend, "_request", request)]
 
 
 def _nothing(*words: Any, **named: Any) -> None:
@@ -42,11 +52,11 @@
         )
 
 
-def _ack_any(self: leg.Leg, cseq: int, message: sip.SipMessage) -> None:
+def _ack_any(self: call_leg.CallLeg, cseq: int, message: sip.SipMessage) -> None:
     WHOLE["acked"](self, self.awaited, message)
 
 
-def _final_held(self: leg.Leg, description: bytes) -> None:
+def _final_held(self: call_leg.CallLeg, description: bytes) -> None:
     if self.ringing is not None and not self.ringing.heard:
         self.front.core.timers.schedule(self.front.core.clock() + 0.5, lambda: _final_held(self, description))
     else:
@@ -54,7 +64,7 @@
 
 
 def _tag_each_time(
-    self: front.SipFront, transaction: Any, status: int, extra: Any, tag: str = "", body: bytes = b""
+    self: frontend.SipFrontend, transaction: Any, status: int, extra: Any, tag: str = "", body: bytes = b""
 ) -> bytes:
     return cast(bytes, WHOLE["respond"](self, transaction, status, extra, tag and self.token(), body))
 
@@ -72,13 +82,13 @@
 
 
 def _copies_are_new(method: str) -> Callable[..., bool]:
-    def known(self: Any, head: heads.Head, flow: Any) -> bool:
+    def known(self: Any, head: request_head.RequestHead, flow: Any) -> bool:
         return False if head.method == method else WHOLE["known"](self, head, flow)
 
     return known
 
 
-def _cancel_always(self: front.SipFront, transaction: Any, head: heads.Head) -> None:
+def _cancel_always(self: frontend.SipFrontend, transaction: Any, head: request_head.RequestHead) -> None:
     for each in list(self.dialogs.values()):
         if each.dialog is not None and each.dialog.call_id == head.call_id and each.invite is None:
             each.bye(16)
@@ -88,7 +98,7 @@
 def _no_status(*left_out: int) -> Callable[..., Any]:
     """Requests that are found unfit for some reasons are taken all the same."""
 
-    def unfit(self: Any, head: heads.Head) -> Any:
+    def unfit(self: Any, head: request_head.RequestHead) -> Any:
         fault = WHOLE["unfit"](self, head)
         return None if fault is not None and fault[0] in left_out else fault
 
@@ -120,21 +130,23 @@
     return sessions.SessionTimer(60, sessions.Refresher.CALLER, True) if is_short else told
 
 
-def _always_good(self: Any, method: str, uri: str, values: Any) -> auth.Judged:
+def _always_good(self: Any, method: str, uri: str, values: Any) -> digest_auth.Judged:
     found = list(values)
     return (
-        auth.Judged(auth.CredentialCheck.GOOD, "office") if found else auth.Judged(auth.CredentialCheck.NONE)
+        digest_auth.Judged(digest_auth.CredentialCheck.GOOD, "office")
+        if found
+        else digest_auth.Judged(digest_auth.CredentialCheck.NONE)
     )
 
 
-def _closes(self: flows.SipConnection, data: Any) -> None:
+def _closes(self: transport.SipConnection, data: Any) -> None:
     before = self.faults
     WHOLE["receive_data"](self, data)
     self.closing = self.closing or self.faults > before
 
 
-def _own_key(self: heads.Head, method: str) -> bytes:
-    return heads.digest(self.via.branch, "", method)
+def _own_key(self: request_head.RequestHead, method: str) -> bytes:
+    return request_head.digest(self.via.branch, "", method)
 
 
 def _bye_twice(self: Any, branch: str, method: str, gap: float, passed: float) -> None:
@@ -146,28 +158,30 @@
         )
 
 
-def _provisional_first(self: front.SipFront, transaction: Any, head: heads.Head) -> None:
+def _provisional_first(self: frontend.SipFrontend, transaction: Any, head: request_head.RequestHead) -> None:
     if head.method != "INVITE":
         self.respond(transaction, 100, [])
     WHOLE["request"](self, transaction, head)
 
 
-def _bye_at_once(self: leg.Leg, cause: int) -> None:
+def _bye_at_once(self: call_leg.CallLeg, cause: int) -> None:
     self.call = None
     self.bye(cause)
 
 
 def _unmarked(message: sip.SipMessage, index: int, peer: Any) -> grammar.Via:
-    return grammar.read_via(sip.split_list(message.headers[index][1])[0])
+    return grammar.parse_via(sip.split_list(message.headers[index][1])[0])
 
 
 WHOLE: dict[str, Any] = {
-    "acked": leg.Leg.acked, "established": leg.Leg.established, "respond": front.SipFront.respond,
-    "known": transactions.Transactions.known, "cancel": front.SipFront._cancel,
-    "unfit": front.SipFront._unfit, "read_address": grammar.read_address, "negotiate": sessions.negotiate,
-    "receive_data": flows.SipConnection.receive_data, "request": front.SipFront._request,
+    "acked": call_leg.CallLeg.acked, "established": call_leg.CallLeg.established,
+    "respond": frontend.SipFrontend.respond,
+    "known": transactions.Transactions.known, "cancel": frontend.SipFrontend._cancel,
+    "unfit": frontend.SipFrontend._unfit, "read_address": grammar.parse_address,
+    "negotiate": sessions.negotiate,
+    "receive_data": transport.SipConnection.receive_data, "request": frontend.SipFrontend._request,
 }  # fmt: skip
-T, L, F = transactions.Transactions, leg.Leg, front.SipFront
+T, L, F = transactions.Transactions, call_leg.CallLeg, frontend.SipFrontend
 FAULTS: dict[str, list[Change]] = {
     "what is over is forgotten at once": [(transactions.Memory, "keep", _nothing)],
     "the caller's tag is not compared": _loosely(2),
@@ -181,7 +195,7 @@
     "an ACK to a refusal is not known": [(T, "known", _copies_are_new("ACK"))],
     "a copy of an INVITE is new": [(T, "known", _copies_are_new("INVITE"))],
     "a copy of a BYE is new": [(T, "known", _copies_are_new("BYE"))],
-    "transactions are told apart by the branch alone": [(heads.Head, "key_of", _own_key)],
+    "transactions are told apart by the branch alone": [(request_head.RequestHead, "key_of", _own_key)],
     "a CANCEL ends nothing": [(L, "cancelled", _nothing)],
     "a late CANCEL ends the call": [(F, "_cancel", _cancel_always)],
     "numbers may go back": [(dialogs.Dialog, "order", lambda self, cseq: dialogs.SequenceOrder.NEXT)],
@@ -192,9 +206,9 @@
     "Require is passed over": [(F, "_unfit", _no_status(420))],
     "Max-Forwards is passed over": [(F, "_unfit", _no_status(483))],
     "any scheme is taken": [(F, "_unfit", _no_status(416))],
-    "the received address is not noted": [(heads, "_mark", _unmarked)],
+    "the received address is not noted": [(request_head, "_mark", _unmarked)],
     "commas in quotes part a list": [(sip, "split_list", _naive_list)],
-    "a tag in quotes counts": [(grammar, "read_address", _naive_tag)],
+    "a tag in quotes counts": [(grammar, "parse_address", _naive_tag)],
     "escapes in a user stay": [(grammar, "unescape", lambda text: text)],
     "Record-Route is dropped": [(L, "_routes", lambda self: [])],
     "each answer has a tag of its own": [(F, "respond", _tag_each_time)],
@@ -213,11 +227,13 @@
     "no 180 is reliable": [(sessions, "wants_reliable", lambda message: False)],
     "the 2xx waits for the PRACK": [(L, "established", _final_held)],
     "any content is taken": [(sessions, "read_description", lambda message: message.body)],
-    "any password is good": [(auth.Guard, "judge", _always_good)],
-    "credentials may be used again": [(auth.Guard, "_use", lambda self, nonce, count: True)],
-    "nonces are good for ever": [(auth.Guard, "_age", lambda self, nonce: 0.0)],
-    "pings are not answered": [(flows.SipConnection, "_pong", _nothing)],
-    "a bad message ends its stream": [(flows.SipConnection, "receive_data", _closes)],
+    "any password is good": [(digest_auth.DigestAuthenticator, "judge", _always_good)],
+    "credentials may be used again": [
+        (digest_auth.DigestAuthenticator, "_use", lambda self, nonce, count: True)
+    ],
+    "nonces are good for ever": [(digest_auth.DigestAuthenticator, "_age", lambda self, nonce: 0.0)],
+    "pings are not answered": [(transport.SipConnection, "_pong", _nothing)],
+    "a bad message ends its stream": [(transport.SipConnection, "receive_data", _closes)],
     "other requests get a 100": [(F, "_request", _provisional_first)],
     "a call that is over is begun again": [(T, "_remember", _nothing)],
 }  # fmt: skip
@@ -240,6 +256,6 @@
 
 def _forget_read() -> None:
     """What was read is kept by the grammar: it must be read anew with a fault, and without."""
-    for cached in (grammar.read_uri, grammar.read_address):
+    for cached in (grammar.parse_uri, grammar.parse_address):
         if hasattr(cached, "cache_clear"):
             cached.cache_clear()
--- a/stairhatch/conformance/run.py
+++ b/stairhatch/conformance/run.py
@@ -15,7 +15,7 @@
 from stairhatch.conformance.stage import CallerTransport, ConformanceEnvironment, messages
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
-from stairhatch.sip import auth, grammar
+from stairhatch.sip import digest_auth, grammar
 
 USER, PASSWORD, REALM = "office", "a long word", "stairhatch"  # where a case needs one that may call
 OFFER = (
@@ -212,16 +212,16 @@
             raise FailedError("there was no challenge")
         given = {}
         for value in call.challenge.get_lines("www-authenticate"):
-            scheme, found = grammar.read_credentials(value)
+            scheme, found = grammar.parse_credentials(value)
             if found.get("algorithm") == algorithm:
                 given = found
         nonce, realm = given.get("nonce", ""), given.get("realm", "")
         if "nonce" in words:
             nonce = nonce[:-1] + ("0" if nonce[-1:] != "0" else "1")
-        kept = auth.user_hash(algorithm, user, realm, password)
-        asked = auth.hashed(algorithm, f"{method}:{uri}")
+        kept = digest_auth.user_hash(algorithm, user, realm, password)
+        asked = digest_auth.hex_digest(algorithm, f"{method}:{uri}")
         number = f"{int(nc):08x}"
-        answer = auth.hashed(algorithm, f"{kept}:{nonce}:{number}:c0ffee:auth:{asked}")
+        answer = digest_auth.hex_digest(algorithm, f"{kept}:{nonce}:{number}:c0ffee:auth:{asked}")
         return (
             f'Digest username="{user}", realm="{realm}", nonce="{nonce}", uri="{uri}", response="{answer}", '
             f'algorithm={algorithm}, cnonce="c0ffee", qop=auth, nc={number}'
--- a/stairhatch/conformance/stage.py
+++ b/stairhatch/conformance/stage.py
@@ -23,8 +23,8 @@
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.sip.flows import SipConnection
-from stairhatch.sip.front import SipConfig, SipFront, SipListener
+from stairhatch.sip.frontend import SipConfig, SipFrontend, SipListener
+from stairhatch.sip.transport import SipConnection
 
 Place = tuple[str, int]
 
@@ -105,7 +105,7 @@
             "numbers": (("7", "save-roster", 0),), **config,
         }  # fmt: skip
         tokens, chance = (f"{n:016x}" for n in count(1)), random.Random(2)
-        self.front = SipFront(self.core, SipConfig(**told), lambda: next(tokens), chance.random, b"secret")
+        self.front = SipFrontend(self.core, SipConfig(**told), lambda: next(tokens), chance.random, b"secret")
         self.front.dial = self._dialled
         self.wires: list[InnerWire] = []
         self.outside: list[tuple[float, Place, bytes]] = []  # what went to nobody that a case opened
--- a/stairhatch/conformance/suite.py
+++ b/stairhatch/conformance/suite.py
@@ -13,8 +13,8 @@
 from stairhatch.conformance.faults import FAULTS, planted
 from stairhatch.conformance.run import PASSWORD, REALM, USER, CaseResult, play
 from stairhatch.conformance.stage import Inside, Outside, Place
-from stairhatch.sip import auth
-from stairhatch.sip.front import AuthConfig
+from stairhatch.sip import digest_auth
+from stairhatch.sip.frontend import AuthConfig
 
 __all__ = ["FAULTS", "find_all", "finder", "run_inside", "run_outside"]
 AGAIN, AGAIN_S = 5, 1.0  # a case that is answered 503 is played again
@@ -26,8 +26,8 @@
     """The stage in process with the configuration that a case needs."""
     if "auth" not in case.needs:
         return Inside()
-    lines = auth.user_lines(USER, REALM, PASSWORD, ALGORITHMS)
-    users = auth.read_users("\n".join(lines), REALM, ALGORITHMS)
+    lines = digest_auth.format_user_lines(USER, REALM, PASSWORD, ALGORITHMS)
+    users = digest_auth.parse_users("\n".join(lines), REALM, ALGORITHMS)
     return Inside(auth=AuthConfig(REALM, users, ALGORITHMS, 300.0))
 
 
--- a/stairhatch/load_test/office.py
+++ b/stairhatch/load_test/office.py
@@ -151,7 +151,7 @@
 
     def _heard(self, office: Office, message: sip.SipMessage) -> None:
         """Overload control in an answer's topmost Via."""
-        told = grammar.read_via(sip.split_list(message.get("via"))[0]).parameters
+        told = grammar.parse_via(sip.split_list(message.get("via"))[0]).parameters
 
         def figure(name: str) -> float | None:
             try:
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -17,7 +17,7 @@
 from stairhatch.config.model import Config
 
 if TYPE_CHECKING:
-    from stairhatch.sip.front import SipFront
+    from stairhatch.sip.frontend import SipFrontend
 
 MIN_STAY_S = 1.0  # after SIGTERM connections come for 0.4 s, requests on them for 0.2 s more
 SIGKILL_MARGIN_S = 0.4  # a restart's SIGKILL comes 0.7 s after the longest deadline, or after `drain_s`
@@ -109,7 +109,7 @@
         await asyncio.sleep(FINAL_CHECK_S)
         return self._is_settled() and not self._parts.network.has_unread()
 
-    async def _finish_dialogs(self, front: SipFront, skip: asyncio.Event) -> None:
+    async def _finish_dialogs(self, front: SipFrontend, skip: asyncio.Event) -> None:
         """Wait for the established dialogs, then end on both sides what is left.
 
         The next process would know no such dialog, and its call server would never hear of the caller's BYE.
@@ -127,10 +127,10 @@
             while loop.time() < deadline and not self._is_sip_settled(front):
                 await asyncio.sleep(POLL_S)
 
-    def _is_sip_settled(self, front: SipFront) -> bool:
+    def _is_sip_settled(self, front: SipFrontend) -> bool:
         return front.is_flushed() and self._parts.core.is_settled()
 
-    def _report_dialogs(self, front: SipFront, left_s: float) -> None:
+    def _report_dialogs(self, front: SipFrontend, left_s: float) -> None:
         """Say in the log and on the terminal which calls the end waits for."""
         count = len(front.dialogs)
         calls = [
--- a/stairhatch/sip/leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -14,10 +14,10 @@
 from stairhatch.node.calls import Call, ReleaseCause
 from stairhatch.sip import grammar, sessions
 from stairhatch.sip.dialogs import Dialog, DialogState, Key, open_dialog
-from stairhatch.sip.flows import Flow, Place, SipConnection
-from stairhatch.sip.heads import MAGIC, lines
+from stairhatch.sip.request_head import MAGIC, lines
 from stairhatch.sip.sessions import Lease, Reliable, SessionTimer, SessionTimerAction
 from stairhatch.sip.transactions import LAST, T1, T2, Client, ServerTransaction, Transactions
+from stairhatch.sip.transport import Flow, SipConnection, TransportAddress
 
 ALLOW = ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS, PRACK, UPDATE, INFO")
 SUPPORTED = ("supported", ", ".join(sessions.SUPPORTED))
@@ -33,8 +33,8 @@
 
     core: CallManager
     transactions: Transactions
-    dialogs: dict[Key, Leg]
-    ours: dict[tuple[Leg, str], Ours]
+    dialogs: dict[Key, CallLeg]
+    ours: dict[tuple[CallLeg, str], Ours]
 
     def token(self) -> str: ...
     def part(self) -> float: ...
@@ -42,9 +42,9 @@
     def contact(self, flow: Flow) -> str: ...
     def sent_by(self, flow: Flow) -> str: ...
     def way_to(self, uri: str, used: Flow, size: int = 0, by_tcp: bool = True) -> Flow: ...
-    def way_back(self, used: Flow, place: Place) -> Flow: ...
-    def asking(self, leg: Leg, method: str) -> bool: ...
-    def ask(self, leg: Leg, method: str, extra: sip.Headers, body: bytes = b"") -> None: ...
+    def way_back(self, used: Flow, place: TransportAddress) -> Flow: ...
+    def asking(self, leg: CallLeg, method: str) -> bool: ...
+    def ask(self, leg: CallLeg, method: str, extra: sip.Headers, body: bytes = b"") -> None: ...
     def answered(
         self, transaction: ServerTransaction, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
     ) -> None: ...
@@ -66,7 +66,7 @@
     ) -> None: ...
 
 
-class Leg:
+class CallLeg:
     """A caller's INVITE and its dialog. The core sees it as the caller."""
 
     __slots__ = (
@@ -388,7 +388,7 @@
 
     __slots__ = ("body", "client", "cseq", "extra", "front", "leg", "method", "tries")
 
-    def __init__(self, front: Front, leg: Leg, method: str, extra: sip.Headers, body: bytes) -> None:
+    def __init__(self, front: Front, leg: CallLeg, method: str, extra: sip.Headers, body: bytes) -> None:
         self.front, self.leg, self.method, self.extra, self.body = front, leg, method, extra, body
         self.tries, self.cseq = 0, 0
         self.client: Client | None = None
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -9,7 +9,7 @@
 
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
-from stairhatch.sip.heads import Head
+from stairhatch.sip.request_head import RequestHead
 
 Key = tuple[str, str, str]  # Call-ID, our tag, the caller's
 
@@ -62,7 +62,7 @@
 
     def next_hop(self) -> str:
         """The URI that a request of ours is sent to."""
-        return grammar.read_address(self.routes[0]).uri if self.routes else self.target
+        return grammar.parse_address(self.routes[0]).uri if self.routes else self.target
 
     def request(
         self, method: str, cseq: int, via: str, extra: sip.Headers, body: bytes = b""
@@ -72,7 +72,7 @@
         """
         uri, routes, hop = self.target, list(self.routes), self.next_hop()
         if routes:
-            first = grammar.read_uri(hop)
+            first = grammar.parse_uri(hop)
             if not first.loose:
                 routes = [*routes[1:], f"<{self.target}>"]
                 uri = hop
@@ -96,19 +96,19 @@
     if len(values) != 1:
         return ""
     try:
-        uri = grammar.read_address(values[0]).uri
-        return uri if grammar.read_uri(uri).scheme in ("sip", "sips") else ""
+        uri = grammar.parse_address(values[0]).uri
+        return uri if grammar.parse_uri(uri).scheme in ("sip", "sips") else ""
     except grammar.GrammarError:
         return ""
 
 
-def open_dialog(head: Head, tag: str, fallback: str) -> Dialog:
+def open_dialog(head: RequestHead, tag: str, fallback: str) -> Dialog:
     """The dialog of an INVITE that is being answered; `fallback` is its target where Contact names none."""
     message = head.message
     routes = []
     for value in message.get_all("record-route"):
         try:
-            grammar.read_uri(grammar.read_address(value).uri)
+            grammar.parse_uri(grammar.parse_address(value).uri)
         except grammar.GrammarError:
             continue  # a route that can't be read can't be followed either
         routes.append(value)
@@ -124,6 +124,6 @@
     )
 
 
-def key_of(head: Head) -> Key:
+def key_of(head: RequestHead) -> Key:
     """The dialog that a request names."""
     return head.call_id, head.to_tag, head.from_tag
--- a/stairhatch/sip/auth.py
+++ b/stairhatch/sip/digest_auth.py
@@ -21,11 +21,11 @@
 MOST_NONCES = 20_000  # with counts kept; what is pushed out must be asked for anew
 
 
-class UsersError(ValueError):
+class UserFileError(ValueError):
     """A file of users that can't be used, with its line."""
 
 
-def hashed(algorithm: str, text: str) -> str:
+def hex_digest(algorithm: str, text: str) -> str:
     """The hex digest of a text. KeyError for an algorithm that isn't known here."""
     return hashlib.new(
         ALGORITHMS[algorithm], text.encode("utf-8", "surrogateescape"), usedforsecurity=False
@@ -34,17 +34,17 @@
 
 def user_hash(algorithm: str, user: str, realm: str, password: str) -> str:
     """What is kept of a password (A1 of RFC 7616, 3.4.2)."""
-    return hashed(algorithm, f"{user}:{realm}:{password}")
+    return hex_digest(algorithm, f"{user}:{realm}:{password}")
 
 
-def user_lines(user: str, realm: str, password: str, algorithms: Iterable[str]) -> list[str]:
+def format_user_lines(user: str, realm: str, password: str, algorithms: Iterable[str]) -> list[str]:
     """The lines of a file of users for one of them."""
     if not user or any(char in user for char in ':\r\n"') or any(char in realm for char in ":\r\n"):
-        raise UsersError("a user or realm may not be empty, nor hold a colon, quote or line end")
+        raise UserFileError("a user or realm may not be empty, nor hold a colon, quote or line end")
     return [f"{user}:{realm}:{each}:{user_hash(each, user, realm, password)}" for each in algorithms]
 
 
-def read_users(text: str, realm: str, algorithms: Iterable[str]) -> dict[tuple[str, str], str]:
+def parse_users(text: str, realm: str, algorithms: Iterable[str]) -> dict[tuple[str, str], str]:
     """(user, algorithm) -> hash, of a realm. Lines of `user:realm:algorithm:hash`; `#` begins a comment."""
     allowed, found = set(algorithms), {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -52,12 +52,14 @@
             continue
         words = line.strip().split(":")
         if len(words) != 4 or words[2] not in ALGORITHMS:
-            raise UsersError(f"line {number}: not user:realm:algorithm:hash")
-        if len(words[3]) != len(hashed(words[2], "")) or not all(c in "0123456789abcdef" for c in words[3]):
-            raise UsersError(f"line {number}: the hash is none of {words[2]}")
+            raise UserFileError(f"line {number}: not user:realm:algorithm:hash")
+        if len(words[3]) != len(hex_digest(words[2], "")) or not all(
+            c in "0123456789abcdef" for c in words[3]
+        ):
+            raise UserFileError(f"line {number}: the hash is none of {words[2]}")
         if words[1] == realm and words[2] in allowed:
             if (words[0], words[2]) in found:
-                raise UsersError(f"line {number}: {words[0]} stands twice for {words[2]}")
+                raise UserFileError(f"line {number}: {words[0]} stands twice for {words[2]}")
             found[words[0], words[2]] = words[3]
     return found
 
@@ -101,7 +103,7 @@
 
 
 @dataclass(eq=False)
-class Guard:
+class DigestAuthenticator:
     """The gate for requests: challenges, and what comes back."""
 
     realm: str
@@ -144,7 +146,7 @@
         worst = Judged(CredentialCheck.NONE)
         for value in values:
             try:
-                scheme, given = grammar.read_credentials(value)
+                scheme, given = grammar.parse_credentials(value)
             except grammar.GrammarError:
                 worst = Judged(CredentialCheck.BAD)
                 continue
@@ -169,9 +171,9 @@
             or given.get("uri") != uri
         ):
             return Judged(CredentialCheck.BAD)
-        kept = known or hashed(algorithm, "")  # the same work for a user that isn't known
-        asked = hashed(algorithm, f"{method}:{uri}")
-        right = hashed(algorithm, f"{kept}:{nonce}:{count}:{client}:auth:{asked}")
+        kept = known or hex_digest(algorithm, "")  # the same work for a user that isn't known
+        asked = hex_digest(algorithm, f"{method}:{uri}")
+        right = hex_digest(algorithm, f"{kept}:{nonce}:{count}:{client}:auth:{asked}")
         if not hmac.compare_digest(right.encode(), answer.encode("utf-8", "replace")) or known is None:
             return Judged(CredentialCheck.BAD)
         fresh = self._made_here(nonce) and 0 <= self._age(nonce) <= self.nonce_s
--- a/stairhatch/sip/front.py
+++ b/stairhatch/sip/frontend.py
@@ -30,23 +30,23 @@
 from stairhatch.node.server_messages import exceeds_line_limit
 from stairhatch.node.sip_message import called_number, release_cause
 from stairhatch.overload.settings import CallClass
-from stairhatch.sip import auth, grammar, sessions
+from stairhatch.sip import digest_auth, grammar, sessions
+from stairhatch.sip.call_leg import ACCEPT, ALLOW, SUPPORTED, CallLeg, Ours
 from stairhatch.sip.dialogs import DialogState, SequenceOrder, key_of
-from stairhatch.sip.flows import (
+from stairhatch.sip.request_head import HERE, SIP_PORT, RequestHead, echo, lines, render
+from stairhatch.sip.request_scan import is_ack_to_shed, scan_request
+from stairhatch.sip.sessions import Exchange, Offered, Prack, Refusal, SessionTimerPolicy
+from stairhatch.sip.transactions import ServerTransaction, Transactions
+from stairhatch.sip.transport import (
+    AllowedNetworks,
     Flow,
-    Networks,
-    Place,
     SipConnection,
     SipDatagrams,
+    TransportAddress,
     UdpFlow,
-    is_address,
+    is_ip_address,
     is_v6,
 )
-from stairhatch.sip.heads import HERE, SIP_PORT, Head, echo, lines, render
-from stairhatch.sip.leg import ACCEPT, ALLOW, SUPPORTED, Leg, Ours
-from stairhatch.sip.peek import is_ack_to_shed, peek
-from stairhatch.sip.sessions import Exchange, Offered, Prack, Refusal, TimerPolicy
-from stairhatch.sip.transactions import ServerTransaction, Transactions
 
 METHODS = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "PRACK", "UPDATE", "INFO")
 GUARDED = ("INVITE", "BYE", "UPDATE", "INFO")  # what must prove who sends it, where that is asked for
@@ -58,8 +58,8 @@
 class SipListener:
     """An address that is listened on, and whom it hears."""
 
-    place: Place
-    networks: Networks = field(default_factory=Networks)
+    place: TransportAddress
+    networks: AllowedNetworks = field(default_factory=AllowedNetworks)
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
     memory_mb: int = 64  # for transactions, and as much again for dialogs
     dialogs: int = 10_000
     restart_wait_s: float = 60.0  # so long a restart waits for calls that stand
-    timers: TimerPolicy = field(default_factory=TimerPolicy)
+    timers: SessionTimerPolicy = field(default_factory=SessionTimerPolicy)
     auth: AuthConfig | None = None
     gate: AdmissionPolicy | None = None  # what we can take ourselves; None: whatever comes is served
 
@@ -94,7 +94,7 @@
 LIVE = ("numbers", "default_class", "timers", "auth", "restart_wait_s")  # what a reload takes over
 
 
-class SipFront:
+class SipFrontend:
     """All transactions and dialogs of the appliance."""
 
     def __init__(
@@ -106,7 +106,7 @@
         secret: bytes = b"",
     ) -> None:
         self.core, self.config, self.token, self.part, self.secret = core, config, token, part, secret
-        self.guard: auth.Guard | None = None
+        self.guard: digest_auth.DigestAuthenticator | None = None
         self._guard_by(config.auth)
         self.counters = core.counters
         self.transactions = Transactions(core, config.memory_mb * 1024 * 1024)
@@ -114,9 +114,9 @@
         self.transactions.feedback = self._feedback
         self.gate = AdmissionControl(part, config.gate) if config.gate is not None else None
         self._admitted = b""  # the transaction that the gate has just let in by a look
-        self.dialogs: dict[tuple[str, str, str], Leg] = {}
-        self.ours: dict[tuple[Leg, str], Ours] = {}
-        self.connections: dict[Place, SipConnection] = {}
+        self.dialogs: dict[tuple[str, str, str], CallLeg] = {}
+        self.ours: dict[tuple[CallLeg, str], Ours] = {}
+        self.connections: dict[TransportAddress, SipConnection] = {}
         self.ports = [SipDatagrams(self, each.place, each.networks) for each in config.udp]
         self.dial: Callable[[SipConnection], None] = lambda connection: None  # set by the wiring
 
@@ -124,7 +124,7 @@
         if told is None:
             self.guard = None
         else:
-            self.guard = auth.Guard(
+            self.guard = digest_auth.DigestAuthenticator(
                 told.realm, told.users, self.secret, self.core.clock, told.algorithms, told.nonce_s
             )
 
@@ -138,10 +138,10 @@
 
     # ---- what comes in ----
 
-    def connector(self, listener: SipListener) -> Callable[[Place], ConnectionProtocol]:
+    def connector(self, listener: SipListener) -> Callable[[TransportAddress], ConnectionProtocol]:
         """What makes the machine of a connection that has been taken at an address."""
 
-        def connect(peer: Place) -> SipConnection:
+        def connect(peer: TransportAddress) -> SipConnection:
             place = (peer[0], peer[1])
             connection = self.connections[place] = SipConnection(self, place, listener.place)
             if not listener.networks.admits(peer[0]):
@@ -160,7 +160,7 @@
         if is_ack_to_shed(data):
             self.counters.add("got_ACK")
             return True
-        seen = peek(data)
+        seen = scan_request(data)
         if seen is None:
             return False
         place = seen.place(flow.peer)
@@ -225,7 +225,7 @@
         for key in list(flow.owed):
             transaction = self.transactions.find(key)
             leg = transaction.user if transaction is not None else None
-            if isinstance(leg, Leg) and leg.invite is transaction and leg.call is not None:
+            if isinstance(leg, CallLeg) and leg.invite is transaction and leg.call is not None:
                 self.core.caller_disconnected(leg.call)
 
     def flow_lost(self, flow: Flow) -> None:
@@ -254,7 +254,7 @@
             return
         place = (flow.peer[0], SIP_PORT)
         try:
-            via = grammar.read_via(partial.get_all("via")[0])
+            via = grammar.parse_via(partial.get_all("via")[0])
             place = (flow.peer[0], flow.peer[1] if "rport" in via.parameters else via.port or SIP_PORT)
         except grammar.GrammarError:
             place = flow.peer  # where it came from is all that is known
@@ -276,7 +276,7 @@
                 self.counters.add("responses_unmatched")
             return
         try:
-            head = Head(message, flow.peer)
+            head = RequestHead(message, flow.peer)
         except sip_parser.SipError as error:
             self.malformed(flow, error)
             return
@@ -292,7 +292,7 @@
             else:
                 self._request(transaction, head)
 
-    def _limits(self, flow: Flow, head: Head) -> bool:
+    def _limits(self, flow: Flow, head: RequestHead) -> bool:
         """Whether a new request may open a transaction; else it is answered without one."""
         status, extra = 0, ""
         judged = self._gated(flow, head)
@@ -314,7 +314,7 @@
             self._stateless(flow, head.place(flow.peer, flow.reliable), data, status)
         return not status
 
-    def _gated(self, flow: Flow, head: Head) -> AdmissionDecision:
+    def _gated(self, flow: Flow, head: RequestHead) -> AdmissionDecision:
         """Whether we can take a new request ourselves."""
         admitted, self._admitted = self._admitted, b""
         if self.gate is None or head.to_tag or head.method in ("CANCEL", "PRACK", "BYE", "UPDATE"):
@@ -329,11 +329,11 @@
         user = sip.user_of(head.message.uri)
         return self._judge_call(source, user, head.message.get("call-kind"))
 
-    def _unfit(self, head: Head) -> tuple[int, sip.Headers] | None:
+    def _unfit(self, head: RequestHead) -> tuple[int, sip.Headers] | None:
         """What is wrong with a request before its method counts (8.2.1 to 8.2.3)."""
         message, method = head.message, head.method
         try:
-            uri = grammar.read_uri(message.uri)
+            uri = grammar.parse_uri(message.uri)
             if uri.scheme == "sips":
                 return 416, []  # there is no TLS here (RFC 5630, 4.1.1)
         except grammar.UnknownSchemeError:
@@ -350,7 +350,7 @@
             return 483, []
         return None
 
-    def _request(self, transaction: ServerTransaction, head: Head) -> None:
+    def _request(self, transaction: ServerTransaction, head: RequestHead) -> None:
         method = head.method
         leg = self.dialogs.get(key_of(head)) if head.to_tag else None
         if method == "CANCEL":
@@ -384,17 +384,17 @@
         else:
             self.final(transaction, 481, [])
 
-    def _who(self, transaction: ServerTransaction, head: Head) -> str | None:
+    def _who(self, transaction: ServerTransaction, head: RequestHead) -> str | None:
         """Who sends a request; None where that is not proved, and the request is answered."""
         assert self.guard is not None
         judged = self.guard.judge(head.method, head.message.uri, head.message.get_lines("authorization"))
-        if judged.verdict is auth.CredentialCheck.GOOD:
+        if judged.verdict is digest_auth.CredentialCheck.GOOD:
             return judged.user
-        if judged.verdict is not auth.CredentialCheck.NONE:
+        if judged.verdict is not digest_auth.CredentialCheck.NONE:
             self.counters.add(f"auth_{judged.verdict.value}")
             source = transaction.flow.peer[0]
             self.core.log("credentials", verdict=judged.verdict.value, source=source, method=head.method)
-        stale = judged.verdict is auth.CredentialCheck.STALE
+        stale = judged.verdict is digest_auth.CredentialCheck.STALE
         self.final(transaction, 401, [("www-authenticate", each) for each in self.guard.challenges(stale)])
         return None
 
@@ -418,8 +418,8 @@
             patience = min(patience, float(expires[:9]))
         return patience
 
-    def _invite(self, transaction: ServerTransaction, head: Head, user: str) -> None:
-        message, uri = head.message, grammar.read_uri(head.message.uri)
+    def _invite(self, transaction: ServerTransaction, head: RequestHead, user: str) -> None:
+        message, uri = head.message, grammar.parse_uri(head.message.uri)
         ident = head.ident
         if ident in self.core.calls.by_ident:  # it is here already, by another way
             self.final(transaction, 482, [])
@@ -453,7 +453,7 @@
             self.counters.add("retransmissions")
             self.transactions.forget(transaction)
             return
-        leg = Leg(self, transaction, ident, self.token(), body)
+        leg = CallLeg(self, transaction, ident, self.token(), body)
         leg.user, leg.timer = user, timer
         transaction.user = leg
         self.respond(transaction, 100, [])
@@ -471,7 +471,7 @@
         if leg.invite is not None or leg.dialog is not None:
             leg.call = call
 
-    def _ack(self, head: Head, flow: Flow) -> None:
+    def _ack(self, head: RequestHead, flow: Flow) -> None:
         leg = self.dialogs.get(key_of(head))
         if leg is not None and leg.answer:
             leg.came_by(flow)
@@ -479,7 +479,7 @@
         elif leg is None:
             self.counters.add("acks_unmatched")
 
-    def _cancel(self, transaction: ServerTransaction, head: Head) -> None:
+    def _cancel(self, transaction: ServerTransaction, head: RequestHead) -> None:
         """CANCEL names its INVITE by the branch. It has no effect once a final answer is out."""
         key = head.key_of("INVITE")
         invite = self.transactions.find(key)
@@ -487,14 +487,14 @@
             self.final(transaction, 481, [])
             return
         leg = invite.user if invite is not None else None
-        held = leg if isinstance(leg, Leg) else None
+        held = leg if isinstance(leg, CallLeg) else None
         self.final(transaction, 200, [], tag=held.tag if held else "")
         if held is not None and held.invite is not None:
             held.cancelled()
 
     # ---- within a dialog ----
 
-    def _within(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
+    def _within(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
         """A request of a dialog that has come in its order."""
         early = leg.invite is not None
         match head.method:
@@ -516,20 +516,20 @@
             case _:
                 self.final(transaction, 200, CAPABILITIES)
 
-    def _prack(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
+    def _prack(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
         ringing = leg.ringing
         if ringing is None or ringing.prack(head.message) is Prack.UNMATCHED:
             self.final(transaction, 481, [])
         else:
             self.final(transaction, 200, [])
 
-    def _reinvite(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
+    def _reinvite(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
         """An INVITE in a dialog refreshes its session, or is refused and changes nothing (14.2)."""
         theirs = leg.invite is not None
         ours = self.asking(leg, "INVITE") or bool(leg.answer)  # 2xx without ACK: the last is not over
         self._offered(transaction, head, leg, sessions.crossing(ours, theirs), refusable=True)
 
-    def _update(self, transaction: ServerTransaction, head: Head, leg: Leg) -> None:
+    def _update(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
         """RFC 3311, 5.2. Without a description it never crosses anything."""
         has_body = bool(head.message.body)
         theirs = has_body and leg.invite is not None
@@ -539,7 +539,12 @@
         self._offered(transaction, head, leg, sessions.crossing(ours, theirs), refusable=False)
 
     def _offered(
-        self, transaction: ServerTransaction, head: Head, leg: Leg, crossed: Exchange, refusable: bool
+        self,
+        transaction: ServerTransaction,
+        head: RequestHead,
+        leg: CallLeg,
+        crossed: Exchange,
+        refusable: bool,
     ) -> None:
         message = head.message
         if crossed is Exchange.OURS_OPEN:
@@ -579,7 +584,7 @@
 
     # ---- requests of ours ----
 
-    def ask(self, leg: Leg, method: str, extra: sip.Headers, body: bytes = b"") -> None:
+    def ask(self, leg: CallLeg, method: str, extra: sip.Headers, body: bytes = b"") -> None:
         """Send a request within a leg's dialog."""
         ours = self.ours[(leg, method)] = Ours(self, leg, method, extra, body)
         ours.send()
@@ -588,7 +593,7 @@
         """The shortest session timer that is taken."""
         return self.config.timers.least_s
 
-    def asking(self, leg: Leg, method: str) -> bool:
+    def asking(self, leg: CallLeg, method: str) -> bool:
         """Whether such a request of ours is out."""
         return (leg, method) in self.ours
 
@@ -615,7 +620,7 @@
         """Where answers to requests of ours are to come."""
         return self.config.contact or format_address(self._local(flow))
 
-    def _local(self, flow: Flow) -> Place:
+    def _local(self, flow: Flow) -> TransportAddress:
         if flow.local[1]:
             return flow.local
         listeners = (*self.config.tcp, *self.config.udp) if flow.reliable else self.config.udp
@@ -630,25 +635,25 @@
         if used.alive and (used.reliable or (self.ports and not large)):
             return used
         try:
-            target = grammar.read_uri(uri)
+            target = grammar.parse_uri(uri)
             place, transport = (target.host, target.port or SIP_PORT), target.transport
         except grammar.GrammarError:
             place, transport = used.peer, ""
-        if not is_address(place[0]):
+        if not is_ip_address(place[0]):
             place = used.peer  # names are not looked up
         port = self._port(place[0])
         if port is not None and ((transport != "tcp" and not large) or not by_tcp):
             return UdpFlow(port, place)
         return self._connection(place)
 
-    def way_back(self, used: Flow, place: Place) -> Flow:
+    def way_back(self, used: Flow, place: TransportAddress) -> Flow:
         """The way of an answer whose connection has gone: a new one to where its Via says (18.2.2)."""
         return self._connection(place) if used.reliable else used
 
     def _way_of_answer(self, transaction: ServerTransaction) -> Flow:
         return self.way_back(transaction.flow, transaction.place)
 
-    def _connection(self, place: Place) -> SipConnection:
+    def _connection(self, place: TransportAddress) -> SipConnection:
         known = self.connections.get(place)
         if known is None or not known.alive:
             known = self.connections[place] = SipConnection(self, place)
@@ -675,7 +680,7 @@
             return b""
         if status > 100 and not head.to_tag:
             held = transaction.user
-            tag = tag or (held.tag if isinstance(held, Leg) else self.token())
+            tag = tag or (held.tag if isinstance(held, CallLeg) else self.token())
         else:
             tag = ""
         more = lines(extra) if extra else ""
@@ -712,7 +717,7 @@
         self.core.log("unusable", source=transaction.flow.peer[0], status=fault.status, why=fault.why)
         self.final(transaction, fault.status, list(fault.extra))
 
-    def _stateless(self, flow: Flow, place: Place, data: bytes, status: int) -> None:
+    def _stateless(self, flow: Flow, place: TransportAddress, data: bytes, status: int) -> None:
         """An answer that leaves no trace here."""
         self.counters.add(f"sent_{status}")
         if isinstance(flow, UdpFlow):
--- a/stairhatch/sip/grammar.py
+++ b/stairhatch/sip/grammar.py
@@ -86,7 +86,7 @@
 
 
 @lru_cache(maxsize=1024)  # the requests of a call repeat theirs
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """A name-addr or addr-spec with the header's parameters (20.10). Without angle brackets a `;` begins the
     header's parameters, not the URI's.
     """
@@ -169,7 +169,7 @@
 
 
 @lru_cache(maxsize=512)  # callers ask for the same few numbers and give the same Contact
-def read_uri(text: str) -> Uri:
+def parse_uri(text: str) -> Uri:
     """A URI of a scheme that is known here. `UnknownSchemeError` for others that are well formed."""
     found = SCHEME.match(text)
     if found is None or len(text) > MOST_TEXT:
@@ -254,7 +254,7 @@
         return self.parameters.get("branch", "")
 
 
-def read_via(text: str) -> Via:
+def parse_via(text: str) -> Via:
     """One Via value; linear white space may stand around its slashes and colon."""
     usual = USUAL_VIA.match(text)
     if usual is not None:  # nearly all are written so
@@ -311,7 +311,7 @@
 CREDENTIAL = re.compile(rf"\s*({TOKEN})\s*=\s*({QUOTED}|[^\s,\"]+)\s*(?:,|\Z)")
 
 
-def read_credentials(text: str) -> tuple[str, dict[str, str]]:
+def parse_credentials(text: str) -> tuple[str, dict[str, str]]:
     """The scheme in lower case and the parameters of an Authorization header (20.7)."""
     scheme, _, rest = text.strip().partition(" ")
     found: dict[str, str] = {}
--- a/stairhatch/sip/heads.py
+++ b/stairhatch/sip/request_head.py
@@ -27,7 +27,7 @@
 METHOD = re.compile(r"[A-Za-z0-9\-.!%*_+`'~]+\Z")
 
 
-class Head:
+class RequestHead:
     """The mandatory headers of a request, read."""
 
     __slots__ = (
@@ -74,8 +74,8 @@
             if self.cseq < 0 or method != self.method:
                 raise GrammarError("bad CSeq")
             self.from_, self.to = found["from"], found["to"]
-            self.from_tag = grammar.read_address(self.from_).tag
-            self.to_tag = grammar.read_address(self.to).tag
+            self.from_tag = grammar.parse_address(self.from_).tag
+            self.to_tag = grammar.parse_address(self.to).tag
             if self.method != "ACK" and not self.from_tag:
                 raise GrammarError("no From tag")
             hops = found.get("max-forwards", "70")
@@ -126,7 +126,7 @@
     """
     whole = message.headers[index][1]
     first, *others = sip.split_list(whole) if "," in whole else [whole]
-    via = grammar.read_via(first)
+    via = grammar.parse_via(first)
     asks = via.parameters.get("rport") == ""
     knows = "oc" in via.parameters
     if knows:  # what it said it knows gives way to what it is told (RFC 7339, 4)
--- a/stairhatch/sip/peek.py
+++ b/stairhatch/sip/request_scan.py
@@ -8,7 +8,7 @@
 import re
 from dataclasses import dataclass
 
-from stairhatch.sip.heads import digest
+from stairhatch.sip.request_head import digest
 
 START = re.compile(rb"([A-Z]{3,10}) sip:([A-Za-z0-9+*#.\-]{1,64})@[^\s@]{1,255} SIP/2\.0\r\n")
 VIA = re.compile(
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Peek:
+class RequestScan:
     """What a look tells."""
 
     method: str
@@ -62,7 +62,7 @@
     return data.startswith(b"ACK ") and SHED in data
 
 
-def peek(data: bytes) -> Peek | None:
+def scan_request(data: bytes) -> RequestScan | None:
     """Look at a datagram; None where only a parse can tell."""
     start = START.match(data)
     end = data.find(b"\r\n\r\n")
@@ -93,4 +93,4 @@
     method = start.group(1).decode()
     sent_by = f"{host.decode().lower().strip('[]')}:{port}"
     key = digest(branch.decode(), sent_by, "INVITE" if method == "ACK" else method)
-    return Peek(method, start.group(2).decode(), key, to, echoed, bool(rport), port or 5060)
+    return RequestScan(method, start.group(2).decode(), key, to, echoed, bool(rport), port or 5060)
--- a/stairhatch/sip/sessions.py
+++ b/stairhatch/sip/sessions.py
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerPolicy:
+class SessionTimerPolicy:
     """What the file says of session timers, in seconds."""
 
     interval_s: int = 1800  # proposed where a caller knows timers and names none; 0: none is proposed
@@ -180,7 +180,7 @@
         return [*found, ("require", "timer")] if self.required else found
 
 
-def negotiate(message: sip.SipMessage, policy: TimerPolicy) -> SessionTimer | Refusal | None:
+def negotiate(message: sip.SipMessage, policy: SessionTimerPolicy) -> SessionTimer | Refusal | None:
     """Agree on a session timer with an INVITE or UPDATE (RFC 4028, section 9). None: the session has none."""
     knows = any(
         option.lower() == "timer" for name in ("supported", "require") for option in message.get_all(name)
--- a/stairhatch/sip/transactions.py
+++ b/stairhatch/sip/transactions.py
@@ -18,8 +18,8 @@
 from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
 from stairhatch.node.timer_wheel import TimerWheel
-from stairhatch.sip.flows import Flow, Place, SipConnection, UdpFlow
-from stairhatch.sip.heads import HERE, Head, render
+from stairhatch.sip.request_head import HERE, RequestHead, render
+from stairhatch.sip.transport import Flow, SipConnection, TransportAddress, UdpFlow
 
 T1, T2, T4 = 0.5, 4.0, 5.0  # seconds (RFC 3261, 17.1.1.1)
 LAST = 64 * T1  # timers B, F, H, J, L and M
@@ -56,9 +56,9 @@
         "user",
     )  # fmt: skip
 
-    def __init__(self, key: bytes, head: Head, flow: Flow) -> None:
+    def __init__(self, key: bytes, head: RequestHead, flow: Flow) -> None:
         self.key, self.flow, self.source = key, flow, flow.peer[0]
-        self.head: Head | None = head  # until its final answer
+        self.head: RequestHead | None = head  # until its final answer
         self.echo, self.oc = head.echo, head.oc
         self.invite = head.method == "INVITE"
         self.state = TransactionState.PROCEEDING if self.invite else TransactionState.TRYING
@@ -151,7 +151,7 @@
 
     # ---- server ----
 
-    def known(self, head: Head, flow: Flow) -> bool:
+    def known(self, head: RequestHead, flow: Flow) -> bool:
         """Whether a request is a copy; then it is dealt with here. An ACK is one where its INVITE was
         answered with 300 or above.
         """
@@ -165,13 +165,13 @@
             return True
         return self._repeated(key, flow, lambda: head.place(flow.peer, False))
 
-    def copy_of(self, key: bytes, method: str, flow: Flow, place: Place) -> bool:
+    def copy_of(self, key: bytes, method: str, flow: Flow, place: TransportAddress) -> bool:
         """Whether a request that was only looked at is a copy; it is answered then. An ACK never is one here:
         it may have to be heard by a dialog.
         """
         return method != "ACK" and self._repeated(key, flow, lambda: place)
 
-    def _repeated(self, key: bytes, flow: Flow, place: Callable[[], Place]) -> bool:
+    def _repeated(self, key: bytes, flow: Flow, place: Callable[[], TransportAddress]) -> bool:
         """Answer a copy as it was answered before; False for what is none."""
         transaction = self.servers.get(key)
         if transaction is not None:
@@ -196,7 +196,7 @@
             return self.by_source.get(source, 0) < SOURCE_SHARE * self.most_bytes
         return True
 
-    def open(self, head: Head, flow: Flow) -> ServerTransaction:
+    def open(self, head: RequestHead, flow: Flow) -> ServerTransaction:
         """A new request: its transaction."""
         transaction = self.servers[head.key] = ServerTransaction(head.key, head, flow)
         self.live_bytes += transaction.size
--- a/stairhatch/sip/flows.py
+++ b/stairhatch/sip/transport.py
@@ -20,10 +20,10 @@
 MOST_DATAGRAMS = 4096  # waiting to be sent
 PING, PONG = b"\r\n\r\n", b"\r\n"  # RFC 5626, 4.4.1
 MOST_FAULTS = 8  # messages that can't be read on one connection, in step or not
-Place = tuple[str, int]
+TransportAddress = tuple[str, int]
 
 
-def is_address(host: str) -> bool:
+def is_ip_address(host: str) -> bool:
     """Whether it is an address and no name. Names are not looked up: that would hold up everybody."""
     try:
         ipaddress.ip_address(host)
@@ -42,8 +42,8 @@
 
     reliable = False
     alive = True
-    peer: Place = ("", 0)
-    local: Place = ("", 0)
+    peer: TransportAddress = ("", 0)
+    local: TransportAddress = ("", 0)
 
     def send(self, data: bytes) -> None:
         """Queue a message."""
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Networks:
+class AllowedNetworks:
     """Whom a listener hears: an empty list is everybody."""
 
     allowed: tuple[ipaddress.IPv4Network | ipaddress.IPv6Network, ...] = ()
@@ -92,13 +92,15 @@
 class SipDatagrams:
     """A UDP port: datagrams in, datagrams out."""
 
-    def __init__(self, owner: Receiver, local: Place = ("", 0), networks: Networks | None = None) -> None:
+    def __init__(
+        self, owner: Receiver, local: TransportAddress = ("", 0), networks: AllowedNetworks | None = None
+    ) -> None:
         self.owner, self.local = owner, local
-        self.networks = networks or Networks()
-        self.output: deque[tuple[bytes, Place]] = deque(maxlen=MOST_DATAGRAMS)
+        self.networks = networks or AllowedNetworks()
+        self.output: deque[tuple[bytes, TransportAddress]] = deque(maxlen=MOST_DATAGRAMS)
         self.notify_writable: Callable[[], None] = do_nothing
 
-    def receive(self, data: bytes, peer: Place) -> None:
+    def receive(self, data: bytes, peer: TransportAddress) -> None:
         """One datagram. What is malformed and can't be answered is counted and dropped."""
         if not self.networks.admits(peer[0]):
             self.owner.counters.add("datagrams_barred")
@@ -121,11 +123,11 @@
 
     __slots__ = ("peer", "port")
 
-    def __init__(self, port: SipDatagrams, peer: Place) -> None:
+    def __init__(self, port: SipDatagrams, peer: TransportAddress) -> None:
         self.port, self.peer = port, peer
 
     @property
-    def local(self) -> Place:  # type: ignore[override]
+    def local(self) -> TransportAddress:  # type: ignore[override]
         """Our port's address."""
         return self.port.local
 
@@ -139,7 +141,9 @@
 
     reliable = True
 
-    def __init__(self, owner: Receiver, peer: Place = ("", 0), local: Place = ("", 0)) -> None:
+    def __init__(
+        self, owner: Receiver, peer: TransportAddress = ("", 0), local: TransportAddress = ("", 0)
+    ) -> None:
         super().__init__()
         self.owner, self.peer, self.local = owner, peer, local
         self.output: list[bytes] = []
--- a/stairhatch/users.py
+++ b/stairhatch/users.py
@@ -1,8 +1,8 @@
 """Changes the file of SIP users by command (`stairhatch users add|remove|list`).
 
-A line of the file is `user:realm:algorithm:hash` (`stairhatch.sip.auth` reads it). A change is written beside
-the file and renamed over it, so that a reader sees the old file or the new one whole. Only its owner may read
-it, and nothing here prints a password or a hash.
+A line of the file is `user:realm:algorithm:hash` (`stairhatch.sip.digest_auth` reads it). A change is
+written beside the file and renamed over it, so that a reader sees the old file or the new one whole. Only its
+owner may read it, and nothing here prints a password or a hash.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from stairhatch.sip import auth
+from stairhatch.sip import digest_auth
 
 FIELDS = 4  # of a line
 
@@ -48,11 +48,11 @@
     Raises UsersError for a name or password that cannot be used, or a file that holds something else.
     """
     if not password:
-        raise auth.UsersError("the password is empty")
-    algorithms = [each for each in auth.ALGORITHMS if md5 or each != "MD5"]
-    new = auth.user_lines(user, realm, password, algorithms)
+        raise digest_auth.UserFileError("the password is empty")
+    algorithms = [each for each in digest_auth.ALGORITHMS if md5 or each != "MD5"]
+    new = digest_auth.format_user_lines(user, realm, password, algorithms)
     old = _read_lines(file)
-    auth.read_users("\n".join(old), realm, algorithms)  # a spoilt file is not written over
+    digest_auth.parse_users("\n".join(old), realm, algorithms)  # a spoilt file is not written over
     kept = [line for line in old if not _is_entry_of(line, user, realm)]
     _replace_file(file, [*kept, *new])
     return f"{user}: {'changed' if len(kept) < len(old) else 'added'} in {file}; reload with SIGHUP"
@@ -63,7 +63,7 @@
     old = _read_lines(file)
     kept = [line for line in old if not _is_entry_of(line, user, realm)]
     if len(kept) == len(old):
-        raise auth.UsersError(f"{file}: no user {user}")
+        raise digest_auth.UserFileError(f"{file}: no user {user}")
     _replace_file(file, kept)
     return f"{user}: removed from {file}; reload with SIGHUP"
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -30,8 +30,8 @@
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings.parser import settings_from_object
-from stairhatch.sip.flows import Flow
-from stairhatch.sip.front import SipConfig, SipFront, SipListener
+from stairhatch.sip.frontend import SipConfig, SipFrontend, SipListener
+from stairhatch.sip.transport import Flow
 
 ROOT = Path(__file__).parent.parent
 PATIENCE_S = 20.0  # how long a story waits for what must come; far more than it takes
@@ -499,7 +499,7 @@
         config = replace(SipConfig(at, at, "127.0.0.1:1", *NUMBERED), **config)
         tokens = (f"t{n}" for n in range(10**6))
         chance = random.Random(1)
-        self.front = SipFront(self.core, config, lambda: next(tokens), chance.random, b"secret")
+        self.front = SipFrontend(self.core, config, lambda: next(tokens), chance.random, b"secret")
         self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
         self.core.readiness.listening = True
         self.core.readiness.list_known = True
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,8 +23,8 @@
 from stairhatch.admission.rate_limits import RateLimitPolicy, SourceRateLimiter
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
-from stairhatch.sip.heads import Head
-from stairhatch.sip.peek import peek
+from stairhatch.sip.request_head import RequestHead
+from stairhatch.sip.request_scan import scan_request
 
 from .peers import InProcessNode, sip_headers
 
@@ -293,7 +293,7 @@
     lines = sip_headers(method, "1", "z9hG4bKlook", to_tag="t" if tag else "")
     lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKlook{rport}"
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
-    seen, head = peek(data), Head(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
+    seen, head = scan_request(data), RequestHead(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
     if seen is not None:
         assert (seen.method, seen.user, seen.key) == (method, "712", head.key)
         assert seen.within is bool(head.to_tag)
@@ -311,8 +311,8 @@
 @given(st.binary(max_size=300))
 def test_a_look_at_anything_upsets_nothing(data):
     """Guards against a datagram that stops the program before it is parsed."""
-    peek(data)
-    peek(b"INVITE sip:7@net SIP/2.0\r\n" + data + b"\r\n\r\n")
+    scan_request(data)
+    scan_request(b"INVITE sip:7@net SIP/2.0\r\n" + data + b"\r\n\r\n")
 
 
 @pytest.mark.parametrize(
@@ -323,8 +323,8 @@
     lines = sip_headers("INVITE")
     data = sip.request("INVITE", "sip:7@net", list(lines.items()))
     first, _, rest = data.partition(b"\r\n")
-    assert peek(data) is not None
-    assert peek(first + b"\r\n" + line.encode() + b"\r\n" + rest) is None
+    assert scan_request(data) is not None
+    assert scan_request(first + b"\r\n" + line.encode() + b"\r\n" + rest) is None
 
 
 # ---- at the front ----
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -93,7 +93,7 @@
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     names = set(found.stdout.split())
     assert "stairhatch.application" in names
-    for name in ("click", "msgspec", "sqlite3", "stairhatch.cli", "stairhatch.sip.front"):
+    for name in ("click", "msgspec", "sqlite3", "stairhatch.cli", "stairhatch.sip.frontend"):
         assert name not in names
     parts = ("stairhatch.fleet", "stairhatch.scope", "stairhatch.config.app")
     assert not [name for name in names if name.startswith(parts)]
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -14,11 +14,11 @@
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
-from stairhatch.sip import auth, grammar, sessions
-from stairhatch.sip.flows import Flow, Networks
-from stairhatch.sip.heads import Head
-from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, TimerPolicy
+from stairhatch.sip import digest_auth, grammar, sessions
+from stairhatch.sip.request_head import RequestHead
+from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, SessionTimerPolicy
 from stairhatch.sip.transactions import LAST, T4, Transactions
+from stairhatch.sip.transport import AllowedNetworks, Flow
 
 from .peers import InProcessNode, Line, sip_headers
 
@@ -61,7 +61,7 @@
 
 def head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
     lines = sip_headers(method, "1", branch, call)
-    return Head(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
+    return RequestHead(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
 
 
 # ---- grammar ----
@@ -92,7 +92,7 @@
 )
 def test_uris_are_compared_as_the_rfc_says(one, other, same):
     """Guards against two names taken for one resource, or one for two (RFC 3261, 19.1.4)."""
-    first, second = grammar.read_uri(one), grammar.read_uri(other)
+    first, second = grammar.parse_uri(one), grammar.parse_uri(other)
     assert grammar.same_uri(first, second) is same
     assert grammar.same_uri(second, first) is same
 
@@ -107,7 +107,7 @@
     text = f"{grammar.quote(plain)} <sip:a@b.example;x=y> ; tag = t{cseq} ; q={grammar.quote(more)}"
     if any(ord(c) < 32 or ord(c) == 127 for c in more):
         return
-    address = grammar.read_address(text)
+    address = grammar.parse_address(text)
     assert (address.display, address.uri, address.tag) == (plain, "sip:a@b.example;x=y", f"t{cseq}")
     assert address.parameters["q"] == more
 
@@ -116,7 +116,7 @@
 @given(st.text(max_size=200))
 def test_no_text_upsets_a_reader(text):
     """Guards against a header that ends a connection by an exception of ours."""
-    for read in (grammar.read_address, grammar.read_uri, grammar.read_via, grammar.read_credentials,
+    for read in (grammar.parse_address, grammar.parse_uri, grammar.parse_via, grammar.parse_credentials,
                  grammar.media_type, grammar.read_rack, grammar.seconds_and_parameters):  # fmt: skip
         with contextlib.suppress(grammar.GrammarError):
             read(text)
@@ -323,7 +323,7 @@
     message = sip.SipMessage("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
     if knows:
         message.headers.append(("supported", "timer"))
-    got = sessions.negotiate(message, TimerPolicy(1800, ours))
+    got = sessions.negotiate(message, SessionTimerPolicy(1800, ours))
     if isinstance(got, sessions.Refusal):
         assert got.status == 422
         assert knows
@@ -339,16 +339,20 @@
 
 
 def guard(**more):
-    lines = auth.user_lines("office", "r", "word", ["SHA-256"])
+    lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
     clock = Clockwork()
-    told = {"users": auth.read_users("\n".join(lines), "r", ["SHA-256"]), "algorithms": ("SHA-256",), **more}
-    return auth.Guard("r", told.pop("users"), b"s", clock.clock, **told), clock
+    told = {
+        "users": digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"]),
+        "algorithms": ("SHA-256",),
+        **more,
+    }
+    return digest_auth.DigestAuthenticator("r", told.pop("users"), b"s", clock.clock, **told), clock
 
 
 def credentials(nonce, count, password="word", client="c"):
-    asked = auth.hashed("SHA-256", "INVITE:sip:7@net")
-    kept = auth.user_hash("SHA-256", "office", "r", password)
-    answer = auth.hashed("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
+    asked = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
+    kept = digest_auth.user_hash("SHA-256", "office", "r", password)
+    answer = digest_auth.hex_digest("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
     return [
         f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{answer}", '
         f'algorithm=SHA-256, cnonce="{client}", qop=auth, nc={count:08x}'
@@ -364,30 +368,34 @@
     for count in counts:
         verdict = gate.judge("INVITE", "sip:7@net", credentials(nonce, count)).verdict
         if count in used or count == 0:
-            assert verdict is auth.CredentialCheck.REPLAYED
-        elif count > highest - auth.WINDOW:
-            assert verdict is auth.CredentialCheck.GOOD
+            assert verdict is digest_auth.CredentialCheck.REPLAYED
+        elif count > highest - digest_auth.WINDOW:
+            assert verdict is digest_auth.CredentialCheck.GOOD
         used.add(count)
         highest = max(highest, count)
 
 
 def test_a_nonce_pushed_out_is_stale_and_not_good_again(monkeypatch):
     """Guards against a replay by whoever can make the guard forget: many nonces are used to push one out."""
-    monkeypatch.setattr(auth, "MOST_NONCES", 3)
+    monkeypatch.setattr(digest_auth, "MOST_NONCES", 3)
     gate, clock = guard()
     first = gate.nonce()
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.GOOD
+    assert (
+        gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is digest_auth.CredentialCheck.GOOD
+    )
     for _ in range(5):
         clock.now += 0.01
         assert (
             gate.judge("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).verdict
-            is auth.CredentialCheck.GOOD
+            is digest_auth.CredentialCheck.GOOD
         )
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.STALE
+    assert (
+        gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is digest_auth.CredentialCheck.STALE
+    )
     clock.now += 301
     assert (
         gate.judge("INVITE", "sip:7@net", credentials(gate.nonce()[:-1] + "x", 1)).verdict
-        is auth.CredentialCheck.STALE
+        is digest_auth.CredentialCheck.STALE
     )
 
 
@@ -398,7 +406,7 @@
     for count in range(1, 2000):
         assert (
             gate.judge("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).verdict
-            is auth.CredentialCheck.BAD
+            is digest_auth.CredentialCheck.BAD
         )
     assert not gate._counts
 
@@ -407,14 +415,14 @@
     ("line", "why"),
     [
         ("office:r:SHA-256", "line 2: not user"), ("office:r:SHA-1:00", "line 2: not user"),
-        ("office:r:SHA-256:00", "line 2: the hash"), (auth.user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
+        ("office:r:SHA-256:00", "line 2: the hash"), (digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
     ],
 )  # fmt: skip
 def test_a_spoilt_file_of_users_names_its_line(line, why):
     """Guards against users who can't call for a reason that nobody sees."""
-    first = auth.user_lines("a", "r", "x", ["SHA-256"])[0]
-    with pytest.raises(auth.UsersError, match=why):
-        auth.read_users(f"{first}\n{line}\n", "r", ["SHA-256"])
+    first = digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0]
+    with pytest.raises(digest_auth.UserFileError, match=why):
+        digest_auth.parse_users(f"{first}\n{line}\n", "r", ["SHA-256"])
 
 
 @pytest.mark.parametrize(
@@ -426,7 +434,7 @@
 )  # fmt: skip
 def test_a_listener_hears_its_networks_alone(networks, host, heard):
     """Guards against callers from elsewhere, and against shutting out those meant."""
-    assert Networks(tuple(ipaddress.ip_network(each) for each in networks)).admits(host) is heard
+    assert AllowedNetworks(tuple(ipaddress.ip_network(each) for each in networks)).admits(host) is heard
 
 
 # ---- the front, where cases as data don't reach ----
@@ -434,9 +442,9 @@
 
 def test_a_barred_datagram_leaves_no_trace():
     """Guards against work done for whoever is outside the listener's networks."""
-    from stairhatch.sip.front import SipListener
+    from stairhatch.sip.frontend import SipListener
 
-    only = Networks((ipaddress.ip_network("10.0.0.0/8"),))
+    only = AllowedNetworks((ipaddress.ip_network("10.0.0.0/8"),))
     inside = InProcessNode(udp=(SipListener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
