--- a/tests/support/in_process_node.py
+++ b/tests/support/in_process_node.py
@@ -12,7 +12,7 @@
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings.parser import settings_from_object
-from stairhatch.sip.front import SipConfig, SipFront, SipListener
+from stairhatch.sip.frontend import SipConfig, SipFrontend, SipListener
 
 from .platform_config import SETTINGS
 
@@ -42,7 +42,9 @@
         listeners = (SipListener(("127.0.0.1", 1)),)
         sip_config = replace(SipConfig(listeners, listeners, "127.0.0.1:1", *NUMBERING_PLAN), **config)
         tokens = (f"t{n}" for n in range(10**6))
-        self.front = SipFront(self.core, sip_config, lambda: next(tokens), random.Random(1).random, b"secret")
+        self.front = SipFrontend(
+            self.core, sip_config, lambda: next(tokens), random.Random(1).random, b"secret"
+        )
         self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
         self.core.readiness.listening = True
         self.core.readiness.list_known = True
--- a/tests/support/recording_flow.py
+++ b/tests/support/recording_flow.py
@@ -4,7 +4,7 @@
 
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
-from stairhatch.sip.flows import Flow
+from stairhatch.sip.transport import Flow
 
 from .in_process_node import InProcessNode
 from .sip_messages import sip_headers
