--- a/stairhatch/node/admin_endpoint.py
+++ b/stairhatch/node/admin_endpoint.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.protocol import ConnectionProtocol
@@ -19,8 +19,7 @@
 SUCCEEDED, FAILED = "ok", "fail"  # the first word of an answer
 
 
-@dataclass(frozen=True, slots=True)
-class CommandResult:
+class CommandResult(NamedTuple):
     """What became of a command."""
 
     succeeded: bool
--- a/stairhatch/node/call_classes.py
+++ b/stairhatch/node/call_classes.py
@@ -3,15 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from stairhatch.overload.settings import CallClass
 
 FORMER_CLASS_S = 2.0  # how long a former class is known: callers name one that is no more for 1.2 s
 
 
-@dataclass(frozen=True, slots=True)
-class _FormerClass:
+class _FormerClass(NamedTuple):
     """A class as it was before a reload."""
 
     call_class: CallClass
--- a/stairhatch/node/endpoint_list.py
+++ b/stairhatch/node/endpoint_list.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from stairhatch.node.address import format_address, parse_address
 from stairhatch.node.call_manager import CallManager
@@ -34,25 +34,21 @@
     """An answer that is not a coordinator's."""
 
 
-@dataclass(frozen=True, slots=True)
-class WatchEvent:
+class WatchEvent(NamedTuple):
     """One change of the endpoint list."""
 
-    index: int
     endpoints: list[ServerRecord]
     is_complete: bool  # the whole list, so that a server that it lacks is gone
 
 
-@dataclass(frozen=True, slots=True)
-class WatchAnswer:
+class WatchAnswer(NamedTuple):
     """What is new in an answer."""
 
     last_index: int
     events: list[WatchEvent]
 
 
-@dataclass(frozen=True, slots=True)
-class ReadableAnswer:
+class ReadableAnswer(NamedTuple):
     """An answer in which each line can be read."""
 
     answer: dict[str, Any]
@@ -72,7 +68,7 @@
             endpoints = event.get("endpoints")
             if index > after and endpoints is not None:
                 records = [_record(line) for line in endpoints["instances"]]
-                events.append(WatchEvent(index, records, _is_complete(endpoints, after)))
+                events.append(WatchEvent(records, _is_complete(endpoints, after)))
             after = max(after, index)
     except PARSE_FAULTS as error:
         raise _odd_event(error) from error
@@ -145,7 +141,7 @@
     }
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class _AnswerRepair:
     """Replaces unreadable lines of one answer, event by event; `known` follows what the events change."""
 
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -15,7 +15,7 @@
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from stairhatch.node.io.accepted_connection import AcceptedConnection
 from stairhatch.node.io.addresses import SocketAddress
@@ -38,8 +38,7 @@
 ProtocolFactory = Callable[[SocketAddress], ConnectionProtocol]  # is given the peer's address
 
 
-@dataclass(frozen=True, slots=True)
-class ListenerLimits:
+class ListenerLimits(NamedTuple):
     """What those who connect to one address are allowed."""
 
     max_connections: int  # at a time
--- a/stairhatch/node/readiness.py
+++ b/stairhatch/node/readiness.py
@@ -7,8 +7,8 @@
 
 import math
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from stairhatch.node.calls import CallRegistry
 from stairhatch.node.context import NodeContext
@@ -34,8 +34,7 @@
     CONNECTING = "not tried yet"
 
 
-@dataclass(frozen=True, slots=True)
-class Health:
+class Health(NamedTuple):
     """Whether new callers are served, and if not, why."""
 
     status: HealthStatus
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -4,16 +4,16 @@
 
 import math
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from itertools import count
+from typing import NamedTuple
 
 from stairhatch.node.calls import RosterServer, ServerRecord
 from stairhatch.node.ports import ServerPool
 from stairhatch.overload.events import Availability
 
 
-@dataclass(frozen=True, slots=True)
-class ServerChange:
+class ServerChange(NamedTuple):
     """What an update has changed at one server."""
 
     server: RosterServer
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -6,8 +6,8 @@
 import re
 import time
 from collections.abc import Mapping
-from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 FACILITY = 16  # local0 (RFC 5424, 6.2.1)
 SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
@@ -25,8 +25,7 @@
     INFORMATIONAL = 6
 
 
-@dataclass(frozen=True, slots=True)
-class Origin:
+class Origin(NamedTuple):
     """Who sends a message."""
 
     host: str
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -9,7 +9,8 @@
 
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, replace
+from dataclasses import replace
+from typing import NamedTuple
 
 from stairhatch.components import Components
 from stairhatch.config.model import Config, ConfigError
@@ -22,8 +23,7 @@
 RESTART_KEYS = ("name", "listen", "console", "sockets", "memory_mb", "syslog", "fleet")
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadRejected:
+class ReloadRejected(NamedTuple):
     """The configuration could not be used; what was in force still is."""
 
     reason: str
@@ -33,8 +33,7 @@
         return f"refused: {self.reason}"
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadApplied:
+class ReloadApplied(NamedTuple):
     """The configuration is in force, but for the keys that only a restart can change."""
 
     at: float  # Unix time
@@ -49,8 +48,7 @@
 ReloadResult = ReloadApplied | ReloadRejected
 
 
-@dataclass(frozen=True, slots=True)
-class _Candidate:
+class _Candidate(NamedTuple):
     """A configuration that has been read and found usable."""
 
     config: Config
--- a/stairhatch/settings/parser.py
+++ b/stairhatch/settings/parser.py
@@ -7,8 +7,7 @@
 from __future__ import annotations
 
 import json
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from stairhatch.overload.settings import UNKNOWN_INSTANCE, CallClass, SafetyLimits, Settings
 from stairhatch.settings.errors import MissingKeyError, SettingsError
@@ -19,8 +18,7 @@
 POOLS_LAYOUT = "pools"
 
 
-@dataclass(frozen=True, slots=True)
-class ParsedSettings:
+class ParsedSettings(NamedTuple):
     """The settings, and the names of a load report's values in the order in which they are sent."""
 
     settings: Settings
--- a/stairhatch/settings/schema.py
+++ b/stairhatch/settings/schema.py
@@ -6,8 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from stairhatch.settings.errors import InvalidValueError, MissingKeyError
 
@@ -15,8 +14,7 @@
 MAX_COUNT = 10**7
 
 
-@dataclass(frozen=True, slots=True)
-class NumberShape:
+class NumberShape(NamedTuple):
     """A number within bounds. JSON's true is none, and neither are NaN and Infinity."""
 
     minimum: float = 0.0
@@ -34,7 +32,6 @@
             raise InvalidValueError(path, f"must be {least} and at most {self.maximum:g}", value)
 
 
-@dataclass(frozen=True, slots=True)
 class BooleanShape:
     """Either true or false. A word would count as true, "no" as well."""
 
@@ -44,7 +41,6 @@
             raise InvalidValueError(path, "must be true or false", value)
 
 
-@dataclass(frozen=True, slots=True)
 class TextShape:
     """Text that is not empty."""
 
@@ -54,15 +50,13 @@
             raise InvalidValueError(path, "must be text", value)
 
 
-@dataclass(frozen=True, slots=True)
-class ListShape:
+class ListShape(NamedTuple):
     """A list of values of one shape."""
 
     item: Shape
 
 
-@dataclass(frozen=True, slots=True)
-class ObjectShape:
+class ObjectShape(NamedTuple):
     """An object with these keys. Others may stand in it, and are not looked at."""
 
     keys: dict[str, Shape]
