--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -31,7 +31,7 @@
     return lambda: offset + time.monotonic()
 
 
-@dataclass(slots=True, kw_only=True)
+@dataclass(slots=True, eq=False, repr=False, kw_only=True)
 class Components:
     """The parts of one softswitch.
 
--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -28,7 +28,7 @@
 NO_LOAD = LoadReport()
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class AttemptManager:
     """Starts attempts, decides whether they may still be written, and ends each with one outcome."""
 
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -87,7 +87,7 @@
     started_at: float = 0.0
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RosterServer:
     """A roster server. Keyed by the directory's instance id, since addresses are used again."""
 
@@ -97,7 +97,7 @@
     dial_attempted: bool = False  # a connection has come up, or failed to
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Call:
     """A call from its offer to its end."""
 
@@ -118,7 +118,7 @@
         return self.attempts == 0 or self.request.call_class.idempotent
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Attempt:
     """One set-up of a call at one server."""
 
--- a/stairhatch/node/connection_liveness.py
+++ b/stairhatch/node/connection_liveness.py
@@ -17,7 +17,7 @@
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 1.0, 16.0  # between two suspicions of the same server's connections
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ConnectionLiveness:
     """When a connection was opened, written to and read from, and when it may be suspected next."""
 
--- a/stairhatch/node/context.py
+++ b/stairhatch/node/context.py
@@ -10,7 +10,7 @@
 from stairhatch.overload.settings import Settings
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class NodeContext:
     """One for a process, shared by the parts of its call manager. A reload replaces `settings`."""
 
--- a/stairhatch/node/counters.py
+++ b/stairhatch/node/counters.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Counters:
     """Counts by name."""
 
--- a/stairhatch/node/io/accepted_connection.py
+++ b/stairhatch/node/io/accepted_connection.py
@@ -21,7 +21,7 @@
         return b""
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AcceptedConnection:
     """A connection of a caller. Times are the event loop's, in seconds."""
 
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -34,7 +34,7 @@
         return ASSUMED_OPEN_DESCRIPTORS
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DescriptorBudget:
     """The descriptors that a process may hold, and who they are for.
 
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -29,7 +29,7 @@
 MAX_FAULTS = 8  # a connection with so many requests that can't be used is ended
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class PlatformCall:
     """A caller's set-up, as the call manager sees it (`CallerSession`)."""
 
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -34,7 +34,7 @@
         """Send a release."""
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class UnacknowledgedRelease:
     """A release that its caller has not acknowledged yet."""
 
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -28,7 +28,7 @@
 MAX_CALLER_READS = 3
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class PendingRelease:
     """A release, or the giving up of a set-up, as it is written."""
 
--- a/stairhatch/node/server_messages.py
+++ b/stairhatch/node/server_messages.py
@@ -45,7 +45,7 @@
     """A line that can't be read. Its text says why, for the log."""
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ServerMessage:
     """One line from a roster server."""
 
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -25,7 +25,7 @@
 }
 
 
-@dataclass(eq=False, kw_only=True)
+@dataclass(eq=False, repr=False, kw_only=True)
 class ServerResponses:
     """Takes what roster servers say. `cause` is a Q.850 cause, also one that `ReleaseCause` does not name."""
 
--- a/stairhatch/overload/endpoint.py
+++ b/stairhatch/overload/endpoint.py
@@ -10,7 +10,7 @@
 from stairhatch.overload.events import Availability
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Endpoint:
     """One call server, as this node sees it."""
 
--- a/stairhatch/overload/pending_call.py
+++ b/stairhatch/overload/pending_call.py
@@ -8,7 +8,7 @@
 from stairhatch.overload.settings import CallClass
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class PendingCall:
     """A call that is owed its final answer."""
 
@@ -47,7 +47,7 @@
         )
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DestinationBackoff:
     """A called number whose lines were all busy."""
 
