--- a/stairhatch/config/model.py
+++ b/stairhatch/config/model.py
@@ -18,7 +18,7 @@
     """A configuration that cannot be used. The text names the key, or the file, and says why."""
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, eq=False, repr=False)
 class Config:
     """What the program is configured with. A part whose field is None is not started.
 
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 from itertools import count
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from stairhatch.overload.events import Availability
 from stairhatch.overload.settings import CallClass
@@ -61,9 +61,9 @@
     TERMINATED = "over"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class CallRequest:
-    """A set-up as its caller made it. `ident` goes to the roster server, unchanged."""
+    """A set-up as its caller made it. Nothing changes it; `ident` goes to the roster server as it is."""
 
     ident: str
     call_class: CallClass  # held for as long as the call is open, whatever the settings say by then
@@ -76,8 +76,7 @@
     reports_progress: bool = False  # its front is told that a roster server is at work on it
 
 
-@dataclass(frozen=True, slots=True)
-class ServerRecord:
+class ServerRecord(NamedTuple):
     """One line of the directory."""
 
     instance: str
--- a/stairhatch/node/counters.py
+++ b/stairhatch/node/counters.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 
-
-@dataclass(slots=True, eq=False, repr=False)
 class Counters:
     """Counts by name."""
 
-    counts: dict[str, int] = field(default_factory=dict)
+    def __init__(self) -> None:
+        """Begin with nothing counted."""
+        self.counts: dict[str, int] = {}
 
     def add(self, name: str, by: int = 1) -> None:
         """Count something once, or `by` times."""
--- a/stairhatch/node/endpoint_list.py
+++ b/stairhatch/node/endpoint_list.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 from stairhatch.node.address import format_address, parse_address
@@ -141,13 +140,14 @@
     }
 
 
-@dataclass(slots=True, eq=False, repr=False)
 class _AnswerRepair:
     """Replaces unreadable lines of one answer, event by event; `known` follows what the events change."""
 
-    after: int
-    known: dict[str, dict[str, Any]]
-    reasons: list[str] = field(default_factory=list)
+    def __init__(self, after: int, known: dict[str, dict[str, Any]]) -> None:
+        """Repair the events after an index; `known` has the lines of the servers that are not gone."""
+        self.after = after
+        self.known = known
+        self.reasons: list[str] = []  # why lines were left out
 
     def event(self, event: dict[str, Any]) -> dict[str, Any]:
         """Return an event in which each line can be read; one that is not new as it is."""
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -4,7 +4,6 @@
 
 import math
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import replace
 from itertools import count
 from typing import NamedTuple
 
@@ -66,7 +65,7 @@
         for server in self.by_id.values():
             record = server.record
             if record.instance not in named and record.availability is not Availability.GONE:
-                server.record = replace(record, availability=Availability.GONE)
+                server.record = record._replace(availability=Availability.GONE)
                 yield ServerChange(server, math.inf, is_listed=False)
 
     def forget(self, server: RosterServer) -> None:
--- a/stairhatch/node/sip_message.py
+++ b/stairhatch/node/sip_message.py
@@ -52,7 +52,7 @@
 MALFORMED_CSEQ = (-1, "")
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SipMessage:
     """A request (with `method` and `uri`) or a response (with `status`). Header names are in lower case."""
 
--- a/stairhatch/overload/averages.py
+++ b/stairhatch/overload/averages.py
@@ -2,8 +2,7 @@
 
 import math
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from functools import partial
+from dataclasses import dataclass
 
 EXPECTED_MEMORY = 1000  # calls
 OBSERVED_MEMORY = 100
@@ -30,12 +29,13 @@
             self.mean = sum(other.mean * other.count for other in others) / self.count
 
 
-@dataclass(slots=True, eq=False, repr=False)
 class CallDurations:
     """Mean duration of calls in seconds: `expected` by their classes as they come, `observed` as they end."""
 
-    expected: RunningMean = field(default_factory=partial(RunningMean, EXPECTED_MEMORY))
-    observed: RunningMean = field(default_factory=partial(RunningMean, OBSERVED_MEMORY))
+    def __init__(self) -> None:
+        """Begin with nothing seen."""
+        self.expected = RunningMean(EXPECTED_MEMORY)
+        self.observed = RunningMean(OBSERVED_MEMORY)
 
     @property
     def longest_s(self) -> float:
--- a/stairhatch/overload/caller_retry.py
+++ b/stairhatch/overload/caller_retry.py
@@ -1,18 +1,17 @@
 """Extension: recognises callers that retry although nothing marks their calls as retries."""
 
-from dataclasses import dataclass, field
-
 from stairhatch.overload.settings import CallClass, Settings
 
 TIMEOUT_STEP = 0.01  # of the usual caller timeout: how fast it is followed
 TIMEOUT_SLACK = 0.1  # what counts as unusual
 
 
-@dataclass(eq=False, repr=False)
 class CallerRetryDetector:
     """Follows the timeout of most callers of a class: last tries have what is left of their deadline."""
 
-    usual_timeout_s: dict[str, float] = field(default_factory=dict)
+    def __init__(self) -> None:
+        """Know no class yet."""
+        self.usual_timeout_s: dict[str, float] = {}  # by the class's name
 
     def is_retry(self, call_class: CallClass, caller_timeout_s: float) -> bool:
         """Whether the caller's timeout is not the usual one of its class."""
--- a/stairhatch/overload/congestion.py
+++ b/stairhatch/overload/congestion.py
@@ -1,7 +1,5 @@
 """Hysteretic congestion control (Roughan and Pearce): a flag per endpoint, and throttling while it is up."""
 
-from dataclasses import dataclass
-
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.pending_call import PendingCall
 from stairhatch.overload.thresholds import EVIDENCE_LIFETIME_S, Thresholds
@@ -10,11 +8,12 @@
 MAX_THROTTLE_FRACTION = 0.95  # no class is shut out altogether
 
 
-@dataclass(eq=False, repr=False)
 class CongestionControl:
     """Raises the flag above the onset delay, and lowers it at the abatement delay."""
 
-    thresholds: Thresholds
+    def __init__(self, thresholds: Thresholds) -> None:
+        """Go by these thresholds, also when they change."""
+        self.thresholds = thresholds
 
     def queueing_delay(self, now: float, endpoint: Endpoint) -> float:
         """The fresher of reported and measured delay, or the age of the oldest pending set-up, if longer."""
--- a/stairhatch/overload/endpoint_registry.py
+++ b/stairhatch/overload/endpoint_registry.py
@@ -1,20 +1,29 @@
 """The endpoints that are known, by the list of them. It keeps and marks them, and decides nothing."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import Availability, EndpointRecord, EndpointsUpdated
 
 
-@dataclass(eq=False, repr=False)
 class EndpointRegistry:
     """Adds endpoints that are listed, marks them as listed, and forgets those that are long gone."""
 
-    endpoints: dict[int, Endpoint]
-    new_endpoint: Callable[[EndpointRecord], Endpoint]
-    listed: Callable[[float, Endpoint, EndpointRecord], None]  # called before a record takes effect
-    keep_gone_s: float  # one that has gone is known for so long: it may return
+    def __init__(
+        self,
+        endpoints: dict[int, Endpoint],
+        new_endpoint: Callable[[EndpointRecord], Endpoint],
+        listed: Callable[[float, Endpoint, EndpointRecord], None],
+        keep_gone_s: float,
+    ) -> None:
+        """Keep `endpoints` up to date. `listed` is called before a record takes effect.
+
+        An endpoint that has gone is known for `keep_gone_s`: it may return.
+        """
+        self.endpoints = endpoints
+        self.new_endpoint = new_endpoint
+        self.listed = listed
+        self.keep_gone_s = keep_gone_s
 
     def update(self, now: float, event: EndpointsUpdated) -> None:
         """Take the complete list, or the records that changed. Rule 3 goes by the availability set here."""
