--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_the_door_answers_each_line_with_ok_or_fail_and_a_reason(start_deployment, front):
-    """Guards against operators who get no answer, or a wrong one: a line each, whatever is sent."""
+def test_each_line_is_answered_with_ok_or_fail_and_a_reason(start_deployment, front):
+    """Operators get one line of answer, whatever is sent."""
     program, _, _ = start_deployment(None, frontend=front, wait_until_serving=True)
     assert program.admin_command("check").startswith("ok serving")
     for line, ends, says in [
@@ -47,8 +47,8 @@
     assert program.admin_command("check").startswith("ok serving")
 
 
-def test_neither_callers_nor_silent_operators_shut_the_door(start_deployment):
-    """Guards against a door that shares its descriptors with callers, or is filled by silent operators."""
+def test_neither_callers_nor_silent_operators_block_the_admin_endpoint(start_deployment):
+    """The admin endpoint does not share its descriptors with callers, and silent operators do not fill it."""
     program, _, (server,) = start_deployment(SILENT, sockets=40, wait_until_serving=True)
     callers = [program.caller() for _ in range(30)]
     for caller in callers:
@@ -62,8 +62,8 @@
         each.close()
 
 
-def test_a_door_full_of_silent_operators_has_room_at_once():
-    """Guards against an operator who waits until the silent ones' time is over: an answer is due in 1 s."""
+def test_a_full_admin_endpoint_evicts_a_silent_operator_at_once():
+    """An operator does not wait until the silent ones' time is over: an answer is due in 1 s."""
     inside = InProcessNode()
     runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core)
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
@@ -74,8 +74,8 @@
         assert listener.evict()
 
 
-def test_the_door_answers_while_the_program_ends(start_deployment):
-    """Guards against a drain that is undone though the process is about to go."""
+def test_the_admin_endpoint_answers_during_shutdown(start_deployment):
+    """A drain is not undone when the process is about to end."""
     program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=3000)
@@ -89,8 +89,8 @@
     assert program.process.wait(20) == 0
 
 
-def test_the_terminal_takes_the_doors_orders(start_deployment):
-    """Guards against two sets of names for one thing: the terminal's `drain` has given way."""
+def test_the_terminal_console_takes_the_admin_commands(start_deployment):
+    """There is one set of names for both: the terminal's former `drain` is unknown."""
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     stdin = program.process.stdin
     for command, shows in [
@@ -108,7 +108,7 @@
 
 
 def test_a_check_is_logged_when_its_answer_changes():
-    """Guards against a log full of checks: a front asks ten times a second, for as long as a drain lasts."""
+    """The log is not filled by health checks, which come ten times a second for as long as a drain lasts."""
     inside, lines = InProcessNode(), []
     inside.log = lambda _event, **fields: lines.append(fields.get("answer"))
     for on in (False, True, False):
@@ -119,8 +119,8 @@
         assert len(lines) == 1
 
 
-def test_a_door_reads_one_line_and_no_more():
-    """Guards against orders carried out that follow a first one, or come in pieces without an end."""
+def test_one_command_is_read_from_a_connection_and_no_more():
+    """No command is executed that follows a first one, or comes in pieces without an end."""
     inside = InProcessNode()
     door = AdminConnection(inside.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
--- a/tests/test_call_manager.py
+++ b/tests/test_call_manager.py
@@ -25,7 +25,7 @@
 
 
 class RecordingSession:
-    """A caller that keeps what it is told."""
+    """A caller's session that keeps the names of what it is told."""
 
     def __init__(self):
         self.events = []
@@ -46,7 +46,7 @@
         self.events.append("released")
 
 
-def offered(inside, caller_timeout_s=3.0):
+def offer_call(inside, caller_timeout_s=3.0):
     """A call whose set-up has been written."""
     caller = RecordingSession()
     kind = inside.settings.classes[0]
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize("how", sorted(ENDINGS))
-def test_the_decisions_hear_of_each_end_and_the_caller_of_one_answer(how):
-    """Guards against set-ups that the decisions take to be open for good: they hold their window shut, and a
-    call that they still know may be sent again.
+def test_the_decisions_are_told_each_call_end_and_the_caller_one_answer(how):
+    """No set-up stays pending in the decisions, where it would hold their concurrency limit, and no call that
+    is over is retried.
     """
     inside = InProcessNode()
-    call, caller = offered(inside)
+    call, caller = offer_call(inside)
     decided = inside.core.controller
     assert decided.calls
     assert decided.endpoints[1].pending_setups
@@ -88,9 +88,9 @@
 
 
 def test_an_attempt_at_an_unknown_server_ends_at_once():
-    """Guards against a call that hangs until its caller's time is up since its attempt never was one."""
+    """A call whose attempt never was one does not hang until its caller's time is up."""
     inside = InProcessNode()
-    call, caller = offered(inside)
+    call, caller = offer_call(inside)
     inside.core.responses.call_released(
         inside.core.servers.by_id[1], IDENT, 34, "", LoadReport()
     )  # full: it is held for another try
@@ -103,10 +103,10 @@
     assert len(caller.events) == 1
 
 
-def test_a_drain_keeps_a_path_for_releases_and_not_for_ever():
-    """Guards against ends that find no connection, and against a softswitch that never empties."""
+def test_a_drain_keeps_a_connection_for_releases_and_not_for_good():
+    """Releases find a connection during a drain, and the softswitch empties all the same."""
     inside = InProcessNode()
-    offered(inside)
+    offer_call(inside)
     inside.establish()
     assert not inside.core.readiness.keeps_release_path()
     inside.core.readiness.drain(True)
@@ -121,8 +121,8 @@
     assert not inside.core.readiness.keeps_release_path(), "no call is established"
 
 
-def test_a_fault_in_a_timer_takes_no_other_with_it():
-    """Guards against answers that are never given since something else, due in the same 4 ms, went wrong."""
+def test_an_exception_in_a_timer_leaves_the_others_due_with_it():
+    """Answers are given though something else, due in the same 4 ms, went wrong."""
     inside, done = InProcessNode(), []
     inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
     inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
@@ -132,7 +132,7 @@
 
 
 def test_timers_that_are_due_together_wake_the_loop_once():
-    """Guards against a loop that is woken, and its timer set, for each call anew."""
+    """The loop's timer is not set for each call anew."""
     inside, woken, rung = InProcessNode(), [], []
     inside.core.timers.on_earlier_due = lambda: woken.append(1)
     for n in range(1000):
@@ -146,8 +146,8 @@
     assert all(rung), "none rings before its time"
 
 
-def test_what_is_kept_of_servers_and_calls_goes_with_them():
-    """Guards against memory that grows with each server and call that ever was."""
+def test_no_memory_is_kept_of_servers_and_calls_that_are_gone():
+    """Memory does not grow with each server and call that ever was."""
     now = [1000.0]
     core = CallManager(
         settings_from_object(SETTINGS).settings,
--- a/tests/test_call_outcomes.py
+++ b/tests/test_call_outcomes.py
@@ -26,8 +26,10 @@
         ([None], "no-such-class", 400, 0),
     ],
 )
-def test_one_final_answer_whatever_the_servers_do(start_deployment, scripts, kind, status, sends):
-    """Guards against a call that is answered twice, late or never."""
+def test_each_call_has_one_final_answer_in_time_whatever_the_servers_do(
+    start_deployment, scripts, kind, status, sends
+):
+    """No call is answered twice, late or never."""
     program, _, servers = start_deployment(*scripts)
     caller, ident = program.caller(), next_call_id()
     began = time.monotonic()
@@ -45,8 +47,8 @@
         assert start["blob"] == 'quotes " and æøå\r\n'
 
 
-def test_the_release_pause_is_kept_and_never_two_attempts_are_out(start_deployment):
-    """Guards against the rules on release and on second copies, as a server sees them."""
+def test_the_retry_pause_is_kept_and_one_attempt_is_out_at_a_time(start_deployment):
+    """The rules on the retry pause and on hedged requests hold as a server sees them."""
     program, _, (server,) = start_deployment(RESET)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=2500)
@@ -56,8 +58,8 @@
     assert all(b - a >= 0.5 for a, b in pairwise(times))
 
 
-def test_a_dying_server_resets_its_set_ups_and_cuts_its_calls(start_deployment):
-    """Guards against calls left standing, and set-ups left waiting, at a process that is gone."""
+def test_a_server_that_dies_has_its_setups_retried_and_its_calls_released(start_deployment):
+    """No call stays established, and no set-up waits, at a process that is gone."""
     program, _, (server, other) = start_deployment(None, None)
     caller, standing, waiting = program.caller(), next_call_id(), next_call_id()
     caller.invite(standing)
@@ -71,8 +73,8 @@
     assert [m["tag"] for m in other.messages("START")] == [waiting]
 
 
-def test_an_id_is_used_once(start_deployment):
-    """Guards against a second set-up under an id that is open, or was: it is refused and touches neither."""
+def test_a_setup_under_an_id_that_is_or_was_used_is_refused(start_deployment):
+    """A second set-up under an id that is open, or was, is refused and touches neither call."""
     program, _, (server,) = start_deployment(SILENT)
     good, bad, ident = program.caller(), program.caller(), next_call_id()
     good.invite(ident)
@@ -89,8 +91,8 @@
     assert good.final_statuses(ident) == [200]
 
 
-def test_second_copies_and_unknown_tags_harm_nothing(start_deployment):
-    """Guards against a link given up, or a call answered twice, for more than was asked for."""
+def test_repeated_answers_and_unknown_ids_from_a_server_change_nothing(start_deployment):
+    """More answers than were asked for cost no server connection and answer no call twice."""
 
     def twice(message, send):
         if message["verb"] == "START":
@@ -108,9 +110,9 @@
     assert not server.messages("FINISH"), "what is none of ours is not released"
 
 
-def test_a_caller_that_comes_again_too_soon_gets_one_answer_each_time(start_deployment):
-    """Guards against a repeat that is taken for its first, lost, or answered twice: the caller is told when
-    to come back, and comes again at once under a new id.
+def test_a_caller_that_retries_too_soon_gets_one_answer_each_time(start_deployment):
+    """A retry is not taken for its first, lost, or answered twice: the caller is told when to retry, and does
+    so at once under a new id.
     """
     program, _, _ = start_deployment(ScriptedServer.ends(34), wait_until_serving=True)
     caller, advised = program.caller(), 0
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -20,9 +20,9 @@
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_call_waits_is_not_sent_on(start_unusual, by, front):
-    """Guards against a call set up for nobody: its caller left in the pause after a reset. A second caller,
-    whose call waits the same pause from later on and is sent again, shows when the first would have been.
+def test_a_caller_that_leaves_during_the_retry_pause_gets_no_retry(start_unusual, by, front):
+    """No retry goes out for a caller that left in the pause after a reset. A second caller, whose call waits
+    the same pause from later on and is retried, shows when the first would have been.
     """
     scripts = [RESET] * (2 if front == APPLIANCE else 1)
     program, _, servers = start_unusual(*scripts, frontend=front)
@@ -48,9 +48,9 @@
         assert finals[0] in (480, 503)
 
 
-def test_a_cancel_that_crosses_the_answer_ends_the_call_on_both_sides(start_unusual):
-    """Guards against a call that is over and whose caller is not told: its CANCEL came when the answer had
-    been written. The caller sends it once it has the answer, as one does whose time ran out on its way.
+def test_a_cancel_that_crosses_the_answer_releases_the_call_on_both_sides(start_unusual):
+    """A call whose CANCEL comes when its 200 has been written is released at the caller and at the server.
+    The caller cancels once it has the answer, as one does whose time ran out on its way.
     """
     program, _, (server,) = start_unusual(None)
     caller, ident = place_call(program, "platform")
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("by", ["close", "half-close", "reset"])
-def test_a_sip_caller_who_leaves_while_the_set_up_is_out_has_no_further_one(start_unusual, by):
-    """Guards against the other order on the appliance, where what is out may still stand: it is the last."""
+def test_a_sip_caller_that_leaves_during_an_attempt_gets_no_retry(start_unusual, by):
+    """On the appliance an attempt whose caller has left may still be established; it is the last one."""
     program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
     caller, _ = place_call(program, "appliance")
     wait_until(lambda: setup_ids(*servers))
@@ -84,8 +84,8 @@
 
 
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_set_up_is_out_is_given_up_and_not_sent_again(start_unusual, by):
-    """Guards against the other order: the server's reset comes once the caller has left."""
+def test_a_platform_caller_that_leaves_during_an_attempt_has_it_given_up_without_a_retry(start_unusual, by):
+    """A reset by the server, coming after the caller has left, leads to no retry."""
 
     def script(message, send):
         if message["verb"] == "FINISH":
@@ -103,9 +103,9 @@
 
 
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_who_leaves_while_the_link_comes_up_is_not_sent_on(start_unusual, by):
-    """Guards against set-ups that lie in a link's queue until it is up. Its listener's queue is full, so that
-    the link can't come up before the story takes the connections in it.
+def test_a_caller_that_leaves_while_the_server_is_being_connected_gets_no_attempt(start_unusual, by):
+    """No attempt goes out for a caller that left while its set-up was queued for a server connection. The
+    server's listener is full, so that the connection can't come up before the test empties it.
     """
     gate = FullListener()
     shut = ScriptedServer(listener=gate.listener)
@@ -127,8 +127,8 @@
     gate.close()
 
 
-def test_a_set_up_that_is_read_after_its_cancel_is_not_sent_on(start_unusual):
-    """Guards against a set-up that lay unread on one connection while its CANCEL was read on another."""
+def test_a_setup_that_is_read_after_its_cancel_gets_no_attempt(start_unusual):
+    """A set-up that lay unread on one connection while its CANCEL was read on another is rejected."""
     program, _, (server,) = start_unusual(None)
     ident, early, late = next_call_id(), program.caller(), program.caller()
     early.send("CANCEL", "sip:x@net", {"call-id": ident, "cseq": "1 CANCEL"})
@@ -140,10 +140,12 @@
     assert setup_ids(server) == [stays]
 
 
-def test_an_answer_finds_a_sip_caller_whose_connection_closed_once_the_set_up_was_out(
+def test_an_answer_reaches_a_sip_caller_that_closed_its_connection_at_the_address_in_its_via(
     start_unusual,
 ):
-    """Guards against a call that stands and is told to nobody: the Via says where (RFC 3261, 18.2.2)."""
+    """A call that is established after its caller's connection closed is answered on a new one (RFC 3261,
+    18.2.2).
+    """
     program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
     home = socket.create_server(("127.0.0.1", 0))
     caller, call = SipCaller(program.address), next_call_id()
@@ -163,8 +165,8 @@
 
 
 @pytest.mark.parametrize("by", ["cancel", "close"])
-def test_a_set_up_given_up_is_given_up_at_the_server_and_a_late_answer_released(start_deployment, by):
-    """Guards against calls that stand at a server with no caller."""
+def test_a_setup_that_is_given_up_is_released_at_the_server_and_so_is_its_late_answer(start_deployment, by):
+    """No call stays established at a server without a caller."""
     program, _, (server,) = start_deployment(SILENT)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -26,8 +26,8 @@
 
 
 def test_a_drain_sends_callers_away_and_can_be_undone(start_deployment):
-    """Guards against a drain that is no state: tests are told no at once, what was taken is served, each
-    connection ends once nothing is owed on it, and all of it is undone by one order.
+    """In a drain health checks fail at once, what was taken is served, each connection ends once nothing is
+    owed on it, and one command undoes all of it.
     """
     program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
     idle, busy, ident, late = program.caller(), program.caller(), next_call_id(), next_call_id()
@@ -56,8 +56,8 @@
     caller.expect(again, 200)
 
 
-def test_a_caller_that_never_pauses_is_sent_away_all_the_same(start_deployment):
-    """Guards against a connection that is never idle and so outlives the drain."""
+def test_a_caller_that_never_pauses_is_sent_away_as_well(start_deployment):
+    """A connection that is never idle does not outlive the drain."""
     program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
     caller, open_one = program.caller(), next_call_id()
     caller.invite(open_one, answer_within_ms=9000)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("udp", [True, False], ids=["udp", "tcp"])
 def test_the_appliance_drains_by_the_same_rules(start_deployment, udp):
-    """Guards against an appliance that refuses callers at once in a drain, or serves them for good."""
+    """The appliance neither refuses callers at once in a drain nor serves them for good."""
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     program.admin_command("drain-on")
 
@@ -105,9 +105,9 @@
     assert ask(-1).status == 200
 
 
-def front_of(inside):
-    """The platform's front on a core whose clock is set by hand, with a call that stands on one of two
-    connections; both have heard a release.
+def frontend_with_established_call(inside):
+    """The platform's frontend on a call manager whose clock is set by hand, with an established call on one
+    of two connections; both have carried a call.
     """
     front = PlatformFrontend(inside.core)
     one, two = front.connect(), front.connect()
@@ -119,11 +119,9 @@
 
 
 def test_a_drain_keeps_one_connection_for_releases_and_not_for_long():
-    """Guards against calls whose end reaches nobody because every connection was ended at once, and against
-    one that is still held 4 s into the drain.
-    """
+    """Releases reach somebody though connections end, and no connection is still held 4 s into the drain."""
     inside = InProcessNode()
-    _, one, two, _ = front_of(inside)
+    _, one, two, _ = frontend_with_established_call(inside)
     inside.core.readiness.drain(True)
     assert one.is_idle(), "each may go while the other stays"
     assert two.is_idle(), "each may go while the other stays"
@@ -136,12 +134,12 @@
     assert RELEASE_PATH_S < 3.8
 
 
-def test_releases_due_in_a_drain_keep_for_the_next_caller_and_not_for_a_test():
-    """Guards against a front whose test is met with a release: it took that for a no, and no caller was told
-    (drain, snapshot 0737b4e5).
+def test_releases_due_in_a_drain_wait_for_a_caller_and_not_for_a_health_check():
+    """A frontend whose health check is met with a release takes that for a failure, and no caller hears of
+    the release.
     """
     inside = InProcessNode()
-    front, one, two, ident = front_of(inside)
+    front, one, two, ident = frontend_with_established_call(inside)
     inside.core.readiness.drain(True)
     for each in (one, two):
         each.close_when_idle()
@@ -158,8 +156,8 @@
     assert take_statuses(silent, ident) == ["BYE"]
 
 
-def test_no_connection_is_ended_over_bytes_that_were_not_read():
-    """Guards against a drain that resets a connection under a request which has come but was not read yet."""
+def test_a_drain_closes_no_connection_with_unread_bytes():
+    """A drain does not reset a connection under a request which has come but was not read yet."""
     inside = InProcessNode()
     ours, theirs = socket.socketpair()
     listener, (one,) = listener_with_connections(inside, 4, ours)
@@ -183,8 +181,8 @@
     assert theirs.recv(1) == b"", "it ends cleanly"
 
 
-def test_new_set_ups_are_refused_only_some_time_into_a_drain():
-    """Guards against refusing callers who come before the front has heard the no."""
+def test_new_setups_are_rejected_only_some_time_into_a_drain():
+    """Callers that come before the frontend has seen the failed health check are served."""
     inside = InProcessNode()
     connection = PlatformFrontend(inside.core).connect()
     inside.core.readiness.drain(True)
@@ -199,10 +197,10 @@
     assert again in inside.core.calls.by_ident
 
 
-def test_an_ending_program_keeps_no_connection_for_calls_that_live_on():
-    """Guards against a restart that waits for calls which the next process will be told of."""
+def test_a_shutdown_keeps_no_connection_for_calls_that_outlive_it():
+    """A restart does not wait for calls whose releases the next process will get."""
     inside = InProcessNode()
-    _, one, two, _ = front_of(inside)
+    _, one, two, _ = frontend_with_established_call(inside)
     inside.core.readiness.shutting_down = True
     inside.core.readiness.drain(True)
     two.close_when_idle()
@@ -211,9 +209,9 @@
     assert one.is_idle()
 
 
-def test_who_comes_again_too_soon_is_answered_and_not_served(start_unusual):
-    """Guards against a drain that a caller holds up who does not stay away as long as told: each time it has
-    one refusal with the same advice, nothing goes to a server, and the drain that is undone serves it.
+def test_a_caller_that_retries_too_soon_in_a_drain_is_rejected_each_time(start_unusual):
+    """Callers that do not stay away as long as told hold up no drain: each gets one rejection with the same
+    advice, nothing goes to a server, and once the drain is undone they are served.
     """
     program, _, (server,) = start_unusual(None)
     caller = program.caller()
@@ -238,9 +236,9 @@
     assert program.stop() == 0
 
 
-def test_a_drain_answers_who_still_waits_before_the_process_is_killed(start_deployment):
-    """Guards against a planned restart that leaves callers with deadlines of 9 s without any answer:
-    SIGKILL may come 3.7 s after SIGTERM.
+def test_a_shutdown_answers_pending_calls_before_the_process_is_killed(start_deployment):
+    """A planned restart leaves no caller with a deadline of 9 s unanswered: SIGKILL may come 3.7 s after
+    SIGTERM.
     """
     program, _, (server,) = start_deployment(SILENT)
     caller, ident = program.caller(), next_call_id()
@@ -252,8 +250,8 @@
     assert program.log_events("drain_deadline_reached")
 
 
-def test_sigterm_finishes_what_was_taken_and_still_takes_what_comes(start_deployment):
-    """Guards against calls lost at a planned restart."""
+def test_sigterm_serves_open_calls_and_those_that_still_come(start_deployment):
+    """No call is lost at a planned restart."""
     program, _, (server,) = start_deployment(SILENT)
     caller, early, late = program.caller(), next_call_id(), next_call_id()
     caller.invite(early)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("reopened", [False, True])
 def test_a_release_reaches_the_caller_on_any_connection(start_deployment, reopened):
-    """Guards against a call left standing because its own connection has gone."""
+    """A call is released at its caller also when its own connection has gone."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -27,7 +27,7 @@
 
 
 def test_a_release_waits_for_a_caller_to_connect(start_deployment):
-    """Guards against a release that is lost because nobody is connected just then."""
+    """A release is not lost because nobody is connected just then."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -39,7 +39,7 @@
 
 
 def test_a_call_from_before_a_restart_is_released_both_ways(start_deployment):
-    """Guards against calls that outlive the softswitch that set them up."""
+    """Calls that outlive the softswitch that set them up can be released from either side."""
     program, _, (server,) = start_deployment(None)
     caller, old, other = program.caller(), next_call_id(), next_call_id()
     wait_until(lambda: server.connections)
@@ -56,7 +56,7 @@
 
 
 def test_a_release_goes_on_the_calls_own_connection(start_deployment):
-    """Guards against a release told to whoever spoke last, which may be one that asks once (churn)."""
+    """A release does not go to whoever spoke last, which may be a frontend's health check."""
     program, _, (server,) = start_deployment(None)
     caller, passer, ident = program.caller(), program.caller(), next_call_id()
     caller.invite(ident)
@@ -68,8 +68,8 @@
     assert not passer.messages(ident, "BYE")
 
 
-def test_a_release_that_is_not_heard_goes_on_another_connection(start_deployment):
-    """Guards against a call left standing because the one connection that was told of its end is not read."""
+def test_a_release_that_is_not_acknowledged_goes_on_another_connection(start_deployment):
+    """A call is released though the one connection that was told of it is not read."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -84,8 +84,8 @@
         other.expect(ident, "BYE")
 
 
-def test_a_release_that_nobody_hears_is_kept_for_who_connects_next():
-    """Guards against an end of a call that is dropped after four tries at callers who don't read."""
+def test_a_release_that_nobody_acknowledges_is_kept_for_the_next_connection():
+    """A release is not dropped after four attempts at callers that don't read."""
     inside = InProcessNode()
     front = PlatformFrontend(inside.core)
     deaf, ident = front.connect(), next_call_id()
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -22,8 +22,8 @@
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
 @pytest.mark.parametrize(("data", "status"), [(b"", 0), (HEAD, 0), (HEAD + b"\r\nhalf", 408)])
-def test_a_first_request_must_come_whole_in_time(tmp_path, start_deployment, front, data, status):
-    """Guards against connections that are held for good by callers who never finish a request."""
+def test_a_first_request_must_be_complete_in_time(tmp_path, start_deployment, front, data, status):
+    """Connections are not held for good by callers that never finish a request."""
     if front == "platform":
         program = start_deployment(None)[0]
     else:
@@ -66,9 +66,9 @@
     ],
     ids=range(20),
 )
-def test_what_no_roster_server_could_use_is_refused_here(start_deployment, data):
-    """Guards against one caller's bytes that make a roster server close a link under others' set-ups, and
-    against figures that raise where they are read.
+def test_a_setup_that_no_server_could_use_is_refused(start_deployment, data):
+    """One caller's bytes make no server close a connection under others' set-ups, and no figure raises where
+    it is read.
     """
     program, _, (server,) = start_deployment(SILENT)
     good, bad, ident = program.caller(), program.caller(), next_call_id()
@@ -83,8 +83,8 @@
     assert "fault" not in program.log_text()
 
 
-def test_callers_that_bring_nothing_usable_are_cut(start_deployment):
-    """Guards against a caller that sends the same again the moment it is turned away."""
+def test_a_caller_that_sends_nothing_usable_is_disconnected(start_deployment):
+    """A caller that sends the same again the moment it is refused does not go on for ever."""
     program, _, _ = start_deployment(None)
     bad = program.caller()
     for _ in range(200):
@@ -101,8 +101,8 @@
         (b"INVITE sip:1@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 99999\r\n\r\n", 413),
     ],
 )
-def test_what_is_malformed_ends_its_connection_only(start_deployment, data, status):
-    """Guards against one caller's bad bytes taking the others down."""
+def test_a_malformed_request_ends_only_its_own_connection(start_deployment, data, status):
+    """One caller's malformed bytes do not disturb the others."""
     program, _, _ = start_deployment(None)
     bad, good, ident = program.caller(), program.caller(), next_call_id()
     bad.sock.sendall(data)
@@ -112,8 +112,8 @@
     good.expect(ident, 200)
 
 
-def test_a_test_is_passed_and_other_methods_are_refused(start_deployment):
-    """Guards against a front that never takes the softswitch in."""
+def test_health_checks_are_answered_and_other_methods_refused(start_deployment):
+    """A frontend's OPTIONS is answered with 200, so that it sends calls here."""
     program, _, _ = start_deployment(None)
     program.wait_until_serving()
     caller = program.caller()
@@ -127,8 +127,8 @@
 
 
 @pytest.mark.parametrize("by", ["its answer", "its CANCEL"])
-def test_a_set_up_outlives_what_can_not_be_read_behind_it(start_unusual, by):
-    """Guards against a good set-up lost with its connection: what came behind it on the same was noise."""
+def test_a_setup_outlives_malformed_bytes_behind_it(start_unusual, by):
+    """A good set-up is not lost with its connection because what came behind it was malformed."""
     program, _, (server,) = start_unusual(SILENT)
     caller, ident = place_call(program, "platform")
     wait_until(lambda: setup_ids(server) == [ident])
@@ -143,8 +143,8 @@
     wait_until(lambda: caller.closed, "the end of the connection")
 
 
-def test_a_message_that_never_comes_whole_takes_no_set_up_with_it():
-    """Guards against the same where the rest of a message never comes: its time is shorter than a call's."""
+def test_an_incomplete_message_that_times_out_takes_no_setup_with_it():
+    """The same where the rest of a message never comes: its time is shorter than a call's."""
     inside = InProcessNode()
     front = PlatformFrontend(inside.core)
     connection, ident = front.connect(), next_call_id()
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -26,9 +26,9 @@
 
 
 @pytest.mark.parametrize("when", ["the link comes up", "the pause is over"])
-def test_who_leaves_in_the_turn_in_which_its_set_up_is_written_is_not_sent_on(when):
-    """Guards against what comes between the loop's look at its sockets and the write: callers leave when the
-    link has come up, or the timer has put their set-ups into its queue, and before the queue is written.
+def test_callers_that_leave_in_the_turn_in_which_their_setups_are_written_get_no_attempt(when):
+    """Callers are looked at between the loop's look at its sockets and the write: they leave when the server
+    connection has come up, or the timer has queued their set-ups, and before the queue is written.
     """
 
     async def story():
@@ -46,7 +46,7 @@
 
         def all_go():
             for ident, caller, way in zip(idents, callers, ways, strict=False):
-                go_now(caller, ident, way)
+                disconnect_at_once(caller, ident, way)
 
         def asked(which):
             return [m["tag"] for m in server.messages("START") if m["tag"] in which]
@@ -83,12 +83,12 @@
         await wait_in_loop(lambda: late in asked({late}))
         assert len(asked(gone)) == before, f"{len(asked(gone)) - before} of {len(gone)} were sent on"
         server.close()
-        await end(network, *callers)
+        await close_all(network, *callers)
 
     uvloop.run(story())
 
 
-def go_now(caller, ident, way):
+def disconnect_at_once(caller, ident, way):
     """Leave without waiting for anything: the loop's own thread does it."""
     cancel = sip.request("CANCEL", "sip:x@net", [("call-id", ident), ("cseq", "1 CANCEL")])
     if way == "another's cancel":
@@ -104,9 +104,9 @@
         caller.close()
 
 
-def test_who_leaves_while_its_set_up_lies_before_a_slow_link_is_not_sent_on():
-    """Guards against set-ups that have left the link's queue and wait for room at its socket. The server
-    reads nothing until their callers have left; what was begun by then is sent to its end and given up.
+def test_callers_that_leave_while_their_setups_wait_for_a_slow_connection_get_no_attempt():
+    """Set-ups that have left the queue and wait for room at the socket are taken back. The server reads
+    nothing until their callers have left; what was begun by then is sent to its end and released.
     """
 
     async def story():
@@ -144,29 +144,31 @@
         assert len(begun) <= 3, "the link is slow"
         assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
-            go_now(caller, ident, way)
+            disconnect_at_once(caller, ident, way)
         await wait_in_loop(lambda: core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
         lines, data = [], b""
-        while sum(each["verb"] == "FINISH" for each in lines) < len(begun) or idents[-1] not in tags(lines):
+        while sum(each["verb"] == "FINISH" for each in lines) < len(begun) or idents[-1] not in setup_ids(
+            lines
+        ):
             data += await network.loop.sock_recv(server, 65536)
             *whole, data = data.split(b"\n")
             lines += map(json.loads, whole)
-        assert tags(lines) - {idents[-1]} == begun
+        assert setup_ids(lines) - {idents[-1]} == begun
         assert {each["tag"] for each in lines if each["verb"] == "FINISH"} == begun
-        await end(network, listener, server, *callers)
+        await close_all(network, listener, server, *callers)
 
     uvloop.run(story())
 
 
-def tags(lines):
-    """The ids of the set-ups among lines."""
+def setup_ids(lines):
+    """The ids of the set-ups among messages."""
     return {each["tag"] for each in lines if each["verb"] == "START"}
 
 
-async def end(network, *socks):
-    """Nothing is left behind."""
+async def close_all(network, *socks):
+    """Close the sockets and end the network's tasks."""
     for each in socks:
         each.close()
     for task in list(network.tasks.running):
@@ -174,8 +176,10 @@
     await asyncio.sleep(0.01)
 
 
-def test_a_look_at_the_callers_does_not_count_after_a_standstill():
-    """Guards against a process that stands still between the look and the write: its clock has moved on."""
+def test_callers_are_read_again_before_a_write_that_was_delayed():
+    """A process that stands still between reading its callers and the write reads them again: the clock has
+    moved on.
+    """
     inside, links = InProcessNode(), []
     side, front = ServerConnectionPool(inside.core, links.append), PlatformFrontend(inside.core)
     side.record_changed(inside.core.servers.by_id[1])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
-def test_the_end_waits_for_what_is_being_written(to):
-    """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
+def test_a_shutdown_waits_for_what_is_being_written(to):
+    """An answer, or a release, to a peer that reads slowly is not cut in two."""
     inside, links = InProcessNode(), []
     if to == "caller":
         side = PlatformFrontend(inside.core)
@@ -56,9 +56,9 @@
     assert not side.is_flushed()
 
 
-def test_a_request_that_comes_at_the_last_look_is_answered(monkeypatch):
-    """Guards against a connection reset by the end with a request unread on it. The caller sends when the
-    program has found that nothing is owed, for the second time.
+def test_a_request_that_comes_at_the_last_check_of_a_shutdown_is_answered(monkeypatch):
+    """No connection is reset with a request unread on it. The caller sends when the program has found for the
+    second time that nothing is owed.
     """
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
     answers = []
@@ -97,8 +97,8 @@
     assert b"come-back" not in answers[0].lower(), "these settings allow no advice"
 
 
-def test_the_end_comes_though_nobody_reads_the_log(tmp_path):
-    """Guards against a program that never ends, or ends in a fault: the pipe that its lines go to is full."""
+def test_a_shutdown_ends_though_nobody_reads_the_log(tmp_path):
+    """The program ends, and without a fault, though the pipe that its log goes to is full."""
     server, port, door = ScriptedServer(), free_port(), free_port()
     config = platform_config(
         ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, UNUSUAL_SETTINGS
@@ -130,18 +130,18 @@
 
 
 def can_connect(address):
-    """Whether somebody listens there."""
+    """Whether somebody listens at an address."""
     with contextlib.suppress(OSError), socket.create_connection(address):
         return True
     return False
 
 
 @pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_the_end_answers_each_call_once_wherever_it_is(start_unusual, front):
-    """Guards against a call that the end forgets, answers twice, or sends on when the drain's limit is past:
-    one stands, some are out, some wait for room, some lie in the queue of a link that can't come up (on the
-    platform, where the settings let it take its time), one waits in a pause, and the answer to one lies
-    unread when the signal comes. The process is stopped for that instant.
+def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, front):
+    """A shutdown forgets no call, answers none twice and starts no attempt after the drain's limit: one call
+    is established, some attempts are out, some calls are pending, some are queued for a connection that can't
+    come up (on the platform, where the settings let it take its time), one waits for a retry, and the answer
+    to one lies unread when the signal comes. The process is stopped for that instant.
     """
     stand = set()  # the first few
 
@@ -157,7 +157,7 @@
     program, _, _ = start_unusual(servers=servers, frontend=front)
     calls = [(SipCaller(program.address), next_call_id()) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
-        place(caller, ident, front, (31, 47)[number % 2])
+        invite_preferring(caller, ident, front, (31, 47)[number % 2])
     wait_until(
         lambda: len(program.log_events("call_offered")) == len(calls)
         and len(setup_ids(*servers)) >= len(stand) + 3
@@ -195,7 +195,7 @@
     gate.close()
 
 
-def place(caller, ident, front, first):
+def invite_preferring(caller, ident, front, first):
     """A set-up that would go to the server of that number first."""
     if front == "platform":
         caller.invite(ident, "ebb", 15_000, routing_data=f"dest:{first};width:1;via:-1")
@@ -204,8 +204,8 @@
         caller.send("INVITE", "sip:5@net", headers | {"expires": "3"}, b"d")
 
 
-def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
-    """Guards against a program that never ends because somebody takes no answer."""
+def test_a_shutdown_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
+    """The program ends though somebody takes no answer."""
     settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
@@ -221,8 +221,8 @@
     asyncio.run(story())
 
 
-def test_links_that_were_left_are_not_opened_again():
-    """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
+def test_server_connections_closed_by_a_shutdown_are_not_opened_again():
+    """A process that ends does not connect again, where a server would send it releases."""
     inside, links = InProcessNode(), []
     side = ServerConnectionPool(inside.core, links.append)
     inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
@@ -239,8 +239,8 @@
 
 
 @pytest.mark.parametrize("hangs_up", [True, False], ids=["the caller hangs up", "a second SIGTERM"])
-def test_a_restart_waits_for_calls_that_stand(tmp_path, hangs_up):
-    """Guards against dialogs that are forgotten with the process, and a restart that can't be hurried."""
+def test_the_appliance_waits_for_established_calls_before_a_restart(tmp_path, hangs_up):
+    """Dialogs are not forgotten with the process, and a second SIGTERM hurries the restart."""
     server = ScriptedServer()
     first = Program.as_appliance(tmp_path, server, ScriptedServer())
     text = first.path.read_text().replace("restart_wait_s = 0.2", "restart_wait_s = 60")
