--- a/tests/support/scope_simulation.py
+++ b/tests/support/scope_simulation.py
@@ -5,8 +5,11 @@
 import heapq
 import random
 from collections import Counter
+from collections.abc import Iterable, Sequence
+from typing import Any
 
-from stairhatch.overload.actions import FailCall, RejectCall, SendSetup, SetTimer
+from stairhatch.overload.actions import Action, FailCall, RejectCall, SendSetup, SetTimer
+from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
     AttemptEnded,
     AttemptOutcome,
@@ -15,62 +18,107 @@
     CallOffered,
     EndpointRecord,
     EndpointsUpdated,
+    Event,
     LoadReport,
     TimerExpired,
 )
 from stairhatch.overload.settings import CallClass, Settings
-from stairhatch.scope.config import ScopeConfig
+from stairhatch.scope.config import ScopeConfig, ServiceConfig
 from stairhatch.scope.controller import ScopedController
 
-NEVER = 1e6
+NEVER_S = 1e6
+ANSWER_EARLY_S = 0.03  # attempts end this long before the caller's time is up, as the call manager does it
+ERROR_AFTER_S = 0.05
+TIMEOUT_AFTER_S = 0.6
 
 
-def kind(name, *pools, **more):
-    """A class; no pools: any server."""
+def call_class(name: str, *servers: int, **fields: Any) -> CallClass:
+    """A class of calls; without servers any may take them."""
     return CallClass(
-        name, allowed_servers=tuple(pools) or None, latency_objective_s=1.5, mean_duration_s=4.0, **more
+        name, allowed_servers=tuple(servers) or None, latency_objective_s=1.5, mean_duration_s=4.0, **fields
     )
 
 
-def settings_of(*classes, **more):
-    return Settings(classes, retransmit_interval_s=0.8, max_retry_after_s=2.0, max_attempts=4, **more)
+def settings_with(*classes: CallClass, **fields: Any) -> Settings:
+    """Settings with these classes."""
+    return Settings(classes, retransmit_interval_s=0.8, max_retry_after_s=2.0, max_attempts=4, **fields)
 
 
-def line(server, number=None, standing=Availability.READY, up_since=0.0):
-    return EndpointRecord(server, server if number is None else number, standing, up_since)
+def endpoint(
+    server: int,
+    number: int | None = None,
+    availability: Availability = Availability.READY,
+    up_since: float = 0.0,
+) -> EndpointRecord:
+    """A server of the list; its number is its id unless one is given."""
+    return EndpointRecord(server, server if number is None else number, availability, up_since)
 
 
-class World:
-    """One softswitch's decisions, its callers and its servers on a virtual clock. Servers answer late, not at
-    all, with errors; what happens to a call depends on the call alone, so that two worlds can be compared.
-    """
+def scoped_controller(
+    settings: Settings,
+    seed: int = 1,
+    idle_s: float = NEVER_S,
+    services: Iterable[ServiceConfig] = (),
+    changes: list[Any] | None = None,
+) -> ScopedController:
+    """Decisions under a scope; its changes are appended to `changes`."""
+    noted = [] if changes is None else changes
+    return ScopedController(
+        settings,
+        random.Random(seed),
+        ScopeConfig(idle_s, tuple(services)),
+        lambda *change: noted.append(change),
+    )
+
+
+class ScopeSimulation:
+    """One softswitch's decisions, its callers and its servers on a virtual clock.
 
-    def __init__(self, decisions, seed=1, slow_s=0.15):
-        self.decisions, self.seed, self.slow_s = decisions, seed, slow_s
-        self.now, self.calls, self.order = 1000.0, 0, 0
-        self.due, self.actions, self.kinds = [], [], {}
-        self.answers, self.sent, self.answer_due = Counter(), [], {}
-        self.number_of, self.timers, self.paused = {}, Counter(), {}
+    Servers answer late, not at all, or with errors. What happens to a call depends on the call alone, so that
+    two simulations can be compared.
+    """
 
-    def later(self, after_s, event):
+    def __init__(self, decisions: Controller | ScopedController, seed: int = 1, slow_s: float = 0.15) -> None:
+        self.decisions = decisions
+        self.seed = seed
+        self.slow_s = slow_s
+        self.now = 1000.0
+        self.calls = 0
+        self.order = 0  # of events that are due at the same time
+        self.due: list[tuple[float, int, Event]] = []  # a heap
+        self.actions: list[tuple[float, Action]] = []
+        self.classes: dict[int, CallClass | None] = {}  # by call
+        self.answers: Counter[int] = Counter()  # by call
+        self.answer_due: dict[int, float] = {}  # by call
+        self.sent: list[tuple[float, int, int]] = []  # time, call, server
+        self.number_of: dict[int, int] = {}  # by server
+        self.timers: Counter[int] = Counter()  # by timer id
+
+    def schedule(self, after_s: float, event: Event) -> None:
+        """Have an event happen after a time."""
         self.order += 1
         heapq.heappush(self.due, (self.now + after_s, self.order, event))
 
-    def listed(self, *lines, complete=True):
+    def update_endpoints(self, *records: EndpointRecord, complete: bool = True) -> None:
+        """A complete endpoint list, or what changed in it."""
         if complete:
             self.number_of.clear()
-        self.number_of.update((each.server_id, each.number) for each in lines)
-        self.tell(EndpointsUpdated(lines, complete))
+        self.number_of.update((record.server_id, record.number) for record in records)
+        self.handle(EndpointsUpdated(records, complete))
 
-    def offer(self, what, choice=-1, grace_s=6.0, **more):
+    def offer(
+        self, call_class: CallClass | None, choice: int = -1, caller_timeout_s: float = 6.0, **fields: Any
+    ) -> int:
+        """A new call; returns its id."""
         self.calls += 1
-        self.kinds[self.calls], self.answer_due[self.calls] = what, self.now + grace_s
-        self.tell(CallOffered(self.calls, what, choice, grace_s, **more))
+        self.classes[self.calls] = call_class
+        self.answer_due[self.calls] = self.now + caller_timeout_s
+        self.handle(CallOffered(self.calls, call_class, choice, caller_timeout_s, **fields))
         return self.calls
 
-    def tell(self, event):
-        """One event; what its actions lead to is put on the clock. The call's one answer is counted."""
-        if isinstance(event, CallEstablished) and event.call_id in self.kinds:
+    def handle(self, event: Event) -> None:
+        """One event. What its actions lead to is scheduled, and the one answer of each call counted."""
+        if isinstance(event, CallEstablished) and event.call_id in self.classes:
             self.answers[event.call_id] += 1
         for action in self.decisions.handle(self.now, event):
             self.actions.append((round(self.now, 9), action))
@@ -82,13 +130,13 @@
                 case RejectCall(call) | FailCall(call):
                     self.answers[call] += 1
                     assert self.now <= self.answer_due[call], "an answer that came late"
-                case SetTimer(delay_s, label):
-                    self.timers[label] += 1
-                    assert self.timers[label] == 1, "two timers under one label"
-                    self.later(delay_s, TimerExpired(label))
+                case SetTimer(delay_s, timer_id):
+                    self.timers[timer_id] += 1
+                    assert self.timers[timer_id] == 1, "two timers under one id"
+                    self.schedule(delay_s, TimerExpired(timer_id))
 
-    def _attempt(self, call, server, timeout_s):
-        """Given up when the decisions say so, and 30 ms before the caller's time is up, as the core does."""
+    def _attempt(self, call: int, server: int, timeout_s: float) -> None:
+        """An attempt ends as it is drawn, at its timeout, or shortly before its caller's time is up."""
         chance = random.Random(f"{self.seed}/{call}/{server}")
         fate, took_s = chance.random(), chance.expovariate(1 / self.slow_s)
         report = LoadReport(
@@ -96,47 +144,45 @@
             total_lines=100,
             processor_wait_s=chance.expovariate(1 / self.slow_s),
         )
-        due_s = min(timeout_s or NEVER, self.answer_due[call] - 0.03 - self.now)
-        if (0.6 if fate < 0.1 else took_s) > due_s:
+        due_s = min(timeout_s or NEVER_S, self.answer_due[call] - ANSWER_EARLY_S - self.now)
+        if (TIMEOUT_AFTER_S if fate < 0.1 else took_s) > due_s:
             ended = AttemptEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), due_s)
-            self.later(due_s, ended)
+            self.schedule(due_s, ended)
         elif fate < 0.05:
-            self.later(0.05, AttemptEnded(call, server, AttemptOutcome.ERROR, False, LoadReport(), 0.05))
+            ended = AttemptEnded(call, server, AttemptOutcome.ERROR, False, LoadReport(), ERROR_AFTER_S)
+            self.schedule(ERROR_AFTER_S, ended)
         elif fate < 0.1:
-            self.later(0.6, AttemptEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), 0.6))
+            ended = AttemptEnded(call, server, AttemptOutcome.TIMED_OUT, False, LoadReport(), TIMEOUT_AFTER_S)
+            self.schedule(TIMEOUT_AFTER_S, ended)
         else:
-            self.later(took_s, CallEstablished(call, server, took_s))
+            self.schedule(took_s, CallEstablished(call, server, took_s))
             ended = AttemptEnded(call, server, AttemptOutcome.COMPLETED, True, report, 4.0)
-            self.later(took_s + chance.expovariate(1 / 4), ended)
+            self.schedule(took_s + chance.expovariate(1 / 4), ended)
 
-    def run(self, until):
+    def run(self, until: float) -> None:
+        """Let all happen that is due by a time."""
         while self.due and self.due[0][0] <= until:
             self.now, _, event = heapq.heappop(self.due)
             if isinstance(event, TimerExpired):
                 self.timers[event.timer_id] -= 1
-            self.tell(event)
+            self.handle(event)
         self.now = until
 
-    def busy(self, seconds, rate, classes, seed=0):
-        """Calls of these classes at random for so long."""
+    def offer_at_random(
+        self, seconds: float, rate: float, classes: Sequence[CallClass], seed: object = 0
+    ) -> None:
+        """Calls of these classes, at random times, for so long; `rate` is in calls a second."""
         chance, end = random.Random(f"{self.seed}/{seed}/calls"), self.now + seconds
         while (at := self.now + chance.expovariate(rate)) < end:
             self.run(at)
-            what = chance.choice(classes)
-            self.offer(what, chance.choice(what.allowed_servers or (0, 1, 2)))
+            drawn = chance.choice(classes)
+            self.offer(drawn, chance.choice(drawn.allowed_servers or (0, 1, 2)))
         self.run(end)
 
-    def finish(self):
-        """Let all calls come to their end; each has had one answer, from a server that it may use."""
+    def finish(self) -> ScopeSimulation:
+        """Let all calls come to their end; each has had one answer."""
         self.run(self.now + 60)
         assert self.calls
-        assert set(self.answers) == set(self.kinds), "a call without its answer"
+        assert set(self.answers) == set(self.classes), "a call without its answer"
         assert set(self.answers.values()) == {1}, "a call with two"
         return self
-
-
-def scoped(settings, seed=1, idle_s=NEVER, services=(), changed=None):
-    told = [] if changed is None else changed
-    return ScopedController(
-        settings, random.Random(seed), ScopeConfig(idle_s, tuple(services)), lambda *each: told.append(each)
-    )
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -27,7 +27,9 @@
 
 
 def observe_delays(detector, now, *delays, rate=100.0):
-    """Looks a span apart, with calls of which its share is shed; returns the time after them."""
+    """Observe delays a span apart, with calls of which the current fraction is shed; returns the time after
+    them.
+    """
     chance = random.Random(7)
     for delay in delays:
         now += SPAN_S
@@ -38,7 +40,7 @@
 
 
 def test_the_level_rises_and_falls_at_different_delays():
-    """Guards against a level that swings with every look (hysteresis), and one that stays for ever."""
+    """The level neither swings with every observation (hysteresis) nor stays for ever."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[0.03] * 100)
     assert detector.level is OverloadLevel.NORMAL
@@ -55,7 +57,7 @@
 
 
 def test_a_full_processor_sheds_all_new_calls_and_recovers():
-    """Guards against a stall after which calls that were given up are served first, and staying full."""
+    """After a stall calls that were given up are not served first, and the level falls again."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[1.0] * 5)
     assert detector.level is OverloadLevel.SATURATED
@@ -68,8 +70,8 @@
 
 
 def goodput(offered, capacity=1000.0, shed_cost=0.08, seconds=12.0):
-    """A processor behind a bounded queue, as a socket's buffer is; returns calls served a second, over
-    the last two thirds, and the longest wait then.
+    """A processor behind a bounded queue, as a socket's buffer is; returns calls served a second, over the
+    last two thirds, and the longest wait then.
     """
     chance, admission = random.Random(11), AdmissionControl(random.Random(12).random)
     now = waiting = served = worst = 0.0
@@ -90,8 +92,8 @@
 
 @pytest.mark.parametrize("load", [0.8, 1.1, 1.5, 2.0, 3.0])
 def test_goodput_holds_past_capacity(load):
-    """Guards against a collapse past capacity, and a control that sheds what could be served: at twice
-    the capacity 0.9 of what the shedding itself leaves, with a short queue.
+    """There is no collapse past capacity, and nothing is shed that could be served: at least 0.9 of what the
+    shedding itself leaves, with a short queue.
     """
     served, worst = goodput(lambda _now: 1000.0 * load)
     left = 1000.0 * (1 - 0.08 * load) / (1 - 0.08) if load > 1 else 1000.0 * load
@@ -100,15 +102,15 @@
 
 
 def test_after_a_surge_all_are_served_within_three_seconds():
-    """The hard case: three times capacity for a while and back: full goodput again."""
+    """After three times the capacity for a while goodput is back in full."""
     served, _ = goodput(lambda now: 3000.0 if now < 4.0 else 900.0, seconds=12.0 * 1.0)
     late, _ = goodput(lambda now: 3000.0 if now < 5.0 else 900.0, seconds=24.0)
     assert served > 0.75 * 900
     assert late > 0.97 * 900
 
 
-def test_with_no_look_nothing_is_shed():
-    """Guards against calls shed for ever on an old figure."""
+def test_without_an_observation_nothing_is_shed():
+    """Calls are not shed for ever on an old figure."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[1.0] * 5)
     assert detector.current_shed_fraction(now + detector.policy.stale_s + 0.1) == 0.0
@@ -116,8 +118,8 @@
 
 @BOUNDED
 @given(st.lists(st.floats(0, 2), max_size=200))
-def test_a_share_is_a_share_whatever_is_measured(delays):
-    """Guards against a share that can't be drawn against, or one that sheds while free."""
+def test_the_shed_fraction_is_a_fraction_whatever_is_measured(delays):
+    """The fraction can be drawn against, and is 0 while the level is normal."""
     detector = OverloadDetector()
     now = 0.0
     for delay in delays:
@@ -128,8 +130,8 @@
 
 @BOUNDED
 @given(st.dictionaries(st.floats(0, 10), st.floats(0.001, 1), min_size=1, max_size=5), st.floats(0, 1))
-def test_the_least_weight_goes_first_and_as_much_as_was_asked(mix, share):
-    """Guards against save-roster calls shed while read-roster calls are served."""
+def test_the_least_weight_is_shed_first_and_as_much_as_was_asked(mix, share):
+    """No call of greater weight is shed while calls of less weight are served."""
     found = shed_fractions_by_weight(mix, share)
     whole = sum(mix.values())
     assert abs(sum(found[weight] * mix[weight] for weight in mix) - share * whole) < 1e-6 * whole + 1e-9
@@ -139,7 +141,7 @@
 
 
 def served_fractions(seconds, policy, overloaded, others=3):
-    """One source at twenty times the rate of the others; returns the shares of each that were served."""
+    """One source at twenty times the rate of the others; returns the fraction of each that was served."""
     chance, limiter, now = random.Random(1), SourceRateLimiter(policy), 0.0
     asked, served = {}, {}
     sources = ["10.0.0.66"] * 20 * others + [f"10.0.{n + 1}.7" for n in range(others)] * others
@@ -151,8 +153,8 @@
     return {source: served[source] / asked[source] for source in asked}
 
 
-def test_one_source_at_twenty_times_its_share_leaves_the_others_whole():
-    """The hard case: an office's storm is cut to its share while we are overloaded, and not before."""
+def test_one_source_at_twenty_times_its_share_leaves_the_others_theirs():
+    """A source is cut to its share while we are overloaded, and not before."""
     policy = RateLimitPolicy(source_rate=20, source_burst=20)
     shares = served_fractions(20.0, policy, overloaded=True)
     assert shares.pop("10.0.0.66") < 0.2
@@ -161,7 +163,7 @@
 
 
 def test_a_site_behind_one_proxy_is_not_limited():
-    """Guards against a limit that protects nobody: the only source is all the callers there are."""
+    """The only source is all the callers there are: a limit would protect nobody."""
     limiter = SourceRateLimiter(RateLimitPolicy(source_rate=1, source_burst=1))
     assert all(limiter.take("10.0.0.1", 0.01 * n, True) == 0.0 for n in range(200))
     assert limiter.take("10.0.0.2", 2.0, True) == 0.0
@@ -169,8 +171,8 @@
     assert limiter.take("10.0.0.1", 2.0, True) > 0.0
 
 
-def test_made_up_sources_fill_no_memory_and_share_their_networks_bucket():
-    """Guards against a table that grows with addresses, and a storm spread over a whole network."""
+def test_forged_sources_fill_no_memory_and_share_their_networks_bucket():
+    """The table does not grow with addresses, and a storm spread over a whole network is limited."""
     policy = RateLimitPolicy(max_buckets=100, network_rate=10, network_burst=10)
     limiter, served = SourceRateLimiter(policy), 0
     limiter.take("192.168.1.1", 0.0, True)
@@ -182,8 +184,8 @@
     assert limiter.take("192.168.1.1", 1.0, True) == 0.0
 
 
-def test_what_belongs_to_dialogs_is_never_shed():
-    """Guards against calls that can't end while the program is full."""
+def test_requests_in_dialogs_are_never_shed():
+    """Calls can end while the program is overloaded."""
     admission = AdmissionControl(lambda: 0.0)
     now = observe_delays(admission.overload, 0.0, *[1.0] * 5)
     assert admission.admit(RequestKind.IN_DIALOG, "a", 0.0, now).outcome is AdmissionOutcome.ADMITTED
@@ -193,8 +195,8 @@
     assert admission.admit(RequestKind.OTHER, "a", 0.0, now).outcome is AdmissionOutcome.SHED_LOAD
 
 
-def test_calls_of_more_weight_stand_while_others_are_shed():
-    """Guards against an order of weight that is not kept as the mix of calls changes."""
+def test_calls_of_more_weight_are_served_while_others_are_shed():
+    """The order of weight holds as the mix of calls changes."""
     chance = random.Random(3)
     admission = AdmissionControl(
         chance.random,
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -46,15 +46,15 @@
         ("[sip]", "[sip", r"no TOML"),
     ],
 )  # fmt: skip
-def test_a_key_that_cannot_be_used_is_named(old, new, complaint):
-    """Guards against a typing error that takes a default without a word: a class once lost its worth so."""
+def test_an_unusable_key_is_named(old, new, complaint):
+    """No default takes the place of a mistyped key without a word."""
     assert old in TEXT
     with pytest.raises(ConfigError, match=complaint):
         parse_appliance(TEXT.replace(old, new, 1), "x.toml", {})
 
 
-def test_listeners_of_both_families_and_their_networks():
-    """Guards against a list that is read as one address, and IPv6 without its brackets."""
+def test_listeners_of_both_address_families_have_their_own_networks():
+    """A list is not read as one address, and IPv6 addresses have brackets."""
     text = TEXT.replace(
         'udp = "127.0.0.1:5060"', 'udp = ["127.0.0.1:5060", {address = "[::1]:5060", allow = ["::1"]}]'
     )
@@ -64,8 +64,8 @@
     assert not config.sip.udp[1].networks.admits("::2")
 
 
-def test_the_words_of_the_command_line(tmp_path):
-    """Guards against commands that fail without saying so, or in a way that scripts can't see."""
+def test_the_commands_report_their_failures_by_output_and_exit_code(tmp_path):
+    """No command fails without saying so, or in a way that scripts can't see."""
     run, users = CliRunner(), tmp_path / "users.txt"
     good = run.invoke(main_group, ["check-config", str(ROOT / "deploy" / "sip.toml")])
     assert good.exit_code == 0
@@ -98,7 +98,7 @@
 
 
 def test_the_platforms_program_imports_nothing_of_the_appliance():
-    """Guards against memory and start-up that grow where none of this is used."""
+    """Memory and start-up do not grow where none of the appliance is used."""
     code = "import sys, stairhatch.__main__; print(*[m for m in sys.modules])"
     found = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     names = set(found.stdout.split())
@@ -110,7 +110,7 @@
 
 
 def test_users_are_taken_by_a_reload_and_ipv6_is_served(tmp_path):
-    """Guards against a user who must wait for a restart, and listeners of one family alone."""
+    """A new user does not wait for a restart, and listeners may be of both address families."""
     program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer())
     host, port = program.address
     caller = SipCaller(program.address, udp=True)
--- a/tests/test_call_manager.py
+++ b/tests/test_call_manager.py
@@ -19,50 +19,29 @@
 
 from .support.in_process_node import InProcessNode
 from .support.platform_config import SETTINGS
+from .support.recording_session import RecordingSession
 from .support.sip_messages import platform_invite
 
 IDENT = "00000000000c0001"
 
 
-class RecordingSession:
-    """A caller's session that keeps the names of what it is told."""
-
-    def __init__(self):
-        self.events = []
-
-    def progressing(self):
-        self.events.append("progressing")
-
-    def established(self, _description):
-        self.events.append("established")
-
-    def rejected(self, _retry_after_s):
-        self.events.append("rejected")
-
-    def failed(self, timed_out):
-        self.events.append("timed out" if timed_out else "failed")
-
-    def released(self, _cause):
-        self.events.append("released")
-
-
-def offer_call(inside, caller_timeout_s=3.0):
+def offer_call(node, caller_timeout_s=3.0):
     """A call whose set-up has been written."""
     caller = RecordingSession()
-    kind = inside.settings.classes[0]
-    call = inside.core.offer_call(CallRequest(IDENT, kind, "1000", "d", caller_timeout_s), caller)
-    assert len(inside.written) == 1
+    kind = node.settings.classes[0]
+    call = node.core.offer_call(CallRequest(IDENT, kind, "1000", "d", caller_timeout_s), caller)
+    assert len(node.written) == 1
     return call, caller
 
 
 ENDINGS = {
-    "established": lambda inside, _call: inside.establish(),
-    "abandoned": lambda inside, call: inside.core.abandon(call),
-    "the process ends": lambda inside, _call: inside.core.answer_pending(),
-    "over before it was heard": lambda inside, _call: inside.core.responses.call_released(
-        inside.core.servers.by_id[1], IDENT, 16, "", LoadReport()
+    "established": lambda node, _call: node.establish(),
+    "abandoned": lambda node, call: node.core.abandon(call),
+    "the process ends": lambda node, _call: node.core.answer_pending(),
+    "over before it was heard": lambda node, _call: node.core.responses.call_released(
+        node.core.servers.by_id[1], IDENT, 16, "", LoadReport()
     ),
-    "its time is up": lambda inside, _call: inside.run(3.5),
+    "its time is up": lambda node, _call: node.run(3.5),
 }
 
 
@@ -71,77 +50,77 @@
     """No set-up stays pending in the decisions, where it would hold their concurrency limit, and no call that
     is over is retried.
     """
-    inside = InProcessNode()
-    call, caller = offer_call(inside)
-    decided = inside.core.controller
+    node = InProcessNode()
+    call, caller = offer_call(node)
+    decided = node.core.controller
     assert decided.calls
     assert decided.endpoints[1].pending_setups
-    ENDINGS[how](inside, call)
+    ENDINGS[how](node, call)
     assert not decided.calls
     assert not decided.pending
     assert not decided.endpoints[1].pending_setups
     assert len(caller.events) == (how != "abandoned")
-    inside.run(20.0)
-    assert len(inside.written) == 1
+    node.run(20.0)
+    assert len(node.written) == 1
     assert len(caller.events) == (how != "abandoned")
-    assert inside.releases == ([] if how in ("established", "over before it was heard") else [(IDENT, 16)])
+    assert node.releases == ([] if how in ("established", "over before it was heard") else [(IDENT, 16)])
 
 
 def test_an_attempt_at_an_unknown_server_ends_at_once():
     """A call whose attempt never was one does not hang until its caller's time is up."""
-    inside = InProcessNode()
-    call, caller = offer_call(inside)
-    inside.core.responses.call_released(
-        inside.core.servers.by_id[1], IDENT, 34, "", LoadReport()
+    node = InProcessNode()
+    call, caller = offer_call(node)
+    node.core.responses.call_released(
+        node.core.servers.by_id[1], IDENT, 34, "", LoadReport()
     )  # full: it is held for another try
-    inside.core.controller.pending.remove(call.number)
-    inside.core.attempts.start(SendSetup(call.number, 99))
-    assert inside.core.counters.counts["rule_violations"] == 1
-    inside.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
-    assert call.number in inside.core.controller.pending, "the decisions have not heard that it never left"
-    inside.run(3.5)
+    node.core.controller.pending.remove(call.number)
+    node.core.attempts.start(SendSetup(call.number, 99))
+    assert node.core.counters.counts["rule_violations"] == 1
+    node.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
+    assert call.number in node.core.controller.pending, "the decisions have not heard that it never left"
+    node.run(3.5)
     assert len(caller.events) == 1
 
 
 def test_a_drain_keeps_a_connection_for_releases_and_not_for_good():
     """Releases find a connection during a drain, and the softswitch empties all the same."""
-    inside = InProcessNode()
-    offer_call(inside)
-    inside.establish()
-    assert not inside.core.readiness.keeps_release_path()
-    inside.core.readiness.drain(True)
-    inside.run(RELEASE_PATH_S - 0.1)
-    assert inside.core.readiness.keeps_release_path()
-    inside.run(0.2)
-    assert not inside.core.readiness.keeps_release_path()
-    inside.core.readiness.drain(False)
-    inside.core.readiness.drain(True)
-    assert inside.core.readiness.keeps_release_path()
-    inside.core.responses.call_released(inside.core.servers.by_id[1], IDENT, 16, "", LoadReport())
-    assert not inside.core.readiness.keeps_release_path(), "no call is established"
+    node = InProcessNode()
+    offer_call(node)
+    node.establish()
+    assert not node.core.readiness.keeps_release_path()
+    node.core.readiness.drain(True)
+    node.run(RELEASE_PATH_S - 0.1)
+    assert node.core.readiness.keeps_release_path()
+    node.run(0.2)
+    assert not node.core.readiness.keeps_release_path()
+    node.core.readiness.drain(False)
+    node.core.readiness.drain(True)
+    assert node.core.readiness.keeps_release_path()
+    node.core.responses.call_released(node.core.servers.by_id[1], IDENT, 16, "", LoadReport())
+    assert not node.core.readiness.keeps_release_path(), "no call is established"
 
 
 def test_an_exception_in_a_timer_leaves_the_others_due_with_it():
     """Answers are given though something else, due in the same 4 ms, went wrong."""
-    inside, done = InProcessNode(), []
-    inside.core.timers.schedule(inside.now + 0.1, lambda: 1 // 0)
-    inside.core.timers.schedule(inside.now + 0.1, lambda: done.append("the answer"))
-    inside.run(0.2)
+    node, done = InProcessNode(), []
+    node.core.timers.schedule(node.now + 0.1, lambda: 1 // 0)
+    node.core.timers.schedule(node.now + 0.1, lambda: done.append("the answer"))
+    node.run(0.2)
     assert done == ["the answer"]
-    assert inside.core.counters.counts["timer_faults"] == 1
+    assert node.core.counters.counts["timer_faults"] == 1
 
 
 def test_timers_that_are_due_together_wake_the_loop_once():
     """The loop's timer is not set for each call anew."""
-    inside, woken, rung = InProcessNode(), [], []
-    inside.core.timers.on_earlier_due = lambda: woken.append(1)
+    node, woken, rung = InProcessNode(), [], []
+    node.core.timers.on_earlier_due = lambda: woken.append(1)
     for n in range(1000):
         due = 1000.5 + n / 1e6
-        inside.core.timers.schedule(due, lambda due=due: rung.append(inside.now >= due))
+        node.core.timers.schedule(due, lambda due=due: rung.append(node.now >= due))
     assert len(woken) <= 2
-    inside.run(0.49)
+    node.run(0.49)
     assert not rung
-    inside.run(0.02)
+    node.run(0.02)
     assert len(rung) == 1000
     assert all(rung), "none rings before its time"
 
@@ -156,25 +135,27 @@
         lambda *_args, **_fields: None,
         Counters(),
     )
-    links = []
-    side = ServerConnectionPool(core, links.append)
-    front = PlatformFrontend(core)
-    connection = front.connect()
+    server_connections = []
+    pool = ServerConnectionPool(core, server_connections.append)
+    frontend = PlatformFrontend(core)
+    connection = frontend.connect()
     for n in range(200):
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.READY)], n == 0)
         connection.receive_data(platform_invite(f"{n:016x}", call_kind="read-roster"))
         connection.receive_data(sip.request(f"MADE{n}", "sip:x@net", [], b"") if n < 7 else b"")
         core.update_servers([ServerRecord(f"s-{n}", ("127.0.0.1", 9), 0, Availability.GONE)], False)
-        for link in [link for link in links if link.can_close()]:
-            links.remove(link)
-            side.remove(link)  # as the driver does when a link has ended
+        for server_connection in [
+            server_connection for server_connection in server_connections if server_connection.can_close()
+        ]:
+            server_connections.remove(server_connection)
+            pool.remove(server_connection)  # as the driver does when a connection has ended
         now[0] += 5
         core.timers.run_due()
     assert not core.servers.by_id
     assert not core.servers.by_instance
-    assert not side.active
+    assert not pool.active
     assert not core.calls.by_number
-    assert not front.registry.calls
+    assert not frontend.registry.calls
     assert not core.calls.by_ident
     assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # nothing public tells
     assert len(core.controller.endpoints) <= 10
--- a/tests/test_congestion_control.py
+++ b/tests/test_congestion_control.py
@@ -93,7 +93,7 @@
     assert not node.is_flagged()
 
 
-def test_own_pending_set_ups_raise_the_flag_without_any_report(make_node):
+def test_own_pending_setups_raise_the_flag_without_any_report(make_node):
     node = make_node()
     node.offer(preferred_number=0)
     node.now += SETTINGS.retransmit_interval_s + 0.1
@@ -101,7 +101,7 @@
 
 
 def test_clearing_a_flag_does_not_raise_the_concurrency_limit(make_node):
-    """Found on the standard days: all nodes sent at once to a server that was still slow."""
+    """Not all nodes send at once to a server that is still slow when its flag clears."""
     node = make_node(servers=1)
     node.report_delay(10, 1.0)
     node.report_delay(10, 0.0)
@@ -126,8 +126,8 @@
     assert server.concurrency_limit < grown / 2
 
 
-def test_an_overtaken_set_up_no_longer_counts_as_pending(make_node):
-    """Found in incident i78ddf8: lost set-ups held a quick server shut until they timed out."""
+def test_an_overtaken_setup_no_longer_counts_as_pending(make_node):
+    """Lost set-ups do not hold a quick server shut until they time out."""
     node = make_node(servers=1)
     node.offer()
     node.now += 0.5
@@ -139,8 +139,8 @@
     assert setups(node.offer())
 
 
-def flood(settings, elapsed_s):
-    """Set-ups that all nodes send one congested server in ten seconds, each offered twenty calls."""
+def count_setups_of_fleet(settings, elapsed_s):
+    """How many set-ups all nodes send one congested server in ten seconds, each offered twenty calls."""
     total = 0
     for seed in range(10):
         controller = Controller(settings, random.Random(seed))
@@ -157,16 +157,17 @@
 
 
 def test_lowest_limits_do_not_add_up_over_the_fleet():
-    """Found on the grown deployments: the lowest limits of 220 nodes were a flood onto a slowed server."""
+    """The lowest limits of 250 nodes are together no flood onto a slowed server."""
     small, large = (
-        flood(replace(SETTINGS, instance_count=n), elapsed_s) for n, elapsed_s in ((5, 1.5), (250, 1.5))
+        count_setups_of_fleet(replace(SETTINGS, instance_count=n), elapsed_s)
+        for n, elapsed_s in ((5, 1.5), (250, 1.5))
     )
     assert large < 20 * small  # fifty times the nodes, each asked for as much
-    assert flood(replace(SETTINGS, instance_count=250), 0.05) > 0
+    assert count_setups_of_fleet(replace(SETTINGS, instance_count=250), 0.05) > 0
 
 
 def test_the_first_concurrency_limit_follows_what_the_server_bears(make_node):
-    """Found on amman-later big-1: a server that bears 270 set-ups a second was left idle at the start."""
+    """A server that bears many set-ups a second is not left idle at the start."""
     limits = []
     for used in (100, 2700):
         node = make_node(servers=1, settings=replace(SETTINGS, instance_count=250))
@@ -176,7 +177,7 @@
 
 
 def test_reports_of_a_long_delay_cut_the_limit_of_a_node_that_sends_seldom(make_node):
-    """Found on bangkok-later big-2: own answers came too seldom to slow down for."""
+    """A node whose own answers come too seldom slows down by what a server reports."""
     node = make_node(settings=replace(SETTINGS, instance_count=250))
     server = node.controller.endpoints[10]
     before = server.concurrency_limit
@@ -192,8 +193,8 @@
     assert server.concurrency_limit > before
 
 
-def test_a_report_of_a_short_delay_overtakes_a_lost_set_up(make_node):
-    """Found on bangkok-later rough-1: an answer that never came cut the node's limit as a slow one would."""
+def test_a_report_of_a_short_delay_overtakes_a_lost_setup(make_node):
+    """An answer that never came does not cut a node's limit as a slow one would."""
     kept = []
     for report in (LoadReport(processor_wait_s=0.01), LoadReport()):
         node = make_node(settings=replace(SETTINGS, instance_count=250))
@@ -207,7 +208,7 @@
 
 
 def test_tokens_are_lost_when_the_limit_is_cut(make_node):
-    """Found on bangkok-later big-2: 220 nodes' tokens were six seconds of work for a slowed server."""
+    """The tokens of many nodes together are not seconds of work for a slowed server."""
     tokens = 0.0
     for seed in range(50):
         node = make_node(settings=replace(SETTINGS, instance_count=250), seed=seed)
@@ -217,7 +218,7 @@
 
 
 def test_a_reported_delay_of_minutes_does_not_put_off_the_next_cut(make_node):
-    """Found on purbachal-later big-2: an ageing server told of 100 s, and nodes cut but once in that time."""
+    """A server that reports a delay of 100 s has limits cut more than once in that time."""
     node = make_node(settings=replace(SETTINGS, instance_count=250))
     node.report_delay(10, 100.0)
     once = node.controller.endpoints[10].concurrency_limit
@@ -226,8 +227,8 @@
     assert node.controller.endpoints[10].concurrency_limit < once
 
 
-def test_where_answers_are_lost_a_set_up_is_given_up_in_time_for_another(make_node):
-    """Found on bangkok-later rough-2: each lost answer cost its call the objective, at quick servers."""
+def test_where_answers_are_lost_a_setup_is_given_up_in_time_for_another(make_node):
+    """A lost answer does not cost its call the latency objective at quick servers."""
     node = make_node(servers=1)
     assert setups(node.offer())[0].timeout_s == 0.0  # until the caller gives up
     node.now += 2.0
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -31,7 +31,7 @@
 
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
-    """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
+    """Callers in use are not cut off within a message; one that never sends a request is ended within 3 s."""
     inside = InProcessNode()
     listener, (usual, silent, never_ends) = listener_with_connections(
         inside, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
@@ -51,8 +51,8 @@
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 3.0
 
 
-def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
-    """Guards against callers evicted for newcomers between two pieces of a message."""
+def test_a_connection_within_a_message_is_evicted_only_where_none_is_idle():
+    """Callers are not evicted for newcomers between two pieces of a message."""
     inside = InProcessNode()
     listener, (under_way, silent, idle) = listener_with_connections(
         inside, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
@@ -68,11 +68,8 @@
         assert closing == 3 - len(listener.connections)
 
 
-def test_a_newcomer_whose_set_up_has_not_been_read_is_not_evicted():
-    """Guards against a set-up lost with its connection where the loop comes to it later than its
-    `eviction_grace_s`: on a loaded machine a newcomer among 60 callers who hold on was taken for one
-    that says nothing.
-    """
+def test_a_newcomer_whose_setup_has_not_been_read_is_not_evicted():
+    """A set-up is not lost with its connection when a busy loop reads it after `eviction_grace_s`."""
     inside = InProcessNode()
     listener, (newcomer, silent) = listener_with_connections(
         inside, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
@@ -86,9 +83,9 @@
 
 
 @pytest.mark.parametrize("first", ["request", "newcomer"])
-def test_a_request_read_in_the_turn_in_which_a_newcomer_needs_room_is_not_thrown_away(first):
-    """Guards against a caller evicted as idle whose request the loop has read, but not yet given to its
-    protocol. Both come within one turn of the loop, in either order; the listener has room for one.
+def test_a_caller_whose_request_was_just_read_is_not_evicted_for_a_newcomer(first):
+    """A caller is not evicted as idle whose request the loop has read, but not yet given to its protocol.
+    Both come within one turn of the loop, in either order; the listener has room for one.
     """
 
     async def story():
@@ -138,9 +135,9 @@
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["silent", "asks once and holds on"])
-def test_callers_that_hold_connections_shut_out_no_other(start_deployment, asks):
-    """Guards against a limit on connections that is filled by those who want nothing more. What is owed an
-    answer keeps its connection.
+def test_callers_that_hold_connections_keep_out_no_other(start_deployment, asks):
+    """The limit on connections is not filled by callers that want nothing more, and what is owed an answer
+    keeps its connection.
     """
     program, _, (slow, other) = start_deployment(SILENT, None, sockets=32)
     waiting, ident = program.caller(), next_call_id()
@@ -164,8 +161,8 @@
 
 
 def test_a_caller_that_sends_faster_than_it_reads_gets_each_answer_once(start_deployment):
-    """Guards against answers lost or doubled where a caller sends hundreds of set-ups at once and reads
-    later, and against others who wait for it.
+    """No answer is lost or doubled where a caller sends hundreds of set-ups at once and reads later, and
+    others do not wait for it.
     """
     program, _, _ = start_deployment(None, None, wait_until_serving=True)
     flood, idents = socket.create_connection(program.address), [next_call_id() for _ in range(300)]
@@ -185,8 +182,8 @@
 
 @pytest.mark.parametrize(("sockets", "many"), [(1024, 200), (64, 60)], ids=["room for all", "no room"])
 def test_connections_that_come_in_one_turn_are_all_answered(start_deployment, sockets, many):
-    """Guards against requests whose new connection is closed without an answer: so many come while the
-    program does nothing (SIGSTOP) that it finds them all at once, also where others have to go first.
+    """No new connection is closed without an answer though so many come while the program stands still
+    (SIGSTOP) that it finds them all at once, also where others have to be evicted first.
     """
     program, _, _ = start_deployment(None, None, sockets=sockets, wait_until_serving=True)
     room = DescriptorBudget(sockets, 26, 3).available_to_callers()
@@ -203,7 +200,7 @@
 
 
 def test_line_ends_between_messages_keep_no_connection(start_deployment):
-    """Guards against a limit filled for good by callers who ask once, then send a line end now and then."""
+    """The limit is not filled for good by callers that send one request, then a line end now and then."""
     program, _, _ = start_deployment(None, sockets=64, wait_until_serving=True)
     over, held_on, sent = threading.Event(), [], Counter()
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -98,8 +98,8 @@
     ],
 )
 def test_a_node_knows_its_instance_index_only_where_it_is_told(told, index):
-    """Nodes that all took themselves for the first would use the same slow-start slots. An index out of
-    range is rejected: what was meant would be a guess.
+    """Nodes that all took themselves for the first would use the same slow-start slots. An index out of range
+    is rejected: what was meant would be a guess.
     """
     raw = {"classes": [{"name": "a"}], **told}
     if index is None:
@@ -109,8 +109,8 @@
         assert settings_from_object(raw).settings.instance_index == index
 
 
-def test_size_and_width_of_the_modules():
-    """The deploy file's policy files have 730 lines together; no line of the package is over 110 wide."""
+def test_the_policy_files_stay_within_730_lines_and_all_modules_within_110_columns():
+    """The size that the deploy file's policy files may have together holds."""
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
     assert 0 < len([line for line in lines if line.strip()]) <= 730
@@ -119,8 +119,8 @@
     assert "settings, events, actions and records" in (ROOT / policy[0]).read_text()[:300]
 
 
-def test_caller_retries_weigh_less_marked_or_not(make_node):
-    """Found in incident id09162: late retries took the place of fresh calls."""
+def test_caller_retries_weigh_less_whether_marked_or_not(make_node):
+    """Late retries do not take the place of fresh calls."""
     node = make_node(servers=1)
     for _ in range(50):
         node.offer(class_index=0, caller_timeout_s=3.0)
@@ -150,7 +150,7 @@
 
 
 def test_thousands_of_pending_calls_are_looked_through_once_an_instant(make_node):
-    """Found by the bench's long batches: each event looked all pending calls through."""
+    """Not every event costs a look at all pending calls."""
     node = make_node()
     controller, looks = node.controller, []
     balancer, choose = controller.parts.load_balancer, controller.parts.load_balancer.choose
@@ -162,8 +162,8 @@
 
 
 def test_calls_pending_in_vain_are_not_looked_at_each_time(make_node):
-    """Found on a calm day whose callers were rejected by thousands: every instant looked all pending calls
-    through, for each server anew, and took a third of a processor core.
+    """Thousands of pending calls that no server can take cost no look at each of them, for each server, at
+    every instant; that once took a third of a processor core.
     """
     node = make_node()
     controller, looks = node.controller, []
--- a/tests/test_datagram_peek.py
+++ b/tests/test_datagram_peek.py
@@ -27,8 +27,10 @@
     st.booleans(),
     st.binary(max_size=40),
 )
-def test_a_look_tells_what_a_parse_would(method, host, rport, tag, body):
-    """Guards against a copy taken for a new call, or a new call for a copy, where the parser would know."""
+def test_a_scan_finds_what_a_parse_would(method, host, rport, tag, body):
+    """A retransmission is not taken for a new call, nor a new call for a retransmission, where the parser
+    would know.
+    """
     lines = sip_headers(method, "1", "z9hG4bKlook", to_tag="t" if tag else "")
     lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKlook{rport}"
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
@@ -48,8 +50,8 @@
 
 @BOUNDED
 @given(st.binary(max_size=300))
-def test_a_look_at_anything_upsets_nothing(data):
-    """Guards against a datagram that stops the program before it is parsed."""
+def test_a_scan_of_arbitrary_bytes_raises_nothing(data):
+    """No datagram stops the program before it is parsed."""
     scan_request(data)
     scan_request(b"INVITE sip:7@net SIP/2.0\r\n" + data + b"\r\n\r\n")
 
@@ -57,8 +59,8 @@
 @pytest.mark.parametrize(
     "line", ["Via: SIP/2.0/UDP h;branch=z9hG4bKq\r\n ;rport", "To: <sip:7@net>", "v : SIP/2.0/UDP h"]
 )
-def test_what_is_written_otherwise_is_left_to_the_parser(line):
-    """Guards against a look at a folded Via, two To or an odd name that a parse would read otherwise."""
+def test_unusual_forms_are_left_to_the_parser(line):
+    """The scan does not misread a folded Via, a second To or an odd name."""
     lines = sip_headers("INVITE")
     data = sip.request("INVITE", "sip:7@net", list(lines.items()))
     first, _, rest = data.partition(b"\r\n")
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -22,9 +22,9 @@
 PING = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 
 
-class Crowd:
-    """Callers who hold connections and want nothing: silent, within a message, or after one test. Who is put
-    out comes again at once, or never; those who stay then have asked once.
+class IdleCallers:
+    """Callers that hold connections and want nothing: silent, within a message, or after one health check.
+    One that is evicted connects again at once, or never; those that stay then have sent one request.
     """
 
     WAYS = (b"", PING[:30], PING)
@@ -60,8 +60,8 @@
             each.join()
 
 
-def held(program):
-    """How many descriptors the process holds."""
+def open_descriptors(program):
+    """How many descriptors the process has open."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
@@ -70,9 +70,8 @@
 def test_idle_callers_leave_descriptors_for_servers_and_coordinator_that_return(
     tmp_path, started_programs, told, real, again
 ):
-    """Guards against descriptors filled by idle callers while the coordinator and all roster servers are
-    away: none was left to dial them when they were there again. The limit is what the settings tell, what
-    the system sets, or both.
+    """Idle callers that fill the descriptors while the coordinator and all servers are away leave some to
+    connect to them when they return. The limit is that of the settings, of the system, or both.
     """
 
     class Limited(Program):
@@ -88,7 +87,7 @@
         each()
     wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
     before = program.counters()
-    crowd = Crowd(program.address, 2 * min(told, real), again)
+    crowd = IdleCallers(program.address, 2 * min(told, real), again)
     wait_until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
     missed = ("server_connections_failed", "discovery_unreachable")
     wait_until(
@@ -106,16 +105,16 @@
     ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     newcomer.expect(ident, 200)
-    assert held(program) <= min(told, real)
+    assert open_descriptors(program) <= min(told, real)
     crowd.go()
     lines = Counter(line.split(".")[0] for line in program.log_text().splitlines() if " accept " in line)
     assert max(lines.values(), default=0) <= 2, "one line a second says that descriptors have run out"
 
 
-def test_a_list_longer_than_the_limit_leaves_the_door_and_callers_theirs(tmp_path, started_programs):
-    """Guards against links that take every descriptor, so that neither the door nor callers have one: so many
-    roster servers are listed, and all are there.
-    """
+def test_a_list_longer_than_the_limit_leaves_callers_and_admin_endpoint_descriptors(
+    tmp_path, started_programs
+):
+    """Server connections do not take every descriptor where so many servers are listed, and all are there."""
 
     class Limited(Program):
         descriptor_limit = 64
@@ -128,7 +127,7 @@
     started_programs.append(program)
     wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
     assert program.log_events("server_connected"), "others are reached"
-    crowd = Crowd(program.address, 64, False)
+    crowd = IdleCallers(program.address, 64, False)
     wait_until(
         lambda: crowd.came == 64 and program.counters()["connections_evicted"] > 0, "that some are evicted"
     )
@@ -136,15 +135,15 @@
     ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     wait_until(lambda: newcomer.final_statuses(ident), "an answer")
-    assert held(program) <= 64
+    assert open_descriptors(program) <= 64
     crowd.go()
     said = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
     assert 0 < max(said.values()) <= 2, "said, and not in a spin"
 
 
-def test_callers_keep_their_third_where_the_list_is_longer_than_the_limit():
-    """Guards against 1,900 roster servers, listed under a limit of 1,024, that leave callers no descriptor; a
-    list that fits leaves them what is over.
+def test_callers_keep_a_third_where_the_list_is_longer_than_the_limit():
+    """1,900 servers listed under a limit of 1,024 leave callers descriptors; a list that fits leaves them the
+    rest.
     """
     for most in (32, 64, 1024):
         short = DescriptorBudget(most, 26, 1901)
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -15,7 +15,7 @@
 
 
 def test_a_load_report_is_read_by_the_settings_names():
-    """Guards against figures taken for others; what is unknown or no number counts as missing."""
+    """No figure is taken for another; what is unknown or no number counts as missing."""
     report = parse_load_report("free:5;size:9;mean_ms:250;can_take:-1;other:3;depth:x")
     assert (
         report.free_lines,
@@ -27,14 +27,14 @@
 
 
 def test_structured_data_is_escaped():
-    """Guards against a value that ends its element early (RFC 5424, 6.3.3)."""
+    """No value ends its element early (RFC 5424, 6.3.3)."""
     text = structured_data("a@1", {"b=]c": 'x"y]z\\', "é": "é"})
     assert text == '[a@1 b__c="x\\"y\\]z\\\\" _="é"]'
     assert structured_data("a@1", {}) == "-"
 
 
 def test_a_message_has_the_form_of_rfc_5424():
-    """Guards against receivers that reject what they can't read."""
+    """Receivers can read the messages."""
     text = format_message(
         Origin("ho st", "stairhatch"), 1.5, Severity.WARNING, "link lost", {"server": "s-1"}
     )
@@ -43,7 +43,7 @@
 
 
 def test_a_log_that_nobody_reads_delays_nothing(monkeypatch):
-    """Guards against calls that wait for a terminal or a receiver: what does not fit is counted."""
+    """Calls do not wait for a terminal or a receiver: what does not fit is counted."""
     monkeypatch.setattr("stairhatch.node.event_log.MAX_QUEUED", 5)
     log = EventLog("stairhatch", "host", lambda: 1.0)
     log.close()
@@ -52,8 +52,8 @@
     assert log.suppressed >= 14
 
 
-def test_the_program_tells_its_syslog_receiver(tmp_path):
-    """Guards against an outlet that is configured and silent."""
+def test_the_program_sends_its_events_to_the_syslog_receiver(tmp_path):
+    """A configured receiver gets the events."""
     with socket.socket(type=socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(20)
@@ -67,8 +67,8 @@
         assert program.stop() == 0
 
 
-def test_a_flood_of_one_kind_of_line_is_cut_and_counted(capfd):
-    """Guards against a log that takes more of the processor than the calls, at a hostile peer's will."""
+def test_a_flood_of_one_event_is_suppressed_and_counted(capfd):
+    """The log does not take more of the processor than the calls at a hostile peer's will."""
     now = [1.0]
     log = EventLog("stairhatch", "host", lambda: now[0])
     for _ in range(500):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -38,7 +38,7 @@
 
 
 def test_no_module_reaches_one_that_reaches_it():
-    """Guards against parts that can't be understood, moved or tested without each other."""
+    """Each module can be understood, moved and tested without those that import it."""
     graph = {name: imported(name) - {"stairhatch"} for name in MODULES}
     done, path = set(), []
 
@@ -59,6 +59,6 @@
 
 @pytest.mark.parametrize("name", sorted(MODULES))
 def test_no_module_imports_from_above(name):
-    """Guards against a front below that knows one above, or a program that knows its stand-ins."""
+    """No lower layer knows a higher one, and no program the emulators of its tests."""
     for each in imported(name):
         assert layer(each) <= layer(name), f"{name} imports {each}"
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -13,7 +13,7 @@
 
 
 def test_a_server_that_rejects_at_once_does_not_draw_the_calls(make_node):
-    """Found on a quiet day: rejections within 20 ms made the full server look the least loaded."""
+    """Rejections within 20 ms do not make a full server look the least loaded."""
     node = make_node()
     full = 0
     for _ in range(100):
@@ -30,7 +30,7 @@
 
 
 def test_a_server_is_ejected_for_errors_to_calls_established_elsewhere_but_not_for_a_lone_one(make_node):
-    """A server that answers with errors at once looks the fastest of all."""
+    """A server that answers with errors at once does not pass for the fastest of all."""
     node = make_node()
     for call in (1, 2):
         assert not node.controller.endpoints[10].ejected
@@ -41,8 +41,8 @@
     assert not node.controller.endpoints[11].ejected
 
 
-def test_set_ups_that_no_server_can_use_eject_none_and_have_two_attempts_at_most(make_node):
-    """The errors to the set-ups of bad clients once ejected sound servers."""
+def test_setups_that_no_server_can_use_eject_none_and_have_two_attempts_at_most(make_node):
+    """Errors to the set-ups of bad clients do not eject sound servers."""
     node = make_node()
     for call in range(1, 20):
         (first,) = setups(node.offer())
@@ -55,7 +55,7 @@
 
 
 def test_a_busy_number_gets_trial_calls_only_and_others_go_on(make_node):
-    """Found in incident ia4b770: a rush on one number."""
+    """A rush on one busy number neither ejects servers nor holds up calls to other numbers."""
     node = make_node()
     tried = 0
     for _ in range(100):
@@ -85,7 +85,7 @@
 
 
 def test_the_last_free_lines_are_kept_for_calls_of_greater_weight(make_node):
-    """Found on a calm day on sockets (snapshot f920180d): reads took the lines that saves then lacked."""
+    """Calls of less weight do not take the lines that those of greater weight then lack."""
     node = make_node(servers=1)
     node.handle(LoadReported(10, LoadReport(free_lines=5, total_lines=100)))
     assert not setups(node.offer(class_index=0))
@@ -95,7 +95,7 @@
 
 
 def test_want_of_a_line_does_not_eject_a_server(make_node):
-    """Found on the same day: each rejection for want of a line ejected a server that was idle."""
+    """A rejection for want of a line does not eject a server whose processor is idle."""
     node = make_node(servers=1)
     node.offer(class_index=1)
     node.attempt_ended(1, 10, AttemptOutcome.REJECTED, no_free_line=True)
--- a/tests/test_overload_feedback.py
+++ b/tests/test_overload_feedback.py
@@ -8,7 +8,7 @@
 
 
 class FeedbackCaller:
-    """A caller that sends at a rate and takes what it is told, or does not."""
+    """A caller that sends at a rate and follows the feedback, or does not."""
 
     def __init__(self, feedback, obeys):
         self.feedback, self.obeys, self.chance = feedback, obeys, random.Random(5)
@@ -27,8 +27,8 @@
         return now, sent / seconds
 
 
-def test_a_caller_that_obeys_is_believed_and_one_that_lies_is_not():
-    """Guards against meeting an honest caller with its bucket, and against one that ignores `oc` for good."""
+def test_a_compliant_caller_is_believed_and_a_non_compliant_one_is_not():
+    """An honest caller is not limited as well, and one that ignores `oc` counts as compliant again later."""
     for obeys in (True, False):
         feedback = OverloadFeedback()
         caller = FeedbackCaller(feedback, obeys)
@@ -42,8 +42,8 @@
         assert not feedback.is_non_compliant("10.0.0.1")
 
 
-def test_the_figures_are_of_the_rfc():
-    """Guards against a sequence that goes back, a validity that never ends, and a rate of nothing."""
+def test_the_via_parameters_are_those_of_the_rfc():
+    """The sequence never goes back, the validity ends, and a rate is never 0."""
     feedback = OverloadFeedback()
     told = feedback.count_request("a", FeedbackAlgorithm.LOSS, 0.2, 100.0)
     first, second = feedback.via_parameters(told, 0.2, 100.0), feedback.via_parameters(told, 0.2, 99.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -38,8 +38,8 @@
 SILENT = ScriptedServer.never_answers
 
 
-def changed(raw, *path, value=None):
-    """A copy of a configuration with one part replaced, or taken out if no value is given."""
+def with_value(raw, *path, value=None):
+    """A copy of a configuration with one value replaced, or taken out if no value is given."""
     copy = json.loads(json.dumps(raw))
     part = copy
     for step in path[:-1]:
@@ -51,47 +51,49 @@
     return copy
 
 
-def class_line(name, **more):
-    """One class of the settings."""
+def class_settings(name, **more):
+    """The settings of one class."""
     return {
         "name": name, "aim_s": 1.5, "hard_limit_s": 9.0, "importance": 1.0, "late_worth": 0.25,
         "effect": "read_like", **more,
     }  # fmt: skip
 
 
-def tuned(classes, cap=6):
-    """Settings with these classes, each of which may go to both roster servers."""
+def settings_with_classes(classes, cap=6):
+    """Settings with these classes, each of which may go to both servers."""
     raw = {**SETTINGS, "classes": classes, "permissions": {**SETTINGS["permissions"], "send_cap": cap}}
     lists = {"allowed_pools": [[0, 1] for _ in classes], "call_length_s": [10.0 for _ in classes]}
     return {**raw, "family_info": {**SETTINGS["family_info"], **lists}}
 
 
-def paths(raw, at=()):
-    """All keys of a configuration but those of the events."""
+def key_paths(raw, at=()):
+    """The paths of all keys of a configuration but those within the endpoint events."""
     for name, value in raw.items():
         yield (*at, name)
         if isinstance(value, dict) and name != "known":
-            yield from paths(value, (*at, name))
+            yield from key_paths(value, (*at, name))
 
 
 NO_NUMBERS = ["NaN", "Infinity", "-Infinity", "1e999", "true", "false", '"3"', "0", "-5", "null", "[]", "{}"]
 
 
-def test_a_file_that_is_cut_short_or_lacks_a_key_or_a_number_changes_nothing(start_deployment):
-    """Guards against settings put together from half a file and the parser's defaults: each such file is
-    refused whole, with one line and a count, and what was in force stays.
+def test_a_file_that_is_cut_short_or_lacks_a_key_or_a_number_is_rejected_whole(start_deployment):
+    """No settings are put together from half a file and defaults: each such file is rejected with one log
+    line and a count, and what was in force stays.
     """
     program, _, _ = start_deployment(None, wait_until_serving=True)
     text = program.path.read_text()
     raw = json.loads(text)
     bad = ["", " ", "{}", "[]", "null", "3", text[: len(text) // 2], text[:-1]]
-    bad += [json.dumps(changed(raw, *path)) for path in paths(raw)]
-    bad += [json.dumps(changed(raw, "settings", "classes", 1, key)) for key in raw["settings"]["classes"][1]]
+    bad += [json.dumps(with_value(raw, *path)) for path in key_paths(raw)]
+    bad += [
+        json.dumps(with_value(raw, "settings", "classes", 1, key)) for key in raw["settings"]["classes"][1]
+    ]
     bad.append(text.replace('"save-roster"', '"read-roster"'))  # two of one name
-    bad.append(json.dumps(changed(raw, "settings", "classes", value=[])))
-    bad.append(json.dumps(changed(raw, "settings", "family_info", "allowed_pools", value=[[0, 1]])))
+    bad.append(json.dumps(with_value(raw, "settings", "classes", value=[])))
+    bad.append(json.dumps(with_value(raw, "settings", "family_info", "allowed_pools", value=[[0, 1]])))
     for name, path in (("1.75", ("classes", 0, "hard_limit_s")), ("77", ("permissions", "send_cap"))):
-        marked = json.dumps(changed(raw, "settings", *path, value=json.loads(name)))
+        marked = json.dumps(with_value(raw, "settings", *path, value=json.loads(name)))
         bad += [marked.replace(name, number) for number in NO_NUMBERS]
     for index, each in enumerate(bad):
         assert program.reload(each)["result"] == "rejected", each
@@ -99,15 +101,15 @@
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, "save-roster", answer_within_ms=9000)
     caller.expect(ident, 200)
-    line = program.reload(json.dumps(changed(raw, "settings", "classes", 0, "hard_limit_s", value=8)))
+    line = program.reload(json.dumps(with_value(raw, "settings", "classes", 0, "hard_limit_s", value=8)))
     assert (line["result"], line["settings"], line["restart_required"]) == ("applied", "new", "-")
     program.stop()
     counted = program.log_events("counters")[-1]
     assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(bad)), "1")
 
 
-def test_the_appliances_file_is_held_to_the_same(start_deployment):
-    """Guards against a small site's file that is cut short by an editor, or mistyped."""
+def test_the_appliances_file_is_rejected_whole_as_well(start_deployment):
+    """A small site's file that was cut short by an editor, or mistyped, changes nothing."""
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     text = program.path.read_text()
     limit, cap = "hard_limit_s = 9.0             #", "send_cap = 6"
@@ -135,16 +137,16 @@
 
 
 def test_a_class_is_added_and_another_removed_under_open_calls(start_deployment):
-    """Guards against classes told by their place: an open call stays what it was, callers may name the old
-    class for a while, and then it is one that does not exist.
+    """Classes are told apart by name: an open call keeps its class, callers may name a removed one for a
+    while, and then it is unknown.
     """
     program, _, (server, _) = start_deployment(SILENT, SILENT, wait_until_serving=True)
     raw = json.loads(program.path.read_text())
     caller, open_one = program.caller(), next_call_id()
     caller.invite(open_one, "save-roster", answer_within_ms=9000)
     wait_until(lambda: server.messages("START"))
-    new = [class_line("night-roster"), class_line("read-roster", effect="keyed")]
-    line = program.reload(json.dumps({**raw, "settings": tuned(new, cap=1)}))
+    new = [class_settings("night-roster"), class_settings("read-roster", effect="keyed")]
+    line = program.reload(json.dumps({**raw, "settings": settings_with_classes(new, cap=1)}))
     assert (line["added"], line["removed"], line["restart_required"]) == ("night-roster", "save-roster", "-")
     server.script = ScriptedServer.establishes
     for kind in ("night-roster", "read-roster", "save-roster"):
@@ -168,13 +170,13 @@
 
 
 def test_open_calls_keep_their_class_and_their_attempts():
-    """Guards against a call whose rules change, or that is lost, while it is open."""
+    """The rules of a call do not change, and it is not lost, while it is open."""
     inside = InProcessNode()
     connection = PlatformFrontend(inside.core).connect()
     connection.receive_data(platform_invite(old := next_call_id(), "save-roster", "9000"))
     kept = inside.core.calls.by_ident[old].request.call_class
-    lines = [class_line("read-roster", effect="keyed", hard_limit_s=4.0)]
-    inside.core.update_settings(settings_from_object(tuned(lines, cap=1)).settings)
+    lines = [class_settings("read-roster", effect="keyed", hard_limit_s=4.0)]
+    inside.core.update_settings(settings_from_object(settings_with_classes(lines, cap=1)).settings)
     connection.receive_data(platform_invite(new := next_call_id()))
     call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
     assert inside.core.controller.settings is inside.core.settings
@@ -193,12 +195,14 @@
     assert old in inside.core.calls.by_ident
 
 
-def test_callers_may_name_an_old_class_or_wait_its_time_for_a_while():
-    """Guards against calls turned away that left before their caller heard of the new settings."""
+def test_callers_may_name_a_former_class_or_its_deadline_for_a_while():
+    """Calls are not refused that left before their caller knew of the new settings."""
     inside = InProcessNode()
     connection = PlatformFrontend(inside.core).connect()
     inside.core.update_settings(
-        settings_from_object(tuned([class_line("read-roster", hard_limit_s=2.0)])).settings
+        settings_from_object(
+            settings_with_classes([class_settings("read-roster", hard_limit_s=2.0)])
+        ).settings
     )
     inside.run(1.3)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
@@ -211,7 +215,7 @@
 
 
 def test_settings_are_swapped_in_one_step_and_what_was_learnt_stays(make_node):
-    """Guards against figures derived from settings that are no more, and against learning all anew."""
+    """No figure derived from former settings stays, but what was learnt of servers and callers does."""
     node = make_node()
     controller = node.controller
     for _ in range(50):
@@ -234,8 +238,8 @@
     }, "by its name, and in proportion"
 
 
-def test_a_reload_while_the_coordinator_is_dialled_goes_to_the_new_one():
-    """Guards against a softswitch that stays with the old coordinator, which it was just about to reach."""
+def test_a_reload_while_connecting_to_the_coordinator_switches_to_the_new_one():
+    """The softswitch does not stay with the old coordinator that it was just about to reach."""
 
     async def story():
         inside, asked, ends = InProcessNode(), [], []
@@ -263,13 +267,12 @@
 
 
 @pytest.mark.parametrize("ignored", [False, True], ids=["as started by hand", "as the deploy file starts it"])
-def test_a_reload_that_crosses_the_start_is_carried_out(tmp_path, ignored):
-    """Guards against a softswitch that follows a coordinator that is no more: SIGHUP came when its first
-    configuration had been read and its own handler did not stand yet. The file is a pipe: the program is
-    known to be reading it when the signal goes.
+def test_a_reload_that_comes_during_the_start_is_carried_out(tmp_path, ignored):
+    """A SIGHUP counts that comes when the first configuration has been read and the program's own handler is
+    not installed yet. The file is a pipe: the program is known to be reading it when the signal goes.
     """
     old, new = ScriptedCoordinator(), ScriptedCoordinator(endpoint_entry("s-31", ScriptedServer().port, 31))
-    while (program := reloaded_at_its_start(tmp_path, ignored, old, new)) is None:
+    while (program := start_and_reload(tmp_path, ignored, old, new)) is None:
         pass  # something else has taken its port
     try:
         assert program.log_events("reload")[0]["coordinator"].endswith(f":{new.port}")
@@ -278,7 +281,7 @@
         program.kill()
 
 
-def reloaded_at_its_start(folder, ignored, old, new):
+def start_and_reload(folder, ignored, old, new):
     """A program that was sent SIGHUP as it read its configuration; None if its port was taken meanwhile."""
     port, door = free_port(), free_port()
     path, later = folder / "config.json", folder / "later.json"
@@ -302,8 +305,8 @@
     return None if "can't listen" in program.log_text() else program
 
 
-def test_nothing_of_the_old_settings_is_left_after_a_reload(start_unusual):
-    """Guards against another customer's figures: other classes, pause and most attempts hold at once."""
+def test_no_former_setting_holds_after_a_reload(start_unusual):
+    """Other classes, another retry pause and another most attempts hold at once."""
     program, _, (server,) = start_unusual(RESET)
     caller, ident = place_call(program, "platform")
     wait_until(lambda: caller.final_statuses(ident))
@@ -323,8 +326,8 @@
     assert all(b - a >= 0.83 for a, b in pairwise(times))
 
 
-def test_a_reload_moves_to_the_new_coordinator_and_keeps_the_number(start_deployment):
-    """Guards against a softswitch that ends on SIGHUP, stays with the old coordinator or begins anew."""
+def test_a_reload_switches_to_the_new_coordinator_and_keeps_the_event_index(start_deployment):
+    """A softswitch neither ends on SIGHUP, stays with the old coordinator, nor begins its list anew."""
     program, old, (server,) = start_deployment(None)
     other = ScriptedServer()
     new = ScriptedCoordinator()
@@ -344,8 +347,8 @@
 
 
 @pytest.mark.parametrize("change", ["{", {"coordinator": "nowhere"}, {"settings": {}}, {"known": ODD}])
-def test_a_configuration_that_cannot_be_used_changes_nothing(start_deployment, change):
-    """Guards against one mistyped file taking down what serves."""
+def test_an_unusable_configuration_changes_nothing(start_deployment, change):
+    """One mistyped file does not take down what serves."""
     program, coordinator, (server,) = start_deployment(None)
     text = program.path.read_text()
     bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
@@ -359,8 +362,8 @@
     assert program.reload(text)["result"] == "applied"
 
 
-def test_a_reload_says_what_wants_a_restart(start_deployment):
-    """Guards against an operator who believes that a change has been taken over."""
+def test_a_reload_reports_what_requires_a_restart(start_deployment):
+    """An operator is told which changes have not been applied."""
     program, _, _ = start_deployment(None)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
@@ -369,7 +372,7 @@
 
 
 def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, start_deployment):
-    """Guards against a small site that must end its calls to change a prefix or a roster server."""
+    """A small site changes a prefix or a server without ending its calls."""
     one, two = ScriptedServer(), ScriptedServer()
     program = Program.as_appliance(tmp_path, one, one)
     start_deployment.programs.append(program)
--- a/tests/test_safety_rules.py
+++ b/tests/test_safety_rules.py
@@ -63,7 +63,7 @@
 
 
 def test_a_call_with_no_time_left_is_answered_in_the_same_instant(make_node):
-    """Found on a day of stalling nodes (and in incident i5e8f99): calls found late, all in one batch."""
+    """Calls that a stalled node finds late, all in one batch, are answered at once."""
     node = make_node(servers=0)
     node.offer(caller_timeout_s=3.0)
     assert len(final_answers(node.offer(caller_timeout_s=0.0))) == 1
@@ -114,7 +114,7 @@
     assert node.now - ended_at >= SETTINGS.safety.retry_pause_s
 
 
-def test_a_rejected_set_up_goes_elsewhere_without_a_pause(make_node):
+def test_a_rejected_setup_goes_elsewhere_without_a_pause(make_node):
     node = make_node()
     node.offer()
     assert [s.server_id for s in setups(node.attempt_ended(1, 10, AttemptOutcome.REJECTED))] == [11]
@@ -147,7 +147,7 @@
 
 
 def test_a_rejected_caller_is_told_when_to_retry(make_node):
-    """Retries at once would swell the load behind the throttle. The times are spread, and within bounds."""
+    """Immediate retries would swell the load behind the throttle. The times are spread, and within bounds."""
     told = set()
     for seed in range(20):
         node = make_node(servers=0, seed=seed, settings=replace(SETTINGS, max_retry_after_s=2.0))
--- a/tests/test_scope_connections.py
+++ b/tests/test_scope_connections.py
@@ -12,49 +12,48 @@
     Availability,
 )
 
-from .support.scope_simulation import kind, scoped, settings_of
+from .support.recording_session import RecordingSession
+from .support.scope_simulation import call_class, scoped_controller, settings_with
 
 
-class Heard:
-    """A caller that keeps what it is told."""
-
-    def __init__(self):
-        self.told = []
-
-    def __getattr__(self, name):
-        return lambda *_arguments: self.told.append(name)
-
-
-class Linked:
-    """Core, scoped decisions and the roster side, with a clock set by hand and links that only record."""
+class ScopedNode:
+    """A call manager with scoped decisions and its server connection pool, with a clock set by hand and
+    connections that only record.
+    """
 
     def __init__(self, *classes):
-        self.now, self.dialled, self.calls = 1000.0, [], 0
-        settings = settings_of(*classes)
-        self.scoped = scoped(settings, idle_s=4.0)
-        self.scoped.on_scope_changed = self.changed
+        self.now = 1000.0
+        self.opened = []
+        self.calls = 0
+        settings = settings_with(*classes)
+        self.scoped = scoped_controller(settings, idle_s=4.0)
+        self.scoped.on_scope_changed = self.scope_changed
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
         self.core.servers.in_scope = self.scoped.in_scope
-        self.side = ServerConnectionPool(self.core, self.dialled.append)
+        self.pool = ServerConnectionPool(self.core, self.opened.append)
         self.core.readiness.list_known = self.core.readiness.listening = True
 
-    def changed(self, _numbers, _classes, _came):
+    def scope_changed(self, _numbers, _classes, _came):
+        """The servers of a set came into scope or left it."""
         for server in list(self.core.servers.by_id.values()):
-            self.side.record_changed(server)
+            self.pool.record_changed(server)
 
-    def listing(self, name, number, standing=Availability.READY):
-        self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, standing)], complete=False)
+    def list_server(self, name, number, availability=Availability.READY):
+        """A server is listed, or its entry changes."""
+        self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, availability)], complete=False)
 
-    def offer(self, what):
+    def offer(self, wanted):
+        """A call of a class; returns it and its caller's session."""
         self.calls += 1
-        caller = Heard()
-        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", what, "7", "d", 5.0), caller)
+        caller = RecordingSession()
+        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", wanted, "7", "d", 5.0), caller)
         return call, caller
 
     def run(self, seconds):
+        """Let time pass, timer by timer."""
         end = self.now + seconds
         while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -62,94 +61,98 @@
         self.now = end
 
 
-def test_a_link_stays_until_the_call_that_stands_there_is_over():
-    """Guards against a release that finds no link, and the end of a call that comes on one that is gone: its
-    set leaves while it stands, and its server moves to a service that nobody here asks for.
+def test_a_connection_stays_until_the_call_established_there_is_released():
+    """A release finds a connection, and that of the server comes on one that is still there: the call's set
+    leaves while it is established, and its server moves to a service that nobody here asks for.
     """
-    a, b = kind("a", 1, 2), kind("b", 3)
-    inside = Linked(a, b)
+    a, b = call_class("a", 1, 2), call_class("b", 3)
+    node = ScopedNode(a, b)
     for name, number in (("x", 1), ("y", 2), ("z", 3)):
-        inside.listing(name, number)
-    assert not inside.dialled
-    assert inside.core.readiness.startup_health().is_ready, "it waits for what is out of scope"
-    call, caller = inside.offer(a)
-    assert [link.server.record.instance for link in inside.dialled] == ["x", "y"]
-    for link in inside.dialled:
-        link.connection_made()
-    link = inside.side.active[call.attempt.server.id]
-    assert b'"START"' in link.data_to_send()
-    link.receive_data(b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode())
-    assert caller.told == ["established"]
-    other = next(each for each in inside.dialled if each is not link)
-    inside.run(30)
-    assert not inside.scoped.sets.by_numbers
-    assert inside.core.counters.counts["calls_offered"] == 1
+        node.list_server(name, number)
+    assert not node.opened
+    assert node.core.readiness.startup_health().is_ready, "it waits for what is out of scope"
+    call, caller = node.offer(a)
+    assert [server_connection.server.record.instance for server_connection in node.opened] == ["x", "y"]
+    for server_connection in node.opened:
+        server_connection.connection_made()
+    server_connection = node.pool.active[call.attempt.server.id]
+    assert b'"START"' in server_connection.data_to_send()
+    server_connection.receive_data(
+        b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode()
+    )
+    assert caller.events == ["established"]
+    other = next(each for each in node.opened if each is not server_connection)
+    node.run(30)
+    assert not node.scoped.sets.by_numbers
+    assert node.core.counters.counts["calls_offered"] == 1
     assert other.can_close()
-    assert not link.draining
-    assert not link.can_close()
-    inside.listing(link.server.record.instance, 3)  # to another service, which is out of scope as well
-    inside.run(30)
-    assert not link.draining
-    assert not link.can_close()
-    inside.core.release(call, 16)
-    assert not link.can_close(), "the release has not been written"
-    assert b'"FINISH"' in link.data_to_send()
-    inside.run(5)
-    assert link.draining
-    assert link.can_close()
-    for each in (link, other):
+    assert not server_connection.draining
+    assert not server_connection.can_close()
+    node.list_server(
+        server_connection.server.record.instance, 3
+    )  # to another service, which is out of scope as well
+    node.run(30)
+    assert not server_connection.draining
+    assert not server_connection.can_close()
+    node.core.release(call, 16)
+    assert not server_connection.can_close(), "the release has not been written"
+    assert b'"FINISH"' in server_connection.data_to_send()
+    node.run(5)
+    assert server_connection.draining
+    assert server_connection.can_close()
+    for each in (server_connection, other):
         each.pool.remove(each)
-    assert not inside.side.active
-    assert not inside.side.draining
-    assert len(inside.dialled) == 2
-    inside.offer(b)
-    at_three = [each.server.record.instance for each in inside.dialled[2:]]
-    assert sorted(at_three) == sorted([link.server.record.instance, "z"])
-
-
-def test_a_set_that_comes_back_while_its_links_end_has_links():
-    """Guards against a call that waits for a link that was given up a moment before."""
-    a, b = kind("a", 1), kind("b", 2)
-    inside = Linked(a, b)
-    inside.listing("x", 1)
-    inside.listing("z", 2)
-    call, _ = inside.offer(a)
-    link = inside.dialled[0]
-    link.connection_made()
+    assert not node.pool.active
+    assert not node.pool.draining
+    assert len(node.opened) == 2
+    node.offer(b)
+    at_three = [each.server.record.instance for each in node.opened[2:]]
+    assert sorted(at_three) == sorted([server_connection.server.record.instance, "z"])
+
+
+def test_a_set_that_comes_back_while_its_connections_close_has_connections():
+    """A call does not wait for a connection that was given up a moment before."""
+    a, b = call_class("a", 1), call_class("b", 2)
+    node = ScopedNode(a, b)
+    node.list_server("x", 1)
+    node.list_server("z", 2)
+    call, _ = node.offer(a)
+    server_connection = node.opened[0]
+    server_connection.connection_made()
 
     def leaves(call):
-        assert b'"START"' in link.data_to_send()
-        inside.core.abandon(call)
-        assert b'"FINISH"' in link.data_to_send()
-        link.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
+        assert b'"START"' in server_connection.data_to_send()
+        node.core.abandon(call)
+        assert b'"FINISH"' in server_connection.data_to_send()
+        server_connection.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
     leaves(call)
-    inside.run(20)
-    assert link.draining
-    assert not inside.scoped.sets.by_numbers
-    call, _ = inside.offer(a)
-    assert not link.draining
+    node.run(20)
+    assert server_connection.draining
+    assert not node.scoped.sets.by_numbers
+    call, _ = node.offer(a)
+    assert not server_connection.draining
     leaves(call)
-    inside.run(20)
-    assert link.draining
-    link.pool.remove(link)  # its connection has ended
-    assert len(inside.dialled) == 1
-    call, _ = inside.offer(a)
-    assert len(inside.dialled) == 2
+    node.run(20)
+    assert server_connection.draining
+    server_connection.pool.remove(server_connection)  # its connection has ended
+    assert len(node.opened) == 1
+    call, _ = node.offer(a)
+    assert len(node.opened) == 2
     assert call.attempt.server.record.instance == "x"
 
 
 def test_a_server_that_goes_without_ever_having_been_in_scope_is_forgotten():
-    """Guards against a record for each server that ever was, in lists of thousands that change daily."""
-    inside = Linked(kind("a", 1), kind("b", 2))
-    inside.listing("x", 1)
-    inside.listing("z", 2)
-    inside.offer(kind("a", 1))
-    inside.listing("z", 2, Availability.GONE)
-    inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
-    assert list(inside.scoped.sets.listed.by_id) == [1]
-    inside.listing("z", 2)
-    inside.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
-    inside.run(0.1)
-    assert [s.record.instance for s in inside.core.servers.by_id.values()] == ["x"]
+    """Lists of thousands that change daily leave no record of each server that ever was."""
+    node = ScopedNode(call_class("a", 1), call_class("b", 2))
+    node.list_server("x", 1)
+    node.list_server("z", 2)
+    node.offer(call_class("a", 1))
+    node.list_server("z", 2, Availability.GONE)
+    node.run(0.1)
+    assert [s.record.instance for s in node.core.servers.by_id.values()] == ["x"]
+    assert list(node.scoped.sets.listed.by_id) == [1]
+    node.list_server("z", 2)
+    node.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
+    node.run(0.1)
+    assert [s.record.instance for s in node.core.servers.by_id.values()] == ["x"]
--- a/tests/test_scope_settings.py
+++ b/tests/test_scope_settings.py
@@ -16,35 +16,35 @@
 from stairhatch.scope.controller import IDLE_TIMER_ID
 
 from .support.paths import ROOT
-from .support.scope_simulation import World, kind, line, scoped, settings_of
+from .support.scope_simulation import ScopeSimulation, call_class, endpoint, scoped_controller, settings_with
 
-A, B, C = kind("a", 0, 1, 2), kind("b", 3, 4), kind("c", 5, 6, priority_weight=2.0)
+A, B, C = call_class("a", 0, 1, 2), call_class("b", 3, 4), call_class("c", 5, 6, priority_weight=2.0)
 RETUNES = {
-    "two merge": (kind("a", 0, 1, 2, 3), B, C),
-    "one falls apart": (kind("a", 0), kind("d", 1, 2), B, C),
-    "a class moves": (A, kind("b", 5), C),
+    "two merge": (call_class("a", 0, 1, 2, 3), B, C),
+    "one falls apart": (call_class("a", 0), call_class("d", 1, 2), B, C),
+    "a class moves": (A, call_class("b", 5), C),
     "a class goes": (A, C),
-    "a class goes and its servers to another": (kind("a", 0, 1, 2, 4), C),
-    "all become one": (A, B, C, kind("any")),
+    "a class goes and its servers to another": (call_class("a", 0, 1, 2, 4), C),
+    "all become one": (A, B, C, call_class("any")),
     "nowhere": (A, CallClass("b", allowed_servers=()), C),
-    "all change places": (kind("a", 5, 3), kind("b", 0), kind("c", 1, 2, 4, 6)),
+    "all change places": (call_class("a", 5, 3), call_class("b", 0), call_class("c", 1, 2, 4, 6)),
     "the same": (A, B, C),
 }
 
 
 @pytest.mark.parametrize("there_and_back", [False, True], ids=["there", "there and back"])
 @pytest.mark.parametrize("name", RETUNES)
-def test_other_settings_move_classes_with_all_that_is_under_way(name, there_and_back):
-    """Guards against calls that are answered twice or never where sets merge and fall apart over them,
-    against set-ups that stay unanswered for good, and against learning anew what was known. Servers are slow,
-    so that calls wait, and set-ups are out, at the very moment; both are counted.
+def test_other_settings_move_classes_with_all_their_calls_and_setups(name, there_and_back):
+    """No call is answered twice or never where sets merge and divide over it, no set-up stays pending for
+    good, and what was known is not learnt anew. Servers are slow, so that calls are pending and set-ups are
+    out at the very moment; both are counted.
     """
-    before = settings_of(A, B, C, instance_count=3, instance_index=1)
+    before = settings_with(A, B, C, instance_count=3, instance_index=1)
     after = replace(before, classes=RETUNES[name])
-    decisions = scoped(before, idle_s=8.0)
-    world = World(decisions, slow_s=0.5)
-    world.listed(*(line(n + 10, n) for n in range(7)))
-    world.busy(6, 60, [A, B, C])
+    decisions = scoped_controller(before, idle_s=8.0)
+    simulation = ScopeSimulation(decisions, slow_s=0.5)
+    simulation.update_endpoints(*(endpoint(n + 10, n) for n in range(7)))
+    simulation.offer_at_random(6, 60, [A, B, C])
     for number, settings in enumerate([after, before] if there_and_back else [after]):
         waiting = {call for each in decisions.sets.by_numbers.values() for call in each.controller.pending}
         open_ones = {call for each in decisions.sets.by_numbers.values() for call in each.controller.calls}
@@ -58,37 +58,37 @@
         assert {call for each in in_scope for call in each.controller.pending} == waiting
         assert set(decisions.owners) == open_ones
         assert all(decisions.owners[call] in in_scope for call in open_ones)
-        kept = [server for server in known if decisions.in_scope(world.number_of[server])]
+        kept = [server for server in known if decisions.in_scope(simulation.number_of[server])]
         assert kept, "nothing that was known is in scope"
         for server in kept:
             seen = decisions.endpoints[server]
             assert (seen, seen.concurrency_limit) == known[server], "learnt anew"
         # The old classes live on for callers who have not heard of the new ones.
-        world.busy(1.5, 30, [*before.classes, *after.classes], f"both{number}")
-        world.busy(2, 30, settings.classes, f"new{number}")
-    world.finish()
-    for at, call, server in world.sent:
-        pools = world.kinds[call].allowed_servers
-        assert pools is None or world.number_of[server] in pools, (at, call, server)
-    world.run(world.now + 20)
-    world.tell(CallAbandoned(0))
+        simulation.offer_at_random(1.5, 30, [*before.classes, *after.classes], f"both{number}")
+        simulation.offer_at_random(2, 30, settings.classes, f"new{number}")
+    simulation.finish()
+    for at, call, server in simulation.sent:
+        pools = simulation.classes[call].allowed_servers
+        assert pools is None or simulation.number_of[server] in pools, (at, call, server)
+    simulation.run(simulation.now + 20)
+    simulation.handle(CallAbandoned(0))
     assert not decisions.sets.by_numbers, "sets that nobody uses stay"
     assert not decisions.owners, "sets that nobody uses stay"
 
 
-def test_a_set_made_of_two_keeps_one_timer_and_of_one_made_of_two_each_is_woken():
-    """Guards against timers that multiply with each reload, and calls that wait with none."""
-    one, two = settings_of(kind("a", 1, 2)), settings_of(kind("a", 1), kind("b", 2))
-    decisions = scoped(two)
-    world = World(decisions)
+def test_sets_that_merge_and_divide_keep_one_timer_each():
+    """Timers do not multiply with each reload, and no pending call is without one."""
+    one, two = settings_with(call_class("a", 1, 2)), settings_with(call_class("a", 1), call_class("b", 2))
+    decisions = scoped_controller(two)
+    simulation = ScopeSimulation(decisions)
     for turn in range(6):
         for each in decisions.settings.classes:
-            world.offer(each, grace_s=60.0)
+            simulation.offer(each, caller_timeout_s=60.0)
         decisions.update_settings(one if turn % 2 == 0 else two)
-        world.run(world.now + 0.5)
-        out = sum(world.timers[label] for label in world.timers if label != IDLE_TIMER_ID)
+        simulation.run(simulation.now + 0.5)
+        out = sum(simulation.timers[label] for label in simulation.timers if label != IDLE_TIMER_ID)
         assert out == len([each for each in decisions.sets.by_numbers.values() if each.controller.pending])
-    world.finish()
+    simulation.finish()
 
 
 TEXT = (ROOT / "deploy" / "sip.toml").read_text()
@@ -109,16 +109,16 @@
         ('services = [{ classes = ["x"], share = 1 }]', r"scope\.services\[0\]\.share: unknown key"),
     ],
 )  # fmt: skip
-def test_a_scope_that_cannot_be_used_is_named(more, complaint):
-    """Guards against a divisor that takes a default without a word: cold servers are pushed over by that."""
+def test_an_unusable_scope_is_named(more, complaint):
+    """No divisor takes a default without a word, by which warming servers would be overloaded."""
     with pytest.raises(ConfigError, match=complaint):
         parse_appliance(f"{TEXT}\n[scope]\n{more}\n", "x.toml", {})
 
 
-def test_a_scope_as_it_is_read():
-    """Guards against keys that are checked and lost, and a table that counts where it does not stand."""
+def test_a_scope_is_read_as_it_is_given():
+    """No key is checked and then lost, and a missing table is no scope."""
     assert parse_appliance(TEXT, "x.toml", {}).scope is None
     assert parse_appliance(f"{TEXT}\n[scope]\n", "x.toml", {}).scope == ScopeConfig()
     both = '{ classes = ["read-roster", "save-roster"], softswitches = 1, keep = true }'
-    told = parse_appliance(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
-    assert told == ScopeConfig(5.0, (ServiceConfig(("read-roster", "save-roster"), 1, -1, True),))
+    scope = parse_appliance(f"{TEXT}\n[scope]\nidle_s = 5\nservices = [{both}]\n", "x.toml", {}).scope
+    assert scope == ScopeConfig(5.0, (ServiceConfig(("read-roster", "save-roster"), 1, -1, True),))
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -43,8 +43,8 @@
     ],
     ids=["bytes", "without end", "tag", "no blob", "surrogate", "figure", "deep"],
 )
-def test_a_spoilt_answer_ends_its_link_and_all_its_set_ups_go_on(start_deployment, noise):
-    """Guards against set-ups that wait for answers on a link that can't be read any more."""
+def test_a_malformed_answer_closes_its_connection_and_all_its_setups_are_retried(start_deployment, noise):
+    """No set-up waits for an answer on a connection that can't be read any more."""
     program, _, (server,) = start_deployment(SILENT)
 
     def spoil(_message, _send):
@@ -62,9 +62,9 @@
     assert len(server.connections) == 2, "a new link, and only one"
 
 
-def test_a_link_cut_off_without_a_word_is_found_out_and_its_set_ups_go_on(start_deployment):
-    """Guards against a connection that stays open and silent: all set-ups went there and none came back, for
-    the rest of the day (rate+silent+leave). What was released there is released again.
+def test_a_silently_cut_connection_is_found_out_and_its_setups_are_retried(start_deployment):
+    """A connection that stays open and silent does not take set-ups for good, and what was released on it is
+    released again.
     """
     program, _, (server,) = start_deployment(None)
     caller, standing, waiting = program.caller(), next_call_id(), next_call_id()
@@ -90,8 +90,8 @@
     wait_until(lambda: len(server.connections) >= 3, "a link for what was released on the dead one")
 
 
-def test_a_link_that_is_merely_slow_keeps_its_set_ups(start_deployment):
-    """Guards against set-ups given up at a server that takes its time but is heard on the same link."""
+def test_a_connection_that_is_merely_slow_keeps_its_setups(start_deployment):
+    """Set-ups are not given up at a server that takes its time but is heard on the same connection."""
     program, _, (server,) = start_deployment(SILENT)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -106,8 +106,10 @@
     assert not program.log_events("server_connection_dead")
 
 
-def a_link(now):
-    """A link to a listed server, connected, and what the driver was asked to end."""
+def connected_server(now):
+    """A call manager with one connected server, its pool, the connection, and when the network was asked to
+    abort it.
+    """
     core = CallManager(
         settings_from_object(SETTINGS).settings,
         random.Random(1),
@@ -123,12 +125,12 @@
     return core, side, links[0], aborted
 
 
-def test_a_link_that_falls_silent_again_is_doubted_as_soon_as_the_first():
-    """Guards against a doubt that was right and makes the next one wait: a server whose connections were cut
-    off one after the other was left without set-ups for 3 s (incident r4106c7).
+def test_a_connection_that_falls_silent_again_is_suspected_as_soon_as_the_first():
+    """A suspicion that was right does not delay the next one: a server whose connections were cut one after
+    the other was once left without set-ups for 3 s.
     """
     now = [1000.0]
-    core, side, _, _ = a_link(now)
+    core, side, _, _ = connected_server(now)
     caller = PlatformFrontend(core).connect()
 
     def silent_until_doubted():
@@ -163,8 +165,8 @@
         assert silent_until_doubted() < first + 0.2
 
 
-def asked(core, side, now, within="9000"):
-    """A call whose set-up has been written on the link in use."""
+def offer_written_call(core, side, now, within="9000"):
+    """A call whose set-up has been written on the connection in use; returns its id."""
     caller, ident = PlatformFrontend(core).connect(), next_call_id()
     caller.receive_data(platform_invite(ident, answer_within_ms=within))
     for _ in range(100):
@@ -184,13 +186,11 @@
 
 
 @pytest.mark.parametrize("ends", ["by the server", "by the caller"])
-def test_a_link_passed_over_is_read_while_calls_stand_that_were_set_up_on_it(ends):
-    """Guards against ends of calls told to nobody: a call ended as its link, passed over 10 s before,
-    was closed, and no other was opened on which its end would have come again (calm+mass, 9dfed0e6).
-    """
+def test_a_superseded_connection_is_read_while_calls_set_up_on_it_are_established(ends):
+    """A release is not lost with a connection that was superseded before it came."""
     now = [1000.0]
-    core, side, old, _ = a_link(now)
-    ident = asked(core, side, now, within="13000")
+    core, side, old, _ = connected_server(now)
+    ident = offer_written_call(core, side, now, within="13000")
     pass_time(core, now, 0.6)
     side.standby[1].connection_made()
     assert side.superseded == [old]
@@ -208,13 +208,11 @@
     assert old.can_close()
 
 
-def test_a_link_passed_over_that_breaks_under_calls_is_followed_by_another():
-    """Guards against an end of a call that was under way on it when it broke, and came nowhere else: the
-    server sends it again on the next connection that is opened, and none was.
-    """
+def test_a_superseded_connection_that_breaks_under_calls_is_followed_by_another():
+    """A release that was under way on it comes again on the next connection, so that one has to be opened."""
     now = [1000.0]
-    core, side, old, _ = a_link(now)
-    ident = asked(core, side, now, within="13000")
+    core, side, old, _ = connected_server(now)
+    ident = offer_written_call(core, side, now, within="13000")
     pass_time(core, now, 0.6)
     side.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
@@ -227,16 +225,16 @@
     assert side.standby, "another is dialled"
 
 
-def test_of_links_kept_for_calls_the_oldest_ends_before_another_is_opened():
-    """Guards against links without number to a server that falls silent again and again, and against one
-    ended after the next was opened, so that what was sent on it comes nowhere.
+def test_of_connections_kept_for_calls_the_oldest_closes_before_another_opens():
+    """Connections to a server that falls silent again and again are bounded, and one closes before the next
+    opens, so that what was sent on it comes there.
     """
     now = [1000.0]
-    core, side, _, _ = a_link(now)
+    core, side, _, _ = connected_server(now)
     for _ in range(6):
         link = side.active[1]
         link.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
-        ident = asked(core, side, now)
+        ident = offer_written_call(core, side, now)
         link.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
         side.dial_standby(link)
         for each in [
@@ -249,19 +247,19 @@
 
 
 @pytest.mark.parametrize(("started", "ends"), [(999.9, False), (1004.0, True)])
-def test_a_link_from_before_a_servers_start_is_ended(started, ends):
-    """Guards against a machine that vanished and came back: the old connection stays silent for good."""
+def test_a_connection_from_before_its_servers_start_is_aborted(started, ends):
+    """A machine that vanished and came back leaves the old connection silent for good."""
     now = [1000.0]
-    core, _, _, aborted = a_link(now)
+    core, _, _, aborted = connected_server(now)
     now[0] = 1010.0
     core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
     assert bool(aborted) is ends
 
 
-def test_a_link_to_a_vanished_server_does_not_stay_for_what_it_cannot_write():
-    """Guards against a connection and its releases kept for good for a machine that is gone."""
+def test_a_connection_to_a_server_that_is_gone_is_not_kept_for_what_it_cannot_write():
+    """No connection and its releases are kept for good for a machine that is gone."""
     now = [1000.0]
-    core, side, link, aborted = a_link(now)
+    core, side, link, aborted = connected_server(now)
     side.send_release(link.server, "00000000005e0001", 16)
     core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
     assert not link.can_close()
@@ -271,9 +269,9 @@
     assert link.can_close()
 
 
-def test_a_silent_link_is_doubted_though_its_set_ups_are_given_up_early():
-    """Guards against a link that was cut off without a word and is used for 4.7 s: each set-up on it was
-    given up before it had been open long enough to make it suspect (pieces+silent+leave, snapshot 2875ccb7).
+def test_a_silent_connection_is_suspected_though_its_setups_are_given_up_early():
+    """A silently cut connection is not used on because each set-up on it is given up before it is old enough
+    to make it suspect; one was once used for 4.7 s.
     """
     inside, links = InProcessNode(), []
     side = ServerConnectionPool(inside.core, links.append)
@@ -292,9 +290,9 @@
     assert not links[0].pending_setups
 
 
-def test_a_second_link_that_says_nothing_at_all_is_doubted_at_once():
-    """Guards against links cut off one after the other as they come up, each used for twice as long as the
-    one before: 6 s without set-ups at that server (pieces+silent+leave, snapshot ee1e40c6).
+def test_a_second_connection_that_says_nothing_at_all_is_suspected_at_once():
+    """Connections that are cut one after the other as they come up are not each used for twice as long as the
+    one before.
     """
     inside, links = InProcessNode(), []
     side = ServerConnectionPool(inside.core, links.append)
@@ -313,9 +311,9 @@
 
 
 @pytest.mark.parametrize("answers", [True, False], ids=["it came up", "it did not"])
-def test_a_dial_that_came_up_while_the_process_stood_still_is_no_failed_one(answers):
-    """Guards against a link held for unreached, and its server for cold, since the loop carries out the
-    dial's time limit, due by then, before it looks at the socket. One that did not come up fails as before.
+def test_a_connect_that_succeeded_while_the_process_stood_still_has_not_failed(answers):
+    """The loop carries out the connect's timeout, due by then, before it looks at the socket: the connect
+    counts all the same. One that did not succeed fails.
     """
     stuck = None if answers else FullListener()
     server = ScriptedServer() if answers else stuck
--- a/tests/test_service_discovery.py
+++ b/tests/test_service_discovery.py
@@ -26,9 +26,9 @@
 
 
 @pytest.mark.parametrize("spoil", ["break", "stop"])
-def test_an_answer_cut_short_is_asked_for_again(start_deployment, spoil):
-    """Guards against changes that are never heard: a coordinator breaks off in mid-event, or stops there and
-    leaves the connection open.
+def test_an_answer_that_is_cut_short_is_polled_again(start_deployment, spoil):
+    """Changes are not missed where a coordinator breaks off within an event, or stops there and leaves the
+    connection open.
     """
     program, coordinator, (server,) = start_deployment(None)
     other = ScriptedServer()
@@ -41,8 +41,8 @@
     assert other.messages("START")
 
 
-def test_a_silent_coordinator_is_left_within_the_time_that_changes_count_as_told():
-    """Guards against waiting longer than 2 s after the end of the wait that was asked for."""
+def test_an_unresponsive_coordinator_is_disconnected_within_2_s():
+    """Nobody waits longer than 2 s after the end of the poll's own wait, when changes count as notified."""
     inside = InProcessNode()
     directory, aborted = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4), []
     directory.abort = lambda: aborted.append(inside.now)
@@ -57,8 +57,8 @@
     assert aborted
 
 
-def test_the_first_question_to_the_coordinator_is_answered_at_once():
-    """Guards against a new process that is not ready before a whole wait for news is over."""
+def test_the_first_poll_does_not_wait_for_changes():
+    """A new process is ready before a whole poll for changes is over."""
     inside = InProcessNode()
     inside.core.readiness.list_known = False
     directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
@@ -70,8 +70,8 @@
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
-def test_a_coordinator_that_says_nothing_does_not_keep_a_known_list_from_serving():
-    """Guards against a softswitch that waits for news though it was told a list at its start."""
+def test_an_unresponsive_coordinator_does_not_keep_a_known_list_from_serving():
+    """A softswitch that was given a list at its start serves without waiting for changes."""
     inside = InProcessNode()
     inside.core.readiness.list_known = False
     ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4).connected()
@@ -80,9 +80,9 @@
     assert inside.core.readiness.health().is_ready
 
 
-def test_an_older_number_of_the_list_is_told_and_changes_nothing():
-    """Guards against a list that goes quiet unseen, and events taken twice, when a coordinator has lost its
-    memory; and against a core spent on one that answers at once with nothing new.
+def test_an_older_event_index_is_logged_and_changes_nothing():
+    """A coordinator that has lost its memory is noticed, no event is applied twice, and one that answers at
+    once with nothing new is not polled without a pause.
     """
     inside, told = InProcessNode(), []
     inside.log = lambda event, **fields: told.append((event, fields))
@@ -106,10 +106,8 @@
     assert len([event for event, _ in told if event == "service_discovery"]) == 1, "told once"
 
 
-def test_a_line_that_cannot_be_read_holds_no_other_up_and_gets_nothing_new(tmp_path, started_programs):
-    """Guards against a list that stands still for one line of it: the drain told beside it went unheard for
-    as long as the line was there, and calls went on to that server.
-    """
+def test_an_unreadable_entry_holds_up_no_other_and_its_server_gets_no_new_calls(tmp_path, started_programs):
+    """The list does not stand still for one entry: the drain of another server beside it is applied."""
     servers = [ScriptedServer() for _ in range(3)]
     coordinator = ScriptedCoordinator(
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
@@ -145,8 +143,10 @@
     caller.expect(stands, "BYE")
 
 
-def directory_of(*events, names="abc"):
-    """A directory that knows some servers, and what it hears of its next answers, one for each connection."""
+def discover(*events, names="abc"):
+    """A service discovery client that knows some servers and gets these events, each on a connection of its
+    own; returns it, the servers' availability, and the answers that were handed on.
+    """
     inside = InProcessNode()
     ServerConnectionPool(inside.core, lambda _link: None)
     inside.core.servers.by_id.clear()
@@ -165,20 +165,20 @@
     return directory, standings, told
 
 
-def test_a_list_spoilt_on_its_way_is_asked_for_again_before_its_other_lines_are_taken():
-    """Guards against a server that gets nothing more for a line that was spoilt once."""
+def test_a_corrupted_list_is_polled_again_before_its_other_entries_are_applied():
+    """A server is not left without calls for an entry that was corrupted once."""
     good = {
         "reset": False,
         "instances": [endpoint_entry("a", 9, state="terminating"), endpoint_entry("b", 9)],
     }
     odd = {"reset": False, "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}]}
-    directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1))
+    directory, standings, _ = discover(*[odd] * (MAX_REQUESTS - 1))
     assert directory.last_index == 4
     assert set(standings.values()) == {"ready"}
-    directory, standings, _ = directory_of(*[odd] * (MAX_REQUESTS - 1), good)
+    directory, standings, _ = discover(*[odd] * (MAX_REQUESTS - 1), good)
     assert directory.last_index == 5
     assert standings == {"a": "draining", "b": "ready", "c": "ready"}
-    directory, standings, told = directory_of(*[odd] * MAX_REQUESTS)
+    directory, standings, told = discover(*[odd] * MAX_REQUESTS)
     assert directory.last_index == 5
     assert standings == {"a": "draining", "b": "draining", "c": "ready"}
     states = {raw["instanceId"]: raw["lifecycle"] for raw in told[0]["updates"][0]["endpoints"]["instances"]}
@@ -196,16 +196,16 @@
     ],
     ids=["no address", "gone", "new", "no name", "no object"],
 )
-def test_a_whole_list_with_a_line_that_cannot_be_read_cuts_no_calls_for_it(line, left):
-    """Guards against a server held to be gone, and its calls cut, as its line in a whole list is spoilt."""
+def test_a_complete_list_with_an_unreadable_entry_cuts_no_calls_for_it(line, left):
+    """A server is not taken for gone, and its calls cut, for a corrupted entry in a complete list."""
     odd = {"reset": True, "instances": [endpoint_entry("a", 9), line]}
-    directory, standings, _ = directory_of(*[odd] * MAX_REQUESTS)
+    directory, standings, _ = discover(*[odd] * MAX_REQUESTS)
     assert directory.last_index == 5
     assert {name: state for name, state in standings.items() if state != "gone"} == left
 
 
-def test_a_drained_server_gets_nothing_and_its_address_may_be_used_again(start_deployment):
-    """Guards against servers known by address: a new one had that of one that drains."""
+def test_a_drained_server_gets_no_calls_and_its_address_may_be_used_again(start_deployment):
+    """Servers are not known by address: a new one may have that of one that drains."""
     program, coordinator, (server, other) = start_deployment(None, None)
     caller = program.caller()
     coordinator.publish(endpoint_entry("s-0", server.port, 0, "terminating"))
--- a/tests/test_shedding_at_sip_frontend.py
+++ b/tests/test_shedding_at_sip_frontend.py
@@ -15,88 +15,86 @@
 SPAN_S = 0.05
 
 
-def ask(inside, method="INVITE", number=1, via_more="", to_tag=""):
-    """A datagram to the front; returns the answers it led to."""
+def receive_request(node, method="INVITE", number=1, via_more="", to_tag=""):
+    """Have a datagram come to the frontend; returns the answers it led to."""
     lines = sip_headers(method, "1", f"z9hG4bK{number}", f"c{number}", to_tag=to_tag)
     lines["via"] += via_more
     data = sip.request(method, "sip:1@net", list(lines.items()))
-    port = inside.front.ports[0]
+    port = node.front.ports[0]
     port.receive(data, ("127.0.0.1", 4000))
     sent = [sip_parser.parse_datagram(each) for each, _ in port.output]
     port.output.clear()
     return sent
 
 
-def overloaded_front(delay, spans):
-    """A front under such a delay."""
-    inside = InProcessNode(
-        gate=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6))
-    )
+def overloaded_node(delay, spans):
+    """A node whose SIP frontend has observed a delay for so many spans."""
+    node = InProcessNode(gate=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6)))
     for _ in range(spans):
-        inside.now += SPAN_S
-        if inside.front.gate is not None:
+        node.now += SPAN_S
+        if node.front.gate is not None:
             for turn in range(10):
-                inside.front.gate.overload.count_call(turn >= 10 * inside.front.gate.overload.shed_fraction)
-        inside.front.looked(delay)
-    return inside
+                node.front.gate.overload.count_call(turn >= 10 * node.front.gate.overload.shed_fraction)
+        node.front.looked(delay)
+    return node
 
 
-def test_a_shed_call_leaves_nothing_and_its_copies_cost_no_more():
-    """Guards against half-made calls and against shed calls that stay in tables."""
-    inside = overloaded_front(1.0, 5)
+def test_a_shed_call_leaves_nothing_and_its_retransmissions_cost_no_more():
+    """No call is half made, and shed calls stay in no table."""
+    node = overloaded_node(1.0, 5)
     for number in range(50):
         for _ in range(2):
-            (answer,) = ask(inside, number=number)
+            (answer,) = receive_request(node, number=number)
             assert answer.status == 503
             assert 1 <= int(answer.get("retry-after")) <= 5
-    assert not inside.written
-    assert not inside.front.transactions.servers
-    assert not inside.core.calls.by_number
-    assert not inside.front.transactions.memory.records
-    counts = inside.core.counters.counts
+    assert not node.written
+    assert not node.front.transactions.servers
+    assert not node.core.calls.by_number
+    assert not node.front.transactions.memory.records
+    counts = node.core.counters.counts
     assert counts["shed_load"] == 100
     assert "malformed_from_callers" not in counts
 
 
-def test_calls_that_stand_go_on_while_all_new_ones_are_shed():
-    """Guards against an ACK, a BYE or a copy that is shed with the new calls."""
-    inside = overloaded_front(0.0, 1)
-    ask(inside, number=1)
-    inside.establish()
-    tag = sip.parameters(sip_parser.parse_datagram(inside.front.ports[0].output[-1][0]).get("to"))["tag"]
-    inside.front.ports[0].output.clear()
+def test_established_calls_go_on_while_all_new_ones_are_shed():
+    """An ACK, a BYE or a retransmission is not shed with the new calls."""
+    node = overloaded_node(0.0, 1)
+    receive_request(node, number=1)
+    node.establish()
+    tag = sip.parameters(sip_parser.parse_datagram(node.front.ports[0].output[-1][0]).get("to"))["tag"]
+    node.front.ports[0].output.clear()
     for _ in range(5):
-        inside.now += SPAN_S
-        inside.front.looked(1.0)
-    assert ask(inside, number=2)[0].status == 503
-    assert ask(inside, number=1) == []  # a copy of what stands is absorbed
-    ask(inside, "ACK", number=1, to_tag=tag)
-    inside.run(5.0)
-    assert not inside.front.ports[0].output
+        node.now += SPAN_S
+        node.front.looked(1.0)
+    assert receive_request(node, number=2)[0].status == 503
+    assert receive_request(node, number=1) == []  # a copy of what stands is absorbed
+    receive_request(node, "ACK", number=1, to_tag=tag)
+    node.run(5.0)
+    assert not node.front.ports[0].output
     lines = sip_headers("BYE", "2", "z9hG4bKbye", "c1", to_tag=tag)
-    inside.front.ports[0].receive(sip.request("BYE", "sip:x@net", list(lines.items())), ("127.0.0.1", 4000))
-    assert sip_parser.parse_datagram(inside.front.ports[0].output[-1][0]).status == 200
+    node.front.ports[0].receive(sip.request("BYE", "sip:x@net", list(lines.items())), ("127.0.0.1", 4000))
+    assert sip_parser.parse_datagram(node.front.ports[0].output[-1][0]).status == 200
 
 
 def test_callers_that_know_overload_control_are_told_in_their_via():
-    """Guards against a figure in the wrong Via, or for callers that asked for none (RFC 7339, 5.1)."""
-    inside = overloaded_front(0.08, 40)
-    told = ask(inside, number=1, via_more=';oc;oc-algo="loss,rate"')[0].get("via")
+    """The figure stands in the caller's own Via, and only where it was asked for (RFC 7339, 5.1)."""
+    node = overloaded_node(0.08, 40)
+    told = receive_request(node, number=1, via_more=';oc;oc-algo="loss,rate"')[0].get("via")
     assert ';oc-algo="loss"' in told
     assert ";oc-validity=1000" in told
     assert int(told.split("oc=")[1].split(";")[0]) > 0
-    assert "oc" not in ask(inside, number=2)[0].get("via")
+    assert "oc" not in receive_request(node, number=2)[0].get("via")
     assert "\x01" not in told
     free = InProcessNode(gate=AdmissionPolicy())
-    assert ";oc=0;" in ask(free, number=3, via_more=";oc")[0].get("via")
+    assert ";oc=0;" in receive_request(free, number=3, via_more=";oc")[0].get("via")
 
 
-def test_changes_of_the_level_are_told_once():
-    """Guards against a log that says at every delay that we are overloaded."""
+def test_a_change_of_the_overload_level_is_logged_once():
+    """The log does not repeat at every delay that the level is overloaded."""
     told = []
-    inside = InProcessNode(gate=AdmissionPolicy())
-    inside.log = lambda event, **fields: told.append((event, fields.get("level")))
+    node = InProcessNode(gate=AdmissionPolicy())
+    node.log = lambda event, **fields: told.append((event, fields.get("level")))
     for delay in [0.08] * 20 + [0.0] * 100:
-        inside.now += SPAN_S
-        inside.front.looked(delay)
+        node.now += SPAN_S
+        node.front.looked(delay)
     assert told == [("load", "overloaded"), ("load", "normal")]
--- a/tests/test_sip_large_requests.py
+++ b/tests/test_sip_large_requests.py
@@ -7,19 +7,17 @@
 
 
 def test_a_request_too_large_for_udp_goes_by_tcp_and_by_udp_if_nobody_listens():
-    """Guards against a BYE that is lost because it does not fit (RFC 3261, 18.1.1)."""
-    inside, dialled = InProcessNode(), []
-    inside.front.dial = dialled.append
-    line = RecordingFlow(inside)
+    """A BYE is not lost because it does not fit into a datagram."""
+    node, dialled = InProcessNode(), []
+    node.front.dial = dialled.append
+    line = RecordingFlow(node)
     routes = ", ".join(f"<sip:127.0.0.1:{4100 + n};lr;padding={'x' * 200}>" for n in range(8))
     line.request(record_route=routes)
-    inside.establish()
+    node.establish()
     line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
-    attempt = inside.written[0]
-    inside.core.responses.call_released(
-        attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
-    )
-    assert not inside.front.ports[0].output
+    attempt = node.written[0]
+    node.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", node.empty_report())
+    assert not node.front.ports[0].output
     assert dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
--- a/tests/test_sip_parser.py
+++ b/tests/test_sip_parser.py
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("step", [1, 2, 7, 1000])
 def test_a_stream_is_cut_into_the_same_messages_however_it_comes(step):
-    """Guards against messages lost or joined where reads end within them."""
+    """No message is lost or joined to another where reads end within them."""
     parser, found, data = sip_parser.StreamParser(), [], FOLDED * 3
     for at in range(0, len(data), step):
         parser.feed(data[at : at + step])
@@ -30,8 +30,8 @@
 
 
 @pytest.mark.parametrize("length", ["-1", "3 ", "x", "3\r\nContent-Length: 4", "99999999999"])
-def test_lengths_that_lie_are_refused(length):
-    """Guards against a stream that is cut in the wrong place, or grows without bound."""
+def test_lengths_that_cannot_be_right_are_refused(length):
+    """A stream is not cut in the wrong place and does not grow without bound."""
     parser = sip_parser.StreamParser()
     parser.feed(f"BYE sip:7@net SIP/2.0\r\nContent-Length: {length}\r\n\r\nabc".encode())
     if length == "3 ":
@@ -42,7 +42,7 @@
 
 
 def test_a_head_without_end_is_refused():
-    """Guards against memory filled by one connection."""
+    """One connection does not fill the memory."""
     parser = sip_parser.StreamParser()
 
     def read_20_header_fields():
--- a/tests/test_site_calls.py
+++ b/tests/test_site_calls.py
@@ -21,8 +21,8 @@
 from .support.site_settings import KINDS, TENDERS
 
 
-class Stage:
-    """The platform's front on a core with these settings, and roster servers that answer at once."""
+class InProcessSite:
+    """The platform's frontend on a call manager with a site's settings, and servers that answer at once."""
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.now, self.sent, self.told = 1000.0, 0, []
@@ -70,11 +70,11 @@
 
 
 @KINDS
-def test_a_class_that_no_settings_name_is_failed_and_a_tenant_is_served(told):
-    """Guards against a call of a class or tenant that is unknown here being lost, answered twice, or taken
-    for another class. An unknown class gets the answer of the pages for a failed set-up, and goes nowhere.
+def test_a_call_of_an_unknown_class_is_failed_and_one_of_an_unknown_tenant_served(told):
+    """A call of an unknown class or tenant is not lost, answered twice, or taken for another class. An
+    unknown class gets the answer of a failed set-up, and goes nowhere.
     """
-    stage, kind = Stage(told), told["classes"][0]["name"]
+    stage, kind = InProcessSite(told), told["classes"][0]["name"]
     assert stage.ask("no-such-class") == 400
     assert stage.ask("") == 400
     assert stage.sent == 0
@@ -106,11 +106,11 @@
     ],
 )
 def test_a_report_without_a_usable_field_is_no_report(text, report):
-    """Guards against a figure taken for another, and an empty report taken for a server at rest: where
-    nothing can be used the decisions are told nothing.
+    """No figure is taken for another, and an empty report not for a server at rest: where nothing can be used
+    the decisions are told nothing.
     """
     assert parse_load_report(text) == report
-    stage = Stage(TENDERS)
+    stage = InProcessSite(TENDERS)
     stage.core.controller.handle = lambda _now, event: stage.told.append(event) or iter(())
     stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load_report(text))
     assert len(stage.told) == (report != LoadReport())
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -31,8 +31,8 @@
 GONE = object()
 
 
-def platform(told: Any, **more: Any) -> dict[str, Any]:
-    """The platform's file round these settings."""
+def platform_file(told: Any, **more: Any) -> dict[str, Any]:
+    """The platform's file with these settings."""
     return {
         "name": "n3", "listen": f"127.0.0.1:{free_port()}", "seed": "8c1f", "coordinator": "127.0.0.1:9",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -40,20 +40,20 @@
     }  # fmt: skip
 
 
-def paths(raw: Any, shape: Any = SETTINGS_SCHEMA, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
-    """Each place of the settings that is read, with what may stand there."""
+def value_paths(raw: Any, shape: Any = SETTINGS_SCHEMA, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
+    """The path of each value of the settings that is read, with the shape it must have."""
     if isinstance(shape, ObjectShape):
         for key, inner in shape.keys.items():
             yield (*at, key), inner
-            yield from paths(raw[key], inner, (*at, key))
+            yield from value_paths(raw[key], inner, (*at, key))
     elif isinstance(shape, ListShape):
         for index, item in enumerate(raw):
             yield (*at, index), shape.item
-            yield from paths(item, shape.item, (*at, index))
+            yield from value_paths(item, shape.item, (*at, index))
 
 
-def with_(raw: Any, at: tuple, value: Any) -> Any:
-    """A copy with one place changed, or taken out."""
+def with_value(raw: Any, at: tuple, value: Any) -> Any:
+    """A copy with one value changed, or taken out."""
     changed = json.loads(json.dumps(raw))
     part = changed
     for step in at[:-1]:
@@ -65,13 +65,13 @@
     return changed
 
 
-def shown(at: tuple) -> str:
+def path_text(at: tuple) -> str:
     """A path as complaints have it."""
     return "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in ("settings", *at))[1:]
 
 
-def unfit(shape: Any) -> list[Any]:
-    """Values that may not stand there."""
+def unfit_values(shape: Any) -> list[Any]:
+    """Values that may not stand where a shape is expected."""
     wrong = [
         None,
         {} if not isinstance(shape, ObjectShape) else [],
@@ -89,8 +89,8 @@
     return wrong
 
 
-class Reader:
-    """Reads a configuration as the platform's program does, and keeps the complaint."""
+class ConfigurationReader:
+    """Reads a configuration as the platform's program does."""
 
     def __init__(self, folder) -> None:
         self.path = folder / "config.json"
@@ -108,57 +108,61 @@
 
 
 @KINDS
-def test_a_setting_that_is_missing_is_named_and_none_is_put_in_its_place(tmp_path, told):
-    """Guards against another site's figure in the place of one that was left out: a pause of 0.5 s for one of
-    0.3, three attempts for four, any server for a class that may go to a few, "may be sent again" for a class
-    that may not.
+def test_a_missing_setting_is_named_and_no_default_takes_its_place(tmp_path, told):
+    """No other site's figure holds in the place of one that was left out, such as a retry pause, a most
+    attempts, the servers of a class, or whether it may be retried.
     """
-    reader, keys = Reader(tmp_path), [at for at, _ in paths(told) if isinstance(at[-1], str)]
+    reader, keys = (
+        ConfigurationReader(tmp_path),
+        [at for at, _ in value_paths(told) if isinstance(at[-1], str)],
+    )
     assert len(keys) == 27 + 6 * len(told["classes"])
     for at in keys:
-        assert reader.refuses(platform(with_(told, at, GONE))) == f"{shown(at)}: is missing"
+        assert reader.refuses(platform_file(with_value(told, at, GONE))) == f"{path_text(at)}: is missing"
         with pytest.raises(SettingsError) as error:
-            parse_settings_json(json.dumps(with_(told, at, GONE)))
-        assert str(error.value) == f"{shown(at)}: is missing".replace("settings", "boot_info", 1)
+            parse_settings_json(json.dumps(with_value(told, at, GONE)))
+        assert str(error.value) == f"{path_text(at)}: is missing".replace("settings", "boot_info", 1)
 
 
 @KINDS
 def test_a_setting_of_the_wrong_type_or_size_is_named(tmp_path, told):
-    """Guards against "no" that counts as yes, a server's number that no server has since it is text, a class
-    whose name no caller can say, and a traceback for a number that no float holds.
+    """Text such as "no" does not count as yes, a server's number is no text, a class has a name that callers
+    can give, and a number that no float holds leads to no traceback.
     """
-    reader, tried = Reader(tmp_path), 0
-    for at, shape in paths(told):
-        for value in unfit(shape):
-            text = reader.refuses(platform(with_(told, at, value)))
-            assert text.startswith(f"{shown(at)}: must be "), (at, value, text)
+    reader, tried = ConfigurationReader(tmp_path), 0
+    for at, shape in value_paths(told):
+        for value in unfit_values(shape):
+            text = reader.refuses(platform_file(with_value(told, at, value)))
+            assert text.startswith(f"{path_text(at)}: must be "), (at, value, text)
             tried += 1
     assert tried > 200
 
 
 @KINDS
 def test_settings_that_contradict_each_other_are_refused(tmp_path, told):
-    """Guards against a class that is given another's servers or length of calls, and a number of no node."""
-    reader = Reader(tmp_path)
+    """No class is given another's servers or call length, and no instance an index that none has."""
+    reader = ConfigurationReader(tmp_path)
     for key in ("allowed_pools", "call_length_s"):
         lines = told["family_info"][key]
         for wrong in (lines[:-1], [*lines, lines[0]]):
-            text = reader.refuses(platform(with_(told, ("family_info", key), wrong)))
+            text = reader.refuses(platform_file(with_value(told, ("family_info", key), wrong)))
             assert text.startswith(f"settings.family_info.{key}: must have a line for each of")
-    text = reader.refuses(platform(with_(told, ("me",), told["balancers"])))
+    text = reader.refuses(platform_file(with_value(told, ("me",), told["balancers"])))
     assert text.startswith("settings.me: must be below balancers")
-    text = reader.refuses(platform(with_(told, ("classes",), [])))
+    text = reader.refuses(platform_file(with_value(told, ("classes",), [])))
     assert text.startswith("settings.classes: there is none") or "a line for each" in text
     twice = [told["classes"][0]] * len(told["classes"])
     if len(twice) > 1:
-        assert reader.refuses(platform(with_(told, ("classes",), twice))).startswith("settings.classes: two")
+        assert reader.refuses(platform_file(with_value(told, ("classes",), twice))).startswith(
+            "settings.classes: two"
+        )
 
 
 @KINDS
-def test_what_is_told_is_what_holds(tmp_path, told):
-    """Guards against a setting that is read and not passed on, under any site's settings."""
+def test_settings_hold_as_they_are_given(tmp_path, told):
+    """Each setting that is read is passed on, under any site's settings."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(platform(told)))
+    path.write_text(json.dumps(platform_file(told)))
     settings = read_platform({"RELAY_CONFIG": str(path)}).settings
     family, permissions, safety = told["family_info"], told["permissions"], told["safety"]
     assert [kind.name for kind in settings.classes] == [line["name"] for line in told["classes"]]
@@ -206,9 +210,9 @@
     )
 
 
-def test_no_default_of_the_interface_is_left_where_all_is_told():
-    """Guards against a setting that comes new into the interface and is read from no text: its default would
-    hold at every site. In the made-up settings no figure is the default.
+def test_no_default_is_left_where_every_setting_is_given():
+    """A setting that is new in the program and read from no text would hold its default at every site. In the
+    made-up settings no figure is the default.
     """
     parsed = parse_settings_json(json.dumps(MADE_UP))
     settings = parsed.settings
@@ -242,15 +246,15 @@
         ({"settings": [1]}, "settings: must be an object, not [1]"),
     ],
 )
-def test_every_other_key_of_the_platforms_file_is_held_to_the_same(tmp_path, change, says):
-    """Guards against limits that are guessed, and nodes that all have one seed, "None"."""
-    raw = {name: value for name, value in {**platform(TENDERS), **change}.items() if value is not GONE}
-    assert Reader(tmp_path).refuses(raw).startswith(says)
+def test_every_other_key_of_the_platforms_file_is_checked_as_well(tmp_path, change, says):
+    """No limit is guessed, and no seed is the text "None"."""
+    raw = {name: value for name, value in {**platform_file(TENDERS), **change}.items() if value is not GONE}
+    assert ConfigurationReader(tmp_path).refuses(raw).startswith(says)
 
 
-def test_a_file_that_is_no_object_or_has_no_bottom_is_refused(tmp_path):
-    """Guards against a traceback for what no editor would write."""
-    reader = Reader(tmp_path)
+def test_a_file_that_is_no_object_or_nested_too_deep_is_refused(tmp_path):
+    """There is no traceback for a file that no editor would write."""
+    reader = ConfigurationReader(tmp_path)
     assert reader.refuses([]).startswith("the file holds no JSON object")
     reader.path.write_text("[" * 200_000)
     with pytest.raises(ConfigError, match="no JSON: nested too deep"):
@@ -273,11 +277,11 @@
     ],
     ids=["a number no float holds", "a server's number", "memory", "a pause left out"],
 )
-def test_the_program_ends_with_one_line_and_2(tmp_path, started_programs, told, edit, says):
-    """Guards against a start that ends in a traceback and exit code 1, as the first three did, or that goes
-    on with another site's pause, as the last did.
-    """
-    path, whole = tmp_path / "config.json", json.dumps(platform(told, known=TOO_LARGE))
+def test_an_unusable_setting_ends_the_start_with_one_line_and_exit_code_2(
+    tmp_path, started_programs, told, edit, says
+):
+    """A start ends in no traceback and exit code 1, and does not go on with another site's pause."""
+    path, whole = tmp_path / "config.json", json.dumps(platform_file(told, known=TOO_LARGE))
     assert whole.count(edit[0]) == 1
     path.write_text(whole.replace(*edit))
     program = Program(tmp_path, RELAY_CONFIG=str(path))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -16,7 +16,7 @@
 
 
 def test_a_big_warming_server_is_not_held_to_what_small_ones_bear(make_node):
-    """Found in incident i9eafb5. Its lines tell its size; an answer of its own does not (issue 11)."""
+    """A warming server's lines tell its size; an answer of its own does not."""
     rates = {}
     for lines in (100, 1000):
         node = make_node()
@@ -28,14 +28,14 @@
         node.established(1, 10, 0.001)
         assert node.slow_start.admissible_rate(node.now, server) == rates[lines]
         server.pending_setups[2] = node.now
-        # Once read as an answer in no time at all:
+        # A timeout is no answer in no time at all:
         node.attempt_ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)
         assert node.slow_start.admissible_rate(node.now, server) <= rates[lines]
     assert rates[1000] > 5 * rates[100] > 0
 
 
 def test_all_nodes_together_keep_to_the_size_of_a_small_warming_server(make_node):
-    """Found on amman-later big-2: paced by what the largest server bore, a small one was pushed over."""
+    """A small warming server is not paced by what the largest server bears."""
     settings, kept = replace(SETTINGS, instance_count=240), []
     for lines in (200, 2000):
         sent = 0
@@ -62,7 +62,7 @@
 
 
 def test_after_an_outage_of_all_the_first_to_return_is_paced_by_what_was_borne(make_node):
-    """Found in incident i687ce9."""
+    """The rates that were reached before an outage count for the first server that returns."""
     node = make_node(servers=1)
     for call in range(900, 910):
         node.attempt_ended(
@@ -79,7 +79,7 @@
 
 
 def test_a_warming_server_is_not_paced_by_a_small_one_that_happens_to_be_idle(make_node):
-    """Found in incident i9eafb5: the middle use of two servers' lines was the small one's."""
+    """The use of a small server's lines does not stand for that of a large one."""
     node = make_node(servers=3)
     node.handle(LoadReported(10, LoadReport(free_lines=100, total_lines=1000)))
     node.handle(LoadReported(11, LoadReport(free_lines=80, total_lines=100)))
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -23,9 +23,11 @@
 
 
 @pytest.mark.parametrize("silent", [False, True], ids=["coordinator up", "coordinator silent"])
-def test_a_start_waits_for_no_server_that_never_answers_its_dial(tmp_path, started_programs, silent):
-    """Guards against softswitches that are not ready for as long as the settings allow a connection to take:
-    one listed server that never answers held up the start of all. Here that is longer than the story waits.
+def test_a_start_does_not_wait_for_a_server_that_never_answers_its_connect(
+    tmp_path, started_programs, silent
+):
+    """One listed server that never answers does not hold up the start for as long as the settings allow a
+    connect to take, which is longer here than the test waits.
     """
     stuck, server = FullListener(), ScriptedServer()
     assert len(stuck.connections) >= 2, "its queue was filled until a dial got no answer"
@@ -52,8 +54,8 @@
     stuck.close()
 
 
-def test_a_start_waits_for_links_and_not_for_good():
-    """Guards against a start that waits for no link, or for each server that is listed while it waits."""
+def test_a_start_waits_for_server_connections_and_not_for_good():
+    """A start waits for connections, but not anew for each server that is listed while it waits."""
     inside = InProcessNode()
     ServerConnectionPool(inside.core, lambda _link: None)
     for number in range(20):
@@ -66,8 +68,8 @@
     assert inside.core.readiness.startup_health().is_ready
 
 
-def test_check_waits_for_the_list_and_the_links_but_not_for_a_dead_server():
-    """Guards against a yes before calls can be served, and against one dead server that holds it at no."""
+def test_the_health_check_waits_for_list_and_connections_but_not_for_a_dead_server():
+    """The health check says yes only when calls can be served, and one dead server does not hold it at no."""
     inside, links = InProcessNode(), []
     core = inside.core
     side = ServerConnectionPool(core, links.append)
@@ -97,8 +99,8 @@
 @pytest.mark.parametrize(
     ("given", "says"), [("99", "descriptor 99"), ("x", "invalid literal"), ("1", "descriptor 1")]
 )
-def test_a_descriptor_that_is_no_socket_ends_in_one_plain_line(tmp_path, given, says):
-    """Guards against a traceback, or a softswitch that listens nowhere."""
+def test_an_inherited_descriptor_that_is_no_socket_ends_the_start_in_one_plain_line(tmp_path, given, says):
+    """There is no traceback, and no softswitch that listens nowhere."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
     program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given)
@@ -119,8 +121,8 @@
         ({"coordinator": None}, "coordinator: None is no address"),
     ],
 )
-def test_a_bad_configuration_ends_in_one_plain_line(tmp_path, change, says):
-    """Guards against tracebacks where an operator mistyped something."""
+def test_an_unusable_configuration_ends_the_start_in_one_plain_line(tmp_path, change, says):
+    """There is no traceback where an operator mistyped something."""
     path = tmp_path / "config.json"
     config = {
         "name": "n0", "listen": f"127.0.0.1:{free_port()}", "coordinator": "127.0.0.1:1",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,8 +21,8 @@
 SILENT = ScriptedServer.never_answers
 
 
-class Upgrade:
-    """The platform's part: it owns the callers' socket and starts the program on it, more than once."""
+class SharedListener:
+    """The platform's part in an upgrade: it owns the callers' listener and starts programs on it."""
 
     def __init__(self, folder, *scripts):
         self.folder, self.programs = folder, []
@@ -42,12 +42,12 @@
 
 
 @pytest.fixture
-def upgrade(tmp_path):
-    """An upgrade's platform; ends all that it started."""
+def shared_listener(tmp_path):
+    """A platform that starts programs on one listener; ends all of them with the test."""
     made = []
 
     def make(*scripts):
-        made.append(Upgrade(tmp_path, *scripts))
+        made.append(SharedListener(tmp_path, *scripts))
         return made[0]
 
     yield make
@@ -56,11 +56,11 @@
     made[0].sock.close()
 
 
-def test_an_upgrade_loses_no_call(upgrade):
-    """Guards against a second process that can't start beside the first, callers that meet a refused or
-    unread connection, calls that end unanswered, and ends of calls that nobody is told.
+def test_an_upgrade_loses_no_call(shared_listener):
+    """A second process starts beside the first, no caller meets a refused or unread connection, each call is
+    answered and each release is told.
     """
-    platform = upgrade(SILENT)
+    platform = shared_listener(SILENT)
     (server,) = platform.servers
     old = platform.start()
     keeps, waits, standing, open_one = old.caller(), old.caller(), next_call_id(), next_call_id()
@@ -104,9 +104,9 @@
     newest.expect(ident, 200)
 
 
-def test_a_process_accepts_on_a_shared_socket_only_once_it_can_serve(upgrade):
-    """Guards against callers taken by a process that knows no roster server yet: they wait for the other."""
-    platform = upgrade(None)
+def test_a_process_accepts_on_a_shared_listener_only_once_it_can_serve(shared_listener):
+    """Callers are not taken by a process that knows no server yet: they wait for the other one."""
+    platform = shared_listener(None)
     platform.known = {"index": 0, "updates": []}
     platform.coordinator.withholds_answers = True
     program = platform.start(waits=False)
@@ -121,9 +121,9 @@
     assert program.admin_command("check").startswith("ok")
 
 
-def test_a_drain_told_before_the_upgrade_holds_in_the_new_process(upgrade):
-    """Guards against a new process that goes by the list of the first start and sends to what drains."""
-    platform = upgrade(None, None)
+def test_a_server_drained_before_the_upgrade_gets_nothing_from_the_new_process(shared_listener):
+    """A new process does not go by the endpoint list of the first start."""
+    platform = shared_listener(None, None)
     first, second = platform.servers
     platform.start()
     platform.coordinator.publish(endpoint_entry("s-0", first.port, 0, "terminating"))
@@ -138,9 +138,9 @@
     assert not first.messages("START")
 
 
-def test_unanswered_calls_end_before_an_upgrades_sigkill(upgrade):
-    """Guards against calls without an answer: SIGKILL comes 0.7 s after the longest deadline, 5 s at most."""
-    platform = upgrade(SILENT)
+def test_pending_calls_are_answered_before_an_upgrades_sigkill(shared_listener):
+    """No call is left unanswered: SIGKILL comes 0.7 s after the longest deadline, 5 s at most."""
+    platform = shared_listener(SILENT)
     old = platform.start()
     caller, ident = old.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=9000)
@@ -153,7 +153,7 @@
 
 
 def test_two_processes_together_keep_within_the_limits():
-    """Guards against an upgrade in which each process takes callers as if it were alone."""
+    """In an upgrade neither process takes callers as if it were alone."""
     alone = Config("n", InProcessNode().settings, sockets=384, memory_mb=80)
     beside = replace(alone, inherited=4)
     assert 2 * caller_connection_limit(beside) <= caller_connection_limit(alone) <= 384 * 3 / 4
