--- a/tests/support/scripted_server.py
+++ b/tests/support/scripted_server.py
@@ -1,4 +1,4 @@
-"""A roster server whose answers a test scripts, on a real socket."""
+"""A server whose answers a test scripts, on a real socket."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedServer:
-    """A roster server that records each message and answers as its script says.
+    """A server that records each message and answers as its script says.
 
     The script is called with the message and a function that sends on the connection it came on.
     """
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -22,10 +22,10 @@
 SILENT = ScriptedServer.never_answers
 
 
-@pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_each_line_is_answered_with_ok_or_fail_and_a_reason(start_deployment, front):
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
+def test_each_line_is_answered_with_ok_or_fail_and_a_reason(start_deployment, frontend):
     """Operators get one line of answer, whatever is sent."""
-    program, _, _ = start_deployment(None, frontend=front, wait_until_serving=True)
+    program, _, _ = start_deployment(None, frontend=frontend, wait_until_serving=True)
     assert program.admin_command("check").startswith("ok serving")
     for line, ends, says in [
         ("restart", False, "unknown order restart"),
@@ -64,13 +64,13 @@
 
 def test_a_full_admin_endpoint_evicts_a_silent_operator_at_once():
     """An operator does not wait until the silent ones' time is over: an answer is due in 1 s."""
-    inside = InProcessNode()
-    runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: inside.now), core=inside.core)
+    node = InProcessNode()
+    runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
     with socket.socketpair()[0] as end:
         for _ in range(ADMIN_LIMITS.max_connections):
-            listener.connections[AcceptedConnection(AdminConnection(inside.core), end, inside.now)] = None
-        inside.run(0.1)
+            listener.connections[AcceptedConnection(AdminConnection(node.core), end, node.now)] = None
+        node.run(0.1)
         assert listener.evict()
 
 
@@ -109,22 +109,22 @@
 
 def test_a_check_is_logged_when_its_answer_changes():
     """The log is not filled by health checks, which come ten times a second for as long as a drain lasts."""
-    inside, lines = InProcessNode(), []
-    inside.log = lambda _event, **fields: lines.append(fields.get("answer"))
+    node, lines = InProcessNode(), []
+    node.log = lambda _event, **fields: lines.append(fields.get("answer"))
     for on in (False, True, False):
-        inside.core.readiness.drain(on)
+        node.core.readiness.drain(on)
         lines.clear()
         for _ in range(10):
-            AdminConnection(inside.core).receive_data(b"check\n")
+            AdminConnection(node.core).receive_data(b"check\n")
         assert len(lines) == 1
 
 
 def test_one_command_is_read_from_a_connection_and_no_more():
     """No command is executed that follows a first one, or comes in pieces without an end."""
-    inside = InProcessNode()
-    door = AdminConnection(inside.core)
+    node = InProcessNode()
+    admin = AdminConnection(node.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
-        door.receive_data(piece)
-    assert door.data_to_send().startswith(b"ok draining")
-    assert door.can_close()
-    assert inside.core.readiness.drain_since is not None
+        admin.receive_data(piece)
+    assert admin.data_to_send().startswith(b"ok draining")
+    assert admin.can_close()
+    assert node.core.readiness.drain_since is not None
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -18,28 +18,30 @@
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
 
 
-@pytest.mark.parametrize("front", ["platform", "appliance"])
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
 @pytest.mark.parametrize("by", ["cancel", "close", "half-close", "reset"])
-def test_a_caller_that_leaves_during_the_retry_pause_gets_no_retry(start_unusual, by, front):
+def test_a_caller_that_leaves_during_the_retry_pause_gets_no_retry(start_unusual, by, frontend):
     """No retry goes out for a caller that left in the pause after a reset. A second caller, whose call waits
     the same pause from later on and is retried, shows when the first would have been.
     """
-    scripts = [RESET] * (2 if front == APPLIANCE else 1)
-    program, _, servers = start_unusual(*scripts, frontend=front)
-    caller, _ = place_call(program, front)
+    scripts = [RESET] * (2 if frontend == APPLIANCE else 1)
+    program, _, servers = start_unusual(*scripts, frontend=frontend)
+    caller, _ = place_call(program, frontend)
     wait_until(
         lambda: [line for line in program.log_events("attempt_ended") if line["outcome"] == "reset"],
         "the pause",
     )
     (first,) = setup_ids(*servers)
-    disconnect(caller, next(iter([m.get("call-id") for _, m in caller.received] or [first])), by, front)
+    disconnect(caller, next(iter([m.get("call-id") for _, m in caller.received] or [first])), by, frontend)
     wait_until(
         lambda: program.log_events("call_abandoned") or program.log_events("call_answered"),
-        "that it is known to have left",
+        "that its leaving is noticed",
     )
     assert len(program.log_events("attempt_ended")) == 1, "it left within the pause"
-    place_call(program, front)
-    wait_until(lambda: len([tag for tag in setup_ids(*servers) if tag != first]) == 2, "the other sent again")
+    place_call(program, frontend)
+    wait_until(
+        lambda: len([tag for tag in setup_ids(*servers) if tag != first]) == 2, "the retry of the other"
+    )
     assert setup_ids(*servers).count(first) == 1
     if by == "half-close":  # it still reads, and is told once
         wait_until(lambda: caller.closed, "the end of the connection")
@@ -72,14 +74,14 @@
     wait_until(lambda: setup_ids(*servers))
     (first,) = setup_ids(*servers)
     disconnect(caller, first, by, "appliance")
-    wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
+    wait_until(lambda: "callers_disconnected" in program.counters(), "that its leaving is noticed")
     for server in servers:
         server.script = RESET
     server = next(each for each in servers if setup_ids(each))
     server.send("FINISH", first, rc=41)
     wait_until(lambda: program.log_events("call_answered"), "its final answer")
     place_call(program, "appliance")
-    wait_until(lambda: len(setup_ids(*servers)) >= 3, "the other sent again")
+    wait_until(lambda: len(setup_ids(*servers)) >= 3, "the retry of the other")
     assert setup_ids(*servers).count(first) == 1
 
 
@@ -98,7 +100,7 @@
     wait_until(lambda: [m for m in server.messages("FINISH") if m["tag"] == ident], "that it is given up")
     server.script = RESET
     place_call(program, "platform")
-    wait_until(lambda: len(setup_ids(server)) == 3, "the other sent again")
+    wait_until(lambda: len(setup_ids(server)) == 3, "the retry of the other")
     assert setup_ids(server).count(ident) == 1
 
 
@@ -107,24 +109,24 @@
     """No attempt goes out for a caller that left while its set-up was queued for a server connection. The
     server's listener is full, so that the connection can't come up before the test empties it.
     """
-    gate = FullListener()
-    shut = ScriptedServer(listener=gate.listener)
-    program, _, _ = start_unusual(servers=[shut])
+    full_listener = FullListener()
+    server = ScriptedServer(listener=full_listener.listener)
+    program, _, _ = start_unusual(servers=[server])
     caller, ident = place_call(program, "platform")
     wait_until(lambda: program.log_events("call_offered"))
     disconnect(caller, ident, by)
     wait_until(lambda: program.log_events("call_abandoned"))
-    assert not program.log_events("attempt_sent"), "it left before the link was up"
-    assert not program.log_events("server_connected"), "it left before the link was up"
-    other, stays = place_call(program, "platform")
+    assert not program.log_events("attempt_sent"), "it left before the connection was up"
+    assert not program.log_events("server_connected"), "it left before the connection was up"
+    other, staying = place_call(program, "platform")
     wait_until(lambda: len(program.log_events("call_offered")) == 2)
-    shut.start_accepting()
-    other.expect(stays, 200)
-    assert setup_ids(shut) == [stays]
+    server.start_accepting()
+    other.expect(staying, 200)
+    assert setup_ids(server) == [staying]
     assert not program.log_events(
         "server_connect_failed"
     ), "the settings' time to connect holds, and no other"
-    gate.close()
+    full_listener.close()
 
 
 def test_a_setup_that_is_read_after_its_cancel_gets_no_attempt(start_unusual):
@@ -135,9 +137,9 @@
     early.expect(ident, 481)
     late.invite(ident, "ebb")
     late.expect(ident, 480)
-    other, stays = place_call(program, "platform")
-    other.expect(stays, 200)
-    assert setup_ids(server) == [stays]
+    other, staying = place_call(program, "platform")
+    other.expect(staying, 200)
+    assert setup_ids(server) == [staying]
 
 
 def test_an_answer_reaches_a_sip_caller_that_closed_its_connection_at_the_address_in_its_via(
@@ -147,21 +149,21 @@
     18.2.2).
     """
     program, _, servers = start_unusual(SILENT, SILENT, frontend=APPLIANCE)
-    home = socket.create_server(("127.0.0.1", 0))
+    via_listener = socket.create_server(("127.0.0.1", 0))
     caller, call = SipCaller(program.address), next_call_id()
-    host = f"127.0.0.1:{home.getsockname()[1]}"
+    host = f"127.0.0.1:{via_listener.getsockname()[1]}"
     caller.send("INVITE", "sip:75@net", sip_headers("INVITE", "1", f"z9hG4bK{call}", call, host, "TCP"), b"d")
     wait_until(lambda: setup_ids(*servers))
     caller.close()
-    wait_until(lambda: "callers_disconnected" in program.counters(), "that it is known to have gone")
+    wait_until(lambda: "callers_disconnected" in program.counters(), "that its leaving is noticed")
     server = next(each for each in servers if setup_ids(each))
     server.send("STARTED", setup_ids(server)[0], blob="late")
-    home.settimeout(WAIT_LIMIT_S)
-    link, _ = home.accept()
-    link.settimeout(WAIT_LIMIT_S)
-    assert link.recv(65536).startswith(b"SIP/2.0 200")
-    link.close()
-    home.close()
+    via_listener.settimeout(WAIT_LIMIT_S)
+    server_connection, _ = via_listener.accept()
+    server_connection.settimeout(WAIT_LIMIT_S)
+    assert server_connection.recv(65536).startswith(b"SIP/2.0 200")
+    server_connection.close()
+    via_listener.close()
 
 
 @pytest.mark.parametrize("by", ["cancel", "close"])
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -32,35 +32,35 @@
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
     """Callers in use are not cut off within a message; one that never sends a request is ended within 3 s."""
-    inside = InProcessNode()
+    node = InProcessNode()
     listener, (usual, silent, never_ends) = listener_with_connections(
-        inside, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
+        node, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
     )
-    receive(inside, usual, platform_invite(next_call_id()))
-    receive(inside, never_ends, b"INVITE sip:1@net")
+    receive(node, usual, platform_invite(next_call_id()))
+    receive(node, never_ends, b"INVITE sip:1@net")
     message = platform_invite(late := next_call_id())
     for start in range(0, len(message), 40):
-        receive(inside, usual, message[start : start + 40])
-        inside.run(0.7)
+        receive(node, usual, message[start : start + 40])
+        node.run(0.7)
         listener.close_overdue()
         assert not usual.protocol.closing
-        overdue = inside.now > 1000 + FIRST_REQUEST_TIMEOUT_S
+        overdue = node.now > 1000 + FIRST_REQUEST_TIMEOUT_S
         assert silent.protocol.closing is overdue is never_ends.protocol.closing
-    assert late in inside.core.calls.by_ident
+    assert late in node.core.calls.by_ident
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 4.0
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 3.0
 
 
 def test_a_connection_within_a_message_is_evicted_only_where_none_is_idle():
     """Callers are not evicted for newcomers between two pieces of a message."""
-    inside = InProcessNode()
+    node = InProcessNode()
     listener, (under_way, silent, idle) = listener_with_connections(
-        inside, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
+        node, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
     )
-    receive(inside, under_way, platform_invite(next_call_id())[:60])
-    receive(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
+    receive(node, under_way, platform_invite(next_call_id())[:60])
+    receive(node, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     take_statuses(idle.protocol, "p")
-    inside.run(1.0)
+    node.run(1.0)
     for expected in (silent, idle, under_way):
         assert listener.evict()
         assert expected.protocol.closing
@@ -70,11 +70,11 @@
 
 def test_a_newcomer_whose_setup_has_not_been_read_is_not_evicted():
     """A set-up is not lost with its connection when a busy loop reads it after `eviction_grace_s`."""
-    inside = InProcessNode()
+    node = InProcessNode()
     listener, (newcomer, silent) = listener_with_connections(
-        inside, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
+        node, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
     )
-    inside.run(1.0)
+    node.run(1.0)
     assert listener.evict()
     assert silent.protocol.closing
     assert not newcomer.protocol.closing
@@ -88,13 +88,13 @@
     Both come within one turn of the loop, in either order; the listener has room for one.
     """
 
-    async def story():
-        inside = InProcessNode()
-        inside.follow_loop(asyncio.get_running_loop())
-        network = Network(inside.core)
-        front = PlatformFrontend(inside.core)
+    async def scenario():
+        node = InProcessNode()
+        node.follow_loop(asyncio.get_running_loop())
+        network = Network(node.core)
+        frontend = PlatformFrontend(node.core)
         sock = socket.create_server(("127.0.0.1", 0))
-        listener = network.listen(sock, front.connect, ListenerLimits(1, eviction_grace_s=0.05))
+        listener = network.listen(sock, frontend.connect, ListenerLimits(1, eviction_grace_s=0.05))
         old = socket.create_connection(sock.getsockname())
         await wait_in_loop(lambda: listener.connections)
         one = next(iter(listener.connections))
@@ -116,9 +116,9 @@
         both()
         for _ in range(500):
             await asyncio.sleep(0.001)
-            if inside.written or one not in listener.connections:
+            if node.written or one not in listener.connections:
                 break
-        assert [each.call.request.ident for each in inside.written] == [ident]
+        assert [each.call.request.ident for each in node.written] == [ident]
         assert one in listener.connections
         assert not one.protocol.closing
         old.close()
@@ -128,7 +128,7 @@
         await asyncio.sleep(0.01)
         listener.close()
 
-    uvloop.run(story())
+    uvloop.run(scenario())
 
 
 SILENT = ScriptedServer.never_answers
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -27,11 +27,11 @@
     One that is evicted connects again at once, or never; those that stay then have sent one request.
     """
 
-    WAYS = (b"", PING[:30], PING)
+    FIRST_BYTES = (b"", PING[:30], PING)
 
-    def __init__(self, address, size, again):
-        self.address, self.again, self.came, self.over = address, again, 0, False
-        self.ways = self.WAYS if again else (PING,)
+    def __init__(self, address, size, reconnects):
+        self.address, self.reconnects, self.connected, self.over = address, reconnects, 0, False
+        self.first_bytes = self.FIRST_BYTES if reconnects else (PING,)
         self.threads = [threading.Thread(target=self._hold, args=(n,), daemon=True) for n in range(size)]
         for each in self.threads:
             each.start()
@@ -40,8 +40,8 @@
         while not self.over:
             try:
                 with socket.create_connection(self.address, 20) as sock:
-                    self.came += 1
-                    sock.sendall(self.ways[number % len(self.ways)])
+                    self.connected += 1
+                    sock.sendall(self.first_bytes[number % len(self.first_bytes)])
                     sock.settimeout(0.2)
                     while not self.over:
                         try:
@@ -51,7 +51,7 @@
                             continue
             except OSError:
                 time.sleep(0.01)
-            if not self.again:
+            if not self.reconnects:
                 return
 
     def go(self):
@@ -65,48 +65,51 @@
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
-@pytest.mark.parametrize("again", [True, False], ids=["who come again", "who stay"])
-@pytest.mark.parametrize(("told", "real"), [(64, 64), (1024, 64), (64, 1024)])
+@pytest.mark.parametrize("reconnects", [True, False], ids=["who come again", "who stay"])
+@pytest.mark.parametrize(("configured", "system"), [(64, 64), (1024, 64), (64, 1024)])
 def test_idle_callers_leave_descriptors_for_servers_and_coordinator_that_return(
-    tmp_path, started_programs, told, real, again
+    tmp_path, started_programs, configured, system, reconnects
 ):
     """Idle callers that fill the descriptors while the coordinator and all servers are away leave some to
     connect to them when they return. The limit is that of the settings, of the system, or both.
     """
 
     class Limited(Program):
-        descriptor_limit = real
+        descriptor_limit = system
 
     servers = [ScriptedServer() for _ in range(6)]
     coordinator = ScriptedCoordinator(
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
     )
-    program = Limited.on_platform(tmp_path, coordinator, sockets=told).wait_until_serving()
+    program = Limited.on_platform(tmp_path, coordinator, sockets=configured).wait_until_serving()
     started_programs.append(program)
     for each in (coordinator.close, *(each.close for each in servers)):
         each()
     wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
     before = program.counters()
-    crowd = IdleCallers(program.address, 2 * min(told, real), again)
-    wait_until(lambda: crowd.came >= (4 if again else 2) * min(told, real), "descriptors filled over")
+    idle_callers = IdleCallers(program.address, 2 * min(configured, system), reconnects)
+    wait_until(
+        lambda: idle_callers.connected >= (4 if reconnects else 2) * min(configured, system),
+        "descriptors filled over",
+    )
     missed = ("server_connections_failed", "discovery_unreachable")
     wait_until(
         lambda: all((program.counters() - before)[name] >= 12 for name in missed), "that all are missed"
     )
     assert program.counters()["connections_evicted"] > 0, "callers who hold on were in excess"
-    asked = len(coordinator.polled_indices)
+    polls = len(coordinator.polled_indices)
     coordinator.reopen()
-    back = [ScriptedServer(port=each.port) for each in servers]
+    returned = [ScriptedServer(port=each.port) for each in servers]
     wait_until(lambda: len(program.log_events("server_connected")) >= 12, "the roster servers, reached again")
-    wait_until(lambda: len(coordinator.polled_indices) > asked, "the coordinator, asked again")
-    coordinator.publish(endpoint_entry("s-0", back[0].port, 0, "terminating"))
+    wait_until(lambda: len(coordinator.polled_indices) > polls, "the coordinator, polled again")
+    coordinator.publish(endpoint_entry("s-0", returned[0].port, 0, "terminating"))
     wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its news")
     assert program.admin_command("check").startswith("ok")
     ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     newcomer.expect(ident, 200)
-    assert open_descriptors(program) <= min(told, real)
-    crowd.go()
+    assert open_descriptors(program) <= min(configured, system)
+    idle_callers.go()
     lines = Counter(line.split(".")[0] for line in program.log_text().splitlines() if " accept " in line)
     assert max(lines.values(), default=0) <= 2, "one line a second says that descriptors have run out"
 
@@ -127,16 +130,17 @@
     started_programs.append(program)
     wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
     assert program.log_events("server_connected"), "others are reached"
-    crowd = IdleCallers(program.address, 64, False)
+    idle_callers = IdleCallers(program.address, 64, False)
     wait_until(
-        lambda: crowd.came == 64 and program.counters()["connections_evicted"] > 0, "that some are evicted"
+        lambda: idle_callers.connected == 64 and program.counters()["connections_evicted"] > 0,
+        "that some are evicted",
     )
     assert program.admin_command("check").startswith("ok")
     ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     wait_until(lambda: newcomer.final_statuses(ident), "an answer")
     assert open_descriptors(program) <= 64
-    crowd.go()
+    idle_callers.go()
     said = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
     assert 0 < max(said.values()) <= 2, "said, and not in a spin"
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -105,31 +105,31 @@
     assert ask(-1).status == 200
 
 
-def frontend_with_established_call(inside):
+def frontend_with_established_call(node):
     """The platform's frontend on a call manager whose clock is set by hand, with an established call on one
     of two connections; both have carried a call.
     """
-    front = PlatformFrontend(inside.core)
-    one, two = front.connect(), front.connect()
+    frontend = PlatformFrontend(node.core)
+    one, two = frontend.connect(), frontend.connect()
     for connection in (one, two):
         connection.receive_data(platform_invite(ident := next_call_id()))
-        inside.establish()
+        node.establish()
         assert take_statuses(connection, ident) == [200]
-    return front, one, two, ident
+    return frontend, one, two, ident
 
 
 def test_a_drain_keeps_one_connection_for_releases_and_not_for_long():
     """Releases reach somebody though connections end, and no connection is still held 4 s into the drain."""
-    inside = InProcessNode()
-    _, one, two, _ = frontend_with_established_call(inside)
-    inside.core.readiness.drain(True)
+    node = InProcessNode()
+    _, one, two, _ = frontend_with_established_call(node)
+    node.core.readiness.drain(True)
     assert one.is_idle(), "each may go while the other stays"
     assert two.is_idle(), "each may go while the other stays"
     two.close_when_idle()
     assert not one.is_idle(), "the last one is kept for the call that stands"
-    inside.run(RELEASE_PATH_S - 0.1)
+    node.run(RELEASE_PATH_S - 0.1)
     assert not one.is_idle()
-    inside.run(0.2)
+    node.run(0.2)
     assert one.is_idle()
     assert RELEASE_PATH_S < 3.8
 
@@ -138,44 +138,44 @@
     """A frontend whose health check is met with a release takes that for a failure, and no caller hears of
     the release.
     """
-    inside = InProcessNode()
-    front, one, two, ident = frontend_with_established_call(inside)
-    inside.core.readiness.drain(True)
+    node = InProcessNode()
+    frontend, one, two, ident = frontend_with_established_call(node)
+    node.core.readiness.drain(True)
     for each in (one, two):
         each.close_when_idle()
         each.connection_lost()
-    inside.core.responses.call_released(inside.core.servers.by_id[1], ident, 16, "", inside.empty_report())
-    inside.run(120.0)
-    tests = front.connect()
+    node.core.responses.call_released(node.core.servers.by_id[1], ident, 16, "", node.empty_report())
+    node.run(120.0)
+    tests = frontend.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     assert take_statuses(tests, "p") == [503]
-    inside.run(2 * CALLER_AFTER_S)
+    node.run(2 * CALLER_AFTER_S)
     assert take_statuses(tests, ident) == []
-    silent = front.connect()
-    inside.run(2 * CALLER_AFTER_S)
+    silent = frontend.connect()
+    node.run(2 * CALLER_AFTER_S)
     assert take_statuses(silent, ident) == ["BYE"]
 
 
 def test_a_drain_closes_no_connection_with_unread_bytes():
     """A drain does not reset a connection under a request which has come but was not read yet."""
-    inside = InProcessNode()
+    node = InProcessNode()
     ours, theirs = socket.socketpair()
-    listener, (one,) = listener_with_connections(inside, 4, ours)
-    inside.core.readiness.drain(True)
+    listener, (one,) = listener_with_connections(node, 4, ours)
+    node.core.readiness.drain(True)
     listener.close_idle()
     assert not one.protocol.closing, "it is new and has not asked yet"
-    inside.run(DRAIN_FIRST_REQUEST_S + 0.1)
+    node.run(DRAIN_FIRST_REQUEST_S + 0.1)
     theirs.send(platform_invite(ident := next_call_id()))
     listener.close_idle()
     assert not one.protocol.closing
     one.protocol.receive_data(ours.recv(4096))
-    assert inside.core.calls.unanswered == 1
-    inside.run(0.1)
+    assert node.core.calls.unanswered == 1
+    node.run(0.1)
     listener.close_idle()
     assert not one.protocol.closing, "an answer is owed"
-    inside.establish()
+    node.establish()
     assert take_statuses(one.protocol, ident) == [200]
-    inside.core.release(inside.core.calls.by_ident[ident], 16)
+    node.core.release(node.core.calls.by_ident[ident], 16)
     listener.close_idle()
     assert one.protocol.closing
     assert theirs.recv(1) == b"", "it ends cleanly"
@@ -183,29 +183,29 @@
 
 def test_new_setups_are_rejected_only_some_time_into_a_drain():
     """Callers that come before the frontend has seen the failed health check are served."""
-    inside = InProcessNode()
-    connection = PlatformFrontend(inside.core).connect()
-    inside.core.readiness.drain(True)
-    inside.run(REJECT_AFTER_S - 0.1)
+    node = InProcessNode()
+    connection = PlatformFrontend(node.core).connect()
+    node.core.readiness.drain(True)
+    node.run(REJECT_AFTER_S - 0.1)
     connection.receive_data(platform_invite(early := next_call_id()))
-    inside.run(0.2)
+    node.run(0.2)
     connection.receive_data(platform_invite(late := next_call_id()))
     assert take_statuses(connection, late) == [503]
-    assert early in inside.core.calls.by_ident
-    inside.core.readiness.drain(False)
+    assert early in node.core.calls.by_ident
+    node.core.readiness.drain(False)
     connection.receive_data(platform_invite(again := next_call_id()))
-    assert again in inside.core.calls.by_ident
+    assert again in node.core.calls.by_ident
 
 
 def test_a_shutdown_keeps_no_connection_for_calls_that_outlive_it():
     """A restart does not wait for calls whose releases the next process will get."""
-    inside = InProcessNode()
-    _, one, two, _ = frontend_with_established_call(inside)
-    inside.core.readiness.shutting_down = True
-    inside.core.readiness.drain(True)
+    node = InProcessNode()
+    _, one, two, _ = frontend_with_established_call(node)
+    node.core.readiness.shutting_down = True
+    node.core.readiness.drain(True)
     two.close_when_idle()
     assert not one.is_idle(), "ends of calls may come until it leaves"
-    inside.core.complete_shutdown()
+    node.core.complete_shutdown()
     assert one.is_idle()
 
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -86,17 +86,17 @@
 
 def test_a_release_that_nobody_acknowledges_is_kept_for_the_next_connection():
     """A release is not dropped after four attempts at callers that don't read."""
-    inside = InProcessNode()
-    front = PlatformFrontend(inside.core)
-    deaf, ident = front.connect(), next_call_id()
-    deaf.receive_data(platform_invite(ident, answer_within_ms="4000"))
-    inside.establish()
-    inside.core.responses.call_released(inside.written[-1].server, ident, 16, "", inside.empty_report())
-    inside.run(3.0)
-    assert deaf.data_to_send().count(b"BYE sip:") == 4
-    late = front.connect()
-    inside.run(0.2)
+    node = InProcessNode()
+    frontend = PlatformFrontend(node.core)
+    not_reading, ident = frontend.connect(), next_call_id()
+    not_reading.receive_data(platform_invite(ident, answer_within_ms="4000"))
+    node.establish()
+    node.core.responses.call_released(node.written[-1].server, ident, 16, "", node.empty_report())
+    node.run(3.0)
+    assert not_reading.data_to_send().count(b"BYE sip:") == 4
+    late = frontend.connect()
+    node.run(0.2)
     assert late.data_to_send().count(b"BYE sip:") == 1
-    inside.run(60.0)
-    assert not front.registry.deliveries.pending
-    assert inside.core.counters.counts["releases_unacknowledged"] == 1
+    node.run(60.0)
+    assert not frontend.registry.deliveries.pending
+    assert node.core.counters.counts["releases_unacknowledged"] == 1
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -84,18 +84,18 @@
     program, _, _ = start_deployment(None, wait_until_serving=True)
     text = program.path.read_text()
     raw = json.loads(text)
-    bad = ["", " ", "{}", "[]", "null", "3", text[: len(text) // 2], text[:-1]]
-    bad += [json.dumps(with_value(raw, *path)) for path in key_paths(raw)]
-    bad += [
+    unusable = ["", " ", "{}", "[]", "null", "3", text[: len(text) // 2], text[:-1]]
+    unusable += [json.dumps(with_value(raw, *path)) for path in key_paths(raw)]
+    unusable += [
         json.dumps(with_value(raw, "settings", "classes", 1, key)) for key in raw["settings"]["classes"][1]
     ]
-    bad.append(text.replace('"save-roster"', '"read-roster"'))  # two of one name
-    bad.append(json.dumps(with_value(raw, "settings", "classes", value=[])))
-    bad.append(json.dumps(with_value(raw, "settings", "family_info", "allowed_pools", value=[[0, 1]])))
+    unusable.append(text.replace('"save-roster"', '"read-roster"'))  # two of one name
+    unusable.append(json.dumps(with_value(raw, "settings", "classes", value=[])))
+    unusable.append(json.dumps(with_value(raw, "settings", "family_info", "allowed_pools", value=[[0, 1]])))
     for name, path in (("1.75", ("classes", 0, "hard_limit_s")), ("77", ("permissions", "send_cap"))):
         marked = json.dumps(with_value(raw, "settings", *path, value=json.loads(name)))
-        bad += [marked.replace(name, number) for number in NO_NUMBERS]
-    for index, each in enumerate(bad):
+        unusable += [marked.replace(name, number) for number in NO_NUMBERS]
+    for index, each in enumerate(unusable):
         assert program.reload(each)["result"] == "rejected", each
         assert len(program.log_events("reload")) == index + 1, "one line each"
     caller, ident = program.caller(), next_call_id()
@@ -105,7 +105,7 @@
     assert (line["result"], line["settings"], line["restart_required"]) == ("applied", "new", "-")
     program.stop()
     counted = program.log_events("counters")[-1]
-    assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(bad)), "1")
+    assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(unusable)), "1")
 
 
 def test_the_appliances_file_is_rejected_whole_as_well(start_deployment):
@@ -113,12 +113,13 @@
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     text = program.path.read_text()
     limit, cap = "hard_limit_s = 9.0             #", "send_cap = 6"
+    no_numbers = ("nan", "inf", "true", '"9"', "0", "-1")
     for each in [
         "", text[: text.index("[settings.safety]")], text[: text.index("fall_s = ")], text[:-80],
         text.replace("retransmit_s = 0.8", ""), text.replace("late_worth = 0.1\n", ""),
         text.replace('class = "save-roster"', 'class = "gone"'),
-        *(text.replace(limit, f"hard_limit_s = {bad} #") for bad in ("nan", "inf", "true", '"9"', "0", "-1")),
-        *(text.replace(cap, f"send_cap = {bad}") for bad in ("nan", "inf", "true", '"9"', "0", "-1", "2.5")),
+        *(text.replace(limit, f"hard_limit_s = {value} #") for value in no_numbers),
+        *(text.replace(cap, f"send_cap = {value}") for value in (*no_numbers, "2.5")),
     ]:  # fmt: skip
         assert each != text
         assert program.reload(each)["result"] == "rejected", each
@@ -171,44 +172,44 @@
 
 def test_open_calls_keep_their_class_and_their_attempts():
     """The rules of a call do not change, and it is not lost, while it is open."""
-    inside = InProcessNode()
-    connection = PlatformFrontend(inside.core).connect()
+    node = InProcessNode()
+    connection = PlatformFrontend(node.core).connect()
     connection.receive_data(platform_invite(old := next_call_id(), "save-roster", "9000"))
-    kept = inside.core.calls.by_ident[old].request.call_class
+    kept = node.core.calls.by_ident[old].request.call_class
     lines = [class_settings("read-roster", effect="keyed", hard_limit_s=4.0)]
-    inside.core.update_settings(settings_from_object(settings_with_classes(lines, cap=1)).settings)
+    node.core.update_settings(settings_from_object(settings_with_classes(lines, cap=1)).settings)
     connection.receive_data(platform_invite(new := next_call_id()))
-    call, other = inside.core.calls.by_ident[old], inside.core.calls.by_ident[new]
-    assert inside.core.controller.settings is inside.core.settings
+    call, other = node.core.calls.by_ident[old], node.core.calls.by_ident[new]
+    assert node.core.controller.settings is node.core.settings
     assert call.request.call_class is kept
     assert kept.idempotent
     assert (call.max_attempts, other.max_attempts) == (6, 1)
     assert not other.request.call_class.idempotent
-    server = inside.core.servers.by_id[1]
+    server = node.core.servers.by_id[1]
     for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
         for ident in (old, new):
-            inside.core.responses.call_released(server, ident, 41, "", inside.empty_report())
-        inside.run(2.0)
+            node.core.responses.call_released(server, ident, 41, "", node.empty_report())
+        node.run(2.0)
     assert take_statuses(connection, new) == [500]
     assert take_statuses(connection, old) == []
     assert call.attempts > 1
-    assert old in inside.core.calls.by_ident
+    assert old in node.core.calls.by_ident
 
 
 def test_callers_may_name_a_former_class_or_its_deadline_for_a_while():
     """Calls are not refused that left before their caller knew of the new settings."""
-    inside = InProcessNode()
-    connection = PlatformFrontend(inside.core).connect()
-    inside.core.update_settings(
+    node = InProcessNode()
+    connection = PlatformFrontend(node.core).connect()
+    node.core.update_settings(
         settings_from_object(
             settings_with_classes([class_settings("read-roster", hard_limit_s=2.0)])
         ).settings
     )
-    inside.run(1.3)
+    node.run(1.3)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
         connection.receive_data(platform_invite(ident, kind, "9000"))
-        assert ident in inside.core.calls.by_ident
-    inside.run(FORMER_CLASS_S)
+        assert ident in node.core.calls.by_ident
+    node.run(FORMER_CLASS_S)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
         connection.receive_data(platform_invite(ident, kind, "9000"))
         assert take_statuses(connection, ident) == [400]
@@ -241,9 +242,9 @@
 def test_a_reload_while_connecting_to_the_coordinator_switches_to_the_new_one():
     """The softswitch does not stay with the old coordinator that it was just about to reach."""
 
-    async def story():
-        inside, asked, ends = InProcessNode(), [], []
-        network, directory = Network(inside.core), ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
+    async def scenario():
+        node, asked, ends = InProcessNode(), [], []
+        network, directory = Network(node.core), ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
 
         async def connect(address):
             asked.append(address)
@@ -260,7 +261,7 @@
         task.cancel()
         assert asked[:2] == [("127.0.0.1", 1), ("127.0.0.1", 2)]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
@@ -283,9 +284,9 @@
 
 def start_and_reload(folder, ignored, old, new):
     """A program that was sent SIGHUP as it read its configuration; None if its port was taken meanwhile."""
-    port, door = free_port(), free_port()
+    port, admin_port = free_port(), free_port()
     path, later = folder / "config.json", folder / "later.json"
-    later.write_text(json.dumps(platform_config(new, port, door, UNUSUAL_SETTINGS)))
+    later.write_text(json.dumps(platform_config(new, port, admin_port, UNUSUAL_SETTINGS)))
     path.unlink(missing_ok=True)
     os.mkfifo(path)
     before = signal.signal(signal.SIGHUP, signal.SIG_IGN) if ignored else None
@@ -294,7 +295,7 @@
         signal.signal(signal.SIGHUP, before)
     try:
         with path.open("w") as pipe:  # returns once the program has opened its end
-            pipe.write(json.dumps(platform_config(old, port, door, UNUSUAL_SETTINGS)))
+            pipe.write(json.dumps(platform_config(old, port, admin_port, UNUSUAL_SETTINGS)))
             pipe.flush()
             later.rename(path)
             program.process.send_signal(signal.SIGHUP)
@@ -351,8 +352,8 @@
     """One mistyped file does not take down what serves."""
     program, coordinator, (server,) = start_deployment(None)
     text = program.path.read_text()
-    bad = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
-    assert program.reload(bad)["result"] == "rejected"
+    unusable = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
+    assert program.reload(unusable)["result"] == "rejected"
     other = ScriptedServer()
     coordinator.publish(
         endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -20,11 +20,11 @@
 HEAD += b"To: <sip:1@net>\r\nCSeq: 1 INVITE\r\nContent-Length: 50\r\n"
 
 
-@pytest.mark.parametrize("front", ["platform", "appliance"])
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
 @pytest.mark.parametrize(("data", "status"), [(b"", 0), (HEAD, 0), (HEAD + b"\r\nhalf", 408)])
-def test_a_first_request_must_be_complete_in_time(tmp_path, start_deployment, front, data, status):
+def test_a_first_request_must_be_complete_in_time(tmp_path, start_deployment, frontend, data, status):
     """Connections are not held for good by callers that never finish a request."""
-    if front == "platform":
+    if frontend == "platform":
         program = start_deployment(None)[0]
     else:
         program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer())
@@ -145,19 +145,19 @@
 
 def test_an_incomplete_message_that_times_out_takes_no_setup_with_it():
     """The same where the rest of a message never comes: its time is shorter than a call's."""
-    inside = InProcessNode()
-    front = PlatformFrontend(inside.core)
-    connection, ident = front.connect(), next_call_id()
+    node = InProcessNode()
+    frontend = PlatformFrontend(node.core)
+    connection, ident = frontend.connect(), next_call_id()
     connection.receive_data(
         platform_invite(ident, answer_within_ms="4000")
         + platform_invite(next_call_id(), answer_within_ms="4000")[:40]
     )
-    assert inside.written
+    assert node.written
     assert connection.has_partial_message()
     connection.read_timed_out()
     connection.data_to_send()
     assert connection.closing
     assert not connection.can_close()
-    inside.establish()
+    node.establish()
     assert b"SIP/2.0 200" in connection.data_to_send()
     assert connection.can_close()
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    "noise",
+    "malformed",
     [
         b"\x00\xff noise\n",
         b'{"verb":"STARTED","tag":"' + b"x" * 40_000,
@@ -43,15 +43,15 @@
     ],
     ids=["bytes", "without end", "tag", "no blob", "surrogate", "figure", "deep"],
 )
-def test_a_malformed_answer_closes_its_connection_and_all_its_setups_are_retried(start_deployment, noise):
+def test_a_malformed_answer_closes_its_connection_and_all_its_setups_are_retried(start_deployment, malformed):
     """No set-up waits for an answer on a connection that can't be read any more."""
     program, _, (server,) = start_deployment(SILENT)
 
     def spoil(_message, _send):
-        """At the second set-up, at once: later the link would be held for silent, another one dialled."""
+        """At the second set-up, at once: later another connection would be opened for a silent one."""
         if len(server.messages("START")) == 2:
             server.script = ScriptedServer.establishes
-            server.connections[0].sendall(noise)
+            server.connections[0].sendall(malformed)
 
     server.script = spoil
     caller, idents = program.caller(), [next_call_id(), next_call_id()]
@@ -59,7 +59,7 @@
         caller.invite(ident)
     for ident in idents:
         caller.expect(ident, 200)
-    assert len(server.connections) == 2, "a new link, and only one"
+    assert len(server.connections) == 2, "a new connection, and only one"
 
 
 def test_a_silently_cut_connection_is_found_out_and_its_setups_are_retried(start_deployment):
@@ -87,7 +87,7 @@
     assert caller.final_statuses(waiting) == [200]
     assert program.log_events("server_connection_dead")
     assert {m["tag"] for m in server.messages("FINISH")} == {standing}
-    wait_until(lambda: len(server.connections) >= 3, "a link for what was released on the dead one")
+    wait_until(lambda: len(server.connections) >= 3, "a connection for what was released on the dead one")
 
 
 def test_a_connection_that_is_merely_slow_keeps_its_setups(start_deployment):
@@ -97,8 +97,8 @@
     caller.invite(ident)
     wait_until(lambda: len(server.connections) == 2, "a second link")
     for _ in range(5):
-        for link in server.connections:
-            server.send("LOAD", "", link, opts={"load": "free:50;size:90"})
+        for server_connection in server.connections:
+            server.send("LOAD", "", server_connection, opts={"load": "free:50;size:90"})
         time.sleep(0.2)
     server.send("STARTED", ident, server.connections[0], blob="d")
     caller.expect(ident, 200)
@@ -117,12 +117,12 @@
         lambda *_args, **_fields: None,
         Counters(),
     )
-    links, aborted = [], []
-    side = ServerConnectionPool(core, links.append)
+    server_connections, aborted = [], []
+    pool = ServerConnectionPool(core, server_connections.append)
     core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    links[0].abort = lambda: aborted.append(now[0])
-    links[0].connection_made()
-    return core, side, links[0], aborted
+    server_connections[0].abort = lambda: aborted.append(now[0])
+    server_connections[0].connection_made()
+    return core, pool, server_connections[0], aborted
 
 
 def test_a_connection_that_falls_silent_again_is_suspected_as_soon_as_the_first():
@@ -130,47 +130,47 @@
     the other was once left without set-ups for 3 s.
     """
     now = [1000.0]
-    core, side, _, _ = connected_server(now)
+    core, pool, _, _ = connected_server(now)
     caller = PlatformFrontend(core).connect()
 
     def silent_until_doubted():
-        """A set-up is written on the link in use and nothing is heard; returns how long that went on."""
-        link = side.active[1]
+        """A set-up is written and nothing comes back; returns how long until the connection is suspected."""
+        server_connection = pool.active[1]
         caller.receive_data(platform_invite(next_call_id(), answer_within_ms="9000"))
-        while not link.data_to_send():
+        while not server_connection.data_to_send():
             now[0] += 0.01
             core.timers.run_due()
         since = now[0]
-        while not side.standby:
+        while not pool.standby:
             now[0] += 0.01
             core.timers.run_due()
             assert now[0] < since + 5, "it was not doubted"
-        spare = side.standby[1]
-        spare.connection_made()
+        standby = pool.standby[1]
+        standby.connection_made()
         for _ in range(3):
             now[0] += 0.3
-            spare.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
+            standby.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
             core.timers.run_due()
-        for each in list(side.superseded):  # as the driver does
+        for each in list(pool.superseded):  # as the driver does
             each.connection_lost()
-            side.remove(each)
+            pool.remove(each)
         return now[0] - since
 
     first = silent_until_doubted()
     for _ in range(3):
         now[0] += 0.2
         core.timers.run_due()
-        for spare in list(side.standby.values()):
-            spare.connection_made()
+        for standby in list(pool.standby.values()):
+            standby.connection_made()
         assert silent_until_doubted() < first + 0.2
 
 
-def offer_written_call(core, side, now, within="9000"):
+def offer_written_call(core, pool, now, within="9000"):
     """A call whose set-up has been written on the connection in use; returns its id."""
     caller, ident = PlatformFrontend(core).connect(), next_call_id()
     caller.receive_data(platform_invite(ident, answer_within_ms=within))
     for _ in range(100):
-        if b"START" in side.active[1].data_to_send():
+        if b"START" in pool.active[1].data_to_send():
             return ident
         now[0] += 0.01
         core.timers.run_due()
@@ -189,11 +189,11 @@
 def test_a_superseded_connection_is_read_while_calls_set_up_on_it_are_established(ends):
     """A release is not lost with a connection that was superseded before it came."""
     now = [1000.0]
-    core, side, old, _ = connected_server(now)
-    ident = offer_written_call(core, side, now, within="13000")
+    core, pool, old, _ = connected_server(now)
+    ident = offer_written_call(core, pool, now, within="13000")
     pass_time(core, now, 0.6)
-    side.standby[1].connection_made()
-    assert side.superseded == [old]
+    pool.standby[1].connection_made()
+    assert pool.superseded == [old]
     assert not old.can_close()
     pass_time(core, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
@@ -211,18 +211,18 @@
 def test_a_superseded_connection_that_breaks_under_calls_is_followed_by_another():
     """A release that was under way on it comes again on the next connection, so that one has to be opened."""
     now = [1000.0]
-    core, side, old, _ = connected_server(now)
-    ident = offer_written_call(core, side, now, within="13000")
+    core, pool, old, _ = connected_server(now)
+    ident = offer_written_call(core, pool, now, within="13000")
     pass_time(core, now, 0.6)
-    side.standby[1].connection_made()
+    pool.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     assert core.calls.is_established(ident)
-    assert side.superseded == [old]
-    assert not side.standby
+    assert pool.superseded == [old]
+    assert not pool.standby
     old.connection_lost()  # as the driver does
-    side.remove(old)
+    pool.remove(old)
     pass_time(core, now, 0.2)
-    assert side.standby, "another is dialled"
+    assert pool.standby, "another is dialled"
 
 
 def test_of_connections_kept_for_calls_the_oldest_closes_before_another_opens():
@@ -230,20 +230,22 @@
     opens, so that what was sent on it comes there.
     """
     now = [1000.0]
-    core, side, _, _ = connected_server(now)
+    core, pool, _, _ = connected_server(now)
     for _ in range(6):
-        link = side.active[1]
-        link.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
-        ident = offer_written_call(core, side, now)
-        link.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-        side.dial_standby(link)
+        server_connection = pool.active[1]
+        server_connection.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
+        ident = offer_written_call(core, pool, now)
+        server_connection.receive_data(
+            b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode()
+        )
+        pool.dial_standby(server_connection)
         for each in [
-            each for each in side.superseded if each.can_close()
+            each for each in pool.superseded if each.can_close()
         ]:  # as the driver does, before the next is up
             each.connection_lost()
-            side.remove(each)
-        side.standby[1].connection_made()
-        assert len(side.superseded) <= 3
+            pool.remove(each)
+        pool.standby[1].connection_made()
+        assert len(pool.superseded) <= 3
 
 
 @pytest.mark.parametrize(("started", "ends"), [(999.9, False), (1004.0, True)])
@@ -259,55 +261,55 @@
 def test_a_connection_to_a_server_that_is_gone_is_not_kept_for_what_it_cannot_write():
     """No connection and its releases are kept for good for a machine that is gone."""
     now = [1000.0]
-    core, side, link, aborted = connected_server(now)
-    side.send_release(link.server, "00000000005e0001", 16)
+    core, pool, server_connection, aborted = connected_server(now)
+    pool.send_release(server_connection.server, "00000000005e0001", 16)
     core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
-    assert not link.can_close()
+    assert not server_connection.can_close()
     now[0] += 11
     core.timers.run_due()
     assert aborted
-    assert link.can_close()
+    assert server_connection.can_close()
 
 
 def test_a_silent_connection_is_suspected_though_its_setups_are_given_up_early():
     """A silently cut connection is not used on because each set-up on it is given up before it is old enough
     to make it suspect; one was once used for 4.7 s.
     """
-    inside, links = InProcessNode(), []
-    side = ServerConnectionPool(inside.core, links.append)
-    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    links[0].connection_made()
-    connection = PlatformFrontend(inside.core).connect()
+    node, server_connections = InProcessNode(), []
+    pool = ServerConnectionPool(node.core, server_connections.append)
+    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    server_connections[0].connection_made()
+    connection = PlatformFrontend(node.core).connect()
     for _ in range(4):
         connection.receive_data(platform_invite(ident := next_call_id()))
-        inside.run(0.01)
-        assert b"START" in links[0].data_to_send()
-        inside.run(0.15)
+        node.run(0.01)
+        assert b"START" in server_connections[0].data_to_send()
+        node.run(0.15)
         headers = [("call-id", ident), ("cseq", "1 CANCEL")]
         connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
-        links[0].data_to_send()
-    assert side.standby
-    assert not links[0].pending_setups
+        server_connections[0].data_to_send()
+    assert pool.standby
+    assert not server_connections[0].pending_setups
 
 
 def test_a_second_connection_that_says_nothing_at_all_is_suspected_at_once():
     """Connections that are cut one after the other as they come up are not each used for twice as long as the
     one before.
     """
-    inside, links = InProcessNode(), []
-    side = ServerConnectionPool(inside.core, links.append)
-    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    connection = PlatformFrontend(inside.core).connect()
-    began = inside.now
-    while len(links) < 4:
-        links[-1].connection_made()
-        while not side.standby:
+    node, server_connections = InProcessNode(), []
+    pool = ServerConnectionPool(node.core, server_connections.append)
+    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    connection = PlatformFrontend(node.core).connect()
+    began = node.now
+    while len(server_connections) < 4:
+        server_connections[-1].connection_made()
+        while not pool.standby:
             connection.receive_data(platform_invite(ident := next_call_id(), answer_within_ms="9000"))
-            inside.run(0.1)
-            links[-1].data_to_send()
+            node.run(0.1)
+            server_connections[-1].data_to_send()
             headers = [("call-id", ident), ("cseq", "1 CANCEL")]
             connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
-            assert inside.now < began + 3, "a wait that doubles"
+            assert node.now < began + 3, "a wait that doubles"
 
 
 @pytest.mark.parametrize("answers", [True, False], ids=["it came up", "it did not"])
@@ -315,13 +317,13 @@
     """The loop carries out the connect's timeout, due by then, before it looks at the socket: the connect
     counts all the same. One that did not succeed fails.
     """
-    stuck = None if answers else FullListener()
-    server = ScriptedServer() if answers else stuck
+    full_listener = None if answers else FullListener()
+    server = ScriptedServer() if answers else full_listener
 
-    async def story():
-        inside = InProcessNode()
-        inside.follow_loop(asyncio.get_running_loop())
-        network = Network(inside.core)
+    async def scenario():
+        node = InProcessNode()
+        node.follow_loop(asyncio.get_running_loop())
+        network = Network(node.core)
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # the dial begins
             await asyncio.sleep(0)
@@ -332,5 +334,5 @@
             with pytest.raises(TimeoutError):
                 await dial
 
-    uvloop.run(story())
+    uvloop.run(scenario())
     server.close()
--- a/tests/test_service_discovery.py
+++ b/tests/test_service_discovery.py
@@ -43,50 +43,50 @@
 
 def test_an_unresponsive_coordinator_is_disconnected_within_2_s():
     """Nobody waits longer than 2 s after the end of the poll's own wait, when changes count as notified."""
-    inside = InProcessNode()
-    directory, aborted = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4), []
-    directory.abort = lambda: aborted.append(inside.now)
+    node = InProcessNode()
+    directory, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    directory.abort = lambda: aborted.append(node.now)
     directory.connected()
     assert b"follow=4" in directory.data_to_send()
     body = b'{"index":4,"updates":[]}'
-    inside.run(ANSWER_TIMEOUT_S - 0.1)
+    node.run(ANSWER_TIMEOUT_S - 0.1)
     directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    inside.run(ANSWER_TIMEOUT_S - 0.1)
+    node.run(ANSWER_TIMEOUT_S - 0.1)
     assert not aborted, "a whole answer begins the wait anew"
-    inside.run(0.2)
+    node.run(0.2)
     assert aborted
 
 
 def test_the_first_poll_does_not_wait_for_changes():
     """A new process is ready before a whole poll for changes is over."""
-    inside = InProcessNode()
-    inside.core.readiness.list_known = False
-    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4)
+    node = InProcessNode()
+    node.core.readiness.list_known = False
+    directory = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
     directory.connected()
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
     directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert inside.core.readiness.list_known
+    assert node.core.readiness.list_known
     assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
 def test_an_unresponsive_coordinator_does_not_keep_a_known_list_from_serving():
     """A softswitch that was given a list at its start serves without waiting for changes."""
-    inside = InProcessNode()
-    inside.core.readiness.list_known = False
-    ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4).connected()
-    assert not inside.core.readiness.health().is_ready
-    inside.run(2.0)
-    assert inside.core.readiness.health().is_ready
+    node = InProcessNode()
+    node.core.readiness.list_known = False
+    ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4).connected()
+    assert not node.core.readiness.health().is_ready
+    node.run(2.0)
+    assert node.core.readiness.health().is_ready
 
 
 def test_an_older_event_index_is_logged_and_changes_nothing():
     """A coordinator that has lost its memory is noticed, no event is applied twice, and one that answers at
     once with nothing new is not polled without a pause.
     """
-    inside, told = InProcessNode(), []
-    inside.log = lambda event, **fields: told.append((event, fields))
-    directory = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 9)
+    node, logged = InProcessNode(), []
+    node.log = lambda event, **fields: logged.append((event, fields))
+    directory = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
@@ -98,12 +98,12 @@
     directory.data_to_send()
     answer(4)
     assert directory.last_index == 9
-    assert [fields["why"] for event, fields in told if event == "service_discovery"]
+    assert [fields["why"] for event, fields in logged if event == "service_discovery"]
     assert not directory.data_to_send(), "it answered at once: the next question waits"
-    inside.run(EMPTY_ANSWER_PAUSE_S + 0.01)
+    node.run(EMPTY_ANSWER_PAUSE_S + 0.01)
     assert b"follow=9" in directory.data_to_send()
     answer(4)
-    assert len([event for event, _ in told if event == "service_discovery"]) == 1, "told once"
+    assert len([event for event, _ in logged if event == "service_discovery"]) == 1, "logged once"
 
 
 def test_an_unreadable_entry_holds_up_no_other_and_its_server_gets_no_new_calls(tmp_path, started_programs):
@@ -114,19 +114,19 @@
     )
     program = Program.on_platform(tmp_path, coordinator).wait_until_serving()
     started_programs.append(program)
-    caller, stands = program.caller(), next_call_id()
-    caller.invite(stands, routing_data="dest:0;width:1;via:-1")
-    caller.expect(stands, 200)
-    (home,) = [each for each in servers if each.messages("START")]
+    caller, established = program.caller(), next_call_id()
+    caller.invite(established, routing_data="dest:0;width:1;via:-1")
+    caller.expect(established, 200)
+    (busy_server,) = [each for each in servers if each.messages("START")]
     lines = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
-    at = servers.index(home)
-    drained, open_ = [n for n in range(3) if n != at]
+    at = servers.index(busy_server)
+    drained, available = [n for n in range(3) if n != at]
     lines[at]["lifecycle"] = "napping"
     lines[drained]["lifecycle"] = "terminating"
     coordinator.publish(
         lines[at], {"cell": "no name"}, lines[drained]
     )  # returns once the next number is asked
-    expected = {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{open_}": "ready"}
+    expected = {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{available}": "ready"}
     wait_until(  # the log has a thread of its own
         lambda: {line["server"]: line["state"] for line in program.log_events("server_listed")} == expected,
         "the states in the log",
@@ -138,31 +138,31 @@
         caller.invite(ident := next_call_id(), answer_within_ms=9000)
         caller.expect(ident, 200)
     after = [len(each.messages("START")) for each in servers]
-    assert [n for n in range(3) if after[n] > before[n]] == [open_]
-    home.send("FINISH", stands, rc=16)
-    caller.expect(stands, "BYE")
+    assert [n for n in range(3) if after[n] > before[n]] == [available]
+    busy_server.send("FINISH", established, rc=16)
+    caller.expect(established, "BYE")
 
 
 def discover(*events, names="abc"):
     """A service discovery client that knows some servers and gets these events, each on a connection of its
     own; returns it, the servers' availability, and the answers that were handed on.
     """
-    inside = InProcessNode()
-    ServerConnectionPool(inside.core, lambda _link: None)
-    inside.core.servers.by_id.clear()
-    inside.core.servers.by_instance.clear()
+    node = InProcessNode()
+    ServerConnectionPool(node.core, lambda _connection: None)
+    node.core.servers.by_id.clear()
+    node.core.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
-    inside.core.update_servers(listed, True)
-    directory, told = ServiceDiscoveryClient(inside.core, ("127.0.0.1", 1), 4), []
-    directory.on_answer = told.append
+    node.core.update_servers(listed, True)
+    directory, logged = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    directory.on_answer = logged.append
     for event in events:
         directory.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
         directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    standings = {
-        s.record.instance: s.record.availability.value for s in inside.core.servers.by_instance.values()
+    availabilities = {
+        s.record.instance: s.record.availability.value for s in node.core.servers.by_instance.values()
     }
-    return directory, standings, told
+    return directory, availabilities, logged
 
 
 def test_a_corrupted_list_is_polled_again_before_its_other_entries_are_applied():
@@ -171,18 +171,23 @@
         "reset": False,
         "instances": [endpoint_entry("a", 9, state="terminating"), endpoint_entry("b", 9)],
     }
-    odd = {"reset": False, "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}]}
-    directory, standings, _ = discover(*[odd] * (MAX_REQUESTS - 1))
+    corrupted = {
+        "reset": False,
+        "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}],
+    }
+    directory, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1))
     assert directory.last_index == 4
-    assert set(standings.values()) == {"ready"}
-    directory, standings, _ = discover(*[odd] * (MAX_REQUESTS - 1), good)
+    assert set(availabilities.values()) == {"ready"}
+    directory, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1), good)
     assert directory.last_index == 5
-    assert standings == {"a": "draining", "b": "ready", "c": "ready"}
-    directory, standings, told = discover(*[odd] * MAX_REQUESTS)
+    assert availabilities == {"a": "draining", "b": "ready", "c": "ready"}
+    directory, availabilities, logged = discover(*[corrupted] * MAX_REQUESTS)
     assert directory.last_index == 5
-    assert standings == {"a": "draining", "b": "draining", "c": "ready"}
-    states = {raw["instanceId"]: raw["lifecycle"] for raw in told[0]["updates"][0]["endpoints"]["instances"]}
-    assert states == {"a": "terminating", "b": "terminating"}, "whoever is handed the list is told the same"
+    assert availabilities == {"a": "draining", "b": "draining", "c": "ready"}
+    states = {
+        raw["instanceId"]: raw["lifecycle"] for raw in logged[0]["updates"][0]["endpoints"]["instances"]
+    }
+    assert states == {"a": "terminating", "b": "terminating"}, "whoever is handed the list gets the same"
 
 
 @pytest.mark.parametrize(
@@ -198,10 +203,10 @@
 )
 def test_a_complete_list_with_an_unreadable_entry_cuts_no_calls_for_it(line, left):
     """A server is not taken for gone, and its calls cut, for a corrupted entry in a complete list."""
-    odd = {"reset": True, "instances": [endpoint_entry("a", 9), line]}
-    directory, standings, _ = discover(*[odd] * MAX_REQUESTS)
+    corrupted = {"reset": True, "instances": [endpoint_entry("a", 9), line]}
+    directory, availabilities, _ = discover(*[corrupted] * MAX_REQUESTS)
     assert directory.last_index == 5
-    assert {name: state for name, state in standings.items() if state != "gone"} == left
+    assert {name: state for name, state in availabilities.items() if state != "gone"} == left
 
 
 def test_a_drained_server_gets_no_calls_and_its_address_may_be_used_again(start_deployment):
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -25,23 +25,27 @@
 from .support.waiting import wait_in_loop
 
 
-@pytest.mark.parametrize("when", ["the link comes up", "the pause is over"])
+@pytest.mark.parametrize("when", ["the connection comes up", "the pause is over"])
 def test_callers_that_leave_in_the_turn_in_which_their_setups_are_written_get_no_attempt(when):
     """Callers are looked at between the loop's look at its sockets and the write: they leave when the server
     connection has come up, or the timer has queued their set-ups, and before the queue is written.
     """
 
-    async def story():
-        inside, links = InProcessNode(), []
+    async def scenario():
+        node, server_connections = InProcessNode(), []
         server = ScriptedServer(ScriptedServer.never_answers)
-        core = inside.core
-        inside.follow_loop(asyncio.get_running_loop())
-        network, side, front = Network(core), ServerConnectionPool(core, links.append), PlatformFrontend(core)
+        core = node.core
+        node.follow_loop(asyncio.get_running_loop())
+        network, pool, frontend = (
+            Network(core),
+            ServerConnectionPool(core, server_connections.append),
+            PlatformFrontend(core),
+        )
         core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
-        (link,) = links
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
+        (server_connection,) = server_connections
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), frontend.connect, ListenerLimits(100))
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
-        idents = [next_call_id() for _ in (*ways, "stays")]  # as many as may be open there at a time
+        idents = [next_call_id() for _ in (*ways, "staying")]  # as many as may be open there at a time
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
 
         def all_go():
@@ -54,17 +58,17 @@
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(platform_invite(ident, answer_within_ms="4000"))
         await wait_in_loop(lambda: core.calls.unanswered == len(idents))
-        gone, (stays,) = set(idents[:-1]), idents[-1:]
-        if when == "the link comes up":
-            connected = link.connection_made
-            link.connection_made = lambda: (connected(), all_go())
+        leaving, (staying,) = set(idents[:-1]), idents[-1:]
+        if when == "the connection comes up":
+            connected = server_connection.connection_made
+            server_connection.connection_made = lambda: (connected(), all_go())
             server.script = ScriptedServer.establishes
-            network.dial(link)
+            network.dial(server_connection)
             before = 0
         else:
-            network.dial(link)
+            network.dial(server_connection)
             await wait_in_loop(lambda: len(asked(set(idents))) == len(idents))
-            left, set_up = set(gone), side.send_setup
+            left, set_up = set(leaving), pool.send_setup
 
             def queued(attempt):
                 set_up(attempt)
@@ -72,20 +76,20 @@
                     left.clear()
                     all_go()
 
-            side.send_setup = queued
+            pool.send_setup = queued
             server.script = ScriptedServer.establishes
             for ident in idents:
                 server.send("FINISH", ident, rc=41)
-            before = len(gone)
-        await wait_in_loop(lambda: core.calls.is_established(stays))
+            before = len(leaving)
+        await wait_in_loop(lambda: core.calls.is_established(staying))
         late = next_call_id()
         callers[-1].sendall(platform_invite(late, answer_within_ms="4000"))
         await wait_in_loop(lambda: late in asked({late}))
-        assert len(asked(gone)) == before, f"{len(asked(gone)) - before} of {len(gone)} were sent on"
+        assert len(asked(leaving)) == before, f"{len(asked(leaving)) - before} of {len(leaving)} were sent"
         server.close()
         await close_all(network, *callers)
 
-    uvloop.run(story())
+    uvloop.run(scenario())
 
 
 def disconnect_at_once(caller, ident, way):
@@ -109,12 +113,12 @@
     nothing until their callers have left; what was begun by then is sent to its end and released.
     """
 
-    async def story():
-        inside, links = InProcessNode(), []
-        core = inside.core
-        inside.follow_loop(asyncio.get_running_loop())
-        network, front = Network(core), PlatformFrontend(core)
-        ServerConnectionPool(core, links.append)
+    async def scenario():
+        node, server_connections = InProcessNode(), []
+        core = node.core
+        node.follow_loop(asyncio.get_running_loop())
+        network, frontend = Network(core), PlatformFrontend(core)
+        ServerConnectionPool(core, server_connections.append)
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -128,20 +132,20 @@
             return sock
 
         network.connector.connect = narrow
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), front.connect, ListenerLimits(100))
-        (link,) = links
+        network.listen(sock := socket.create_server(("127.0.0.1", 0)), frontend.connect, ListenerLimits(100))
+        (server_connection,) = server_connections
         idents = [next_call_id() for _ in range(10)]
         ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 3]
         callers = [socket.create_connection(sock.getsockname()) for _ in idents]
         for ident, caller in zip(idents, callers, strict=True):
             caller.sendall(platform_invite(ident, answer_within_ms="4000", body=b"d" * 12_000))
         await wait_in_loop(lambda: core.calls.unanswered == len(idents))
-        network.dial(link)
-        await wait_in_loop(lambda: link.writing)
+        network.dial(server_connection)
+        await wait_in_loop(lambda: server_connection.writing)
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
-        begun = set(link.pending_setups)
-        assert len(begun) <= 3, "the link is slow"
+        begun = set(server_connection.pending_setups)
+        assert len(begun) <= 3, "the connection is slow"
         assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             disconnect_at_once(caller, ident, way)
@@ -159,7 +163,7 @@
         assert {each["tag"] for each in lines if each["verb"] == "FINISH"} == begun
         await close_all(network, listener, server, *callers)
 
-    uvloop.run(story())
+    uvloop.run(scenario())
 
 
 def setup_ids(lines):
@@ -180,32 +184,32 @@
     """A process that stands still between reading its callers and the write reads them again: the clock has
     moved on.
     """
-    inside, links = InProcessNode(), []
-    side, front = ServerConnectionPool(inside.core, links.append), PlatformFrontend(inside.core)
-    side.record_changed(inside.core.servers.by_id[1])
-    (link,) = links
-    link.connection_made()
-    callers, looks = [front.connect() for _ in range(3)], []
+    node, server_connections = InProcessNode(), []
+    pool, frontend = ServerConnectionPool(node.core, server_connections.append), PlatformFrontend(node.core)
+    pool.record_changed(node.core.servers.by_id[1])
+    (server_connection,) = server_connections
+    server_connection.connection_made()
+    callers, looks = [frontend.connect() for _ in range(3)], []
 
     def look():
         """The first caller leaves, unseen, after the first look."""
         if looks:
             callers[0].eof_received()
-        looks.append(inside.now)
+        looks.append(node.now)
 
-    inside.core.read_callers = look
+    node.core.read_callers = look
     idents = [next_call_id() for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
-    may_write, stops = inside.core.attempts.claim_transmission, [0.3]
+    may_write, stops = node.core.attempts.claim_transmission, [0.3]
 
     def slow(attempt):
-        inside.now += stops.pop() if stops else 0.0
+        node.now += stops.pop() if stops else 0.0
         return may_write(attempt)
 
-    inside.core.attempts.claim_transmission = slow
-    started = [json.loads(line)["tag"] for line in link.data_to_send().splitlines()]
+    node.core.attempts.claim_transmission = slow
+    started = [json.loads(line)["tag"] for line in server_connection.data_to_send().splitlines()]
     assert len(looks) == 2
     assert started == idents[1:]
-    assert set(link.pending_setups) == set(idents[1:])
-    assert inside.core.counters.counts["attempts_sent"] == 2
+    assert set(server_connection.pending_setups) == set(idents[1:])
+    assert node.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -39,20 +39,20 @@
 @pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
 def test_a_shutdown_waits_for_what_is_being_written(to):
     """An answer, or a release, to a peer that reads slowly is not cut in two."""
-    inside, links = InProcessNode(), []
+    node, server_connections = InProcessNode(), []
     if to == "caller":
-        side = PlatformFrontend(inside.core)
-        machine = side.connect()
+        side = PlatformFrontend(node.core)
+        connection = side.connect()
     elif to == "SIP caller":
-        side = inside.front
-        machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
+        side = node.front
+        connection = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        side = ServerConnectionPool(inside.core, links.append)
-        side.record_changed(inside.core.servers.by_id[1])
-        machine = links[0]
-        machine.connection_made()
+        side = ServerConnectionPool(node.core, server_connections.append)
+        side.record_changed(node.core.servers.by_id[1])
+        connection = server_connections[0]
+        connection.connection_made()
     assert side.is_flushed()
-    machine.writing = True
+    connection.writing = True
     assert not side.is_flushed()
 
 
@@ -63,7 +63,7 @@
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
     answers = []
 
-    async def story():
+    async def scenario():
         known = {"index": 0, "updates": []}
         settings = {
             **UNUSUAL_SETTINGS,
@@ -92,23 +92,23 @@
         caller.close()
         application.parts.log.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert answers[0].startswith(b"SIP/2.0 503")
     assert b"come-back" not in answers[0].lower(), "these settings allow no advice"
 
 
 def test_a_shutdown_ends_though_nobody_reads_the_log(tmp_path):
     """The program ends, and without a fault, though the pipe that its log goes to is full."""
-    server, port, door = ScriptedServer(), free_port(), free_port()
+    server, port, admin_port = ScriptedServer(), free_port(), free_port()
     config = platform_config(
-        ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, UNUSUAL_SETTINGS
+        ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, admin_port, UNUSUAL_SETTINGS
     )
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     reader, writer = os.pipe()
     program = Program.__new__(Program)
     program.start(tmp_path, writer, RELAY_CONFIG=str(path))
-    program.address, program.admin_address = ("127.0.0.1", port), ("127.0.0.1", door)
+    program.address, program.admin_address = ("127.0.0.1", port), ("127.0.0.1", admin_port)
     try:
         wait_until(lambda: can_connect(program.admin_address))
         program.wait_until_serving()
@@ -136,34 +136,36 @@
     return False
 
 
-@pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, front):
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
+def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
     """A shutdown forgets no call, answers none twice and starts no attempt after the drain's limit: one call
     is established, some attempts are out, some calls are pending, some are queued for a connection that can't
     come up (on the platform, where the settings let it take its time), one waits for a retry, and the answer
     to one lies unread when the signal comes. The process is stopped for that instant.
     """
-    stand = set()  # the first few
+    established = set()  # the first few
 
     def script(message, send):
-        if message["verb"] == "START" and len(stand) < 3:
-            stand.add(message["tag"])
+        if message["verb"] == "START" and len(established) < 3:
+            established.add(message["tag"])
             send("STARTED", message["tag"], blob="kept")
 
     servers = [ScriptedServer(script), ScriptedServer(script)]
-    gate = FullListener()
-    if front == "platform":
-        servers[1] = ScriptedServer(listener=gate.listener)
-    program, _, _ = start_unusual(servers=servers, frontend=front)
+    full_listener = FullListener()
+    if frontend == "platform":
+        servers[1] = ScriptedServer(listener=full_listener.listener)
+    program, _, _ = start_unusual(servers=servers, frontend=frontend)
     calls = [(SipCaller(program.address), next_call_id()) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
-        invite_preferring(caller, ident, front, (31, 47)[number % 2])
+        invite_preferring(caller, ident, frontend, (31, 47)[number % 2])
     wait_until(
         lambda: len(program.log_events("call_offered")) == len(calls)
-        and len(setup_ids(*servers)) >= len(stand) + 3
+        and len(setup_ids(*servers)) >= len(established) + 3
     )
-    wait_until(lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(stand))
-    answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in stand)
+    wait_until(
+        lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(established)
+    )
+    answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in established)
     say = {m["tag"]: each.send for each in servers for m in each.messages("START")}
     say[paused]("FINISH", paused, rc=41)
     wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
@@ -176,28 +178,28 @@
     for caller, _ in calls:
         wait_until(lambda caller=caller: caller.closed, "the end of the connection")
     finals = [caller.final_statuses(ident) for caller, ident in calls]
-    if front == "appliance":  # a 200 goes again until its ACK, which is not sent here
+    if frontend == "appliance":  # a 200 goes again until its ACK, which is not sent here
         finals = [sorted(set(each)) for each in finals]
     assert all(len(each) == 1 for each in finals), finals
-    assert finals.count([200]) == len(stand) + 1
+    assert finals.count([200]) == len(established) + 1
     assert {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.log_text()
     limit = text.find(" drain_deadline_reached ")
     assert text.count(" drain_deadline_reached ") == (
-        front == "platform"
+        frontend == "platform"
     ), "there the limit ends it, at once for all"
-    assert " attempt_sent " not in text[limit:] or front != "platform", "nothing new after it"
+    assert " attempt_sent " not in text[limit:] or frontend != "platform", "nothing new after it"
     tags = [line["call"] for line in program.log_events("attempt_sent")]
     assert tags.count(answered) == 1
-    assert all(tags.count(tag) == 1 for tag in stand)
+    assert all(tags.count(tag) == 1 for tag in established)
     ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
-    assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
-    gate.close()
+    assert established.isdisjoint(ended) == (frontend == "platform"), "there they live on"
+    full_listener.close()
 
 
-def invite_preferring(caller, ident, front, first):
+def invite_preferring(caller, ident, frontend, first):
     """A set-up that would go to the server of that number first."""
-    if front == "platform":
+    if frontend == "platform":
         caller.invite(ident, "ebb", 15_000, routing_data=f"dest:{first};width:1;via:-1")
     else:
         headers = sip_headers("INVITE", "1", f"z9hG4bK{ident}", ident, caller.host, "TCP")
@@ -210,7 +212,7 @@
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
 
-    async def story():
+    async def scenario():
         known = {"index": 0, "updates": []}
         application = Application(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
         application.open_listeners()
@@ -218,24 +220,24 @@
         application.parts.platform_frontend.is_flushed = lambda: False
         await asyncio.wait_for(application.shut_down(asyncio.Event()), 20)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_server_connections_closed_by_a_shutdown_are_not_opened_again():
     """A process that ends does not connect again, where a server would send it releases."""
-    inside, links = InProcessNode(), []
-    side = ServerConnectionPool(inside.core, links.append)
-    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
-    links[0].connection_made()
-    side.send_release(links[0].server, next_call_id(), 16)
+    node, server_connections = InProcessNode(), []
+    side = ServerConnectionPool(node.core, server_connections.append)
+    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
+    server_connections[0].connection_made()
+    side.send_release(server_connections[0].server, next_call_id(), 16)
     assert not side.is_flushed()
-    links[0].data_to_send()
+    server_connections[0].data_to_send()
     assert side.is_flushed()
     side.shut_down()
-    links[0].connection_lost()
-    assert links[0].can_close()
-    side.remove(links[0])
-    assert len(links) == 1
+    server_connections[0].connection_lost()
+    assert server_connections[0].can_close()
+    side.remove(server_connections[0])
+    assert len(server_connections) == 1
 
 
 @pytest.mark.parametrize("hangs_up", [True, False], ids=["the caller hangs up", "a second SIGTERM"])
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -29,10 +29,10 @@
     """One listed server that never answers does not hold up the start for as long as the settings allow a
     connect to take, which is longer here than the test waits.
     """
-    stuck, server = FullListener(), ScriptedServer()
-    assert len(stuck.connections) >= 2, "its queue was filled until a dial got no answer"
+    full_listener, server = FullListener(), ScriptedServer()
+    assert len(full_listener.connections) >= 2, "its queue was filled until a dial got no answer"
     coordinator = ScriptedCoordinator(
-        endpoint_entry("s-0", server.port, 0), endpoint_entry("s-1", stuck.port, 1)
+        endpoint_entry("s-0", server.port, 0), endpoint_entry("s-1", full_listener.port, 1)
     )
     coordinator.withholds_answers = silent
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": 600.0}
@@ -45,34 +45,34 @@
     ident, caller = next_call_id(), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
-    stuck.empty_queue()  # the dial that waits in the kernel comes up late
+    full_listener.empty_queue()  # the dial that waits in the kernel comes up late
     wait_until(
         lambda: any(line["server"] == "s-1" for line in program.log_events("server_connected")),
         "the late one",
     )
     assert not program.log_events("server_connect_failed")
-    stuck.close()
+    full_listener.close()
 
 
 def test_a_start_waits_for_server_connections_and_not_for_good():
     """A start waits for connections, but not anew for each server that is listed while it waits."""
-    inside = InProcessNode()
-    ServerConnectionPool(inside.core, lambda _link: None)
+    node = InProcessNode()
+    ServerConnectionPool(node.core, lambda _connection: None)
     for number in range(20):
         name = f"s-{number}"
         line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
-        inside.core.update_servers([line], False)
-        waits = inside.core.readiness.startup_health().reason
+        node.core.update_servers([line], False)
+        waits = node.core.readiness.startup_health().reason
         assert (name in waits) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest has not been tried"
-        inside.run(0.1)
-    assert inside.core.readiness.startup_health().is_ready
+        node.run(0.1)
+    assert node.core.readiness.startup_health().is_ready
 
 
 def test_the_health_check_waits_for_list_and_connections_but_not_for_a_dead_server():
     """The health check says yes only when calls can be served, and one dead server does not hold it at no."""
-    inside, links = InProcessNode(), []
-    core = inside.core
-    side = ServerConnectionPool(core, links.append)
+    node, server_connections = InProcessNode(), []
+    core = node.core
+    pool = ServerConnectionPool(core, server_connections.append)
     core.servers.by_id.clear()
     core.servers.by_instance.clear()
     core.readiness.listening = core.readiness.list_known = False
@@ -84,33 +84,35 @@
     ]
     core.update_servers(lines, True)
     assert "live dead" in core.readiness.health().reason
-    links[0].connection_made()
+    server_connections[0].connection_made()
     assert "tried yet: dead" in core.readiness.health().reason
-    links[1].connect_failed(refused=False)
+    server_connections[1].connect_failed(refused=False)
     assert "not listening" in core.readiness.health().reason
     core.readiness.listening = True
     assert core.readiness.health().reason == ""
     core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
-    links[0].connection_lost()
+    server_connections[0].connection_lost()
     assert core.readiness.health().reason == "", "what comes and goes later is for the decisions"
-    assert side.active
+    assert pool.active
 
 
 @pytest.mark.parametrize(
-    ("given", "says"), [("99", "descriptor 99"), ("x", "invalid literal"), ("1", "descriptor 1")]
+    ("given", "complaint"), [("99", "descriptor 99"), ("x", "invalid literal"), ("1", "descriptor 1")]
 )
-def test_an_inherited_descriptor_that_is_no_socket_ends_the_start_in_one_plain_line(tmp_path, given, says):
+def test_an_inherited_descriptor_that_is_no_socket_ends_the_start_in_one_plain_line(
+    tmp_path, given, complaint
+):
     """There is no traceback, and no softswitch that listens nowhere."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
     program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given)
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
-    assert says in program.log_text()
+    assert complaint in program.log_text()
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "complaint"),
     [
         (None, "RELAY_CONFIG"),
         ("{", "no JSON"),
@@ -121,7 +123,7 @@
         ({"coordinator": None}, "coordinator: None is no address"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_plain_line(tmp_path, change, says):
+def test_an_unusable_configuration_ends_the_start_in_one_plain_line(tmp_path, change, complaint):
     """There is no traceback where an operator mistyped something."""
     path = tmp_path / "config.json"
     config = {
@@ -133,4 +135,4 @@
     program = Program(tmp_path, RELAY_CONFIG=str(path) if change else "")
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
-    assert says in program.log_text()
+    assert complaint in program.log_text()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -35,7 +35,7 @@
         (folder / "left by another").write_text("{")
 
     def start(self, waits=True):
-        """One more process, with a door of its own and everything else unchanged."""
+        """One more process, with a admin endpoint of its own and everything else unchanged."""
         program = Program.on_socket(self.folder, self.sock, self.coordinator, self.known)
         self.programs.append(program)
         return program.wait_until_serving() if waits else program
@@ -63,15 +63,15 @@
     platform = shared_listener(SILENT)
     (server,) = platform.servers
     old = platform.start()
-    keeps, waits, standing, open_one = old.caller(), old.caller(), next_call_id(), next_call_id()
-    for caller, ident in ((keeps, standing), (waits, open_one)):
+    kept, waits, established, open_one = old.caller(), old.caller(), next_call_id(), next_call_id()
+    for caller, ident in ((kept, established), (waits, open_one)):
         caller.invite(ident, answer_within_ms=9000)
         wait_until(lambda ident=ident: ident in [m["tag"] for m in server.messages("START")])
-    server.send("STARTED", standing, blob="d")
-    keeps.expect(standing, 200)
+    server.send("STARTED", established, blob="d")
+    kept.expect(established, 200)
     new = platform.start()
     old.process.terminate()
-    wait_until(lambda: keeps.closed, "the end of a kept connection at an idle moment")
+    wait_until(lambda: kept.closed, "the end of a kept connection at an idle moment")
     assert old.process.poll() is None
     assert not waits.closed
     server.script = ScriptedServer.establishes
@@ -85,11 +85,13 @@
     assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
     counted = [program.log_events("counters")[-1] for program in (old,)]
     assert counted[0]["calls_established"] == "2", "what came after SIGTERM is the new process's"
-    for link in server.connections:  # the old process may have dialled more than one, all closed by now
+    for (
+        server_connection
+    ) in server.connections:  # the old process may have dialled more than one, all closed by now
         with contextlib.suppress(OSError):
-            server.send("FINISH", standing, link, rc=16)
+            server.send("FINISH", established, server_connection, rc=16)
     wait_until(
-        lambda: [c for c in callers if c.messages(standing, "BYE")],
+        lambda: [c for c in callers if c.messages(established, "BYE")],
         "the end of a call that the old one set up",
     )
     callers[0].send("BYE", "sip:x@net", {"call-id": open_one, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
