--- /dev/null
+++ b/benchmarks/scaling/simulated_softswitches.py
@@ -0,0 +1,103 @@
+"""Many softswitches in one process, each with only the part that meets the coordinator or a server."""
+
+from __future__ import annotations
+
+import random
+import time
+from collections.abc import Iterable
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+from benchmarks.scaling.counting_emulators import Address
+from benchmarks.scaling.emulator_processes import Question
+from benchmarks.scaling.workload import settings_json
+from stairhatch.components import steady_unix_clock
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ServerRecord
+from stairhatch.node.counters import Counters
+from stairhatch.node.io.network import Network
+from stairhatch.node.server_pool import ServerConnectionPool
+from stairhatch.node.service_discovery import ServiceDiscoveryClient
+from stairhatch.overload.events import Availability
+from stairhatch.settings.parser import settings_from_object
+
+SETTINGS_SERVERS = 24
+
+
+def call_manager() -> CallManager:
+    """Return a call manager without frontends."""
+    return CallManager(
+        settings_from_object(settings_json(SETTINGS_SERVERS)).settings,
+        random.Random(1),
+        steady_unix_clock(),
+        lambda *_arguments, **_fields: None,
+        Counters(),
+    )
+
+
+class NoServerPool:
+    """In place of the server connections: none is opened."""
+
+    def record_changed(self, _server: object) -> None:
+        """Do nothing."""
+
+
+@dataclass(slots=True)
+class FollowerStatus:
+    """How many updates of the list each follower has at least, and when the last of all took one in."""
+
+    updates: int = 0
+    last_at: float = 0.0  # Unix time
+
+
+@dataclass
+class ListFollowers:
+    """A service of softswitches that follow the coordinator and have no connections to servers."""
+
+    count: int
+    coordinator: Address
+
+    async def start(self) -> None:
+        """Begin to follow."""
+        self._updates = [0] * self.count
+        self._last_at = 0.0
+        for index in range(self.count):
+            core = call_manager()
+            core.servers.pool = NoServerPool()  # type: ignore[assignment]
+            network = Network(core)
+            client = ServiceDiscoveryClient(core, self.coordinator, 0)
+            update_servers = core.update_servers
+            core.update_servers = partial(self._update, index, update_servers)  # type: ignore[method-assign]
+            network.spawn(network.poll_service_discovery(client))
+
+    def answer(self, _question: Question) -> FollowerStatus:
+        """Answer how far all have come."""
+        return FollowerStatus(min(self._updates), self._last_at)
+
+    def _update(self, index: int, update_servers: Any, records: Iterable[Any], complete: bool) -> None:
+        update_servers(records, complete)
+        self._updates[index] += 1
+        self._last_at = time.time()
+
+
+@dataclass
+class ServerClients:
+    """A service of softswitches with a connection to one roster server."""
+
+    count: int
+    server: Address
+
+    async def start(self) -> None:
+        """Begin to connect."""
+        record = ServerRecord("one", (self.server[0], self.server[1]), 0, Availability.READY)
+        self._cores = []
+        for _ in range(self.count):
+            core = call_manager()
+            ServerConnectionPool(core, Network(core).dial)
+            core.update_servers([record], complete=True)
+            self._cores.append(core)
+
+    def answer(self, _question: Question) -> int:
+        """Answer how many are connected."""
+        return sum(core.servers.by_id[1].connected for core in self._cores)
--- /dev/null
+++ b/benchmarks/scaling/workload.py
@@ -0,0 +1,40 @@
+"""The workload that all measurements share: who is called, how often, and for how long."""
+
+from __future__ import annotations
+
+from typing import Any
+
+SERVICE_SERVERS = 10  # of the service that is called
+CALL_RATE = 137.0  # calls a second
+CALL_DURATION_S = 1.0
+STATE_INTERVAL_S = 0.4  # between two states that a roster server reports
+SERVER_LINES = 1000  # of an emulated roster server: they never run short
+
+# Phases of a run, in seconds.
+SETTLE_S = 1.5  # from the start until a figure at rest is taken
+REST_S = 4.0  # of a figure at rest
+CALLS_S = 4.0  # of a figure with calls
+
+
+def settings_json(listed: int, service_servers: int = SERVICE_SERVERS) -> dict[str, Any]:
+    """Return settings with a class for each service, whose servers are numbered in order."""
+    services = [
+        list(range(first, min(first + service_servers, listed)))
+        for first in range(0, listed, service_servers)
+    ]
+    return {
+        "balancers": 1,
+        "classes": [
+            {"name": service_name(index), "aim_s": 1.5, "hard_limit_s": 9.0, "importance": 1.0}
+            for index in range(len(services))
+        ],
+        "family_info": {"allowed_pools": services, "clear_wait_s": 0.5, "retransmit_s": 0.8},
+        "load_report": {"names": ["free", "size", "mean_ms", "can_take"]},
+        "permissions": {"send_cap": 6, "cancel": True, "retry_after": True, "max_retry_after_s": 2.0},
+        "safety": {"answer_slack_s": 0.02, "drain_grace_s": 1.0},
+    }
+
+
+def service_name(index: int) -> str:
+    """Return the name of a service's class."""
+    return f"service-{index}"
