--- a/benchmarks/scaling/softswitch_process.py
+++ b/benchmarks/scaling/softswitch_process.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from types import TracebackType
 
+from benchmarks.platform_settings import complete_settings
 from benchmarks.scaling.counting_emulators import Address, Coordinator, RosterServers, ServerCounts
 from benchmarks.scaling.emulator_processes import ChangeEndpoint, emulator_processes
 from benchmarks.scaling.errors import UnavailableFigureError
@@ -116,7 +117,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "coordinator": f"{HOST}:{self._coordinator.first_answer[1]}",
             "known": {"index": 0, "updates": []},
-            "settings": settings_json(self._listed),
+            "settings": complete_settings(settings_json(self._listed)),
         }
         path = directory / "config.json"
         path.write_text(json.dumps(config))
--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.platform_settings import complete_settings
 from benchmarks.slow_start.real_servers import CALL_DURATION_S, SITE, MemberCallers, WarmableServer
 from benchmarks.slow_start.results import SlowStartResult
 from benchmarks.slow_start.scenarios import Scenario
@@ -130,7 +131,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "coordinator": format_address(coordinator.place),
             "known": {"index": len(coordinator.events), "updates": list(coordinator.events)},
-            "settings": {**self._settings, "me": number},
+            "settings": complete_settings({**self._settings, "me": number}),
         }
         path = self._directory / f"n{number}.json"
         path.write_text(json.dumps(config))
