--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -18,41 +18,65 @@
 import os
 import random
 import shutil
+import signal
 import subprocess
 import sys
 import tempfile
+from collections import Counter
+from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
-MODULES = (
-    "stairhatch/sip",
-    *(
-        f"stairhatch/node/{name}.py"
-        for name in (
-            "attempts",
-            "call_classes",
-            "call_manager",
-            "calls",
-            "event_dispatcher",
-            "final_answers",
-            "protocol",
-            "readiness",
-            "server_registry",
-            "server_responses",
-            "timer_wheel",
-        )
-    ),
+ROOT = Path(__file__).resolve().parents[1]
+CORE_MODULES = (
+    "attempts",
+    "call_classes",
+    "call_manager",
+    "calls",
+    "event_dispatcher",
+    "final_answers",
+    "protocol",
+    "readiness",
+    "server_registry",
+    "server_responses",
+    "timer_wheel",
 )
+MUTATED_PATHS = ("stairhatch/sip", *(f"stairhatch/node/{name}.py" for name in CORE_MODULES))
 LEFT_OUT = ("__init__.py",)
-SHIFTED = {ast.Lt: "<=", ast.LtE: "<", ast.Gt: ">=", ast.GtE: ">", ast.Eq: "!=", ast.NotEq: "=="}
-SHIFTED |= {ast.Is: "is not", ast.IsNot: "is", ast.In: "not in", ast.NotIn: "in"}
 COPIED = ("stairhatch", "tests", "conformance", "deploy", "benchmarks", "pyproject.toml", "README.md")
-SUITE_S, TESTS_S = 120.0, 600.0
+SUITE_TIMEOUT_S = 120.0
+TESTS_TIMEOUT_S = 600.0
+SHOWN_CHARACTERS = 70  # of a mutant's text
+SUITE_COMMAND = (sys.executable, "-m", "stairhatch", "conform")
+TEST_COMMAND = (
+    *(sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider"),
+    *("--deselect", "tests/test_conformance.py::test_each_mutation_is_found"),  # the whole suite again
+)
+SHIFTED_OPERATORS: dict[type[ast.cmpop], str] = {
+    ast.Lt: "<=",
+    ast.LtE: "<",
+    ast.Gt: ">=",
+    ast.GtE: ">",
+    ast.Eq: "!=",
+    ast.NotEq: "==",
+    ast.Is: "is not",
+    ast.IsNot: "is",
+    ast.In: "not in",
+    ast.NotIn: "in",
+}
+
+
+class Finder(StrEnum):
+    """What finds a mutant."""
 
+    SUITE = "suite"
+    TESTS = "tests"
+    NOTHING = ""
 
-@dataclass(frozen=True, slots=True)
+
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Mutant:
     """One change: the text between two places of a file becomes another."""
 
@@ -63,120 +87,174 @@
     end: int
     text: str
 
+    @property
     def name(self) -> str:
+        """The place and the kind of the change."""
         return f"{self.path}:{self.line} {self.kind}"
 
+    def apply(self, source: bytes) -> bytes:
+        """Return the source with the change."""
+        return source[: self.start] + self.text.encode() + source[self.end :]
+
+
+class MutantCollector:
+    """Finds every mutant of one file."""
+
+    def __init__(self, path: str, source: bytes) -> None:
+        self._path = path
+        self._source = source
+        self._line_starts = [0]
+        for line in source.splitlines(keepends=True):
+            self._line_starts.append(self._line_starts[-1] + len(line))
+        self._mutants: list[Mutant] = []
+
+    def collect(self) -> list[Mutant]:
+        """Return the mutants in the order of their lines."""
+        for node in ast.walk(ast.parse(self._source)):
+            match node:
+                case ast.If(test=test) | ast.While(test=test) | ast.IfExp(test=test):
+                    self._add(test, "negated", f"(not ({self._text(test)}))")
+                case ast.Compare(left=left, ops=[operator], comparators=[right]) if (
+                    shifted := SHIFTED_OPERATORS.get(type(operator))
+                ):
+                    self._add(node, "shifted", f"({self._text(left)} {shifted} {self._text(right)})")
+                case ast.Expr(value=ast.Call() as call):
+                    self._add(call, "dropped", "None")
+                case ast.Constant(value=int(value)) if not isinstance(value, bool):
+                    self._add(node, "raised", str(value + 1))
+        return sorted(self._mutants, key=lambda mutant: (mutant.line, mutant.start))
+
+    def _span(self, node: ast.expr) -> tuple[int, int]:
+        """Return where a node begins and ends, as offsets in bytes."""
+        assert node.end_lineno is not None
+        assert node.end_col_offset is not None
+        start = self._line_starts[node.lineno - 1] + node.col_offset
+        return start, self._line_starts[node.end_lineno - 1] + node.end_col_offset
+
+    def _text(self, node: ast.expr) -> str:
+        start, end = self._span(node)
+        return self._source[start:end].decode()
+
+    def _add(self, node: ast.expr, kind: str, text: str) -> None:
+        start, end = self._span(node)
+        self._mutants.append(
+            Mutant(path=self._path, line=node.lineno, kind=kind, start=start, end=end, text=text)
+        )
 
-def changes(path: str, source: bytes) -> list[Mutant]:
-    """Every mutant of a file, in the order of its lines."""
-    starts = [0]
-    for line in source.splitlines(keepends=True):
-        starts.append(starts[-1] + len(line))
-    tree = ast.parse(source)
-    found: list[Mutant] = []
-
-    def at(node: ast.expr | ast.stmt) -> tuple[int, int]:
-        assert node.end_lineno is not None and node.end_col_offset is not None
-        begin = starts[node.lineno - 1] + node.col_offset
-        return begin, starts[node.end_lineno - 1] + node.end_col_offset
-
-    def add(node: ast.expr | ast.stmt, kind: str, text: str) -> None:
-        begin, end = at(node)
-        found.append(Mutant(path, node.lineno, kind, begin, end, text))
-
-    def told(node: ast.expr) -> str:
-        begin, end = at(node)
-        return source[begin:end].decode()
-
-    for node in ast.walk(tree):
-        match node:
-            case ast.If(test=test) | ast.While(test=test) | ast.IfExp(test=test):
-                add(test, "negated", f"(not ({told(test)}))")
-            case ast.Compare(left=left, ops=[op], comparators=[right]) if type(op) in SHIFTED:
-                add(node, "shifted", f"({told(left)} {SHIFTED[type(op)]} {told(right)})")
-            case ast.Expr(value=ast.Call() as call):
-                add(call, "dropped", "None")
-            case ast.Constant(value=int(value)) if not isinstance(value, bool):
-                add(node, "raised", str(value + 1))
-    return sorted(found, key=lambda each: (each.line, each.start))
-
-
-def drawn(count: int, seed: int) -> list[Mutant]:
-    """So many mutants, each kind of change as often as it can be made."""
+
+def mutants_of(path: str) -> list[Mutant]:
+    """Return every mutant of a file of the tree."""
+    return MutantCollector(path, (ROOT / path).read_bytes()).collect()
+
+
+def draw_mutants(count: int, seed: int) -> list[Mutant]:
+    """Draw so many mutants, each kind of change as often as it can be made."""
     every: list[Mutant] = []
-    for name in MODULES:
+    for name in MUTATED_PATHS:
         where = ROOT / name
         for path in sorted(where.glob("*.py")) if where.is_dir() else [where]:
             if path.name not in LEFT_OUT:
-                every += changes(path.relative_to(ROOT).as_posix(), path.read_bytes())
+                every += mutants_of(path.relative_to(ROOT).as_posix())
     return random.Random(seed).sample(every, min(count, len(every)))
 
 
-def ends(words: list[str], folder: Path, limit_s: float) -> bool:
-    """Whether a command ends well; one that does not end in time has found the mutant too."""
-    environ = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1", "PYTHONPATH": str(folder)}
+def mutants_of_line(place: str) -> list[Mutant]:
+    """Return every mutant of a line, which is told as `file:line`."""
+    path, _, line = place.partition(":")
+    return [mutant for mutant in mutants_of(path) if mutant.line == int(line)]
+
+
+def ends_well(command: Sequence[str], tree: Path, timeout_s: float) -> bool:
+    """Return whether a command ends well; one that does not end in time has found the mutant too."""
     with tempfile.TemporaryDirectory() as scratch:
+        environment = {
+            **os.environ,
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "PYTHONPATH": str(tree),
+            "TMPDIR": scratch,
+        }
         process = subprocess.Popen(
-            words, cwd=folder, env={**environ, "TMPDIR": scratch}, stdin=subprocess.DEVNULL,
-            stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, start_new_session=True,
-        )  # fmt: skip
+            command,
+            cwd=tree,
+            env=environment,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+            start_new_session=True,
+        )
         try:
-            return process.wait(limit_s) == 0
+            return process.wait(timeout_s) == 0
         except subprocess.TimeoutExpired:
             return False
         finally:
             if process.poll() is None:
-                os.killpg(process.pid, 9)
+                os.killpg(process.pid, signal.SIGKILL)
                 process.wait()
 
 
-def finder(mutant: Mutant | None) -> str:
-    """What finds a mutant: "suite", "tests" or nothing ("")."""
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name) / "tree"
-        folder.mkdir()
-        for part in COPIED:
-            one = ROOT / part
-            if one.is_dir():
-                shutil.copytree(one, folder / part, ignore=shutil.ignore_patterns("__pycache__"))
-            else:
-                shutil.copy(one, folder / part)
+def copy_tree(target: Path) -> None:
+    """Copy what suite and tests need."""
+    target.mkdir()
+    for name in COPIED:
+        source = ROOT / name
+        if source.is_dir():
+            shutil.copytree(source, target / name, ignore=shutil.ignore_patterns("__pycache__"))
+        else:
+            shutil.copy(source, target / name)
+
+
+def find_mutant(mutant: Mutant | None) -> Finder:
+    """Return what finds a mutant; None is the tree as it is."""
+    with tempfile.TemporaryDirectory() as directory:
+        tree = Path(directory) / "tree"
+        copy_tree(tree)
         if mutant is not None:
-            path = folder / mutant.path
-            source = path.read_bytes()
-            path.write_bytes(source[: mutant.start] + mutant.text.encode() + source[mutant.end :])
-        if not ends([sys.executable, "-m", "stairhatch", "conform"], folder, SUITE_S):
-            return "suite"
-        run = [sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider", "--deselect"]
-        run += ["tests/test_conformance.py::test_each_mutation_is_found"]  # the whole suite again
-        return "" if ends(run, folder, TESTS_S) else "tests"
+            path = tree / mutant.path
+            path.write_bytes(mutant.apply(path.read_bytes()))
+        if not ends_well(SUITE_COMMAND, tree, SUITE_TIMEOUT_S):
+            return Finder.SUITE
+        return Finder.NOTHING if ends_well(TEST_COMMAND, tree, TESTS_TIMEOUT_S) else Finder.TESTS
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    words.add_argument("--count", type=int, default=60)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
-    words.add_argument("--json", type=Path, help="where the list goes")
-    words.add_argument("--only", default="", help="file:line: every mutant of that line, in place of a draw")
-    told = words.parse_args()
-    if told.only:
-        path, _, line = told.only.partition(":")
-        mutants = [m for m in changes(path, (ROOT / path).read_bytes()) if m.line == int(line)]
+    """Draw mutants, let suite and tests look for them, and print what neither finds."""
+    parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
+    parser.add_argument("--count", type=int, default=60)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
+    parser.add_argument("--json", type=Path, help="where the list goes")
+    parser.add_argument("--only", default="", help="file:line: every mutant of that line, in place of a draw")
+    arguments = parser.parse_args()
+    if arguments.only:
+        mutants = mutants_of_line(arguments.only)
     else:
-        mutants = drawn(told.count, told.seed)
-    if by := finder(None):
-        sys.exit(f"the tree as it is fails in the {by}: nothing can be told of mutants")
-    with ThreadPoolExecutor(told.jobs) as workers:
-        by = list(workers.map(finder, mutants))
-    for mutant, found in zip(mutants, by, strict=True):
-        if not found:
-            print(f"left   {mutant.name()}: {mutant.text[:70]}")
-    found_by = {name: by.count(name) for name in ("suite", "tests", "")}
-    print(f"{len(mutants) - found_by['']} of {len(mutants)} found: {found_by}")
-    if told.json:
-        lines = [{"mutant": m.name(), "text": m.text, "by": f} for m, f in zip(mutants, by, strict=True)]
-        told.json.write_text(json.dumps(lines, indent=1) + "\n")
+        mutants = draw_mutants(arguments.count, arguments.seed)
+    if finder := find_mutant(None):
+        sys.exit(f"the tree as it is fails in the {finder}: nothing can be told of mutants")
+    with ThreadPoolExecutor(arguments.jobs) as workers:
+        finders = list(workers.map(find_mutant, mutants))
+    print_results(mutants, finders)
+    if arguments.json:
+        write_results(arguments.json, mutants, finders)
+
+
+def print_results(mutants: list[Mutant], finders: list[Finder]) -> None:
+    """Print each mutant that was not found, and how many were."""
+    for mutant, finder in zip(mutants, finders, strict=True):
+        if finder is Finder.NOTHING:
+            print(f"left   {mutant.name}: {mutant.text[:SHOWN_CHARACTERS]}")
+    counts = Counter(finders)
+    by_finder = {finder.value: counts[finder] for finder in Finder}
+    print(f"{len(mutants) - counts[Finder.NOTHING]} of {len(mutants)} found: {by_finder}")
+
+
+def write_results(path: Path, mutants: list[Mutant], finders: list[Finder]) -> None:
+    """Write the list as JSON."""
+    lines = [
+        {"mutant": mutant.name, "text": mutant.text, "by": finder.value}
+        for mutant, finder in zip(mutants, finders, strict=True)
+    ]
+    path.write_text(json.dumps(lines, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/weigh_pysyncobj.py
+++ b/benchmarks/weigh_pysyncobj.py
@@ -1,5 +1,6 @@
-"""What the locks and the journal of PySyncObj, a Raft library, promise where the claims of a fleet are tried
-hardest: a holder that is stopped for longer than its term, and all processes killed in a moment. Three
+"""What the locks and the journal of PySyncObj, a Raft library, promise where leases are tried hardest.
+
+That is a holder that is stopped for longer than its lease, and all processes killed in a moment. Three
 processes, a lock that is released by itself after 1.5 s. Measured, not read off its pages; nothing is a test.
 
     python3 -m venv weigh && weigh/bin/pip install -r requirements-weigh.txt
@@ -17,140 +18,228 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
-TERM_S = 1.5
+LEASE_DURATION_S = 1.5
 STOPPED_S = 5.0
+START_S, RESTART_S = 4.0, 5.0  # until all are ready
 LOCK = "work"
+MEMBERS = 3
+INCREMENTS = 50
+CALL_TIMEOUT_S = 5  # of the library's
+REPLY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.01
+LOOK_INTERVAL_S = 0.002  # how often a process looks at its lock
 
 
-def child(name: str, places: list[str], folder: Path) -> None:
-    """One process: looks at its lock as fast as it can, and obeys a word a line."""
-    synced = 0
-    real = os.fsync
+class Command(StrEnum):
+    """What a process is told, a line each."""
 
-    def counted(fd: int) -> None:
-        nonlocal synced
-        synced += 1
-        real(fd)
+    ACQUIRE = "acquire"
+    COUNT = "count"
+    GET = "get"
 
-    os.fsync = counted  # type: ignore[assignment]
-    from pysyncobj import SyncObj, SyncObjConf  # type: ignore[import-not-found]
-    from pysyncobj.batteries import ReplCounter, ReplLockManager  # type: ignore[import-not-found]
 
-    lock, counter = ReplLockManager(autoUnlockTime=TERM_S), ReplCounter()
-    conf = SyncObjConf(journalFile=str(folder / f"{name}.journal"), fullDumpFile=str(folder / f"{name}.dump"))
-    mine = places[int(name)]
-    node = SyncObj(mine, [each for each in places if each != mine], consumers=[lock, counter], conf=conf)
-    os.set_blocking(0, False)
-    held = None
-    with (folder / f"{name}.said").open("a") as said:
+class RecordKind(StrEnum):
+    """What a process writes down."""
 
-        def say(what: str, value: Any) -> None:
-            said.write(json.dumps([time.monotonic(), what, value]) + "\n")
-            said.flush()
+    HELD = "held"  # whether it believes that it holds the lock
+    ACQUIRED = "answer"
+    COUNTED = "counted"
+    VALUE = "kept"
+    FAULT = "fault"
 
-        while True:
-            now = bool(lock.isAcquired(LOCK))
-            if now != held:
-                held = now
-                say("held", now)
-            order = b""
-            with contextlib.suppress(BlockingIOError):
-                order = os.read(0, 64).strip()
-            try:
-                if order == b"acquire":
-                    say("answer", repr(lock.tryAcquire(LOCK, sync=True, timeout=5)))
-                if order == b"count":
-                    before, began = synced, time.monotonic()
-                    for _ in range(50):
-                        counter.inc(sync=True, timeout=5)
-                    say("counted", [counter.get(), synced - before, time.monotonic() - began])
-                if order == b"get":
-                    say("kept", [counter.get(), bool(node.isReady())])
-            except Exception as error:  # noqa: BLE001 - whatever the library raises is a result
-                say("fault", repr(error))
-            time.sleep(0.002)
+
+REPLIES = {
+    Command.ACQUIRE: RecordKind.ACQUIRED,
+    Command.COUNT: RecordKind.COUNTED,
+    Command.GET: RecordKind.VALUE,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class Record:
+    """A line of a process's file."""
+
+    at_s: float  # by the monotonic clock
+    kind: str
+    value: Any
+
+
+def records_path(directory: Path, name: str) -> Path:
+    """Return the file that a process writes its records to."""
+    return directory / f"{name}.said"
 
 
-def said(folder: Path, name: str) -> list[list[Any]]:
-    """What one has said."""
-    path = folder / f"{name}.said"
-    return [json.loads(text) for text in path.read_text().splitlines()] if path.exists() else []
+def read_records(directory: Path, name: str) -> list[Record]:
+    """Return what a process has written down."""
+    path = records_path(directory, name)
+    return [Record(*json.loads(line)) for line in path.read_text().splitlines()] if path.exists() else []
 
 
-class Three:
-    """The processes."""
+class SyncCounter:
+    """Counts the calls of os.fsync in this process."""
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
-        self.places = [f"127.0.0.1:{each.getsockname()[1]}" for each in socks]
-        for each in socks:
-            each.close()
-        self.all: list[subprocess.Popen[bytes]] = []
+    def __init__(self) -> None:
+        self.count = 0
+        self._fsync = os.fsync
+        os.fsync = self._counted  # type: ignore[assignment]
+
+    def _counted(self, descriptor: int) -> None:
+        self.count += 1
+        self._fsync(descriptor)
+
+
+class LockMember:
+    """One process: looks at its lock as fast as it can, and carries out commands."""
+
+    def __init__(self, name: str, addresses: list[str], directory: Path) -> None:
+        self._syncs = SyncCounter()  # before the library takes os.fsync
+        from pysyncobj import SyncObj, SyncObjConf  # type: ignore[import-not-found]
+        from pysyncobj.batteries import ReplCounter, ReplLockManager  # type: ignore[import-not-found]
+
+        self._lock = ReplLockManager(autoUnlockTime=LEASE_DURATION_S)
+        self._counter = ReplCounter()
+        config = SyncObjConf(
+            journalFile=str(directory / f"{name}.journal"), fullDumpFile=str(directory / f"{name}.dump")
+        )
+        own = addresses[int(name)]
+        others = [address for address in addresses if address != own]
+        self._node = SyncObj(own, others, consumers=[self._lock, self._counter], conf=config)
+        self._path = records_path(directory, name)
+
+    def run(self) -> None:
+        """Run until killed."""
+        os.set_blocking(sys.stdin.fileno(), False)
+        was_held = None
+        while True:
+            is_held = bool(self._lock.isAcquired(LOCK))
+            if is_held != was_held:
+                was_held = is_held
+                self._write(RecordKind.HELD, is_held)
+            command = b""
+            with contextlib.suppress(BlockingIOError):
+                command = os.read(sys.stdin.fileno(), 64).strip()
+            try:
+                self._carry_out(command.decode())
+            except Exception as error:  # noqa: BLE001 - whatever the library raises is a result
+                self._write(RecordKind.FAULT, repr(error))
+            time.sleep(LOOK_INTERVAL_S)
+
+    def _carry_out(self, command: str) -> None:
+        match command:
+            case Command.ACQUIRE:
+                acquired = self._lock.tryAcquire(LOCK, sync=True, timeout=CALL_TIMEOUT_S)
+                self._write(RecordKind.ACQUIRED, repr(acquired))
+            case Command.COUNT:
+                syncs, began = self._syncs.count, time.monotonic()
+                for _ in range(INCREMENTS):
+                    self._counter.inc(sync=True, timeout=CALL_TIMEOUT_S)
+                took_s = time.monotonic() - began
+                self._write(RecordKind.COUNTED, [self._counter.get(), self._syncs.count - syncs, took_s])
+            case Command.GET:
+                self._write(RecordKind.VALUE, [self._counter.get(), bool(self._node.isReady())])
+
+    def _write(self, kind: RecordKind, value: Any) -> None:
+        with self._path.open("a") as records:
+            records.write(json.dumps([time.monotonic(), kind, value]) + "\n")
+
+
+class LockCluster:
+    """The three processes."""
+
+    def __init__(self, directory: Path) -> None:
+        self._directory = directory
+        self._addresses = free_addresses(MEMBERS)
+        self._processes: list[subprocess.Popen[bytes]] = []
 
     def start(self) -> None:
-        """All of them."""
-        self.all = [
-            subprocess.Popen([sys.executable, __file__, str(n), str(self.folder), *self.places],
-                             stdin=subprocess.PIPE)
-            for n in range(3)
-        ]  # fmt: skip
-
-    def tell(self, name: int, order: str, what: str) -> Any:
-        """An order, and what comes of it."""
-        before = len([each for each in said(self.folder, str(name)) if each[1] in (what, "fault")])
-        stdin = self.all[name].stdin
+        """Start all of them."""
+        self._processes = [
+            subprocess.Popen(
+                [sys.executable, __file__, str(number), str(self._directory), *self._addresses],
+                stdin=subprocess.PIPE,
+            )
+            for number in range(MEMBERS)
+        ]
+
+    def tell(self, number: int, command: Command) -> Record | None:
+        """Give a process a command. Returns its reply or fault, None if none comes in time."""
+        replies_before = len(self._replies(number, command))
+        stdin = self._processes[number].stdin
         assert stdin is not None
-        stdin.write(order.encode() + b"\n")
+        stdin.write(command.encode() + b"\n")
         stdin.flush()
-        end = time.monotonic() + 20
+        end = time.monotonic() + REPLY_TIMEOUT_S
         while time.monotonic() < end:
-            found = [each for each in said(self.folder, str(name)) if each[1] in (what, "fault")]
-            if len(found) > before:
-                return found[-1]
-            time.sleep(0.01)
+            replies = self._replies(number, command)
+            if len(replies) > replies_before:
+                return replies[-1]
+            time.sleep(POLL_INTERVAL_S)
         return None
 
+    def send_signal(self, number: int, signal_number: signal.Signals) -> None:
+        """Stop a process, or let it go on."""
+        self._processes[number].send_signal(signal_number)
+
     def kill(self) -> None:
-        """SIGKILL to all."""
-        for each in self.all:
-            each.kill()
-            each.wait()
+        """Kill all of them."""
+        for process in self._processes:
+            process.kill()
+            process.wait()
+
+    def _replies(self, number: int, command: Command) -> list[Record]:
+        kinds = (REPLIES[command], RecordKind.FAULT)
+        return [each for each in read_records(self._directory, str(number)) if each.kind in kinds]
+
+
+def free_addresses(count: int) -> list[str]:
+    """Return addresses of this machine whose ports are free, as host:port."""
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in sockets]
+    for each in sockets:
+        each.close()
+    return addresses
+
+
+def measure(cluster: LockCluster, directory: Path) -> None:
+    """Stop a holder for longer than its lease, kill all, and print what the library says."""
+    time.sleep(START_S)
+    print("what the first gets for an acquired lock:", cluster.tell(0, Command.ACQUIRE))
+    cluster.send_signal(0, signal.SIGSTOP)
+    time.sleep(LEASE_DURATION_S * 2)
+    print("what the second gets while the first is stopped:", cluster.tell(1, Command.ACQUIRE))
+    time.sleep(STOPPED_S - 2 * LEASE_DURATION_S)
+    continued_at = time.monotonic()
+    cluster.send_signal(0, signal.SIGCONT)
+    time.sleep(2)
+    beliefs = [each for each in read_records(directory, "0") if each.kind == RecordKind.HELD]
+    shown = [(round(each.at_s - continued_at, 4), each.value) for each in beliefs]
+    print("the first, seconds from when it was let go on:", shown)
+    print(f"{INCREMENTS} increments: value, fsyncs, seconds:", cluster.tell(1, Command.COUNT))
+    cluster.kill()
+    cluster.start()
+    time.sleep(RESTART_S)
+    print("after SIGKILL of all: value, ready:", cluster.tell(1, Command.GET))
 
 
 def main() -> None:
-    """All of it."""
+    """Run the three processes and measure them."""
     with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
-        three = Three(folder)
-        three.start()
+        directory = Path(name)
+        cluster = LockCluster(directory)
+        cluster.start()
         try:
-            time.sleep(4)
-            print("what the first gets for an acquired lock:", three.tell(0, "acquire", "answer"))
-            three.all[0].send_signal(signal.SIGSTOP)
-            time.sleep(TERM_S * 2)
-            print("what the second gets while the first is stopped:", three.tell(1, "acquire", "answer"))
-            time.sleep(STOPPED_S - 2 * TERM_S)
-            let_go = time.monotonic()
-            three.all[0].send_signal(signal.SIGCONT)
-            time.sleep(2)
-            first = [each for each in said(folder, "0") if each[1] == "held"]
-            seen = [(round(at - let_go, 4), value) for at, _, value in first]
-            print("the first, seconds from when it was let go on:", seen)
-            print("50 increments: value, fsyncs, seconds:", three.tell(1, "count", "counted"))
-            three.kill()
-            three.start()
-            time.sleep(5)
-            print("after SIGKILL of all: value, ready:", three.tell(1, "get", "kept"))
+            measure(cluster, directory)
         finally:
-            three.kill()
+            cluster.kill()
 
 
 if __name__ == "__main__":
     if len(sys.argv) > 2:
-        child(sys.argv[1], sys.argv[3:], Path(sys.argv[2]))
+        LockMember(sys.argv[1], sys.argv[3:], Path(sys.argv[2])).run()
     else:
         main()
