--- a/stairhatch/conformance/credentials.py
+++ b/stairhatch/conformance/credentials.py
@@ -4,7 +4,7 @@
 
 from stairhatch.conformance.errors import CheckFailedError
 from stairhatch.node import sip_message as sip
-from stairhatch.sip import auth, grammar
+from stairhatch.sip import digest_auth, grammar
 
 USER = "office"
 PASSWORD = "a long word"
@@ -31,10 +31,12 @@
     nonce, realm = parameters.get("nonce", ""), parameters.get("realm", "")
     if "nonce" in words:
         nonce = _spoiled(nonce)
-    user_hash = auth.user_hash(algorithm, user, realm, password)
-    request_hash = auth.hashed(algorithm, f"{method}:{uri}")
+    user_hash = digest_auth.user_hash(algorithm, user, realm, password)
+    request_hash = digest_auth.hex_digest(algorithm, f"{method}:{uri}")
     nonce_count = f"{int(count):08x}"
-    response = auth.hashed(algorithm, f"{user_hash}:{nonce}:{nonce_count}:{CLIENT_NONCE}:auth:{request_hash}")
+    response = digest_auth.hex_digest(
+        algorithm, f"{user_hash}:{nonce}:{nonce_count}:{CLIENT_NONCE}:auth:{request_hash}"
+    )
     return (
         f'Digest username="{user}", realm="{realm}", nonce="{nonce}", uri="{uri}", response="{response}", '
         f'algorithm={algorithm}, cnonce="{CLIENT_NONCE}", qop=auth, nc={nonce_count}'
@@ -45,7 +47,7 @@
     """Return the parameters of the last challenge of an algorithm, {} if there is none."""
     found: dict[str, str] = {}
     for value in challenge.get_lines("www-authenticate"):
-        _, parameters = grammar.read_credentials(value)
+        _, parameters = grammar.parse_credentials(value)
         if parameters.get("algorithm") == algorithm:
             found = parameters
     return found
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -19,8 +19,8 @@
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.overload.settings import CallClass, SafetyLimits, Settings
-from stairhatch.sip.flows import SipConnection
-from stairhatch.sip.front import SipConfig, SipFront, SipListener
+from stairhatch.sip.frontend import SipConfig, SipFrontend, SipListener
+from stairhatch.sip.transport import SipConnection
 
 START_S = 1000.0  # of the virtual clock
 HOST = "127.0.0.1"
@@ -230,7 +230,7 @@
     return core
 
 
-def _frontend(core: CallManager, overrides: dict[str, Any]) -> SipFront:
+def _frontend(core: CallManager, overrides: dict[str, Any]) -> SipFrontend:
     """Return a SIP frontend with tokens and draws that are the same each time."""
     listeners = (SipListener((HOST, SIP_PORT)),)
     settings: dict[str, Any] = {
@@ -242,7 +242,7 @@
         **overrides,
     }
     tokens, draws = (f"{number:016x}" for number in count(1)), random.Random(2)
-    return SipFront(core, SipConfig(**settings), lambda: next(tokens), draws.random, b"secret")
+    return SipFrontend(core, SipConfig(**settings), lambda: next(tokens), draws.random, b"secret")
 
 
 def _log_nothing(_event: str, **_fields: Any) -> None:
--- a/stairhatch/conformance/suite.py
+++ b/stairhatch/conformance/suite.py
@@ -13,8 +13,8 @@
 from stairhatch.conformance.player import play
 from stairhatch.conformance.results import CaseResult
 from stairhatch.conformance.sockets import SocketEnvironment, SocketTarget
-from stairhatch.sip import auth
-from stairhatch.sip.front import AuthConfig
+from stairhatch.sip import digest_auth
+from stairhatch.sip.frontend import AuthConfig
 
 __all__ = ["FAULTS", "find_mutation", "run_in_process", "run_over_sockets"]
 ALGORITHMS = ("SHA-512-256", "SHA-256")
@@ -55,8 +55,8 @@
     """Return the program in process with the configuration that a case needs."""
     if "auth" not in case.needs:
         return InProcessEnvironment()
-    lines = auth.user_lines(USER, REALM, PASSWORD, ALGORITHMS)
-    users = auth.read_users("\n".join(lines), REALM, ALGORITHMS)
+    lines = digest_auth.format_user_lines(USER, REALM, PASSWORD, ALGORITHMS)
+    users = digest_auth.parse_users("\n".join(lines), REALM, ALGORITHMS)
     return InProcessEnvironment(auth=AuthConfig(REALM, users, ALGORITHMS, NONCE_LIFETIME_S))
 
 
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -13,8 +13,10 @@
 from stairhatch.conformance import report, suite
 from stairhatch.conformance.cases import read_cases
 from stairhatch.conformance.errors import CaseError
+from stairhatch.emulators.ports import free_port
 
-from .peers import ROOT, free_port, until
+from .support.paths import ROOT
+from .support.waiting import wait_until
 
 CASES = read_cases()
 COMMAND = (sys.executable, "-m", "stairhatch")
@@ -65,7 +67,7 @@
             stderr=out,
         )
     try:
-        until(lambda: "listens on" in output.read_text(), "the demonstration")
+        wait_until(lambda: "listens on" in output.read_text(), "the demonstration")
         yield address
     finally:
         demo.terminate()
