--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -3,6 +3,7 @@
 Durations are seconds, points in time seconds on the node's own clock. Nothing here decides anything, and
 nothing changes an event once it is made. They are not `frozen` for all that: several are made for each call,
 and a frozen one takes two and a half times as long to make (and twice as long to define at each start).
+Records compare by what they hold; an event is equal to itself alone.
 """
 
 from __future__ import annotations
@@ -68,7 +69,7 @@
     started_at: float = 0.0  # when it last started; 0: long ago
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class EndpointsUpdated:
     """The complete endpoint list, or only the records that changed."""
 
@@ -76,7 +77,7 @@
     complete: bool
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class CallOffered:
     """A caller asks for a call. One final answer is owed within `caller_timeout_s`."""
 
@@ -89,7 +90,7 @@
     called_number: int = 0  # destination number; 0: unknown
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class CallEstablished:
     """A call is established; its set-up took `elapsed_s`."""
 
@@ -98,7 +99,7 @@
     elapsed_s: float
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class AttemptEnded:
     """An attempt has ended. `answered`: the caller has had its final answer."""
 
@@ -113,14 +114,14 @@
     no_free_line: bool = False  # rejected for want of a free line, not of processor time
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class CallAbandoned:
     """The caller has gone; no answer is owed any more."""
 
     call_id: int
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class LoadReported:
     """A load report that came by itself or as the answer to a health check."""
 
@@ -130,14 +131,14 @@
     solicited: bool = False
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class TimerExpired:
     """A timer that was set by SetTimer has expired."""
 
     timer_id: int
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class PeerMessageReceived:
     """A message from another node."""
 
