--- a/stairhatch/config/appliance/fleet.py
+++ b/stairhatch/config/appliance/fleet.py
@@ -6,8 +6,7 @@
 
 from stairhatch.config.appliance.addresses import address_at
 from stairhatch.config.appliance.schema import ApplianceTable, FleetTable
-from stairhatch.config.model import ConfigError
-from stairhatch.config.reading import read_text
+from stairhatch.config.model import ConfigError, read_text
 from stairhatch.fleet.config import MAX_VOTERS, FleetConfig
 from stairhatch.fleet.lease import LeaseTimings
 from stairhatch.sip.transport import TransportAddress
--- a/stairhatch/config/appliance/reader.py
+++ b/stairhatch/config/appliance/reader.py
@@ -14,8 +14,7 @@
 from stairhatch.config.appliance.scope import scope_config
 from stairhatch.config.appliance.sip import sip_config
 from stairhatch.config.appliance.validation import validate
-from stairhatch.config.model import Config, ConfigError
-from stairhatch.config.reading import checked_settings, read_text
+from stairhatch.config.model import Config, ConfigError, checked_settings, read_text
 from stairhatch.settings.errors import SettingsError
 from stairhatch.sip.transport import TransportAddress
 
--- a/stairhatch/config/appliance/sip.py
+++ b/stairhatch/config/appliance/sip.py
@@ -11,8 +11,7 @@
 from stairhatch.config.appliance.addresses import address_at, listeners_at
 from stairhatch.config.appliance.schema import AdmissionTable, AuthTable, SipTable
 from stairhatch.config.appliance.validation import suggestion
-from stairhatch.config.model import ConfigError
-from stairhatch.config.reading import read_text
+from stairhatch.config.model import ConfigError, read_text
 from stairhatch.overload.settings import Settings
 from stairhatch.sip import digest_auth
 from stairhatch.sip.frontend import AuthConfig, SipConfig
--- a/stairhatch/config/model.py
+++ b/stairhatch/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration of one softswitch (`Config`), and the error for one that cannot be used."""
+"""The configuration of one softswitch (`Config`), the error for one that cannot be used, and reading aids."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stairhatch.overload.settings import Settings
+from stairhatch.settings.parser import settings_from_object
 
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
@@ -42,3 +43,29 @@
     fleet: FleetConfig | None = None  # the appliance's part in shared work
     scope: ScopeConfig | None = None  # which servers are kept to, where that is not all of the list
     raw: Any = None  # the decoded text, of which a reload may lose no key
+
+
+def checked_settings(raw: Any, complete: bool) -> Settings:
+    """Return the settings, in which each class has a name of its own.
+
+    Raises SettingsError where a key cannot be used, or is missing where they have to be complete, and
+    ConfigError where the classes cannot be told apart.
+    """
+    settings = settings_from_object(raw, complete=complete).settings
+    names = [each.name for each in settings.classes]
+    if not names:
+        raise ConfigError("settings.classes: there is none")
+    if len(set(names)) < len(names):
+        raise ConfigError("settings.classes: two have one name")
+    return settings
+
+
+def read_text(path: str) -> str:
+    """Return a file's text. Raises ConfigError that names the file if it cannot be read."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            return file.read()
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except UnicodeDecodeError as error:
+        raise ConfigError(f"{path}: {error}") from error
--- a/stairhatch/config/platform.py
+++ b/stairhatch/config/platform.py
@@ -10,8 +10,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from stairhatch.config.model import Config, ConfigError
-from stairhatch.config.reading import checked_settings, read_text
+from stairhatch.config.model import Config, ConfigError, checked_settings, read_text
 from stairhatch.node.address import AddressError, parse_address
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, parse_answer
 from stairhatch.settings.errors import SettingsError
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -24,11 +24,10 @@
     ReleaseCause,
     ServerRecord,
 )
-from stairhatch.node.context import NodeContext
+from stairhatch.node.context import Logger, NodeContext, OverloadControl
 from stairhatch.node.counters import Counters
 from stairhatch.node.event_dispatcher import EventDispatcher
 from stairhatch.node.final_answers import ANSWER_EARLY_S, FinalAnswers
-from stairhatch.node.ports import Logger, OverloadControl
 from stairhatch.node.protocol import do_nothing
 from stairhatch.node.readiness import Readiness
 from stairhatch.node.server_registry import ServerRegistry
--- a/stairhatch/node/event_dispatcher.py
+++ b/stairhatch/node/event_dispatcher.py
@@ -6,8 +6,7 @@
 from collections.abc import Callable
 
 from stairhatch.node.calls import CallRegistry, CallState
-from stairhatch.node.context import NodeContext
-from stairhatch.node.ports import OverloadControl
+from stairhatch.node.context import NodeContext, OverloadControl
 from stairhatch.overload.actions import Action, FailCall, SendSetup
 from stairhatch.overload.events import Event
 
--- a/stairhatch/node/io/connection_runner.py
+++ b/stairhatch/node/io/connection_runner.py
@@ -12,10 +12,9 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.io.accepted_connection import AcceptedConnection
-from stairhatch.node.io.buffer_pool import BufferPool
-from stairhatch.node.io.reader import CallerReader, IdleOrder, PooledReader
+from stairhatch.node.io.background import BackgroundTasks
+from stairhatch.node.io.reader import BufferPool, CallerReader, IdleOrder, PooledReader
 from stairhatch.node.io.readiness_poller import ReadinessPoller
-from stairhatch.node.io.tasks import BackgroundTasks
 from stairhatch.node.io.writer import Writer
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
--- a/stairhatch/node/io/datagrams.py
+++ b/stairhatch/node/io/datagrams.py
@@ -15,8 +15,8 @@
 from typing import Protocol
 
 from stairhatch.node.io.addresses import SocketAddress, address_family
+from stairhatch.node.io.background import LoadMonitor
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.load_monitor import LoadMonitor
 
 SO_TIMESTAMPNS = 35  # Linux: the kernel notes when each datagram came; elsewhere no delay is reported
 TIMESPEC = struct.Struct("@qq")  # seconds and nanoseconds of Unix time
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -15,15 +15,12 @@
 
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.io.addresses import SocketAddress, address_family
+from stairhatch.node.io.background import BackgroundTasks, DelayObserver, LoadMonitor, TimerDriver
 from stairhatch.node.io.connection_runner import ConnectionRunner
-from stairhatch.node.io.connector import Connector
+from stairhatch.node.io.connector import Connector, ServerConnector, ServiceDiscoveryPoller
 from stairhatch.node.io.datagrams import DatagramPort, DatagramProtocol
 from stairhatch.node.io.descriptor_budget import CallerAdmission, DescriptorBudget
 from stairhatch.node.io.listener import Listener, ListenerLimits, ProtocolFactory
-from stairhatch.node.io.load_monitor import DelayObserver, LoadMonitor
-from stairhatch.node.io.persistent_connections import ServerConnector, ServiceDiscoveryPoller
-from stairhatch.node.io.tasks import BackgroundTasks
-from stairhatch.node.io.timer_driver import TimerDriver
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.server_connection import ServerConnection
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
--- a/stairhatch/node/io/reader.py
+++ b/stairhatch/node/io/reader.py
@@ -1,4 +1,4 @@
-"""Reading from connections.
+"""Reading from connections, and the pool of buffers they are read into.
 
 Callers' connections are read by `CallerReader` as soon as the loop or the readiness poller finds bytes, and
 the bytes are used in the same step. Connections that this process dialled are read by `PooledReader`, which
@@ -14,10 +14,11 @@
 from functools import partial
 
 from stairhatch.node.io.accepted_connection import AcceptedConnection
-from stairhatch.node.io.buffer_pool import BUFFER_BYTES, BufferPool
 from stairhatch.node.io.readiness_poller import FaultHandler, ReadinessPoller
 from stairhatch.node.protocol import ConnectionProtocol
 
+BUFFER_BYTES = 16 * 1024  # of each receive buffer
+MAX_FREE_BUFFERS = 64
 LINGER_S = 0.2  # so long is read on after the last answer, so that the answer arrives
 MAX_LINGER_BYTES = 256 * 1024
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's have the same values
@@ -25,6 +26,24 @@
 IdleOrder = OrderedDict[AcceptedConnection, None]  # the longest idle comes first
 
 
+class BufferPool:
+    """Buffers of `BUFFER_BYTES`. Any number may be in use; at most `max_free` are kept unused."""
+
+    def __init__(self, max_free: int = MAX_FREE_BUFFERS) -> None:
+        """Start without buffers: each is made when it is first needed."""
+        self.free: list[bytearray] = []
+        self.max_free = max_free
+
+    def acquire(self) -> bytearray:
+        """A buffer of undefined content; the caller gives it back by `release`."""
+        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
+
+    def release(self, buffer: bytearray) -> None:
+        """Take back a buffer that nobody reads any more."""
+        if len(self.free) < self.max_free:
+            self.free.append(buffer)
+
+
 class CallerReader:
     """Reads callers' connections in the loop's turns, and when the readiness poller is asked to."""
 
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from stairhatch.node.calls import RosterServer, ServerRecord
-from stairhatch.node.ports import ServerPool
+from stairhatch.node.context import ServerPool
 from stairhatch.overload.events import Availability
 
 
--- a/stairhatch/overload/__init__.py
+++ b/stairhatch/overload/__init__.py
@@ -9,5 +9,5 @@
 - servers that get nothing for a while, and busy numbers: `outlier`
 - what load reports and the results of attempts lead to: `load_reports`
 - callers that retry unmarked: `caller_retry`; onset, abatement and the settings in use: `thresholds`
-- what is known of a server: `endpoint`, `endpoint_registry`; how the parts are wired: `controller_parts`
+- what is known of a server: `endpoint`; how the parts are wired: `controller_parts`
 """
--- a/stairhatch/overload/congestion.py
+++ b/stairhatch/overload/congestion.py
@@ -1,7 +1,7 @@
 """Hysteretic congestion control (Roughan and Pearce): a flag per endpoint, and throttling while it is up."""
 
 from stairhatch.overload.endpoint import Endpoint
-from stairhatch.overload.pending_call import PendingCall
+from stairhatch.overload.pending_queue import PendingCall
 from stairhatch.overload.thresholds import EVIDENCE_LIFETIME_S, Thresholds
 
 THROTTLE_FRACTION = 0.5  # of the class of least weight, while flagged (the paper's percentage throttling)
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -13,8 +13,7 @@
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import AttemptOutcome, Event
 from stairhatch.overload.load_balancing import Available
-from stairhatch.overload.pending_call import PendingCall
-from stairhatch.overload.pending_queue import PendingQueue
+from stairhatch.overload.pending_queue import PendingCall, PendingQueue
 from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.overload.thresholds import MEMORY_S, Thresholds
 
--- a/stairhatch/overload/controller_parts.py
+++ b/stairhatch/overload/controller_parts.py
@@ -6,8 +6,7 @@
 from stairhatch.overload.caller_retry import CallerRetryDetector
 from stairhatch.overload.concurrency import ConcurrencyControl
 from stairhatch.overload.congestion import CongestionControl
-from stairhatch.overload.endpoint import Endpoint
-from stairhatch.overload.endpoint_registry import EndpointRegistry
+from stairhatch.overload.endpoint import Endpoint, EndpointRegistry
 from stairhatch.overload.load_balancing import LoadBalancer
 from stairhatch.overload.load_reports import LoadEvidence
 from stairhatch.overload.outlier import DestinationBackoffs, OutlierDetection
--- a/stairhatch/overload/endpoint.py
+++ b/stairhatch/overload/endpoint.py
@@ -1,13 +1,15 @@
-"""What one node knows of one call server. Times are seconds, points in time on the node's own clock.
+"""What one node knows of the call servers, by their list, and of busy called numbers.
 
-The record decides nothing: the parts of the controller read and write it.
+Times are seconds, points in time on the node's own clock. Nothing here decides anything: the parts of the
+controller read and write the records.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from stairhatch.overload.events import Availability
+from stairhatch.overload.events import Availability, EndpointRecord, EndpointsUpdated
 
 
 @dataclass(slots=True, eq=False, repr=False)
@@ -99,3 +101,49 @@
         """End its ejection. The next one begins with the shortest time."""
         self.ejected = False
         self.next_ejection_s = 0.0
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class DestinationBackoff:
+    """A called number whose lines were all busy."""
+
+    interval_s: float = 0.0  # between trial calls
+    next_trial_at: float = 0.0
+
+
+class EndpointRegistry:
+    """Adds endpoints that are listed, marks them as listed, and forgets those that are long gone."""
+
+    def __init__(
+        self,
+        endpoints: dict[int, Endpoint],
+        new_endpoint: Callable[[EndpointRecord], Endpoint],
+        listed: Callable[[float, Endpoint, EndpointRecord], None],
+        keep_gone_s: float,
+    ) -> None:
+        """Keep `endpoints` up to date. `listed` is called before a record takes effect.
+
+        An endpoint that has gone is known for `keep_gone_s`: it may return.
+        """
+        self.endpoints = endpoints
+        self.new_endpoint = new_endpoint
+        self.listed = listed
+        self.keep_gone_s = keep_gone_s
+
+    def update(self, now: float, event: EndpointsUpdated) -> None:
+        """Take the complete list, or the records that changed. Rule 3 goes by the availability set here."""
+        if event.complete:
+            listed = {record.server_id for record in event.endpoints}
+            for endpoint in self.endpoints.values():
+                if endpoint.id not in listed:
+                    endpoint.availability = Availability.GONE
+        for record in event.endpoints:
+            known = self.endpoints.get(record.server_id)
+            if known is None:
+                known = self.endpoints[record.server_id] = self.new_endpoint(record)
+            self.listed(now, known, record)
+            known.number, known.availability, known.listed_at = record.number, record.availability, now
+        for endpoint in list(self.endpoints.values()):
+            gone = endpoint.availability is Availability.GONE and not endpoint.pending_setups
+            if gone and now - endpoint.listed_at > self.keep_gone_s:
+                del self.endpoints[endpoint.id]
--- a/stairhatch/overload/load_balancing.py
+++ b/stairhatch/overload/load_balancing.py
@@ -8,7 +8,7 @@
 from stairhatch.overload.congestion import CongestionControl
 from stairhatch.overload.endpoint import Endpoint
 from stairhatch.overload.events import Availability
-from stairhatch.overload.pending_call import PendingCall
+from stairhatch.overload.pending_queue import PendingCall
 from stairhatch.overload.slow_start import SlowStart
 from stairhatch.overload.thresholds import EVIDENCE_LIFETIME_S, Thresholds
 
--- a/stairhatch/overload/outlier.py
+++ b/stairhatch/overload/outlier.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from stairhatch.overload.concurrency import ConcurrencyControl
-from stairhatch.overload.endpoint import Endpoint
+from stairhatch.overload.endpoint import DestinationBackoff, Endpoint
 from stairhatch.overload.events import AttemptOutcome
-from stairhatch.overload.pending_call import DestinationBackoff, PendingCall
+from stairhatch.overload.pending_queue import PendingCall
 from stairhatch.overload.slow_start import SlowStart
 from stairhatch.overload.thresholds import Thresholds
 
--- a/stairhatch/overload/pending_queue.py
+++ b/stairhatch/overload/pending_queue.py
@@ -1,10 +1,56 @@
-"""The queue of calls that wait for an available endpoint. It keeps order and decides nothing."""
+"""The calls that are owed a final answer, and the queue of those that wait for an available endpoint.
+
+The queue keeps order. Nothing here decides anything.
+"""
+
+from __future__ import annotations
 
 import bisect
 import heapq
 from collections.abc import Iterator
+from dataclasses import dataclass
+
+from stairhatch.overload.events import CallOffered
+from stairhatch.overload.settings import CallClass
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class PendingCall:
+    """A call that is owed its final answer."""
+
+    id: int
+    call_class: CallClass
+    preferred_number: int
+    offered_at: float
+    answer_by: float
+    weight: float  # its class's, less in a caller's retry
+    in_transit: bool
+    called_number: int
+    queue_until: float  # it is rejected if no endpoint was available until then
+    max_attempts: int
+    attempts: int = 0
+    may_have_run: bool = False  # an attempt may have been processed
+    error_servers: tuple[int, ...] = ()  # servers that answered it with an error
+    not_before: float = 0.0  # no further attempt before: the end of the last one was unclear
 
-from stairhatch.overload.pending_call import PendingCall
+    @classmethod
+    def offered(
+        cls, event: CallOffered, now: float, answer_by: float, queue_until: float, max_attempts: int
+    ) -> PendingCall:
+        """A call as it comes; its class must be known. Its weight is its class's."""
+        assert event.call_class is not None
+        return cls(
+            id=event.call_id,
+            call_class=event.call_class,
+            preferred_number=event.preferred_number,
+            offered_at=now,
+            answer_by=answer_by,
+            weight=event.call_class.priority_weight,
+            in_transit=event.in_transit,
+            called_number=event.called_number,
+            queue_until=queue_until,
+            max_attempts=max_attempts,
+        )
 
 
 class PendingQueue:
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -17,7 +17,7 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, parse_answer
 from stairhatch.settings.errors import LostKeyError
-from stairhatch.settings.lost_keys import check_no_key_lost
+from stairhatch.settings.schema import check_no_key_lost
 
 # Keys that a running process keeps as they were at its start, beside those that a part refuses to take.
 RESTART_KEYS = ("name", "listen", "console", "sockets", "memory_mb", "syslog", "fleet")
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -30,8 +30,8 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Call, CallRequest, ReleaseCause
 from stairhatch.node.counters import Counters
-from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
-from stairhatch.node.io.persistent_connections import (
+from stairhatch.node.io.connector import (
+    CONNECT_TIMEOUT_S,
     MAX_BACKOFF_S,
     MAX_POLL_BACKOFF_S,
     MIN_BACKOFF_S,
--- a/stairhatch/scope/handover.py
+++ b/stairhatch/scope/handover.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from stairhatch.overload.pending_call import PendingCall
+from stairhatch.overload.pending_queue import PendingCall
 from stairhatch.scope.scoped_set import ScopedSet
 
 
