--- a/stairhatch/emulators/server_emulator.py
+++ b/stairhatch/emulators/server_emulator.py
@@ -44,9 +44,10 @@
         self.state()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The softswitch has gone."""
+        """The connection has ended, whoever closed it."""
         self.closed = True
         self.server.links.pop(self, None)
+        self.server.connection_lost(self)
 
     def state(self) -> None:
         """Tell the server's state, now and then again."""
@@ -88,6 +89,8 @@
         self._due: Any = None
         self.place: tuple[str, int] = ("127.0.0.1", 0)
         self.open: dict[str, ServerEmulatorConnection] = {}
+        # Of those open, the set-ups that are neither established nor ended, with the connection of each.
+        self.pending: dict[str, ServerEmulatorConnection] = {}
         self.links: dict[ServerEmulatorConnection, None] = {}  # in the order of their coming
         self.stood = self.set_ups = self.released = 0
         self._server: asyncio.Server | None = None
@@ -124,8 +127,19 @@
         for number in self.numbers.values():
             self.seen("broke", number)
         self.open.clear()
+        self.pending.clear()
         self.numbers.clear()
 
+    def connection_lost(self, link: ServerEmulatorConnection) -> None:
+        """Record what was not yet answered on a connection that has ended: its sender will never hear of it.
+
+        What is established stays so: its release may come on another connection. Nothing else changes; a
+        set-up that is being worked on may still come to be established here.
+        """
+        for tag in [tag for tag, its_link in self.pending.items() if its_link is link]:
+            del self.pending[tag]
+            self.seen("broke", self.numbers[tag])
+
     def told_load(self) -> tuple[float, float]:
         """Wait in seconds and rate, as the processor reports them."""
         assert self.processor is not None
@@ -138,6 +152,7 @@
             case "START":
                 self.set_ups += 1
                 self.open[tag] = link
+                self.pending[tag] = link
                 number = self.numbers[tag] = message["opts"].get("key", "")
                 self.seen("set-up", number)
                 if self.processor is not None:
@@ -150,6 +165,7 @@
                         self._say(tag, each)
             case "FINISH":
                 known = self.open.pop(tag, None) is not None
+                self.pending.pop(tag, None)
                 self.released += known
                 if known:
                     self.seen("given up", self.numbers.pop(tag, ""))
@@ -183,6 +199,8 @@
         link = self.open.get(tag)
         if link is None:
             return  # it was given up
+        if what.verb in ("STARTED", "FINISH"):
+            self.pending.pop(tag, None)
         if what.verb == "FINISH":
             del self.open[tag]
             self.seen("refused" if what.cause != 16 else "ended", self.numbers.pop(tag, ""))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -4,11 +4,13 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import random
 import signal
 import subprocess
 import sys
+from typing import Any
 
 import pytest
 
@@ -19,6 +21,7 @@
     ProcessorState,
     SetupAdmission,
 )
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.load_test import experiment as exp
 from stairhatch.load_test.call_rules import CallObservation, CallRuleChecker, ObservationKind
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
@@ -149,6 +152,38 @@
 # ---- roster servers ----
 
 
+NEVER_ANSWERED, RINGS_ONLY, ESTABLISHED, REFUSED = "1201", "1602", "1003", "1704"
+
+
+class StoppedClock:
+    """Timers of a server whose delayed replies and load reports never come."""
+
+    def time(self) -> float:
+        return 0.0
+
+    def call_later(self, *_: Any) -> None:
+        pass
+
+    call_at = call_later
+
+
+class DiscardingTransport(asyncio.Transport):
+    """What a server writes is read by nobody."""
+
+    def write(self, data: Any) -> None:
+        pass
+
+
+def connect(server: ServerEmulator) -> ServerEmulatorConnection:
+    connection = ServerEmulatorConnection(server)
+    connection.connection_made(DiscardingTransport())
+    return connection
+
+
+def line_of(verb: str, tag: str, **opts: str) -> bytes:
+    return json.dumps({"verb": verb, "tag": tag, "opts": opts}).encode() + b"\n"
+
+
 def test_a_processor_answers_in_turn_turns_away_past_its_wait_and_tells_both():
     """Guards against stand-ins that bear any load at once, before which overload never shows."""
     processor = Processor(
@@ -197,6 +232,26 @@
     assert processor.offer(105.0, "b") is SetupAdmission.QUEUED and processor.done(106.0) == ["b"]
 
 
+@pytest.mark.parametrize("error", [None, ConnectionResetError()])
+def test_a_set_up_is_broken_where_the_softswitch_ends_its_connection_and_an_established_call_is_not(error):
+    """Guards against an attempt that the record leaves open for ever though the softswitch has ended its
+    connection: the next attempt of that call would break the rule of one attempt out.
+    """
+    server = ServerEmulator(timers=StoppedClock())
+    seen: list[tuple[str, str]] = []
+    server.seen = lambda what, number: seen.append((what, number))
+    first, second = connect(server), connect(server)
+    for tag, number in (("a", NEVER_ANSWERED), ("b", RINGS_ONLY), ("c", ESTABLISHED), ("d", REFUSED)):
+        first.data_received(line_of("START", tag, key=number))
+    second.data_received(line_of("START", "e", key=NEVER_ANSWERED))
+    before = len(seen)
+
+    first.connection_lost(error)
+    second.data_received(line_of("FINISH", "c"))
+
+    assert seen[before:] == [("broke", NEVER_ANSWERED), ("broke", RINGS_ONLY), ("given up", ESTABLISHED)]
+
+
 def test_the_weather_of_a_seed_is_the_same_and_a_loss_moves_no_other():
     """Guards against runs that can't be repeated."""
     clear, rough = (
@@ -250,6 +305,8 @@
         (changed(more=[CallObservation(2.0, ObservationKind.FINAL, "c", value=200, text="b")]), ["answer"]),
         (changed(0), ["answer"]),
         (changed(2), ["one attempt"]),
+        (changed(2, more=[CallObservation(0.5, ObservationKind.BROKE, "c", "r0")]), []),
+        (changed(2, more=[CallObservation(0.8, ObservationKind.BROKE, "c", "r0")]), ["pause"]),
         (
             changed(
                 3,
