--- a/stairhatch/config/model.py
+++ b/stairhatch/config/model.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
     from stairhatch.scope.config import ScopeConfig
-    from stairhatch.sip.front import SipConfig
+    from stairhatch.sip.frontend import SipConfig
 
 
 class ConfigError(ValueError):
     """A configuration that cannot be used. The text names the key, or the file, and says why."""
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, eq=False, repr=False)
 class Config:
     """What the program is configured with. A part whose field is None is not started.
 
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 from itertools import count
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from stairhatch.overload.events import Availability
 from stairhatch.overload.settings import CallClass
@@ -61,9 +61,9 @@
     TERMINATED = "over"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class CallRequest:
-    """A set-up as its caller made it. `ident` goes to the roster server, unchanged."""
+    """A set-up as its caller made it. Nothing changes it; `ident` goes to the roster server as it is."""
 
     ident: str
     call_class: CallClass  # held for as long as the call is open, whatever the settings say by then
@@ -76,8 +76,7 @@
     reports_progress: bool = False  # its front is told that a roster server is at work on it
 
 
-@dataclass(frozen=True, slots=True)
-class ServerRecord:
+class ServerRecord(NamedTuple):
     """One line of the directory."""
 
     instance: str
@@ -87,7 +86,7 @@
     started_at: float = 0.0
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RosterServer:
     """A roster server. Keyed by the directory's instance id, since addresses are used again."""
 
@@ -97,7 +96,7 @@
     dial_attempted: bool = False  # a connection has come up, or failed to
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Call:
     """A call from its offer to its end."""
 
@@ -118,7 +117,7 @@
         return self.attempts == 0 or self.request.call_class.idempotent
 
 
-@dataclass(eq=False, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Attempt:
     """One set-up of a call at one server."""
 
