--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -114,10 +114,7 @@
                 old.sendall(platform_invite(ident, answer_within_ms="4000"))
 
         both()
-        for _ in range(500):
-            await asyncio.sleep(0.001)
-            if node.written or one not in listener.connections:
-                break
+        await wait_in_loop(lambda: node.written or one not in listener.connections, "its request, or its end")
         assert [each.call.request.ident for each in node.written] == [ident]
         assert one in listener.connections
         assert not one.protocol.closing
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -142,11 +142,13 @@
         await wait_in_loop(lambda: core.calls.unanswered == len(idents))
         network.dial(server_connection)
         await wait_in_loop(lambda: server_connection.writing)
+        retracted = "attempts_retracted"
+        await wait_in_loop(lambda: core.counters.counts[retracted] >= 5, "that most have left the queue")
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
         begun = set(server_connection.pending_setups)
         assert len(begun) <= 3, "the connection is slow"
-        assert core.counters.counts["attempts_retracted"] >= 5, "they had left its queue"
+        assert core.counters.counts[retracted] >= 5, "they had left its queue"
         for ident, caller, way in zip(idents, callers, ways, strict=False):
             disconnect_at_once(caller, ident, way)
         await wait_in_loop(lambda: core.calls.unanswered == 1)
