--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -55,16 +55,18 @@
         """How many items wait."""
         return len(self._items)
 
-    @property
-    def has_room_for_setup(self) -> bool:
-        """Whether one more set-up is queued here."""
-        return len(self._items) < MAX_QUEUED_SETUPS
-
     @property
     def has_room_for_release(self) -> bool:
         """Whether one more release is queued here."""
         return len(self._items) < MAX_QUEUED_RELEASES
 
+    def append_setup(self, attempt: Attempt) -> bool:
+        """Add a set-up that is written last. False: there is no room."""
+        if len(self._items) >= MAX_QUEUED_SETUPS:
+            return False
+        self._items.append(attempt)
+        return True
+
     def append(self, item: QueuedItem) -> None:
         """Add what is written last."""
         self._items.append(item)
@@ -99,7 +101,8 @@
 
     def take_pending(self) -> list[Attempt]:
         """The set-ups that were written and are unanswered, which are pending here no more."""
-        pending, self.pending_setups = list(self.pending_setups.values()), {}
+        pending = list(self.pending_setups.values())
+        self.pending_setups.clear()
         return pending
 
     def take_unconfirmed_releases(self) -> list[PendingRelease]:
--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -80,15 +80,15 @@
         self.dead_check_pending = False  # it is about to be found dead, unless something comes
         self.established_calls: set[str] = set()  # that were set up on it: their ends are sent here
         self.send_queue = SendQueue(pool.core, self.liveness)
+        self.pending_setups = self.send_queue.pending_setups  # written, not yet answered; by the call's id
         self._receive_buffer = bytearray()
 
     # ---- its use ----
 
     def send_setup(self, attempt: Attempt) -> bool:
         """Queue a set-up; it is rendered when it can be written. False: there is no room."""
-        if not self.send_queue.has_room_for_setup:
+        if not self.send_queue.append_setup(attempt):
             return False
-        self.send_queue.append(attempt)
         self.notify_writable()
         return True
 
@@ -104,11 +104,6 @@
         if self.draining:
             self.notify_writable()  # it may be done now
 
-    @property
-    def pending_setups(self) -> dict[str, Attempt]:
-        """Set-ups that were written here and are not yet answered, by the call's id."""
-        return self.send_queue.pending_setups
-
     @property
     def has_queued(self) -> bool:
         """Whether something waits for a connection."""
@@ -266,10 +261,11 @@
         """Bytes from the roster server."""
         if self.malformed:
             return
-        self._receive_buffer += data
+        buffer = self._receive_buffer
+        buffer += data
         start = 0
-        while not self.malformed and (end := self._receive_buffer.find(b"\n", start)) >= 0:
-            line = bytes(self._receive_buffer[start:end])
+        while not self.malformed and (end := buffer.find(b"\n", start)) >= 0:
+            line = bytes(buffer[start:end])
             start = end + 1
             if line.strip():
                 try:
@@ -278,8 +274,8 @@
                     self._close_malformed(str(error))
                     break
                 self._message_received(message)
-        del self._receive_buffer[:start]
-        if len(self._receive_buffer) > MAX_LINE_BYTES:
+        del buffer[:start]
+        if len(buffer) > MAX_LINE_BYTES:
             self._close_malformed("a line without end")
 
     def _close_malformed(self, why: str) -> None:
