--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -17,7 +17,7 @@
 from stairhatch.node.server_registry import ServerRegistry
 from stairhatch.node.timer_wheel import TimerWheel
 from stairhatch.overload.actions import SendSetup
-from stairhatch.overload.events import AttemptEnded, AttemptOutcome, Availability, LoadReport
+from stairhatch.overload.events import NO_LOAD, AttemptEnded, AttemptOutcome, Availability, LoadReport
 
 PAUSE_MARGIN_S = 0.02  # added to the pause after an unclear outcome: the two roads differ in length
 UNCLEAR = (
@@ -25,7 +25,6 @@
     AttemptOutcome.RESET,
     AttemptOutcome.CANCELLED,
 )  # it may still be at work
-NO_LOAD = LoadReport()
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -36,13 +36,13 @@
 from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    NO_LOAD,
     AttemptOutcome,
     Availability,
     CallAbandoned,
     CallOffered,
     EndpointRecord,
     EndpointsUpdated,
-    LoadReport,
     TimerExpired,
 )
 from stairhatch.overload.settings import Settings
@@ -199,7 +199,7 @@
                 self.log("call_released", call=call.request.ident, side="caller", cause=int(cause))
             self.servers.pool.send_release(attempt.server, call.request.ident, cause)
             self.calls.remove(call)
-            self.attempts.end(attempt, AttemptOutcome.CANCELLED, LoadReport())
+            self.attempts.end(attempt, AttemptOutcome.CANCELLED, NO_LOAD)
 
     def release_unknown(self, ident: str, cause: int) -> None:
         """A caller ends a call from before a restart: only the roster servers know which of them holds it."""
--- a/stairhatch/node/server_messages.py
+++ b/stairhatch/node/server_messages.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from typing import Any
 
-from stairhatch.overload.events import LoadReport
+from stairhatch.overload.events import NO_LOAD, LoadReport
 from stairhatch.settings.load_reports import load_report_from_values
 
 MAX_LINE_BYTES = 16 * 1024
@@ -21,7 +21,6 @@
 MAX_ESCAPED_CHARACTER = 6  # bytes that JSON takes for one character, `\u1234`
 LONGEST_TIME_LEFT_MS = 10**8
 SHOWN_ERROR_CHARACTERS = 80
-NO_LOAD_REPORT = LoadReport()
 CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 
 
@@ -88,7 +87,7 @@
 def parse_load_report(text: str) -> LoadReport:
     """A load report such as `x0:12;x1:40`. Fields that the settings don't name count as missing."""
     if not text:
-        return NO_LOAD_REPORT
+        return NO_LOAD
     values = []
     for piece in text.split(";"):
         name, _, figure = piece.partition(":")
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -15,7 +15,13 @@
 from stairhatch.node.final_answers import FinalAnswers
 from stairhatch.node.server_registry import ServerRegistry
 from stairhatch.overload.actions import FailCall
-from stairhatch.overload.events import AttemptOutcome, CallEstablished, LoadReport, LoadReported
+from stairhatch.overload.events import (
+    NO_LOAD,
+    AttemptOutcome,
+    CallEstablished,
+    LoadReport,
+    LoadReported,
+)
 
 OUTCOMES: dict[int, AttemptOutcome] = {  # of an attempt, by its rejection's cause; RESET for all others
     ReleaseCause.NO_CIRCUIT_AVAILABLE: AttemptOutcome.REJECTED,
@@ -91,7 +97,7 @@
 
     def load_reported(self, server: RosterServer, report: LoadReport) -> None:
         """A roster server's load, unasked."""
-        if report != LoadReport():
+        if report != NO_LOAD:
             self.dispatcher.dispatch(LoadReported(server.id, report))
 
     def terminate_established_at(self, server: RosterServer, before: float) -> None:
@@ -99,7 +105,7 @@
         for call in self.calls.established_at(server, before):
             attempt = call.attempt
             assert attempt is not None
-            self._terminate(call, attempt, ReleaseCause.TEMPORARY_FAILURE, LoadReport())
+            self._terminate(call, attempt, ReleaseCause.TEMPORARY_FAILURE, NO_LOAD)
 
     def _unknown_released(self, ident: str, cause: int) -> None:
         """A call ends that is not open here: news, if it has not ended here lately."""
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -1,15 +1,17 @@
 """The events that the overload control is fed, in order, and the records that they carry.
 
-Durations are seconds, points in time seconds on the node's own clock. Nothing here decides anything, and
-nothing changes an event once it is made. They are not `frozen` for all that: several are made for each call,
-and a frozen one takes two and a half times as long to make (and twice as long to define at each start).
-Records compare by what they hold; an event is equal to itself alone.
+Durations are seconds, points in time seconds on the node's own clock. Nothing here decides anything.
+
+Nothing changes an event once it is made. They are not `frozen` for all that: several are made for each call,
+and a frozen one takes two and a half times as long to make (and twice as long to define at each start). An
+event is equal to itself alone, a record to any other that holds the same.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from stairhatch.overload.settings import CallClass
 
@@ -45,8 +47,7 @@
         return self in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
 
 
-@dataclass(slots=True)
-class LoadReport:
+class LoadReport(NamedTuple):
     """A server's load figures; each may be missing. Line counts are exact, the others late and noisy."""
 
     free_lines: float | None = None
@@ -59,8 +60,10 @@
     throttle_fraction: float | None = None  # fraction of new set-ups it asks each sender to reject
 
 
-@dataclass(slots=True)
-class EndpointRecord:
+NO_LOAD = LoadReport()  # for what came without a load report
+
+
+class EndpointRecord(NamedTuple):
     """One call server in the endpoint list; several servers may have one number."""
 
     server_id: int
--- a/stairhatch/scope/listed_endpoints.py
+++ b/stairhatch/scope/listed_endpoints.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Container
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
 from stairhatch.overload.events import Availability, EndpointRecord
 from stairhatch.scope.server_sets import ServerNumbers
@@ -44,7 +44,7 @@
         """A complete list came: what is not in it has gone."""
         for server_id, record in self.by_id.items():
             if server_id not in listed:
-                self.by_id[server_id] = replace(record, availability=Availability.GONE)
+                self.by_id[server_id] = record._replace(availability=Availability.GONE)
                 self.gone.add(server_id)
 
     def remove(self, server_id: int) -> None:
--- a/stairhatch/simulator/adapter.py
+++ b/stairhatch/simulator/adapter.py
@@ -15,6 +15,7 @@
 from stairhatch.overload.actions import Action, FailCall, LogMessage, RejectCall, SendSetup, SetTimer
 from stairhatch.overload.controller import Controller
 from stairhatch.overload.events import (
+    NO_LOAD,
     AttemptEnded,
     AttemptOutcome,
     Availability,
@@ -253,7 +254,7 @@
 def _load_reported(instance: SimulatedInstance, record: LoadReportedRecord) -> LoadReported:
     """A health check's result, or a report that came unsolicited."""
     reached = record.outcome == OUTCOME_OK
-    report = instance.load_report(record.load_report) if reached else LoadReport()
+    report = instance.load_report(record.load_report) if reached else NO_LOAD
     return LoadReported(record.server_id, report, reached, solicited=record.elapsed_s > 0)
 
 
