--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -159,7 +159,7 @@
 
 
 def mutants_of_line(place: str) -> list[Mutant]:
-    """Return every mutant of a line, which is told as `file:line`."""
+    """Return every mutant of a line, given as `file:line`."""
     path, _, line = place.partition(":")
     return [mutant for mutant in mutants_of(path) if mutant.line == int(line)]
 
--- a/benchmarks/scaling/added_delay.py
+++ b/benchmarks/scaling/added_delay.py
@@ -64,7 +64,7 @@
         await run_poisson_process(BLOCK_S, CALL_RATE, rng, call_directly if block % 2 else call_through)
         await asyncio.sleep(PAUSE_S)
     if through.failed or through.sent_at or any(caller.sent_at for caller in direct):
-        raise UnavailableFigureError("not all calls stood or were answered")
+        raise UnavailableFigureError("not all calls were established or answered")
     through.transport.close()
     for caller in direct:
         caller.transport.close()
--- a/benchmarks/scaling/callers.py
+++ b/benchmarks/scaling/callers.py
@@ -199,6 +199,6 @@
     caller.transport.close()
     if caller.failed + len(caller.sent_at) > MAX_FAILED_FRACTION * (calls + rate):
         raise UnavailableFigureError(
-            f"{caller.failed} calls did not stand and {len(caller.sent_at)} were not answered of {calls}"
+            f"{caller.failed} calls failed and {len(caller.sent_at)} were not answered of {calls}"
         )
     return run
--- a/benchmarks/scaling/decision_cost.py
+++ b/benchmarks/scaling/decision_cost.py
@@ -92,7 +92,7 @@
         self.event_counts: Counter[EventPurpose] = Counter()
         self._rng = random.Random(1)
         self.decisions = make_decisions(self.settings, random.Random(2))
-        self._event_time = 0.0  # as the decisions are told it: it moves on by the settings' period
+        self._event_time = 0.0  # as the decisions see it: it advances by the settings' period
         self._call_ids = itertools.count(1)
         self._order = itertools.count()
         self._scheduled: list[tuple[float, int, EventPurpose, Event]] = []
--- a/benchmarks/scaling/emulator_processes.py
+++ b/benchmarks/scaling/emulator_processes.py
@@ -1,6 +1,6 @@
 """Emulators in processes of their own, so that their work does not disturb what is measured.
 
-A service is started in the child process and asked by its parent over a pipe, one question at a time.
+A service is started in the child process; its parent sends it one question at a time over a pipe.
 """
 
 from __future__ import annotations
--- a/benchmarks/scaling/program_cost.py
+++ b/benchmarks/scaling/program_cost.py
@@ -88,5 +88,5 @@
         await asyncio.sleep(PLACING_INTERVAL_S)
     await caller.wait_until_answered()
     if caller.failed:
-        raise UnavailableFigureError(f"{caller.failed} calls did not stand")
+        raise UnavailableFigureError(f"{caller.failed} calls failed")
     caller.transport.close()
--- a/benchmarks/scaling/slope_files.py
+++ b/benchmarks/scaling/slope_files.py
@@ -59,9 +59,9 @@
     if not slope.points or any(not point.values for point in slope.points) or slope.name != path.stem:
         raise SlopeError(f"{path.name}: no figures, or another name than its file's")
     if [point.size for point in slope.points] != sorted({point.size for point in slope.points}):
-        raise SlopeError(f"{path.name}: sizes must be told once and grow")
+        raise SlopeError(f"{path.name}: each size must be there once, in growing order")
     if not all((slope.commit, slope.command, slope.date)):
-        raise SlopeError(f"{path.name}: commit, command and date must be told")
+        raise SlopeError(f"{path.name}: commit, command and date are required")
     for key, right in fit_to_json(fit_line(slope.points)).items():
         if not _is_same_figure(kept_fit[key], right):
             raise SlopeError(
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -6,7 +6,7 @@
     .venv/bin/python benchmarks/scope.py --servers 24,100,400,1900 --json
 
 The clock is virtual: 137 calls a second, set up in 20 ms, that end after 9 s, each with a report of lines.
-The rounds of both take turns; what is told is the least processor time a call of the rounds.
+The rounds of both take turns; the result is the least processor time a call of the rounds.
 """
 
 from __future__ import annotations
--- a/benchmarks/weigh_pysyncobj.py
+++ b/benchmarks/weigh_pysyncobj.py
@@ -36,7 +36,7 @@
 
 
 class Command(StrEnum):
-    """What a process is told, a line each."""
+    """A command to a process, a line each."""
 
     ACQUIRE = "acquire"
     COUNT = "count"
--- a/stairhatch/conformance/cases.py
+++ b/stairhatch/conformance/cases.py
@@ -44,7 +44,7 @@
         for table in document.get("case", ()):
             for case in _read_table(table, path.name):
                 if case.name in cases:
-                    raise CaseError(f"{path.name}: {case.name} stands twice")
+                    raise CaseError(f"{path.name}: {case.name} is defined twice")
                 cases[case.name] = case
     if not cases:
         raise CaseError(f"{directory}: no cases")
--- a/stairhatch/conformance/credentials.py
+++ b/stairhatch/conformance/credentials.py
@@ -18,8 +18,8 @@
 def digest_credentials(template: str, method: str, uri: str, challenge: sip.SipMessage | None) -> str:
     """Return the Authorization header that a template asks for.
 
-    The template is `digest:USER:PASSWORD:ALGORITHM:COUNT`, where an empty word stands for what is right, and
-    `:nonce` behind it spoils the nonce. Raises CheckFailedError where there was no challenge.
+    The template is `digest:USER:PASSWORD:ALGORITHM:COUNT`, where an empty word is replaced by the right one,
+    and `:nonce` behind it spoils the nonce. Raises CheckFailedError where there was no challenge.
     """
     words = template.removeprefix(PREFIX).split(":")
     user, password, algorithm, count = (
--- a/stairhatch/conformance/environment.py
+++ b/stairhatch/conformance/environment.py
@@ -1,7 +1,7 @@
 """What a case is played in, as the player sees it.
 
 Two environments have this form: the program's protocols in process under a virtual clock, and a program on
-this machine that is asked over sockets. What a case sends goes through both as bytes, and neither judges it.
+this machine over sockets. What a case sends goes through both as bytes, and neither judges it.
 """
 
 from __future__ import annotations
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -26,7 +26,7 @@
 HOST = "127.0.0.1"
 SIP_PORT = 5060
 FIRST_CALLER_PORT = 40000
-SERVER = ServerRecord("stand-in", (HOST, 9), 0, Availability.READY)
+SERVER = ServerRecord("emulator", (HOST, 9), 0, Availability.READY)
 SETTINGS = Settings(
     (
         CallClass("read-roster", 1.0, 1.5, 9.0, 0.25),
@@ -246,4 +246,4 @@
 
 
 def _log_nothing(_event: str, **_fields: Any) -> None:
-    """Log nothing: the cases look at the wire alone."""
+    """Log nothing: the cases check the messages alone."""
--- a/stairhatch/conformance/player.py
+++ b/stairhatch/conformance/player.py
@@ -42,7 +42,7 @@
 OTHER_FLOW = "other"  # flows whose names begin so have the other transport
 OTHER_TRANSPORT = {"tcp": "udp", "udp": "tcp"}
 T = TypeVar("T")
-_serials = count(1)  # tells the calls of the cases of one run apart
+_serials = count(1)  # distinguishes the calls of the cases of one run
 
 
 def play(case: Case, environment: ConformanceEnvironment) -> CaseResult:
--- a/stairhatch/conformance/report.py
+++ b/stairhatch/conformance/report.py
@@ -43,7 +43,7 @@
 
 
 def failure_report(results: Iterable[CaseResult]) -> str:
-    """Return each case that failed, with the end of what went over the wire."""
+    """Return each case that failed, with the end of its transcript."""
     lines = []
     for result in results:
         if result.failure:
--- a/stairhatch/conformance/request_writer.py
+++ b/stairhatch/conformance/request_writer.py
@@ -31,7 +31,7 @@
 
 
 class RequestWriter:
-    """Writes requests of one case; its `serial` tells the branches of several cases apart."""
+    """Writes requests of one case; its `serial` keeps the branches of several cases distinct."""
 
     def __init__(self, dialogs: CallerDialogs, serial: int) -> None:
         self._dialogs = dialogs
@@ -65,7 +65,7 @@
         return WrittenRequest(method=method, cseq=cseq, branch=branch, data=data)
 
     def write_text(self, step: SendText, dialog: CallerDialog, transport: CallerTransport) -> bytes:
-        """Fill in the placeholders of a text that is sent as it stands."""
+        """Fill in the placeholders of a text that is sent unchanged otherwise."""
         values = {
             "branch": self._new_branch(),
             "call": dialog.call_id,
--- a/stairhatch/conformance/results.py
+++ b/stairhatch/conformance/results.py
@@ -16,7 +16,7 @@
     step_number: int = 0  # of the last step that was played, from 1
     duration_s: float = 0.0
     skip_reason: str = ""  # why it was not played; "": it was
-    transcript: list[str] = field(default_factory=list)  # what went over the wire, a line a message
+    transcript: list[str] = field(default_factory=list)  # a line a message
 
     @property
     def passed(self) -> bool:
--- a/stairhatch/conformance/sockets.py
+++ b/stairhatch/conformance/sockets.py
@@ -29,7 +29,7 @@
                 raise ValueError(f"{address[0]} is no loopback address")
 
     def address(self, transport: str) -> Address | None:
-        """Return where it listens on a transport, None if it is not told."""
+        """Return where it listens on a transport, None if that is not known."""
         return self.tcp if transport == "tcp" else self.udp
 
 
--- a/stairhatch/conformance/steps.py
+++ b/stairhatch/conformance/steps.py
@@ -17,7 +17,7 @@
 DEFAULT_TIMEOUT_S = 1.0
 ANY_METHOD = "*"
 
-HeaderValues = dict[str, str | list[str]]  # by name; a list stands for several header lines
+HeaderValues = dict[str, str | list[str]]  # by name; a list: several header lines
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -56,7 +56,7 @@
 
 
 class SendText(Step, frozen=True, kw_only=True):
-    """Send text as it stands, its placeholders filled in."""
+    """Send a text with its placeholders filled in."""
 
     text: str = msgspec.field(name="raw")
     flow: str | None = None
