--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -203,12 +203,15 @@
         return len(numbers)
 
     async def _lose_other_servers(self) -> None:
-        others = {number: self._servers[f"r{number}"] for number in range(1, SITE.servers)}
+        names = {number: f"r{number}" for number in range(1, SITE.servers)}
         self._publish(
-            [endpoint_line(f"r{number}", each.place, number, "terminated") for number, each in others.items()]
+            [
+                endpoint_line(name, self._servers[name].place, number, "terminated")
+                for number, name in names.items()
+            ]
         )
-        for server in others.values():
-            await server.close()
+        for name in names.values():
+            await self._servers[name].close()
 
     def _result_json(self, scenario: Scenario, result: SlowStartResult, has_fallen: bool) -> dict[str, Any]:
         window = result.fullest_window()
