--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,6 +14,7 @@
 import pytest
 
 from benchmarks import capacity
+from benchmarks.platform_settings import complete_settings
 from benchmarks.scaling.capacity_rows import ROWS, Budget, CapacityRow
 from benchmarks.scaling.capacity_tables import capacity_tables
 from benchmarks.scaling.capacity_verdicts import JudgedRow, judge
@@ -29,7 +30,11 @@
     slope_to_json,
 )
 from benchmarks.scaling.slopes import Slope
+from benchmarks.scaling.workload import settings_json as scaling_settings
+from benchmarks.slow_start.process_run import settings_json as slow_start_settings
 from stairhatch.overload.controller import Controller
+from stairhatch.settings.errors import MissingKeyError
+from stairhatch.settings.parser import settings_from_object
 
 
 def points(*pairs: tuple[float, float], spread: float = 0.0) -> tuple[Point, ...]:
@@ -297,3 +302,18 @@
     assert kinds.count("CallOffered") == kinds.count("CallEstablished") == 10
     assert "LoadReported" in kinds
     assert isinstance(driver.decisions.rng, random.Random)
+
+
+@pytest.mark.parametrize(
+    "settings",
+    [scaling_settings(24), {**slow_start_settings(20), "me": 3}],
+    ids=["scaling", "slow start"],
+)
+def test_the_program_accepts_the_settings_of_the_benchmarks(settings):
+    """A softswitch that refuses its file ends at once, and every family that starts one measures nothing."""
+    with pytest.raises(MissingKeyError):
+        settings_from_object(settings, complete=True)
+
+    parsed = settings_from_object(complete_settings(settings), complete=True)
+
+    assert parsed == settings_from_object(settings)
