--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -4,16 +4,15 @@
 
 import math
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, replace
 from itertools import count
+from typing import NamedTuple
 
 from stairhatch.node.calls import RosterServer, ServerRecord
 from stairhatch.node.ports import ServerPool
 from stairhatch.overload.events import Availability
 
 
-@dataclass(frozen=True, slots=True)
-class ServerChange:
+class ServerChange(NamedTuple):
     """What an update has changed at one server."""
 
     server: RosterServer
@@ -66,7 +65,7 @@
         for server in self.by_id.values():
             record = server.record
             if record.instance not in named and record.availability is not Availability.GONE:
-                server.record = replace(record, availability=Availability.GONE)
+                server.record = record._replace(availability=Availability.GONE)
                 yield ServerChange(server, math.inf, is_listed=False)
 
     def forget(self, server: RosterServer) -> None:
