--- /dev/null
+++ b/tests/test_sip_digest_auth.py
@@ -0,0 +1,89 @@
+"""Digest authentication and the file of users (RFC 7616)."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from stairhatch.sip import digest_auth
+
+from .support.sip_layers import BOUNDED, guard
+
+
+def credentials(nonce, count, password="word", client="c"):
+    asked = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
+    kept = digest_auth.user_hash("SHA-256", "office", "r", password)
+    answer = digest_auth.hex_digest("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
+    return [
+        f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{answer}", '
+        f'algorithm=SHA-256, cnonce="{client}", qop=auth, nc={count:08x}'
+    ]
+
+
+@BOUNDED
+@given(st.lists(st.integers(0, 200), max_size=80))
+def test_a_count_is_good_once_in_any_order(counts):
+    """Guards against a replay, also of counts that come out of order over UDP."""
+    gate, _ = guard()
+    nonce, used, highest = gate.nonce(), set(), 0
+    for count in counts:
+        check = gate.authenticate("INVITE", "sip:7@net", credentials(nonce, count)).check
+        if count in used or count == 0:
+            assert check is digest_auth.CredentialCheck.REPLAYED
+        elif count > highest - digest_auth.COUNT_WINDOW:
+            assert check is digest_auth.CredentialCheck.GOOD
+        used.add(count)
+        highest = max(highest, count)
+
+
+def test_a_nonce_pushed_out_is_stale_and_not_good_again(monkeypatch):
+    """Guards against a replay by whoever can make the guard forget: many nonces are used to push one out."""
+    monkeypatch.setattr(digest_auth, "MAX_NONCES", 3)
+    gate, clock = guard()
+    first = gate.nonce()
+    assert (
+        gate.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
+        is digest_auth.CredentialCheck.GOOD
+    )
+    for _ in range(5):
+        clock.now += 0.01
+        assert (
+            gate.authenticate("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).check
+            is digest_auth.CredentialCheck.GOOD
+        )
+    assert (
+        gate.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
+        is digest_auth.CredentialCheck.STALE
+    )
+    clock.now += 301
+    assert (
+        gate.authenticate("INVITE", "sip:7@net", credentials(gate.nonce()[:-1] + "x", 1)).check
+        is digest_auth.CredentialCheck.STALE
+    )
+
+
+def test_those_who_fail_leave_nothing_behind():
+    """Guards against memory filled by guesses."""
+    gate, _ = guard()
+    nonce = gate.nonce()
+    for count in range(1, 2000):
+        assert (
+            gate.authenticate("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).check
+            is digest_auth.CredentialCheck.BAD
+        )
+    assert gate.nonce_count == 0
+
+
+@pytest.mark.parametrize(
+    ("line", "why"),
+    [
+        ("office:r:SHA-256", "line 2: not user"), ("office:r:SHA-1:00", "line 2: not user"),
+        ("office:r:SHA-256:00", "line 2: the hash"), (digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
+    ],
+)  # fmt: skip
+def test_a_spoilt_file_of_users_names_its_line(line, why):
+    """Guards against users who can't call for a reason that nobody sees."""
+    first = digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0]
+    with pytest.raises(digest_auth.UserFileError, match=why):
+        digest_auth.parse_users(f"{first}\n{line}\n", "r", ["SHA-256"])
