--- a/tests/support/sip_layers.py
+++ b/tests/support/sip_layers.py
@@ -22,7 +22,7 @@
 )
 
 
-class Clockwork:
+class ManualClock:
     """A clock set by hand and its timers."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
         self.now = end
 
 
-class Kept(Flow):
+class ByteRecordingFlow(Flow):
     """A flow that keeps what is sent."""
 
     def __init__(self, host="127.0.0.1", reliable=False):
@@ -53,14 +53,14 @@
         self.sent.append(data)
 
 
-def head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
+def request_head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
     lines = sip_headers(method, "1", branch, call)
     return RequestHead(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
 
 
-def guard(**more):
+def digest_authenticator(**more):
     lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
-    clock = Clockwork()
+    clock = ManualClock()
     told = {
         "users": digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"]),
         "algorithms": ("SHA-256",),
--- a/tests/test_sip_digest_auth.py
+++ b/tests/test_sip_digest_auth.py
@@ -8,7 +8,7 @@
 
 from stairhatch.sip import digest_auth
 
-from .support.sip_layers import BOUNDED, guard
+from .support.sip_layers import BOUNDED, digest_authenticator
 
 
 def credentials(nonce, count, password="word", client="c"):
@@ -23,9 +23,9 @@
 
 @BOUNDED
 @given(st.lists(st.integers(0, 200), max_size=80))
-def test_a_count_is_good_once_in_any_order(counts):
-    """Guards against a replay, also of counts that come out of order over UDP."""
-    gate, _ = guard()
+def test_a_nonce_count_is_good_once_in_any_order(counts):
+    """A replay is told from a count that comes out of order over UDP."""
+    gate, _ = digest_authenticator()
     nonce, used, highest = gate.nonce(), set(), 0
     for count in counts:
         check = gate.authenticate("INVITE", "sip:7@net", credentials(nonce, count)).check
@@ -37,10 +37,10 @@
         highest = max(highest, count)
 
 
-def test_a_nonce_pushed_out_is_stale_and_not_good_again(monkeypatch):
-    """Guards against a replay by whoever can make the guard forget: many nonces are used to push one out."""
+def test_an_evicted_nonce_is_stale_and_not_good_again(monkeypatch):
+    """Otherwise whoever uses many nonces could have one forgotten, and replay it."""
     monkeypatch.setattr(digest_auth, "MAX_NONCES", 3)
-    gate, clock = guard()
+    gate, clock = digest_authenticator()
     first = gate.nonce()
     assert (
         gate.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
@@ -63,9 +63,9 @@
     )
 
 
-def test_those_who_fail_leave_nothing_behind():
-    """Guards against memory filled by guesses."""
-    gate, _ = guard()
+def test_failed_attempts_leave_no_nonce_behind():
+    """Guesses must not fill memory."""
+    gate, _ = digest_authenticator()
     nonce = gate.nonce()
     for count in range(1, 2000):
         assert (
@@ -82,8 +82,8 @@
         ("office:r:SHA-256:00", "line 2: the hash"), (digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
     ],
 )  # fmt: skip
-def test_a_spoilt_file_of_users_names_its_line(line, why):
-    """Guards against users who can't call for a reason that nobody sees."""
+def test_an_unreadable_file_of_users_names_its_line(line, why):
+    """Otherwise a user could not call, for a reason that nobody sees."""
     first = digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0]
     with pytest.raises(digest_auth.UserFileError, match=why):
         digest_auth.parse_users(f"{first}\n{line}\n", "r", ["SHA-256"])
--- a/tests/test_sip_frontend.py
+++ b/tests/test_sip_frontend.py
@@ -10,7 +10,7 @@
 
 from .support.in_process_node import InProcessNode
 from .support.recording_flow import RecordingFlow
-from .support.sip_layers import guard
+from .support.sip_layers import digest_authenticator
 from .support.sip_messages import sip_headers
 
 REPORT = LoadReport()
@@ -21,7 +21,7 @@
     return RecordingFlow(InProcessNode(), reliable=request.param)
 
 
-def standing(line):
+def establish_call(line):
     """A call that stands and was acknowledged; returns our tag."""
     line.request()
     line.node.establish()
@@ -52,8 +52,8 @@
         ("OPTIONS", {}, 200),
     ],
 )
-def test_requests_that_make_no_call(line, method, change, status):
-    """Guards against a wrong or missing answer where no call comes about."""
+def test_requests_that_set_up_no_call_are_answered(line, method, change, status):
+    """Each with its status, or counted where nothing can be answered."""
     answer = line.request(method, **change)
     if None in change.values():
         assert not line.sent  # it can't be answered, only counted
@@ -65,15 +65,15 @@
     assert "INVITE" in answer.get("allow") or status not in (200, 405)
 
 
-def test_via_tells_where_a_request_came_from_and_the_answer_goes_there(line):
-    """Guards against answers lost behind a translated address (RFC 3581)."""
+def test_a_via_is_stamped_with_the_source_and_the_response_goes_there(line):
+    """Otherwise a response is lost behind a translated address (RFC 3581)."""
     answer = line.request("OPTIONS", via="SIP/2.0/UDP office.example:5060;rport;branch=z9hG4bKx")
     via = sip.parameters(answer.get("via"))
     assert (via["received"], via["rport"]) == ("127.0.0.1", "4000")
 
 
-def test_an_answer_is_resent_until_its_ack_and_the_description_is_unchanged(line):
-    """Guards against a 2xx lost on the way, on both transports (RFC 3261, 13.3.1.4)."""
+def test_a_2xx_is_retransmitted_until_its_ack_with_the_description_unchanged(line):
+    """Over both transports (RFC 3261, 13.3.1.4)."""
     line.request(number="1", uri="sip:712@net", record_route="<sip:p1;lr>, <sip:p2;lr>")
     line.node.establish()
     line.node.run(3.6)
@@ -90,8 +90,8 @@
     assert not line.node.front.server_transactions.open_transactions
 
 
-def test_a_call_whose_answer_is_never_acknowledged_is_ended(line):
-    """Guards against calls standing for a caller that has vanished."""
+def test_a_call_whose_2xx_is_never_acknowledged_is_released_on_both_sides(line):
+    """Its caller has vanished."""
     line.request()
     line.node.establish()
     line.node.run(33)
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("acked", [True, False])
-def test_a_refusal_is_resent_over_udp_until_its_ack(line, acked):
-    """Guards against a lost refusal, and against transactions that never end (timers G, H and I)."""
+def test_a_non_2xx_response_is_retransmitted_over_udp_until_its_ack(line, acked):
+    """And its transaction ends without one too (timers G, H and I)."""
     line.request(expires="2")
     line.node.run(2)  # the caller's time runs out
     first = [s for s in line.statuses() if s >= 200]
@@ -118,8 +118,8 @@
     assert not line.node.front.server_transactions.open_transactions
 
 
-def test_time_runs_out_as_the_class_or_expires_says(line):
-    """Guards against answers after the caller has gone."""
+def test_the_caller_timeout_is_that_of_the_class_or_of_expires(line):
+    """No later response would find the caller."""
     line.request(expires="2")
     line.node.run(2.0)
     assert line.statuses()[:2] == [100, 408]
@@ -127,8 +127,8 @@
 
 
 @pytest.mark.parametrize("after", ["before the answer", "after the answer"])
-def test_cancel(line, after):
-    """Guards against calls that stand though their caller has cancelled, and the other way round."""
+def test_cancel_ends_a_call_before_its_final_response_alone(line, after):
+    """The call of a cancelled INVITE ends, and one that is answered goes on (RFC 3261, 9.2)."""
     line.request()
     if after == "after the answer":
         line.node.establish()
@@ -143,8 +143,8 @@
         assert len(line.node.releases) == 1
 
 
-def test_an_invite_sent_again_after_its_cancel_is_the_same_transaction():
-    """The brief's hard case: over UDP, a copy of the INVITE comes after the CANCEL. No new call."""
+def test_an_invite_retransmitted_after_its_cancel_is_the_same_transaction():
+    """Over UDP the copy may come late, also when the transaction is long over: it is no new call."""
     line = RecordingFlow(InProcessNode())
     line.request()
     line.request("CANCEL", branch="z9hG4bKINVITE1")
@@ -158,11 +158,11 @@
     assert set(line.statuses()) == {100, 487}
 
 
-def test_a_dropped_connection_leaves_the_dialog_and_its_bye_comes_another_way():
-    """The brief's hard case: TCP ends mid-dialog, the caller's BYE comes over UDP."""
+def test_a_dialog_outlives_its_connection_and_its_bye_may_come_by_udp():
+    """TCP ends within the dialog."""
     inside = InProcessNode()
     line, other = RecordingFlow(inside, reliable=True), RecordingFlow(inside)
-    tag = standing(line)
+    tag = establish_call(line)
     line.alive = False
     assert inside.core.calls.by_number
     assert other.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
@@ -172,8 +172,8 @@
 
 
 @pytest.mark.parametrize("transport", ["", ";transport=tcp"])
-def test_our_bye_finds_another_way_when_the_connection_is_gone(transport):
-    """Guards against a release that goes nowhere: it follows the Contact, dialling if that says TCP."""
+def test_our_bye_goes_to_the_contact_when_the_connection_has_ended(transport):
+    """By a new connection if the Contact says TCP."""
     inside, dialled = InProcessNode(), []
     inside.front.flows.dial = dialled.append
     line = RecordingFlow(inside, reliable=True)
@@ -195,9 +195,9 @@
     assert bye.cseq() == (1, "BYE")
 
 
-def test_requests_of_a_dialog_come_in_order(line):
-    """Guards against a copy or a straggler ending or changing a call (RFC 3261, 12.2.2)."""
-    tag = standing(line)
+def test_requests_of_a_dialog_must_come_in_order(line):
+    """A retransmission or a late request must not end or change a call (RFC 3261, 12.2.2)."""
+    tag = establish_call(line)
     to = f"<sip:7@net>;tag={tag}"
     assert line.request(number="3", to=to).status == 200  # a refresh
     line.request("ACK", number="3", branch="z9hG4bKa3", to=to)
@@ -207,9 +207,9 @@
     assert line.request("BYE", number="5", to=to).status == 481
 
 
-def test_our_bye_is_resent_over_udp_until_it_is_heard(line):
-    """Guards against a lost release (timers E and F)."""
-    standing(line)
+def test_our_bye_is_retransmitted_over_udp_until_its_response(line):
+    """Otherwise a lost release leaves the caller in the call (timers E and F)."""
+    establish_call(line)
     attempt = line.node.written[0]
     line.node.core.responses.call_released(attempt.server, attempt.call.request.ident, 41, "", REPORT)
     line.node.run(2.0)
@@ -222,15 +222,15 @@
     assert len([m for m in line.sent if m.method == "BYE"]) == len(byes)
 
 
-def test_a_merged_request_is_told_so(line):
-    """Guards against two calls for one INVITE that came by two ways (RFC 3261, 8.2.2.2)."""
+def test_a_merged_request_is_answered_482(line):
+    """Two calls must not come of one INVITE that arrives by two paths (RFC 3261, 8.2.2.2)."""
     line.request()
     assert line.request(branch="z9hG4bKother").status == 482
     assert len(line.node.written) == 1
 
 
-def test_an_old_callers_transaction_is_known_without_a_branch(line):
-    """Guards against callers from before RFC 3261, whose branch names nothing."""
+def test_a_transaction_without_a_magic_cookie_is_matched(line):
+    """Callers from before RFC 3261 give no branch that identifies a transaction."""
     for _ in range(2):
         line.request(via="SIP/2.0/UDP 127.0.0.1:4000")
     line.request("CANCEL", via="SIP/2.0/UDP 127.0.0.1:4000")
@@ -238,8 +238,8 @@
     assert line.statuses()[-1] == 487
 
 
-def test_tables_are_bounded_and_a_full_one_tells_when_to_return(line):
-    """Guards against memory that a flood of requests could fill."""
+def test_a_full_transaction_table_answers_503_with_retry_after(line):
+    """A flood of requests must not fill memory."""
     line.request()
     line.node.front.server_transactions.max_bytes = 1
     answer = line.request(branch="z9hG4bKz", call_id="c2")
@@ -247,8 +247,8 @@
     assert int(answer.get("retry-after")) >= 1
 
 
-def test_a_fault_in_the_decisions_is_still_answered(line, monkeypatch):
-    """Guards against a caller that waits because of an exception of ours."""
+def test_an_exception_in_the_decisions_is_answered_500(line, monkeypatch):
+    """Otherwise its caller would wait."""
 
     def broken(_now, _event):
         raise RuntimeError("out of order")
@@ -278,7 +278,7 @@
     ],
 )  # fmt: skip
 def test_malformed_datagrams_are_answered_or_counted(data, status):
-    """Guards against a datagram that stops the program or is answered to nobody."""
+    """None stops the program, and none is answered where the peer is unknown."""
     inside = InProcessNode()
     inside.front.flows.ports[0].receive(data, ("127.0.0.1", 4000))
     sent = [sip_parser.parse_datagram(piece) for piece, _ in inside.front.flows.ports[0].output]
@@ -297,8 +297,8 @@
         ("name.example;branch=z9hG4bKv;rport=\u00b2", ("127.0.0.1", 5060)),
     ],
 )
-def test_a_via_that_lies_sends_no_answer_elsewhere_and_looks_up_no_name(via, peer):
-    """Guards against answers to a third party, a look-up that holds up all calls, and ports that are none."""
+def test_a_via_with_a_wrong_address_sends_no_response_elsewhere_and_looks_up_no_name(via, peer):
+    """A third party must not get responses, and a look-up would hold up all calls."""
     inside = InProcessNode()
     lines = {**sip_headers("OPTIONS"), "via": f"SIP/2.0/UDP {via}"}
     data = sip.request("OPTIONS", "sip:x@net", list(lines.items()))
@@ -306,8 +306,8 @@
     assert [where for _, where in inside.front.flows.ports[0].output] == [peer]
 
 
-def test_a_release_to_a_contact_that_is_a_name_goes_where_the_call_came_from():
-    """Guards against a look-up of a caller's choice, which would hold up all calls."""
+def test_a_bye_to_a_contact_that_is_a_name_goes_where_the_call_came_from():
+    """A look-up that the caller chooses would hold up all calls."""
     inside = InProcessNode()
     line = RecordingFlow(inside, reliable=True)
     line.request(contact="<sip:office@name.example:4010>")
@@ -319,8 +319,8 @@
     assert inside.front.flows.ports[0].output[0][1] == line.peer
 
 
-def test_a_restart_ends_on_both_sides_what_it_cannot_wait_for():
-    """Guards against dialogs that the next process knows nothing of, and calls that nobody releases."""
+def test_a_restart_releases_on_both_sides_what_it_cannot_wait_for():
+    """The next process would know nothing of the dialogs."""
     line = RecordingFlow(InProcessNode())
     line.request()
     line.node.establish()
@@ -333,8 +333,8 @@
     assert not line.node.front.dialogs
 
 
-def test_a_bye_whose_connection_dies_goes_another_way():
-    """Guards against a release that is lost with its connection (client transactions fail over)."""
+def test_a_bye_whose_connection_ends_goes_by_another_flow():
+    """Otherwise a release is lost with its connection."""
     inside, dialled = InProcessNode(), []
     inside.front.flows.dial = dialled.append
     line = RecordingFlow(inside, reliable=True)
@@ -354,14 +354,14 @@
     assert inside.front.flows.ports[0].output[-1][1] == ("127.0.0.1", 4010)
 
 
-def test_a_call_from_before_users_were_asked_for_can_still_end():
-    """Guards against dialogs that nobody can hang up once a reload has turned users on."""
+def test_a_call_from_before_authentication_was_on_can_still_end():
+    """A reload may turn users on while it is established."""
     line = RecordingFlow(InProcessNode())
     line.request()
     line.node.establish()
     tag = line.to_tag()
     line.request("ACK", to=f"<sip:7@net>;tag={tag}")
     front = line.node.front
-    front.dispatcher.authenticator, _ = guard()
+    front.dispatcher.authenticator, _ = digest_authenticator()
     assert line.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
     assert line.request(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
--- a/tests/test_sip_grammar.py
+++ b/tests/test_sip_grammar.py
@@ -40,7 +40,7 @@
     ],
 )
 def test_uris_are_compared_as_the_rfc_says(one, other, same):
-    """Guards against two names taken for one resource, or one for two (RFC 3261, 19.1.4)."""
+    """Two names must not be taken for one resource, nor one for two (RFC 3261, 19.1.4)."""
     first, second = grammar.parse_uri(one), grammar.parse_uri(other)
     assert grammar.same_uri(first, second) is same
     assert grammar.same_uri(second, first) is same
@@ -49,7 +49,7 @@
 @BOUNDED
 @given(st.text(max_size=60), st.text(max_size=40), st.integers(1, 2**31 - 1))
 def test_any_quoted_display_name_is_read_back(display, more, cseq):
-    """Guards against brackets, semicolons and quotes in a name that are read as structure."""
+    """Brackets, semicolons and quotes in a display name are no structure."""
     plain = (
         "".join(c for c in display if c.isprintable() and c not in "\r\n").encode("utf-8", "replace").decode()
     )
@@ -63,8 +63,8 @@
 
 @BOUNDED
 @given(st.text(max_size=200))
-def test_no_text_upsets_a_reader(text):
-    """Guards against a header that ends a connection by an exception of ours."""
+def test_no_text_makes_a_parser_fail_otherwise_than_by_grammar_error(text):
+    """Any other exception would end the connection that a header came on."""
     for read in (grammar.parse_address, grammar.parse_uri, grammar.parse_via, grammar.parse_credentials,
                  grammar.parse_media_type, grammar.parse_rack, grammar.parse_delta_seconds):  # fmt: skip
         with contextlib.suppress(grammar.GrammarError):
@@ -80,8 +80,8 @@
     ),
     st.lists(st.integers(1, 90), min_size=1, max_size=40),
 )
-def test_messages_glued_and_cut_anywhere_are_the_same(told, cuts):
-    """Guards against messages lost or joined however the stream is cut, single bytes and one segment too."""
+def test_messages_of_a_stream_are_the_same_however_it_is_cut(told, cuts):
+    """No message is lost or joined: single bytes, one segment, and any cuts between."""
     data = b"".join(
         sip.request(method, "sip:7@net", list(sip_headers(method, "1", f"z9hG4bK{n}").items()), body)
         for n, (method, body) in enumerate(told)
--- a/tests/test_sip_program.py
+++ b/tests/test_sip_program.py
@@ -43,7 +43,7 @@
     return broken + [f"{call}: {count} final answers" for call, count in finals.items() if count != 1]
 
 
-def mixed_script():
+def script_of_mixed_outcomes():
     """Each call's first set-ups meet all kinds of ends; later ones stand."""
     ends = itertools.cycle(["stand", "reset", "full", "silent", "error"])
 
@@ -67,7 +67,7 @@
     """UDP and TCP callers at once over two roster servers: one final answer a call, never two attempts at
     once, the pause after an unclear end. The check fails on a log that was tampered with.
     """
-    servers = [ScriptedServer(mixed_script()) for _ in range(2)]
+    servers = [ScriptedServer(script_of_mixed_outcomes()) for _ in range(2)]
     program = Program.as_appliance(tmp_path, *servers)
     callers = [SipCaller(program.address, udp=index % 2 == 0) for index in range(4)]
     sent = {}
@@ -111,8 +111,8 @@
     assert check([line for line in lines if line is not answer]), "the check must tell a missing answer"
 
 
-def test_tcp_that_drops_mid_dialog_and_bye_over_udp(tmp_path):
-    """The hard case on real sockets: the dialog lives on, and so does the roster server's call."""
+def test_a_dialog_outlives_its_tcp_connection_and_ends_by_a_bye_over_udp(tmp_path):
+    """On real sockets: the roster server's call lives on, and is released at the BYE."""
     server = ScriptedServer()
     program = Program.as_appliance(tmp_path, server, ScriptedServer())
     office, other = SipCaller(program.address), SipCaller(program.address, udp=True)
@@ -128,8 +128,8 @@
     assert program.stop() == 0
 
 
-def test_the_console_shows_and_drains_and_its_end_ends_nothing(tmp_path):
-    """Guards against a terminal that tells nothing, or whose closing stops the calls."""
+def test_the_console_answers_and_its_end_ends_no_call(tmp_path):
+    """Its closing must not stop the program."""
     server = ScriptedServer()
     program = Program.as_appliance(tmp_path, server, ScriptedServer())
     caller = SipCaller(program.address, udp=True)
--- a/tests/test_sip_session_timer.py
+++ b/tests/test_sip_session_timer.py
@@ -21,8 +21,8 @@
 
 @BOUNDED
 @given(st.integers(90, 5000), st.sampled_from(list(Refresher)), st.lists(st.floats(0, 3000), max_size=8))
-def test_a_lease_is_released_once_and_never_before_its_time(interval, refresher, waits):
-    """Guards against sessions that are never released, or while they are refreshed in time."""
+def test_a_session_is_released_at_its_expiration_and_never_before(interval, refresher, waits):
+    """Released if nobody refreshes it, and never while it is refreshed in time (RFC 4028, section 10)."""
     expiration, now = SessionExpiration(), 0.0
     expiration.restart(SessionTimer(interval, refresher), now)
     for wait in waits:
@@ -47,8 +47,8 @@
     st.booleans(),
     st.integers(90, 4000),
 )
-def test_no_session_time_under_either_sides_least_is_agreed(asked, least, who, knows, ours):
-    """Guards against a timer that one side takes for too short (RFC 4028, section 9)."""
+def test_no_session_interval_under_either_minimum_is_agreed(asked, least, who, knows, ours):
+    """The agreed interval is at least the Min-SE of both sides (RFC 4028, section 9)."""
     message = sip.SipMessage("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
     if knows:
         message.headers.append(("supported", "timer"))
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -12,64 +12,68 @@
 from stairhatch.sip.server_transactions import ServerTransactions
 from stairhatch.sip.transaction_base import T4, TIMEOUT_S
 
-from .support.sip_layers import BOUNDED, Clockwork, Kept, head
+from .support.sip_layers import BOUNDED, ByteRecordingFlow, ManualClock, request_head
 from .support.sip_messages import sip_headers
 
 
-def test_what_is_over_shrinks_and_is_forgotten_in_time():
-    """Guards against memory that grows with calls that are over: 1 KB each at most, and none after 64 T1."""
-    clock = Clockwork()
+def test_completed_transactions_shrink_to_records_that_expire():
+    """Memory must not grow with calls that are over: 1 KB each at most, and nothing after 64 T1."""
+    clock = ManualClock()
     table = ServerTransactions(clock, 64 * 1024 * 1024)
     for number in range(1000):
-        flow = Kept()
-        request = head("OPTIONS", f"z9hG4bK{number}", f"c{number}")
+        flow = ByteRecordingFlow()
+        request = request_head("OPTIONS", f"z9hG4bK{number}", f"c{number}")
         table.respond(table.open(request, flow), 200, "tag")
     assert not table.open_transactions
     assert table.open_bytes == 0
     assert not table.bytes_by_source
     assert len(table.records.responses) == 1000
     assert table.records.size_bytes < 1000 * 1024
-    flow = Kept()
-    assert table.absorb(head("OPTIONS", "z9hG4bK7", "c7"), flow)
+    flow = ByteRecordingFlow()
+    assert table.absorb(request_head("OPTIONS", "z9hG4bK7", "c7"), flow)
     assert flow.sent
     clock.run(TIMEOUT_S + 5)
     assert not table.records.responses
     assert table.records.size_bytes == 0
     assert not clock.pending
-    assert not table.absorb(head("OPTIONS", "z9hG4bK7", "c7"), flow)
+    assert not table.absorb(request_head("OPTIONS", "z9hG4bK7", "c7"), flow)
 
 
-def test_a_full_table_forgets_what_is_over_before_it_refuses_what_is_new():
-    """Guards against refusals while memory holds only answers for copies that may never come."""
-    clock = Clockwork()
+def test_a_full_table_evicts_records_before_it_rejects_new_transactions():
+    """Records answer only retransmissions, which may never come."""
+    clock = ManualClock()
     table = ServerTransactions(clock, 40_000)
     for number in range(400):
         assert table.has_room("127.0.0.1")
-        table.respond(table.open(head(branch=f"z9hG4bK{number}", call=f"c{number}"), Kept()), 200, "t")
+        table.respond(
+            table.open(request_head(branch=f"z9hG4bK{number}", call=f"c{number}"), ByteRecordingFlow()),
+            200,
+            "t",
+        )
         assert table.open_bytes + table.records.size_bytes <= 40_000 + 4096
     assert clock.counters.counts["transaction_records_evicted"] > 0
 
 
-def test_one_source_with_ten_thousand_half_open_requests_leaves_room_for_others():
-    """The hard case: a storm from one source of INVITEs that are never answered."""
-    table = ServerTransactions(Clockwork(), 8 * 1024 * 1024)
+def test_one_source_with_ten_thousand_open_transactions_leaves_room_for_others():
+    """A storm of INVITEs from one source that are never answered."""
+    table = ServerTransactions(ManualClock(), 8 * 1024 * 1024)
     taken = 0
     for number in range(10_000):
         if table.has_room("10.0.0.66"):
             peer = ("10.0.0.66", 4000)
-            flow = Kept("10.0.0.66")
-            table.open(head("INVITE", f"z9hG4bK{number}", f"c{number}", peer), flow)
+            flow = ByteRecordingFlow("10.0.0.66")
+            table.open(request_head("INVITE", f"z9hG4bK{number}", f"c{number}", peer), flow)
             taken += 1
     assert 0 < taken < 5000
     assert not table.has_room("10.0.0.66")
     assert table.has_room("10.0.0.7")
     for number in range(200):
         assert table.has_room("10.0.0.7")
-        other = head("INVITE", f"z9hG4bKo{number}", f"o{number}", ("10.0.0.7", 4000))
-        table.respond(table.open(other, Kept("10.0.0.7")), 200, "t")
+        other = request_head("INVITE", f"z9hG4bKo{number}", f"o{number}", ("10.0.0.7", 4000))
+        table.respond(table.open(other, ByteRecordingFlow("10.0.0.7")), 200, "t")
 
 
-class Asked:
+class RecordingUser:
     """Who began a request of ours."""
 
     def __init__(self):
@@ -98,11 +102,11 @@
         ("INVITE", None, True, TIMEOUT_S),
     ],
 )
-def test_a_request_of_ours_is_known_until_its_time_and_no_longer(method, status, reliable, kept_s):
-    """Guards against requests kept for good, and against copies of an answer that are told twice, or whose
-    ACK is not repeated, since the request went too early (RFC 3261, 17.1.1.2 and 17.1.2.2, RFC 6026, 7.2).
+def test_a_client_transaction_is_kept_until_its_timer_fires_and_no_longer(method, status, reliable, kept_s):
+    """Kept for good it would fill the table; dropped too early, a retransmitted response would be reported
+    twice or lack its ACK (RFC 3261, 17.1.1.2 and 17.1.2.2; RFC 6026, 7.2).
     """
-    clock, flow, user = Clockwork(), Kept(reliable=reliable), Asked()
+    clock, flow, user = ManualClock(), ByteRecordingFlow(reliable=reliable), RecordingUser()
     table = ClientTransactions(clock)
     lines = sip_headers(method, "7", "z9hG4bKours", "c1")
     request = sip.request(method, "sip:7@net", list(lines.items()))
@@ -134,18 +138,18 @@
 
 @BOUNDED
 @given(st.lists(st.sampled_from(["copy", "ack", "wait", "final", "provisional"]), max_size=12), st.booleans())
-def test_an_invite_has_one_final_answer_whatever_comes(steps, stood):
-    """Guards against two different final answers, in any order of copies, ACKs, waits and answers."""
-    clock, flow = Clockwork(), Kept()
+def test_an_invite_has_one_final_response_whatever_comes(steps, stood):
+    """In any order of retransmissions, ACKs, waits and responses."""
+    clock, flow = ManualClock(), ByteRecordingFlow()
     table = ServerTransactions(clock, 1024 * 1024)
-    request = head("INVITE")
+    request = request_head("INVITE")
     transaction = table.open(request, flow)
     for step in steps:
         match step:
             case "copy":
-                assert table.absorb(head("INVITE"), flow)
+                assert table.absorb(request_head("INVITE"), flow)
             case "ack":
-                table.absorb(head("ACK"), flow)
+                table.absorb(request_head("ACK"), flow)
             case "wait":
                 clock.run(0.7)
             case "final":
--- a/tests/test_sip_transport.py
+++ b/tests/test_sip_transport.py
@@ -21,13 +21,13 @@
         (["::1/128"], "::1", True), (["10.0.0.0/8"], "::ffff:10.1.1.1", True), (["10.0.0.0/8"], "name", False),  # noqa: E501
     ],
 )  # fmt: skip
-def test_a_listener_hears_its_networks_alone(networks, host, heard):
-    """Guards against callers from elsewhere, and against shutting out those meant."""
+def test_a_listener_accepts_its_networks_alone(networks, host, heard):
+    """Callers from elsewhere are shut out, those meant are not."""
     assert AllowedNetworks(tuple(ipaddress.ip_network(each) for each in networks)).allows(host) is heard
 
 
-def test_a_barred_datagram_leaves_no_trace():
-    """Guards against work done for whoever is outside the listener's networks."""
+def test_a_denied_datagram_leaves_no_trace():
+    """No work is done for a peer outside the listener's networks."""
     only = AllowedNetworks((ipaddress.ip_network("10.0.0.0/8"),))
     inside = InProcessNode(udp=(SipListener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
