--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -50,7 +50,7 @@
     """Print which case finds each mutation, and end the command."""
     from stairhatch.conformance import suite
 
-    finders = {mutation: suite.find_mutation(cases, mutation) for mutation in suite.FAULTS}
+    finders = {mutation: suite.find_mutation(cases, mutation) for mutation in suite.MUTATIONS}
     for mutation, case in finders.items():
         click.echo(f"{mutation:56} {case or 'NOT FOUND'}")
     click.echo(f"{sum(map(bool, finders.values()))} of {len(finders)} planted faults found")
--- a/stairhatch/conformance/faults.py
+++ b/stairhatch/conformance/mutations.py
@@ -87,20 +87,19 @@
 
 
 def _tag_each_time(
-    self: Responder, transaction: Any, status: int, extra: Any = None, tag: str = "", body: bytes = b""
+    self: Responder, transaction: Any, status: int, extra: Any = None, **options: Any
 ) -> bytes:
-    new_tag = tag and self._context.new_token()
-    return cast(bytes, ORIGINALS["respond"](self, transaction, status, extra, new_tag, body))
+    if options.get("tag"):
+        options["tag"] = self._context.new_token()
+    return cast(bytes, ORIGINALS["respond"](self, transaction, status, extra, **options))
 
 
 def _without_header(name: str) -> Callable[..., bytes]:
     """Responses without a header."""
 
-    def respond(
-        self: Any, transaction: Any, status: int, extra: Any = None, tag: str = "", body: bytes = b""
-    ) -> bytes:
+    def respond(self: Any, transaction: Any, status: int, extra: Any = None, **options: Any) -> bytes:
         kept = [header for header in extra or [] if header[0] != name]
-        return cast(bytes, ORIGINALS["respond"](self, transaction, status, kept, tag, body))
+        return cast(bytes, ORIGINALS["respond"](self, transaction, status, kept, **options))
 
     return respond
 
@@ -196,7 +195,7 @@
     "receive_data": SipConnection.receive_data,
     "dispatch": RequestDispatcher._dispatch,
 }
-FAULTS: dict[str, list[Change]] = {
+MUTATIONS: dict[str, list[Change]] = {
     "what is over is forgotten at once": [(TransactionRecords, "store", _nothing)],
     "the caller's tag is not compared": _matched_loosely(2),
     "our tag is not compared": _matched_loosely(1),
@@ -258,10 +257,10 @@
 
 
 @contextlib.contextmanager
-def planted(name: str) -> Iterator[None]:
+def mutation_applied(name: str) -> Iterator[None]:
     """Run with a mutation. KeyError for a name that is none."""
-    kept = [(owner, attribute, owner.__dict__[attribute]) for owner, attribute, _ in FAULTS[name]]
-    for owner, attribute, new in FAULTS[name]:
+    kept = [(owner, attribute, owner.__dict__[attribute]) for owner, attribute, _ in MUTATIONS[name]]
+    for owner, attribute, new in MUTATIONS[name]:
         setattr(owner, attribute, new)
     _clear_caches()
     try:
--- a/stairhatch/conformance/suite.py
+++ b/stairhatch/conformance/suite.py
@@ -8,15 +8,15 @@
 
 from stairhatch.conformance.cases import Case
 from stairhatch.conformance.credentials import PASSWORD, REALM, USER
-from stairhatch.conformance.faults import FAULTS, planted
 from stairhatch.conformance.in_process import InProcessEnvironment
+from stairhatch.conformance.mutations import MUTATIONS, mutation_applied
 from stairhatch.conformance.player import play
 from stairhatch.conformance.results import CaseResult
 from stairhatch.conformance.sockets import SocketEnvironment, SocketTarget
 from stairhatch.sip import digest_auth
 from stairhatch.sip.config import AuthConfig
 
-__all__ = ["FAULTS", "find_mutation", "run_in_process", "run_over_sockets"]
+__all__ = ["MUTATIONS", "find_mutation", "run_in_process", "run_over_sockets"]
 ALGORITHMS = ("SHA-512-256", "SHA-256")
 NONCE_LIFETIME_S = 300.0
 MAX_RETRIES = 5  # of a case whose call was rejected with 503, for its servers' sake
@@ -44,7 +44,7 @@
 
 def find_mutation(cases: Iterable[Case], name: str) -> str:
     """Return the name of the first case that fails with a mutation, "" if none does."""
-    with planted(name):
+    with mutation_applied(name):
         for case in cases:
             if play(case, _environment_for(case)).failure:
                 return case.name
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -31,7 +31,7 @@
     assert len({case.section for case in CASES}) >= 40
 
 
-@pytest.mark.parametrize("mutation", sorted(suite.FAULTS))
+@pytest.mark.parametrize("mutation", sorted(suite.MUTATIONS))
 def test_each_mutation_is_found(mutation):
     """No case passes whatever the program does."""
     assert suite.find_mutation(CASES, mutation), "no case fails with it"
