--- a/tests/support/recording_flow.py
+++ b/tests/support/recording_flow.py
@@ -33,7 +33,8 @@
         headers.update({name.replace("_", "-"): value for name, value in change.items()})  # type: ignore[misc]
         uri = headers.pop("uri", "sip:7@net")
         lines = [(name, value) for name, value in headers.items() if value is not None]
-        self.node.front.receive(self, sip_parser.parse_datagram(sip.request(method, str(uri), lines, b"")))
+        message = sip_parser.parse_datagram(sip.request(method, str(uri), lines, b""))
+        self.node.front.message_received(self, message)
         return self.sent[-1] if self.sent else sip.SipMessage()
 
     def statuses(self, method: str = "INVITE") -> list[int]:
