--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -29,7 +29,7 @@
     StatusRequest,
     StorageVersion,
 )
-from stairhatch.fleet.voter_startup import VoterState
+from stairhatch.fleet.voter_state import VoterState
 
 LEASE = "work"
 TIMINGS = LeaseTimings(3.0, 0.01, 0.25)
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -9,7 +9,7 @@
 from stairhatch.fleet.messages import LeaseRelease, LeaseRequest, RejectionReason
 from stairhatch.fleet.vote_table import Rejection
 from stairhatch.fleet.voter import Voter
-from stairhatch.fleet.voter_startup import VoterState
+from stairhatch.fleet.voter_state import VoterState
 
 
 @mutation("a promise is answered before it is on disk")
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -2,8 +2,8 @@
 
 What is written: the lease, its fencing token and its holder at each new vote. A renewal is not: after a start
 every vote on disk counts as cast just then, for a whole duration. So a fleet at rest writes nothing. Whether
-the voter votes at all, and what others say of it, is in `voter_startup`; the votes are in `vote_table`, the
-writes in `vote_log`, the rules of voter sets in `voter_set`.
+the voter votes at all is in `voter_state`, what others say of it in `peer_replies`; the votes are in
+`vote_table`, the writes in `vote_log`, the rules of voter sets in `voter_set`.
 """
 
 from __future__ import annotations
@@ -33,17 +33,15 @@
     StatusRequest,
     StorageVersion,
 )
+from stairhatch.fleet.peer_replies import PeerReplies, PeerStatus, voter_set_status
 from stairhatch.fleet.vote_log import CompletedWrite, PendingGrant, VoteLog
 from stairhatch.fleet.vote_table import Rejection, VoteTable
 from stairhatch.fleet.voter_set import VoterSet, VoterSetRelation, compare, digest_of, may_advance
-from stairhatch.fleet.voter_startup import (
+from stairhatch.fleet.voter_state import (
     IGNORES_REPLIES,
     MAY_HAVE_FORGOTTEN,
     REJECTION_WORDS,
-    PeerReplies,
-    PeerStatus,
     VoterState,
-    voter_set_status,
 )
 
 STATUS_INTERVAL_S = 0.2  # between two status requests to each other voter
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,7 +21,7 @@
     digest_of,
     may_advance,
 )
-from stairhatch.fleet.voter_startup import VoterState
+from stairhatch.fleet.voter_state import VoterState
 
 
 def test_forty_seeds_break_no_rule_and_every_fault_bites():
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -35,7 +35,7 @@
 from stairhatch.fleet.store import FILE_NAME, VoterStore
 from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import VoterSet, digest_of
-from stairhatch.fleet.voter_startup import VoterState
+from stairhatch.fleet.voter_state import VoterState
 
 DATA = Path(__file__).parent / "data" / "fleet"
 DATAGRAMS = {
