--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -162,7 +162,7 @@
         for each in [each for each in self.pending_writes if each[0] == name]:  # that it votes
             self.finish_write(self.pending_writes.index(each))
         assert fresh.voter is not None
-        fresh.voter.due_at = NEVER
+        fresh.voter.eligibility.due_at = NEVER
 
     def step_clock(self) -> None:
         """Move the clock to the next moment at which a client has something to do."""
@@ -231,8 +231,8 @@
     persisted = PersistedState(StorageVersion(name, 1, 0), True)
     member = ClusterMember(MemberId(name, 0), voters, TIMINGS, ZERO_RANDOM, 0.0, persisted)
     assert member.voter is not None
-    member.voter.state = VoterState.VOTING
-    member.voter.due_at = NEVER
+    member.voter.eligibility.state = VoterState.VOTING
+    member.voter.eligibility.due_at = NEVER
     return member
 
 
--- a/stairhatch/fault_injection/mutations/voter_sets.py
+++ b/stairhatch/fault_injection/mutations/voter_sets.py
@@ -6,8 +6,7 @@
 from typing import Any
 
 from stairhatch.fault_injection.mutations.registry import AttributePatch, mutation, original
-from stairhatch.fleet import voter
-from stairhatch.fleet.voter import Voter
+from stairhatch.fleet import voter_set_change
 from stairhatch.fleet.voter_set import VoterSet, VoterSetStatus, may_advance
 
 
@@ -47,7 +46,7 @@
         AttributePatch(VoterSet, "successor", successor),
         AttributePatch(VoterSet, "accepts", accepts),
         AttributePatch(VoterSet, "agree_to", agree_to),
-        AttributePatch(voter, "may_advance", advance_unclosed),
+        AttributePatch(voter_set_change, "may_advance", advance_unclosed),
     ]
 
 
@@ -58,16 +57,14 @@
     def advance(*_args: Any) -> bool:
         return True
 
-    return [AttributePatch(voter, "may_advance", advance)]
+    return [AttributePatch(voter_set_change, "may_advance", advance)]
 
 
 @mutation("who goes on to the next list takes over no tickets")
 def advance_without_tokens() -> list[AttributePatch]:
     """A voter that goes on to the next voter set takes over no fencing tokens."""
-    take_over_votes = original(Voter, "_take_over_votes")
 
-    def take_over_nothing(self: Voter, now: float, peers: list[Any]) -> None:
-        if not self.is_voting:
-            take_over_votes(self, now, peers)
+    def take_over_nothing(*_args: Any) -> None:
+        pass
 
-    return [AttributePatch(Voter, "_take_over_votes", take_over_nothing)]
+    return [AttributePatch(voter_set_change, "take_over_reported_votes", take_over_nothing)]
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -6,32 +6,34 @@
 
 from stairhatch.fault_injection.mutations.registry import AttributePatch, EffectsMethod, mutation, original
 from stairhatch.fleet.effects import SendMessage, Vote
+from stairhatch.fleet.lease_granter import LeaseGranter
 from stairhatch.fleet.messages import LeaseRelease, LeaseRequest, RejectionReason
 from stairhatch.fleet.vote_table import Rejection
 from stairhatch.fleet.voter import Voter
+from stairhatch.fleet.voter_startup import VoterStartup
 from stairhatch.fleet.voter_state import VoterState
 
 
 @mutation("a promise is answered before it is on disk")
 def grant_before_write() -> list[AttributePatch]:
     """A vote is granted before it is on disk."""
-    cast_vote: EffectsMethod = original(Voter, "_cast_vote")
+    cast_vote: EffectsMethod = original(LeaseGranter, "_cast_vote")
 
-    def grant_at_once(self: Voter, *args: Any) -> list[Any]:
+    def grant_at_once(self: LeaseGranter, *args: Any) -> list[Any]:
         effects = cast_vote(self, *args)
-        grant = self.log.pending_grants.pop(self.log.last_write_id)
+        grant = self._log.pending_grants.pop(self._log.last_write_id)
         return [*effects, SendMessage(grant.destination, grant.message)]
 
-    return [AttributePatch(Voter, "_cast_vote", grant_at_once)]
+    return [AttributePatch(LeaseGranter, "_cast_vote", grant_at_once)]
 
 
 @mutation("a copy of an ask is answered before the disk is")
 def grant_duplicate_before_write() -> list[AttributePatch]:
     """A duplicate of a request is granted while the vote for the first one is still being written."""
-    handle_request: EffectsMethod = original(Voter, "handle_request")
+    handle_request: EffectsMethod = original(LeaseGranter, "handle_request")
 
-    def handle_eagerly(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
-        under_way = self.log.under_way
+    def handle_eagerly(self: LeaseGranter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
+        under_way = self._log.under_way
         requested = Vote(
             request.lease,
             request.fencing_token,
@@ -39,13 +41,13 @@
             request.incarnation,
             request.duration_ms / 1000,
         )
-        if self.votes.by_lease.get(request.lease) == requested:
-            self.log.under_way = {}
+        if self._votes.by_lease.get(request.lease) == requested:
+            self._log.under_way = {}
         effects = handle_request(self, now, sender, request)
-        self.log.under_way = {**under_way, **self.log.under_way}
+        self._log.under_way = {**under_way, **self._log.under_way}
         return effects
 
-    return [AttributePatch(Voter, "handle_request", handle_eagerly)]
+    return [AttributePatch(LeaseGranter, "handle_request", handle_eagerly)]
 
 
 @mutation("a disk that is full is not noticed")
@@ -62,9 +64,9 @@
 @mutation("a promise is no promise to others")
 def grant_while_held() -> list[AttributePatch]:
     """A request with a higher fencing token is granted while another holds the lease."""
-    rejection = original(Voter, "_rejection")
+    rejection = original(LeaseGranter, "_rejection")
 
-    def reject_lower_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection | None:
+    def reject_lower_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> Rejection | None:
         found: Rejection | None = rejection(self, now, request)
         if found is None or found.reason != RejectionReason.HELD.value:
             return found
@@ -72,35 +74,37 @@
             return None
         return Rejection(RejectionReason.TOKEN_TOO_LOW.value, found.highest_token)
 
-    return [AttributePatch(Voter, "_rejection", reject_lower_tokens)]
+    return [AttributePatch(LeaseGranter, "_rejection", reject_lower_tokens)]
 
 
 @mutation("a voter takes any ticket")
 def grant_low_tokens() -> list[AttributePatch]:
     """A request is granted however low its fencing token is."""
-    rejection = original(Voter, "_rejection")
+    rejection = original(LeaseGranter, "_rejection")
 
-    def ignore_low_tokens(self: Voter, now: float, request: LeaseRequest) -> Rejection | None:
+    def ignore_low_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> Rejection | None:
         found: Rejection | None = rejection(self, now, request)
         is_low = found is not None and found.reason == RejectionReason.TOKEN_TOO_LOW.value
         return None if is_low else found
 
-    return [AttributePatch(Voter, "_rejection", ignore_low_tokens)]
+    return [AttributePatch(LeaseGranter, "_rejection", ignore_low_tokens)]
 
 
 @mutation("a renewal does not lengthen the promise")
 def keep_expiry_at_renewal() -> list[AttributePatch]:
     """A renewal is granted, but the vote expires as before."""
-    handle_request: EffectsMethod = original(Voter, "handle_request")
+    handle_request: EffectsMethod = original(LeaseGranter, "handle_request")
 
-    def handle_without_extension(self: Voter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
-        expires_at, vote = self.votes.expires_at.get(request.lease), self.votes.by_lease.get(request.lease)
+    def handle_without_extension(
+        self: LeaseGranter, now: float, sender: Any, request: LeaseRequest
+    ) -> list[Any]:
+        expires_at, vote = self._votes.expires_at.get(request.lease), self._votes.by_lease.get(request.lease)
         effects = handle_request(self, now, sender, request)
         if vote is not None and expires_at is not None and vote.fencing_token == request.fencing_token:
-            self.votes.expires_at[request.lease] = expires_at
+            self._votes.expires_at[request.lease] = expires_at
         return effects
 
-    return [AttributePatch(Voter, "handle_request", handle_without_extension)]
+    return [AttributePatch(LeaseGranter, "handle_request", handle_without_extension)]
 
 
 @mutation("promises are over with a restart")
@@ -122,8 +126,8 @@
 
     def trusting_init(self: Voter, *args: Any) -> None:
         init(self, *args)
-        self.state = VoterState.VOTING
-        self.is_new_storage = False
+        self.eligibility.state = VoterState.VOTING
+        self.eligibility.is_new_storage = False
 
     return [AttributePatch(Voter, "__init__", trusting_init)]
 
@@ -132,92 +136,92 @@
 def ignore_old_storage() -> list[AttributePatch]:
     """A voter does not notice that its data directory is an older copy."""
 
-    def is_behind(_self: Voter, _version: Any) -> bool:
+    def is_behind(_self: VoterStartup, _version: Any) -> bool:
         return False
 
-    return [AttributePatch(Voter, "_is_behind", is_behind)]
+    return [AttributePatch(VoterStartup, "is_behind", is_behind)]
 
 
 @mutation("who is let in again does not wait")
 def vote_without_waiting() -> list[AttributePatch]:
     """A voter that is admitted again does not wait until its forgotten votes have expired."""
-    start_waiting: EffectsMethod = original(Voter, "_start_waiting")
+    start_waiting = original(VoterStartup, "_start_waiting")
 
-    def wait_for_nothing(self: Voter, now: float) -> list[Any]:
-        effects = start_waiting(self, now)
-        self.waiting_until = now
-        self.votes.expires_at = {}
-        return effects
+    def wait_for_nothing(self: VoterStartup, now: float) -> None:
+        start_waiting(self, now)
+        self._eligibility.waiting_until = now
+        self._votes.expires_at = {}
 
-    return [AttributePatch(Voter, "_start_waiting", wait_for_nothing)]
+    return [AttributePatch(VoterStartup, "_start_waiting", wait_for_nothing)]
 
 
 @mutation("who is let in again is told no promises")
 def admit_without_votes() -> list[AttributePatch]:
     """A voter that is admitted again learns none of the others' votes."""
-    admit: EffectsMethod = original(Voter, "_admit")
+    admit: EffectsMethod = original(VoterStartup, "_admit")
 
-    def admit_uninformed(self: Voter, now: float, peers: list[Any]) -> list[Any]:
+    def admit_uninformed(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
         for each in peers:
             each.votes.clear()
-        self.votes.by_lease.clear()
+        self._votes.by_lease.clear()
         return admit(self, now, peers)
 
-    return [AttributePatch(Voter, "_admit", admit_uninformed)]
+    return [AttributePatch(VoterStartup, "_admit", admit_uninformed)]
 
 
 @mutation("a fleet is founded by any two")
 def found_with_any_peer() -> list[AttributePatch]:
     """A new voter begins to vote once it has heard of one other."""
-    evaluate_replies: EffectsMethod = original(Voter, "_evaluate_replies")
+    evaluate_replies: EffectsMethod = original(VoterStartup, "evaluate_replies")
 
-    def evaluate_hastily(self: Voter, now: float) -> list[Any]:
-        if self.state is VoterState.NEW_STORAGE and self.peers.by_voter:
-            return self._start_waiting(now)
+    def evaluate_hastily(self: VoterStartup, now: float) -> list[Any]:
+        if self._eligibility.state is VoterState.NEW_STORAGE and self._peers.by_voter:
+            self._start_waiting(now)
+            return []
         return evaluate_replies(self, now)
 
-    return [AttributePatch(Voter, "_evaluate_replies", evaluate_hastily)]
+    return [AttributePatch(VoterStartup, "evaluate_replies", evaluate_hastily)]
 
 
 @mutation("anybody gives back for anybody")
 def release_for_others() -> list[AttributePatch]:
     """A voter takes a release from anybody for the holder's."""
-    handle_release: EffectsMethod = original(Voter, "handle_release")
+    handle_release: EffectsMethod = original(LeaseGranter, "handle_release")
 
-    def handle_from_anybody(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
-        vote = self.votes.by_lease.get(message.lease)
+    def handle_from_anybody(self: LeaseGranter, now: float, message: LeaseRelease) -> list[Any]:
+        vote = self._votes.by_lease.get(message.lease)
         if vote is not None:
             message = LeaseRelease(
                 message.lease, vote.holder or "-", vote.incarnation, vote.fencing_token, message.successor
             )
         return handle_release(self, now, message)
 
-    return [AttributePatch(Voter, "handle_release", handle_from_anybody)]
+    return [AttributePatch(LeaseGranter, "handle_release", handle_from_anybody)]
 
 
 @mutation("what is given back is forgotten with its ticket")
 def forget_token_at_release() -> list[AttributePatch]:
     """A voter forgets a released lease's fencing token."""
-    handle_release: EffectsMethod = original(Voter, "handle_release")
+    handle_release: EffectsMethod = original(LeaseGranter, "handle_release")
 
-    def handle_and_forget(self: Voter, now: float, message: LeaseRelease) -> list[Any]:
-        vote = self.votes.by_lease.get(message.lease)
+    def handle_and_forget(self: LeaseGranter, now: float, message: LeaseRelease) -> list[Any]:
+        vote = self._votes.by_lease.get(message.lease)
         effects = handle_release(self, now, message)
-        if vote is not None and vote != self.votes.by_lease.get(message.lease):
-            self.votes.by_lease[message.lease] = Vote(message.lease, 0)
+        if vote is not None and vote != self._votes.by_lease.get(message.lease):
+            self._votes.by_lease[message.lease] = Vote(message.lease, 0)
         return effects
 
-    return [AttributePatch(Voter, "handle_release", handle_and_forget)]
+    return [AttributePatch(LeaseGranter, "handle_release", handle_and_forget)]
 
 
 @mutation("who is let in hears the promises before its wait")
 def admit_like_a_founder() -> list[AttributePatch]:
     """A voter that is admitted takes the votes that it heard before its wait, and none after it."""
-    admit: EffectsMethod = original(Voter, "_admit")
+    admit: EffectsMethod = original(VoterStartup, "_admit")
 
-    def admit_early(self: Voter, now: float, peers: list[Any]) -> list[Any]:
+    def admit_early(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
         effects = admit(self, now, peers)
-        self._is_founding = True
+        self.is_founding = True
         return effects
 
-    return [AttributePatch(Voter, "_admit", admit_early)]
+    return [AttributePatch(VoterStartup, "_admit", admit_early)]
--- a/stairhatch/fleet/metrics.py
+++ b/stairhatch/fleet/metrics.py
@@ -23,7 +23,7 @@
     voter = member.voter
     if voter is not None:
         counts["fleet_is_voting"] = int(voter.is_voting)
-        counts["fleet_voter_set_epoch"] = voter.voter_set.epoch
+        counts["fleet_voter_set_epoch"] = voter.voter_sets.current.epoch
     for name, lease in member.leases.items():
         remaining_s = _remaining_s(lease, now)
         gauge = f"fleet_remaining_ms_{name}"
@@ -77,10 +77,10 @@
     ]
     return {
         "votes": voter.is_voting,
-        "why": "" if voter.is_voting else voter.reason or voter.state.value,
+        "why": "" if voter.is_voting else voter.eligibility.reason or voter.eligibility.state.value,
         "promises": promises,
-        "epoch": voter.voter_set.epoch,
-        "list": list(voter.voter_set.voters),
-        "wishes": voter.configured_voters if voter.proposed_digest else [],
-        "agreed": bool(voter.voter_set.agreed_digest),
+        "epoch": voter.voter_sets.current.epoch,
+        "list": list(voter.voter_sets.current.voters),
+        "wishes": voter.voter_sets.configured.voters if voter.voter_sets.is_proposing else [],
+        "agreed": bool(voter.voter_sets.current.agreed_digest),
     }
--- a/stairhatch/fleet/peer_replies.py
+++ b/stairhatch/fleet/peer_replies.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass, field
 
 from stairhatch.fleet.messages import StatusReply, StorageVersion, VoteReport
+from stairhatch.fleet.vote_log import VoteLog
+from stairhatch.fleet.vote_table import VoteTable
 from stairhatch.fleet.voter_set import VoterSet, VoterSetStatus
 
 
@@ -40,8 +42,9 @@
 class PeerReplies:
     """The replies of the other voters to the status requests that count."""
 
-    def __init__(self, request_id: int) -> None:
-        """`request_id` is the first of this start."""
+    def __init__(self, names: Collection[str], request_id: int) -> None:
+        """`names` are the other voters, as configured; `request_id` is the first of this start."""
+        self.names = tuple(names)
         self.request_id = request_id
         self.by_voter: dict[str, PeerStatus] = {}
 
@@ -50,6 +53,11 @@
         self.by_voter.clear()
         self.request_id += 1
 
+    @property
+    def have_all_replied(self) -> bool:
+        """Whether each of the other voters has replied."""
+        return len(self.by_voter) == len(self.names)
+
     def next_page(self, voter: str) -> str:
         """After which lease a voter is asked to go on; from the beginning where it has reported all."""
         peer = self.by_voter.get(voter)
@@ -104,3 +112,10 @@
             )
 
         return all(agrees(each.reply) for each in self.by_voter.values())
+
+
+def take_over_reported_votes(votes: VoteTable, log: VoteLog, peers: Iterable[PeerStatus], now: float) -> None:
+    """Count the reported votes as this voter's own, and withhold its grants that they undo."""
+    for report in [each for peer in peers for each in peer.votes.values()]:
+        if votes.take_over(now, report):
+            log.withhold_grant(report.lease)
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -78,11 +78,19 @@
         self.under_way = dict.fromkeys(self.unwritten, write.write_id)
         return write
 
+    def grant_once_written(self, write: PersistVotes, grant: PendingGrant) -> None:
+        """Keep a grant until its vote is on disk."""
+        self.pending_grants[write.write_id] = grant
+
     def withhold_grant(self, lease: str) -> None:
         """The vote under way for a lease, if any, must not be answered any more."""
         if lease in self.under_way:
             self.pending_grants.pop(self.under_way[lease], None)
 
+    def withhold_all_grants(self) -> None:
+        """No vote under way must be answered any more."""
+        self.pending_grants.clear()
+
     def complete(self, write_id: int) -> CompletedWrite:
         """A write has ended, well or not: what it held."""
         return CompletedWrite(
@@ -109,6 +117,15 @@
             del self.under_way[lease]
             self.unwritten.pop(lease, None)
 
+    def mark_unsaved(self) -> None:
+        """The voter set has changed: it belongs on disk with the next write."""
+        self.has_unsaved_state = True
+
+    def count_beyond(self, seen: StorageVersion) -> None:
+        """Others have seen this very storage so far: without that they would find it behind again."""
+        if seen.storage_id == self.storage_version.storage_id:
+            self.vote_count = max(self.vote_count, seen.vote_count + 1)
+
     def record_version(self, voter: str, version: StorageVersion, *, is_voting: bool) -> None:
         """Remember how far another voter has come; a new storage of its only once it votes from it."""
         old = self.known_versions.get(voter)
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -59,9 +59,10 @@
         return max(vote.duration_s, self.timings.duration_s) * (1 + self.timings.clock_drift)
 
     @property
-    def longest_duration_s(self) -> float:
-        """Of all leases voted for, without the clock drift bound."""
-        return max([self.timings.duration_s, *(each.duration_s for each in self.by_lease.values())])
+    def longest_binding_s(self) -> float:
+        """For how long any vote for these leases may bind a voter; the clock drift bound is added."""
+        longest_s = max([self.timings.duration_s, *(each.duration_s for each in self.by_lease.values())])
+        return longest_s * (1 + self.timings.clock_drift)
 
     def restart_durations(self, now: float) -> None:
         """All votes count as cast at this moment."""
@@ -99,6 +100,14 @@
             return Rejection(RejectionReason.TOKEN_TOO_LOW.value, cast.fencing_token, holder)
         return None
 
+    def all(self) -> tuple[Vote, ...]:
+        """One for each lease that was voted for."""
+        return tuple(self.by_lease.values())
+
+    def cast(self, vote: Vote) -> None:
+        """A new vote, in place of the one for that lease before it."""
+        self.by_lease[vote.lease] = vote
+
     def extend(self, now: float, vote: Vote) -> None:
         """A vote binds anew from here."""
         self.expires_at[vote.lease] = now + self.duration_s(vote)
--- a/stairhatch/fleet/voter_state.py
+++ b/stairhatch/fleet/voter_state.py
@@ -15,6 +15,7 @@
 
 from __future__ import annotations
 
+import math
 from enum import Enum
 
 
@@ -47,3 +48,73 @@
     VoterState.CATCHING_UP,
     VoterState.MISCONFIGURED,
 )
+
+
+class VoterEligibility:
+    """Whether one voter may vote, and what its start and its faults have made of that.
+
+    It has the rules of each change of state alone; when a state is due to change is for `VoterStartup` and
+    `Voter`. A change makes the voter due at once.
+    """
+
+    def __init__(self, *, is_new_storage: bool, now: float) -> None:
+        """`is_new_storage`: the data directory has neither voted nor been admitted."""
+        self.is_new_storage = is_new_storage
+        self.state = VoterState.NEW_STORAGE if is_new_storage else VoterState.STARTING
+        self.reason = ""  # it does not vote
+        self.may_have_voted_at = now  # votes that it has forgotten were cast before that
+        self.waiting_until = math.inf
+        self.due_at = now
+
+    @property
+    def is_voting(self) -> bool:
+        """Whether it may grant leases."""
+        return self.state is VoterState.VOTING
+
+    @property
+    def may_have_forgotten(self) -> bool:
+        """Whether others may know more of its votes than it does."""
+        return self.state in MAY_HAVE_FORGOTTEN
+
+    def remaining_wait_s(self, now: float) -> float:
+        """Until its wait is over; 0.0 where it does not wait."""
+        return self.waiting_until - now if self.state is VoterState.WAITING else 0.0
+
+    def start_voting(self, now: float) -> None:
+        """It votes, whatever stood against it."""
+        self.state = VoterState.VOTING
+        self.is_new_storage = False
+        self.reason = ""
+        self.due_at = now
+
+    def exclude(self, now: float) -> None:
+        """Others have seen more of its storage than is in it: what it voted for counts from here."""
+        self.state = VoterState.EXCLUDED
+        self.may_have_voted_at = now
+        self.due_at = now
+
+    def start_waiting(self, now: float, duration_s: float) -> None:
+        """Wait until votes that it has forgotten are over, which bind for so long."""
+        self.state = VoterState.WAITING
+        self.waiting_until = self.may_have_voted_at + duration_s
+        self.due_at = now
+
+    def catch_up(self) -> None:
+        """Its wait is over: what others have voted for is to be heard."""
+        self.state = VoterState.CATCHING_UP
+
+    def misconfigure(self, reason: str) -> None:
+        """It can't go by its configuration, for as long as it lives."""
+        self.state = VoterState.MISCONFIGURED
+        self.reason = reason
+
+    def skip_voter_set(self, reason: str) -> None:
+        """Its data directory has a voter set before the last: it votes once it is admitted."""
+        if self.state is VoterState.STARTING:
+            self.state = VoterState.EXCLUDED
+            self.reason = reason
+
+    def fail_disk(self, fault: str) -> None:
+        """Its disk takes no vote."""
+        self.state = VoterState.DISK_FAILED
+        self.reason = fault
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -151,10 +151,10 @@
 
     others = {name: voter(name, name, True, 0.0) for name in ("v1", "v2")}
     for each in others.values():
-        each.state = VoterState.VOTING
+        each.eligibility.state = VoterState.VOTING
     lost = voter("v0", "empty", False, 0.1)
     answers(lost, 0.1, others)
-    assert lost.state is VoterState.WAITING
+    assert lost.eligibility.state is VoterState.WAITING
     ask = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(voters))
     late = others["v1"]
     writes = [each for each in late.handle_request(0.5, ("a", 0), ask) if isinstance(each, PersistVotes)]
@@ -172,7 +172,7 @@
     """Guards against a voter with an old folder that votes since its disk failed and was well again."""
     voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
     voter = Voter("v0", voters, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.state = VoterState.VOTING
+    voter.eligibility.state = VoterState.VOTING
     ask = LeaseRequest(
         "work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, voter_set_digest=digest_of(voters)
     )
@@ -180,12 +180,12 @@
     voter.handle_request(
         0.2, ("b", 0), LeaseRequest("other", "b", 1, 1, 3000, 1, {"v0": StorageVersion("f", 9, 9)})
     )
-    assert voter.state is VoterState.EXCLUDED
+    assert voter.eligibility.state is VoterState.EXCLUDED
     voter.write_completed(0.3, write.write_id, "full")
     for each in voter.tick(2.0):
         if isinstance(each, PersistVotes):
             voter.write_completed(2.1, each.write_id, "")
-    assert voter.state is VoterState.EXCLUDED
+    assert voter.eligibility.state is VoterState.EXCLUDED
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -278,7 +278,7 @@
 )
 def test_a_voter_that_does_not_vote_refuses_with_the_same_word(standing, word):
     voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.state, voter.waiting_until = standing, 1.0
+    voter.eligibility.state, voter.eligibility.waiting_until = standing, 1.0
     (answer,) = voter.handle_request(
         0.1, ("a", 0), LeaseRequest("work", "a", 1, 1, 3000, 1, voter_set_digest=digest_of(VOTERS))
     )
@@ -287,7 +287,7 @@
 
 def test_a_voter_that_votes_refuses_with_the_same_words():
     voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.state = VoterState.VOTING
+    voter.eligibility.state = VoterState.VOTING
     held = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))
     voter.handle_request(0.1, ("a", 0), held)
 
