--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -13,13 +13,14 @@
 from stairhatch.fleet.effects import (
     Effect,
     MemberId,
+    MemberState,
     PeerAddress,
     PersistedState,
     PersistVotes,
     SendMessage,
     Vote,
 )
-from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.lease import LeaseConfig, LeaseTimings
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import (
     FleetMessage,
@@ -156,7 +157,7 @@
         version = StorageVersion(version.storage_id, version.incarnation + 1, version.vote_count)
         persisted = PersistedState(version, True, tuple(votes.values()))
         old = self.member(name)
-        fresh = ClusterMember(old.identity, old.voters, old.timings, ZERO_RANDOM, self.now, persisted)
+        fresh = ClusterMember(old.identity, old.config, ZERO_RANDOM, self.now, MemberState(persisted))
         self.unpacked_members[name] = fresh
         self.execute(name, fresh.tick(self.now))
         for each in [each for each in self.pending_writes if each[0] == name]:  # that it votes
@@ -213,10 +214,11 @@
 def initial_state(voter_count: int, client_count: int, remaining: RemainingActions) -> ClusterState:
     """Voters that vote, and clients whose requests for the lease are in flight."""
     voters: dict[str, PeerAddress] = {f"v{index}": (f"v{index}", 0) for index in range(voter_count)}
-    members = {name: pickle.dumps(_established_voter(name, voters)) for name in voters}
+    config = LeaseConfig(voters, TIMINGS)
+    members = {name: pickle.dumps(_established_voter(name, config)) for name in voters}
     for index in range(client_count):
         identity = MemberId(f"a{index}", index + 1)
-        client = ClusterMember(identity, voters, TIMINGS, ZERO_RANDOM, 0.0)
+        client = ClusterMember(identity, config, ZERO_RANDOM, 0.0, MemberState())
         client.lease(LEASE).request(0.0)
         members[identity.name] = pickle.dumps(client)
     no_votes: dict[str, Vote] = {}
@@ -227,9 +229,9 @@
     return step.next_state(remaining)
 
 
-def _established_voter(name: str, voters: dict[str, PeerAddress]) -> ClusterMember:
+def _established_voter(name: str, config: LeaseConfig) -> ClusterMember:
     persisted = PersistedState(StorageVersion(name, 1, 0), True)
-    member = ClusterMember(MemberId(name, 0), voters, TIMINGS, ZERO_RANDOM, 0.0, persisted)
+    member = ClusterMember(MemberId(name, 0), config, ZERO_RANDOM, 0.0, MemberState(persisted))
     assert member.voter is not None
     member.voter.eligibility.state = VoterState.VOTING
     member.voter.eligibility.due_at = NEVER
--- a/stairhatch/fault_injection/mutations/holders.py
+++ b/stairhatch/fault_injection/mutations/holders.py
@@ -104,9 +104,9 @@
     """A holder that has released the lease acts on until its time is over."""
     release: EffectsMethod = original(LeaseClient, "release")
 
-    def release_and_hold(self: LeaseClient, now: float, successor: str = "") -> list[Any]:
+    def release_and_hold(self: LeaseClient, successor: str | None = None) -> list[Any]:
         before = self.state, self.expires_at, self.due_at
-        effects = release(self, now, successor)
+        effects = release(self, successor)
         if before[0] is LeaseState.HELD:
             self.state, self.expires_at, self.due_at = before
         return [each for each in effects if isinstance(each, SendMessage)]
--- a/stairhatch/fault_injection/mutations/receivers.py
+++ b/stairhatch/fault_injection/mutations/receivers.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
 from stairhatch.fault_injection.mutations.registry import AttributePatch, mutation, original
 from stairhatch.fleet.fencing import FencingTokens, TokenCheck
 from stairhatch.fleet.member import ClusterMember
 
-TOKENS_POSITION = 6  # of the persisted fencing tokens among the arguments of ClusterMember
-
 
 @mutation("a fence is not checked")
 def accept_every_token() -> list[AttributePatch]:
@@ -27,7 +26,8 @@
     init = original(ClusterMember, "__init__")
 
     def forgetful_init(self: ClusterMember, *args: Any) -> None:
-        init(self, *args[:TOKENS_POSITION], None, *args[TOKENS_POSITION + 1 :])
+        *others, persisted = args
+        init(self, *others, replace(persisted, fencing_tokens={}))
 
     return [AttributePatch(ClusterMember, "__init__", forgetful_init)]
 
--- a/stairhatch/fault_injection/virtual_fault_injector.py
+++ b/stairhatch/fault_injection/virtual_fault_injector.py
@@ -128,7 +128,7 @@
             return
         self.run.activations[fault.kind.value] += 1
         lease = holder.decisions.lease(ENDPOINT_LIST_LEASE)
-        holder.execute(lease.release(holder.clock(), fault.peer))
+        holder.execute(lease.release(fault.peer or None))
         lease.request(holder.clock(), self.run.schedule.lease_duration_s)
 
     def _change_voters(self, fault: ScheduledFault) -> None:
--- a/stairhatch/fault_injection/virtual_member.py
+++ b/stairhatch/fault_injection/virtual_member.py
@@ -27,13 +27,14 @@
     LeaseEvent,
     LeaseEventKind,
     MemberId,
+    MemberState,
     PeerAddress,
     PersistedState,
     PersistFencingToken,
     PersistVotes,
     SendMessage,
 )
-from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.lease import LeaseConfig, LeaseTimings
 from stairhatch.fleet.lease_pool import LeasePool
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetMessage, StorageVersion
@@ -107,13 +108,14 @@
         round_s = ROUND_TIMEOUT_S * schedule.lease_duration_s / DEFAULT_LEASE_DURATION_S
         self.decisions = ClusterMember(
             identity,
-            {name: (name, 0) for name in voters},
-            LeaseTimings(schedule.lease_duration_s, schedule.drift_bound, round_s),
+            LeaseConfig(
+                {name: (name, 0) for name in voters},
+                LeaseTimings(schedule.lease_duration_s, schedule.drift_bound, round_s),
+                self.configured_epoch,
+            ),
             own_rng,
             self.clock(),
-            persisted,
-            dict(self.disk.fencing_tokens),
-            self.configured_epoch,
+            MemberState(persisted, dict(self.disk.fencing_tokens)),
         )
         names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
         self.index_pool = LeasePool(names, self.decisions.lease, own_rng.randrange(len(names)))
--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -29,7 +29,7 @@
 
     lease: str
     fencing_token: int
-    holder: str = ""
+    holder: str | None = None
     incarnation: int = 0
     duration_s: float = 0.0
 
@@ -45,6 +45,14 @@
     voter_set: VoterSet | None = None  # that it goes by
 
 
+@dataclass(frozen=True, slots=True)
+class MemberState:
+    """Everything of a member that must outlive it."""
+
+    voter_state: PersistedState | None = None  # None: the member is no voter
+    fencing_tokens: dict[str, int] = field(default_factory=dict)  # the highest that it has seen, by lease
+
+
 @dataclass(frozen=True, slots=True)
 class SendMessage:
     """Send a message."""
--- a/stairhatch/fleet/endpoint_list_runtime.py
+++ b/stairhatch/fleet/endpoint_list_runtime.py
@@ -98,7 +98,7 @@
             token = self._member.leases[ENDPOINT_LIST_LEASE].fencing_token
             self._send_to_voters([self._nothing_new(self._config.member_name, token)])
         voter = self.follower.voter_to_poll(now, is_holder, self._holder_heard_at)
-        if voter and voter != self._config.member_name:
+        if voter is not None and voter != self._config.member_name:
             self._driver.send(self._config.voters[voter], Subscribe(self.endpoint_list.index))
         polls_coordinator = self.may_poll_coordinator()
         if polls_coordinator and not self._polls_coordinator:
--- a/stairhatch/fleet/endpoint_relay.py
+++ b/stairhatch/fleet/endpoint_relay.py
@@ -124,12 +124,12 @@
         """Whether it follows the coordinator now: the holder does, and who knows no list or hears nothing."""
         return is_holder or not knows_list or now - self.heard_at > self.timings.fallback_after_s
 
-    def voter_to_poll(self, now: float, is_holder: bool, holder_heard_at: float = -math.inf) -> str:
-        """The voter to be asked now; "" for none. Who hears the holder itself, as voters do, need not ask."""
+    def voter_to_poll(self, now: float, is_holder: bool, holder_heard_at: float = -math.inf) -> str | None:
+        """The voter to be asked now, if any. Who hears the holder itself, as voters do, need not ask."""
         polled_lately = now - self.polled_at < self.timings.poll_interval_s
         hears_holder = now - holder_heard_at < self.timings.holder_silence_s
         if is_holder or polled_lately or hears_holder:
-            return ""
+            return None
         self.polled_at = now
         if self._unanswered:  # the last one said nothing: the next may
             self._position += 1
--- a/stairhatch/fleet/event_recorder.py
+++ b/stairhatch/fleet/event_recorder.py
@@ -34,19 +34,19 @@
     def __init__(self, path: Path | None, clock: Callable[[], float]) -> None:
         """OSError: the file can't be opened. `clock` is the one that leases go by."""
         self._clock = clock
-        self._descriptor = -1
+        self._descriptor: int | None = None
         if path is not None:
             self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, FILE_MODE)
 
     def write(self, what: str, **fields: object) -> None:
         """A line. A file that takes none is written no further."""
-        if self._descriptor < 0:
+        if self._descriptor is None:
             return
         line = {"at": time.monotonic(), "clock": self._clock(), "pid": os.getpid(), "what": what, **fields}
         try:
             os.write(self._descriptor, json.dumps(line).encode() + b"\n")
         except OSError:
-            self._descriptor = -1
+            self._descriptor = None
 
 
 class EventRecorder:
--- a/stairhatch/fleet/instance_index.py
+++ b/stairhatch/fleet/instance_index.py
@@ -9,10 +9,10 @@
 import math
 
 from stairhatch.fleet.effects import Effect
-from stairhatch.fleet.lease_pool import NOT_HELD, LeasePool
+from stairhatch.fleet.lease_pool import LeasePool
 
 PREFIX = "number/"
-NO_INDEX = -1  # as in `Settings.instance_index`
+NO_INDEX = -1  # in `Settings.instance_index`, in histories and in what operators are shown
 
 
 def lease_names(instance_count: int) -> list[str]:
@@ -20,6 +20,16 @@
     return [f"{PREFIX}{index}" for index in range(instance_count)]
 
 
+def encode_index(index: int | None) -> int:
+    """An index as settings, histories and operators have it."""
+    return NO_INDEX if index is None else index
+
+
+def decode_index(number: int) -> int | None:
+    """The index of `Settings.instance_index`; None where it has none."""
+    return number if number >= 0 else None
+
+
 class InstanceIndexLease:
     """The index that one member holds."""
 
@@ -27,21 +37,17 @@
         """`pool` has one lease for each index."""
         self.pool = pool
         self.settle_s = settle_s
-        self.in_use = NO_INDEX
+        self.in_use: int | None = None
 
-    def usable(self, now: float) -> int:
-        """The index that may be used at this moment; NO_INDEX for none. Ask right before a slot is used."""
-        held = self.pool.held_position(now)
+    def usable(self, now: float) -> int | None:
+        """The index that may be used at this moment; None for none. Ask right before a slot is used."""
         is_settled = now >= self.pool.current.held_since + self.settle_s
-        return held if held != NOT_HELD and is_settled else NO_INDEX
-
-    def update(self, now: float) -> int | None:
-        """The index to go by from now on; None where it has not changed."""
-        index = self.usable(now)
-        if index == self.in_use:
-            return None
-        self.in_use = index
-        return index
+        return self.pool.held_position(now) if is_settled else None
+
+    def update(self, now: float) -> bool:
+        """Go by the index that may be used from now on; whether it is another one than before."""
+        previous, self.in_use = self.in_use, self.usable(now)
+        return self.in_use != previous
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
--- a/stairhatch/fleet/lease.py
+++ b/stairhatch/fleet/lease.py
@@ -60,6 +60,15 @@
         return self.duration_s * (1 - self.clock_drift)
 
 
+@dataclass(frozen=True, slots=True)
+class LeaseConfig:
+    """Whom leases are requested of, and for how long: alike for all members of a fleet."""
+
+    voters: dict[str, PeerAddress]
+    timings: LeaseTimings
+    epoch: int = 1  # of the voters, counted up with each change of them
+
+
 class LeaseState(Enum):
     """Where a member is with a lease. The values are shown to operators."""
 
@@ -79,12 +88,12 @@
     low_token_count: int = 0  # of those, since they have heard of a higher token, which nobody holds
     holders: Counter[str] = field(default_factory=Counter)  # of those, by who has the lease
 
-    def majority_holder(self, majority: int) -> str:
-        """Whom so many voters name as the holder; "" for nobody."""
+    def majority_holder(self, majority: int) -> str | None:
+        """Whom so many voters name as the holder; None for nobody."""
         if not self.holders:
-            return ""
+            return None
         holder, count = self.holders.most_common(1)[0]
-        return holder if count >= majority else ""
+        return holder if count >= majority else None
 
 
 class LeaseClient:
@@ -94,19 +103,17 @@
         self,
         name: str,
         identity: MemberId,
-        voters: dict[str, PeerAddress],
-        timings: LeaseTimings,
+        config: LeaseConfig,
         random_source: random.Random,
         storage_versions: dict[str, StorageVersion],
-        epoch: int = 1,
     ) -> None:
         """`storage_versions` is what this member has heard of the voters, shared by all its leases."""
-        self.epoch = epoch
-        self.voter_set_digest = digest_of(voters)
+        self.epoch = config.epoch
+        self.voter_set_digest = digest_of(config.voters)
         self.name = name
         self.identity = identity
-        self.voters = voters
-        self.timings = timings
+        self.voters = config.voters
+        self.timings = config.timings
         self.random_source = random_source
         self.storage_versions = storage_versions
         self.state = LeaseState.IDLE
@@ -116,7 +123,7 @@
         self.held_since = -math.inf
         self.due_at = math.inf
         self.reason = ""  # it is not held
-        self.known_holder = ""  # who holds it, as a voter said last
+        self.known_holder: str | None = None  # who holds it, as a voter said last
         self.held_by_other = False  # so many voters say so that no majority can be had
         self._request_id = 0
         self._backoff_doublings = 0
@@ -144,7 +151,7 @@
             self.state = LeaseState.REQUESTING
             self.due_at = now + after
 
-    def release(self, now: float, successor: str = "") -> list[Effect]:
+    def release(self, successor: str | None = None) -> list[Effect]:
         """Hold and want it no longer. It is not acted under from here on, whoever hears of it."""
         was, self.state = self.state, LeaseState.IDLE
         self.expires_at = -math.inf
@@ -161,8 +168,9 @@
             self._must_raise_token = False
         return effects + self._release_at_voters(self.fencing_token, successor)
 
-    def _release_at_voters(self, token: int, successor: str = "") -> list[Effect]:
-        release = LeaseRelease(self.name, self.identity.name, self.identity.incarnation, token, successor)
+    def _release_at_voters(self, token: int, successor: str | None = None) -> list[Effect]:
+        identity = self.identity
+        release = LeaseRelease(self.name, identity.name, identity.incarnation, token, successor or "")
         return [SendMessage(place, release) for place in self.voters.values()]
 
     def step_down(self, now: float, highest: int) -> list[Effect]:
--- a/stairhatch/fleet/lease_granter.py
+++ b/stairhatch/fleet/lease_granter.py
@@ -79,7 +79,7 @@
             request.request_id,
             rejection.reason,
             rejection.highest_token,
-            rejection.holder,
+            rejection.holder or "",
             remaining_ms,
         )
 
@@ -98,7 +98,7 @@
         lease = grant.message.lease
         vote = self._votes.by_lease[lease]
         expires_at = self._votes.expires_at.get(lease, now)
-        voted = LeaseEvent(LeaseEventKind.VOTED, lease, vote.fencing_token, expires_at, vote.holder)
+        voted = LeaseEvent(LeaseEventKind.VOTED, lease, vote.fencing_token, expires_at, vote.holder or "")
         return [voted, SendMessage(grant.destination, grant.message)]
 
     def handle_release(self, now: float, release: LeaseRelease) -> list[Effect]:
@@ -123,7 +123,7 @@
                 self._voter,
                 query.query_id,
                 vote.fencing_token,
-                vote.holder,
+                vote.holder or "",
                 int(remaining_s * 1000),
             )
         else:
--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -24,12 +24,20 @@
 class ObservedLease:
     """What the voters say of a lease together."""
 
-    holder: str = ""  # "" for nobody
+    holder: str | None = None
     fencing_token: int = 0  # the highest that was heard of
     remaining_s: float = 0.0  # of the lease, by the voter that says least
     answered_voters: int = 0  # lately
 
 
+@dataclass(frozen=True, slots=True)
+class NamedHolder:
+    """Who holds the lease by one voter, under which fencing token."""
+
+    name: str
+    fencing_token: int
+
+
 @dataclass(frozen=True, slots=True)
 class ReceivedStatus:
     """What one voter has said, and when."""
@@ -42,9 +50,9 @@
         return self.status.remaining_ms / 1000 - (now - self.at)
 
     @property
-    def holder(self) -> tuple[str, int]:
-        """The holder that it names, and its fencing token."""
-        return self.status.holder, self.status.fencing_token
+    def holder(self) -> NamedHolder | None:
+        """The holder that it names."""
+        return NamedHolder(self.status.holder, self.status.fencing_token) if self.status.holder else None
 
 
 @dataclass(slots=True)
@@ -87,8 +95,8 @@
         recent = [each for each in self._statuses.values() if now - each.at <= STATUS_VALID_S]
         highest = max((each.status.fencing_token for each in recent), default=0)
         holders = Counter(each.holder for each in recent if each.remaining_s(now) > 0)
-        (name, token), count = holders.most_common(1)[0] if holders else (("", 0), 0)
-        if not name or count < len(self.voters) // 2 + 1:
-            return ObservedLease("", highest, 0.0, len(recent))
-        remaining_s = min(each.remaining_s(now) for each in recent if each.holder == (name, token))
-        return ObservedLease(name, token, remaining_s, len(recent))
+        holder, count = holders.most_common(1)[0] if holders else (None, 0)
+        if holder is None or count < len(self.voters) // 2 + 1:
+            return ObservedLease(None, highest, 0.0, len(recent))
+        remaining_s = min(each.remaining_s(now) for each in recent if each.holder == holder)
+        return ObservedLease(holder.name, holder.fencing_token, remaining_s, len(recent))
--- a/stairhatch/fleet/lease_pool.py
+++ b/stairhatch/fleet/lease_pool.py
@@ -13,7 +13,6 @@
 
 MAX_PAUSE_DOUBLINGS = 4
 EXHAUSTED_PAUSE_TERMS = 0.5  # all were held by others: so many durations until they are gone through again
-NOT_HELD = -1
 
 
 class LeasePool:
@@ -45,15 +44,15 @@
             self.due_at = now
             self.current.request(now)
 
-    def release(self, now: float, successor: str = "") -> list[Effect]:
+    def release(self) -> list[Effect]:
         """Hold and want none."""
         self.is_requested = False
         self.due_at = math.inf
-        return self.current.release(now, successor)
+        return self.current.release()
 
-    def held_position(self, now: float) -> int:
-        """Which may be acted under at this moment; NOT_HELD for none."""
-        return self.position if self.is_requested and self.current.may_act(now) else NOT_HELD
+    def held_position(self, now: float) -> int | None:
+        """Which may be acted under at this moment; None for none."""
+        return self.position if self.is_requested and self.current.may_act(now) else None
 
     def tick(self, now: float) -> list[Effect]:
         """Go on to the next where another member holds the one that was requested."""
@@ -68,7 +67,7 @@
             lease.request(now)
         if not lease.held_by_other or len(self.lease_names) == 1:
             return []
-        effects = lease.release(now)
+        effects = lease.release()
         lease.held_by_other = False
         self.position = (self.position + 1) % len(self.lease_names)
         self._rejections += 1
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -9,9 +9,9 @@
 import math
 import random
 
-from stairhatch.fleet.effects import Effect, MemberId, PeerAddress, PersistedState
+from stairhatch.fleet.effects import Effect, MemberId, MemberState, PeerAddress
 from stairhatch.fleet.fencing import FencingTokens
-from stairhatch.fleet.lease import LeaseClient, LeaseState, LeaseTimings
+from stairhatch.fleet.lease import LeaseClient, LeaseConfig, LeaseState
 from stairhatch.fleet.lease_observer import LeaseObserver
 from stairhatch.fleet.messages import (
     FleetMessage,
@@ -37,30 +37,22 @@
     def __init__(
         self,
         identity: MemberId,
-        voters: dict[str, PeerAddress],
-        timings: LeaseTimings,
+        config: LeaseConfig,
         random_source: random.Random,
         now: float,
-        kept: PersistedState | None = None,
-        fencing_tokens: dict[str, int] | None = None,
-        epoch: int = 1,
+        persisted: MemberState,
     ) -> None:
-        """Without `kept` it is no voter.
-
-        `epoch` is that of the voters, counted up with each change of them.
-        """
-        self.epoch = epoch
+        """`persisted` is what its data directory held; without a voter's state it is no voter."""
         self.identity = identity
-        self.voters = voters
-        self.timings = timings
+        self.config = config
         self.random_source = random_source
         self.leases: dict[str, LeaseClient] = {}
         self.storage_versions: dict[str, StorageVersion] = {}
-        self.fencing_tokens = FencingTokens(fencing_tokens)
+        self.fencing_tokens = FencingTokens(persisted.fencing_tokens)
         self.observers: dict[str, LeaseObserver] = {}
         self.voter: Voter | None = None
-        if kept is not None:
-            self.voter = Voter(identity.name, voters, timings, kept, now, 1, epoch)
+        if persisted.voter_state is not None:
+            self.voter = Voter(identity.name, config, persisted.voter_state, now)
 
     def lease(self, name: str) -> LeaseClient:
         """A lease as this member requests it; made at the first call."""
@@ -68,11 +60,9 @@
             self.leases[name] = LeaseClient(
                 name,
                 self.identity,
-                self.voters,
-                self.timings,
+                self.config,
                 self.random_source,
                 self.storage_versions,
-                self.epoch,
             )
         return self.leases[name]
 
@@ -86,7 +76,7 @@
                     del self.observers[old]
             if len(self.observers) >= MAX_OBSERVED_LEASES:
                 return None
-            self.observers[name] = LeaseObserver(name, self.voters)
+            self.observers[name] = LeaseObserver(name, self.config.voters)
         self.observers[name].extend(now)
         return self.observers[name]
 
--- a/stairhatch/fleet/metrics.py
+++ b/stairhatch/fleet/metrics.py
@@ -60,7 +60,7 @@
         "stage": lease.state.value,
         "ticket": lease.fencing_token if lease.state is LeaseState.HELD else 0,
         "left_s": round(_remaining_s(lease, now), 3),
-        "holder": lease.known_holder,
+        "holder": lease.known_holder or "",
         "why": lease.reason,
     }
 
@@ -70,7 +70,7 @@
         {
             "claim": vote.lease,
             "ticket": vote.fencing_token,
-            "holder": vote.holder,
+            "holder": vote.holder or "",
             "left_s": round(max(0.0, voter.votes.expires_at.get(vote.lease, 0.0) - now), 3),
         }
         for vote in voter.votes.by_lease.values()
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -11,7 +11,7 @@
 
 from stairhatch.fleet.effects import Effect
 from stairhatch.fleet.lease import LeaseState
-from stairhatch.fleet.lease_pool import NOT_HELD, LeasePool
+from stairhatch.fleet.lease_pool import LeasePool
 
 PREFIX = "restart/"
 
@@ -43,19 +43,19 @@
         self.pool.request(now)
         slot = self.pool.held_position(now)
         lease = self.pool.current
-        if slot == NOT_HELD:
+        if slot is None:
             return f"fail not yet: {lease.reason or 'asking'}"
         slots = len(self.pool.lease_names)
         remaining_s = lease.expires_at - now
         return f"ok slot {slot + 1} of {slots}, held for {remaining_s:.1f} s more unless renewed"
 
-    def release(self, now: float) -> SlotRelease:
+    def release(self) -> SlotRelease:
         """The answer to `restart-give`, and what comes of it."""
         if self.pool is None or not self.pool.is_requested:
             return SlotRelease("ok no slot was held or asked for")
         was_held = self.pool.current.state is LeaseState.HELD
         answer = f"ok {'given back' if was_held else 'no longer asked for'}"
-        return SlotRelease(answer, self.pool.release(now))
+        return SlotRelease(answer, self.pool.release())
 
     def tick(self, now: float) -> list[Effect]:
         """What is due."""
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -24,6 +24,7 @@
     Effect,
     LeaseEvent,
     MemberId,
+    MemberState,
     PeerAddress,
     PersistFencingToken,
     PersistVotes,
@@ -31,7 +32,8 @@
 )
 from stairhatch.fleet.endpoint_list_runtime import EndpointListRelay
 from stairhatch.fleet.event_recorder import EventRecorder, HistoryFile
-from stairhatch.fleet.instance_index import NO_INDEX, InstanceIndexLease
+from stairhatch.fleet.instance_index import InstanceIndexLease, decode_index, encode_index
+from stairhatch.fleet.lease import LeaseConfig
 from stairhatch.fleet.lease_pool import LeasePool
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetCodec, FleetMessage, Subscribe
@@ -91,30 +93,33 @@
         self._gauges_updated_at = -math.inf
         self._is_stopped = False
         network.open_datagram_port(config.listen, self)
-        core.admin_commands.update(self._admin_commands().by_name())
+        core.admin_commands.update(AdminCommands(self, lambda: clock()).by_name())
         self.history.write("started", name=config.member_name, voter=config.is_voter)
 
     def _open_member(self, now: float) -> ClusterMember:
-        stored = self.store.stored if self.store is not None else None
-        if stored is not None and stored.quarantined:
-            self.log("fleet", what="storage_quarantined", reason=stored.quarantined)
         return ClusterMember(
             MemberId(self.config.member_name, secrets.randbits(INCARNATION_BITS)),
-            self.config.voters,
-            self.config.timings,
+            LeaseConfig(self.config.voters, self.config.timings, self.config.epoch),
             self.random_source,
             now,
-            stored.voter_state if stored is not None and self.config.is_voter else None,
-            stored.fencing_tokens if stored is not None else {},
-            self.config.epoch,
+            self._persisted_state(),
         )
 
+    def _persisted_state(self) -> MemberState:
+        """What the data directory held; who is no voter keeps its fencing tokens alone."""
+        if self.store is None:
+            return MemberState()
+        stored = self.store.stored
+        if stored.quarantined:
+            self.log("fleet", what="storage_quarantined", reason=stored.quarantined)
+        return MemberState(stored.voter_state if self.config.is_voter else None, stored.fencing_tokens)
+
     def _lease_instance_index(self, settings: Settings) -> InstanceIndexLease | None:
         if not self.config.lease_instance_index or settings.instance_count < 2:
             return None
         names = instance_index.lease_names(settings.instance_count)
-        first = settings.instance_index
-        if first < 0:
+        first = decode_index(settings.instance_index)
+        if first is None:
             first = self.random_source.randrange(len(names))
         pool = LeasePool(names, self.member.lease, first)
         return InstanceIndexLease(pool, SETTLE_WINDOWS * settings.safety.overload_window_s)
@@ -125,20 +130,11 @@
             return None
         return LeasePool(names, self.member.lease, self.random_source.randrange(len(names)))
 
-    def _admin_commands(self) -> AdminCommands:
-        def report() -> dict[str, Any]:
-            leased = self.instance_index_lease
-            index = leased.in_use if leased is not None else None
-            return lease_report(self.config, self.member, index, clock())
-
-        return AdminCommands(
-            self.member,
-            self.restart_slot,
-            report,
-            self.carry_out,
-            lambda: self.network.loop.call_soon(self._tick),
-            lambda: clock(),
-        )
+    def lease_report(self) -> dict[str, Any]:
+        """What this member holds, requests and votes for, as operators are shown it."""
+        leased = self.instance_index_lease
+        index = encode_index(leased.in_use) if leased is not None else None
+        return lease_report(self.config, self.member, index, clock())
 
     # ---- life ----
 
@@ -157,26 +153,24 @@
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        now = clock()
         for lease in self.member.leases.values():
             if not lease.name.startswith(restart_slots.PREFIX):
-                self.carry_out(lease.release(now))
+                self.carry_out(lease.release())
         if self.store is not None:
             self.store.close()
 
     def settings_in_use(self, settings: Settings) -> Settings:
         """A file's settings, with the index that is held in place of the one that is configured."""
         if settings.instance_count != self.settings.instance_count:
-            now = clock()
             if self.instance_index_lease is not None:
-                self.carry_out(self.instance_index_lease.pool.release(now))
+                self.carry_out(self.instance_index_lease.pool.release())
             self.instance_index_lease = self._lease_instance_index(settings)
             if self.instance_index_lease is not None:
-                self.instance_index_lease.pool.request(now)
+                self.instance_index_lease.pool.request(clock())
         self.settings = settings
         if self.instance_index_lease is None:
             return settings
-        return replace(settings, instance_index=self.instance_index_lease.in_use)
+        return replace(settings, instance_index=encode_index(self.instance_index_lease.in_use))
 
     def _call_on_loop(self, act: Callable[[], None]) -> object:
         return self.network.loop.call_soon_threadsafe(act)
@@ -265,6 +259,10 @@
 
     # ---- what is due ----
 
+    def tick_soon(self) -> None:
+        """Have what is due done in the loop's next round."""
+        self.network.loop.call_soon(self._tick)
+
     def _tick(self) -> None:
         """Carry out what is due, and come again whatever comes of it. Called after each message too."""
         if self._is_stopped:
@@ -302,15 +300,16 @@
         Asked before each set-up at a cold server is written too: since the last look the process may have
         been stopped.
         """
-        if self.instance_index_lease is None:
+        leased = self.instance_index_lease
+        if leased is None:
             return
-        previous = self.instance_index_lease.in_use
-        index = self.instance_index_lease.update(clock())
-        if index is None:
+        previous = leased.in_use
+        if not leased.update(clock()):
             return
-        named = previous if index == NO_INDEX else index
-        self.history.write("number", claim=f"{instance_index.PREFIX}{named}", number=index)
-        self.log("fleet", what="instance_index", index="none" if index == NO_INDEX else index)
+        index = leased.in_use
+        named = previous if index is None else index
+        self.history.write("number", claim=f"{instance_index.PREFIX}{named}", number=encode_index(index))
+        self.log("fleet", what="instance_index", index="none" if index is None else index)
         self.core.update_settings(self.settings_in_use(self.settings))
 
 
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -59,6 +59,17 @@
     return zlib.crc32(repr(row).encode())
 
 
+def _decode_vote(row: Row) -> Vote:
+    """A vote from its row, which has "" for no holder."""
+    lease, fencing_token, holder, incarnation, duration_s = row
+    return Vote(lease, fencing_token, holder or None, incarnation, duration_s)
+
+
+def _encode_vote(vote: Vote) -> Row:
+    """A vote as it lies in its row."""
+    return vote.lease, vote.fencing_token, vote.holder or "", vote.incarnation, vote.duration_s
+
+
 def _decode_voter_set(own: dict[str, str]) -> VoterSet | None:
     """The voter set in a data directory; None in one from before voter sets were kept."""
     if "roll" not in own:
@@ -157,7 +168,7 @@
         voter_state = PersistedState(
             version_now,
             bool(int(own.get("admitted", 0))),
-            tuple(Vote(*row) for row in rows["promises"]),
+            tuple(_decode_vote(row) for row in rows["promises"]),
             {row[0]: StorageVersion(*row[1:]) for row in rows["known"]},
             _decode_voter_set(own),
         )
@@ -249,10 +260,7 @@
     def _put_votes(self, write: PersistVotes) -> None:
         self._put_rows(
             "promises",
-            [
-                (each.lease, each.fencing_token, each.holder, each.incarnation, each.duration_s)
-                for each in write.votes
-            ],
+            [_encode_vote(each) for each in write.votes],
         )
         self._put_rows(
             "known",
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -34,14 +34,14 @@
 class VoteLog:
     """The writes of one voter."""
 
-    def __init__(self, kept: PersistedState, first_write: int) -> None:
-        """`kept` is what the data directory held; writes are numbered from `first_write` on."""
+    def __init__(self, kept: PersistedState) -> None:
+        """`kept` is what the data directory held."""
         self.storage_version = kept.storage_version  # on disk, so that others may be told of it
         self.voter_set = kept.voter_set  # on disk
         self.known_versions = dict(kept.known_versions)  # of the other voters
         self.vote_count = kept.storage_version.vote_count  # with those that are not on disk yet
         self.has_unsaved_state = kept.voter_set is None  # a known version, or the voter set
-        self.last_write_id = first_write
+        self.last_write_id = 1
         self.pending_grants: dict[int, PendingGrant] = {}
         self.under_way: dict[str, int] = {}  # by lease, the write that holds its newest vote
         self.unwritten: dict[str, Vote] = {}
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -31,7 +31,7 @@
 
     reason: str
     highest_token: int = 0
-    holder: str = ""
+    holder: str | None = None
     remaining_s: float = 0.0  # nothing is to be had before that
 
 
@@ -67,7 +67,9 @@
     def restart_durations(self, now: float) -> None:
         """All votes count as cast at this moment."""
         self.expires_at = {
-            each.lease: now + self.duration_s(each) for each in self.by_lease.values() if each.holder
+            each.lease: now + self.duration_s(each)
+            for each in self.by_lease.values()
+            if each.holder is not None
         }
 
     def remaining_s(self, lease: str, now: float) -> float:
@@ -78,28 +80,37 @@
         """What of the votes cast stands against a request."""
         cast = self.by_lease.get(request.lease)
         if cast is None:
-            if len(self.by_lease) >= MAX_LEASES:
-                return Rejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
-            return None
+            return self._rejection_of_new_lease()
         same_holder = (request.holder, request.incarnation) == (cast.holder, cast.incarnation)
         if same_holder and request.fencing_token == cast.fencing_token:
             return None
         remaining_s = self.remaining_s(request.lease, now)
-        if cast.holder and remaining_s > 0 and not same_holder:
+        if cast.holder is not None and remaining_s > 0 and not same_holder:
             return Rejection(RejectionReason.HELD.value, cast.fencing_token, cast.holder, remaining_s)
-        successor = self.successors.get(request.lease)
-        if successor is not None and successor.member != request.holder and now < successor.preferred_until:
-            return Rejection(
-                RejectionReason.RESERVED.value,
-                cast.fencing_token,
-                successor.member,
-                successor.preferred_until - now,
-            )
+        if reservation := self._reservation(now, request, cast):
+            return reservation
         if request.fencing_token <= cast.fencing_token:
-            holder = cast.holder if remaining_s > 0 else ""
+            holder = cast.holder if remaining_s > 0 else None
             return Rejection(RejectionReason.TOKEN_TOO_LOW.value, cast.fencing_token, holder)
         return None
 
+    def _rejection_of_new_lease(self) -> Rejection | None:
+        if len(self.by_lease) < MAX_LEASES:
+            return None
+        return Rejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
+
+    def _reservation(self, now: float, request: LeaseRequest, cast: Vote) -> Rejection | None:
+        """The lease is kept for a moment for the successor that its last holder named."""
+        successor = self.successors.get(request.lease)
+        if successor is None or successor.member == request.holder or now >= successor.preferred_until:
+            return None
+        return Rejection(
+            RejectionReason.RESERVED.value,
+            cast.fencing_token,
+            successor.member,
+            successor.preferred_until - now,
+        )
+
     def all(self) -> tuple[Vote, ...]:
         """One for each lease that was voted for."""
         return tuple(self.by_lease.values())
@@ -141,21 +152,21 @@
         new = Vote(
             report.lease,
             report.fencing_token,
-            report.holder,
+            report.holder or None,
             report.incarnation,
             report.duration_ms / 1000,
         )
         same_holder = (old.holder, old.incarnation) == (new.holder, new.incarnation)
         is_newer = report.fencing_token > old.fencing_token
-        if not is_newer and (same_holder or not report.holder):
+        if not is_newer and (same_holder or new.holder is None):
             return False
-        if (old.holder and not same_holder) or not is_newer:
+        if (old.holder is not None and not same_holder) or not is_newer:
             token = max(old.fencing_token, report.fencing_token)
             new = Vote(report.lease, token, WITHHELD, 0, max(old.duration_s, new.duration_s))
         self.by_lease[report.lease] = new
         self.successors.pop(report.lease, None)
         self.expires_at.pop(report.lease, None)
-        if new.holder:
+        if new.holder is not None:
             self.expires_at[report.lease] = now + self.duration_s(new)
         return True
 
@@ -168,5 +179,6 @@
     def _report(self, now: float, vote: Vote) -> VoteReport:
         if self.expires_at.get(vote.lease, -math.inf) > now:
             duration_ms = math.ceil(vote.duration_s * 1000)
-            return VoteReport(vote.lease, vote.fencing_token, vote.holder, vote.incarnation, duration_ms)
+            holder = vote.holder or ""
+            return VoteReport(vote.lease, vote.fencing_token, holder, vote.incarnation, duration_ms)
         return VoteReport(vote.lease, vote.fencing_token, "", 0, 0)
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -20,7 +20,7 @@
     PersistedState,
     SendMessage,
 )
-from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.lease import LeaseConfig
 from stairhatch.fleet.lease_granter import LeaseGranter
 from stairhatch.fleet.messages import LeaseQuery, LeaseRelease, LeaseRequest, StatusReply, StatusRequest
 from stairhatch.fleet.peer_replies import PeerReplies
@@ -44,23 +44,20 @@
     def __init__(
         self,
         name: str,
-        voters: dict[str, PeerAddress],
-        timings: LeaseTimings,
+        config: LeaseConfig,
         kept: PersistedState,
         now: float,
-        first_write: int = 1,
-        epoch: int = 1,
     ) -> None:
-        """`voters` and `epoch` are the configured voter set, `kept` is what the data directory held."""
+        """`config` has the configured voter set, `kept` is what the data directory held."""
         self.name = name
-        self.others = {each: place for each, place in voters.items() if each != name}
-        self.log = VoteLog(kept, first_write)
-        self.votes = VoteTable(kept.votes, timings, now)
+        self.others = {each: place for each, place in config.voters.items() if each != name}
+        self.log = VoteLog(kept)
+        self.votes = VoteTable(kept.votes, config.timings, now)
         # Replies to requests of an earlier start don't count.
         version = kept.storage_version
         self.peers = PeerReplies(self.others, digest_of((version.storage_id, str(version.incarnation))))
         self.eligibility = VoterEligibility(is_new_storage=not kept.admitted, now=now)
-        configured = VoterSet(epoch, tuple(sorted(voters)), 0, epoch)
+        configured = VoterSet(config.epoch, tuple(sorted(config.voters)), 0, config.epoch)
         self.voter_sets = VoterSetChange(name, configured, self.votes, self.log, self.peers)
         self.startup = VoterStartup(self.eligibility, self.voter_sets, self.votes, self.log, self.peers)
         self.granter = LeaseGranter(name, self.eligibility, self.voter_sets, self.votes, self.log)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 from stairhatch.fleet.effects import PersistedState, PersistVotes, SendMessage
-from stairhatch.fleet.lease import LeaseTimings
+from stairhatch.fleet.lease import LeaseConfig, LeaseTimings
 from stairhatch.fleet.messages import LeaseRequest, StatusRequest, StorageVersion
 from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import (
@@ -147,7 +147,7 @@
             admitted,
             voter_set=VoterSet(1, tuple(voters), 0, 1) if admitted else None,
         )
-        return Voter(name, voters, LeaseTimings(), kept, now)
+        return Voter(name, LeaseConfig(voters, LeaseTimings()), kept, now)
 
     others = {name: voter(name, name, True, 0.0) for name in ("v1", "v2")}
     for each in others.values():
@@ -171,7 +171,8 @@
 def test_a_disk_that_fails_gives_no_vote_back_to_who_has_lost_it():
     """Guards against a voter with an old folder that votes since its disk failed and was well again."""
     voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
-    voter = Voter("v0", voters, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
+    kept = PersistedState(StorageVersion("f", 1, 0), True)
+    voter = Voter("v0", LeaseConfig(voters, LeaseTimings()), kept, 0.0)
     voter.eligibility.state = VoterState.VOTING
     ask = LeaseRequest(
         "work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, voter_set_digest=digest_of(voters)
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -14,7 +14,7 @@
 import pytest
 
 from stairhatch.fleet.effects import LeaseEventKind, PersistedState, PersistFencingToken, PersistVotes, Vote
-from stairhatch.fleet.lease import LeaseState, LeaseTimings
+from stairhatch.fleet.lease import LeaseConfig, LeaseState, LeaseTimings
 from stairhatch.fleet.messages import (
     TAG_BYTES,
     EndpointUpdate,
@@ -192,7 +192,7 @@
     votes=(
         Vote(lease="list", fencing_token=9, holder="a", incarnation=2**62 - 1, duration_s=3.0),
         Vote(lease="number/3", fencing_token=12, holder="d", incarnation=77, duration_s=0.6),
-        Vote(lease="restart/0", fencing_token=2, holder="", incarnation=0, duration_s=0.0),
+        Vote(lease="restart/0", fencing_token=2, holder=None, incarnation=0, duration_s=0.0),
     ),
     known_versions={
         "b": StorageVersion(storage_id="bbbbbbbbbbbbbbbb", incarnation=3, vote_count=41),
@@ -262,6 +262,7 @@
 
 
 VOTERS = {name: (name, 0) for name in ("v0", "v1", "v2")}
+CONFIG = LeaseConfig(VOTERS, LeaseTimings())
 
 
 @pytest.mark.parametrize(
@@ -277,7 +278,7 @@
     ],
 )
 def test_a_voter_that_does_not_vote_refuses_with_the_same_word(standing, word):
-    voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
+    voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
     voter.eligibility.state, voter.eligibility.waiting_until = standing, 1.0
     (answer,) = voter.handle_request(
         0.1, ("a", 0), LeaseRequest("work", "a", 1, 1, 3000, 1, voter_set_digest=digest_of(VOTERS))
@@ -286,7 +287,7 @@
 
 
 def test_a_voter_that_votes_refuses_with_the_same_words():
-    voter = Voter("v0", VOTERS, LeaseTimings(), PersistedState(StorageVersion("f", 1, 0), True), 0.0)
+    voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
     voter.eligibility.state = VoterState.VOTING
     held = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))
     voter.handle_request(0.1, ("a", 0), held)
