--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -84,19 +84,19 @@
 def test_each_rule_finds_the_history_that_breaks_it():
     """A history for each rule of leases, and one that breaks none."""
 
-    def line(at, who, what, ticket, until=0.0):
-        return HistoryRecord(at, who, what, 1, "list", ticket, until)
-
-    both = [line(1.0, "a", "held", 1, 4.0), line(2.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in lease_rules.find_violations(both)] == ["one"]
-    back = [line(1.0, "a", "held", 3, 2.0), line(3.0, "b", "held", 2, 5.0)]
-    assert [each.rule for each in lease_rules.find_violations(back)] == ["grows"]
-    taken = [line(1.0, "r", "took", 3), line(2.0, "r", "took", 2)]
-    assert [each.rule for each in lease_rules.find_violations(taken)] == ["fenced"]
-    late = [line(1.0, "a", "held", 1, 2.0), line(3.0, "a", "acted", 1)]
-    assert [each.rule for each in lease_rules.find_violations(late)] == ["acts"]
+    def record(at_s, member, event, token, until_s=0.0):
+        return HistoryRecord(at_s, member, event, 1, "list", token, until_s)
+
+    two_holders = [record(1.0, "a", "held", 1, 4.0), record(2.0, "b", "held", 2, 5.0)]
+    assert [each.rule for each in lease_rules.find_violations(two_holders)] == ["one"]
+    lower_token = [record(1.0, "a", "held", 3, 2.0), record(3.0, "b", "held", 2, 5.0)]
+    assert [each.rule for each in lease_rules.find_violations(lower_token)] == ["grows"]
+    accepted = [record(1.0, "r", "took", 3), record(2.0, "r", "took", 2)]
+    assert [each.rule for each in lease_rules.find_violations(accepted)] == ["fenced"]
+    acted_late = [record(1.0, "a", "held", 1, 2.0), record(3.0, "a", "acted", 1)]
+    assert [each.rule for each in lease_rules.find_violations(acted_late)] == ["acts"]
     assert not lease_rules.find_violations(
-        [line(1.0, "a", "held", 1, 4.0), line(2.0, "a", "given back", 1), both[1]]
+        [record(1.0, "a", "held", 1, 4.0), record(2.0, "a", "given back", 1), two_holders[1]]
     )
 
 
@@ -187,11 +187,11 @@
                 timeout=60,
             )
 
-        def numbers():
-            found = [lease_report(admin_port) for admin_port in admin_ports.values()]
-            return all(found) and sorted(each["number"] for each in found) == [0, 1, 2]
+        def have_three_indexes():
+            reports = [lease_report(admin_port) for admin_port in admin_ports.values()]
+            return all(reports) and sorted(each["number"] for each in reports) == [0, 1, 2]
 
-        until(numbers, "three different numbers")
+        until(have_three_indexes, "three different instance indexes")
         path, _ = started["a"]
         twice = start(path)
         assert twice.returncode == 2
@@ -265,23 +265,23 @@
 
 def test_the_store_holds_what_it_has_reported_as_persisted(tmp_path):
     """A restart forgets no vote, a torn file does not end the start, and two processes share no directory."""
-    kept = []
+    results = []
     store = VoterStore(tmp_path, run_at_once)
     assert not store.stored.voter_state.admitted
     assert store.stored.voter_state.storage_version.incarnation == 1
-    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    version = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
     store.persist(
-        PersistVotes(1, mark, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
-        kept.append,
+        PersistVotes(1, version, (Vote("list", 4, "a", 9, 3.0),), {"b": StorageVersion("f", 2, 3)}, True),
+        results.append,
     )
-    store.persist(PersistFencingToken("list", 4), kept.append)
-    until(lambda: kept == ["", ""], "both kept")
+    store.persist(PersistFencingToken("list", 4), results.append)
+    until(lambda: results == ["", ""], "both writes")
     with pytest.raises(StoreError, match="another process"):
         VoterStore(tmp_path, run_at_once)
     store.close()
     again = VoterStore(tmp_path, run_at_once)
     assert again.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
-    assert again.stored.voter_state.storage_version == StorageVersion(mark.storage_id, 2, 7)
+    assert again.stored.voter_state.storage_version == StorageVersion(version.storage_id, 2, 7)
     assert again.stored.voter_state.admitted
     assert again.stored.fencing_tokens == {"list": 4}
     assert again.stored.voter_state.known_versions == {"b": StorageVersion("f", 2, 3)}
@@ -296,40 +296,40 @@
 
 def test_the_store_reports_a_write_that_the_disk_did_not_take(tmp_path, monkeypatch):
     """No write is reported as done that is not on the disk."""
-    kept = []
+    results = []
     store = VoterStore(tmp_path, run_at_once)
 
     def full():
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
-    store.persist(PersistFencingToken("list", 4), kept.append)
-    until(lambda: kept, "an answer")
-    assert "No space left" in kept[0]
+    store.persist(PersistFencingToken("list", 4), results.append)
+    until(lambda: results, "an answer")
+    assert "No space left" in results[0]
     store.close()
 
 
 def test_a_vote_with_a_flipped_bit_is_never_read(tmp_path):
     """No lower fencing token is read off a disk whose pages have no checksums: each row has its own."""
-    kept = []
+    results = []
     store = VoterStore(tmp_path, run_at_once)
-    mark = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
+    version = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
     store.persist(
-        PersistVotes(1, mark, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), kept.append
+        PersistVotes(1, version, (Vote("list", 4_000_000, "the-owner", 9, 3.0),), {}, True), results.append
     )
-    until(lambda: kept == [""], "it is kept")
+    until(lambda: results == [""], "the write")
     store.close()
     path = tmp_path / FILE_NAME
     data = path.read_bytes()
-    at = data.index(b"the-owner")
-    aside = 0
-    for place in range(at - 8, at + 16):
-        folder = tmp_path / str(place)
+    offset = data.index(b"the-owner")
+    quarantined_count = 0
+    for position in range(offset - 8, offset + 16):
+        folder = tmp_path / str(position)
         folder.mkdir()
-        (folder / FILE_NAME).write_bytes(data[:place] + bytes([data[place] ^ 4]) + data[place + 1 :])
-        turned = VoterStore(folder, run_at_once)
-        promises = turned.stored.voter_state.votes
-        assert promises in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
-        aside += bool(turned.stored.quarantined)
-        turned.close()
-    assert aside > 10  # others turned nothing that is read
+        (folder / FILE_NAME).write_bytes(data[:position] + bytes([data[position] ^ 4]) + data[position + 1 :])
+        flipped = VoterStore(folder, run_at_once)
+        votes = flipped.stored.voter_state.votes
+        assert votes in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
+        quarantined_count += bool(flipped.stored.quarantined)
+        flipped.close()
+    assert quarantined_count > 10  # other flips hit nothing that is read
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Claims on a virtual clock and under exhaustive search: one owner at a time, tickets that only grow."""
+"""Leases on a virtual clock and under exhaustive search: one holder at a time, tokens that only grow."""
 
 from __future__ import annotations
 
@@ -23,25 +23,31 @@
 )
 from stairhatch.fleet.voter_state import VoterState
 
+VOTERS = {name: (name, 0) for name in ("v0", "v1", "v2")}
+CONFIG = LeaseConfig(VOTERS, LeaseTimings())
+SENDER = ("a", 0)
 
-def test_forty_seeds_break_no_rule_and_every_fault_bites():
-    """Guards against two owners at once, tickets that go back, and seeds whose faults do nothing."""
+
+def test_forty_seeds_break_no_rule_and_activate_every_fault():
+    """No two hold a lease at once, no token goes back, and the faults of the seeds take effect."""
     found = run_seeds(range(40))
     assert not found.failed
-    never = {"kill", "stop", "loss", "delay", "cut", "mute", "kill all", "stopped at work"} - set(
+    never_activated = {"kill", "stop", "loss", "delay", "cut", "mute", "kill all", "stopped at work"} - set(
         found.runs_by_activation
     )
-    assert not never and found.holds > 200
+    assert not never_activated
+    assert found.holds > 200
 
 
-def test_one_seed_is_one_history():
-    """Guards against a run that can't be played again: the clock, dice and order are the run's own."""
+def test_a_seed_gives_the_same_history_each_time():
+    """Clock, random draws and order are the run's own, so that it can be replayed."""
     first, second = (VirtualCluster(draw_schedule(7), 7).run() for _ in range(2))
-    assert first == second and len(first) > 200
+    assert first == second
+    assert len(first) > 200
 
 
 @pytest.mark.parametrize(
-    "fault",
+    "mutation",
     [
         "a fence is not checked",
         "the term counts from the answer",
@@ -54,37 +60,41 @@
         "a renewal does not lengthen the promise",
     ],
 )
-def test_a_planted_fault_is_found(fault):
-    """Guards against rules that can't fail: without the fault such seeds are well, as shown above."""
-    assert run_seeds(range(200), TrialOptions(mutation=fault), until_violation=True).failed
+def test_a_mutation_breaks_a_rule(mutation):
+    """The rules can fail: without the mutation such seeds break none, as shown above."""
+    assert run_seeds(range(200), TrialOptions(mutation=mutation), until_violation=True).failed
 
 
 @pytest.mark.parametrize(
-    "fault", ["any list of voters is served", "a voter goes on to its file's list by itself"]
+    "mutation", ["any list of voters is served", "a voter goes on to its file's list by itself"]
 )
-def test_a_fault_in_the_change_of_voters_is_found(fault):
-    """Guards against two majorities while the list of voters changes twice."""
+def test_a_mutation_of_voter_set_changes_breaks_a_rule(mutation):
+    """Two majorities at once, while the voter set changes twice, are found."""
     assert not run_seeds(range(20), TrialOptions(voter_changes_only=True)).failed
-    options = TrialOptions(mutation=fault, voter_changes_only=True)
+    options = TrialOptions(mutation=mutation, voter_changes_only=True)
     assert run_seeds(range(100), options, until_violation=True).failed
 
 
-def test_the_first_list_of_three_is_closed_before_the_third_is_gone_on_to():
-    """Guards against a majority of the first list and one of the third that share no voter."""
+def test_a_voter_set_is_closed_before_a_majority_advances_to_the_second_after_it():
+    """A majority of the first set and one of the third need not share a voter."""
     first, second, third = ("a", "b", "c"), ("a", "b", "c", "d"), ("a", "b", "c", "d", "e")
-    roll = VoterSet(1, first, 0, 1).successor(second)
-    assert roll.accepts(1, digest_of(first)) and roll.accepts(2, digest_of(second))
-    assert not roll.accepts(1, digest_of(third)) and not roll.accepts(2, digest_of(first))
-    wish = digest_of(third)
-    agreed = roll.agree_to(wish)
-    assert not agreed.accepts(1, digest_of(first)) and agreed.agree_to(7).agreed_digest == wish
-    open_still = VoterSetStatus(2, digest_of(second), 1, wish)
-    closed, gone = VoterSetStatus(2, digest_of(second), 2, wish), VoterSetStatus(3, wish, 2, 0)
-    assert not may_advance(agreed, wish, {"b": closed}, "a")  # two of four
-    assert not may_advance(agreed, wish, {"b": closed, "c": open_still}, "a")
-    assert not may_advance(agreed, wish, {"b": closed, "e": closed}, "a")  # not one of its voters
-    assert not may_advance(roll, wish, {"b": closed, "c": gone}, "a")  # has not agreed itself
-    assert may_advance(agreed, wish, {"b": closed, "c": gone}, "a")
+    current = VoterSet(1, first, 0, 1).successor(second)
+    assert current.accepts(1, digest_of(first))
+    assert current.accepts(2, digest_of(second))
+    assert not current.accepts(1, digest_of(third))
+    assert not current.accepts(2, digest_of(first))
+    proposed = digest_of(third)
+    agreed = current.agree_to(proposed)
+    assert not agreed.accepts(1, digest_of(first))
+    assert agreed.agree_to(7).agreed_digest == proposed
+    still_open = VoterSetStatus(2, digest_of(second), 1, proposed)
+    closed = VoterSetStatus(2, digest_of(second), 2, proposed)
+    advanced = VoterSetStatus(3, proposed, 2, 0)
+    assert not may_advance(agreed, proposed, {"b": closed}, "a")  # two of four
+    assert not may_advance(agreed, proposed, {"b": closed, "c": still_open}, "a")
+    assert not may_advance(agreed, proposed, {"b": closed, "e": closed}, "a")  # not one of its voters
+    assert not may_advance(current, proposed, {"b": closed, "c": advanced}, "a")  # has not agreed itself
+    assert may_advance(agreed, proposed, {"b": closed, "c": advanced}, "a")
     assert not agreed.successor(third).accepts(1, digest_of(first))
 
 
@@ -99,88 +109,98 @@
             depth=6, crashes=1, duplicates=0, slow_writes=0, clock_steps=1, clock_leaps=0, begins_held=True
         ),
     ],
-    ids=["begin", "over the end of a term", "with a crash"],
+    ids=["from the start", "over the end of a lease", "with a crash"],
 )
-def test_every_order_within_small_bounds(bounds):
-    """Guards against an unlucky order that no seed draws: three voters, two askers, nothing left out."""
+def test_no_order_of_events_within_small_bounds_breaks_a_rule(bounds):
+    """Three voters and two clients, nothing left out: also the orders that no seed draws."""
     found = explore(bounds)
-    assert not found.violation and found.complete and found.states_with_holder > 100
+    assert not found.violation
+    assert found.complete
+    assert found.states_with_holder > 100
 
 
-def test_the_exhaustive_look_finds_a_promise_that_is_not_on_disk():
-    """Guards against a search that looks at nothing."""
+def test_exploration_finds_a_vote_that_is_granted_before_it_is_written():
+    """The search can fail: a crash loses the vote, and a second holder is granted the lease."""
     with mutation_applied("a promise is answered before it is on disk"):
         found = explore(
             ExplorationBounds(depth=10, crashes=1, duplicates=0, slow_writes=1, clock_steps=0, clock_leaps=0)
         )
-    assert "at once" in found.violation and any(step.startswith("crash") for step in found.path)
+    assert "at once" in found.violation
+    assert any(step.startswith("crash") for step in found.path)
 
 
-def test_a_fleet_is_founded_though_one_starts_again_meanwhile():
-    """Guards against a founding that stands still for good: one voter votes, is killed and starts again, and
-    waits for others that wait for it.
-    """
+def test_a_fleet_is_founded_though_a_voter_restarts_meanwhile():
+    """A voter that votes, is killed and starts again does not wait for others that wait for it."""
     assert not run_seeds([1753, 2357, 2753]).failed
 
 
-def answers(voter, now, others):
-    """One voter asks the others at a moment, and its writes end at once."""
-    waiting = voter.tick(now)
-    while waiting:
-        each = waiting.pop(0)
-        if isinstance(each, PersistVotes):
-            waiting += voter.write_completed(now, each.write_id, "")
-        elif isinstance(each, SendMessage) and isinstance(each.message, StatusRequest):
-            for back in others[each.destination[0]].handle_status_request(now, each.message):
-                waiting += voter.handle_status_reply(now, back.message)
+def persisted_state(storage_id, *, admitted):
+    """What a data directory held from which this voter set voted, or nothing was."""
+    voter_set = VoterSet(1, tuple(VOTERS), 0, 1) if admitted else None
+    return PersistedState(StorageVersion(storage_id, 1, 0), admitted, voter_set=voter_set)
 
 
-def test_a_promise_that_comes_after_the_telling_is_not_forgotten():
-    """Guards against a ticket that is given again: a voter promises, loses its folder and is told by the
-    others what they have promised; only then the same ask reaches one of them and makes a majority.
-    """
-    voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
+def request_lease(lease, holder, incarnation, token, **fields):
+    """A request of 3 s under the voter set of these tests."""
+    return LeaseRequest(lease, holder, incarnation, token, 3000, 1, **fields)
 
-    def voter(name, folder, admitted, now):
-        kept = PersistedState(
-            StorageVersion(folder, 1, 0),
-            admitted,
-            voter_set=VoterSet(1, tuple(voters), 0, 1) if admitted else None,
-        )
-        return Voter(name, LeaseConfig(voters, LeaseTimings()), kept, now)
 
-    others = {name: voter(name, name, True, 0.0) for name in ("v1", "v2")}
+def exchange_statuses(voter, now, others):
+    """One voter asks the others at a moment; its writes succeed at once."""
+    effects = voter.tick(now)
+    while effects:
+        effect = effects.pop(0)
+        if isinstance(effect, PersistVotes):
+            effects += voter.write_completed(now, effect.write_id, "")
+        elif isinstance(effect, SendMessage) and isinstance(effect.message, StatusRequest):
+            for reply in others[effect.destination[0]].handle_status_request(now, effect.message):
+                effects += voter.handle_status_reply(now, reply.message)
+
+
+def test_a_vote_cast_after_a_status_reply_is_not_forgotten():
+    """No fencing token is voted for twice.
+
+    A voter votes, loses its data directory, and the others report their votes; only then the same request
+    reaches one of them and makes a majority.
+    """
+    digest = digest_of(VOTERS)
+    others = {name: Voter(name, CONFIG, persisted_state(name, admitted=True), 0.0) for name in ("v1", "v2")}
     for each in others.values():
         each.eligibility.state = VoterState.VOTING
-    lost = voter("v0", "empty", False, 0.1)
-    answers(lost, 0.1, others)
-    assert lost.eligibility.state is VoterState.WAITING
-    ask = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(voters))
+    forgetful = Voter("v0", CONFIG, persisted_state("empty", admitted=False), 0.1)
+    exchange_statuses(forgetful, 0.1, others)
+    assert forgetful.eligibility.state is VoterState.WAITING
+    request = request_lease("work", "a", 1, 5, voter_set_digest=digest)
     late = others["v1"]
-    writes = [each for each in late.handle_request(0.5, ("a", 0), ask) if isinstance(each, PersistVotes)]
+    writes = [each for each in late.handle_request(0.5, SENDER, request) if isinstance(each, PersistVotes)]
     late.write_completed(0.5, writes[0].write_id, "")
     for tenth in range(2, 60):
-        answers(lost, tenth / 10, others)
-    assert lost.is_voting
-    again = lost.handle_request(
-        9.0, ("b", 0), LeaseRequest("work", "b", 2, 5, 3000, 1, voter_set_digest=digest_of(voters))
+        exchange_statuses(forgetful, tenth / 10, others)
+    assert forgetful.is_voting
+    answers = forgetful.handle_request(
+        9.0, ("b", 0), request_lease("work", "b", 2, 5, voter_set_digest=digest)
     )
-    assert again[0].message.reason == "low" and again[0].message.highest_token == 5
+    assert answers[0].message.reason == "low"
+    assert answers[0].message.highest_token == 5
 
 
-def test_a_disk_that_fails_gives_no_vote_back_to_who_has_lost_it():
-    """Guards against a voter with an old folder that votes since its disk failed and was well again."""
-    voters = {name: (name, 0) for name in ("v0", "v1", "v2")}
-    kept = PersistedState(StorageVersion("f", 1, 0), True)
-    voter = Voter("v0", LeaseConfig(voters, LeaseTimings()), kept, 0.0)
+def test_an_excluded_voter_does_not_vote_once_its_disk_recovers():
+    """An old data directory keeps a voter from voting, whatever its disk did meanwhile."""
+    voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
     voter.eligibility.state = VoterState.VOTING
-    ask = LeaseRequest(
-        "work", "a", 1, 1, 3000, 1, {"v1": StorageVersion("v1", 1, 1)}, voter_set_digest=digest_of(voters)
+    request = request_lease(
+        "work",
+        "a",
+        1,
+        1,
+        storage_versions={"v1": StorageVersion("v1", 1, 1)},
+        voter_set_digest=digest_of(VOTERS),
     )
-    write = next(each for each in voter.handle_request(0.1, ("a", 0), ask) if isinstance(each, PersistVotes))
-    voter.handle_request(
-        0.2, ("b", 0), LeaseRequest("other", "b", 1, 1, 3000, 1, {"v0": StorageVersion("f", 9, 9)})
+    write = next(
+        each for each in voter.handle_request(0.1, SENDER, request) if isinstance(each, PersistVotes)
     )
+    newer = {"v0": StorageVersion("f", 9, 9)}
+    voter.handle_request(0.2, ("b", 0), request_lease("other", "b", 1, 1, storage_versions=newer))
     assert voter.eligibility.state is VoterState.EXCLUDED
     voter.write_completed(0.3, write.write_id, "full")
     for each in voter.tick(2.0):
@@ -190,7 +210,7 @@
 
 
 @pytest.mark.parametrize(
-    ("epoch", "voters", "kind", "why"),
+    ("epoch", "voters", "relation", "reason"),
     [
         (2, ("a", "b", "c"), VoterSetRelation.SAME, ""),
         (3, ("a", "b", "c", "d"), VoterSetRelation.SUCCESSOR, ""),
@@ -201,7 +221,9 @@
         (4, ("a", "b"), VoterSetRelation.BEHIND, "list 2, its file list 4"),
     ],
 )
-def test_a_file_is_held_against_the_list_in_the_folder(epoch, voters, kind, why):
-    """Guards against a list of voters that is mistyped and makes a second majority."""
+def test_the_configured_voter_set_is_compared_with_the_stored_one(epoch, voters, relation, reason):
+    """A voter set that is mistyped makes no second majority."""
     found = compare(VoterSet(2, ("a", "b", "c")), epoch, voters)
-    assert found.relation is kind and why in found.reason and bool(why) == bool(found.reason)
+    assert found.relation is relation
+    assert reason in found.reason
+    assert bool(reason) == bool(found.reason)
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -1,6 +1,6 @@
-"""What commit e23b41d wrote is read as it was meant, and written as it was: datagrams, their words, folders.
+"""Datagrams, their words and data directories are read as commit e23b41d wrote them, and written the same.
 
-The folder from before lists of voters were kept was written by 67ce4d2, the first with a store.
+The data directory from before voter sets were kept was written by 67ce4d2, the first with a store.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
     StorageVersion,
     Subscribe,
     Superseded,
+    VoteReport,
 )
-from stairhatch.fleet.messages import VoteReport as Told
 from stairhatch.fleet.store import FILE_NAME, VoterStore
 from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_set import VoterSet, digest_of
@@ -114,8 +114,8 @@
         known_version=HERE,
         after_lease="list",
         votes=(
-            Told(lease="number/1", fencing_token=7, holder="d", incarnation=77, duration_ms=3000),
-            Told(lease="number/2", fencing_token=8, holder="", incarnation=0, duration_ms=0),
+            VoteReport(lease="number/1", fencing_token=7, holder="d", incarnation=77, duration_ms=3000),
+            VoteReport(lease="number/2", fencing_token=8, holder="", incarnation=0, duration_ms=0),
         ),
         has_more=True,
         request_id=99,
@@ -148,7 +148,7 @@
 }
 
 
-def test_there_is_a_datagram_of_each_kind():
+def test_there_is_a_recorded_datagram_of_each_kind():
     assert set(DATAGRAMS) == set(MESSAGES)
     assert {type(each) for each in MESSAGES.values()} == {
         LeaseRequest,
@@ -166,25 +166,25 @@
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_datagram_is_read_as_it_was_meant(name):
+def test_a_recorded_datagram_decodes_to_its_message(name):
     codec = FleetCodec("kommune", b"a secret of sixteen")
     assert codec.decode(DATAGRAMS[name]) == MESSAGES[name]
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_message_is_written_as_the_same_bytes(name):
+def test_a_message_encodes_to_the_recorded_bytes(name):
     codec = FleetCodec("kommune", b"a secret of sixteen")
     body = DATAGRAMS[name][TAG_BYTES:]
     assert msgspec.msgpack.decode(codec.encode(MESSAGES[name])[TAG_BYTES:]) == msgspec.msgpack.decode(body)
     assert codec.encode(MESSAGES[name]) == DATAGRAMS[name]
 
 
-def test_the_digest_of_a_list_of_voters_is_the_same_number():
+def test_the_digest_of_a_voter_set_is_unchanged():
     assert digest_of(("b", "a")) == 27371430624639971
     assert digest_of(("d", "c", "b", "a")) == 62858293580261454
 
 
-KEPT = PersistedState(
+PERSISTED = PersistedState(
     storage_version=StorageVersion(
         storage_id="0123456789abcdef", incarnation=2, vote_count=5
     ),  # the opening counts as a start
@@ -206,37 +206,39 @@
         agreed_digest=62858293580261454,
     ),
 )
-WITHOUT_LISTS = PersistedState(
-    storage_version=KEPT.storage_version,
+WITHOUT_VOTER_SET = PersistedState(
+    storage_version=PERSISTED.storage_version,
     admitted=True,
-    votes=KEPT.votes,
-    known_versions=KEPT.known_versions,
+    votes=PERSISTED.votes,
+    known_versions=PERSISTED.known_versions,
     voter_set=None,
 )
-FENCES = {"list": 9, "number/3": 11}
+FENCING_TOKENS = {"list": 9, "number/3": 11}
 
 
-def rows(folder: Path) -> dict[str, list[tuple[object, ...]]]:
-    """All rows of a folder's file, by table."""
-    base = sqlite3.connect(folder / FILE_NAME)
+def rows(directory: Path) -> dict[str, list[tuple[object, ...]]]:
+    """All rows of a data directory's file, by table."""
+    base = sqlite3.connect(directory / FILE_NAME)
     names = [name for (name,) in base.execute("SELECT name FROM sqlite_master WHERE type = 'table'")]
     found = {name: base.execute(f"SELECT * FROM {name}").fetchall() for name in sorted(names)}
     base.close()
     return found
 
 
-@pytest.mark.parametrize(("name", "kept"), [("folder", KEPT), ("folder-before-lists", WITHOUT_LISTS)])
-def test_a_folder_opens_with_what_it_held(tmp_path, name, kept):
+@pytest.mark.parametrize(
+    ("name", "persisted"), [("folder", PERSISTED), ("folder-before-lists", WITHOUT_VOTER_SET)]
+)
+def test_a_recorded_data_directory_opens_with_what_it_held(tmp_path, name, persisted):
     shutil.copytree(DATA / name, tmp_path / name)
     store = VoterStore(tmp_path / name, lambda act: act())
     store.close()
-    assert store.stored.voter_state == kept
-    assert store.stored.fencing_tokens == FENCES
+    assert store.stored.voter_state == persisted
+    assert store.stored.fencing_tokens == FENCING_TOKENS
     assert not store.stored.quarantined
 
 
-def test_what_is_written_lies_in_the_file_as_it_did(tmp_path):
-    """The same contents, put into an empty folder, are the same rows, names and sums as in the old one."""
+def test_votes_are_written_as_the_recorded_rows(tmp_path):
+    """The same contents, put into an empty data directory, are the same rows, names and sums as recorded."""
     shutil.copytree(DATA / "folder", tmp_path / "old")
     (tmp_path / "new").mkdir()
     shutil.copy(DATA / "folder" / FILE_NAME, tmp_path / "new" / FILE_NAME)
@@ -248,13 +250,20 @@
     base.close()
     store = VoterStore(tmp_path / "new", lambda act: act())
     done: list[str] = []
-    mark = StorageVersion(KEPT.storage_version.storage_id, KEPT.storage_version.incarnation, 5)
+    version = StorageVersion(PERSISTED.storage_version.storage_id, PERSISTED.storage_version.incarnation, 5)
     store.persist(
-        PersistVotes(1, mark, KEPT.votes, KEPT.known_versions, admitted=True, voter_set=KEPT.voter_set),
+        PersistVotes(
+            1,
+            version,
+            PERSISTED.votes,
+            PERSISTED.known_versions,
+            admitted=True,
+            voter_set=PERSISTED.voter_set,
+        ),
         done.append,
     )
-    for claim, ticket in FENCES.items():
-        store.persist(PersistFencingToken(claim, ticket), done.append)
+    for lease, token in FENCING_TOKENS.items():
+        store.persist(PersistFencingToken(lease, token), done.append)
     store.close()
     VoterStore(tmp_path / "old", lambda act: act()).close()
     assert done == ["", "", ""]
@@ -266,7 +275,7 @@
 
 
 @pytest.mark.parametrize(
-    ("standing", "word"),
+    ("state", "word"),
     [
         (VoterState.STARTING, "starting"),
         (VoterState.NEW_STORAGE, "new"),
@@ -277,51 +286,51 @@
         (VoterState.DISK_FAILED, "broken"),
     ],
 )
-def test_a_voter_that_does_not_vote_refuses_with_the_same_word(standing, word):
+def test_a_voter_that_does_not_vote_rejects_with_the_same_word(state, word):
     voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
-    voter.eligibility.state, voter.eligibility.waiting_until = standing, 1.0
+    voter.eligibility.state, voter.eligibility.waiting_until = state, 1.0
     (answer,) = voter.handle_request(
         0.1, ("a", 0), LeaseRequest("work", "a", 1, 1, 3000, 1, voter_set_digest=digest_of(VOTERS))
     )
     assert answer.message.reason == word
 
 
-def test_a_voter_that_votes_refuses_with_the_same_words():
+def test_a_voter_that_votes_rejects_with_the_same_words():
     voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
     voter.eligibility.state = VoterState.VOTING
     held = LeaseRequest("work", "a", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))
     voter.handle_request(0.1, ("a", 0), held)
 
-    def refusal(now, ask):
-        (answer,) = voter.handle_request(now, ("b", 0), ask)
+    def rejection(now, request):
+        (answer,) = voter.handle_request(now, ("b", 0), request)
         message = answer.message
         return message.reason, message.highest_token, message.holder, message.remaining_ms
 
     other = LeaseRequest("work", "b", 1, 6, 3000, 1, voter_set_digest=digest_of(VOTERS))
-    assert refusal(0.1, other) == ("held", 5, "a", 3031)  # 3.03 s, rounded up as a float
-    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3000, 1, voter_set_digest=7)) == (
+    assert rejection(0.1, other) == ("held", 5, "a", 3031)  # 3.03 s, rounded up as a float
+    assert rejection(0.1, LeaseRequest("work", "b", 1, 6, 3000, 1, voter_set_digest=7)) == (
         "another list of voters, 1",
         0,
         "",
         3000,
     )
-    assert refusal(0.1, LeaseRequest("work", "b", 1, 6, 3001, 1, voter_set_digest=digest_of(VOTERS))) == (
+    assert rejection(0.1, LeaseRequest("work", "b", 1, 6, 3001, 1, voter_set_digest=digest_of(VOTERS))) == (
         "term",
         0,
         "",
         3000,
     )
-    assert refusal(9.0, LeaseRequest("work", "b", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))) == (
+    assert rejection(9.0, LeaseRequest("work", "b", 1, 5, 3000, 1, voter_set_digest=digest_of(VOTERS))) == (
         "low",
         5,
         "",
         0,
     )
     voter.handle_release(9.0, LeaseRelease("work", "a", 1, 5, "c"))
-    assert refusal(9.5, other) == ("handed", 5, "c", 500)
+    assert rejection(9.5, other) == ("handed", 5, "c", 500)
 
 
-def test_the_words_of_the_answers_and_histories_are_the_same():
+def test_the_values_of_states_and_events_are_unchanged():
     assert [each.value for each in LeaseState] == ["resting", "asking", "held"]
     assert [each.value for each in LeaseEventKind] == [
         "held",
