--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -1,11 +1,12 @@
-"""A cold roster server shared by three softswitches, one of which is paused, replaced and let go on: the
-fullest window of set-ups at that server with numbers that are typed and with numbers that are claimed,
-counted at the server, against what would push it over. Typed, the replacement has the number of the one that
-it replaces.
+"""A cold roster server shared by softswitches, one of which is stopped, replaced and resumed.
 
-    .venv/bin/python benchmarks/cold_claims.py [TURNS]
+The fullest window of set-ups at that server with configured instance indices and with leased ones, counted at
+the server, against what would push it over. Where indices are configured, the replacement has the one of the
+softswitch that it replaces.
 
-Prints a line a run; nothing here is a test.
+    .venv/bin/python benchmarks/cold_claims.py [RUNS]
+
+Prints a line a run.
 """
 
 from __future__ import annotations
@@ -13,6 +14,7 @@
 import random
 import sys
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
 import uvloop
@@ -23,97 +25,126 @@
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.process_run import FaultInjectionRun
-from stairhatch.fault_injection.schedule import FaultSchedule
-
-NAMES = ("s0", "s1", "s2", "s3")  # s3 replaces s1
-PAUSED_AT, COLD_AT, ON_AT, ENDS_AT = 10.0, 17.0, 19.0, 30.0
-CALLS = 25.0  # a second at each
-NATURE = ProcessorProfile(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
-
-
-class Shared(FaultInjectionRun):
-    """Typed numbers or claimed ones, and one server that starts cold when the other goes."""
-
-    def __init__(self, claimed: bool, seed: int) -> None:
-        schedule = FaultSchedule(ENDS_AT, NAMES, NAMES[:3], lease_duration_s=3.0)
-        super().__init__(schedule, seed, calls=CALLS)
-        self.claimed, self.steps = claimed, [PAUSED_AT, COLD_AT, ENDS_AT + 60]
-        self.took: list[float] = []
-
-    def _config_text(self, member: MemberProcess, epoch: int, voters: tuple[str, ...]) -> str:
+from stairhatch.fault_injection.schedule import FaultSchedule, MemberNames
+
+NAMES = ("s0", "s1", "s2", "s3")
+STOPPED, REPLACEMENT = "s1", "s3"
+STOPPED_AT_S, COLD_AT_S, RESUMED_AT_S, ENDS_AT_S = 10.0, 17.0, 19.0, 30.0
+LEASE_DURATION_S = 3.0
+CALLS_PER_S = 25.0  # to each softswitch
+PROFILE = ProcessorProfile(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
+EARLY_S = 5.0  # after the cold start: set-ups of this time are counted
+DEFAULT_RUNS = 3
+
+
+class ColdServerRun(FaultInjectionRun):
+    """A run in which one roster server starts cold as the other one goes."""
+
+    def __init__(self, seed: int, *, leased: bool) -> None:
+        """`leased`: instance indices are leased; else they are configured."""
+        schedule = FaultSchedule(ENDS_AT_S, NAMES, NAMES[:3], lease_duration_s=LEASE_DURATION_S)
+        super().__init__(schedule, seed, calls=CALLS_PER_S)
+        self.leased = leased
+        self.setup_times: list[float] = []  # at the cold server, monotonic
+        self._has_stopped = False
+        self._has_started_cold = False
+
+    def _config_text(self, member: MemberProcess, epoch: int, voters: MemberNames) -> str:
         text = super()._config_text(member, epoch, voters)
-        me = NAMES.index(member.name) if member.name != "s3" else 1
-        text = text.replace("balancers = 3\n", f"balancers = 3\nme = {me}\n").replace(
-            "warm_after_s = 4.0", f"warm_after_s = {NATURE.warm_after_s}"
-        )
-        return text if self.claimed else text.replace("list = true", "list = true\nnumbers = false")
+        index = NAMES.index(STOPPED if member.name == REPLACEMENT else member.name)
+        text = text.replace("balancers = 3\n", f"balancers = 3\nme = {index}\n")
+        text = text.replace("warm_after_s = 4.0", f"warm_after_s = {PROFILE.warm_after_s}")
+        return text if self.leased else text.replace("list = true", "list = true\nnumbers = false")
 
     async def _open(self) -> None:
         await super()._open()
         for index, server in enumerate(self.servers):
-            server.processor = Processor(NATURE, random.Random(self.seed * 31 + index))
-        told = self.servers[1].seen
+            server.processor = Processor(PROFILE, random.Random(self.seed * 31 + index))
+        observe = self.servers[1].seen
 
-        def seen(what: str, number: str) -> None:
+        def observe_setups(what: str, number: str) -> None:
             if what == "set-up":
-                self.took.append(time.monotonic())
-            told(what, number)
-
-        self.servers[1].seen = seen
-
-    def step(self, passed: float) -> None:
-        """What happens at its time."""
-        if passed < self.steps[0]:
-            return
-        if self.steps.pop(0) == PAUSED_AT:
-            self.members["s1"].stop(ON_AT - PAUSED_AT)
-            return
+                self.setup_times.append(time.monotonic())
+            observe(what, number)
+
+        self.servers[1].seen = observe_setups
+
+    def on_progress(self, elapsed_s: float) -> None:
+        """Stop one softswitch, and start the server cold, each at its time."""
+        if not self._has_stopped and elapsed_s >= STOPPED_AT_S:
+            self._has_stopped = True
+            self.members[STOPPED].stop(RESUMED_AT_S - STOPPED_AT_S)
+        elif not self._has_started_cold and elapsed_s >= COLD_AT_S:
+            self._has_started_cold = True
+            self._start_cold()
+
+    def _start_cold(self) -> None:
         gone, cold = self.servers
         assert cold.processor is not None
-        now = time.time()
+        started_at = time.time()
         cold.cut()
         cold.processor.start_cold(time.monotonic())
-        self.coordinator.tell([
+        lines = [
             endpoint_line("r0", gone.place, 0, "terminated"),
             endpoint_line("r1", cold.place, 1, "terminated"),
-            endpoint_line("r1b", cold.place, 1, "in_service", int(1000 * now)),
-        ])  # fmt: skip
+            endpoint_line("r1b", cold.place, 1, "in_service", int(1000 * started_at)),
+        ]
+        self.coordinator.tell(lines)
         gone.cut()
-        self.took.clear()
+        self.setup_times.clear()
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Window:
+    """The set-ups within the time in which too many push a cold server over."""
+
+    load: float = 0.0  # as a fraction of what pushes it over
+    setups: int = 0
+    ended_s: float = 0.0  # after the cold start
 
 
-def fullest(processor: Processor, times: list[float]) -> tuple[float, int, float]:
-    """The window that came nearest to pushing it over: as a share, its set-ups, and when it ended. What a
-    server can do grows as it warms, so the same count means less later on.
+def fullest_window(processor: Processor, setup_times: list[float]) -> Window:
+    """The window that came nearest to pushing the server over.
+
+    What a server can do grows as it warms, so the same count means less later on.
     """
-    first, most, born = 0, (0.0, 0, 0.0), processor.born or 0.0
-    for index, at in enumerate(times):
-        while times[first] <= at - NATURE.fall_s:
+    first, fullest = 0, Window()
+    started_at = processor.born or 0.0
+    for index, at in enumerate(setup_times):
+        while setup_times[first] <= at - PROFILE.fall_s:
             first += 1
-        count = index + 1 - first
-        share = count / (NATURE.fall_multiple * processor.capacity(at) * NATURE.fall_s)
-        if at - born < NATURE.warm_after_s:
-            most = max(most, (share, count, at - born))
-    return most
-
-
-async def run(claimed: bool, seed: int) -> None:
-    """One run."""
-    lab = Shared(claimed, seed)
-    await lab.run(lab.step)
-    processor = lab.servers[1].processor
+        setups = index + 1 - first
+        load = setups / (PROFILE.fall_multiple * processor.capacity(at) * PROFILE.fall_s)
+        if at - started_at < PROFILE.warm_after_s and load > fullest.load:
+            fullest = Window(load=load, setups=setups, ended_s=at - started_at)
+    return fullest
+
+
+async def measure(seed: int, *, leased: bool) -> None:
+    """Carry out one run, and print its fullest window."""
+    run = ColdServerRun(seed, leased=leased)
+    await run.run(run.on_progress)
+    processor = run.servers[1].processor
     assert processor is not None
-    share, count, age = fullest(processor, lab.took)
-    early = sum(at - (processor.born or 0.0) < 5.0 for at in lab.took)
+    window = fullest_window(processor, run.setup_times)
+    early = sum(at - (processor.born or 0.0) < EARLY_S for at in run.setup_times)
+    kind = "leased    " if leased else "configured"
     print(
-        f"{'claimed' if claimed else 'typed  '} seed {seed}: fullest window {100 * share:.0f} in 100 of what"
-        f" pushes it over ({count} set-ups, {age:.1f} s after its start); {early} in the first 5 s"
+        f"{kind} seed {seed}: fullest window {100 * window.load:.0f} in 100"
+        f" of what pushes it over ({window.setups} set-ups, {window.ended_s:.1f} s after its start);"
+        f" {early} in the first {EARLY_S:.0f} s"
         f"{', PUSHED OVER' if processor.state is ProcessorState.FALLEN else ''}",
         flush=True,
     )
 
 
+def main() -> None:
+    """Carry out as many runs of each kind as the command line says."""
+    runs = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RUNS
+    for seed in range(runs):
+        for leased in (False, True):
+            uvloop.run(measure(seed, leased=leased))
+
+
 if __name__ == "__main__":
-    for turn in range(int(sys.argv[1]) if len(sys.argv) > 1 else 3):
-        for each in (False, True):
-            uvloop.run(run(each, turn))
+    main()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,9 +1,11 @@
-"""What claims cost and how fast they pass on, on the virtual clock: messages and syncs at rest by the size of
-the fleet, the time from the death of a holder to the next holder at work, and how long it takes until one of
-many that ask at once has a claim. Prints a figure a line; nothing here is a test.
+"""What leases cost and how fast they pass on.
+
+On the virtual clock: messages and syncs at rest by the size of the fleet, the time from the death of a holder
+to the next holder at work, and how long it takes until each of many members has a lease. On real processes:
+what leases cost calls, and the time from a SIGKILL to the next holder. Prints a figure a line.
 
     .venv/bin/python benchmarks/fleet.py
-    .venv/bin/python benchmarks/fleet.py --calls   # what it costs calls: real appliances, off and on in turn
+    .venv/bin/python benchmarks/fleet.py --calls   # cost to calls: real appliances, with and without in turn
     .venv/bin/python benchmarks/fleet.py --kills   # from SIGKILL to the next holder on real processes
 """
 
@@ -14,6 +16,7 @@
 import random
 import statistics
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
 import uvloop
@@ -22,125 +25,203 @@
 
 from stairhatch.fault_injection.lease_rules import hold_intervals
 from stairhatch.fault_injection.process_run import FaultInjectionRun
-from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultKind, FaultSchedule, ScheduledFault
+from stairhatch.fault_injection.schedule import (
+    ENDPOINT_LIST_LEASE,
+    HOLDER,
+    FaultKind,
+    FaultSchedule,
+    ScheduledFault,
+)
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 
-TERM_S = 3.0
+LEASE_DURATION_S = 3.0
+VOTER_COUNT = 3
+MEMBER_COUNT = 5
+
+FLEET_SIZES = (5, 50, 200)
+AT_REST_FROM_S, AT_REST_UNTIL_S = 60.0, 119.9
+
+KILLED_LEASE_DURATIONS_S = (1.0, 3.0, 10.0)
+VIRTUAL_KILLS = 300
+
+KILL_INTERVAL_LEASES = 3.5  # lease durations between two kills on real processes
+KILLS_PER_RUN = 8
+KILL_RUNS, KILL_JOBS = 12, 6
 
+CALL_RATES = (60.0, 120.0)  # a second, to each appliance
+CALL_RUNS, CALL_RUN_S = 6, 14.0
+MARGIN_S = 1.0  # at the begin and the end of a run of calls, of which the processor time is left out
 
-def members(count: int) -> tuple[str, ...]:
-    """Names."""
+
+def member_names(count: int) -> tuple[str, ...]:
+    """The names of that many members."""
     return tuple(f"s{index}" for index in range(count))
 
 
-def at_rest(count: int) -> None:
-    """Messages and syncs a second once all numbers are held."""
-    world = VirtualCluster(FaultSchedule(120.0, members(count), members(3), lease_duration_s=TERM_S), 1)
-    marks: list[tuple[int, int]] = []
-    for when in (60.0, 119.9):
-        world.shared.queue.schedule_at(
-            when,
-            lambda: marks.append(
-                (world.shared.effect_counts["messages"], world.shared.effect_counts["writes"])
-            ),
+def quantile(ordered: list[float], fraction: float) -> float:
+    """The value that this fraction of the ordered values does not pass."""
+    return ordered[int(len(ordered) * fraction)]
+
+
+def measure_at_rest(count: int) -> None:
+    """Print the messages and syncs a second once all instance indices are held."""
+    schedule = FaultSchedule(
+        120.0, member_names(count), member_names(VOTER_COUNT), lease_duration_s=LEASE_DURATION_S
+    )
+    cluster = VirtualCluster(schedule, 1)
+    effect_counts = cluster.shared.effect_counts
+    counts: list[tuple[int, int]] = []
+    for at_s in (AT_REST_FROM_S, AT_REST_UNTIL_S):
+        cluster.shared.queue.schedule_at(
+            at_s, lambda: counts.append((effect_counts["messages"], effect_counts["writes"]))
         )
-    lines = world.run()
-    first = min(line.at_s for line in lines if line.event == "held" and line.lease == ENDPOINT_LIST_LEASE)
-    last = max(line.at_s for line in lines if line.event == "held" and line.lease.startswith("number"))
-    messages, writes = ((after - before) / 59.9 for before, after in zip(*marks, strict=True))
+    held = [each for each in cluster.run() if each.event == "held"]
+    first_s = min(each.at_s for each in held if each.lease == ENDPOINT_LIST_LEASE)
+    last_s = max(each.at_s for each in held if each.lease.startswith("number"))
+    duration_s = AT_REST_UNTIL_S - AT_REST_FROM_S
+    messages, writes = ((after - before) / duration_s for before, after in zip(*counts, strict=True))
     print(f"{count:4} softswitches: {messages:8.1f} messages/s in all, {messages / count:5.2f} each,")
-    print(f"     {writes:.3f} syncs/s; the list held after {first:.2f} s, all numbers after {last:.1f} s")
-
-
-def passes_on(term_s: float, kills: int) -> None:
-    """From the holder's SIGKILL to the next that may act."""
-    took = []
-    for seed in range(kills):
-        chance = random.Random(seed)
-        when = 5 * term_s + chance.uniform(0, term_s)
-        event = ScheduledFault(when, FaultKind.KILL, "@holder", duration_s=10 * term_s)
-        world = VirtualCluster(
-            FaultSchedule(9 * term_s, members(5), members(3), (event,), lease_duration_s=term_s), seed
-        )
-        held = [each for each in hold_intervals(world.run()) if each.lease == ENDPOINT_LIST_LEASE]
-        after = [each.since_s for each in held if each.since_s > when]
-        took += [min(after) - when] if after else [float("inf")]
-    took.sort()
-    print(f"term {term_s} s, {kills} kills: next holder p50 {statistics.median(took):.2f} s, "
-          f"p99 {took[int(len(took) * 0.99)]:.2f} s, longest {took[-1]:.2f} s")  # fmt: skip
-
-
-async def real_kills(seed: int, kills: int) -> list[float]:
-    """Seconds from the holder's SIGKILL to the next that may act, on real processes."""
-    every = 3.5 * TERM_S
-    events = tuple(
-        ScheduledFault(2 * TERM_S + n * every, FaultKind.KILL, "@holder", duration_s=0.2)
-        for n in range(kills)
+    print(f"     {writes:.3f} syncs/s; the list held after {first_s:.2f} s, all numbers after {last_s:.1f} s")
+
+
+def measure_virtual_kills(lease_duration_s: float, kills: int) -> None:
+    """Print the time from the holder's SIGKILL to the next that may act, on the virtual clock."""
+    waits_s = sorted(_wait_after_virtual_kill(lease_duration_s, seed) for seed in range(kills))
+    print(
+        f"term {lease_duration_s} s, {kills} kills: next holder p50 {statistics.median(waits_s):.2f} s, "
+        f"p99 {quantile(waits_s, 0.99):.2f} s, longest {waits_s[-1]:.2f} s"
     )
-    lab = FaultInjectionRun(
-        FaultSchedule((kills + 1) * every, members(5), members(3), events, lease_duration_s=TERM_S), seed
+
+
+def _wait_after_virtual_kill(lease_duration_s: float, seed: int) -> float:
+    rng = random.Random(seed)
+    killed_at_s = 5 * lease_duration_s + rng.uniform(0, lease_duration_s)
+    kill = ScheduledFault(killed_at_s, FaultKind.KILL, HOLDER, duration_s=10 * lease_duration_s)
+    schedule = FaultSchedule(
+        9 * lease_duration_s,
+        member_names(MEMBER_COUNT),
+        member_names(VOTER_COUNT),
+        (kill,),
+        lease_duration_s=lease_duration_s,
     )
-    report = await lab.run()
-    took = []
+    intervals = hold_intervals(VirtualCluster(schedule, seed).run())
+    later = [
+        each.since_s for each in intervals if each.lease == ENDPOINT_LIST_LEASE and each.since_s > killed_at_s
+    ]
+    return min(later, default=float("inf")) - killed_at_s
+
+
+async def carry_out_kills(seed: int, kills: int) -> list[float]:
+    """Seconds from each SIGKILL of the holder to the next that may act, on real processes."""
+    interval_s = KILL_INTERVAL_LEASES * LEASE_DURATION_S
+    faults = tuple(
+        ScheduledFault(2 * LEASE_DURATION_S + index * interval_s, FaultKind.KILL, HOLDER, duration_s=0.2)
+        for index in range(kills)
+    )
+    schedule = FaultSchedule(
+        (kills + 1) * interval_s,
+        member_names(MEMBER_COUNT),
+        member_names(VOTER_COUNT),
+        faults,
+        lease_duration_s=LEASE_DURATION_S,
+    )
+    report = await FaultInjectionRun(schedule, seed).run()
     held = [each for each in hold_intervals(report.records) if each.lease == ENDPOINT_LIST_LEASE]
-    for line in report.records:
-        if line.event == "killed" and any(
-            each.member == line.member and each.since_s < line.at_s <= each.until_s + 1e-3 for each in held
-        ):
-            after = [each.since_s for each in held if each.since_s > line.at_s]
-            took += [min(after) - line.at_s] if after else []
-    return took
+    waits_s = []
+    for record in report.records:
+        was_holder = any(
+            each.member == record.member and each.since_s < record.at_s <= each.until_s + 1e-3
+            for each in held
+        )
+        if record.event == "killed" and was_holder:
+            later = [each.since_s for each in held if each.since_s > record.at_s]
+            waits_s += [min(later) - record.at_s] if later else []
+    return waits_s
+
+
+def carry_out_kills_of_seed(seed: int) -> list[float]:
+    """The same in this process, which has no other loop."""
+    return uvloop.run(carry_out_kills(seed, KILLS_PER_RUN))
+
+
+def measure_real_kills() -> None:
+    """Print the time from the holder's SIGKILL to the next that may act, on real processes."""
+    with multiprocessing.get_context("spawn").Pool(KILL_JOBS) as pool:
+        runs = pool.map(carry_out_kills_of_seed, range(KILL_RUNS), chunksize=1)
+    waits_s = sorted(each for run in runs for each in run)
+    print(
+        f"real processes, term {LEASE_DURATION_S} s, {len(waits_s)} kills: next holder p50"
+        f" {statistics.median(waits_s):.2f} s, p99 {quantile(waits_s, 0.99):.2f} s,"
+        f" longest {waits_s[-1]:.2f} s"
+    )
 
 
-def real_kills_in(told: tuple[int, int]) -> list[float]:
-    """The same, in a process of its own."""
-    return uvloop.run(real_kills(*told))
+@dataclass(frozen=True, slots=True, kw_only=True)
+class CallCost:
+    """What the calls of one run cost."""
 
+    answer_p99_ms: float
+    processor_ms_per_call: float
+    calls: int
 
-async def calls(on: bool, rate: float, seconds: float) -> tuple[float, float, int]:
-    """(p99 of final answers in ms, processor time a call in ms, calls) of three appliances."""
-    lab = FaultInjectionRun(
-        FaultSchedule(seconds, members(3), members(3), lease_duration_s=TERM_S), 1, calls=rate, fleet=on
-    )
-    used: list[float] = []
 
-    def look(passed: float) -> None:
-        if passed > (1.0, seconds - 1.0, seconds + 60.0)[len(used)]:
-            used.append(cpu_s(lab))
+async def carry_out_calls(rate: float, duration_s: float, *, fleet: bool) -> CallCost:
+    """Place calls at three appliances, with leases or without."""
+    names = member_names(VOTER_COUNT)
+    schedule = FaultSchedule(duration_s, names, names, lease_duration_s=LEASE_DURATION_S)
+    run = FaultInjectionRun(schedule, 1, calls=rate, fleet=fleet)
+    readings_s: list[float] = []
+    read_at_s = [MARGIN_S, duration_s - MARGIN_S]
+
+    def read_processor_time(elapsed_s: float) -> None:
+        if len(readings_s) < len(read_at_s) and elapsed_s > read_at_s[len(readings_s)]:
+            readings_s.append(processor_time_s(run))
 
-    await lab.run(look)
-    took = sorted(lab.callers.answer_times_s)
-    done = len(took) * (seconds - 2.0) / seconds
-    return 1000 * took[int(len(took) * 0.99)], 1000 * (used[1] - used[0]) / done, len(took)
+    await run.run(read_processor_time)
+    answers_s = sorted(run.callers.answer_times_s)
+    calls_between = len(answers_s) * (duration_s - 2 * MARGIN_S) / duration_s
+    return CallCost(
+        answer_p99_ms=1000 * quantile(answers_s, 0.99),
+        processor_ms_per_call=1000 * (readings_s[1] - readings_s[0]) / calls_between,
+        calls=len(answers_s),
+    )
 
 
-def cpu_s(lab: FaultInjectionRun) -> float:
-    """Processor time of all softswitches so far."""
-    found = 0.0
-    for member in lab.members.values():
+def processor_time_s(run: FaultInjectionRun) -> float:
+    """Processor time of all softswitches so far (proc(5))."""
+    ticks = 0
+    for member in run.members.values():
         assert member.process is not None
-        words = Path(f"/proc/{member.process.pid}/stat").read_text().rpartition(")")[2].split()
-        found += (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
-    return found
+        fields = Path(f"/proc/{member.process.pid}/stat").read_text().rpartition(")")[2].split()
+        ticks += int(fields[11]) + int(fields[12])
+    return ticks / os.sysconf("SC_CLK_TCK")
+
+
+def measure_calls(rate: float) -> None:
+    """Print what leases cost calls: runs without and with them in turn."""
+    for index in range(CALL_RUNS):
+        fleet = bool(index % 2)
+        cost = uvloop.run(carry_out_calls(rate, CALL_RUN_S, fleet=fleet))
+        print(
+            f"fleet {'on ' if fleet else 'off'}, {rate:.0f}/s each: p99 {cost.answer_p99_ms:.2f} ms, "
+            f"{cost.processor_ms_per_call:.3f} ms of processor a call, {cost.calls} calls",
+            flush=True,
+        )
 
 
-if __name__ == "__main__":
+def main() -> None:
+    """Measure what the command line names."""
     if "--calls" in sys.argv:
-        for rate in (60.0, 120.0):
-            for turn in range(6):
-                p99, cost, many = uvloop.run(calls(bool(turn % 2), rate, 14.0))
-                told = f"p99 {p99:.2f} ms, {cost:.3f} ms of processor a call, {many} calls"
-                print(f"fleet {'on ' if turn % 2 else 'off'}, {rate:.0f}/s each: {told}", flush=True)
-        sys.exit()
-    if "--kills" in sys.argv:
-        with multiprocessing.get_context("spawn").Pool(6) as pool:
-            runs = pool.map(real_kills_in, [(seed, 8) for seed in range(12)], chunksize=1)
-        found = sorted(each for run in runs for each in run)
-        print(f"real processes, term {TERM_S} s, {len(found)} kills: next holder p50"
-              f" {statistics.median(found):.2f} s, p99 {found[int(len(found) * 0.99)]:.2f} s,"
-              f" longest {found[-1]:.2f} s")  # fmt: skip
-        sys.exit()
-    for size in (5, 50, 200):
-        at_rest(size)
-    for seconds in (1.0, 3.0, 10.0):
-        passes_on(seconds, 300)
+        for rate in CALL_RATES:
+            measure_calls(rate)
+    elif "--kills" in sys.argv:
+        measure_real_kills()
+    else:
+        for size in FLEET_SIZES:
+            measure_at_rest(size)
+        for lease_duration_s in KILLED_LEASE_DURATIONS_S:
+            measure_virtual_kills(lease_duration_s, VIRTUAL_KILLS)
+
+
+if __name__ == "__main__":
+    main()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,7 +1,8 @@
-"""How soon restarted softswitches serve: many are started at once before stand-in roster servers and a
-coordinator that is up, slow, silent or spoils its first answer to each; from the start of the process to the
-first test (OPTIONS) that the platform's front answers with 200. Prints p50, p90 and the longest, and what the
-time went into; nothing here is a test.
+"""How soon restarted softswitches serve.
+
+Many are started at once before emulated roster servers and a coordinator that is up, slow, silent or spoils
+its first answer to each; from the start of the process to the first health check (OPTIONS) that the platform
+frontend answers with 200. Prints p50, p90 and the longest, and what the time went into.
 
     python benchmarks/restarts.py                                   # 30 at once, 24 roster servers, each way
     python benchmarks/restarts.py --count 8 --servers 1900          # a long list
@@ -24,6 +25,7 @@
 import tempfile
 import time
 from dataclasses import dataclass
+from enum import Enum
 from pathlib import Path
 from typing import Any
 
@@ -35,10 +37,15 @@
 
 ROOT = Path(__file__).parents[1]
 LISTENERS = 8
-SLOW_S = 1.0  # before each answer of a slow coordinator
-GIVE_UP_S = 30.0
-WAYS = ("up", "slow", "silent", "bad first")
-PING = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
+INSTANCE_COUNT = 64  # of the numbers that roster servers are given in turn
+SLOW_ANSWER_S = 1.0  # before each answer of a slow coordinator
+LONGEST_POLL_S = 2.0
+TIMEOUT_S = 30.0
+CHECK_INTERVAL_S = 0.01
+CHECK_TIMEOUT_S = 5.0
+DIAL_TIMEOUT_S = 0.3  # after which a listener's queue counts as full
+LOG_DELAY_S = 0.1
+HEALTH_CHECK = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "classes": [
@@ -49,30 +56,46 @@
     "permissions": {"send_cap": 6, "cancel": True, "retry_after": True, "max_retry_after_s": 2.0},
     "safety": {"answer_slack_s": 0.02, "drain_grace_s": 1.0},
 }
+# Log events and the fields of Start that hold when the last of them came; older trees say `reached`.
+FIELD_BY_EVENT = {
+    "ready": "ready",
+    "serving": "serving",
+    "server_connected": "connected",
+    "reached": "connected",
+}
+
 
+class CoordinatorBehaviour(Enum):
+    """How the emulated coordinator answers. The values are options of the command line."""
 
-# Log events and the fields that hold when the last of them came; older trees say `reached`.
-EVENTS = {"ready": "ready", "serving": "serving", "server_connected": "connected", "reached": "connected"}
+    UP = "up"
+    SLOW = "slow"
+    SILENT = "silent"
+    BAD_FIRST = "bad first"  # every second first answer is cut off, so that each comes through in the end
 
 
-@dataclass
+@dataclass(slots=True, kw_only=True)
 class Start:
     """One start: seconds since the process was begun, and processor seconds of it by then."""
 
-    passed: float
+    healthy: float
     ready: float = 0.0
     connected: float = 0.0
     serving: float = 0.0
     processor: float = 0.0
 
 
-class Discovery:
-    """A coordinator that keeps to one of the ways; it knows no more than the configuration tells."""
+class EmulatedCoordinator:
+    """A coordinator that keeps to one behaviour; it knows no more than the configuration has."""
 
-    def __init__(self, way: str, index: int) -> None:
-        self.way, self.index, self.spoilt = way, index, 0
+    def __init__(self, behaviour: CoordinatorBehaviour, index: int) -> None:
+        """`index` is that of the endpoint list."""
+        self.behaviour = behaviour
+        self.index = index
+        self.first_answers = 0
 
-    async def took(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the polls of one connection."""
         with contextlib.suppress(OSError, ValueError, IndexError, asyncio.CancelledError):
             while text := await reader.readline():
                 if text.startswith(b"GET "):
@@ -81,147 +104,205 @@
 
     async def _answer(self, text: bytes, writer: asyncio.StreamWriter) -> None:
         wait_s = int(text.split(b"wait_ms=")[1].split(b" ")[0]) / 1000
-        if self.way == "silent":
-            await asyncio.sleep(GIVE_UP_S)
-        if self.way == "slow":
-            await asyncio.sleep(SLOW_S)
-        first = wait_s < 1  # asked for at once: this softswitch has had no answer yet
-        if self.way == "bad first" and first and self.spoilt < 10**6:
-            self.spoilt += 1
-            if self.spoilt % 2:  # every second one, so that each comes through in the end
-                writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"index":')
-                return
-        await asyncio.sleep(min(wait_s, 2.0))
+        is_first = wait_s < 1  # asked for at once: this softswitch has had no answer yet
+        match self.behaviour:
+            case CoordinatorBehaviour.SILENT:
+                await asyncio.sleep(TIMEOUT_S)
+            case CoordinatorBehaviour.SLOW:
+                await asyncio.sleep(SLOW_ANSWER_S)
+            case CoordinatorBehaviour.BAD_FIRST if is_first:
+                self.first_answers += 1
+                if self.first_answers % 2:
+                    writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"index":')
+                    return
+        await asyncio.sleep(min(wait_s, LONGEST_POLL_S))
         body = json.dumps({"index": self.index, "updates": []}).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         await writer.drain()
 
 
-def stuck_place() -> tuple[tuple[str, int], list[socket.socket]]:
-    """An address that answers no dial, and what keeps it so."""
-    listener = socket.socket()
-    listener.bind(("127.0.0.1", 0))
-    listener.listen(0)
-    held = [listener]
-    while True:
+class UnresponsiveListener:
+    """A listener whose queue is full, so that no dial is answered."""
+
+    def __init__(self) -> None:
+        """Fill the queue."""
+        listener = socket.socket()
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        self.address: tuple[str, int] = listener.getsockname()
+        self._sockets = [listener]
+        while self._dial():
+            pass
+
+    def _dial(self) -> bool:
+        """Dial once more; whether that was answered."""
         sock = socket.socket()
-        sock.settimeout(0.3)
-        held.append(sock)
+        sock.settimeout(DIAL_TIMEOUT_S)
+        self._sockets.append(sock)
         try:
-            sock.connect(listener.getsockname())
+            sock.connect(self.address)
         except TimeoutError:
-            return listener.getsockname(), held
+            return False
+        return True
 
+    def close(self) -> None:
+        """Close the listener and what fills its queue."""
+        for sock in self._sockets:
+            sock.close()
 
-async def passed(place: tuple[str, int], began: float) -> float:
-    """When the front first answers a test with 200."""
-    while time.monotonic() - began < GIVE_UP_S:
-        try:
-            reader, writer = await asyncio.open_connection(*place)
-            writer.write(PING)
-            head = await asyncio.wait_for(reader.read(64), 5)
+
+async def wait_until_healthy(address: tuple[str, int], began: float) -> float:
+    """Seconds until the frontend first answers a health check with 200."""
+    while time.monotonic() - began < TIMEOUT_S:
+        with contextlib.suppress(OSError, TimeoutError):
+            reader, writer = await asyncio.open_connection(*address)
+            writer.write(HEALTH_CHECK)
+            head = await asyncio.wait_for(reader.read(64), CHECK_TIMEOUT_S)
             writer.close()
             if head.startswith(b"SIP/2.0 200"):
                 return time.monotonic() - began
-        except (OSError, TimeoutError):
-            pass
-        await asyncio.sleep(0.01)
+        await asyncio.sleep(CHECK_INTERVAL_S)
     return float("inf")
 
 
-async def one_start(folder: Path, number: int, config: dict[str, Any], tree: Path) -> Start:
-    """Start one softswitch and wait until it passes its test."""
+async def start_softswitch(folder: Path, number: int, config: dict[str, Any], tree: Path) -> Start:
+    """Start one softswitch, wait until it passes its health check, and end it."""
     port = free_port()
     path, log = folder / f"{number}.json", folder / f"{number}.log"
     path.write_text(json.dumps({**config, "name": f"n{number}", "listen": f"127.0.0.1:{port}"}))
     with log.open("wb") as output:
         began, began_unix = time.monotonic(), time.time()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "stairhatch", cwd=tree, stdin=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "RELAY_CONFIG": str(path)}, stdout=output, stderr=output,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "stairhatch",
+            cwd=tree,
+            stdin=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+            stdout=output,
+            stderr=output,
+        )
     try:
-        found = Start(await passed(("127.0.0.1", port), began))
-        await asyncio.sleep(0.1)  # for its lines
-        with contextlib.suppress(OSError):
-            words = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-            found.processor = (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        start = Start(healthy=await wait_until_healthy(("127.0.0.1", port), began))
+        await asyncio.sleep(LOG_DELAY_S)
+        start.processor = processor_time_s(process.pid)
     finally:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
-    if found.passed > GIVE_UP_S:
-        print(f"never passed: {log.read_text()[-200:]}", file=sys.stderr)
-    for text in log.read_text().splitlines():
-        at, event, *_ = f"{text}  ".split(" ")
-        if event in EVENTS:
-            setattr(found, EVENTS[event], float(at) - began_unix)
-    return found
-
-
-async def play(way: str, options: argparse.Namespace) -> list[Start]:
-    """All starts of one way."""
-    loop, listening = asyncio.get_running_loop(), []  # servers that take links and say nothing
-    held: list[socket.socket] = []
-    for _ in range(LISTENERS):
-        listening.append(await loop.create_server(asyncio.Protocol, "127.0.0.1", 0, backlog=4096))
-    places = [each.sockets[0].getsockname()[:2] for each in listening]
-    lines = [endpoint_line(f"s-{n}", places[n % LISTENERS], n % 64) for n in range(options.servers)]
-    for number in range(options.stuck):
-        place, held_by = stuck_place()
-        held += held_by
-        lines.append(endpoint_line(f"stuck-{number}", place, number % 64))
-    lines += [endpoint_line(f"dead-{n}", ("127.0.0.1", free_port()), n % 64) for n in range(options.dead)]
-    discovery = Discovery(way, 1)
-    server = await asyncio.start_server(discovery.took, "127.0.0.1", 0, backlog=4096)
+    text = log.read_text()
+    if start.healthy > TIMEOUT_S:
+        print(f"never passed: {text[-200:]}", file=sys.stderr)
+    for line in text.splitlines():
+        at, event, *_ = f"{line}  ".split(" ")
+        if event in FIELD_BY_EVENT:
+            setattr(start, FIELD_BY_EVENT[event], float(at) - began_unix)
+    return start
+
+
+def processor_time_s(pid: int) -> float:
+    """Processor time of a process so far (proc(5)); 0.0 where it has ended."""
+    with contextlib.suppress(OSError):
+        fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+    return 0.0
+
+
+def endpoint_lines(
+    options: argparse.Namespace,
+    listening: list[tuple[str, int]],
+    unresponsive: list[UnresponsiveListener],
+) -> list[dict[str, Any]]:
+    """The endpoint list: roster servers that listen, that never answer, and that refuse."""
+    lines = [
+        endpoint_line(f"s-{index}", listening[index % LISTENERS], index % INSTANCE_COUNT)
+        for index in range(options.servers)
+    ]
+    lines += [
+        endpoint_line(f"stuck-{index}", each.address, index % INSTANCE_COUNT)
+        for index, each in enumerate(unresponsive)
+    ]
+    lines += [
+        endpoint_line(f"dead-{index}", ("127.0.0.1", free_port()), index % INSTANCE_COUNT)
+        for index in range(options.dead)
+    ]
+    return lines
+
+
+def softswitch_config(
+    options: argparse.Namespace, coordinator: tuple[str, int], lines: list[dict[str, Any]]
+) -> dict[str, Any]:
+    """What all softswitches are configured with."""
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": options.connect_s}
-    config = {
-        "seed": "1", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": max(1024, 3 * options.servers)},
-        "coordinator": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
+    endpoints = {"generation": 1, "reset": True, "instances": lines}
+    return {
+        "seed": "1",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": max(1024, 3 * options.servers)},
+        "coordinator": f"{coordinator[0]}:{coordinator[1]}",
         "settings": {**SETTINGS, "permissions": permissions},
-        "known": {"index": 1, "updates": [
-            {"index": 1, "endpoints": {"generation": 1, "reset": True, "instances": lines}}]},
-    }  # fmt: skip
-    with tempfile.TemporaryDirectory() as name:
-        work = [one_start(Path(name), n, config, options.tree) for n in range(options.count)]
-        found = await asyncio.gather(*work)
-    for each in (*listening, server):
+        "known": {"index": 1, "updates": [{"index": 1, "endpoints": endpoints}]},
+    }
+
+
+async def start_all(behaviour: CoordinatorBehaviour, options: argparse.Namespace) -> list[Start]:
+    """Start all softswitches at once before a coordinator of this behaviour."""
+    loop = asyncio.get_running_loop()
+    # Servers that accept connections and say nothing.
+    listeners = [
+        await loop.create_server(asyncio.Protocol, "127.0.0.1", 0, backlog=4096) for _ in range(LISTENERS)
+    ]
+    unresponsive = [UnresponsiveListener() for _ in range(options.stuck)]
+    coordinator = EmulatedCoordinator(behaviour, 1)
+    server = await asyncio.start_server(coordinator.serve, "127.0.0.1", 0, backlog=4096)
+    listening = [each.sockets[0].getsockname()[:2] for each in listeners]
+    lines = endpoint_lines(options, listening, unresponsive)
+    config = softswitch_config(options, server.sockets[0].getsockname()[:2], lines)
+    with tempfile.TemporaryDirectory() as folder:
+        starts = await asyncio.gather(
+            *(start_softswitch(Path(folder), index, config, options.tree) for index in range(options.count))
+        )
+    for each in (*listeners, server, *unresponsive):
         each.close()
-    for sock in held:
-        sock.close()
     for task in asyncio.all_tasks() - {asyncio.current_task()}:
         task.cancel()
-    await asyncio.sleep(0.1)
-    return found
+    await asyncio.sleep(LOG_DELAY_S)
+    return starts
 
 
-def at(values: list[float], share: float) -> float:
-    """The value that so large a share of them does not pass."""
-    return sorted(values)[min(len(values) - 1, max(0, round(share * len(values)) - 1))]
+def quantile(values: list[float], fraction: float) -> float:
+    """The value that so large a fraction of them does not pass."""
+    return sorted(values)[min(len(values) - 1, max(0, round(fraction * len(values)) - 1))]
 
 
-def main() -> None:
+def parse_options() -> argparse.Namespace:
+    """The options of the command line."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n\n")[0])
     parser.add_argument("--count", type=int, default=30)
     parser.add_argument("--servers", type=int, default=24)
     parser.add_argument("--stuck", type=int, default=0)
     parser.add_argument("--dead", type=int, default=0)
     parser.add_argument("--connect-s", type=float, default=0.5)
-    parser.add_argument("--way", choices=WAYS, action="append")
+    parser.add_argument("--way", choices=[each.value for each in CoordinatorBehaviour], action="append")
     parser.add_argument("--tree", type=Path, default=ROOT)
-    options = parser.parse_args()
-    for way in options.way or WAYS:
-        starts = asyncio.run(play(way, options))
-        times = [each.passed for each in starts]
-        middle = {
-            name: at([getattr(each, name) for each in starts], 0.5)
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Print a line for each behaviour of the coordinator."""
+    options = parse_options()
+    for value in options.way or [each.value for each in CoordinatorBehaviour]:
+        starts = asyncio.run(start_all(CoordinatorBehaviour(value), options))
+        healthy_s = [each.healthy for each in starts]
+        medians = {
+            name: quantile([getattr(each, name) for each in starts], 0.5)
             for name in ("ready", "connected", "serving", "processor")
         }
         print(
-            f"{way:9} {options.count} at once, {options.servers}+{options.stuck}+{options.dead} servers:"
-            f" passed p50 {at(times, 0.5):.2f} s, p90 {at(times, 0.9):.2f} s, longest {max(times):.2f} s;"
-            f" medians: up {middle['ready']:.2f} s, last link {middle['connected']:.2f} s,"
-            f" serving {middle['serving']:.2f} s; {middle['processor']:.2f} s of processor",
+            f"{value:9} {options.count} at once, {options.servers}+{options.stuck}+{options.dead} servers:"
+            f" passed p50 {quantile(healthy_s, 0.5):.2f} s, p90 {quantile(healthy_s, 0.9):.2f} s,"
+            f" longest {max(healthy_s):.2f} s;"
+            f" medians: up {medians['ready']:.2f} s, last link {medians['connected']:.2f} s,"
+            f" serving {medians['serving']:.2f} s; {medians['processor']:.2f} s of processor",
             flush=True,
         )
 
