--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -48,13 +48,42 @@
 HEALTH_CHECK = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
+    "me": 0,
+    "period_s": 0.005,
     "classes": [
-        {"name": "voice", "aim_s": 1.5, "hard_limit_s": 9.0, "importance": 1.0, "late_worth": 0.25},
+        {
+            "name": "voice",
+            "aim_s": 1.5,
+            "hard_limit_s": 9.0,
+            "importance": 1.0,
+            "late_worth": 0.25,
+            "effect": "read_like",
+        },
     ],
-    "family_info": {"allowed_pools": [list(range(64))], "clear_wait_s": 0.5, "retransmit_s": 0.8},
+    "family_info": {
+        "allowed_pools": [list(range(64))],
+        "call_length_s": [10.0],
+        "clear_wait_s": 0.5,
+        "retransmit_s": 0.8,
+        "self_no": -1,
+    },
     "load_report": {"names": ["free", "size", "mean_ms", "can_take"]},
-    "permissions": {"send_cap": 6, "cancel": True, "retry_after": True, "max_retry_after_s": 2.0},
-    "safety": {"answer_slack_s": 0.02, "drain_grace_s": 1.0},
+    "permissions": {
+        "send_cap": 6,
+        "may_probe": False,
+        "peers": False,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after_s": 2.0,
+    },
+    "safety": {
+        "answer_slack_s": 0.02,
+        "drain_grace_s": 1.0,
+        "cold_from": 0.25,
+        "warm_after_s": 15.0,
+        "fall_multiple": 2.0,
+        "fall_s": 1.0,
+    },
 }
 # Log events and the fields of Start that hold when the last of them came; older trees say `reached`.
 FIELD_BY_EVENT = {
