--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stairhatch scale`: many softswitches on a virtual clock, held against real processes."""
+"""`stairhatch scale`: simulate many softswitches on a virtual clock, compared with real processes."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="what the seed decides as one JSON object")
-@click.option("--quiet", is_flag=True, help="no lines of progress")
+@click.option("--json", "as_json", is_flag=True, help="print what the seed determines as one JSON object")
+@click.option("--quiet", is_flag=True, help="print no progress")
 def scale(file: Path, out: Path, as_json: bool, quiet: bool) -> None:
-    """Play the many softswitches of FILE on a virtual clock and hold them against real processes; keep the
-    run as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run
-    proves nothing. 130: Ctrl-C; nothing is kept.
+    """Simulate the softswitches of FILE on a virtual clock and compare them with real processes; keep the run
+    as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run is void.
+    130: ended by Ctrl-C; nothing is kept.
     """
     from stairhatch.scale_test import keep
     from stairhatch.scale_test.plan import ScaleError, read_plan
     from stairhatch.scale_test.run import carry_out
 
-    def tell(text: str) -> None:
+    def show_progress(text: str) -> None:
+        """Print a line on standard error, unless that is not wanted."""
         if not quiet:
             click.echo(text, err=True)
 
     try:
         with failing_with(EXIT_UNUSABLE, ScaleError):
-            result = carry_out(read_plan(file), tell)
+            result = carry_out(read_plan(file), show_progress)
             kept_in = keep.keep(result, out, f"stairhatch scale {file.name}")
     except KeyboardInterrupt:
         fail(EXIT_INTERRUPTED, "ended by Ctrl-C; nothing is kept")
     click.echo(keep.result_json(result) if as_json else keep.lines(result), nl=False)
-    tell(f"kept in {kept_in}")
+    show_progress(f"kept in {kept_in}")
     sys.exit(EXIT_FOUND_WRONG if result.broken else EXIT_OK)
--- /dev/null
+++ b/tests/test_event_log.py
@@ -0,0 +1,81 @@
+"""The event log, its syslog messages and the load report's text."""
+
+from __future__ import annotations
+
+import re
+import socket
+
+from stairhatch.node.event_log import MAX_WARNINGS, EventLog
+from stairhatch.node.server_messages import parse_load_report
+from stairhatch.node.syslog import Origin, Severity, format_message, structured_data
+
+from .support.program import Program
+from .support.scripted_server import ScriptedServer
+from .support.waiting import wait_until
+
+
+def test_a_load_report_is_read_by_the_settings_names():
+    """Guards against figures taken for others; what is unknown or no number counts as missing."""
+    report = parse_load_report("free:5;size:9;mean_ms:250;can_take:-1;other:3;depth:x")
+    assert (
+        report.free_lines,
+        report.total_lines,
+        report.processor_wait_s,
+        report.admissible_rate,
+        report.queue_length,
+    ) == (5, 9, 0.25, None, None)
+
+
+def test_structured_data_is_escaped():
+    """Guards against a value that ends its element early (RFC 5424, 6.3.3)."""
+    text = structured_data("a@1", {"b=]c": 'x"y]z\\', "é": "é"})
+    assert text == '[a@1 b__c="x\\"y\\]z\\\\" _="é"]'
+    assert structured_data("a@1", {}) == "-"
+
+
+def test_a_message_has_the_form_of_rfc_5424():
+    """Guards against receivers that reject what they can't read."""
+    text = format_message(
+        Origin("ho st", "stairhatch"), 1.5, Severity.WARNING, "link lost", {"server": "s-1"}
+    )
+    head = r"<132>1 1970-01-01T00:00:01\.500000Z ho_st stairhatch \d+ link_lost "
+    assert re.fullmatch(head + r'\[stairhatch@32473 server="s-1"\] ' + "\ufefflink lost server=s-1", text)
+
+
+def test_a_log_that_nobody_reads_delays_nothing(monkeypatch):
+    """Guards against calls that wait for a terminal or a receiver: what does not fit is counted."""
+    monkeypatch.setattr("stairhatch.node.event_log.MAX_QUEUED", 5)
+    log = EventLog("stairhatch", "host", lambda: 1.0)
+    log.close()
+    for _ in range(20):
+        log("event", a=1)
+    assert log.suppressed >= 14
+
+
+def test_the_program_tells_its_syslog_receiver(tmp_path):
+    """Guards against an outlet that is configured and silent."""
+    with socket.socket(type=socket.SOCK_DGRAM) as receiver:
+        receiver.bind(("127.0.0.1", 0))
+        receiver.settimeout(20)
+        address = f"127.0.0.1:{receiver.getsockname()[1]}"
+        program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer(), syslog=address)
+        got = []
+        wait_until(
+            lambda: got.append(receiver.recv(9999).decode()) or any(" ready [" in each for each in got)
+        )
+        assert all(re.match(r"<13[24]>1 \d{4}-", each) for each in got)
+        assert program.stop() == 0
+
+
+def test_a_flood_of_one_kind_of_line_is_cut_and_counted(capfd):
+    """Guards against a log that takes more of the processor than the calls, at a hostile peer's will."""
+    now = [1.0]
+    log = EventLog("stairhatch", "host", lambda: now[0])
+    for _ in range(500):
+        log("malformed", side="caller")
+    now[0] = 2.5
+    log("malformed", side="caller")
+    log.close()
+    lines = capfd.readouterr().err.splitlines()
+    assert len(lines) == MAX_WARNINGS + 1
+    assert lines[-1].endswith("suppressed_before=480")
--- a/tests/test_sip_layers.py
+++ b/tests/test_sip_layers.py
@@ -14,13 +14,15 @@
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.node.counters import Counters
-from stairhatch.sip import auth, grammar, sessions
-from stairhatch.sip.flows import Flow, Networks
-from stairhatch.sip.heads import Head
-from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, TimerPolicy
+from stairhatch.sip import digest_auth, grammar, sessions
+from stairhatch.sip.request_head import RequestHead
+from stairhatch.sip.sessions import Lease, Refresher, SessionTimer, SessionTimerAction, SessionTimerPolicy
 from stairhatch.sip.transactions import LAST, T4, Transactions
+from stairhatch.sip.transport import AllowedNetworks, Flow
 
-from .peers import InProcessNode, Line, sip_headers
+from .support.in_process_node import InProcessNode
+from .support.recording_flow import RecordingFlow
+from .support.sip_messages import sip_headers
 
 BOUNDED = settings(
     derandomize=True, max_examples=150, deadline=None, database=None,
@@ -61,7 +63,7 @@
 
 def head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
     lines = sip_headers(method, "1", branch, call)
-    return Head(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
+    return RequestHead(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
 
 
 # ---- grammar ----
@@ -92,8 +94,9 @@
 )
 def test_uris_are_compared_as_the_rfc_says(one, other, same):
     """Guards against two names taken for one resource, or one for two (RFC 3261, 19.1.4)."""
-    first, second = grammar.read_uri(one), grammar.read_uri(other)
-    assert grammar.same_uri(first, second) is same and grammar.same_uri(second, first) is same
+    first, second = grammar.parse_uri(one), grammar.parse_uri(other)
+    assert grammar.same_uri(first, second) is same
+    assert grammar.same_uri(second, first) is same
 
 
 @BOUNDED
@@ -106,7 +109,7 @@
     text = f"{grammar.quote(plain)} <sip:a@b.example;x=y> ; tag = t{cseq} ; q={grammar.quote(more)}"
     if any(ord(c) < 32 or ord(c) == 127 for c in more):
         return
-    address = grammar.read_address(text)
+    address = grammar.parse_address(text)
     assert (address.display, address.uri, address.tag) == (plain, "sip:a@b.example;x=y", f"t{cseq}")
     assert address.parameters["q"] == more
 
@@ -115,7 +118,7 @@
 @given(st.text(max_size=200))
 def test_no_text_upsets_a_reader(text):
     """Guards against a header that ends a connection by an exception of ours."""
-    for read in (grammar.read_address, grammar.read_uri, grammar.read_via, grammar.read_credentials,
+    for read in (grammar.parse_address, grammar.parse_uri, grammar.parse_via, grammar.parse_credentials,
                  grammar.media_type, grammar.read_rack, grammar.seconds_and_parameters):  # fmt: skip
         with contextlib.suppress(grammar.GrammarError):
             read(text)
@@ -158,12 +161,18 @@
         flow = Kept()
         request = head("OPTIONS", f"z9hG4bK{number}", f"c{number}")
         table.respond(table.open(request, flow), 200, "tag")
-    assert not table.servers and table.live_bytes == 0 and not table.by_source
-    assert len(table.memory.records) == 1000 and table.memory.bytes < 1000 * 1024
+    assert not table.servers
+    assert table.live_bytes == 0
+    assert not table.by_source
+    assert len(table.memory.records) == 1000
+    assert table.memory.bytes < 1000 * 1024
     flow = Kept()
-    assert table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow) and flow.sent
+    assert table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow)
+    assert flow.sent
     clock.run(LAST + 5)
-    assert not table.memory.records and table.memory.bytes == 0 and not clock.pending
+    assert not table.memory.records
+    assert table.memory.bytes == 0
+    assert not clock.pending
     assert not table.known(head("OPTIONS", "z9hG4bK7", "c7"), flow)
 
 
@@ -187,7 +196,8 @@
             flow = Kept("10.0.0.66")
             table.open(head("INVITE", f"z9hG4bK{number}", f"c{number}", peer), flow)
             taken += 1
-    assert 0 < taken < 5000 and not table.room("10.0.0.66")
+    assert 0 < taken < 5000
+    assert not table.room("10.0.0.66")
     assert table.room("10.0.0.7")
     for number in range(200):
         assert table.room("10.0.0.7")
@@ -229,14 +239,18 @@
     table.begin("z9hG4bKours", method, sip.request(method, "sip:7@net", list(lines.items())), flow, user)
     if status is None:
         clock.run(LAST - 0.1)
-        assert table.clients and not user.told
+        assert table.clients
+        assert not user.told
         clock.run(0.3)
-        assert not table.clients and user.told == [408]
+        assert not table.clients
+        assert user.told == [408]
         clock.run(LAST)
-        assert user.told == [408] and not clock.pending
+        assert user.told == [408]
+        assert not clock.pending
         return
     answer = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
-    assert table.response(answer) and user.told == [status]
+    assert table.response(answer)
+    assert user.told == [status]
     acks = [sip_parser.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
     assert [m.cseq() for m in acks] == ([(7, "ACK")] if method == "INVITE" and status >= 300 else [])
     for at in (0.0, kept_s - 0.2):
@@ -244,7 +258,8 @@
         assert bool(table.clients) is (kept_s > 0) is table.response(answer)
         assert user.told == [status]
     clock.run(0.3)
-    assert not table.clients and not table.response(answer)
+    assert not table.clients
+    assert not table.response(answer)
 
 
 @BOUNDED
@@ -291,7 +306,8 @@
             now - refreshed >= SessionTimer(interval, refresher).lasts_s
         )
         if due is SessionTimerAction.REFRESH:
-            assert refresher is Refresher.OURS and now - refreshed >= interval / 2
+            assert refresher is Refresher.OURS
+            assert now - refreshed >= interval / 2
             assert lease.due(now) is SessionTimerAction.NOTHING  # asked for once
         lease.agree(SessionTimer(interval, refresher), now)
 
@@ -309,28 +325,36 @@
     message = sip.SipMessage("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
     if knows:
         message.headers.append(("supported", "timer"))
-    got = sessions.negotiate(message, TimerPolicy(1800, ours))
+    got = sessions.negotiate(message, SessionTimerPolicy(1800, ours))
     if isinstance(got, sessions.Refusal):
-        assert got.status == 422 and knows and asked < ours
+        assert got.status == 422
+        assert knows
+        assert asked < ours
     else:
-        assert got is not None and got.interval_s >= min(ours, sessions.MOST_SE_S)
-        assert got.required is knows and (knows or got.refresher is Refresher.OURS)
+        assert got is not None
+        assert got.interval_s >= min(ours, sessions.MOST_SE_S)
+        assert got.required is knows
+        assert knows or got.refresher is Refresher.OURS
 
 
 # ---- who may call ----
 
 
 def guard(**more):
-    lines = auth.user_lines("office", "r", "word", ["SHA-256"])
+    lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
     clock = Clockwork()
-    told = {"users": auth.read_users("\n".join(lines), "r", ["SHA-256"]), "algorithms": ("SHA-256",), **more}
-    return auth.Guard("r", told.pop("users"), b"s", clock.clock, **told), clock
+    told = {
+        "users": digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"]),
+        "algorithms": ("SHA-256",),
+        **more,
+    }
+    return digest_auth.DigestAuthenticator("r", told.pop("users"), b"s", clock.clock, **told), clock
 
 
 def credentials(nonce, count, password="word", client="c"):
-    asked = auth.hashed("SHA-256", "INVITE:sip:7@net")
-    kept = auth.user_hash("SHA-256", "office", "r", password)
-    answer = auth.hashed("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
+    asked = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
+    kept = digest_auth.user_hash("SHA-256", "office", "r", password)
+    answer = digest_auth.hex_digest("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
     return [
         f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{answer}", '
         f'algorithm=SHA-256, cnonce="{client}", qop=auth, nc={count:08x}'
@@ -346,30 +370,34 @@
     for count in counts:
         verdict = gate.judge("INVITE", "sip:7@net", credentials(nonce, count)).verdict
         if count in used or count == 0:
-            assert verdict is auth.CredentialCheck.REPLAYED
-        elif count > highest - auth.WINDOW:
-            assert verdict is auth.CredentialCheck.GOOD
+            assert verdict is digest_auth.CredentialCheck.REPLAYED
+        elif count > highest - digest_auth.WINDOW:
+            assert verdict is digest_auth.CredentialCheck.GOOD
         used.add(count)
         highest = max(highest, count)
 
 
 def test_a_nonce_pushed_out_is_stale_and_not_good_again(monkeypatch):
     """Guards against a replay by whoever can make the guard forget: many nonces are used to push one out."""
-    monkeypatch.setattr(auth, "MOST_NONCES", 3)
+    monkeypatch.setattr(digest_auth, "MOST_NONCES", 3)
     gate, clock = guard()
     first = gate.nonce()
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.GOOD
+    assert (
+        gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is digest_auth.CredentialCheck.GOOD
+    )
     for _ in range(5):
         clock.now += 0.01
         assert (
             gate.judge("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).verdict
-            is auth.CredentialCheck.GOOD
+            is digest_auth.CredentialCheck.GOOD
         )
-    assert gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is auth.CredentialCheck.STALE
+    assert (
+        gate.judge("INVITE", "sip:7@net", credentials(first, 1)).verdict is digest_auth.CredentialCheck.STALE
+    )
     clock.now += 301
     assert (
         gate.judge("INVITE", "sip:7@net", credentials(gate.nonce()[:-1] + "x", 1)).verdict
-        is auth.CredentialCheck.STALE
+        is digest_auth.CredentialCheck.STALE
     )
 
 
@@ -380,7 +408,7 @@
     for count in range(1, 2000):
         assert (
             gate.judge("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).verdict
-            is auth.CredentialCheck.BAD
+            is digest_auth.CredentialCheck.BAD
         )
     assert not gate._counts
 
@@ -389,14 +417,14 @@
     ("line", "why"),
     [
         ("office:r:SHA-256", "line 2: not user"), ("office:r:SHA-1:00", "line 2: not user"),
-        ("office:r:SHA-256:00", "line 2: the hash"), (auth.user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
+        ("office:r:SHA-256:00", "line 2: the hash"), (digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0], "stands twice"),  # noqa: E501
     ],
 )  # fmt: skip
 def test_a_spoilt_file_of_users_names_its_line(line, why):
     """Guards against users who can't call for a reason that nobody sees."""
-    first = auth.user_lines("a", "r", "x", ["SHA-256"])[0]
-    with pytest.raises(auth.UsersError, match=why):
-        auth.read_users(f"{first}\n{line}\n", "r", ["SHA-256"])
+    first = digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0]
+    with pytest.raises(digest_auth.UserFileError, match=why):
+        digest_auth.parse_users(f"{first}\n{line}\n", "r", ["SHA-256"])
 
 
 @pytest.mark.parametrize(
@@ -408,7 +436,7 @@
 )  # fmt: skip
 def test_a_listener_hears_its_networks_alone(networks, host, heard):
     """Guards against callers from elsewhere, and against shutting out those meant."""
-    assert Networks(tuple(ipaddress.ip_network(each) for each in networks)).admits(host) is heard
+    assert AllowedNetworks(tuple(ipaddress.ip_network(each) for each in networks)).admits(host) is heard
 
 
 # ---- the front, where cases as data don't reach ----
@@ -416,38 +444,38 @@
 
 def test_a_barred_datagram_leaves_no_trace():
     """Guards against work done for whoever is outside the listener's networks."""
-    from stairhatch.sip.front import SipListener
+    from stairhatch.sip.frontend import SipListener
 
-    only = Networks((ipaddress.ip_network("10.0.0.0/8"),))
+    only = AllowedNetworks((ipaddress.ip_network("10.0.0.0/8"),))
     inside = InProcessNode(udp=(SipListener(("127.0.0.1", 1), only),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
     inside.front.ports[0].receive(data, ("127.0.0.1", 4000))
-    assert not inside.front.ports[0].output and inside.core.counters.counts == {"datagrams_barred": 1}
+    assert not inside.front.ports[0].output
+    assert inside.core.counters.counts == {"datagrams_barred": 1}
 
 
 def test_a_restart_ends_on_both_sides_what_it_cannot_wait_for():
     """Guards against dialogs that the next process knows nothing of, and calls that nobody releases."""
-    line = Line(InProcessNode())
-    line.ask()
-    line.inside.establish()
-    line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
-    assert line.inside.front.end_dialogs() == 1
-    assert line.sent[-1].method == "BYE" and "cause=41" in line.sent[-1].get("reason")
-    assert (
-        len(line.inside.releases) == 1
-        and not line.inside.core.calls.by_number
-        and not line.inside.front.dialogs
-    )
+    line = RecordingFlow(InProcessNode())
+    line.request()
+    line.node.establish()
+    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
+    assert line.node.front.end_dialogs() == 1
+    assert line.sent[-1].method == "BYE"
+    assert "cause=41" in line.sent[-1].get("reason")
+    assert len(line.node.releases) == 1
+    assert not line.node.core.calls.by_number
+    assert not line.node.front.dialogs
 
 
 def test_a_bye_whose_connection_dies_goes_another_way():
     """Guards against a release that is lost with its connection (client transactions fail over)."""
     inside, dialled = InProcessNode(), []
     inside.front.dial = dialled.append
-    line = Line(inside, reliable=True)
-    line.ask(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
+    line = RecordingFlow(inside, reliable=True)
+    line.request(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
     inside.establish()
-    line.ask("ACK", to=f"<sip:7@net>;tag={line.tag()}")
+    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
     attempt = inside.written[0]
     inside.core.responses.call_released(
         attempt.server, attempt.call.request.ident, 16, "", inside.empty_report()
@@ -455,19 +483,20 @@
     assert line.sent[-1].method == "BYE"
     line.alive = False
     inside.front.flow_lost(line)
-    assert dialled and b"BYE sip:office@127.0.0.1:4010" in dialled[0].data_to_send()
+    assert dialled
+    assert b"BYE sip:office@127.0.0.1:4010" in dialled[0].data_to_send()
     dialled[0].connection_lost()  # nobody listens there: UDP is left
     assert inside.front.ports[0].output[-1][1] == ("127.0.0.1", 4010)
 
 
 def test_a_call_from_before_users_were_asked_for_can_still_end():
     """Guards against dialogs that nobody can hang up once a reload has turned users on."""
-    line = Line(InProcessNode())
-    line.ask()
-    line.inside.establish()
-    tag = line.tag()
-    line.ask("ACK", to=f"<sip:7@net>;tag={tag}")
-    front = line.inside.front
+    line = RecordingFlow(InProcessNode())
+    line.request()
+    line.node.establish()
+    tag = line.to_tag()
+    line.request("ACK", to=f"<sip:7@net>;tag={tag}")
+    front = line.node.front
     front.guard, _ = guard()
-    assert line.ask("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
-    assert line.ask(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
+    assert line.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
+    assert line.request(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
