--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -35,7 +35,7 @@
 
 def call(stage: InProcessEnvironment, number: int, step_s: float, hang_up: bool = True) -> None:
     """INVITE, 200, ACK, BYE, 200 of one caller."""
-    port, host, peer = stage.frontend.ports[0], "127.0.0.1:40000", ("127.0.0.1", 40000)
+    port, host, peer = stage.frontend.flows.ports[0], "127.0.0.1:40000", ("127.0.0.1", 40000)
     port.receive(invite(number, host), peer)
     stage.wait(step_s)
     stage.deliver_output()
@@ -79,13 +79,13 @@
     for number in range(told.rate * told.seconds):
         call(stage, number, 1 / told.rate)
     used = time.process_time() - begun
-    table, counts = stage.frontend.transactions, stage.core.counters.counts
+    table, counts = stage.frontend.server_transactions, stage.core.counters.counts
     calls = told.rate * told.seconds
     print(f"{calls} calls at {told.rate}/s: {1e6 * used / calls:.0f} us a call with the caller's own work")
     print(
-        f"remembered {len(table.memory.records)}, {table.memory.bytes / 1e6:.1f} MB counted; open "
-        f"{len(table.servers)}; table_full {counts.get('table_full', 0)}, forgotten_early "
-        f"{counts.get('forgotten_early', 0)}"
+        f"remembered {len(table.records.responses)}, {table.records.size_bytes / 1e6:.1f} MB counted; open "
+        f"{len(table.open_transactions)}; table_full {counts.get('table_full', 0)}, "
+        f"transaction_records_evicted {counts.get('transaction_records_evicted', 0)}"
     )
     stage = InProcessEnvironment(dialogs=10**6)
     tracemalloc.start()
--- a/stairhatch/config/model.py
+++ b/stairhatch/config/model.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
     from stairhatch.scope.config import ScopeConfig
-    from stairhatch.sip.frontend import SipConfig
+    from stairhatch.sip.config import SipConfig
 
 
 class ConfigError(ValueError):
