--- a/tests/support/in_process_node.py
+++ b/tests/support/in_process_node.py
@@ -12,11 +12,15 @@
 from stairhatch.node.counters import Counters
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings.parser import settings_from_object
-from stairhatch.sip.frontend import SipConfig, SipFrontend, SipListener
+from stairhatch.sip.config import NumberPrefix, SipConfig, SipListener
+from stairhatch.sip.frontend import SipFrontend
 
 from .platform_config import SETTINGS
 
-NUMBERING_PLAN = ("read-roster", (("7", "save-roster", 0),))  # the default class, and one for a prefix
+NUMBERING_PLAN = (
+    "read-roster",
+    (NumberPrefix("7", "save-roster", 0),),
+)  # the default class, and one for a prefix
 
 
 class InProcessNode:
