--- a/benchmarks/scaling/decision_cost.py
+++ b/benchmarks/scaling/decision_cost.py
@@ -8,7 +8,6 @@
 import time
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable
-from dataclasses import replace
 from enum import Enum
 from typing import Protocol
 
@@ -171,7 +170,7 @@
     state_s = driver.processor_s[EventPurpose.SERVER_STATE] / driver.event_counts[EventPurpose.SERVER_STATE]
     for number in range(CHANGES):
         availability = Availability.DRAINING if number % 2 == 0 else Availability.READY
-        changed = (replace(driver.endpoints[number % size], availability=availability),)
+        changed = (driver.endpoints[number % size]._replace(availability=availability),)
         driver.now += CHANGE_INTERVAL_S
         driver.handle(EventPurpose.LIST_CHANGE, EndpointsUpdated(changed, complete=False))
     return Measurement(
--- a/benchmarks/slow_start/servers.py
+++ b/benchmarks/slow_start/servers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
 from benchmarks.slow_start.scenarios import REPORT_ERROR, Site
 from stairhatch.overload.events import LoadReport
@@ -52,8 +52,7 @@
         rate, wait_s = self._site.capacity, WARM_WAIT_S
         if server == WARMING:
             rate, wait_s = self._warming.rate(now), max(0.0, self._warming.idle_at - now)
-        return replace(
-            self._lines(server),
+        return self._lines(server)._replace(
             processor_wait_s=wait_s * error,
             admissible_rate=rate * error if self._site.reports_rate else None,
         )
