--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -28,7 +28,8 @@
     proves nothing. 130: Ctrl-C; nothing is kept.
     """
     from stairhatch.scale_test import keep
-    from stairhatch.scale_test.plan import ScaleError, read_plan
+    from stairhatch.scale_test.errors import ScaleError
+    from stairhatch.scale_test.plan_file import read_plan
     from stairhatch.scale_test.run import carry_out
 
     def tell(text: str) -> None:
--- a/stairhatch/scale_test/keep.py
+++ b/stairhatch/scale_test/keep.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stairhatch.load_test.experiment import commit_now
-from stairhatch.scale_test.plan import SimulatedCallResult
+from stairhatch.scale_test.call_tally import SimulatedCallResult
 from stairhatch.scale_test.run import ScaleResult
 
 
--- /dev/null
+++ b/stairhatch/scale_test/memory.py
@@ -0,0 +1,103 @@
+"""The memory that a run needs, measured before it."""
+
+from __future__ import annotations
+
+import gc
+import os
+import tracemalloc
+from dataclasses import dataclass
+from pathlib import Path
+
+import msgspec
+
+from stairhatch.scale_test.errors import ScaleError
+from stairhatch.scale_test.schema import Fleet, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.world import World
+
+MEMORY_PART = 0.5  # of the machine's, the most
+SAMPLES = (2, 10), (8, 40)  # softswitches and servers that memory is measured with
+SAMPLE_S = 1.5  # of the virtual clock: all links are up by then
+
+
+@dataclass(frozen=True)
+class Need:
+    """What a softswitch and its links take, in bytes, as it was measured."""
+
+    softswitch: float
+    link: float  # one of its links to a roster server, both ends
+    server: float
+    rest: float
+
+    def of(self, plan: ScalePlan) -> float:
+        """A run's. The link to a server that is replaced is kept for a while beside the new one."""
+        replaced = sum(
+            each.count for each in plan.event if each.what in (PlannedEventKind.COLD, PlannedEventKind.RACK)
+        )
+        links = self.link * plan.softswitches * (plan.servers + replaced)
+        return self.rest + self.softswitch * plan.softswitches + self.server * plan.servers + links
+
+
+def machine_memory() -> int:
+    """Bytes of this machine, or of what this process may use of it."""
+    found = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
+    try:
+        return min(found, int(Path("/sys/fs/cgroup/memory.max").read_text()))
+    except (OSError, ValueError):
+        return found
+
+
+def resident() -> int:
+    """Bytes that this process holds now."""
+    return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
+
+
+def _few_voters(fleet: Fleet, most: int) -> Fleet:
+    return msgspec.structs.replace(fleet, voters=min(fleet.voters, most))
+
+
+def _held(plan: ScalePlan, softswitches: int, servers: int) -> float:
+    """Bytes of a small run of the same form, with all links up and nothing asked."""
+    small = msgspec.structs.replace(
+        plan, softswitches=softswitches, servers=servers, services=min(plan.services, servers), regions=1,
+        zones=1, event=(), must_bite=(), real=None,
+        fleet=plan.fleet and _few_voters(plan.fleet, softswitches),
+        calls=msgspec.structs.replace(plan.calls, rate=0.0, service=-1),
+    )  # fmt: skip
+    gc.collect()
+    before = tracemalloc.get_traced_memory()[0]
+    world = World(small)
+    with world.in_place():
+        world.start()
+        world.clock.run(world.clock.now + SAMPLE_S)
+    gc.collect()
+    return tracemalloc.get_traced_memory()[0] - before
+
+
+def measure(plan: ScalePlan) -> Need:
+    """What each softswitch, server and link takes: four small runs, solved for the four."""
+    (few, less), (many, more) = SAMPLES
+    tracemalloc.start()
+    try:
+        a, b, c, d = (_held(plan, h, s) for h, s in ((few, less), (many, less), (few, more), (many, more)))
+    finally:
+        tracemalloc.stop()
+    own = resident()  # the interpreter and what it has loaded
+    link = max(0.0, (d - b - c + a) / ((many - few) * (more - less)))
+    softswitch = max(0.0, (b - a) / (many - few) - link * less)
+    server = max(0.0, (c - a) / (more - less) - link * few)
+    rest = max(0.0, a - softswitch * few - server * less - link * few * less)
+    return Need(softswitch, link, server, own + rest)
+
+
+def fit(plan: ScalePlan) -> Need:
+    """ScaleError where the machine has too little memory, with what it would need."""
+    need = measure(plan)
+    wanted, has = need.of(plan), machine_memory()
+    if wanted > MEMORY_PART * has:
+        each = need.softswitch + need.link * plan.servers
+        raise ScaleError(
+            f"softswitches: {plan.softswitches} with {plan.servers} servers need {wanted / 2**30:.1f} GiB "
+            f"({each / 2**20:.2f} MiB each, measured); half of this machine's memory is "
+            f"{MEMORY_PART * has / 2**30:.1f} GiB"
+        )
+    return need
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -30,18 +30,11 @@
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
 from stairhatch.load_test.event_loop_stall import EventLoopStall
-from stairhatch.scale_test.plan import (
-    NUMBERS,
-    Happens,
-    PlannedEventKind,
-    ScaleError,
-    ScalePlan,
-    SimulatedCallResult,
-    Traffic,
-    Wanted,
-    quantile,
-    settings_for,
-)
+from stairhatch.scale_test.call_generator import NUMBERS, Traffic, Wanted
+from stairhatch.scale_test.call_tally import SimulatedCallResult, quantile
+from stairhatch.scale_test.errors import ScaleError
+from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.softswitch_settings import settings_for
 from stairhatch.scale_test.world import AFTER_S, nature_of
 
 LOOK_S = 0.05
--- a/stairhatch/scale_test/run.py
+++ b/stairhatch/scale_test/run.py
@@ -1,53 +1,26 @@
-"""A whole scale run: owns whether it fits the machine, its progress, the hollow run, the comparison with real
-processes, and the verdict. It must never call a run good that proves nothing.
-"""
+"""A whole scale run."""
 
 from __future__ import annotations
 
 import asyncio
-import gc
-import math
-import os
 import time
-import tracemalloc
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from pathlib import Path
 from typing import Any
 
-import msgspec
-
-from stairhatch.scale_test.clock import BEGIN
-from stairhatch.scale_test.plan import FIGURES, Bound, Fleet, PlannedEventKind, ScaleError, ScalePlan, twin
+from stairhatch.scale_test.comparison import held_against, out_of_bounds, twin
+from stairhatch.scale_test.errors import ScaleError
+from stairhatch.scale_test.memory import MEMORY_PART, fit, machine_memory, resident
 from stairhatch.scale_test.real import Processes
+from stairhatch.scale_test.schema import ScalePlan
+from stairhatch.scale_test.verdict import judged
+from stairhatch.scale_test.virtual_clock import BEGIN
 from stairhatch.scale_test.world import World
 
 TOLD_S = 5.0  # between two lines of progress
-MEMORY_PART = 0.5  # of the machine's, the most
-SAMPLES = (2, 10), (8, 40)  # softswitches and servers that memory is measured with
-SAMPLE_S = 1.5  # of the virtual clock: all links are up by then
-
 Tell = Callable[[str], None]
 
 
-@dataclass(frozen=True)
-class Need:
-    """What a softswitch and its links take, in bytes, as it was measured."""
-
-    softswitch: float
-    link: float  # one of its links to a roster server, both ends
-    server: float
-    rest: float
-
-    def of(self, plan: ScalePlan) -> float:
-        """A run's. The link to a server that is replaced is kept for a while beside the new one."""
-        replaced = sum(
-            each.count for each in plan.event if each.what in (PlannedEventKind.COLD, PlannedEventKind.RACK)
-        )
-        links = self.link * plan.softswitches * (plan.servers + replaced)
-        return self.rest + self.softswitch * plan.softswitches + self.server * plan.servers + links
-
-
 @dataclass
 class ScaleResult:
     """What came of a run."""
@@ -60,72 +33,6 @@
     broken: list[str] = field(default_factory=list)
 
 
-def machine_memory() -> int:
-    """Bytes of this machine, or of what this process may use of it."""
-    found = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
-    try:
-        return min(found, int(Path("/sys/fs/cgroup/memory.max").read_text()))
-    except (OSError, ValueError):
-        return found
-
-
-def resident() -> int:
-    """Bytes that this process holds now."""
-    return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
-
-
-def _few_voters(fleet: Fleet, most: int) -> Fleet:
-    return msgspec.structs.replace(fleet, voters=min(fleet.voters, most))
-
-
-def _held(plan: ScalePlan, softswitches: int, servers: int) -> float:
-    """Bytes of a small run of the same form, with all links up and nothing asked."""
-    small = msgspec.structs.replace(
-        plan, softswitches=softswitches, servers=servers, services=min(plan.services, servers), regions=1,
-        zones=1, event=(), must_bite=(), real=None,
-        fleet=plan.fleet and _few_voters(plan.fleet, softswitches),
-        calls=msgspec.structs.replace(plan.calls, rate=0.0, service=-1),
-    )  # fmt: skip
-    gc.collect()
-    before = tracemalloc.get_traced_memory()[0]
-    world = World(small)
-    with world.in_place():
-        world.start()
-        world.clock.run(world.clock.now + SAMPLE_S)
-    gc.collect()
-    return tracemalloc.get_traced_memory()[0] - before
-
-
-def measure(plan: ScalePlan) -> Need:
-    """What each softswitch, server and link takes: four small runs, solved for the four."""
-    (few, less), (many, more) = SAMPLES
-    tracemalloc.start()
-    try:
-        a, b, c, d = (_held(plan, h, s) for h, s in ((few, less), (many, less), (few, more), (many, more)))
-    finally:
-        tracemalloc.stop()
-    own = resident()  # the interpreter and what it has loaded
-    link = max(0.0, (d - b - c + a) / ((many - few) * (more - less)))
-    softswitch = max(0.0, (b - a) / (many - few) - link * less)
-    server = max(0.0, (c - a) / (more - less) - link * few)
-    rest = max(0.0, a - softswitch * few - server * less - link * few * less)
-    return Need(softswitch, link, server, own + rest)
-
-
-def fit(plan: ScalePlan) -> Need:
-    """ScaleError where the machine has too little memory, with what it would need."""
-    need = measure(plan)
-    wanted, has = need.of(plan), machine_memory()
-    if wanted > MEMORY_PART * has:
-        each = need.softswitch + need.link * plan.servers
-        raise ScaleError(
-            f"softswitches: {plan.softswitches} with {plan.servers} servers need {wanted / 2**30:.1f} GiB "
-            f"({each / 2**20:.2f} MiB each, measured); half of this machine's memory is "
-            f"{MEMORY_PART * has / 2**30:.1f} GiB"
-        )
-    return need
-
-
 def play(
     plan: ScalePlan, tell: Tell = lambda text: None, settle_s: float | None = None
 ) -> tuple[World, dict[str, Any]]:
@@ -164,70 +71,6 @@
     }  # fmt: skip
 
 
-def ratio(hollow: float, real: float, bound: Bound) -> float:
-    """Hollow over real; `grain` makes nothing of nothing a 1."""
-    low = real + bound.grain
-    return (hollow + bound.grain) / low if low else (1.0 if not hollow else math.inf)
-
-
-def held_against(
-    plan: ScalePlan, hollow: dict[str, float], real: dict[str, float]
-) -> dict[str, dict[str, float]]:
-    """Each figure of both, their ratio and its bounds."""
-    found = {}
-    for name in FIGURES:
-        bound = plan.bounds.get(name, Bound())
-        one = round(ratio(hollow[name], real[name], bound), 3)
-        found[name] = {
-            "hollow": hollow[name], "real": real[name], "ratio": one, "least": bound.least,
-            "most": bound.most,
-        }  # fmt: skip
-    return found
-
-
-def out_of_bounds(compared: dict[str, dict[str, float]]) -> list[str]:
-    """What makes the run fail."""
-    return [
-        f"{name}: hollow {each['hollow']:g} over real {each['real']:g} is {each['ratio']:g}, "
-        f"not within {each['least']:g} and {each['most']:g}"
-        for name, each in compared.items()
-        if not each["least"] <= each["ratio"] <= each["most"]
-    ]
-
-
-def judged(plan: ScalePlan, figures: dict[str, Any]) -> list[str]:
-    """What is wrong with a hollow run, or with what it proves."""
-    found = []
-    if figures["unanswered"]:
-        found.append(f"{figures['unanswered']} calls had no final answer")
-    found += [f"a fault in the program's parts: {each}" for each in figures["faults"]]
-    if figures["servers"]["fallen"]:
-        found.append(f"{figures['servers']['fallen']} cold roster servers were pushed over")
-    if not figures["calls"]["stood"]:
-        found.append("no call stood: the run proves nothing")
-    changes = figures["changes"]
-    if changes["not_heard"] or changes["lists_apart"]:
-        found.append(
-            f"{changes['not_heard']} changes of the list not heard, {changes['lists_apart']} softswitches go "
-            "by another list than their coordinator's"
-        )
-    found += [
-        f"{each.value} did not bite: the run proves nothing of it"
-        for each in plan.must_bite
-        if not figures["bites"][each.value]
-    ]
-    if plan.window:
-        beyond = [each for each in figures["windows"] if each["fullest"] > each["most"]]
-        found += [
-            f"server {each['server']}: {each['fullest']} set-ups in a window while cold, "
-            f"{each['most']:g} at most"
-            for each in beyond[:5]
-        ]
-        if not figures["windows"]:
-            found.append("window: no server was cold")
-    return found
-
-
 def carry_out(plan: ScalePlan, tell: Tell = lambda text: None) -> ScaleResult:
     """All of it."""
     need = fit(plan)
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -44,18 +44,14 @@
 from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
-from stairhatch.scale_test.clock import BEGIN, Clock, Meter, Net, ProcessClock, ScheduledEvent, Stream
-from stairhatch.scale_test.plan import (
-    Happens,
-    Places,
-    PlannedEventKind,
-    ScalePlan,
-    SimulatedCallResult,
-    Traffic,
-    Wanted,
-    quantile,
-    read_settings,
-)
+from stairhatch.scale_test.call_generator import Traffic, Wanted
+from stairhatch.scale_test.call_tally import SimulatedCallResult, quantile
+from stairhatch.scale_test.processor_meter import Meter
+from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.simulated_network import Net, Stream
+from stairhatch.scale_test.softswitch_settings import read_settings
+from stairhatch.scale_test.topology import Places
+from stairhatch.scale_test.virtual_clock import BEGIN, Clock, ProcessClock, ScheduledEvent
 
 STARTS_S = 0.5  # within which all are started
 READY_S = 30.0  # and serve at the latest
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,9 @@
 from stairhatch.cli.main import main_group
 from stairhatch.emulators.processor import Processor, SetupAdmission
 from stairhatch.scale_test import run, world
-from stairhatch.scale_test.plan import ScaleError, plan_from, read_plan, twin
+from stairhatch.scale_test.comparison import twin
+from stairhatch.scale_test.errors import ScaleError
+from stairhatch.scale_test.plan_file import plan_from, read_plan
 from stairhatch.scale_test.real import Processes
 from stairhatch.scale_test.world import World
 
