--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -28,7 +28,7 @@
     proves nothing. 130: Ctrl-C; nothing is kept.
     """
     from stairhatch.scale_test import keep
-    from stairhatch.scale_test.errors import ScaleError
+    from stairhatch.scale_test.errors import ScaleTestError
     from stairhatch.scale_test.plan_file import read_plan
     from stairhatch.scale_test.run import carry_out
 
@@ -37,7 +37,7 @@
             click.echo(text, err=True)
 
     try:
-        with failing_with(EXIT_UNUSABLE, ScaleError):
+        with failing_with(EXIT_UNUSABLE, ScaleTestError):
             result = carry_out(read_plan(file), tell)
             kept_in = keep.keep(result, out, f"stairhatch scale {file.name}")
     except KeyboardInterrupt:
--- a/stairhatch/scale_test/call_generator.py
+++ b/stairhatch/scale_test/call_generator.py
@@ -1,4 +1,4 @@
-"""The calls of a run, drawn from its seed."""
+"""The calls of a run, drawn from its seed: the same for simulated and for real softswitches."""
 
 from __future__ import annotations
 
@@ -6,98 +6,125 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from stairhatch.scale_test.call_graph import Graph
-from stairhatch.scale_test.call_tally import ScaleTally, SimulatedCallResult
+from stairhatch.scale_test.call_graph import CallGraph
+from stairhatch.scale_test.call_result import SimulatedCallResult
+from stairhatch.scale_test.call_tally import CallTally
 from stairhatch.scale_test.schema import ScalePlan
-from stairhatch.scale_test.topology import Places
+from stairhatch.scale_test.topology import Topology
 
-NUMBERS = 1000  # the number called begins with this plus the service
+SERVICE_PREFIX_BASE = 1000  # a called number begins with this plus the service
+FOLLOW_UP_SERIALS = (10**9, 10**16)  # above those of the calls from outside
 
 
-@dataclass(slots=True)
-class Wanted:
-    """One call that somebody wants."""
+def service_prefix(service: int) -> str:
+    """Return what the called numbers of a service begin with."""
+    return str(SERVICE_PREFIX_BASE + service)
+
+
+@dataclass(slots=True, kw_only=True)
+class GeneratedCall:
+    """A call that is requested of a softswitch."""
 
     serial: int
-    at: float  # seconds after the beginning
+    at_s: float  # after the beginning of the run
     service: int
-    depth: int  # 1: from outside
+    depth: int  # in the chain of calls; 1: from outside
     softswitch: int
     hold_s: float
-    end: SimulatedCallResult | None = None
+    result: SimulatedCallResult | None = None
 
     @property
-    def number(self) -> str:
-        """The number called: its first digits name the service."""
-        return f"{NUMBERS + self.service}{self.serial:016d}"
+    def called_number(self) -> str:
+        """The number called. Its prefix names the service."""
+        return f"{service_prefix(self.service)}{self.serial:016d}"
+
 
+class CallGenerator:
+    """Generates the calls of a run and records their results.
 
-class Traffic:
-    """The calls of a run: those from outside come when they are due, whatever becomes of others; one that
-    stands asks for those below it. What a call asks for is drawn by its own name, so that it does not depend
-    on the order in which answers come.
+    The calls from outside come when they are due, whatever becomes of others (an open workload). An
+    established call leads to calls of the services below its own. What a call leads to is drawn from its own
+    serial, so that it does not depend on the order in which answers come.
     """
 
-    def __init__(self, plan: ScalePlan) -> None:
-        self.plan, self.places, self.graph = plan, Places(plan), Graph(plan)
-        self.tally = ScaleTally()
-        self.serial = 0
-        self.open: dict[str, Wanted] = {}  # by number
-        self.place: Callable[[Wanted], None]
-        self.servers: dict[str, int] = {}  # the number called -> the roster server where it stood
-
-    def from_outside(self) -> Iterator[Wanted]:
-        """When they are due: a Poisson process."""
-        chance, calls = random.Random(f"calls {self.plan.seed}"), self.plan.calls
-        at = 0.0
-        while calls.rate > 0:
-            at += chance.expovariate(calls.rate)
-            if at >= self.plan.seconds:
+    def __init__(self, plan: ScalePlan, place_call: Callable[[GeneratedCall], None]) -> None:
+        """`place_call` hands a call that is due to its softswitch."""
+        self.plan = plan
+        self.topology = Topology(plan)
+        self.graph = CallGraph(plan)
+        self.tally = CallTally()
+        self.open_calls: dict[str, GeneratedCall] = {}  # by called number
+        self._place_call = place_call
+        self._next_serial = 1
+        self._servers: dict[str, int] = {}  # where an open call was established, by called number
+
+    def calls_from_outside(self) -> Iterator[GeneratedCall]:
+        """Draw the calls from outside in the order of their times, a Poisson process."""
+        rng, calls = random.Random(f"calls {self.plan.seed}"), self.plan.calls
+        at_s = 0.0
+        while calls.rate_per_s > 0:
+            at_s += rng.expovariate(calls.rate_per_s)
+            if at_s >= self.plan.duration_s:
                 return
-            service = chance.choice(self.graph.first)
-            where = chance.randrange(self.plan.softswitches)
-            self.serial += 1
-            yield Wanted(self.serial, at, service, 1, where, chance.expovariate(1 / calls.hold_s))
-
-    def ask(self, wanted: Wanted) -> None:
-        """A call is due."""
-        self.open[wanted.number] = wanted
-        self.tally.asked += 1
-        self.tally.depths[wanted.depth] += 1
-        self.place(wanted)
-
-    def stood_at(self, number: str, server: int) -> None:
-        """A roster server set it up."""
-        if number in self.open:
-            self.servers[number] = server
-
-    def ended(self, wanted: Wanted, end: SimulatedCallResult, at: float) -> None:
-        """Its one final answer, so many seconds after the beginning."""
-        if wanted.end is not None:
-            raise AssertionError(f"{wanted.number}: {wanted.end.value} and then {end.value}")
-        wanted.end = end
-        self.open.pop(wanted.number, None)
-        server = self.servers.pop(wanted.number, 0)
-        self.tally.ends[end.value] += 1
-        self.tally.by_second[int(at)][end.value] += 1
-        if end is SimulatedCallResult.STOOD:
-            self.tally.took_ms.append(1000 * (at - wanted.at))
-            self.tally.stood_at_depth[wanted.depth] += 1
-            if at < self.plan.seconds:
-                self._below(wanted, server, at)
-
-    def _below(self, wanted: Wanted, server: int, at: float) -> None:
-        """The calls that one leads to, at the softswitch beside the roster server that took it."""
-        if wanted.depth >= self.graph.depth:
+            service = rng.choice(self.graph.entry_services)
+            softswitch = rng.randrange(self.plan.softswitch_count)
+            serial = self._next_serial
+            self._next_serial += 1
+            yield GeneratedCall(
+                serial=serial,
+                at_s=at_s,
+                service=service,
+                depth=1,
+                softswitch=softswitch,
+                hold_s=rng.expovariate(1 / calls.mean_hold_s),
+            )
+
+    def request(self, call: GeneratedCall) -> None:
+        """Place a call that is due."""
+        self.open_calls[call.called_number] = call
+        self.tally.record_request(call.depth)
+        self._place_call(call)
+
+    def record_server(self, called_number: str, server: int) -> None:
+        """Take note that a roster server has established a call."""
+        if called_number in self.open_calls:
+            self._servers[called_number] = server
+
+    def record_result(self, call: GeneratedCall, result: SimulatedCallResult, at_s: float) -> None:
+        """Take note of a call's one final answer, at its time after the beginning of the run.
+
+        AssertionError: it had one already.
+        """
+        if call.result is not None:
+            raise AssertionError(f"{call.called_number}: {call.result.value} and then {result.value}")
+        call.result = result
+        self.open_calls.pop(call.called_number, None)
+        server = self._servers.pop(call.called_number, 0)
+        self.tally.record_result(result, at_s)
+        if result is SimulatedCallResult.ESTABLISHED:
+            self.tally.record_established(call.depth, at_s - call.at_s)
+            if at_s < self.plan.duration_s:
+                self._request_follow_ups(call, server, at_s)
+
+    def _request_follow_ups(self, call: GeneratedCall, server: int, at_s: float) -> None:
+        """Place the calls that one leads to, at the softswitch beside its roster server."""
+        if call.depth >= self.graph.max_depth:
             return
-        chance = random.Random(f"{self.plan.seed} {wanted.serial}")
-        for order, service in enumerate(self.graph.below[wanted.service]):
-            follows, hold_s = chance.random(), chance.expovariate(1 / self.plan.calls.hold_s)
-            if follows < self.plan.calls.follow:
-                serial = hash_of(wanted.serial, order)
-                self.ask(Wanted(serial, at, service, wanted.depth + 1, self.places.beside(server), hold_s))
-
-
-def hash_of(serial: int, order: int) -> int:
-    """The name of a call that another leads to: by that one's, beyond those from outside."""
-    return random.Random(f"{serial} {order}").randrange(10**9, 10**16)
+        rng = random.Random(f"{self.plan.seed} {call.serial}")
+        for order, service in enumerate(self.graph.services_below[call.service]):
+            drawn, hold_s = rng.random(), rng.expovariate(1 / self.plan.calls.mean_hold_s)
+            if drawn < self.plan.calls.follow_probability:
+                self.request(
+                    GeneratedCall(
+                        serial=_follow_up_serial(call.serial, order),
+                        at_s=at_s,
+                        service=service,
+                        depth=call.depth + 1,
+                        softswitch=self.topology.softswitch_beside(server),
+                        hold_s=hold_s,
+                    )
+                )
+
+
+def _follow_up_serial(serial: int, order: int) -> int:
+    return random.Random(f"{serial} {order}").randrange(*FOLLOW_UP_SERIALS)
--- a/stairhatch/scale_test/call_graph.py
+++ b/stairhatch/scale_test/call_graph.py
@@ -1,4 +1,4 @@
-"""Which service calls which."""
+"""Which service calls which, drawn from the seed of a plan."""
 
 from __future__ import annotations
 
@@ -7,18 +7,29 @@
 from stairhatch.scale_test.schema import ScalePlan
 
 
-class Graph:
-    """Which service asks which. Services lie in levels; each asks `fan_out` of the next level."""
+class CallGraph:
+    """Services in levels. Each calls `fan_out` services of the next level."""
 
     def __init__(self, plan: ScalePlan) -> None:
-        depth = min(plan.calls.depth, plan.services) if plan.services > 1 else plan.calls.depth
-        chance = random.Random(f"graph {plan.seed}")
-        self.depth = plan.calls.depth
-        levels = [[n for n in range(plan.services) if n % depth == level] for level in range(depth)]
-        # Where there are fewer services than levels, the last ones ask the first again.
-        self.first = levels[0] if plan.calls.service < 0 else [plan.calls.service]
-        self.below: dict[int, list[int]] = {}
+        """Draw the graph from the plan's seed."""
+        self.max_depth = plan.calls.max_depth
+        rng = random.Random(f"graph {plan.seed}")
+        levels = _levels(plan)
+        self.entry_services = levels[0] if plan.calls.service < 0 else [plan.calls.service]
+        self.services_below: dict[int, list[int]] = {}
         for level, services in enumerate(levels):
-            under = levels[(level + 1) % depth]
+            # With fewer services than levels, the last ones call the first again.
+            next_level = levels[(level + 1) % len(levels)]
             for service in services:
-                self.below[service] = chance.sample(under, min(len(under), plan.calls.fan_out))
+                below = rng.sample(next_level, min(len(next_level), plan.calls.fan_out))
+                self.services_below[service] = below
+
+
+def _levels(plan: ScalePlan) -> list[list[int]]:
+    depth = plan.calls.max_depth
+    if plan.service_count > 1:
+        depth = min(depth, plan.service_count)
+    return [
+        [service for service in range(plan.service_count) if service % depth == level]
+        for level in range(depth)
+    ]
--- a/stairhatch/scale_test/comparison.py
+++ b/stairhatch/scale_test/comparison.py
@@ -7,37 +7,51 @@
 import msgspec
 
 from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.scale_test.schema import FIGURES, Bound, Happens, NetworkDelays, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.schema import (
+    ComparedFigure,
+    NetworkDelays,
+    PlannedEvent,
+    PlannedEventKind,
+    RatioBounds,
+    ScalePlan,
+)
 
 
-def twin(plan: ScalePlan) -> ScalePlan:
+def comparison_plan(plan: ScalePlan) -> ScalePlan:
     """The scenario that is played by real processes and by hollow ones: no faults, ways as on loopback."""
     real = plan.real
     assert real is not None
     way = DatagramConditions(delay_ms=0.05, jitter_ms=0.05)
-    change = Happens(real.seconds * 0.1, PlannedEventKind.CHANGE, real.seconds * 0.8, max(1, real.changes))
+    change = PlannedEvent(
+        at_s=real.duration_s * 0.1,
+        kind=PlannedEventKind.LIST_CHANGE,
+        duration_s=real.duration_s * 0.8,
+        count=max(1, real.change_count),
+    )
     return msgspec.structs.replace(
         plan,
-        seconds=real.seconds,
-        softswitches=real.softswitches,
-        servers=real.servers,
-        services=real.services,
-        regions=1,
-        zones=1,
-        wire=NetworkDelays(way, way, way),
-        must_bite=(),
-        window=False,
-        calls=msgspec.structs.replace(plan.calls, rate=real.rate, depth=real.depth, service=-1),
-        event=(change,) if real.changes else (),
+        duration_s=real.duration_s,
+        softswitch_count=real.softswitch_count,
+        server_count=real.server_count,
+        service_count=real.service_count,
+        region_count=1,
+        zone_count=1,
+        network=NetworkDelays(within_zone=way, between_zones=way, between_regions=way),
+        required_events=(),
+        judge_cold_windows=False,
+        calls=msgspec.structs.replace(
+            plan.calls, rate_per_s=real.rate_per_s, max_depth=real.max_depth, service=-1
+        ),
+        events=(change,) if real.change_count else (),
         real=None,
         bounds={},
     )
 
 
-def ratio(hollow: float, real: float, bound: Bound) -> float:
+def ratio(hollow: float, real: float, bound: RatioBounds) -> float:
     """Hollow over real; `grain` makes nothing of nothing a 1."""
-    low = real + bound.grain
-    return (hollow + bound.grain) / low if low else (1.0 if not hollow else math.inf)
+    low = real + bound.pseudocount
+    return (hollow + bound.pseudocount) / low if low else (1.0 if not hollow else math.inf)
 
 
 def held_against(
@@ -45,13 +59,16 @@
 ) -> dict[str, dict[str, float]]:
     """Each figure of both, their ratio and its bounds."""
     found = {}
-    for name in FIGURES:
-        bound = plan.bounds.get(name, Bound())
+    for figure in ComparedFigure:
+        name, bound = figure.value, plan.bounds.get(figure, RatioBounds())
         one = round(ratio(hollow[name], real[name], bound), 3)
         found[name] = {
-            "hollow": hollow[name], "real": real[name], "ratio": one, "least": bound.least,
-            "most": bound.most,
-        }  # fmt: skip
+            "hollow": hollow[name],
+            "real": real[name],
+            "ratio": one,
+            "least": bound.minimum,
+            "most": bound.maximum,
+        }
     return found
 
 
--- a/stairhatch/scale_test/errors.py
+++ b/stairhatch/scale_test/errors.py
@@ -1,7 +1,19 @@
-"""Exceptions of the scale test, all below `ScaleError`."""
+"""Exceptions of the scale test, all below `ScaleTestError`."""
 
 from __future__ import annotations
 
 
-class ScaleError(ValueError):
-    """A run that can't be carried out as it is asked for; the text names the key."""
+class ScaleTestError(Exception):
+    """What keeps a scale run from being carried out, in one line."""
+
+
+class ScalePlanError(ScaleTestError, ValueError):
+    """A scale file that cannot be used; the message names the key."""
+
+
+class MemoryLimitError(ScaleTestError):
+    """A run that takes more than its part of the machine's memory."""
+
+
+class ProcessStartError(ScaleTestError):
+    """Real processes that did not start or did not answer in time."""
--- a/stairhatch/scale_test/keep.py
+++ b/stairhatch/scale_test/keep.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stairhatch.load_test.experiment import commit_now
-from stairhatch.scale_test.call_tally import SimulatedCallResult
+from stairhatch.scale_test.call_result import SimulatedCallResult
 from stairhatch.scale_test.run import ScaleResult
 
 
@@ -72,9 +72,13 @@
     where.mkdir(parents=True, exist_ok=True)
     commit = commit_now()
     run: dict[str, Any] = {
-        "commit": commit, "command": command, "machine": result.machine, "real": result.real,
-        "compared": result.compared, "broken": result.broken,
-    }  # fmt: skip
+        "commit": commit,
+        "command": command,
+        "machine": result.machine,
+        "real": result.real,
+        "compared": result.compared,
+        "broken": result.broken,
+    }
     (where / "result.json").write_text(result_json(result))
     (where / "run.json").write_text(json.dumps(run, indent=1, sort_keys=True) + "\n")
     (where / "table.md").write_text(table(result, commit, command))
@@ -97,8 +101,8 @@
         often = [seconds[str(each)].get(end.value, 0) for each in at]
         if any(often):
             left.plot(at, often, marker="o", markersize=2, label=end.value)
-    for event in result.plan.event:
-        left.axvline(event.at, color="grey", linewidth=0.5)
+    for event in result.plan.events:
+        left.axvline(event.at_s, color="grey", linewidth=0.5)
     left.set_title("answers a second", fontsize=9)
     left.set_xlabel("virtual seconds; events in grey", fontsize=8)
     left.legend(fontsize=7)
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from stairhatch.scale_test.errors import ScaleError
-from stairhatch.scale_test.schema import Fleet, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.errors import MemoryLimitError
+from stairhatch.scale_test.schema import FleetPlan, PlannedEventKind, ScalePlan
 from stairhatch.scale_test.world import World
 
 MEMORY_PART = 0.5  # of the machine's, the most
@@ -31,10 +31,12 @@
     def of(self, plan: ScalePlan) -> float:
         """A run's. The link to a server that is replaced is kept for a while beside the new one."""
         replaced = sum(
-            each.count for each in plan.event if each.what in (PlannedEventKind.COLD, PlannedEventKind.RACK)
+            each.count
+            for each in plan.events
+            if each.kind in (PlannedEventKind.COLD_REPLACEMENT, PlannedEventKind.RACK_OUTAGE)
         )
-        links = self.link * plan.softswitches * (plan.servers + replaced)
-        return self.rest + self.softswitch * plan.softswitches + self.server * plan.servers + links
+        links = self.link * plan.softswitch_count * (plan.server_count + replaced)
+        return self.rest + self.softswitch * plan.softswitch_count + self.server * plan.server_count + links
 
 
 def machine_memory() -> int:
@@ -51,18 +53,25 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def _few_voters(fleet: Fleet, most: int) -> Fleet:
-    return msgspec.structs.replace(fleet, voters=min(fleet.voters, most))
+def _few_voters(fleet: FleetPlan, most: int) -> FleetPlan:
+    return msgspec.structs.replace(fleet, voter_count=min(fleet.voter_count, most))
 
 
 def _held(plan: ScalePlan, softswitches: int, servers: int) -> float:
     """Bytes of a small run of the same form, with all links up and nothing asked."""
     small = msgspec.structs.replace(
-        plan, softswitches=softswitches, servers=servers, services=min(plan.services, servers), regions=1,
-        zones=1, event=(), must_bite=(), real=None,
+        plan,
+        softswitch_count=softswitches,
+        server_count=servers,
+        service_count=min(plan.service_count, servers),
+        region_count=1,
+        zone_count=1,
+        events=(),
+        required_events=(),
+        real=None,
         fleet=plan.fleet and _few_voters(plan.fleet, softswitches),
-        calls=msgspec.structs.replace(plan.calls, rate=0.0, service=-1),
-    )  # fmt: skip
+        calls=msgspec.structs.replace(plan.calls, rate_per_s=0.0, service=-1),
+    )
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
     world = World(small)
@@ -90,14 +99,14 @@
 
 
 def fit(plan: ScalePlan) -> Need:
-    """ScaleError where the machine has too little memory, with what it would need."""
+    """MemoryLimitError where the machine has too little memory, with what it would need."""
     need = measure(plan)
     wanted, has = need.of(plan), machine_memory()
     if wanted > MEMORY_PART * has:
-        each = need.softswitch + need.link * plan.servers
-        raise ScaleError(
-            f"softswitches: {plan.softswitches} with {plan.servers} servers need {wanted / 2**30:.1f} GiB "
-            f"({each / 2**20:.2f} MiB each, measured); half of this machine's memory is "
-            f"{MEMORY_PART * has / 2**30:.1f} GiB"
+        each = need.softswitch + need.link * plan.server_count
+        raise MemoryLimitError(
+            f"softswitches: {plan.softswitch_count} with {plan.server_count} servers need "
+            f"{wanted / 2**30:.1f} GiB ({each / 2**20:.2f} MiB each, measured); half of this machine's "
+            f"memory is {MEMORY_PART * has / 2**30:.1f} GiB"
         )
     return need
--- a/stairhatch/scale_test/plan_file.py
+++ b/stairhatch/scale_test/plan_file.py
@@ -1,4 +1,4 @@
-"""Reads and validates a scale file."""
+"""Reads a scale file and checks that its parts fit together. Every fault names its key."""
 
 from __future__ import annotations
 
@@ -9,74 +9,101 @@
 
 import msgspec
 
-from stairhatch.scale_test.errors import ScaleError
-from stairhatch.scale_test.schema import PlannedEventKind, ScalePlan
+from stairhatch.scale_test.errors import ScalePlanError
+from stairhatch.scale_test.schema import FleetPlan, PlannedEvent, PlannedEventKind, RealRunPlan, ScalePlan
 
-PLACE = re.compile(r" - at `\$\.?([^`]*)`$")
+JSON_PATH = re.compile(r" - at `\$\.?([^`]*)`$")  # where msgspec tells the place of a fault
+UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.+)`")
+MISSING_FIELD = re.compile(r"Object missing required field `(.+)`")
+MIN_KEY_SIMILARITY = 0.6  # of a known key that is suggested for an unknown one
+LASTING_KINDS = (
+    PlannedEventKind.RACK_OUTAGE,
+    PlannedEventKind.ZONE_PARTITION,
+    PlannedEventKind.REGION_PARTITION,
+)
 
 
 def read_plan(path: Path) -> ScalePlan:
-    """A run from a TOML file; ScaleError names what can't be used."""
+    """Return the plan in a TOML file; ScalePlanError names what cannot be used."""
     try:
-        raw = tomllib.loads(path.read_text(encoding="utf-8"))
-        return plan_from(raw)
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, ScaleError) as error:
-        raise ScaleError(f"{path}: {error}") from None
+        return parse_plan(tomllib.loads(path.read_text(encoding="utf-8")))
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, ScalePlanError) as error:
+        raise ScalePlanError(f"{path}: {error}") from error
 
 
-def plan_from(raw: object) -> ScalePlan:
-    """A run from decoded TOML."""
+def parse_plan(decoded: object) -> ScalePlan:
+    """Return the plan in decoded TOML; ScalePlanError names the key that cannot be used."""
     try:
-        return checked(msgspec.convert(raw, ScalePlan))
+        plan = msgspec.convert(decoded, ScalePlan)
     except msgspec.ValidationError as error:
-        raise ScaleError(_complaint(str(error))) from None
-
-
-def _complaint(text: str) -> str:
-    """msgspec's words, the key first."""
-    place, what = PLACE.search(text), PLACE.sub("", text)
-    at = place.group(1) if place else ""
-    for form in (r"Object contains unknown field `(.+)`", r"Object missing required field `(.+)`"):
-        if found := re.match(form, what):
-            key = f"{at}.{found.group(1)}" if at else found.group(1)
-            if "missing" in form:
-                return f"{key}: is missing"
-            known = {each.name for each in msgspec.structs.fields(ScalePlan)} if not at else set()
-            near = difflib.get_close_matches(found.group(1), known, 1, 0.6)
-            return f"{key}: unknown key" + (f"; did you mean {near[0]}?" if near else "")
-    return f"{at}: {what[:1].lower()}{what[1:].replace('`', '')}" if at else what
-
-
-def checked(plan: ScalePlan) -> ScalePlan:
-    """The run, if its parts fit together; ScaleError names what does not."""
-
-    def need(good: bool, text: str) -> None:
-        if not good:
-            raise ScaleError(text)
-
-    need(plan.services <= plan.servers, "services: there are more of them than servers")
-    need(plan.regions <= plan.zones, "regions: there are more of them than zones")
-    need(plan.calls.service < plan.services, "calls.service: there is no such service")
-    for index, event in enumerate(plan.event):
-        at = f"event[{index}]"
-        need(event.zone < plan.zones, f"{at}.zone: there is no such zone")
-        need(event.service < plan.services, f"{at}.service: there is no such service")
-        need(event.region < plan.regions, f"{at}.region: there is no such region")
-        if event.what is PlannedEventKind.REGIONS:
-            need(plan.regions > 1, f"{at}.what: there is one region only")
-        if event.what in (PlannedEventKind.RACK, PlannedEventKind.ZONE, PlannedEventKind.REGIONS):
-            need(event.lasts > 0, f"{at}.lasts: must be above 0")
-    for what in plan.must_bite:
-        need(any(each.what is what for each in plan.event), f"must_bite: there is no event {what.value!r}")
+        raise ScalePlanError(_explain(str(error))) from error
+    check_plan(plan)
+    return plan
+
+
+def check_plan(plan: ScalePlan) -> None:
+    """Raise ScalePlanError, which names the key, unless the parts of the plan fit together."""
+    _require(plan.service_count <= plan.server_count, "services: there are more of them than servers")
+    _require(plan.region_count <= plan.zone_count, "regions: there are more of them than zones")
+    _require(plan.calls.service < plan.service_count, "calls.service: there is no such service")
+    for index, event in enumerate(plan.events):
+        _check_event(plan, event, f"event[{index}]")
+    planned = {event.kind for event in plan.events}
+    for kind in plan.required_events:
+        _require(kind in planned, f"must_bite: there is no event {kind.value!r}")
     if plan.fleet is not None:
-        need(plan.fleet.voters <= plan.softswitches, "fleet.voters: there are not so many softswitches")
-        one = plan.regions == 1 or not plan.fleet.list
-        need(one, "fleet.list: each region has a coordinator of its own, with numbers of its own")
+        _check_fleet(plan, plan.fleet)
     if plan.real is not None:
-        need(plan.real.services <= plan.real.servers, "real.services: there are more of them than servers")
-        voters = plan.fleet.voters if plan.fleet is not None else 0
-        need(voters <= plan.real.softswitches, "real.softswitches: there are more voters")
-    for name, bound in plan.bounds.items():
-        need(bound.least <= bound.most, f"bounds.{name}: least is above most")
-        need(plan.real is not None, "bounds: there is no [real] to hold against")
-    return plan
+        _check_real_run(plan.real, plan.fleet)
+    for figure, bounds in plan.bounds.items():
+        _require(bounds.minimum <= bounds.maximum, f"bounds.{figure.value}: least is above most")
+        _require(plan.real is not None, "bounds: there is no [real] to hold against")
+
+
+def _require(condition: bool, fault: str) -> None:
+    if not condition:
+        raise ScalePlanError(fault)
+
+
+def _check_event(plan: ScalePlan, event: PlannedEvent, key: str) -> None:
+    _require(event.zone < plan.zone_count, f"{key}.zone: there is no such zone")
+    _require(event.service < plan.service_count, f"{key}.service: there is no such service")
+    _require(event.region < plan.region_count, f"{key}.region: there is no such region")
+    if event.kind is PlannedEventKind.REGION_PARTITION:
+        _require(plan.region_count > 1, f"{key}.what: there is one region only")
+    if event.kind in LASTING_KINDS:
+        _require(event.duration_s > 0, f"{key}.lasts: must be above 0")
+
+
+def _check_fleet(plan: ScalePlan, fleet: FleetPlan) -> None:
+    enough = fleet.voter_count <= plan.softswitch_count
+    _require(enough, "fleet.voters: there are not so many softswitches")
+    one_list = plan.region_count == 1 or not fleet.relay_endpoint_list
+    _require(one_list, "fleet.list: each region has a coordinator of its own, with numbers of its own")
+
+
+def _check_real_run(real: RealRunPlan, fleet: FleetPlan | None) -> None:
+    enough_servers = real.service_count <= real.server_count
+    _require(enough_servers, "real.services: there are more of them than servers")
+    voter_count = fleet.voter_count if fleet is not None else 0
+    _require(voter_count <= real.softswitch_count, "real.softswitches: there are more voters")
+
+
+def _explain(text: str) -> str:
+    """Return msgspec's message with the key first."""
+    place, message = JSON_PATH.search(text), JSON_PATH.sub("", text)
+    parent = place.group(1) if place else ""
+    prefix = f"{parent}." if parent else ""
+    if unknown := UNKNOWN_FIELD.match(message):
+        key = unknown.group(1)
+        suggestion = "" if parent else _suggest(key)
+        return f"{prefix}{key}: unknown key{suggestion}"
+    if missing := MISSING_FIELD.match(message):
+        return f"{prefix}{missing.group(1)}: is missing"
+    return f"{parent}: {message[:1].lower()}{message[1:].replace('`', '')}" if parent else message
+
+
+def _suggest(unknown_key: str) -> str:
+    known = {each.encode_name for each in msgspec.structs.fields(ScalePlan)}
+    near = difflib.get_close_matches(unknown_key, known, 1, MIN_KEY_SIMILARITY)
+    return f"; did you mean {near[0]}?" if near else ""
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -30,11 +30,12 @@
 from stairhatch.fault_injection.member_process import ROOT, MemberProcess
 from stairhatch.fault_injection.process_run import READY_TIMEOUT_S
 from stairhatch.load_test.event_loop_stall import EventLoopStall
-from stairhatch.scale_test.call_generator import NUMBERS, Traffic, Wanted
-from stairhatch.scale_test.call_tally import SimulatedCallResult, quantile
-from stairhatch.scale_test.errors import ScaleError
-from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
-from stairhatch.scale_test.softswitch_settings import settings_for
+from stairhatch.scale_test.call_generator import CallGenerator, GeneratedCall, service_prefix
+from stairhatch.scale_test.call_result import SimulatedCallResult
+from stairhatch.scale_test.errors import ProcessStartError
+from stairhatch.scale_test.quantiles import quantile
+from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.softswitch_settings import settings_object
 from stairhatch.scale_test.world import AFTER_S, nature_of
 
 LOOK_S = 0.05
@@ -49,8 +50,8 @@
 restart_wait_s = 1.0
 """
 ENDS = {
-    callers.CallResult.STOOD: SimulatedCallResult.STOOD,
-    callers.CallResult.REFUSED: SimulatedCallResult.REFUSED,
+    callers.CallResult.STOOD: SimulatedCallResult.ESTABLISHED,
+    callers.CallResult.REFUSED: SimulatedCallResult.REJECTED,
     callers.CallResult.FAILED: SimulatedCallResult.FAILED,
     callers.CallResult.UNHEARD: SimulatedCallResult.FAILED,
 }
@@ -81,8 +82,7 @@
             cwd=ROOT,
             stdin=subprocess.PIPE,
         )
-        self.traffic = Traffic(plan)
-        self.traffic.place = self._place
+        self.traffic = CallGenerator(plan, self._place)
         self.members: list[MemberProcess] = []
         self.servers: list[ServerEmulator] = []
         self.callers: list[CallerEmulator] = []
@@ -101,13 +101,13 @@
             self.begin = time.monotonic()
             begun_unix = time.time()
             self.tasks += [asyncio.create_task(each) for each in (self.stall.watch(), self._calls())]
-            self.tasks += [asyncio.create_task(self._happen(event)) for event in self.plan.event]
-            while self._passed() < self.plan.seconds:
+            self.tasks += [asyncio.create_task(self._happen(event)) for event in self.plan.events]
+            while self._passed() < self.plan.duration_s:
                 await asyncio.sleep(LOOK_S)
                 look(self._passed())
             counted = await self._counted()
-            last = time.monotonic() + self.plan.calls.limit_s + AFTER_S
-            while self.traffic.open and time.monotonic() < last:
+            last = time.monotonic() + self.plan.calls.hard_limit_s + AFTER_S
+            while self.traffic.open_calls and time.monotonic() < last:
                 await asyncio.sleep(LOOK_S)
             for task in self.tasks[1:]:  # a fault in one of them is the run's
                 if task.done():
@@ -118,17 +118,21 @@
 
     async def _open(self) -> None:
         plan, host = self.plan, loopback_host()
-        for index in range(plan.servers):
+        for index in range(plan.server_count):
             processor = Processor(nature_of(plan), random.Random(plan.seed * 31 + index))
-            server = ServerEmulator(lines=plan.server.lines, processor=processor, state_s=plan.server.state_s)
+            server = ServerEmulator(
+                lines=plan.server.call_capacity,
+                processor=processor,
+                state_s=plan.server.load_report_interval_s,
+            )
             server.seen = self._seen(index)
             self.servers.append(await server.listen())
         await self.coordinator.listen()
-        self.coordinator.tell([self._line(n) for n in range(plan.servers)])
+        self.coordinator.tell([self._line(n) for n in range(plan.server_count)])
         ports: set[int] = set()
-        while len(ports) < 3 * plan.softswitches:
+        while len(ports) < 3 * plan.softswitch_count:
             ports.add(free_port(host))
-        for index in range(plan.softswitches):
+        for index in range(plan.softswitch_count):
             folder = self.folder / f"s{index}"
             folder.mkdir()
             sip, listen, door = ((host, ports.pop()) for _ in range(3))
@@ -146,18 +150,24 @@
     def _file(self, member: MemberProcess) -> str:
         plan, index = self.plan, int(member.name[1:])
         text = HEAD.format(name=member.name, coordinator=at(self.coordinator.place), sip=at(member.sip))
-        for service in range(plan.services):
-            text += f'[[sip.numbers]]\nprefix = "{NUMBERS + service}"\nclass = "s{service}"\n'
-        numbered = plan.fleet is not None and plan.fleet.numbers
-        settings = settings_for(plan) | ({} if numbered else {"me": index})
+        for service in range(plan.service_count):
+            text += f'[[sip.numbers]]\nprefix = "{service_prefix(service)}"\nclass = "s{service}"\n'
+        numbered = plan.fleet is not None and plan.fleet.lease_instance_index
+        settings = settings_object(plan) | ({} if numbered else {"me": index})
         text += "[settings]\n" + "".join(f"{name} = {toml_of(value)}\n" for name, value in settings.items())
         if plan.fleet is not None:
             told = plan.fleet
-            voters = {each.name: at(each.listen) for each in self.members[: told.voters]}
+            voters = {each.name: at(each.listen) for each in self.members[: told.voter_count]}
             fleet = {
-                "name": "scale", "listen": at(member.listen), "folder": "state", "term_s": told.term_s,
-                "drift": told.drift, "numbers": told.numbers, "list": told.list, "voters": voters,
-            }  # fmt: skip
+                "name": "scale",
+                "listen": at(member.listen),
+                "folder": "state",
+                "term_s": told.lease_duration_s,
+                "drift": told.clock_drift_bound,
+                "numbers": told.lease_instance_index,
+                "list": told.relay_endpoint_list,
+                "voters": voters,
+            }
             text += "[fleet]\n" + "".join(f"{name} = {toml_of(value)}\n" for name, value in fleet.items())
         return text
 
@@ -169,8 +179,8 @@
         assert member.process is not None
         lines = self._log(member)
         if member.process.poll() is not None:
-            raise ScaleError(f"real: {member.name} ended at its start: {' '.join(lines[-1:])}")
-        numbered = self.plan.fleet is None or not self.plan.fleet.numbers
+            raise ProcessStartError(f"real: {member.name} ended at its start: {' '.join(lines[-1:])}")
+        numbered = self.plan.fleet is None or not self.plan.fleet.lease_instance_index
         numbered = numbered or any(" fleet what=instance_index " in each for each in lines)
         return numbered and any(" serving " in each for each in lines)
 
@@ -178,7 +188,7 @@
         end = time.monotonic() + READY_TIMEOUT_S
         while not done():
             if time.monotonic() > end:
-                raise ScaleError(f"real: {why}")
+                raise ProcessStartError(f"real: {why}")
             await asyncio.sleep(LOOK_S)
 
     def _passed(self) -> float:
@@ -187,27 +197,27 @@
     def _seen(self, index: int) -> Callable[[str, str], None]:
         def seen(what: str, number: str) -> None:
             if what == "stood":
-                self.traffic.stood_at(number, index)
+                self.traffic.record_server(number, index)
 
         return seen
 
-    def _place(self, wanted: Wanted) -> None:
+    def _place(self, wanted: GeneratedCall) -> None:
         def told(call: PlacedCall, end: callers.CallResult, took_s: float, status: int) -> None:
-            self.traffic.ended(wanted, ENDS[end], self._passed())
+            self.traffic.record_result(wanted, ENDS[end], self._passed())
 
         now = asyncio.get_running_loop().time()
-        self.callers[wanted.softswitch].place(wanted.number, wanted.hold_s, now, told)
+        self.callers[wanted.softswitch].place(wanted.called_number, wanted.hold_s, now, told)
 
     async def _calls(self) -> None:
-        for wanted in self.traffic.from_outside():
-            await asyncio.sleep(max(0.0, wanted.at - self._passed()))
-            self.traffic.ask(wanted)
+        for wanted in self.traffic.calls_from_outside():
+            await asyncio.sleep(max(0.0, wanted.at_s - self._passed()))
+            self.traffic.request(wanted)
 
-    async def _happen(self, event: Happens) -> None:
+    async def _happen(self, event: PlannedEvent) -> None:
         """The scenario has changes of the list only."""
-        assert event.what is PlannedEventKind.CHANGE
+        assert event.kind is PlannedEventKind.LIST_CHANGE
         for order in range(event.count):
-            due = event.at + event.lasts * order / event.count
+            due = event.at_s + event.duration_s * order / event.count
             await asyncio.sleep(max(0.0, due - self._passed()))
             index = order % len(self.servers)
             self.told[f"r{index}"].append(time.time())
@@ -232,8 +242,9 @@
             "set_ups": sum(each.set_ups for each in self.servers),
             "list_messages": self.coordinator.asked,
             "list_bytes": self.coordinator.asked_bytes + self.coordinator.told_bytes,
-            "claim_messages": counters["fleet_sent"], "claim_bytes": counters["fleet_sent_bytes"],
-        }  # fmt: skip
+            "claim_messages": counters["fleet_sent"],
+            "claim_bytes": counters["fleet_sent_bytes"],
+        }
 
     def _in_force(self, since: float) -> list[float]:
         """Milliseconds from each change until each softswitch said that it had taken it in."""
@@ -250,21 +261,24 @@
         return sorted(found)
 
     def _figures(self, before: dict[str, float], counted: dict[str, float], since: float) -> dict[str, Any]:
-        ends, force = self.traffic.tally.ends, self._in_force(since)
+        ends, force = self.traffic.tally.results, self._in_force(since)
         grown = {name: counted[name] - before[name] for name in counted}
         grown["set_ups"] = sum(each.set_ups for each in self.servers) - before["set_ups"]
         compared = {
-            "stood": ends[SimulatedCallResult.STOOD.value],
-            "refused": ends[SimulatedCallResult.REFUSED.value],
-            "failed": ends[SimulatedCallResult.FAILED.value],
+            "stood": ends[SimulatedCallResult.ESTABLISHED],
+            "refused": ends[SimulatedCallResult.REJECTED],
+            "failed": ends[SimulatedCallResult.FAILED],
             **grown,
             "in_force_ms": quantile(force, 0.5),
         }
         missed = len(self.members) * sum(map(len, self.told.values())) - len(force)
         return {
-            "compared": compared, "not_heard": missed, "unanswered": len(self.traffic.open),
-            "calls": self.traffic.tally.figures(), "stalled_s": round(self.stall.longest_s, 3),
-        }  # fmt: skip
+            "compared": compared,
+            "not_heard": missed,
+            "unanswered": len(self.traffic.open_calls),
+            "calls": self.traffic.tally.figures(),
+            "stalled_s": round(self.stall.longest_s, 3),
+        }
 
     def _close(self) -> None:
         for task in self.tasks:
--- a/stairhatch/scale_test/run.py
+++ b/stairhatch/scale_test/run.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stairhatch.scale_test.comparison import held_against, out_of_bounds, twin
-from stairhatch.scale_test.errors import ScaleError
+from stairhatch.scale_test.call_result import SimulatedCallResult
+from stairhatch.scale_test.comparison import comparison_plan, held_against, out_of_bounds
+from stairhatch.scale_test.errors import MemoryLimitError
 from stairhatch.scale_test.memory import MEMORY_PART, fit, machine_memory, resident
 from stairhatch.scale_test.real import Processes
 from stairhatch.scale_test.schema import ScalePlan
@@ -45,7 +46,7 @@
         nonlocal told, peak
         peak = max(peak, held := resident())
         if held > most:
-            raise ScaleError(
+            raise MemoryLimitError(
                 f"softswitches: at {world.passed:.1f} s the run holds {held / 2**30:.1f} GiB, more than half "
                 "of this machine's memory"
             )
@@ -53,8 +54,9 @@
             told = time.monotonic()
             tally = world.traffic.tally
             tell(
-                f"hollow {world.passed:8.1f} of {plan.seconds:g} s, {tally.asked} calls, "
-                f"{tally.ends['stood']} stood, {held / 2**20:.0f} MB, {told - begun:.0f} s so far"
+                f"hollow {world.passed:8.1f} of {plan.duration_s:g} s, {tally.requested} calls, "
+                f"{tally.results[SimulatedCallResult.ESTABLISHED]} stood, "
+                f"{held / 2**20:.0f} MB, {told - begun:.0f} s so far"
             )
 
     look(world)
@@ -65,18 +67,23 @@
     virtual = world.clock.now - BEGIN
     control = world.meter.seconds["list"] + world.meter.seconds["claims"]
     return world, {
-        "seconds": round(took, 1), "processor_s": round(time.process_time() - cpu, 1), "parts_s": parts,
-        "virtual_s": round(virtual, 1), "memory_mb": round(max(peak, resident()) / 2**20),
-        "steps": world.clock.done, "control_percent": round(100 * control / virtual / plan.softswitches, 3),
-    }  # fmt: skip
+        "seconds": round(took, 1),
+        "processor_s": round(time.process_time() - cpu, 1),
+        "parts_s": parts,
+        "virtual_s": round(virtual, 1),
+        "memory_mb": round(max(peak, resident()) / 2**20),
+        "steps": world.clock.done,
+        "control_percent": round(100 * control / virtual / plan.softswitch_count, 3),
+    }
 
 
 def carry_out(plan: ScalePlan, tell: Tell = lambda text: None) -> ScaleResult:
     """All of it."""
     need = fit(plan)
     tell(
-        f"{plan.softswitches} hollow softswitches, {plan.servers} servers: {need.of(plan) / 2**20:.0f} MB by "
-        f"what was measured ({need.softswitch / 1024:.0f} KB each and {need.link / 1024:.1f} KB a link)"
+        f"{plan.softswitch_count} hollow softswitches, {plan.server_count} servers: "
+        f"{need.of(plan) / 2**20:.0f} MB by what was measured "
+        f"({need.softswitch / 1024:.0f} KB each and {need.link / 1024:.1f} KB a link)"
     )
     world, machine = play(plan, tell)
     machine["needed_mb"] = round(need.of(plan) / 2**20)
@@ -86,11 +93,11 @@
     result.broken += judged(plan, result.figures)
     del world
     if plan.real is not None:
-        small = twin(plan)
-        tell(f"real: {small.softswitches} processes and as many hollow ones, {small.seconds:g} s")
+        small = comparison_plan(plan)
+        tell(f"real: {small.softswitch_count} processes and as many hollow ones, {small.duration_s:g} s")
         hollow, _ = play(small, settle_s=plan.real.settle_s)
         figures = hollow.figures()
-        result.broken += [f"twin: {each}" for each in judged(small, figures)]
+        result.broken += [f"comparison_plan: {each}" for each in judged(small, figures)]
         result.real = asyncio.run(Processes(small, plan.real.settle_s).run())
         result.compared = held_against(plan, figures["compared"], result.real["compared"])
         result.broken += out_of_bounds(result.compared)
--- a/stairhatch/scale_test/schema.py
+++ b/stairhatch/scale_test/schema.py
@@ -1,137 +1,165 @@
-"""The schema of a scale file."""
+"""The schema of a scale file (docs/scale.md): what each key is called in the file and in the code.
+
+Only shape and ranges are stated here; whether the parts of a plan fit together is checked by `plan_file`.
+The keys in the file are also those of the kept results, so they never follow a renamed field.
+"""
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import Annotated, Literal
+from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 from stairhatch.load_test.datagram_conditions import DatagramConditions
 
-MOST_DEPTH = 11
+MAX_CALL_DEPTH = 11
+
 Count = Annotated[int, Meta(ge=1, le=100_000)]
+Index = Annotated[int, Meta(ge=0)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Positive = Annotated[float, Meta(gt=0, le=100_000)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=100_000)]
+Probability = Annotated[float, Meta(ge=0, le=1)]
 
 
 class PlannedEventKind(Enum):
-    """Something that happens during a run."""
+    """What can happen during a run. The values are the words of the file."""
 
-    CHANGE = "change"  # lines of the list are told anew, `count` times, evenly over `lasts`
-    RESTART = "restart"  # `count` softswitches, one after the other evenly over `lasts`
-    START = "start"  # the softswitches of `zone` are down until `at`, and start at once
-    COLD = "cold"  # `count` roster servers of `service` are replaced by cold ones at once
-    RACK = "rack"  # `count` machines of `zone` are off for `lasts`: roster server and softswitch
-    ZONE = "zone"  # `zone` is cut off from the others for `lasts`
-    REGIONS = "regions"  # the regions are apart for `lasts`
+    LIST_CHANGE = "change"  # `count` lines of the endpoint list are notified anew, evenly over the duration
+    RESTART = "restart"  # `count` softswitches restart one after the other, evenly over the duration
+    ZONE_START = "start"  # the softswitches of `zone` are down until then, and start at once
+    COLD_REPLACEMENT = "cold"  # `count` roster servers of `service` are replaced by cold ones at once
+    RACK_OUTAGE = "rack"  # `count` machines of `zone` are off: their roster servers and softswitches
+    ZONE_PARTITION = "zone"  # `zone` is cut off from the other zones
+    REGION_PARTITION = "regions"  # the regions are cut off from each other
 
 
-class Happens(Struct, forbid_unknown_fields=True, frozen=True):
-    """One of them."""
+class ComparedFigure(Enum):
+    """The figures of which simulated and real runs are compared. The values are keys of the file."""
 
-    at: Seconds
-    what: PlannedEventKind
-    lasts: Seconds = 0.0
-    count: Count = 1
-    zone: Annotated[int, Meta(ge=0)] = 0
-    service: Annotated[int, Meta(ge=0)] = 0
-    region: Annotated[int, Meta(ge=-1)] = -1  # whose coordinator is told of a change; -1: each in turn
+    ESTABLISHED = "stood"
+    REJECTED = "refused"
+    FAILED = "failed"
+    SETUPS = "set_ups"
+    LIST_MESSAGES = "list_messages"
+    LIST_BYTES = "list_bytes"
+    LEASE_MESSAGES = "claim_messages"
+    LEASE_BYTES = "claim_bytes"
+    CHANGE_IN_FORCE_MS = "in_force_ms"
 
 
-class Calls(Struct, forbid_unknown_fields=True, frozen=True):
-    """What callers ask for, and what services ask of each other."""
+class PlannedEvent(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """Something that happens at a set time of a run. Times in seconds after its beginning."""
+
+    at_s: Seconds = field(name="at")
+    kind: PlannedEventKind = field(name="what")
+    duration_s: Seconds = field(name="lasts", default=0.0)
+    count: Count = 1
+    zone: Index = 0
+    service: Index = 0
+    region: Annotated[int, Meta(ge=-1)] = -1  # whose coordinator is notified of a change; -1: each in turn
 
-    rate: Annotated[float, Meta(ge=0, le=260_000)] = 20.0  # calls a second from outside, at all softswitches
-    service: Annotated[int, Meta(ge=-1)] = -1  # which they ask for; -1: those of the first level
-    depth: Annotated[int, Meta(ge=1, le=MOST_DEPTH)] = 3  # the longest chain of calls
-    follow: Share = 0.6  # a call that stands leads to one at each service below with this chance
-    fan_out: Annotated[int, Meta(ge=1, le=16)] = 2  # services below each
-    hold_s: Annotated[float, Meta(gt=0, le=3600)] = 0.5  # mean
-    aim_s: Annotated[float, Meta(gt=0, le=60)] = 1.0
-    limit_s: Annotated[float, Meta(gt=0, le=60)] = 3.0
 
+class CallPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """What callers request, and what services request of each other."""
 
-class SimulatedServerPlan(Struct, forbid_unknown_fields=True, frozen=True):
-    """A roster server, as `standin/processor.py` has it."""
+    # calls a second from outside, over all softswitches
+    rate_per_s: Annotated[float, Meta(ge=0, le=260_000)] = field(name="rate", default=20.0)
+    service: Annotated[int, Meta(ge=-1)] = -1  # which is called from outside; -1: those of the first level
+    max_depth: Annotated[int, Meta(ge=1, le=MAX_CALL_DEPTH)] = field(name="depth", default=3)
+    # that an established call leads to one at each service below
+    follow_probability: Probability = field(name="follow", default=0.6)
+    fan_out: Annotated[int, Meta(ge=1, le=16)] = 2  # services below each
+    mean_hold_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="hold_s", default=0.5)
+    latency_objective_s: Annotated[float, Meta(gt=0, le=60)] = field(name="aim_s", default=1.0)
+    hard_limit_s: Annotated[float, Meta(gt=0, le=60)] = field(name="limit_s", default=3.0)
 
-    set_up_ms: Annotated[float, Meta(gt=0, le=60_000)] = 5.0
-    lines: Count = 200
-    state_s: Annotated[float, Meta(ge=0.05, le=60)] = 0.4  # how often it tells its state, on each link
-    longest_wait_s: Annotated[float, Meta(gt=0, le=60)] = 3.0
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.3
-    warm_after_s: Seconds = 14.0
-    fall_multiple: Positive = 2.5
-    fall_s: Annotated[float, Meta(gt=0, le=60)] = 1.5
 
+class RosterServerPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """What a roster server can do, as `emulators/processor.py` models it."""
 
-class NetworkDelays(Struct, forbid_unknown_fields=True, frozen=True):
-    """The ways between two machines, by how far apart they are."""
+    setup_work_ms: Annotated[float, Meta(gt=0, le=60_000)] = field(name="set_up_ms", default=5.0)
+    call_capacity: Count = field(name="lines", default=200)
+    # how often it reports its load on each connection
+    load_report_interval_s: Annotated[float, Meta(ge=0.05, le=60)] = field(name="state_s", default=0.4)
+    max_wait_s: Annotated[float, Meta(gt=0, le=60)] = field(name="longest_wait_s", default=3.0)
+    # the part of its capacity that it starts with
+    cold_capacity: Annotated[float, Meta(gt=0, le=1)] = field(name="cold_from", default=0.3)
+    warm_up_s: Seconds = field(name="warm_after_s", default=14.0)
+    # work above this multiple of its capacity over this long pushes a cold server over
+    overload_multiple: PositiveNumber = field(name="fall_multiple", default=2.5)
+    overload_window_s: Annotated[float, Meta(gt=0, le=60)] = field(name="fall_s", default=1.5)
 
-    zone: DatagramConditions = DatagramConditions(delay_ms=0.1, jitter_ms=0.1)
-    zones: DatagramConditions = DatagramConditions(delay_ms=0.6, jitter_ms=0.2)
-    regions: DatagramConditions = DatagramConditions(delay_ms=12.0, jitter_ms=1.0)
 
+class NetworkDelays(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """The network links between two machines, by how far apart they are."""
 
-class Fleet(Struct, forbid_unknown_fields=True, frozen=True):
-    """Claims among all softswitches."""
+    within_zone: DatagramConditions = field(
+        name="zone", default=DatagramConditions(delay_ms=0.1, jitter_ms=0.1)
+    )
+    between_zones: DatagramConditions = field(
+        name="zones", default=DatagramConditions(delay_ms=0.6, jitter_ms=0.2)
+    )
+    between_regions: DatagramConditions = field(
+        name="regions", default=DatagramConditions(delay_ms=12.0, jitter_ms=1.0)
+    )
 
-    voters: Annotated[int, Meta(ge=1, le=9)] = 3
-    term_s: Annotated[float, Meta(ge=0.1, le=600)] = 3.0
-    numbers: bool = True
-    list: bool = False  # one follows the coordinator for all
-    drift: Annotated[float, Meta(ge=0, le=0.1)] = 0.01
 
+class FleetPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """Leases among all softswitches."""
 
-class Real(Struct, forbid_unknown_fields=True, frozen=True):
-    """The same scenario once more at this size, by real processes and by hollow ones."""
+    voter_count: Annotated[int, Meta(ge=1, le=9)] = field(name="voters", default=3)
+    lease_duration_s: Annotated[float, Meta(ge=0.1, le=600)] = field(name="term_s", default=3.0)
+    lease_instance_index: bool = field(name="numbers", default=True)
+    relay_endpoint_list: bool = field(name="list", default=False)  # one polls the coordinator for all
+    clock_drift_bound: Annotated[float, Meta(ge=0, le=0.1)] = field(name="drift", default=0.01)
 
-    softswitches: Annotated[int, Meta(ge=2, le=8)] = 4
-    servers: Annotated[int, Meta(ge=1, le=16)] = 4
-    services: Annotated[int, Meta(ge=1, le=16)] = 2
-    rate: Annotated[float, Meta(gt=0, le=500)] = 20.0
-    depth: Annotated[int, Meta(ge=1, le=MOST_DEPTH)] = 3
-    seconds: Annotated[float, Meta(gt=0, le=60)] = 5.0
-    changes: Annotated[int, Meta(ge=0, le=100)] = 4
-    settle_s: Annotated[float, Meta(ge=0, le=30)] = 1.0  # from when all serve to what is counted
 
+class RealRunPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """The size at which the same scenario is played by real and by simulated softswitches."""
 
-class Bound(Struct, forbid_unknown_fields=True, frozen=True):
-    """Between which hollow over real has to lie. `grain` is added to both, for figures near zero."""
+    softswitch_count: Annotated[int, Meta(ge=2, le=8)] = field(name="softswitches", default=4)
+    server_count: Annotated[int, Meta(ge=1, le=16)] = field(name="servers", default=4)
+    service_count: Annotated[int, Meta(ge=1, le=16)] = field(name="services", default=2)
+    rate_per_s: Annotated[float, Meta(gt=0, le=500)] = field(name="rate", default=20.0)
+    max_depth: Annotated[int, Meta(ge=1, le=MAX_CALL_DEPTH)] = field(name="depth", default=3)
+    duration_s: Annotated[float, Meta(gt=0, le=60)] = field(name="seconds", default=5.0)
+    change_count: Annotated[int, Meta(ge=0, le=100)] = field(name="changes", default=4)
+    settle_s: Annotated[float, Meta(ge=0, le=30)] = 1.0  # from when all serve until the counting begins
 
-    least: Annotated[float, Meta(ge=0)] = 0.8
-    most: Annotated[float, Meta(ge=0)] = 1.25
-    grain: Annotated[float, Meta(ge=0)] = 5.0
 
+class RatioBounds(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """The range within which simulated over real has to lie."""
 
-FIGURES = (
-    "stood", "refused", "failed", "set_ups", "list_messages", "list_bytes", "claim_messages", "claim_bytes",
-    "in_force_ms",
-)  # fmt: skip
+    minimum: Annotated[float, Meta(ge=0)] = field(name="least", default=0.8)
+    maximum: Annotated[float, Meta(ge=0)] = field(name="most", default=1.25)
+    # added to both figures, so that the ratio of two small ones says little
+    pseudocount: Annotated[float, Meta(ge=0)] = field(name="grain", default=5.0)
 
 
-class ScalePlan(Struct, forbid_unknown_fields=True, frozen=True):
-    """The file of a run."""
+class ScalePlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """A whole scale file."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
     seed: int
-    seconds: Annotated[float, Meta(gt=0, le=86_400)]
-    softswitches: Count
-    servers: Count
-    services: Annotated[int, Meta(ge=1, le=1000)] = 1
-    regions: Annotated[int, Meta(ge=1, le=8)] = 1
-    zones: Annotated[int, Meta(ge=1, le=64)] = 1
-    calls: Calls = Calls()
-    server: SimulatedServerPlan = SimulatedServerPlan()
-    wire: NetworkDelays = NetworkDelays()
-    fleet: Fleet | None = None
-    event: tuple[Happens, ...] = ()
-    lead_s: Annotated[float, Meta(ge=0.5, le=600)] = 2.0  # from the start to the first call
-    must_bite: tuple[PlannedEventKind, ...] = ()  # else the run proves nothing
-    window: bool = False  # the fullest window at each cold server must keep to N + 2 root N + 2
-    drain_s: Seconds = 5.0  # a softswitch that is restarted waits so long for its calls at the most
-    down_s: Seconds = 1.0  # and is away so long
-    attempts: Annotated[int, Meta(ge=1, le=6)] = 6
-    real: Real | None = None
-    bounds: dict[Literal[FIGURES], Bound] = {}  # type: ignore[valid-type]
+    duration_s: Annotated[float, Meta(gt=0, le=86_400)] = field(name="seconds")
+    softswitch_count: Count = field(name="softswitches")
+    server_count: Count = field(name="servers")
+    service_count: Annotated[int, Meta(ge=1, le=1000)] = field(name="services", default=1)
+    region_count: Annotated[int, Meta(ge=1, le=8)] = field(name="regions", default=1)
+    zone_count: Annotated[int, Meta(ge=1, le=64)] = field(name="zones", default=1)
+    calls: CallPlan = CallPlan()
+    server: RosterServerPlan = RosterServerPlan()
+    network: NetworkDelays = field(name="wire", default=NetworkDelays())
+    fleet: FleetPlan | None = None
+    events: tuple[PlannedEvent, ...] = field(name="event", default=())
+    lead_time_s: Annotated[float, Meta(ge=0.5, le=600)] = field(name="lead_s", default=2.0)
+    # events without which the run proves nothing
+    required_events: tuple[PlannedEventKind, ...] = field(name="must_bite", default=())
+    # whether the fullest overload window of each cold server is judged (docs/cold.md)
+    judge_cold_windows: bool = field(name="window", default=False)
+    drain_timeout_s: Seconds = field(name="drain_s", default=5.0)  # of a softswitch that is restarted
+    restart_downtime_s: Seconds = field(name="down_s", default=1.0)
+    max_attempts: Annotated[int, Meta(ge=1, le=6)] = field(name="attempts", default=6)
+    real: RealRunPlan | None = None
+    bounds: dict[ComparedFigure, RatioBounds] = {}
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -6,10 +6,10 @@
 from collections import Counter
 from collections.abc import Callable
 
-from stairhatch.fault_injection.schedule import ScheduledFault as Cut
+from stairhatch.fault_injection.schedule import ScheduledFault
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
-from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
-from stairhatch.scale_test.topology import Places
+from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.topology import Topology
 from stairhatch.scale_test.virtual_clock import Clock
 
 RESEND_S = 0.2  # after which a stream sends again what was lost (the least RTO that Linux has)
@@ -18,29 +18,33 @@
 class Net:
     """The wire between the machines of a run."""
 
-    def __init__(self, plan: ScalePlan, places: Places, clock: Clock) -> None:
+    def __init__(self, plan: ScalePlan, places: Topology, clock: Clock) -> None:
         self.plan, self.places, self.clock = plan, places, clock
         self.bites: Counter[str] = Counter()
-        self.cuts: list[tuple[float, PlannedEventKind, Cut]] = []  # those that are on, and until when
+        self.cuts: list[
+            tuple[float, PlannedEventKind, ScheduledFault]
+        ] = []  # those that are on, and until when
         self.stream_bytes = 0
         chance = random.Random(f"wire {plan.seed}")
 
         def way(weather: DatagramConditions) -> DatagramLink:
             return DatagramLink(weather, random.Random(chance.getrandbits(64)))
 
-        self.near, self.zones, self.far = map(way, (plan.wire.zone, plan.wire.zones, plan.wire.regions))
+        self.near, self.zones, self.far = map(
+            way, (plan.network.within_zone, plan.network.between_zones, plan.network.between_regions)
+        )
 
-    def strike(self, event: Happens) -> None:
+    def strike(self, event: PlannedEvent) -> None:
         """A cut begins, and ends by itself."""
-        told = self.clock.now + event.lasts, event.what, self.places.cut(event)
+        told = self.clock.now + event.duration_s, event.kind, self.places.partition_for(event)
         self.cuts.append(told)
-        self.clock.call_later(event.lasts, self.cuts.remove, told)
+        self.clock.call_later(event.duration_s, self.cuts.remove, told)
 
     def cut_until(self, one: int, other: int) -> float:
         """When the way between two machines is open again; 0 where it is open."""
-        until, by = 0.0, PlannedEventKind.ZONE
+        until, by = 0.0, PlannedEventKind.ZONE_PARTITION
         for ends, what, cut in self.cuts:
-            if ends > until and self.places.apart(cut, one, other):
+            if ends > until and self.places.is_separated(cut, one, other):
                 until, by = ends, what
         if until:
             self.bites[by.value] += 1
@@ -50,7 +54,7 @@
         places = self.places
         if places.zones[one] == places.zones[other]:
             return self.near
-        return self.zones if places.region(one) == places.region(other) else self.far
+        return self.zones if places.region_of(one) == places.region_of(other) else self.far
 
     def trip_s(self, one: int, other: int) -> float:
         """One way, without jitter."""
@@ -78,9 +82,13 @@
     """A connection between two machines. `near` dialled it."""
 
     def __init__(
-        self, net: Net, near: int, far: int, ends: tuple[Callable[[bytes], None], Callable[[bytes], None]],
+        self,
+        net: Net,
+        near: int,
+        far: int,
+        ends: tuple[Callable[[bytes], None], Callable[[bytes], None]],
         lost: tuple[Callable[[], None], Callable[[], None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`ends` and `lost`: what the dialler and the other are given, and how they hear of its end."""
         self.net, self.machines, self.ends, self.lost = net, (near, far), ends, lost
         self.closed = [False, False]  # each side's own end, or the word of the other's
--- a/stairhatch/scale_test/softswitch_settings.py
+++ b/stairhatch/scale_test/softswitch_settings.py
@@ -1,41 +1,70 @@
-"""The settings that a plan gives to each softswitch."""
+"""The settings that a plan gives to each softswitch, in the form of the settings file."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from stairhatch.scale_test.schema import ScalePlan
-from stairhatch.scale_test.topology import Places
+from stairhatch.overload.settings import Settings
+from stairhatch.scale_test.schema import CallPlan, RosterServerPlan, ScalePlan
+from stairhatch.scale_test.topology import Topology
 from stairhatch.settings.parser import settings_from_object
 
+LATE_WEIGHT = 0.25
+RETRY_PAUSE_S = 0.5
+RETRANSMIT_S = 0.8
+MAX_RETRY_AFTER_S = 1.0
+ANSWER_SLACK_S = 0.02
+DRAIN_GRACE_S = 1.0
 
-def settings_for(plan: ScalePlan) -> dict[str, Any]:
-    """What each softswitch is told, in the form of its file. A class a service, with the numbers of its
-    servers.
-    """
-    calls, server = plan.calls, plan.server
-    places = Places(plan)
+
+def call_class_name(service: int) -> str:
+    """Return the name of the call class that stands for a service."""
+    return f"s{service}"
+
+
+def settings_object(plan: ScalePlan) -> dict[str, Any]:
+    """Return the settings as a decoded settings file: a call class for each service, with its servers."""
+    topology = Topology(plan)
     return {
-        "balancers": plan.softswitches,
-        "classes": [
-            {"name": f"s{n}", "aim_s": calls.aim_s, "hard_limit_s": calls.limit_s, "importance": 1.0,
-             "late_worth": 0.25}
-            for n in range(plan.services)
-        ],
+        "balancers": plan.softswitch_count,
+        "classes": [_call_class(plan.calls, service) for service in range(plan.service_count)],
         "family_info": {
-            "clear_wait_s": 0.5, "retransmit_s": 0.8, "call_length_s": [calls.hold_s] * plan.services,
-            "allowed_pools": [places.of_service(n) for n in range(plan.services)],
+            "clear_wait_s": RETRY_PAUSE_S,
+            "retransmit_s": RETRANSMIT_S,
+            "call_length_s": [plan.calls.mean_hold_s] * plan.service_count,
+            "allowed_pools": [topology.servers_of(service) for service in range(plan.service_count)],
         },
-        "permissions": {"send_cap": plan.attempts, "cancel": True, "max_retry_after_s": 1.0},
-        "load_report": {"names": ["free", "size", "mean_ms", "can_take"]},
-        "safety": {
-            "answer_slack_s": 0.02, "drain_grace_s": 1.0, "cold_from": server.cold_from,
-            "warm_after_s": server.warm_after_s, "fall_multiple": server.fall_multiple,
-            "fall_s": server.fall_s,
+        "permissions": {
+            "send_cap": plan.max_attempts,
+            "cancel": True,
+            "max_retry_after_s": MAX_RETRY_AFTER_S,
         },
-    }  # fmt: skip
+        "load_report": {"names": ["free", "size", "mean_ms", "can_take"]},
+        "safety": _safety(plan.server),
+    }
+
+
+def _call_class(calls: CallPlan, service: int) -> dict[str, Any]:
+    return {
+        "name": call_class_name(service),
+        "aim_s": calls.latency_objective_s,
+        "hard_limit_s": calls.hard_limit_s,
+        "importance": 1.0,
+        "late_worth": LATE_WEIGHT,
+    }
+
+
+def _safety(server: RosterServerPlan) -> dict[str, Any]:
+    return {
+        "answer_slack_s": ANSWER_SLACK_S,
+        "drain_grace_s": DRAIN_GRACE_S,
+        "cold_from": server.cold_capacity,
+        "warm_after_s": server.warm_up_s,
+        "fall_multiple": server.overload_multiple,
+        "fall_s": server.overload_window_s,
+    }
 
 
-def read_settings(plan: ScalePlan) -> Any:
-    """The same as the program reads it."""
-    return settings_from_object(settings_for(plan)).settings
+def parsed_settings(plan: ScalePlan) -> Settings:
+    """Return the settings as the program reads them."""
+    return settings_from_object(settings_object(plan)).settings
--- a/stairhatch/scale_test/topology.py
+++ b/stairhatch/scale_test/topology.py
@@ -1,46 +1,69 @@
-"""Who stands in which zone and region."""
+"""Which machine stands in which zone and region, and which roster server belongs to which service."""
 
 from __future__ import annotations
 
 import random
 
-from stairhatch.fault_injection.schedule import FaultKind, blocks_traffic
-from stairhatch.fault_injection.schedule import ScheduledFault as Cut
-from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
+from stairhatch.fault_injection.schedule import FaultKind, ScheduledFault, blocks_traffic
+from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
 
 
-class Places:
-    """Who stands where. Machine `n` has roster server `n` and softswitch `n`, as far as there are so many."""
+def softswitch_name(index: int) -> str:
+    """Return the member name of a softswitch."""
+    return f"s{index}"
+
+
+def instance_name(server: int, starts: int = 0) -> str:
+    """Return the name of a roster server's process in the endpoint list."""
+    return f"r{server}.{starts}" if starts else f"r{server}"
+
+
+def _zone_name(zone: int) -> str:
+    return f"z{zone}"
+
+
+class Topology:
+    """The machines of a run.
+
+    Machine `n` has roster server `n` and softswitch `n`, as far as there are so many.
+    """
 
     def __init__(self, plan: ScalePlan) -> None:
+        """Draw the zone of each machine from the plan's seed."""
         self.plan = plan
-        zones = [n % plan.zones for n in range(max(plan.softswitches, plan.servers))]
-        random.Random(f"places {plan.seed}").shuffle(zones)
-        self.zones = zones
-
-    def region(self, machine: int) -> int:
-        """Of a machine."""
-        return self.zones[machine] % self.plan.regions
-
-    def service(self, server: int) -> int:
-        """Of a roster server."""
-        return server % self.plan.services
-
-    def of_service(self, service: int) -> list[int]:
-        """Its roster servers."""
-        return list(range(service, self.plan.servers, self.plan.services))
-
-    def beside(self, server: int) -> int:
-        """The softswitch beside a roster server."""
-        return server % self.plan.softswitches
-
-    def cut(self, event: Happens) -> Cut:
-        """A cut as the lab has it, between zones or between regions."""
-        if event.what is PlannedEventKind.ZONE:
-            return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=(f"z{event.zone}",))
-        side = tuple(f"z{z}" for z in range(self.plan.zones) if z % self.plan.regions == 0)
-        return Cut(event.at, FaultKind.PARTITION, duration_s=event.lasts, members=side)
-
-    def apart(self, cut: Cut, one: int, other: int) -> bool:
-        """Whether a cut lies between two machines."""
-        return blocks_traffic(cut, f"z{self.zones[one]}", f"z{self.zones[other]}")
+        machine_count = max(plan.softswitch_count, plan.server_count)
+        self.zones = [machine % plan.zone_count for machine in range(machine_count)]  # by machine
+        random.Random(f"places {plan.seed}").shuffle(self.zones)
+
+    def region_of(self, machine: int) -> int:
+        """Return the region in which a machine stands."""
+        return self.zones[machine] % self.plan.region_count
+
+    def machines_in_zone(self, zone: int) -> list[int]:
+        """Return the machines of a zone in ascending order."""
+        return [machine for machine, its_zone in enumerate(self.zones) if its_zone == zone]
+
+    def first_machine_in_region(self, region: int) -> int:
+        """Return the machine at which the coordinator of a region stands."""
+        return next(machine for machine in range(len(self.zones)) if self.region_of(machine) == region)
+
+    def servers_of(self, service: int) -> list[int]:
+        """Return the roster servers of a service."""
+        return list(range(service, self.plan.server_count, self.plan.service_count))
+
+    def softswitch_beside(self, server: int) -> int:
+        """Return the softswitch at which the calls of a roster server's own service enter."""
+        return server % self.plan.softswitch_count
+
+    def partition_for(self, event: PlannedEvent) -> ScheduledFault:
+        """Return a planned partition as the fault that `blocks_traffic` understands."""
+        if event.kind is PlannedEventKind.ZONE_PARTITION:
+            isolated = [event.zone]
+        else:
+            isolated = [zone for zone in range(self.plan.zone_count) if zone % self.plan.region_count == 0]
+        members = tuple(map(_zone_name, isolated))
+        return ScheduledFault(event.at_s, FaultKind.PARTITION, duration_s=event.duration_s, members=members)
+
+    def is_separated(self, partition: ScheduledFault, one: int, other: int) -> bool:
+        """Return whether a partition lies between two machines."""
+        return blocks_traffic(partition, _zone_name(self.zones[one]), _zone_name(self.zones[other]))
--- a/stairhatch/scale_test/verdict.py
+++ b/stairhatch/scale_test/verdict.py
@@ -25,10 +25,10 @@
         )
     found += [
         f"{each.value} did not bite: the run proves nothing of it"
-        for each in plan.must_bite
+        for each in plan.required_events
         if not figures["bites"][each.value]
     ]
-    if plan.window:
+    if plan.judge_cold_windows:
         beyond = [each for each in figures["windows"] if each["fullest"] > each["most"]]
         found += [
             f"server {each['server']}: {each['fullest']} set-ups in a window while cold, "
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -44,13 +44,14 @@
 from stairhatch.node.sip_message import called_number
 from stairhatch.overload.events import Availability, Event
 from stairhatch.overload.settings import Settings
-from stairhatch.scale_test.call_generator import Traffic, Wanted
-from stairhatch.scale_test.call_tally import SimulatedCallResult, quantile
+from stairhatch.scale_test.call_generator import CallGenerator, GeneratedCall
+from stairhatch.scale_test.call_result import SimulatedCallResult
 from stairhatch.scale_test.processor_meter import Meter
-from stairhatch.scale_test.schema import Happens, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.quantiles import quantile
+from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
 from stairhatch.scale_test.simulated_network import Net, Stream
-from stairhatch.scale_test.softswitch_settings import read_settings
-from stairhatch.scale_test.topology import Places
+from stairhatch.scale_test.softswitch_settings import parsed_settings
+from stairhatch.scale_test.topology import Topology
 from stairhatch.scale_test.virtual_clock import BEGIN, Clock, ProcessClock, ScheduledEvent
 
 STARTS_S = 0.5  # within which all are started
@@ -72,9 +73,13 @@
     """What its roster servers can do."""
     told = plan.server
     return ProcessorProfile(
-        set_up_s=told.set_up_ms / 1000, longest_wait_s=told.longest_wait_s, cold_from=told.cold_from,
-        warm_after_s=told.warm_after_s, fall_multiple=told.fall_multiple, fall_s=told.fall_s,
-    )  # fmt: skip
+        set_up_s=told.setup_work_ms / 1000,
+        longest_wait_s=told.max_wait_s,
+        cold_from=told.cold_capacity,
+        warm_after_s=told.warm_up_s,
+        fall_multiple=told.overload_multiple,
+        fall_s=told.overload_window_s,
+    )
 
 
 class Pipe:
@@ -105,9 +110,11 @@
         self.cold_set_ups: list[list[float]] = []  # by start, when each came while it was cold
         processor = Processor(nature_of(world.plan), random.Random(world.plan.seed * 31 + index))
         self.standin = ServerEmulator(
-            lines=world.plan.server.lines, processor=processor, timers=world.stand_ins,
-            state_s=world.plan.server.state_s,
-        )  # fmt: skip
+            lines=world.plan.server.call_capacity,
+            processor=processor,
+            timers=world.stand_ins,
+            state_s=world.plan.server.load_report_interval_s,
+        )
         self.standin.seen = self._seen
         self.processor = processor
 
@@ -126,7 +133,7 @@
     def _seen(self, what: str, number: str) -> None:
         now = self.world.clock.now
         if what == "stood":
-            self.world.traffic.stood_at(number, self.index)
+            self.world.traffic.record_server(number, self.index)
         elif what == "set-up" and self.cold_set_ups and self._is_cold(now):
             self.cold_set_ups[-1].append(now)
 
@@ -173,7 +180,7 @@
     def __init__(self, world: World, region: int) -> None:
         self.world, self.region = world, region
         self.list = EndpointEventLog()
-        self.machine = next(n for n in range(len(world.places.zones)) if world.places.region(n) == region)
+        self.machine = next(n for n in range(len(world.places.zones)) if world.places.region_of(n) == region)
         self.place = (f"10.9.{region}.1", 8000)
         self.waiting: dict[Stream, tuple[int, ScheduledEvent]] = {}
         self.stamps: dict[str, tuple[float, int]] = {}
@@ -484,14 +491,14 @@
 
     __slots__ = ("call", "over", "softswitch", "wanted")
 
-    def __init__(self, softswitch: Softswitch, wanted: Wanted) -> None:
+    def __init__(self, softswitch: Softswitch, wanted: GeneratedCall) -> None:
         self.softswitch, self.wanted = softswitch, wanted
         self.call: Call | None = None
         self.over = False
 
     def _end(self, end: SimulatedCallResult) -> None:
         world = self.softswitch.world
-        world.traffic.ended(self.wanted, end, world.passed)
+        world.traffic.record_result(self.wanted, end, world.passed)
 
     def progressing(self) -> None:
         """A roster server is at work on it."""
@@ -500,11 +507,11 @@
         """It is held for a while, then its caller hangs up."""
         world = self.softswitch.world
         world.clock.call_later(self.wanted.hold_s, self._hang_up, self.softswitch.life)
-        self._end(SimulatedCallResult.STOOD)
+        self._end(SimulatedCallResult.ESTABLISHED)
 
     def rejected(self, retry_after_s: float) -> None:
         """Turned away."""
-        self._end(SimulatedCallResult.REFUSED)
+        self._end(SimulatedCallResult.REJECTED)
 
     def failed(self, timed_out: bool) -> None:
         """Given up."""
@@ -513,7 +520,7 @@
     def released(self, cause: int) -> None:
         """The other side has ended it."""
         self.over = True
-        self.softswitch.world.traffic.tally.cut += cause != ReleaseCause.NORMAL_CLEARING
+        self.softswitch.world.traffic.tally.interrupted += cause != ReleaseCause.NORMAL_CLEARING
 
     def _hang_up(self, life: int) -> None:
         if not self.over and self.call is not None and self.softswitch.life == life:
@@ -521,10 +528,10 @@
 
     def lose(self) -> None:
         """Its softswitch has gone."""
-        if self.wanted.end is None:
+        if self.wanted.result is None:
             self._end(SimulatedCallResult.LOST)
         elif not self.over:
-            self.softswitch.world.traffic.tally.cut += 1
+            self.softswitch.world.traffic.tally.interrupted += 1
         self.over = True
 
 
@@ -599,7 +606,7 @@
             return
         self.life += 1
         self.running, self.since = True, world.clock.now
-        number = -1 if plan.fleet is not None and plan.fleet.numbers else self.index
+        number = -1 if plan.fleet is not None and plan.fleet.lease_instance_index else self.index
         settings: Settings = replace(world.settings, instance_index=number)
         chance = random.Random(world.chance.getrandbits(64))
         self.core = core = CallManager(settings, chance, world.clock.time, self.log, Counters())
@@ -607,7 +614,7 @@
         core.timers.on_earlier_due = self._arm
         ServerConnectionPool(core, lambda link: self._keep(link))
         core.readiness.listening = True
-        region = world.places.region(self.index)
+        region = world.places.region_of(self.index)
         directory = ServiceDiscoveryClient(core, world.coordinators[region].place, 0)
         if plan.fleet is not None:
             self._join(plan, directory)
@@ -626,14 +633,14 @@
             self.place,
             voters,
             data_directory=Path(self.name) if self.name in voters else None,
-            timings=LeaseTimings(told.term_s, told.drift),
-            lease_instance_index=told.numbers,
-            relay_endpoint_list=told.list,
+            timings=LeaseTimings(told.lease_duration_s, told.clock_drift_bound),
+            lease_instance_index=told.lease_instance_index,
+            relay_endpoint_list=told.relay_endpoint_list,
         )
         self.process = Life(self)
         settings = self.world.settings
         self.fleet = FleetRuntime(self.core, self.process, config, settings)  # type: ignore[arg-type]
-        if told.list:
+        if told.relay_endpoint_list:
             self.fleet.directory = directory
             directory.on_answer, directory.may_poll = (
                 self.fleet.coordinator_answered,
@@ -672,25 +679,25 @@
             self.core.timers.run_due()
         self._arm()
 
-    def offer(self, wanted: Wanted) -> None:
+    def offer(self, wanted: GeneratedCall) -> None:
         """A call comes to its front."""
         traffic, world = self.world.traffic, self.world
         readiness = self.core.readiness
         started = self.running and readiness.startup_health().is_ready
         if not started or (readiness.shutting_down and readiness.rejects_new_calls()):
-            traffic.ended(wanted, SimulatedCallResult.UNREACHED, world.passed)
+            traffic.record_result(wanted, SimulatedCallResult.UNREACHABLE, world.passed)
             return
         if readiness.rejects_new_calls():
-            traffic.ended(wanted, SimulatedCallResult.REFUSED, world.passed)
+            traffic.record_result(wanted, SimulatedCallResult.REJECTED, world.passed)
             return
         caller = HollowCaller(self, wanted)
         offer = CallRequest(
             ident=f"{wanted.serial:016x}",
             call_class=world.settings.classes[wanted.service],
-            called_uri=wanted.number,
+            called_uri=wanted.called_number,
             description=OFFER.decode(),
-            caller_timeout_s=world.plan.calls.limit_s,
-            called_number=called_number(wanted.number),
+            caller_timeout_s=world.plan.calls.hard_limit_s,
+            called_number=called_number(wanted.called_number),
             reports_progress=True,
         )
         self.callers[wanted.serial] = caller
@@ -708,7 +715,7 @@
             return False
         self.core.readiness.shutting_down = True
         self.core.readiness.drain(True)
-        self._drained(self.life, self.world.clock.now + self.world.plan.drain_s)
+        self._drained(self.life, self.world.clock.now + self.world.plan.drain_timeout_s)
         return True
 
     def _drained(self, life: int, last: float) -> None:
@@ -721,7 +728,7 @@
         if self.fleet is not None:
             self.fleet.stop()
         self.end()
-        clock.call_later(self.world.plan.down_s, self.start)
+        clock.call_later(self.world.plan.restart_downtime_s, self.start)
 
     def end(self, quietly: bool = False) -> None:
         """Its process is gone, or its machine off."""
@@ -754,19 +761,18 @@
     def __init__(self, plan: ScalePlan) -> None:
         self.plan, self.clock, self.meter = plan, Clock(), Meter()
         self.stand_ins = ProcessClock(self.clock, self.meter, "stand-ins")
-        self.places = Places(plan)
+        self.places = Topology(plan)
         self.net = Net(plan, self.places, self.clock)
         self.chance = random.Random(f"world {plan.seed}")
-        self.settings: Settings = read_settings(plan)
-        self.traffic = Traffic(plan)
-        self.traffic.place = self._place
+        self.settings: Settings = parsed_settings(plan)
+        self.traffic = CallGenerator(plan, self._place)
         self.bites: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()  # counters of processes that are over
         self.faults: list[str] = []
-        self.begin = BEGIN + plan.lead_s
-        self.servers = [HollowServer(self, n) for n in range(plan.servers)]
-        self.coordinators = [HollowCoordinator(self, n) for n in range(plan.regions)]
-        self.softswitches = [Softswitch(self, n) for n in range(plan.softswitches)]
+        self.begin = BEGIN + plan.lead_time_s
+        self.servers = [HollowServer(self, n) for n in range(plan.server_count)]
+        self.coordinators = [HollowCoordinator(self, n) for n in range(plan.region_count)]
+        self.softswitches = [Softswitch(self, n) for n in range(plan.softswitch_count)]
         self.by_name = {each.name: each for each in self.softswitches}
         self.voters = self._voters()
         self.at_place: dict[tuple[str, int], HollowServer | HollowCoordinator] = {}
@@ -780,8 +786,8 @@
     def _voters(self) -> dict[str, tuple[str, int]]:
         """Spread over the zones, and so over the regions."""
         found: list[Softswitch] = []
-        wanted = self.plan.fleet.voters if self.plan.fleet is not None else 0
-        by_zone = [self._in_zone(zone) for zone in range(self.plan.zones)]
+        wanted = self.plan.fleet.voter_count if self.plan.fleet is not None else 0
+        by_zone = [self._in_zone(zone) for zone in range(self.plan.zone_count)]
         while len(found) < wanted:
             for zone in by_zone:
                 if zone and len(found) < wanted:
@@ -796,9 +802,13 @@
     # what goes on
 
     def dial(
-        self, driver: Driver, place: tuple[str, int], within_s: float, up: Callable[[Stream], None],
+        self,
+        driver: Driver,
+        place: tuple[str, int],
+        within_s: float,
+        up: Callable[[Stream], None],
         failed: Callable[[bool], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Open a connection, as connect(2) does: refused where a machine is on and nobody listens."""
         target, near = self.at_place.get(place), driver.softswitch.index
         far = target.machine if isinstance(target, HollowCoordinator) else target.index if target else near
@@ -828,7 +838,7 @@
         stream.ends, stream.lost = (driver.take, take), (lambda: driver.ended(stream), lost)
         up(stream)
 
-    def _place(self, wanted: Wanted) -> None:
+    def _place(self, wanted: GeneratedCall) -> None:
         self.clock.call_soon(self.softswitches[wanted.softswitch].offer, wanted)
 
     def change(self, lines: list[dict[str, Any]], region: int) -> None:
@@ -863,26 +873,26 @@
         found = 0
         for each in self.softswitches:
             if each.running:
-                coordinator = self.coordinators[self.places.region(each.index)]
+                coordinator = self.coordinators[self.places.region_of(each.index)]
                 servers = each.core.servers.by_instance.values()
                 ours = {s.record.instance for s in servers if s.record.availability is Availability.READY}
                 found += ours != coordinator.in_service()
         return found
 
-    def _strike(self, event: Happens, region: int) -> None:
-        match event.what:
-            case PlannedEventKind.CHANGE:
+    def _strike(self, event: PlannedEvent, region: int) -> None:
+        match event.kind:
+            case PlannedEventKind.LIST_CHANGE:
                 server = self.servers[self.changes % len(self.servers)]
                 self.change([{**server.line(), "weight": 2 + self.changes}], region)
-                self.bites[PlannedEventKind.CHANGE.value] += 1
+                self.bites[PlannedEventKind.LIST_CHANGE.value] += 1
             case PlannedEventKind.RESTART:
                 pass
-            case PlannedEventKind.START:
+            case PlannedEventKind.ZONE_START:
                 for each in self._in_zone(event.zone):
-                    self.bites[PlannedEventKind.START.value] += not each.running
+                    self.bites[PlannedEventKind.ZONE_START.value] += not each.running
                     each.start()
-            case PlannedEventKind.COLD:
-                picked = self.places.of_service(event.service)[: event.count]
+            case PlannedEventKind.COLD_REPLACEMENT:
+                picked = self.places.servers_of(event.service)[: event.count]
                 lines = []
                 for index in picked:
                     server = self.servers[index]
@@ -890,22 +900,22 @@
                     server.end()
                     server.start_cold()
                     lines += [server.line(), gone]
-                    self.bites[PlannedEventKind.COLD.value] += 1
+                    self.bites[PlannedEventKind.COLD_REPLACEMENT.value] += 1
                 self.change(lines, region)
-            case PlannedEventKind.RACK:
+            case PlannedEventKind.RACK_OUTAGE:
                 self._rack(event, region)
-            case PlannedEventKind.ZONE | PlannedEventKind.REGIONS:
+            case PlannedEventKind.ZONE_PARTITION | PlannedEventKind.REGION_PARTITION:
                 self.net.strike(event)
 
     def _in_zone(self, zone: int) -> list[Softswitch]:
         return [each for each in self.softswitches if self.places.zones[each.index] == zone]
 
-    def _rack(self, event: Happens, region: int) -> None:
+    def _rack(self, event: PlannedEvent, region: int) -> None:
         machines = [n for n, zone in enumerate(self.places.zones) if zone == event.zone]
         picked = machines[: event.count]
         gone = []
         for machine in picked:
-            self.bites[PlannedEventKind.RACK.value] += 1
+            self.bites[PlannedEventKind.RACK_OUTAGE.value] += 1
             if machine < len(self.servers):
                 server = self.servers[machine]
                 gone.append(server.line("terminated"))
@@ -916,7 +926,7 @@
                 self.softswitches[machine].end(quietly=True)
         if gone:
             self.clock.call_later(LEASE_S, self.change, gone, region)
-        self.clock.call_later(event.lasts, self._rack_on, picked, region)
+        self.clock.call_later(event.duration_s, self._rack_on, picked, region)
 
     def _rack_on(self, machines: list[int], region: int) -> None:
         lines = []
@@ -935,35 +945,35 @@
 
     def _plan_events(self) -> None:
         turn = 0
-        for event in self.plan.event:
-            if event.what is PlannedEventKind.RESTART:
+        for event in self.plan.events:
+            if event.kind is PlannedEventKind.RESTART:
                 picked = self.chance.sample(self.softswitches, min(event.count, len(self.softswitches)))
                 for order, each in enumerate(picked):
-                    at = event.at + event.lasts * order / len(picked)
+                    at = event.at_s + event.duration_s * order / len(picked)
                     self.clock.call_at(self.begin + at, self._restart, each)
                 continue
-            times = event.count if event.what is PlannedEventKind.CHANGE else 1
+            times = event.count if event.kind is PlannedEventKind.LIST_CHANGE else 1
             for order in range(times):
                 turn += 1
-                region = event.region if event.region >= 0 else turn % self.plan.regions
-                at = event.at + (
-                    event.lasts * order / times if event.what is PlannedEventKind.CHANGE else 0.0
+                region = event.region if event.region >= 0 else turn % self.plan.region_count
+                at = event.at_s + (
+                    event.duration_s * order / times if event.kind is PlannedEventKind.LIST_CHANGE else 0.0
                 )
                 self.clock.call_at(self.begin + at, self._strike, event, region)
 
-    def _calls(self, due: Iterator[Wanted]) -> None:
+    def _calls(self, due: Iterator[GeneratedCall]) -> None:
         """The next call from outside, and the one after it when that is due."""
         wanted = next(due, None)
         if wanted is not None:
-            self.clock.call_at(self.begin + wanted.at, self._ask, wanted, due)
+            self.clock.call_at(self.begin + wanted.at_s, self._ask, wanted, due)
 
-    def _ask(self, wanted: Wanted, due: Iterator[Wanted]) -> None:
-        self.traffic.ask(wanted)
+    def _ask(self, wanted: GeneratedCall, due: Iterator[GeneratedCall]) -> None:
+        self.traffic.request(wanted)
         self._calls(due)
 
     def _ready(self) -> bool:
         """Whether all serve, each by a number of its own where numbers are claimed."""
-        numbered = self.plan.fleet is not None and self.plan.fleet.numbers
+        numbered = self.plan.fleet is not None and self.plan.fleet.lease_instance_index
         return all(
             each.running and each.core.readiness.startup_health().is_ready and (each.numbered or not numbered)
             for each in self.softswitches
@@ -980,11 +990,11 @@
             self.clock.run(self.begin, lambda: look(self))
             self.before = self._counted()
             self._plan_events()
-            self._calls(self.traffic.from_outside())
-            self.clock.run(self.begin + self.plan.seconds, lambda: look(self))
+            self._calls(self.traffic.calls_from_outside())
+            self.clock.run(self.begin + self.plan.duration_s, lambda: look(self))
             self.counted = self._counted()
-            last = self.clock.now + self.plan.calls.limit_s + AFTER_S
-            while self.traffic.open and self.clock.now < last:
+            last = self.clock.now + self.plan.calls.hard_limit_s + AFTER_S
+            while self.traffic.open_calls and self.clock.now < last:
                 self.clock.run(self.clock.now + AFTER_S, lambda: look(self))
 
     def start(self) -> None:
@@ -993,7 +1003,7 @@
             lines = [server.line() for server in self.servers]
             coordinator.stamps.update((each["instanceId"], (0.0, region)) for each in lines)
             coordinator.list.tell(lines, reset=True)
-        late = {each.zone for each in self.plan.event if each.what is PlannedEventKind.START}
+        late = {each.zone for each in self.plan.events if each.kind is PlannedEventKind.ZONE_START}
         for softswitch in self.softswitches:
             at = BEGIN + self.chance.uniform(0.0, STARTS_S)
             if self.places.zones[softswitch.index] not in late:
@@ -1005,9 +1015,10 @@
         names = ("clock", "VoterStore", "secrets")
         was = {name: getattr(fleet_runtime, name) for name in names}
         ours = {
-            "clock": self.clock.time, "secrets": Dice(self.chance),
+            "clock": self.clock.time,
+            "secrets": Dice(self.chance),
             "VoterStore": lambda folder, call: self.by_name[str(folder)].open_store(),
-        }  # fmt: skip
+        }
         try:
             for name in names:
                 setattr(fleet_runtime, name, ours[name])
@@ -1040,13 +1051,13 @@
     def compared(self) -> dict[str, float]:
         """The figures that hollow and real are held against each other by."""
         grown = {name: self.counted[name] - self.before[name] for name in self.counted}
-        ends, force = self.traffic.tally.ends, sorted(self.force_ms)
+        ends, force = self.traffic.tally.results, sorted(self.force_ms)
         return {
-            "stood": ends[SimulatedCallResult.STOOD.value],
-            "refused": ends[SimulatedCallResult.REFUSED.value],
-            "failed": ends[SimulatedCallResult.FAILED.value]
-            + ends[SimulatedCallResult.UNREACHED.value]
-            + ends[SimulatedCallResult.LOST.value],
+            "stood": ends[SimulatedCallResult.ESTABLISHED],
+            "refused": ends[SimulatedCallResult.REJECTED],
+            "failed": ends[SimulatedCallResult.FAILED]
+            + ends[SimulatedCallResult.UNREACHABLE]
+            + ends[SimulatedCallResult.LOST],
             "set_ups": sum(each.standin.set_ups for each in self.servers) - self.before["set_ups"],
             "list_messages": grown["list_messages"],
             "list_bytes": grown["list_bytes"],
@@ -1086,10 +1097,10 @@
         """Everything that the seed decides."""
         plan, force = self.plan, sorted(self.force_ms)
         grown = {name: self.counted[name] - self.before[name] for name in self.counted}
-        share = plan.seconds * plan.softswitches
+        share = plan.duration_s * plan.softswitch_count
         return {
             "calls": self.traffic.tally.figures(),
-            "unanswered": len(self.traffic.open),
+            "unanswered": len(self.traffic.open_calls),
             "compared": self.compared(),
             "servers": {
                 "turned_away": sum(each.processor.turned_away for each in self.servers),
@@ -1119,7 +1130,8 @@
                 name: often for name, often in sorted(self._counters().items()) if not name.startswith(GAUGES)
             },
             "by_second": {
-                str(n): dict(sorted(ends.items())) for n, ends in sorted(self.traffic.tally.by_second.items())
+                str(n): {end.value: often for end, often in ends.items()}
+                for n, ends in sorted(self.traffic.tally.results_by_second.items())
             },
         }
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,9 +17,9 @@
 from stairhatch.cli.main import main_group
 from stairhatch.emulators.processor import Processor, SetupAdmission
 from stairhatch.scale_test import run, world
-from stairhatch.scale_test.comparison import twin
-from stairhatch.scale_test.errors import ScaleError
-from stairhatch.scale_test.plan_file import plan_from, read_plan
+from stairhatch.scale_test.comparison import comparison_plan
+from stairhatch.scale_test.errors import ScaleTestError
+from stairhatch.scale_test.plan_file import parse_plan, read_plan
 from stairhatch.scale_test.real import Processes
 from stairhatch.scale_test.world import World
 
@@ -34,7 +34,7 @@
 
 def played(**changes):
     """A small hollow run: its plan and its figures."""
-    plan = plan_from({**SMALL, **changes})
+    plan = parse_plan({**SMALL, **changes})
     return plan, run.play(plan)[0].figures()
 
 
@@ -119,7 +119,7 @@
 def both():
     """The scenario that is played twice, and what real processes made of it."""
     plan = read_plan(FILE)
-    real = asyncio.run(Processes(twin(plan), plan.real.settle_s).run())
+    real = asyncio.run(Processes(comparison_plan(plan), plan.real.settle_s).run())
     return plan, real
 
 
@@ -159,7 +159,7 @@
 def test_hollow_and_real_agree(both):
     """Guards against a model of its own: each figure of hollow ones lies within the bounds of the file."""
     plan, real = both
-    hollow = run.play(twin(plan), settle_s=plan.real.settle_s)[0].figures()
+    hollow = run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0].figures()
     compared = run.held_against(plan, hollow["compared"], real["compared"])
     assert not run.out_of_bounds(compared), compared
     assert real["unanswered"] == 0 and real["not_heard"] == 0
@@ -177,7 +177,7 @@
     """Guards against bounds so wide that nothing is found, and ratios that are never looked at."""
     plan, real = both
     plant(monkeypatch)
-    hollow = run.play(twin(plan), settle_s=plan.real.settle_s)[0].figures()
+    hollow = run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0].figures()
     found = run.out_of_bounds(run.held_against(plan, hollow["compared"], real["compared"]))
     assert any(each.startswith(f"{figure}:") for each in found), found
 
@@ -203,7 +203,7 @@
     plan, found = played(event=[change, cut], must_bite=["zone"])
     assert free["changes"]["in_force_longest_ms"] < 100 < 1000 < found["changes"]["in_force_longest_ms"]
     assert found["bites"]["zone"] > 20 and found["changes"]["not_heard"] == 0 and not run.judged(plan, found)
-    late = plan_from({**SMALL, "event": [{**cut, "at": 80.0}], "must_bite": ["zone"]})
+    late = parse_plan({**SMALL, "event": [{**cut, "at": 80.0}], "must_bite": ["zone"]})
     said = run.judged(late, run.play(late)[0].figures())
     assert said == ["zone did not bite: the run proves nothing of it"]
 
@@ -232,8 +232,8 @@
 def test_more_memory_than_was_foreseen_ends_the_run(monkeypatch):
     """Guards against a run that drives the machine into its swap."""
     monkeypatch.setattr(run, "machine_memory", lambda: 2 * run.resident() - 2**20)
-    with pytest.raises(ScaleError, match="softswitches: at .* more than half"):
-        run.play(plan_from(SMALL))
+    with pytest.raises(ScaleTestError, match="softswitches: at .* more than half"):
+        run.play(parse_plan(SMALL))
 
 
 def test_ctrl_c_leaves_nothing_behind(tmp_path):
@@ -280,6 +280,6 @@
     from stairhatch.fleet import runtime
 
     was = runtime.clock, runtime.VoterStore, runtime.secrets
-    with World(plan_from(SMALL)).in_place():
+    with World(parse_plan(SMALL)).in_place():
         assert runtime.clock is not was[0]
     assert (runtime.clock, runtime.VoterStore, runtime.secrets) == was
