--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -77,7 +77,7 @@
     world = World(small)
     with world.in_place():
         world.start()
-        world.clock.run(world.clock.now + SAMPLE_S)
+        world.clock.run_until(world.clock.now + SAMPLE_S)
     gc.collect()
     return tracemalloc.get_traced_memory()[0] - before
 
--- a/stairhatch/scale_test/run.py
+++ b/stairhatch/scale_test/run.py
@@ -12,10 +12,11 @@
 from stairhatch.scale_test.comparison import comparison_plan, held_against, out_of_bounds
 from stairhatch.scale_test.errors import MemoryLimitError
 from stairhatch.scale_test.memory import MEMORY_PART, fit, machine_memory, resident
+from stairhatch.scale_test.processor_meter import ProcessorPart
 from stairhatch.scale_test.real import Processes
 from stairhatch.scale_test.schema import ScalePlan
 from stairhatch.scale_test.verdict import judged
-from stairhatch.scale_test.virtual_clock import BEGIN
+from stairhatch.scale_test.virtual_clock import START_TIME
 from stairhatch.scale_test.world import World
 
 TOLD_S = 5.0  # between two lines of progress
@@ -61,18 +62,19 @@
 
     look(world)
     world.run(look, settle_s)
-    world.meter.enter("rest")
-    parts = {name: round(seconds, 2) for name, seconds in world.meter.seconds.most_common()}
+    world.meter.update()
+    most_first = sorted(world.meter.seconds.items(), key=lambda item: item[1], reverse=True)
+    parts = {part.value: round(seconds, 2) for part, seconds in most_first}
     took = time.monotonic() - begun
-    virtual = world.clock.now - BEGIN
-    control = world.meter.seconds["list"] + world.meter.seconds["claims"]
+    virtual = world.clock.now - START_TIME
+    control = world.meter.seconds[ProcessorPart.ENDPOINT_LIST] + world.meter.seconds[ProcessorPart.LEASES]
     return world, {
         "seconds": round(took, 1),
         "processor_s": round(time.process_time() - cpu, 1),
         "parts_s": parts,
         "virtual_s": round(virtual, 1),
         "memory_mb": round(max(peak, resident()) / 2**20),
-        "steps": world.clock.done,
+        "steps": world.clock.steps,
         "control_percent": round(100 * control / virtual / plan.softswitch_count, 3),
     }
 
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -1,126 +1,111 @@
-"""The network between the machines of a run."""
+"""The network between the machines of a run: how long bytes are under way, and what a partition does.
+
+Bytes are carried as they are and never looked into. Whether a datagram is lost, delayed or duplicated is
+drawn by `DatagramLink` from the plan's seed.
+"""
 
 from __future__ import annotations
 
 import random
 from collections import Counter
-from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
 
 from stairhatch.fault_injection.schedule import ScheduledFault
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
 from stairhatch.scale_test.topology import Topology
-from stairhatch.scale_test.virtual_clock import Clock
-
-RESEND_S = 0.2  # after which a stream sends again what was lost (the least RTO that Linux has)
-
-
-class Net:
-    """The wire between the machines of a run."""
-
-    def __init__(self, plan: ScalePlan, places: Topology, clock: Clock) -> None:
-        self.plan, self.places, self.clock = plan, places, clock
-        self.bites: Counter[str] = Counter()
-        self.cuts: list[
-            tuple[float, PlannedEventKind, ScheduledFault]
-        ] = []  # those that are on, and until when
-        self.stream_bytes = 0
-        chance = random.Random(f"wire {plan.seed}")
-
-        def way(weather: DatagramConditions) -> DatagramLink:
-            return DatagramLink(weather, random.Random(chance.getrandbits(64)))
-
-        self.near, self.zones, self.far = map(
-            way, (plan.network.within_zone, plan.network.between_zones, plan.network.between_regions)
-        )
-
-    def strike(self, event: PlannedEvent) -> None:
-        """A cut begins, and ends by itself."""
-        told = self.clock.now + event.duration_s, event.kind, self.places.partition_for(event)
-        self.cuts.append(told)
-        self.clock.call_later(event.duration_s, self.cuts.remove, told)
-
-    def cut_until(self, one: int, other: int) -> float:
-        """When the way between two machines is open again; 0 where it is open."""
-        until, by = 0.0, PlannedEventKind.ZONE_PARTITION
-        for ends, what, cut in self.cuts:
-            if ends > until and self.places.is_separated(cut, one, other):
-                until, by = ends, what
-        if until:
-            self.bites[by.value] += 1
-        return until
-
-    def _way(self, one: int, other: int) -> DatagramLink:
-        places = self.places
-        if places.zones[one] == places.zones[other]:
-            return self.near
-        return self.zones if places.region_of(one) == places.region_of(other) else self.far
-
-    def trip_s(self, one: int, other: int) -> float:
-        """One way, without jitter."""
-        return self._way(one, other).weather.delay_ms / 1000
-
-    def datagram(self, one: int, other: int, arrive: Callable[[], None]) -> None:
-        """A datagram on its way."""
-        fate = self._way(one, other).fate()
-        if self.cuts and self.cut_until(one, other):
-            return
-        for after in fate:
-            self.clock.call_later(after, arrive)
-
-    def delay(self, one: int, other: int) -> float:
-        """How long a piece of a stream takes: what is lost is sent again, and through a cut after its end."""
-        fate, delay = self._way(one, other).fate(), 0.0
-        if not fate:
-            delay, fate = RESEND_S, (self.trip_s(one, other),)
-        if self.cuts and (until := self.cut_until(one, other)):
-            delay += until - self.clock.now + RESEND_S
-        return delay + fate[0]
-
-
-class Stream:
-    """A connection between two machines. `near` dialled it."""
-
-    def __init__(
-        self,
-        net: Net,
-        near: int,
-        far: int,
-        ends: tuple[Callable[[bytes], None], Callable[[bytes], None]],
-        lost: tuple[Callable[[], None], Callable[[], None]],
-    ) -> None:
-        """`ends` and `lost`: what the dialler and the other are given, and how they hear of its end."""
-        self.net, self.machines, self.ends, self.lost = net, (near, far), ends, lost
-        self.closed = [False, False]  # each side's own end, or the word of the other's
-        self._last = [0.0, 0.0]  # when what was sent to each side last arrives
-
-    def _arrival(self, to: int) -> float:
-        after = self.net.delay(self.machines[1 - to], self.machines[to])
-        when = self._last[to] = max(self._last[to], self.net.clock.now + after)
-        return when
-
-    def send(self, side: int, data: bytes) -> None:
-        """Bytes from one side."""
-        if not self.closed[side]:
-            self.net.stream_bytes += len(data)
-            self.net.clock.call_at(self._arrival(1 - side), self._arrive, 1 - side, data)
-
-    def _arrive(self, side: int, data: bytes) -> None:
-        if not self.closed[side]:
-            self.ends[side](data)
-
-    def close(self, side: int) -> None:
-        """One side ends it, or its process does; the other hears of it, on the same way."""
-        if self.closed[side]:
-            return
-        self.closed[side] = True
-        self.net.clock.call_at(self._arrival(1 - side), self._end, 1 - side)
+from stairhatch.scale_test.virtual_clock import VirtualClock
+
+# After which a connection sends again what was lost (the least retransmission timeout that Linux has).
+RETRANSMISSION_TIMEOUT_S = 0.2
+
+Address = tuple[str, int]
+
+
+class DatagramReceiver(Protocol):
+    """Who has a datagram port."""
+
+    machine: int
+
+    def receive_datagram(self, data: bytes, sender: Address) -> None:
+        """Take a datagram."""
+
 
-    def mute(self) -> None:
-        """A machine is off: nothing arrives any more, and nobody is told."""
-        self.closed = [True, True]
+@dataclass(frozen=True, slots=True)
+class ActivePartition:
+    """A partition that is in effect."""
 
-    def _end(self, side: int) -> None:
-        if not self.closed[side]:
-            self.closed[side] = True
-            self.lost[side]()
+    until: float
+    kind: PlannedEventKind
+    fault: ScheduledFault
+
+
+class SimulatedNetwork:
+    """Delays, losses and partitions between machines, and the datagram ports."""
+
+    def __init__(self, plan: ScalePlan, topology: Topology, clock: VirtualClock) -> None:
+        """Draw the seeds of the network links from the plan's seed."""
+        self.topology = topology
+        self.clock = clock
+        self.activations: Counter[PlannedEventKind] = Counter()  # how often a partition had an effect
+        self.partitions: list[ActivePartition] = []
+        self.connection_bytes = 0  # sent on all connections
+        self.datagram_receivers: dict[str, DatagramReceiver] = {}  # by host
+        rng = random.Random(f"wire {plan.seed}")
+
+        def link(conditions: DatagramConditions) -> DatagramLink:
+            return DatagramLink(conditions, random.Random(rng.getrandbits(64)))
+
+        self._within_zone = link(plan.network.within_zone)
+        self._between_zones = link(plan.network.between_zones)
+        self._between_regions = link(plan.network.between_regions)
+
+    def begin_partition(self, event: PlannedEvent) -> None:
+        """Have a partition in effect from now for its duration."""
+        until = self.clock.now + event.duration_s
+        partition = ActivePartition(until, event.kind, self.topology.partition_for(event))
+        self.partitions.append(partition)
+        self.clock.call_later(event.duration_s, self.partitions.remove, partition)
+
+    def partitioned_until(self, one: int, other: int) -> float:
+        """Return when two machines reach each other again, 0 if they do now. Counts as an activation."""
+        longest: ActivePartition | None = None
+        for partition in self.partitions:
+            lasts_longer = longest is None or partition.until > longest.until
+            if lasts_longer and self.topology.is_separated(partition.fault, one, other):
+                longest = partition
+        if longest is None:
+            return 0.0
+        self.activations[longest.kind] += 1
+        return longest.until
+
+    def one_way_delay_s(self, one: int, other: int) -> float:
+        """Return the delay between two machines without jitter."""
+        return self._link(one, other).weather.delay_ms / 1000
+
+    def send_datagram(self, sender: int, source: Address, host: str, data: bytes) -> None:
+        """Send a datagram from a machine: it arrives later, twice or never."""
+        receiver = self.datagram_receivers[host]
+        delays_s = self._link(sender, receiver.machine).fate()
+        if self.partitioned_until(sender, receiver.machine):
+            return
+        for delay_s in delays_s:
+            self.clock.call_later(delay_s, receiver.receive_datagram, data, source)
+
+    def stream_delay_s(self, one: int, other: int) -> float:
+        """Return how long a piece of a stream takes: it is sent again after a loss, and after a partition."""
+        arrivals_s, delay_s = self._link(one, other).fate(), 0.0
+        if not arrivals_s:
+            delay_s, arrivals_s = RETRANSMISSION_TIMEOUT_S, (self.one_way_delay_s(one, other),)
+        if until := self.partitioned_until(one, other):
+            delay_s += until - self.clock.now + RETRANSMISSION_TIMEOUT_S
+        return delay_s + arrivals_s[0]
+
+    def _link(self, one: int, other: int) -> DatagramLink:
+        topology = self.topology
+        if topology.zones[one] == topology.zones[other]:
+            return self._within_zone
+        if topology.region_of(one) == topology.region_of(other):
+            return self._between_zones
+        return self._between_regions
--- a/stairhatch/scale_test/virtual_clock.py
+++ b/stairhatch/scale_test/virtual_clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock of a run."""
+"""The virtual clock of a run: what is due when, carried out in that order."""
 
 from __future__ import annotations
 
@@ -7,94 +7,102 @@
 from itertools import count
 from typing import Any
 
-from stairhatch.scale_test.processor_meter import Meter
+from stairhatch.scale_test.processor_meter import ProcessorMeter, ProcessorPart
 
-BEGIN = 1_000_000.0  # what the clock shows at first: a Unix time, since the list tells starts in those
+START_TIME = 1_000_000.0  # a Unix time, since the endpoint list tells the start of a server as one
+OBSERVE_INTERVAL = 20_000  # events between two calls of a run's observer
 
 
 class ScheduledEvent:
-    """Something that is due; a loop's handle to those who asked for it."""
+    """A call that is due, handed to whoever scheduled it, as asyncio's TimerHandle."""
 
-    __slots__ = ("act", "args")
+    __slots__ = ("args", "callback")
 
-    def __init__(self, act: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.act: Callable[..., Any] | None = act
+    def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        """A callback and its arguments."""
+        self.callback: Callable[..., Any] | None = callback
         self.args = args
 
     def cancel(self) -> None:
-        """It won't be done."""
-        self.act, self.args = None, ()
+        """Have it not carried out."""
+        self.callback = None
+        self.args = ()
 
 
-class Clock:
-    """Time that passes from one thing due to the next."""
+class VirtualClock:
+    """Time that passes from one event to the next, with the scheduling methods of an event loop.
+
+    Times are in seconds. Events due at one time are carried out in the order in which they were scheduled.
+    """
 
     def __init__(self) -> None:
-        self.now = BEGIN
-        self.done = 0
+        """Begin at `START_TIME` with nothing due."""
+        self.now = START_TIME
+        self.steps = 0  # events carried out
         self._order = count()
         self._queue: list[tuple[float, int, ScheduledEvent]] = []
 
     def time(self) -> float:
-        """Seconds."""
+        """Return the time."""
         return self.now
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """Have something done."""
-        due = ScheduledEvent(callback, args)
-        heapq.heappush(self._queue, (max(when, self.now), next(self._order), due))
-        return due
+        """Schedule a callback for a time; one in the past is due now."""
+        event = ScheduledEvent(callback, args)
+        heapq.heappush(self._queue, (max(when, self.now), next(self._order), event))
+        return event
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """The same, after so long."""
-        return self.call_at(self.now + delay, callback, *args)
+    def call_later(self, delay_s: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
+        """Schedule a callback for a time from now."""
+        return self.call_at(self.now + delay_s, callback, *args)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """After what is being done now."""
+        """Schedule a callback for now, behind what is due already."""
         return self.call_at(self.now, callback, *args)
 
-    def run(self, until: float, look: Callable[[], None] = lambda: None, every: int = 20_000) -> None:
-        """All that is due by then; `look` is called now and then."""
+    def run_until(self, end: float, observe: Callable[[], None] = lambda: None) -> None:
+        """Carry out what is due up to a time; `observe` is called after every so many events."""
         queue = self._queue
-        while queue and queue[0][0] <= until:
-            self.now, _, due = heapq.heappop(queue)
-            if due.act is not None:
-                due.act(*due.args)
-            self.done += 1
-            if self.done % every == 0:
-                look()
-        self.now = max(self.now, until)
+        while queue and queue[0][0] <= end:
+            self.now, _, event = heapq.heappop(queue)
+            if event.callback is not None:
+                event.callback(*event.args)
+            self.steps += 1
+            if self.steps % OBSERVE_INTERVAL == 0:
+                observe()
+        self.now = max(self.now, end)
 
 
 class ProcessClock:
-    """The clock as one part of a run has it: what it asks for is its own time, and nothing more comes once
-    its process is over.
-    """
+    """The clock as one process has it: its work is measured, and nothing is carried out once it has ended."""
 
-    def __init__(self, clock: Clock, meter: Meter, name: str) -> None:
-        self.clock, self.meter, self.name = clock, meter, name
-        self.over = False
+    def __init__(self, clock: VirtualClock, meter: ProcessorMeter, part: ProcessorPart) -> None:
+        """`part` is what the time of its callbacks is charged to."""
+        self.clock = clock
+        self.meter = meter
+        self.part = part
+        self.has_ended = False
 
     def time(self) -> float:
-        """Seconds."""
+        """Return the time."""
         return self.clock.now
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """Have something done."""
+        """Schedule a callback for a time; one in the past is due now."""
         return self.clock.call_at(when, self._run, callback, args)
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """The same, after so long."""
-        return self.clock.call_at(self.clock.now + delay, self._run, callback, args)
+    def call_later(self, delay_s: float, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
+        """Schedule a callback for a time from now."""
+        return self.clock.call_later(delay_s, self._run, callback, args)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> ScheduledEvent:
-        """After what is being done now."""
-        return self.clock.call_at(self.clock.now, self._run, callback, args)
+        """Schedule a callback for now, behind what is due already."""
+        return self.clock.call_soon(self._run, callback, args)
 
     call_soon_threadsafe = call_soon
 
     def _run(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        if not self.over:
-            self.meter.enter(self.name)
+        if not self.has_ended:
+            self.meter.enter(self.part)
             callback(*args)
             self.meter.leave()
--- a/stairhatch/scale_test/world.py
+++ b/stairhatch/scale_test/world.py
@@ -11,7 +11,6 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
-from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -46,13 +45,14 @@
 from stairhatch.overload.settings import Settings
 from stairhatch.scale_test.call_generator import CallGenerator, GeneratedCall
 from stairhatch.scale_test.call_result import SimulatedCallResult
-from stairhatch.scale_test.processor_meter import Meter
+from stairhatch.scale_test.processor_meter import ProcessorMeter, ProcessorPart
 from stairhatch.scale_test.quantiles import quantile
 from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
-from stairhatch.scale_test.simulated_network import Net, Stream
+from stairhatch.scale_test.simulated_connection import ConnectionEnd, Side, SimulatedConnection
+from stairhatch.scale_test.simulated_network import SimulatedNetwork
 from stairhatch.scale_test.softswitch_settings import parsed_settings
 from stairhatch.scale_test.topology import Topology
-from stairhatch.scale_test.virtual_clock import BEGIN, Clock, ProcessClock, ScheduledEvent
+from stairhatch.scale_test.virtual_clock import START_TIME, ProcessClock, ScheduledEvent, VirtualClock
 
 STARTS_S = 0.5  # within which all are started
 READY_S = 30.0  # and serve at the latest
@@ -85,7 +85,7 @@
 class Pipe:
     """What a stand-in takes for its transport."""
 
-    def __init__(self, stream: Stream, side: int) -> None:
+    def __init__(self, stream: SimulatedConnection, side: Side) -> None:
         self.stream, self.side = stream, side
 
     def write(self, data: bytes) -> None:
@@ -106,7 +106,7 @@
         self.world, self.index = world, index
         self.place = (f"10.0.{index // 250}.{index % 250 + 1}", 7000)
         self.starts, self.on = 0, True
-        self.streams: dict[Stream, None] = {}
+        self.streams: dict[SimulatedConnection, None] = {}
         self.cold_set_ups: list[list[float]] = []  # by start, when each came while it was cold
         processor = Processor(nature_of(world.plan), random.Random(world.plan.seed * 31 + index))
         self.standin = ServerEmulator(
@@ -141,13 +141,13 @@
         born = self.processor.born
         return born is not None and now - born < self.processor.nature.warm_after_s
 
-    def accept(self, stream: Stream) -> tuple[Callable[[bytes], None], Callable[[], None]]:
+    def accept(self, stream: SimulatedConnection) -> ConnectionEnd:
         """A connection has come up: who takes its bytes, and its end."""
         meter, link = self.world.meter, ServerEmulatorConnection(self.standin)
         self.streams[stream] = None
 
         def take(data: bytes) -> None:
-            meter.enter("stand-ins")
+            meter.enter(ProcessorPart.EMULATORS)
             link.data_received(data)
             meter.leave()
 
@@ -155,14 +155,14 @@
             self.streams.pop(stream, None)
             link.connection_lost(None)
 
-        self.world.stand_ins.call_soon(link.connection_made, Pipe(stream, 1))
-        return take, lost
+        self.world.stand_ins.call_soon(link.connection_made, Pipe(stream, Side.SERVER))
+        return ConnectionEnd(receive=take, lost=lost)
 
     def end(self, quietly: bool = False) -> None:
         """Its process dies; or its machine goes off, and nobody hears of that."""
         for stream in list(self.streams):
             if quietly:
-                stream.mute()
+                stream.drop()
         self.standin.cut()
         self.streams.clear()
 
@@ -182,7 +182,7 @@
         self.list = EndpointEventLog()
         self.machine = next(n for n in range(len(world.places.zones)) if world.places.region_of(n) == region)
         self.place = (f"10.9.{region}.1", 8000)
-        self.waiting: dict[Stream, tuple[int, ScheduledEvent]] = {}
+        self.waiting: dict[SimulatedConnection, tuple[int, ScheduledEvent]] = {}
         self.stamps: dict[str, tuple[float, int]] = {}
         self._reached: dict[int, float] = {}  # when the last change to each other region arrives
         self.left_out = 0  # lines told later than a newer one
@@ -202,7 +202,7 @@
         for other in self.world.coordinators if mine else ():
             if other is not self:
                 net, clock = self.world.net, self.world.clock
-                due_at = clock.now + net.delay(self.machine, other.machine)
+                due_at = clock.now + net.stream_delay_s(self.machine, other.machine)
                 due_at = self._reached[other.region] = max(due_at, self._reached.get(other.region, 0.0))
                 clock.call_at(due_at, other.change, lines, at)
 
@@ -214,13 +214,13 @@
                 found[each["instanceId"]] = each["lifecycle"]
         return {name for name, state in found.items() if state == "in_service"}
 
-    def accept(self, stream: Stream) -> tuple[Callable[[bytes], None], Callable[[], None]]:
+    def accept(self, stream: SimulatedConnection) -> ConnectionEnd:
         """A connection has come up."""
         data = b""
 
         def take(more: bytes) -> None:
             nonlocal data
-            with self.world.meter.of("stand-ins"):
+            with self.world.meter.measuring(ProcessorPart.EMULATORS):
                 self.list.asked_bytes += len(more)
                 *lines, data = (data + more).split(b"\n")
                 for text in lines:
@@ -231,9 +231,9 @@
             if stream in self.waiting:
                 self.waiting.pop(stream)[1].cancel()
 
-        return take, lost
+        return ConnectionEnd(receive=take, lost=lost)
 
-    def _asked(self, stream: Stream, text: bytes) -> None:
+    def _asked(self, stream: SimulatedConnection, text: bytes) -> None:
         after, wait_s = parse_poll_request(text)
         self.list.asked += 1
         if len(self.list.events) > after:
@@ -241,9 +241,9 @@
         else:
             self.waiting[stream] = after, self.world.clock.call_later(wait_s, self._answer, stream, after)
 
-    def _answer(self, stream: Stream, after: int) -> None:
+    def _answer(self, stream: SimulatedConnection, after: int) -> None:
         self.waiting.pop(stream, None)
-        stream.send(1, self.list.answer(after))
+        stream.send(Side.SERVER, self.list.answer(after))
 
 
 class HollowStore:
@@ -288,12 +288,12 @@
 class Driver:
     """Carries bytes between one machine of a softswitch and a stream, as `ConnectionRunner` with a socket."""
 
-    part = "rest"
+    part = ProcessorPart.REST
 
     def __init__(self, softswitch: Softswitch, machine: ConnectionProtocol) -> None:
         self.softswitch, self.world, self.machine = softswitch, softswitch.world, machine
         self.clock, self.meter = self.world.clock, self.world.meter
-        self.stream: Stream | None = None
+        self.stream: SimulatedConnection | None = None
         self.stopped = False
         self.backoff = MIN_BACKOFF_S
         self.up_at = 0.0
@@ -305,9 +305,9 @@
         self.stopped = True
         stream, self.stream = self.stream, None
         if stream is not None:
-            (stream.mute if quietly else partial_close(stream))()
+            (stream.drop if quietly else partial_close(stream))()
 
-    def began(self, stream: Stream) -> None:
+    def began(self, stream: SimulatedConnection) -> None:
         """The connection is up."""
         self.stream, self.up_at = stream, self.clock.now
         self.machine.notify_writable, self.machine.abort = self._wake, self._abort
@@ -341,7 +341,7 @@
             return
         self.meter.enter(self.part)
         while data := self.machine.data_to_send():
-            self.stream.send(0, data)
+            self.stream.send(Side.CLIENT, data)
         self.meter.leave()
         if self.machine.can_close():
             self._abort()
@@ -349,13 +349,13 @@
     def _abort(self) -> None:
         self.clock.call_soon(self.ended, self.stream)
 
-    def ended(self, stream: Stream | None = None) -> None:
+    def ended(self, stream: SimulatedConnection | None = None) -> None:
         """Either side has ended it."""
         if self.stream is None or self.stopped or (stream is not None and stream is not self.stream):
             return
         stream, self.stream = self.stream, None
         self.machine.eof_received()
-        stream.close(0)
+        stream.close(Side.CLIENT)
         self.machine.notify_writable, self.machine.abort = do_nothing, do_nothing
         self.machine.connection_lost()
         self.over()
@@ -364,15 +364,15 @@
         """What to do next."""
 
 
-def partial_close(stream: Stream) -> Callable[[], None]:
+def partial_close(stream: SimulatedConnection) -> Callable[[], None]:
     """The dialler's end of it."""
-    return lambda: stream.close(0)
+    return lambda: stream.close(Side.CLIENT)
 
 
 class Keeper(Driver):
     """Keeps a connection to a roster server, as `ServerConnector.keep_up`."""
 
-    part = "links"
+    part = ProcessorPart.SERVER_CONNECTIONS
 
     def __init__(self, softswitch: Softswitch, link: ServerConnection) -> None:
         super().__init__(softswitch, link)
@@ -403,7 +403,7 @@
         within_s = self.softswitch.core.settings.connect_timeout_s
         self.world.dial(self, link.server.record.address, within_s, self._up, self._failed)
 
-    def _up(self, stream: Stream) -> None:
+    def _up(self, stream: SimulatedConnection) -> None:
         self.link.connection_made()
         self.began(stream)
 
@@ -437,7 +437,7 @@
 class Follower(Driver):
     """Keeps the long poll going, as `Network.poll_service_discovery`."""
 
-    part = "list"
+    part = ProcessorPart.ENDPOINT_LIST
 
     def __init__(self, softswitch: Softswitch, directory: ServiceDiscoveryClient) -> None:
         super().__init__(softswitch, directory)
@@ -468,7 +468,7 @@
         self._answers = self.directory.answers_received
         self.world.dial(self, self.directory.address, CONNECT_TIMEOUT_S, self._up, self._failed)
 
-    def _up(self, stream: Stream) -> None:
+    def _up(self, stream: SimulatedConnection) -> None:
         self.directory.connected()
         self.began(stream)
 
@@ -539,7 +539,7 @@
     """One process of a softswitch, as its fleet has it: loop and network."""
 
     def __init__(self, softswitch: Softswitch) -> None:
-        super().__init__(softswitch.world.clock, softswitch.world.meter, "claims")
+        super().__init__(softswitch.world.clock, softswitch.world.meter, ProcessorPart.LEASES)
         self.softswitch = softswitch
 
     @property
@@ -554,10 +554,8 @@
         def send() -> None:
             while port.output:
                 data, (name, _) = port.output.popleft()
-                other = world.by_name[name]
-                if not self.over:
-                    arrive = partial(other.datagram, data, own.place)
-                    world.net.datagram(own.index, other.index, arrive)
+                if not self.has_ended:
+                    world.net.send_datagram(own.index, own.place, name, data)
 
         port.notify_writable = send
 
@@ -566,7 +564,7 @@
     """A hollow softswitch: the program's parts without sockets, and the processes that follow one another."""
 
     def __init__(self, world: World, index: int) -> None:
-        self.world, self.index = world, index
+        self.world, self.index, self.machine = world, index, index
         self.name, self.place = f"s{index}", (f"s{index}", 5090)
         self.disk = VirtualDisk()
         self.life = 0  # counts up with each start and each end
@@ -583,10 +581,10 @@
         self.store: HollowStore | None = None
         self._timer: ScheduledEvent | None = None
 
-    def datagram(self, data: bytes, peer: tuple[str, int]) -> None:
+    def receive_datagram(self, data: bytes, peer: tuple[str, int]) -> None:
         """One has come."""
         if self.running and self.fleet is not None:
-            self.world.meter.enter("claims")
+            self.world.meter.enter(ProcessorPart.LEASES)
             self.fleet.receive(data, peer)
             self.world.meter.leave()
 
@@ -657,7 +655,7 @@
         meter, inner = self.world.meter, core.controller.handle
 
         def handle(now: float, event: Event) -> Iterator[Any]:
-            meter.enter("decisions")
+            meter.enter(ProcessorPart.DECISIONS)
             try:
                 yield from inner(now, event)
             finally:
@@ -675,7 +673,7 @@
 
     def _tick(self) -> None:
         self._timer = None
-        with self.world.meter.of("timers"):
+        with self.world.meter.measuring(ProcessorPart.TIMERS):
             self.core.timers.run_due()
         self._arm()
 
@@ -701,7 +699,7 @@
             reports_progress=True,
         )
         self.callers[wanted.serial] = caller
-        with world.meter.of("calls"):
+        with world.meter.measuring(ProcessorPart.CALLS):
             caller.call = self.core.offer_call(offer, caller)
         if len(self.callers) > 2 * len(self.core.calls.by_number) + 64:
             self.callers = {n: each for n, each in self.callers.items() if self._open(each)}
@@ -744,7 +742,7 @@
             self._timer = None
         self.core.timers.on_earlier_due = do_nothing
         if self.fleet is not None:
-            self.process.over = True
+            self.process.has_ended = True
             if self.store is not None:
                 self.store.close()
             self.fleet = self.store = None
@@ -759,21 +757,22 @@
     """One run on the virtual clock."""
 
     def __init__(self, plan: ScalePlan) -> None:
-        self.plan, self.clock, self.meter = plan, Clock(), Meter()
-        self.stand_ins = ProcessClock(self.clock, self.meter, "stand-ins")
+        self.plan, self.clock, self.meter = plan, VirtualClock(), ProcessorMeter()
+        self.stand_ins = ProcessClock(self.clock, self.meter, ProcessorPart.EMULATORS)
         self.places = Topology(plan)
-        self.net = Net(plan, self.places, self.clock)
+        self.net = SimulatedNetwork(plan, self.places, self.clock)
         self.chance = random.Random(f"world {plan.seed}")
         self.settings: Settings = parsed_settings(plan)
         self.traffic = CallGenerator(plan, self._place)
-        self.bites: Counter[str] = Counter()
+        self.bites: Counter[PlannedEventKind] = Counter()
         self.counts: Counter[str] = Counter()  # counters of processes that are over
         self.faults: list[str] = []
-        self.begin = BEGIN + plan.lead_time_s
+        self.begin = START_TIME + plan.lead_time_s
         self.servers = [HollowServer(self, n) for n in range(plan.server_count)]
         self.coordinators = [HollowCoordinator(self, n) for n in range(plan.region_count)]
         self.softswitches = [Softswitch(self, n) for n in range(plan.softswitch_count)]
         self.by_name = {each.name: each for each in self.softswitches}
+        self.net.datagram_receivers.update(self.by_name)
         self.voters = self._voters()
         self.at_place: dict[tuple[str, int], HollowServer | HollowCoordinator] = {}
         self.at_place.update((each.place, each) for each in self.servers)
@@ -806,17 +805,17 @@
         driver: Driver,
         place: tuple[str, int],
         within_s: float,
-        up: Callable[[Stream], None],
+        up: Callable[[SimulatedConnection], None],
         failed: Callable[[bool], None],
     ) -> None:
         """Open a connection, as connect(2) does: refused where a machine is on and nobody listens."""
         target, near = self.at_place.get(place), driver.softswitch.index
         far = target.machine if isinstance(target, HollowCoordinator) else target.index if target else near
         there = not isinstance(target, HollowServer) or target.on
-        if not there or (self.net.cuts and self.net.cut_until(near, far)):
+        if not there or (self.net.partitioned_until(near, far)):
             self.clock.call_later(within_s, failed, False)
             return
-        trip = 2 * self.net.trip_s(near, far)
+        trip = 2 * self.net.one_way_delay_s(near, far)
         fallen = isinstance(target, HollowServer) and target.processor.state in (
             ProcessorState.FALLEN,
             ProcessorState.GONE,
@@ -827,15 +826,17 @@
         self.clock.call_later(trip, self._connected, driver, target, far, up)
 
     def _connected(
-        self, driver: Driver, target: HollowServer | HollowCoordinator, far: int, up: Callable[[Stream], None]
+        self,
+        driver: Driver,
+        target: HollowServer | HollowCoordinator,
+        far: int,
+        up: Callable[[SimulatedConnection], None],
     ) -> None:
         if driver.stopped:
             return
-        stream = Stream(
-            self.net, driver.softswitch.index, far, (driver.take, _nobody), (do_nothing, do_nothing)
-        )
-        take, lost = target.accept(stream)
-        stream.ends, stream.lost = (driver.take, take), (lambda: driver.ended(stream), lost)
+        stream = SimulatedConnection(self.net, driver.softswitch.index, far)
+        stream.attach(Side.SERVER, target.accept(stream))
+        stream.attach(Side.CLIENT, ConnectionEnd(receive=driver.take, lost=lambda: driver.ended(stream)))
         up(stream)
 
     def _place(self, wanted: GeneratedCall) -> None:
@@ -884,12 +885,12 @@
             case PlannedEventKind.LIST_CHANGE:
                 server = self.servers[self.changes % len(self.servers)]
                 self.change([{**server.line(), "weight": 2 + self.changes}], region)
-                self.bites[PlannedEventKind.LIST_CHANGE.value] += 1
+                self.bites[PlannedEventKind.LIST_CHANGE] += 1
             case PlannedEventKind.RESTART:
                 pass
             case PlannedEventKind.ZONE_START:
                 for each in self._in_zone(event.zone):
-                    self.bites[PlannedEventKind.ZONE_START.value] += not each.running
+                    self.bites[PlannedEventKind.ZONE_START] += not each.running
                     each.start()
             case PlannedEventKind.COLD_REPLACEMENT:
                 picked = self.places.servers_of(event.service)[: event.count]
@@ -900,12 +901,12 @@
                     server.end()
                     server.start_cold()
                     lines += [server.line(), gone]
-                    self.bites[PlannedEventKind.COLD_REPLACEMENT.value] += 1
+                    self.bites[PlannedEventKind.COLD_REPLACEMENT] += 1
                 self.change(lines, region)
             case PlannedEventKind.RACK_OUTAGE:
                 self._rack(event, region)
             case PlannedEventKind.ZONE_PARTITION | PlannedEventKind.REGION_PARTITION:
-                self.net.strike(event)
+                self.net.begin_partition(event)
 
     def _in_zone(self, zone: int) -> list[Softswitch]:
         return [each for each in self.softswitches if self.places.zones[each.index] == zone]
@@ -915,7 +916,7 @@
         picked = machines[: event.count]
         gone = []
         for machine in picked:
-            self.bites[PlannedEventKind.RACK_OUTAGE.value] += 1
+            self.bites[PlannedEventKind.RACK_OUTAGE] += 1
             if machine < len(self.servers):
                 server = self.servers[machine]
                 gone.append(server.line("terminated"))
@@ -941,7 +942,7 @@
             self.change(lines, region)
 
     def _restart(self, softswitch: Softswitch) -> None:
-        self.bites[PlannedEventKind.RESTART.value] += softswitch.restart()
+        self.bites[PlannedEventKind.RESTART] += softswitch.restart()
 
     def _plan_events(self) -> None:
         turn = 0
@@ -984,18 +985,18 @@
         with self.in_place():
             self.start()
             if settle_s is not None:
-                while not self._ready() and self.clock.now < BEGIN + READY_S:
-                    self.clock.run(self.clock.now + SETTLE_S)
+                while not self._ready() and self.clock.now < START_TIME + READY_S:
+                    self.clock.run_until(self.clock.now + SETTLE_S)
                 self.begin = self.clock.now + settle_s
-            self.clock.run(self.begin, lambda: look(self))
+            self.clock.run_until(self.begin, lambda: look(self))
             self.before = self._counted()
             self._plan_events()
             self._calls(self.traffic.calls_from_outside())
-            self.clock.run(self.begin + self.plan.duration_s, lambda: look(self))
+            self.clock.run_until(self.begin + self.plan.duration_s, lambda: look(self))
             self.counted = self._counted()
             last = self.clock.now + self.plan.calls.hard_limit_s + AFTER_S
             while self.traffic.open_calls and self.clock.now < last:
-                self.clock.run(self.clock.now + AFTER_S, lambda: look(self))
+                self.clock.run_until(self.clock.now + AFTER_S, lambda: look(self))
 
     def start(self) -> None:
         """All that is there from the beginning."""
@@ -1005,7 +1006,7 @@
             coordinator.list.tell(lines, reset=True)
         late = {each.zone for each in self.plan.events if each.kind is PlannedEventKind.ZONE_START}
         for softswitch in self.softswitches:
-            at = BEGIN + self.chance.uniform(0.0, STARTS_S)
+            at = START_TIME + self.chance.uniform(0.0, STARTS_S)
             if self.places.zones[softswitch.index] not in late:
                 self.clock.call_at(at, softswitch.start)
 
@@ -1045,7 +1046,7 @@
             "list_bytes": sum(each.list.asked_bytes + each.list.told_bytes for each in self.coordinators),
             "claim_messages": counters["fleet_sent"],
             "claim_bytes": counters["fleet_sent_bytes"],
-            "stream_bytes": self.net.stream_bytes,
+            "stream_bytes": self.net.connection_bytes,
         }
 
     def compared(self) -> dict[str, float]:
@@ -1122,9 +1123,7 @@
                 "in_force_longest_ms": quantile(force, 1.0),
             },
             "windows": self.windows(),
-            "bites": {
-                each.value: self.bites[each.value] + self.net.bites[each.value] for each in PlannedEventKind
-            },
+            "bites": {each.value: self.bites[each] + self.net.activations[each] for each in PlannedEventKind},
             "faults": self.faults,
             "counters": {
                 name: often for name, often in sorted(self._counters().items()) if not name.startswith(GAUGES)
@@ -1134,7 +1133,3 @@
                 for n, ends in sorted(self.traffic.tally.results_by_second.items())
             },
         }
-
-
-def _nobody(data: bytes) -> None:
-    """Stands until a connection's other end is known."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -136,14 +136,14 @@
 
 def loses_claims(monkeypatch):
     """Three in four datagrams of claims get lost."""
-    inner, came = world.Softswitch.datagram, []
+    inner, came = world.Softswitch.receive_datagram, []
 
-    def datagram(self, data, peer):
+    def receive_datagram(self, data, peer):
         came.append(peer)
         if len(came) % 4 == 0:
             inner(self, data, peer)
 
-    monkeypatch.setattr(world.Softswitch, "datagram", datagram)
+    monkeypatch.setattr(world.Softswitch, "receive_datagram", receive_datagram)
 
 
 def asks_slowly(monkeypatch):
