--- a/stairhatch/scale_test/call_tally.py
+++ b/stairhatch/scale_test/call_tally.py
@@ -4,9 +4,9 @@
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
-from typing import Any
 
 from stairhatch.scale_test.call_result import SimulatedCallResult
+from stairhatch.scale_test.figures import CallFigures
 from stairhatch.scale_test.quantiles import quantile
 
 
@@ -39,17 +39,20 @@
         self.setup_times_ms.append(1000 * setup_time_s)
         self.established_by_depth[depth] += 1
 
-    def figures(self) -> dict[str, Any]:
-        """For JSON."""
-        took = sorted(self.setup_times_ms)
-        established = self.established_by_depth
-        return {
-            "asked": self.requested,
-            **{result.value: self.results[result] for result in SimulatedCallResult},
-            "cut": self.interrupted,
-            "depths": {str(n): self.requested_by_depth[n] for n in sorted(self.requested_by_depth)},
-            "stood_at_depth": {str(n): established[n] for n in sorted(established)},
-            "deepest": max(established, default=0),
-            "to_stand_p50_ms": quantile(took, 0.5),
-            "to_stand_p99_ms": quantile(took, 0.99),
-        }
+    def figures(self) -> CallFigures:
+        """Return the counts as they are kept."""
+        ascending_ms = sorted(self.setup_times_ms)
+        return CallFigures(
+            requested=self.requested,
+            established=self.results[SimulatedCallResult.ESTABLISHED],
+            rejected=self.results[SimulatedCallResult.REJECTED],
+            failed=self.results[SimulatedCallResult.FAILED],
+            unreachable=self.results[SimulatedCallResult.UNREACHABLE],
+            lost=self.results[SimulatedCallResult.LOST],
+            interrupted=self.interrupted,
+            requested_by_depth=dict(sorted(self.requested_by_depth.items())),
+            established_by_depth=dict(sorted(self.established_by_depth.items())),
+            max_depth=max(self.established_by_depth, default=0),
+            setup_p50_ms=quantile(ascending_ms, 0.5),
+            setup_p99_ms=quantile(ascending_ms, 0.99),
+        )
--- /dev/null
+++ b/stairhatch/scale_test/cold_start_windows.py
@@ -0,0 +1,46 @@
+"""The overload windows of cold roster servers (docs/cold.md): how full the fullest was, and its limit."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from stairhatch.emulators.processor import ProcessorState
+from stairhatch.scale_test.figures import ColdStartWindow
+from stairhatch.scale_test.simulated_server import SimulatedServer
+
+
+def fullest_window(ascending_times: Sequence[float], window_s: float) -> int:
+    """Return the most of these times that lie in any window of this length."""
+    fullest = first = 0
+    for last, time in enumerate(ascending_times):
+        while ascending_times[first] <= time - window_s:
+            first += 1
+        fullest = max(fullest, last - first + 1)
+    return fullest
+
+
+def setup_limit(capacity: float) -> float:
+    """Return how many set-ups a window may hold: N + 2 root N + 2, where a cold server can work off N."""
+    root: float = capacity**0.5
+    return round(capacity + 2 * root + 2, 1)
+
+
+def cold_start_windows(servers: Sequence[SimulatedServer]) -> list[ColdStartWindow]:
+    """Return the fullest window of each cold start, by server and start."""
+    windows = []
+    for server in servers:
+        profile = server.processor.nature
+        capacity = profile.cold_from / profile.set_up_s * profile.fall_s  # of a cold server, in set-ups
+        windows += [
+            ColdStartWindow(
+                server=server.machine,
+                start=start,
+                setups=len(times),
+                fullest=fullest_window(times, profile.fall_s),
+                limit=setup_limit(capacity),
+                overload_limit=round(capacity * profile.fall_multiple, 1),
+                overloaded=server.processor.state is ProcessorState.FALLEN,
+            )
+            for start, times in enumerate(server.cold_setup_times, 1)
+        ]
+    return windows
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -12,7 +12,7 @@
 
 from stairhatch.scale_test.errors import MemoryLimitError
 from stairhatch.scale_test.schema import FleetPlan, PlannedEventKind, ScalePlan
-from stairhatch.scale_test.world import World
+from stairhatch.scale_test.simulation import Simulation
 
 MEMORY_PART = 0.5  # of the machine's, the most
 SAMPLES = (2, 10), (8, 40)  # softswitches and servers that memory is measured with
@@ -74,10 +74,10 @@
     )
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
-    world = World(small)
-    with world.in_place():
+    world = Simulation(small)
+    with world.virtual_environment():
         world.start()
-        world.clock.run_until(world.clock.now + SAMPLE_S)
+        world.context.clock.run_until(world.context.clock.now + SAMPLE_S)
     gc.collect()
     return tracemalloc.get_traced_memory()[0] - before
 
--- a/stairhatch/scale_test/real.py
+++ b/stairhatch/scale_test/real.py
@@ -8,7 +8,6 @@
 import asyncio
 import contextlib
 import json
-import random
 import signal
 import subprocess
 import sys
@@ -23,7 +22,6 @@
 from stairhatch.emulators.caller_emulator import CallerEmulator, PlacedCall
 from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.processor import Processor
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_config import loopback_host
@@ -33,10 +31,12 @@
 from stairhatch.scale_test.call_generator import CallGenerator, GeneratedCall, service_prefix
 from stairhatch.scale_test.call_result import SimulatedCallResult
 from stairhatch.scale_test.errors import ProcessStartError
+from stairhatch.scale_test.figures import to_json_object
 from stairhatch.scale_test.quantiles import quantile
+from stairhatch.scale_test.roster_processor import create_processor
 from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.simulation import ANSWER_MARGIN_S
 from stairhatch.scale_test.softswitch_settings import settings_object
-from stairhatch.scale_test.world import AFTER_S, nature_of
 
 LOOK_S = 0.05
 HEAD = """\
@@ -106,7 +106,7 @@
                 await asyncio.sleep(LOOK_S)
                 look(self._passed())
             counted = await self._counted()
-            last = time.monotonic() + self.plan.calls.hard_limit_s + AFTER_S
+            last = time.monotonic() + self.plan.calls.hard_limit_s + ANSWER_MARGIN_S
             while self.traffic.open_calls and time.monotonic() < last:
                 await asyncio.sleep(LOOK_S)
             for task in self.tasks[1:]:  # a fault in one of them is the run's
@@ -119,7 +119,7 @@
     async def _open(self) -> None:
         plan, host = self.plan, loopback_host()
         for index in range(plan.server_count):
-            processor = Processor(nature_of(plan), random.Random(plan.seed * 31 + index))
+            processor = create_processor(plan, index)
             server = ServerEmulator(
                 lines=plan.server.call_capacity,
                 processor=processor,
@@ -276,7 +276,7 @@
             "compared": compared,
             "not_heard": missed,
             "unanswered": len(self.traffic.open_calls),
-            "calls": self.traffic.tally.figures(),
+            "calls": to_json_object(self.traffic.tally.figures()),
             "stalled_s": round(self.stall.longest_s, 3),
         }
 
--- /dev/null
+++ b/stairhatch/scale_test/simulated_server.py
@@ -0,0 +1,125 @@
+"""A simulated roster server: the emulator's own protocol and processor on the virtual clock."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from stairhatch.emulators.coordinator_emulator import endpoint_line
+from stairhatch.emulators.processor import ProcessorState
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
+from stairhatch.scale_test.processor_meter import ProcessorPart
+from stairhatch.scale_test.roster_processor import create_processor
+from stairhatch.scale_test.simulated_connection import ConnectionEnd, Side, SimulatedConnection
+from stairhatch.scale_test.simulation_context import SimulationContext
+from stairhatch.scale_test.topology import instance_name
+
+SERVER_PORT = 7000
+HOSTS_PER_SUBNET = 250
+
+
+class SimulatedTransport:
+    """What the emulator writes to in place of an asyncio transport: the server side of a connection."""
+
+    def __init__(self, connection: SimulatedConnection) -> None:
+        """The server side of a connection."""
+        self._connection = connection
+
+    def write(self, data: bytes) -> None:
+        """Send bytes to the softswitch."""
+        self._connection.send(Side.SERVER, data)
+
+    def abort(self) -> None:
+        """End the connection."""
+        self._connection.close(Side.SERVER)
+
+    close = abort
+
+
+class SimulatedServer:
+    """A machine with a roster server, and the processes that follow one another on it."""
+
+    def __init__(self, context: SimulationContext, index: int) -> None:
+        """A warm server that has run for long."""
+        self.context = context
+        self.machine = index
+        subnet, host = divmod(index, HOSTS_PER_SUBNET)
+        self.address = (f"10.0.{subnet}.{host + 1}", SERVER_PORT)
+        self.starts = 0  # cold ones
+        self.machine_on = True
+        self.cold_setup_times: list[list[float]] = []  # by cold start, of the set-ups while it was cold
+        self.processor = create_processor(context.plan, index)
+        self.emulator = ServerEmulator(
+            lines=context.plan.server.call_capacity,
+            processor=self.processor,
+            timers=context.emulator_clock,
+            state_s=context.plan.server.load_report_interval_s,
+        )
+        self.emulator.seen = self._observe
+        self._connections: dict[SimulatedConnection, None] = {}
+
+    @property
+    def instance(self) -> str:
+        """The name of its process in the endpoint list."""
+        return instance_name(self.machine, self.starts)
+
+    def endpoint_line(self, state: str = "in_service") -> dict[str, Any]:
+        """Return its line of the endpoint list."""
+        started_at = self.processor.born
+        started_ms = int(1000 * started_at) if started_at else 0
+        return endpoint_line(self.instance, self.address, self.machine, state, started_ms)
+
+    def is_machine_on(self) -> bool:
+        """Return whether its machine is on."""
+        return self.machine_on
+
+    def is_listening(self) -> bool:
+        """Return whether its process takes connections."""
+        return self.processor.state not in (ProcessorState.FALLEN, ProcessorState.GONE)
+
+    def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
+        """Take a connection that has come up, and return its server side."""
+        meter = self.context.meter
+        protocol = ServerEmulatorConnection(self.emulator)
+        self._connections[connection] = None
+
+        def receive(data: bytes) -> None:
+            meter.enter(ProcessorPart.EMULATORS)
+            protocol.data_received(data)
+            meter.leave()
+
+        def lost() -> None:
+            self._connections.pop(connection, None)
+            protocol.connection_lost(None)
+
+        self.context.emulator_clock.call_soon(protocol.connection_made, SimulatedTransport(connection))
+        return ConnectionEnd(receive=receive, lost=lost)
+
+    def kill(self) -> None:
+        """End its process; the softswitches notice it as a reset of their connections."""
+        self.emulator.cut()
+        self._connections.clear()
+
+    def power_off(self) -> None:
+        """Have its machine be off: nobody is notified."""
+        for connection in self._connections:
+            connection.drop()
+        self.kill()
+        self.machine_on = False
+
+    def start_cold(self) -> None:
+        """Start another process, on a machine that is on."""
+        self.starts += 1
+        self.machine_on = True
+        self.cold_setup_times.append([])
+        self.processor.start_cold(self.context.clock.now)
+
+    def _observe(self, what: str, called_number: str) -> None:
+        now = self.context.clock.now
+        if what == "stood":
+            self.context.calls.record_server(called_number, self.machine)
+        elif what == "set-up" and self.cold_setup_times and self._is_cold(now):
+            self.cold_setup_times[-1].append(now)
+
+    def _is_cold(self, now: float) -> bool:
+        started_at = self.processor.born
+        return started_at is not None and now - started_at < self.processor.nature.warm_after_s
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,12 +16,16 @@
 
 from stairhatch.cli.main import main_group
 from stairhatch.emulators.processor import Processor, SetupAdmission
-from stairhatch.scale_test import run, world
+from stairhatch.scale_test import run
 from stairhatch.scale_test.comparison import comparison_plan
+from stairhatch.scale_test.connection_drivers import ServiceDiscoveryDriver
 from stairhatch.scale_test.errors import ScaleTestError
+from stairhatch.scale_test.figures import to_json_object
 from stairhatch.scale_test.plan_file import parse_plan, read_plan
 from stairhatch.scale_test.real import Processes
-from stairhatch.scale_test.world import World
+from stairhatch.scale_test.simulated_softswitch import SimulatedSoftswitch
+from stairhatch.scale_test.simulation import Simulation
+from stairhatch.scale_test.simulation_figures import gather_figures
 
 from .peers import ROOT, until
 
@@ -32,10 +36,15 @@
 }  # fmt: skip
 
 
+def figures_of(simulation):
+    """The figures of a simulation, under the names that they are kept by."""
+    return to_json_object(gather_figures(simulation))
+
+
 def played(**changes):
     """A small hollow run: its plan and its figures."""
     plan = parse_plan({**SMALL, **changes})
-    return plan, run.play(plan)[0].figures()
+    return plan, figures_of(run.play(plan)[0])
 
 
 def test_the_run_for_ci_is_good_and_all_its_faults_bite(tmp_path):
@@ -136,30 +145,30 @@
 
 def loses_claims(monkeypatch):
     """Three in four datagrams of claims get lost."""
-    inner, came = world.Softswitch.receive_datagram, []
+    inner, came = SimulatedSoftswitch.receive_datagram, []
 
     def receive_datagram(self, data, peer):
         came.append(peer)
         if len(came) % 4 == 0:
             inner(self, data, peer)
 
-    monkeypatch.setattr(world.Softswitch, "receive_datagram", receive_datagram)
+    monkeypatch.setattr(SimulatedSoftswitch, "receive_datagram", receive_datagram)
 
 
 def asks_slowly(monkeypatch):
     """What the coordinator has to say arrives late."""
-    inner = world.Follower.take
+    inner = ServiceDiscoveryDriver.receive
 
-    def take(self, data):
+    def receive(self, data):
         self.clock.call_later(0.4, inner, self, data)
 
-    monkeypatch.setattr(world.Follower, "take", take)
+    monkeypatch.setattr(ServiceDiscoveryDriver, "receive", receive)
 
 
 def test_hollow_and_real_agree(both):
     """Guards against a model of its own: each figure of hollow ones lies within the bounds of the file."""
     plan, real = both
-    hollow = run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0].figures()
+    hollow = figures_of(run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0])
     compared = run.held_against(plan, hollow["compared"], real["compared"])
     assert not run.out_of_bounds(compared), compared
     assert real["unanswered"] == 0 and real["not_heard"] == 0
@@ -177,7 +186,7 @@
     """Guards against bounds so wide that nothing is found, and ratios that are never looked at."""
     plan, real = both
     plant(monkeypatch)
-    hollow = run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0].figures()
+    hollow = figures_of(run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0])
     found = run.out_of_bounds(run.held_against(plan, hollow["compared"], real["compared"]))
     assert any(each.startswith(f"{figure}:") for each in found), found
 
@@ -204,10 +213,18 @@
     assert free["changes"]["in_force_longest_ms"] < 100 < 1000 < found["changes"]["in_force_longest_ms"]
     assert found["bites"]["zone"] > 20 and found["changes"]["not_heard"] == 0 and not run.judged(plan, found)
     late = parse_plan({**SMALL, "event": [{**cut, "at": 80.0}], "must_bite": ["zone"]})
-    said = run.judged(late, run.play(late)[0].figures())
+    said = run.judged(late, figures_of(run.play(late)[0]))
     assert said == ["zone did not bite: the run proves nothing of it"]
 
 
+def test_a_call_at_a_softswitch_that_has_not_started_is_unreachable():
+    """Guards against a run that ends at a call for a softswitch whose zone starts later."""
+    _, found = played(event=[{"at": 1.0, "what": "start", "zone": 1}])
+    assert found["bites"]["start"] == 3
+    assert found["calls"]["unreached"] > 0
+    assert found["unanswered"] == 0
+
+
 def test_regions_apart_that_both_change_the_list_meet():
     """Guards against changes of one region that never come to the other, or go over newer ones there."""
     apart = {"at": 0.5, "what": "regions", "lasts": 1.5}
@@ -280,6 +297,6 @@
     from stairhatch.fleet import runtime
 
     was = runtime.clock, runtime.VoterStore, runtime.secrets
-    with World(parse_plan(SMALL)).in_place():
+    with Simulation(parse_plan(SMALL)).virtual_environment():
         assert runtime.clock is not was[0]
     assert (runtime.clock, runtime.VoterStore, runtime.secrets) == was
