--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stairhatch scale`: many softswitches on a virtual clock, held against real processes."""
+"""`stairhatch scale`: many softswitches on a virtual clock, compared with real processes."""
 
 from __future__ import annotations
 
@@ -27,21 +27,22 @@
     run as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run
     proves nothing. 130: Ctrl-C; nothing is kept.
     """
-    from stairhatch.scale_test import keep
     from stairhatch.scale_test.errors import ScaleTestError
     from stairhatch.scale_test.plan_file import read_plan
-    from stairhatch.scale_test.run import carry_out
+    from stairhatch.scale_test.result_files import keep_result, result_json
+    from stairhatch.scale_test.run import run_scale_test
+    from stairhatch.scale_test.summary import summarize
 
-    def tell(text: str) -> None:
+    def report(line: str) -> None:
         if not quiet:
-            click.echo(text, err=True)
+            click.echo(line, err=True)
 
     try:
         with failing_with(EXIT_UNUSABLE, ScaleTestError):
-            result = carry_out(read_plan(file), tell)
-            kept_in = keep.keep(result, out, f"stairhatch scale {file.name}")
+            result = run_scale_test(read_plan(file), report)
+            folder = keep_result(result, out, f"stairhatch scale {file.name}")
     except KeyboardInterrupt:
         fail(EXIT_INTERRUPTED, "ended by Ctrl-C; nothing is kept")
-    click.echo(keep.result_json(result) if as_json else keep.lines(result), nl=False)
-    tell(f"kept in {kept_in}")
-    sys.exit(EXIT_FOUND_WRONG if result.broken else EXIT_OK)
+    click.echo(result_json(result) if as_json else summarize(result), nl=False)
+    report(f"kept in {folder}")
+    sys.exit(EXIT_FOUND_WRONG if result.failures else EXIT_OK)
--- a/stairhatch/scale_test/comparison.py
+++ b/stairhatch/scale_test/comparison.py
@@ -1,4 +1,4 @@
-"""The scenario that real and simulated softswitches both play."""
+"""The scenario that simulated and real softswitches both play, and the ratios of what came of it."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 import msgspec
 
 from stairhatch.load_test.datagram_conditions import DatagramConditions
+from stairhatch.scale_test.figures import ComparedFigures, FigureComparison
 from stairhatch.scale_test.schema import (
     ComparedFigure,
     NetworkDelays,
     PlannedEvent,
     PlannedEventKind,
     RatioBounds,
+    RealRunPlan,
     ScalePlan,
 )
 
+LOOPBACK = DatagramConditions(delay_ms=0.05, jitter_ms=0.05)
+CHANGES_BEGIN, CHANGES_DURATION = 0.1, 0.8  # as fractions of the run
 
-def comparison_plan(plan: ScalePlan) -> ScalePlan:
-    """The scenario that is played by real processes and by hollow ones: no faults, ways as on loopback."""
-    real = plan.real
-    assert real is not None
-    way = DatagramConditions(delay_ms=0.05, jitter_ms=0.05)
+
+def comparison_plan(plan: ScalePlan, real: RealRunPlan) -> ScalePlan:
+    """Return the scenario for both: the size of the real run, loopback's delays and no faults."""
     change = PlannedEvent(
-        at_s=real.duration_s * 0.1,
+        at_s=real.duration_s * CHANGES_BEGIN,
         kind=PlannedEventKind.LIST_CHANGE,
-        duration_s=real.duration_s * 0.8,
+        duration_s=real.duration_s * CHANGES_DURATION,
         count=max(1, real.change_count),
     )
     return msgspec.structs.replace(
@@ -36,7 +38,7 @@
         service_count=real.service_count,
         region_count=1,
         zone_count=1,
-        network=NetworkDelays(within_zone=way, between_zones=way, between_regions=way),
+        network=NetworkDelays(within_zone=LOOPBACK, between_zones=LOOPBACK, between_regions=LOOPBACK),
         required_events=(),
         judge_cold_windows=False,
         calls=msgspec.structs.replace(
@@ -48,35 +50,41 @@
     )
 
 
-def ratio(hollow: float, real: float, bound: RatioBounds) -> float:
-    """Hollow over real; `grain` makes nothing of nothing a 1."""
-    low = real + bound.pseudocount
-    return (hollow + bound.pseudocount) / low if low else (1.0 if not hollow else math.inf)
+def ratio(simulated: float, real: float, pseudocount: float) -> float:
+    """Return simulated over real, the pseudocount added to both; 1 where both are 0."""
+    divisor = real + pseudocount
+    if divisor:
+        return (simulated + pseudocount) / divisor
+    return math.inf if simulated else 1.0
+
 
+def compare(
+    plan: ScalePlan, simulated: ComparedFigures, real: ComparedFigures
+) -> dict[ComparedFigure, FigureComparison]:
+    """Return each figure of both runs, their ratio to a thousandth, and its bounds in the plan."""
+    return {
+        figure: _compare_figure(plan, figure, simulated[figure], real[figure]) for figure in ComparedFigure
+    }
 
-def held_against(
-    plan: ScalePlan, hollow: dict[str, float], real: dict[str, float]
-) -> dict[str, dict[str, float]]:
-    """Each figure of both, their ratio and its bounds."""
-    found = {}
-    for figure in ComparedFigure:
-        name, bound = figure.value, plan.bounds.get(figure, RatioBounds())
-        one = round(ratio(hollow[name], real[name], bound), 3)
-        found[name] = {
-            "hollow": hollow[name],
-            "real": real[name],
-            "ratio": one,
-            "least": bound.minimum,
-            "most": bound.maximum,
-        }
-    return found
+
+def _compare_figure(
+    plan: ScalePlan, figure: ComparedFigure, simulated: float, real: float
+) -> FigureComparison:
+    bounds = plan.bounds.get(figure, RatioBounds())
+    return FigureComparison(
+        simulated=simulated,
+        real=real,
+        ratio=round(ratio(simulated, real, bounds.pseudocount), 3),
+        minimum=bounds.minimum,
+        maximum=bounds.maximum,
+    )
 
 
-def out_of_bounds(compared: dict[str, dict[str, float]]) -> list[str]:
-    """What makes the run fail."""
+def ratios_out_of_bounds(compared: dict[ComparedFigure, FigureComparison]) -> list[str]:
+    """Return a sentence for each ratio that is out of its bounds."""
     return [
-        f"{name}: hollow {each['hollow']:g} over real {each['real']:g} is {each['ratio']:g}, "
-        f"not within {each['least']:g} and {each['most']:g}"
-        for name, each in compared.items()
-        if not each["least"] <= each["ratio"] <= each["most"]
+        f"{figure.value}: simulated {each.simulated:g} over real {each.real:g} is {each.ratio:g}, "
+        f"not within {each.minimum:g} and {each.maximum:g}"
+        for figure, each in compared.items()
+        if not each.is_in_bounds()
     ]
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -1,4 +1,4 @@
-"""The memory that a run needs, measured before it."""
+"""The memory that a run needs, measured on small runs of the same form before it begins."""
 
 from __future__ import annotations
 
@@ -14,99 +14,117 @@
 from stairhatch.scale_test.schema import FleetPlan, PlannedEventKind, ScalePlan
 from stairhatch.scale_test.simulation import Simulation
 
-MEMORY_PART = 0.5  # of the machine's, the most
-SAMPLES = (2, 10), (8, 40)  # softswitches and servers that memory is measured with
-SAMPLE_S = 1.5  # of the virtual clock: all links are up by then
+MAX_MEMORY_FRACTION = 0.5  # of the machine's
+FEW_SOFTSWITCHES, MANY_SOFTSWITCHES = 2, 8  # in the small runs
+FEW_SERVERS, MANY_SERVERS = 10, 40
+SAMPLE_DURATION_S = 1.5  # of the virtual clock: all connections are up by then
 
+KIB, MIB, GIB = 2**10, 2**20, 2**30
 
-@dataclass(frozen=True)
-class Need:
-    """What a softswitch and its links take, in bytes, as it was measured."""
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class MemoryNeed:
+    """What the parts of a run take, in bytes."""
 
     softswitch: float
-    link: float  # one of its links to a roster server, both ends
+    connection: float  # of a softswitch to a roster server, both ends
     server: float
-    rest: float
-
-    def of(self, plan: ScalePlan) -> float:
-        """A run's. The link to a server that is replaced is kept for a while beside the new one."""
-        replaced = sum(
-            each.count
-            for each in plan.events
-            if each.kind in (PlannedEventKind.COLD_REPLACEMENT, PlannedEventKind.RACK_OUTAGE)
+    base: float
+
+    def total(self, plan: ScalePlan) -> float:
+        """Return what a run of a plan takes.
+
+        The connection to a server that is replaced is kept for a while beside the new one.
+        """
+        replacing = (PlannedEventKind.COLD_REPLACEMENT, PlannedEventKind.RACK_OUTAGE)
+        replaced = sum(event.count for event in plan.events if event.kind in replacing)
+        connection_count = plan.softswitch_count * (plan.server_count + replaced)
+        return (
+            self.base
+            + self.softswitch * plan.softswitch_count
+            + self.server * plan.server_count
+            + self.connection * connection_count
         )
-        links = self.link * plan.softswitch_count * (plan.server_count + replaced)
-        return self.rest + self.softswitch * plan.softswitch_count + self.server * plan.server_count + links
 
 
-def machine_memory() -> int:
-    """Bytes of this machine, or of what this process may use of it."""
-    found = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
+def machine_memory_bytes() -> int:
+    """Return the memory of this machine, or what this process may use of it."""
+    physical = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     try:
-        return min(found, int(Path("/sys/fs/cgroup/memory.max").read_text()))
-    except (OSError, ValueError):
-        return found
+        return min(physical, int(Path("/sys/fs/cgroup/memory.max").read_text()))
+    except (OSError, ValueError):  # there is no limit
+        return physical
 
 
-def resident() -> int:
-    """Bytes that this process holds now."""
+def resident_bytes() -> int:
+    """Return what this process holds now (/proc/self/statm, proc(5))."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def _few_voters(fleet: FleetPlan, most: int) -> FleetPlan:
-    return msgspec.structs.replace(fleet, voter_count=min(fleet.voter_count, most))
+def memory_limit_bytes() -> float:
+    """Return the most that a run may take."""
+    return MAX_MEMORY_FRACTION * machine_memory_bytes()
+
 
+def measure_memory_need(plan: ScalePlan) -> MemoryNeed:
+    """Return what the parts of a run take: four small runs, solved for the four unknowns."""
+    few, many, less, more = FEW_SOFTSWITCHES, MANY_SOFTSWITCHES, FEW_SERVERS, MANY_SERVERS
+    tracemalloc.start()
+    try:
+        few_less = _traced_bytes(plan, few, less)
+        many_less = _traced_bytes(plan, many, less)
+        few_more = _traced_bytes(plan, few, more)
+        many_more = _traced_bytes(plan, many, more)
+    finally:
+        tracemalloc.stop()
+    interpreter = resident_bytes()  # with all modules loaded
+    connection = (many_more - many_less - few_more + few_less) / ((many - few) * (more - less))
+    connection = max(0.0, connection)
+    softswitch = max(0.0, (many_less - few_less) / (many - few) - connection * less)
+    server = max(0.0, (few_more - few_less) / (more - less) - connection * few)
+    base = max(0.0, few_less - softswitch * few - server * less - connection * few * less)
+    return MemoryNeed(softswitch=softswitch, connection=connection, server=server, base=interpreter + base)
+
+
+def require_memory(plan: ScalePlan) -> MemoryNeed:
+    """Return what the parts of a run take; MemoryLimitError, with the figures, if it does not fit."""
+    need = measure_memory_need(plan)
+    total, limit = need.total(plan), memory_limit_bytes()
+    if total > limit:
+        each = need.softswitch + need.connection * plan.server_count
+        raise MemoryLimitError(
+            f"softswitches: {plan.softswitch_count} with {plan.server_count} servers need "
+            f"{total / GIB:.1f} GiB ({each / MIB:.2f} MiB each, measured); half of this machine's memory is "
+            f"{limit / GIB:.1f} GiB"
+        )
+    return need
 
-def _held(plan: ScalePlan, softswitches: int, servers: int) -> float:
-    """Bytes of a small run of the same form, with all links up and nothing asked."""
+
+def _traced_bytes(plan: ScalePlan, softswitch_count: int, server_count: int) -> float:
+    """Return what a small run of the same form takes, with all connections up and no calls."""
     small = msgspec.structs.replace(
         plan,
-        softswitch_count=softswitches,
-        server_count=servers,
-        service_count=min(plan.service_count, servers),
+        softswitch_count=softswitch_count,
+        server_count=server_count,
+        service_count=min(plan.service_count, server_count),
         region_count=1,
         zone_count=1,
         events=(),
         required_events=(),
         real=None,
-        fleet=plan.fleet and _few_voters(plan.fleet, softswitches),
+        fleet=plan.fleet and _limit_voters(plan.fleet, softswitch_count),
         calls=msgspec.structs.replace(plan.calls, rate_per_s=0.0, service=-1),
     )
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
-    world = Simulation(small)
-    with world.virtual_environment():
-        world.start()
-        world.context.clock.run_until(world.context.clock.now + SAMPLE_S)
+    simulation = Simulation(small)
+    with simulation.virtual_environment():
+        simulation.start()
+        clock = simulation.context.clock
+        clock.run_until(clock.now + SAMPLE_DURATION_S)
     gc.collect()
     return tracemalloc.get_traced_memory()[0] - before
 
 
-def measure(plan: ScalePlan) -> Need:
-    """What each softswitch, server and link takes: four small runs, solved for the four."""
-    (few, less), (many, more) = SAMPLES
-    tracemalloc.start()
-    try:
-        a, b, c, d = (_held(plan, h, s) for h, s in ((few, less), (many, less), (few, more), (many, more)))
-    finally:
-        tracemalloc.stop()
-    own = resident()  # the interpreter and what it has loaded
-    link = max(0.0, (d - b - c + a) / ((many - few) * (more - less)))
-    softswitch = max(0.0, (b - a) / (many - few) - link * less)
-    server = max(0.0, (c - a) / (more - less) - link * few)
-    rest = max(0.0, a - softswitch * few - server * less - link * few * less)
-    return Need(softswitch, link, server, own + rest)
-
-
-def fit(plan: ScalePlan) -> Need:
-    """MemoryLimitError where the machine has too little memory, with what it would need."""
-    need = measure(plan)
-    wanted, has = need.of(plan), machine_memory()
-    if wanted > MEMORY_PART * has:
-        each = need.softswitch + need.link * plan.server_count
-        raise MemoryLimitError(
-            f"softswitches: {plan.softswitch_count} with {plan.server_count} servers need "
-            f"{wanted / 2**30:.1f} GiB ({each / 2**20:.2f} MiB each, measured); half of this machine's "
-            f"memory is {MEMORY_PART * has / 2**30:.1f} GiB"
-        )
-    return need
+def _limit_voters(fleet: FleetPlan, maximum: int) -> FleetPlan:
+    return msgspec.structs.replace(fleet, voter_count=min(fleet.voter_count, maximum))
--- a/stairhatch/scale_test/run.py
+++ b/stairhatch/scale_test/run.py
@@ -1,4 +1,4 @@
-"""A whole scale run."""
+"""A whole scale run: whether it fits the machine, the simulation, the comparison with real processes."""
 
 from __future__ import annotations
 
@@ -6,109 +6,173 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+
+import msgspec
 
 from stairhatch.scale_test.call_result import SimulatedCallResult
-from stairhatch.scale_test.comparison import comparison_plan, held_against, out_of_bounds
+from stairhatch.scale_test.comparison import compare, comparison_plan, ratios_out_of_bounds
 from stairhatch.scale_test.errors import MemoryLimitError
-from stairhatch.scale_test.figures import to_json_object
-from stairhatch.scale_test.memory import MEMORY_PART, fit, machine_memory, resident
+from stairhatch.scale_test.figures import (
+    FigureComparison,
+    MachineUsage,
+    RealRunFigures,
+    SimulationFigures,
+)
+from stairhatch.scale_test.memory import (
+    GIB,
+    KIB,
+    MIB,
+    MemoryNeed,
+    memory_limit_bytes,
+    require_memory,
+    resident_bytes,
+)
 from stairhatch.scale_test.processor_meter import ProcessorPart
-from stairhatch.scale_test.real import Processes
-from stairhatch.scale_test.schema import ScalePlan
+from stairhatch.scale_test.real_run import RealRun
+from stairhatch.scale_test.schema import ComparedFigure, RealRunPlan, ScalePlan
 from stairhatch.scale_test.simulation import Simulation
 from stairhatch.scale_test.simulation_figures import gather_figures
-from stairhatch.scale_test.verdict import judged
+from stairhatch.scale_test.verdict import find_failures
 from stairhatch.scale_test.virtual_clock import START_TIME
 
-TOLD_S = 5.0  # between two lines of progress
-Tell = Callable[[str], None]
+PROGRESS_INTERVAL_S = 5.0
+
+ReportProgress = Callable[[str], None]
+
+
+def _report_nothing(line: str) -> None:
+    """Drop a line of progress."""
 
 
-@dataclass
+@dataclass(slots=True)
 class ScaleResult:
-    """What came of a run."""
+    """What came of a run; it is good if there are no failures."""
 
     plan: ScalePlan
-    figures: dict[str, Any]  # of the hollow run: the same for the same file
-    machine: dict[str, Any]  # what it took
-    compared: dict[str, dict[str, float]] = field(default_factory=dict)
-    real: dict[str, Any] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
+    figures: SimulationFigures  # the same for the same file
+    machine: MachineUsage
+    compared: dict[ComparedFigure, FigureComparison] = field(default_factory=dict)
+    real: RealRunFigures | None = None
+    failures: list[str] = field(default_factory=list)
 
 
-def play(
-    plan: ScalePlan, tell: Tell = lambda text: None, settle_s: float | None = None
-) -> tuple[Simulation, dict[str, Any]]:
-    """The hollow run, and what it took of the machine."""
-    world, most = Simulation(plan), MEMORY_PART * machine_memory()
-    begun, told, peak = time.monotonic(), time.monotonic(), resident()
-    cpu = time.process_time()
-
-    def look(world: Simulation) -> None:
-        nonlocal told, peak
-        peak = max(peak, held := resident())
-        if held > most:
+@dataclass(frozen=True, slots=True)
+class PlayedSimulation:
+    """A simulation that has ended, and what it took of the machine."""
+
+    simulation: Simulation
+    machine: MachineUsage
+
+
+class RunObserver:
+    """Reports the progress of a simulation, and ends it if it takes too much memory."""
+
+    def __init__(self, report: ReportProgress) -> None:
+        """Begin now."""
+        self.started_at = time.monotonic()
+        self.peak_bytes = resident_bytes()
+        self._limit_bytes = memory_limit_bytes()
+        self._report = report
+        self._reported_at = self.started_at
+
+    def observe(self, simulation: Simulation) -> None:
+        """Take note of how far a simulation is; MemoryLimitError if it takes too much."""
+        resident = resident_bytes()
+        self.peak_bytes = max(self.peak_bytes, resident)
+        if resident > self._limit_bytes:
             raise MemoryLimitError(
-                f"softswitches: at {world.context.elapsed_s:.1f} s the run holds {held / 2**30:.1f} GiB, "
-                "more than half of this machine's memory"
-            )
-        if time.monotonic() - told >= TOLD_S:
-            told = time.monotonic()
-            tally = world.context.calls.tally
-            tell(
-                f"hollow {world.context.elapsed_s:8.1f} of {plan.duration_s:g} s, {tally.requested} calls, "
-                f"{tally.results[SimulatedCallResult.ESTABLISHED]} stood, "
-                f"{held / 2**20:.0f} MB, {told - begun:.0f} s so far"
+                f"softswitches: at {simulation.context.elapsed_s:.1f} s the run holds "
+                f"{resident / GIB:.1f} GiB, more than half of this machine's memory"
             )
+        now = time.monotonic()
+        if now - self._reported_at >= PROGRESS_INTERVAL_S:
+            self._reported_at = now
+            self._report(self._progress(simulation, resident))
 
-    look(world)
-    world.run(look, settle_s)
-    world.context.meter.update()
-    most_first = sorted(world.context.meter.seconds.items(), key=lambda item: item[1], reverse=True)
-    parts = {part.value: round(seconds, 2) for part, seconds in most_first}
-    took = time.monotonic() - begun
-    virtual = world.context.clock.now - START_TIME
-    control = (
-        world.context.meter.seconds[ProcessorPart.ENDPOINT_LIST]
-        + world.context.meter.seconds[ProcessorPart.LEASES]
-    )
-    return world, {
-        "seconds": round(took, 1),
-        "processor_s": round(time.process_time() - cpu, 1),
-        "parts_s": parts,
-        "virtual_s": round(virtual, 1),
-        "memory_mb": round(max(peak, resident()) / 2**20),
-        "steps": world.context.clock.steps,
-        "control_percent": round(100 * control / virtual / plan.softswitch_count, 3),
-    }
-
-
-def carry_out(plan: ScalePlan, tell: Tell = lambda text: None) -> ScaleResult:
-    """All of it."""
-    need = fit(plan)
-    tell(
-        f"{plan.softswitch_count} hollow softswitches, {plan.server_count} servers: "
-        f"{need.of(plan) / 2**20:.0f} MB by what was measured "
-        f"({need.softswitch / 1024:.0f} KB each and {need.link / 1024:.1f} KB a link)"
+    def _progress(self, simulation: Simulation, resident: int) -> str:
+        tally = simulation.context.calls.tally
+        return (
+            f"simulated {simulation.context.elapsed_s:8.1f} of {simulation.plan.duration_s:g} s, "
+            f"{tally.requested} calls, {tally.results[SimulatedCallResult.ESTABLISHED]} established, "
+            f"{resident / MIB:.0f} MB, {time.monotonic() - self.started_at:.0f} s so far"
+        )
+
+
+def play(
+    plan: ScalePlan, report: ReportProgress = _report_nothing, settle_s: float | None = None
+) -> PlayedSimulation:
+    """Play a plan by simulated softswitches. MemoryLimitError: it took too much memory."""
+    simulation = Simulation(plan)
+    observer = RunObserver(report)
+    processor_s_before = time.process_time()
+    observer.observe(simulation)
+    simulation.run(observer.observe, settle_s)
+    elapsed_s = time.monotonic() - observer.started_at
+    processor_s = time.process_time() - processor_s_before
+    peak_bytes = max(observer.peak_bytes, resident_bytes())
+    return PlayedSimulation(simulation, _machine_usage(simulation, elapsed_s, processor_s, peak_bytes))
+
+
+def _machine_usage(
+    simulation: Simulation, elapsed_s: float, processor_s: float, peak_bytes: int
+) -> MachineUsage:
+    clock, meter = simulation.context.clock, simulation.context.meter
+    meter.update()
+    virtual_s = clock.now - START_TIME
+    control_s = meter.seconds[ProcessorPart.ENDPOINT_LIST] + meter.seconds[ProcessorPart.LEASES]
+    control_percent = 100 * control_s / virtual_s / simulation.plan.softswitch_count
+    most_first = sorted(meter.seconds.items(), key=lambda item: item[1], reverse=True)
+    return MachineUsage(
+        elapsed_s=round(elapsed_s, 1),
+        processor_s=round(processor_s, 1),
+        processor_s_by_part={part: round(seconds, 2) for part, seconds in most_first},
+        virtual_s=round(virtual_s, 1),
+        memory_mb=round(peak_bytes / MIB),
+        steps=clock.steps,
+        control_percent=round(control_percent, 3),
     )
-    world, machine = play(plan, tell)
-    machine["needed_mb"] = round(need.of(plan) / 2**20)
-    machine["softswitch_kb"] = round(need.softswitch / 1024, 1)
-    machine["link_kb"] = round(need.link / 1024, 2)
-    result = ScaleResult(plan, to_json_object(gather_figures(world)), machine)
-    result.broken += judged(plan, result.figures)
-    del world
+
+
+def run_scale_test(plan: ScalePlan, report: ReportProgress = _report_nothing) -> ScaleResult:
+    """Carry out a whole run. ScaleTestError: it could not be."""
+    need = require_memory(plan)
+    report(_announcement(plan, need))
+    played = play(plan, report)
+    result = ScaleResult(plan, gather_figures(played.simulation), _with_need(played.machine, plan, need))
+    del played  # its memory is needed for the comparison
+    result.failures += find_failures(plan, result.figures)
     if plan.real is not None:
-        small = comparison_plan(plan)
-        tell(f"real: {small.softswitch_count} processes and as many hollow ones, {small.duration_s:g} s")
-        hollow, _ = play(small, settle_s=plan.real.settle_s)
-        figures = to_json_object(gather_figures(hollow))
-        result.broken += [f"comparison_plan: {each}" for each in judged(small, figures)]
-        result.real = asyncio.run(Processes(small, plan.real.settle_s).run())
-        result.compared = held_against(plan, figures["compared"], result.real["compared"])
-        result.broken += out_of_bounds(result.compared)
-        for name in ("unanswered", "not_heard"):
-            if result.real[name]:
-                result.broken.append(f"real: {result.real[name]} {name.replace('_', ' ')}")
+        _compare_with_real_run(result, plan.real, report)
     return result
+
+
+def _announcement(plan: ScalePlan, need: MemoryNeed) -> str:
+    return (
+        f"{plan.softswitch_count} simulated softswitches, {plan.server_count} servers: "
+        f"{need.total(plan) / MIB:.0f} MB by what was measured ({need.softswitch / KIB:.0f} KB each and "
+        f"{need.connection / KIB:.1f} KB a connection)"
+    )
+
+
+def _with_need(machine: MachineUsage, plan: ScalePlan, need: MemoryNeed) -> MachineUsage:
+    return msgspec.structs.replace(
+        machine,
+        predicted_memory_mb=round(need.total(plan) / MIB),
+        softswitch_kb=round(need.softswitch / KIB, 1),
+        connection_kb=round(need.connection / KIB, 2),
+    )
+
+
+def _compare_with_real_run(result: ScaleResult, real_plan: RealRunPlan, report: ReportProgress) -> None:
+    """Play the same scenario by simulated softswitches and by processes, and add what came of both."""
+    plan = comparison_plan(result.plan, real_plan)
+    report(f"real: {plan.softswitch_count} processes and as many simulated ones, {plan.duration_s:g} s")
+    simulated = gather_figures(play(plan, settle_s=real_plan.settle_s).simulation)
+    result.failures += [f"comparison: {each}" for each in find_failures(plan, simulated)]
+    result.real = asyncio.run(RealRun(plan, real_plan.settle_s).run())
+    result.compared = compare(result.plan, simulated.compared, result.real.compared)
+    result.failures += ratios_out_of_bounds(result.compared)
+    if result.real.unanswered:
+        result.failures.append(f"real: {result.real.unanswered} unanswered")
+    if result.real.not_received:
+        result.failures.append(f"real: {result.real.not_received} not received")
--- a/stairhatch/scale_test/verdict.py
+++ b/stairhatch/scale_test/verdict.py
@@ -1,40 +1,54 @@
-"""What is wrong with a simulated run."""
+"""The verdict on a simulated run: what is wrong with it, or with what it proves."""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterator
 
+from stairhatch.scale_test.figures import ColdStartWindow, SimulationFigures
 from stairhatch.scale_test.schema import ScalePlan
 
+MAX_WINDOWS_NAMED = 5
 
-def judged(plan: ScalePlan, figures: dict[str, Any]) -> list[str]:
-    """What is wrong with a hollow run, or with what it proves."""
-    found = []
-    if figures["unanswered"]:
-        found.append(f"{figures['unanswered']} calls had no final answer")
-    found += [f"a fault in the program's parts: {each}" for each in figures["faults"]]
-    if figures["servers"]["fallen"]:
-        found.append(f"{figures['servers']['fallen']} cold roster servers were pushed over")
-    if not figures["calls"]["stood"]:
-        found.append("no call stood: the run proves nothing")
-    changes = figures["changes"]
-    if changes["not_heard"] or changes["lists_apart"]:
-        found.append(
-            f"{changes['not_heard']} changes of the list not heard, {changes['lists_apart']} softswitches go "
-            "by another list than their coordinator's"
-        )
-    found += [
-        f"{each.value} did not bite: the run proves nothing of it"
-        for each in plan.required_events
-        if not figures["bites"][each.value]
+
+def find_failures(plan: ScalePlan, figures: SimulationFigures) -> list[str]:
+    """Return a sentence for each failure. A run without one that proves nothing is a failure, too."""
+    failures = [*_call_failures(figures), *_list_failures(figures)]
+    failures += [
+        f"{kind.value} had no effect: the run proves nothing of it"
+        for kind in plan.required_events
+        if not figures.activations[kind]
     ]
     if plan.judge_cold_windows:
-        beyond = [each for each in figures["windows"] if each["fullest"] > each["most"]]
-        found += [
-            f"server {each['server']}: {each['fullest']} set-ups in a window while cold, "
-            f"{each['most']:g} at most"
-            for each in beyond[:5]
-        ]
-        if not figures["windows"]:
-            found.append("window: no server was cold")
-    return found
+        failures += _window_failures(figures.windows)
+    return failures
+
+
+def _call_failures(figures: SimulationFigures) -> Iterator[str]:
+    if figures.unanswered:
+        yield f"{figures.unanswered} calls had no final answer"
+    for fault in figures.faults:
+        yield f"a fault in the program's parts: {fault}"
+    if figures.servers.overloaded:
+        yield f"{figures.servers.overloaded} cold roster servers were pushed over"
+    if not figures.calls.established:
+        yield "no call was established: the run proves nothing"
+
+
+def _list_failures(figures: SimulationFigures) -> Iterator[str]:
+    changes = figures.changes
+    if changes.not_received or changes.diverged_lists:
+        yield (
+            f"{changes.not_received} changes of the endpoint list not received, {changes.diverged_lists} "
+            "softswitches go by another list than their coordinator's"
+        )
+
+
+def _window_failures(windows: list[ColdStartWindow]) -> Iterator[str]:
+    if not windows:
+        yield "window: no server was cold"
+    too_full = [window for window in windows if window.fullest > window.limit]
+    for window in too_full[:MAX_WINDOWS_NAMED]:
+        yield (
+            f"server {window.server}: {window.fullest} set-ups in a window while cold, "
+            f"{window.limit:g} at most"
+        )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The scale run: hollow softswitches on a virtual clock, held against real processes."""
+"""The scale run: simulated softswitches on a virtual clock, compared with real processes."""
 
 from __future__ import annotations
 
@@ -11,84 +11,124 @@
 import tempfile
 from pathlib import Path
 
+import msgspec
 import pytest
 from click.testing import CliRunner
 
 from stairhatch.cli.main import main_group
 from stairhatch.emulators.processor import Processor, SetupAdmission
-from stairhatch.scale_test import run
-from stairhatch.scale_test.comparison import comparison_plan
+from stairhatch.fleet import runtime as fleet_runtime
+from stairhatch.scale_test import memory
+from stairhatch.scale_test.comparison import compare, comparison_plan, ratios_out_of_bounds
 from stairhatch.scale_test.connection_drivers import ServiceDiscoveryDriver
 from stairhatch.scale_test.errors import ScaleTestError
-from stairhatch.scale_test.figures import to_json_object
 from stairhatch.scale_test.plan_file import parse_plan, read_plan
-from stairhatch.scale_test.real import Processes
+from stairhatch.scale_test.real_config import inline_toml
+from stairhatch.scale_test.real_run import RealRun
+from stairhatch.scale_test.run import play
+from stairhatch.scale_test.schema import PlannedEventKind
 from stairhatch.scale_test.simulated_softswitch import SimulatedSoftswitch
 from stairhatch.scale_test.simulation import Simulation
 from stairhatch.scale_test.simulation_figures import gather_figures
+from stairhatch.scale_test.verdict import find_failures
 
 from .peers import ROOT, until
 
-FILE = ROOT / "experiments" / "scale" / "ci.toml"
-SMALL = {
-    "name": "small", "seed": 5, "seconds": 3.0, "softswitches": 9, "servers": 6, "services": 3, "zones": 3,
-    "regions": 1, "calls": {"rate": 30.0}, "server": {"state_s": 1.0}, "fleet": {},
-}  # fmt: skip
-
-
-def figures_of(simulation):
-    """The figures of a simulation, under the names that they are kept by."""
-    return to_json_object(gather_figures(simulation))
-
-
-def played(**changes):
-    """A small hollow run: its plan and its figures."""
-    plan = parse_plan({**SMALL, **changes})
-    return plan, figures_of(run.play(plan)[0])
-
-
-def test_the_run_for_ci_is_good_and_all_its_faults_bite(tmp_path):
-    """Guards against a part of the program that does not stand 200 of its kind, against a model that has
-    drifted from the program, and against faults that only seem to happen: the file says what has to bite and
-    within what bounds hollow and real have to lie.
+CI_FILE = ROOT / "experiments" / "scale" / "ci.toml"
+SMALL_PLAN = {
+    "name": "small",
+    "seed": 5,
+    "seconds": 3.0,
+    "softswitches": 9,
+    "servers": 6,
+    "services": 3,
+    "zones": 3,
+    "regions": 1,
+    "calls": {"rate": 30.0},
+    "server": {"state_s": 1.0},
+    "fleet": {},
+}
+EVENTS_TEXT = """
+[[event]]
+at = 0.5
+what = "restart"
+count = 4
+lasts = 1.0
+
+[[event]]
+at = 1.0
+what = "rack"
+zone = 1
+count = 2
+lasts = 1.0
+"""
+
+
+def toml_text(values):
+    """A scale file of top-level keys, each on a line of its own."""
+    return "".join(f"{key} = {inline_toml(value)}\n" for key, value in values.items())
+
+
+def play_small(**changes):
+    """A small simulation: its plan and its figures."""
+    plan = parse_plan({**SMALL_PLAN, **changes})
+    return plan, gather_figures(play(plan).simulation)
+
+
+def simulate_comparison(plan):
+    """The simulated figures of the scenario that real processes play, too."""
+    played = play(comparison_plan(plan, plan.real), settle_s=plan.real.settle_s)
+    return gather_figures(played.simulation).compared
+
+
+def test_the_ci_run_is_good_and_all_its_events_have_an_effect(tmp_path):
+    """Guards against a part of the program that does not stand 200 of its kind, against a simulation that has
+    drifted from the program, and against events that only seem to happen: the file says which must have an
+    effect and within what bounds simulated and real figures have to agree.
     """
-    done = CliRunner().invoke(main_group, ["scale", str(FILE), "--out", str(tmp_path)])
+    done = CliRunner().invoke(main_group, ["scale", str(CI_FILE), "--out", str(tmp_path)])
     assert done.exit_code == 0, done.output
     kept = tmp_path / "ci"
-    found = json.loads((kept / "result.json").read_text())["figures"]
+    figures = json.loads((kept / "result.json").read_text())["figures"]
     compared = json.loads((kept / "run.json").read_text())["compared"]
-    assert len(compared) == 9 and compared["stood"]["real"] > 100
-    assert min(found["bites"][what] for what in ("change", "restart", "rack", "zone", "regions")) >= 4
-    assert found["calls"]["asked"] > 300 and found["unanswered"] == 0
-    assert "ratio" in (kept / "table.md").read_text() and (kept / "chart.svg").stat().st_size > 1000
-
-
-def test_a_file_gives_the_same_result_to_the_letter(tmp_path):
-    """Guards against a run that can't be played again: sets and dicts in an order of the process's own, the
-    system's dice, a clock of the machine's.
+    assert len(compared) == 9
+    assert compared["stood"]["real"] > 100
+    for event in ("change", "restart", "rack", "zone", "regions"):
+        assert figures["bites"][event] >= 4, event
+    assert figures["calls"]["asked"] > 300
+    assert figures["unanswered"] == 0
+    assert "ratio" in (kept / "table.md").read_text()
+    assert (kept / "chart.svg").stat().st_size > 1000
+
+
+def test_a_scale_file_gives_the_same_result_to_the_byte(tmp_path):
+    """Guards against a run that cannot be repeated: sets and dicts in an order of the process's own, random
+    numbers of the system, the machine's clock.
     """
-    text = "".join(f"{name} = {json.dumps(value)}\n" for name, value in SMALL.items() if name != "server")
-    text = text.replace('{"rate": 30.0}', "{ rate = 30.0 }")
-    more = '[server]\nstate_s = 0.5\n[[event]]\nat = 0.5\nwhat = "restart"\ncount = 4\nlasts = 1.0\n'
-    more += '[[event]]\nat = 1.0\nwhat = "rack"\nzone = 1\ncount = 2\nlasts = 1.0\n'
-    found = []
-    for seed, dice in ((5, "1"), (5, "2"), (6, "1")):
+    results = []
+    for seed, hash_seed in ((5, "1"), (5, "2"), (6, "1")):
         path = tmp_path / "small.toml"
-        path.write_text(text.replace('"seed": 5', "").replace("seed = 5", f"seed = {seed}") + more)
+        path.write_text(toml_text({**SMALL_PLAN, "seed": seed, "server": {"state_s": 0.5}}) + EVENTS_TEXT)
+        out = tmp_path / f"{seed}{hash_seed}"
         done = subprocess.run(
-            [sys.executable, "-m", "stairhatch", "scale", str(path), "--out", str(tmp_path / f"{seed}{dice}"),
-             "--json"],
-            cwd=ROOT, capture_output=True, text=True, env={**os.environ, "PYTHONHASHSEED": dice}, check=False,
-        )  # fmt: skip
+            [sys.executable, "-m", "stairhatch", "scale", str(path), "--out", str(out), "--json"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            env={**os.environ, "PYTHONHASHSEED": hash_seed},
+            check=False,
+        )
         assert done.returncode == 0, done.stderr
-        found.append(done.stdout)
-    one, same, other = (json.loads(each)["figures"] for each in found)
-    assert found[0] == found[1]
-    assert one["calls"] != other["calls"] and one["bites"]["restart"] == 4 and one["bites"]["rack"] == 2
+        results.append(done.stdout)
+    first, _, other_seed = (json.loads(result)["figures"] for result in results)
+    assert results[0] == results[1]
+    assert first["calls"] != other_seed["calls"]
+    assert first["bites"]["restart"] == 4
+    assert first["bites"]["rack"] == 2
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"softswiches": 3}, r"softswiches: unknown key; did you mean softswitches?"),
         ({"calls": {"rat": 3.0}}, "calls.rat: unknown key"),
@@ -105,198 +145,213 @@
         ({"real": {}, "bounds": {"stod": {}}}, "bounds"),
     ],
 )
-def test_bad_input_is_one_line_that_names_the_key(tmp_path, change, said):
+def test_bad_input_is_one_line_that_names_the_key(tmp_path, change, message):
     """Guards against a file that is taken for another run than was meant, and a machine that runs out of
-    memory in place of a word.
+    memory without a word.
     """
-    raw = {name: value for name, value in {**SMALL, **change}.items() if value is not None}
     path = tmp_path / "bad.toml"
-    path.write_text("".join(f"{name} = {inline(value)}\n" for name, value in raw.items()))
+    changed = {key: value for key, value in {**SMALL_PLAN, **change}.items() if value is not None}
+    path.write_text(toml_text(changed))
     done = CliRunner().invoke(main_group, ["scale", str(path), "--out", str(tmp_path), "--quiet"])
-    assert done.exit_code == 2 and said in done.output
-    assert done.output.count("\n") == 1 and done.output.startswith("stairhatch: ")
+    assert done.exit_code == 2
+    assert message in done.output
+    assert done.output.count("\n") == 1
+    assert done.output.startswith("stairhatch: ")
 
 
-def inline(value):
-    """A value on one line of TOML."""
-    if isinstance(value, dict):
-        return "{" + ", ".join(f"{name} = {inline(each)}" for name, each in value.items()) + "}"
-    return "[" + ", ".join(map(inline, value)) + "]" if isinstance(value, list) else json.dumps(value)
+@pytest.fixture(scope="module")
+def ci_plan():
+    """The plan whose scenario is played twice."""
+    return read_plan(CI_FILE)
 
 
 @pytest.fixture(scope="module")
-def both():
-    """The scenario that is played twice, and what real processes made of it."""
-    plan = read_plan(FILE)
-    real = asyncio.run(Processes(comparison_plan(plan), plan.real.settle_s).run())
-    return plan, real
+def real_figures(ci_plan):
+    """What real processes made of the scenario that is played twice."""
+    real_run = RealRun(comparison_plan(ci_plan, ci_plan.real), ci_plan.real.settle_s)
+    return asyncio.run(real_run.run())
 
 
-def refuses(monkeypatch, each):
-    """Hollow roster servers turn each so many-th set-up away."""
-    inner, came = Processor.offer, []
+def reject_one_setup_in_three(monkeypatch):
+    """Have the simulated roster servers reject each third set-up."""
+    original, offered = Processor.offer, []
 
     def offer(self, now, call):
-        came.append(call)
-        return SetupAdmission.TURNED_AWAY if len(came) % each == 0 else inner(self, now, call)
+        offered.append(call)
+        return SetupAdmission.TURNED_AWAY if len(offered) % 3 == 0 else original(self, now, call)
 
     monkeypatch.setattr(Processor, "offer", offer)
 
 
-def loses_claims(monkeypatch):
-    """Three in four datagrams of claims get lost."""
-    inner, came = SimulatedSoftswitch.receive_datagram, []
+def lose_three_datagrams_in_four(monkeypatch):
+    """Have datagrams between the members of the fleet get lost."""
+    original, received = SimulatedSoftswitch.receive_datagram, []
 
-    def receive_datagram(self, data, peer):
-        came.append(peer)
-        if len(came) % 4 == 0:
-            inner(self, data, peer)
+    def receive_datagram(self, data, sender):
+        received.append(sender)
+        if len(received) % 4 == 0:
+            original(self, data, sender)
 
     monkeypatch.setattr(SimulatedSoftswitch, "receive_datagram", receive_datagram)
 
 
-def asks_slowly(monkeypatch):
-    """What the coordinator has to say arrives late."""
-    inner = ServiceDiscoveryDriver.receive
+def delay_the_endpoint_list(monkeypatch):
+    """Have what the coordinator sends arrive late."""
+    original = ServiceDiscoveryDriver.receive
 
     def receive(self, data):
-        self.clock.call_later(0.4, inner, self, data)
+        self.clock.call_later(0.4, original, self, data)
 
     monkeypatch.setattr(ServiceDiscoveryDriver, "receive", receive)
 
 
-def test_hollow_and_real_agree(both):
-    """Guards against a model of its own: each figure of hollow ones lies within the bounds of the file."""
-    plan, real = both
-    hollow = figures_of(run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0])
-    compared = run.held_against(plan, hollow["compared"], real["compared"])
-    assert not run.out_of_bounds(compared), compared
-    assert real["unanswered"] == 0 and real["not_heard"] == 0
+def test_simulated_and_real_figures_agree(ci_plan, real_figures):
+    """Guards against a simulation that drifts from the program: each ratio lies within the file's bounds."""
+    compared = compare(ci_plan, simulate_comparison(ci_plan), real_figures.compared)
+    assert not ratios_out_of_bounds(compared), compared
+    assert real_figures.unanswered == 0
+    assert real_figures.not_received == 0
 
 
 @pytest.mark.parametrize(
-    ("plant", "figure"),
+    ("mutate", "figure"),
     [
-        (lambda patch: refuses(patch, 3), "stood"),
-        (loses_claims, "claim_messages"),
-        (asks_slowly, "in_force_ms"),
+        (reject_one_setup_in_three, "stood"),
+        (lose_three_datagrams_in_four, "claim_messages"),
+        (delay_the_endpoint_list, "in_force_ms"),
     ],
 )
-def test_a_planted_fault_in_the_model_is_caught_by_a_ratio(both, monkeypatch, plant, figure):
+def test_a_mutation_of_the_simulation_is_caught_by_a_ratio(
+    ci_plan, real_figures, monkeypatch, mutate, figure
+):
     """Guards against bounds so wide that nothing is found, and ratios that are never looked at."""
-    plan, real = both
-    plant(monkeypatch)
-    hollow = figures_of(run.play(comparison_plan(plan), settle_s=plan.real.settle_s)[0])
-    found = run.out_of_bounds(run.held_against(plan, hollow["compared"], real["compared"]))
-    assert any(each.startswith(f"{figure}:") for each in found), found
+    mutate(monkeypatch)
+    compared = compare(ci_plan, simulate_comparison(ci_plan), real_figures.compared)
+    failures = ratios_out_of_bounds(compared)
+    assert any(failure.startswith(f"{figure}:") for failure in failures), failures
 
 
 def test_calls_go_as_deep_as_the_file_says_and_no_deeper():
     """Guards against a call graph that ends early, and one that goes round for ever."""
     calls = {"rate": 4.0, "depth": 11, "follow": 1.0, "fan_out": 1, "hold_s": 0.2}
-    _, found = played(calls=calls, softswitches=4, servers=11, services=11, seconds=4.0)
-    depths = found["calls"]["depths"]
-    assert found["calls"]["deepest"] == 11 and list(map(int, depths)) == [*range(1, 12)]
-    assert all(found["calls"]["stood_at_depth"][str(n)] <= depths[str(n)] for n in range(1, 12))
-    _, found = played(calls={**calls, "depth": 2}, softswitches=4, servers=2, services=2)
-    assert found["calls"]["deepest"] == 2
-
-
-def test_a_cut_holds_changes_up_and_is_counted():
-    """Guards against cuts that cut nothing: what is told during one comes into force only behind it, and a
-    cut that hits nothing makes the run fail.
+    _, deep = play_small(calls=calls, softswitches=4, servers=11, services=11, seconds=4.0)
+    assert deep.calls.max_depth == 11
+    assert list(deep.calls.requested_by_depth) == [*range(1, 12)]
+    for depth, requested in deep.calls.requested_by_depth.items():
+        assert deep.calls.established_by_depth[depth] <= requested
+    _, flat = play_small(calls={**calls, "depth": 2}, softswitches=4, servers=2, services=2)
+    assert flat.calls.max_depth == 2
+
+
+def test_a_partition_delays_changes_and_is_counted():
+    """Guards against partitions without an effect: a change made during one comes into force only after it,
+    and a run whose partition separates nothing fails.
     """
     change = {"at": 0.5, "what": "change", "count": 4, "lasts": 1.0}
-    _, free = played(event=[change])
-    cut = {"at": 0.4, "what": "zone", "zone": 1, "lasts": 1.6}
-    plan, found = played(event=[change, cut], must_bite=["zone"])
-    assert free["changes"]["in_force_longest_ms"] < 100 < 1000 < found["changes"]["in_force_longest_ms"]
-    assert found["bites"]["zone"] > 20 and found["changes"]["not_heard"] == 0 and not run.judged(plan, found)
-    late = parse_plan({**SMALL, "event": [{**cut, "at": 80.0}], "must_bite": ["zone"]})
-    said = run.judged(late, figures_of(run.play(late)[0]))
-    assert said == ["zone did not bite: the run proves nothing of it"]
+    _, without = play_small(event=[change])
+    partition = {"at": 0.4, "what": "zone", "zone": 1, "lasts": 1.6}
+    plan, figures = play_small(event=[change, partition], must_bite=["zone"])
+    assert without.changes.in_force_max_ms < 100
+    assert figures.changes.in_force_max_ms > 1000
+    assert figures.activations[PlannedEventKind.ZONE_PARTITION] > 20
+    assert figures.changes.not_received == 0
+    assert not find_failures(plan, figures)
+    late_plan, late = play_small(event=[{**partition, "at": 80.0}], must_bite=["zone"])
+    assert find_failures(late_plan, late) == ["zone had no effect: the run proves nothing of it"]
 
 
 def test_a_call_at_a_softswitch_that_has_not_started_is_unreachable():
     """Guards against a run that ends at a call for a softswitch whose zone starts later."""
-    _, found = played(event=[{"at": 1.0, "what": "start", "zone": 1}])
-    assert found["bites"]["start"] == 3
-    assert found["calls"]["unreached"] > 0
-    assert found["unanswered"] == 0
+    _, figures = play_small(event=[{"at": 1.0, "what": "start", "zone": 1}])
+    assert figures.activations[PlannedEventKind.ZONE_START] == 3
+    assert figures.calls.unreachable > 0
+    assert figures.unanswered == 0
 
 
-def test_regions_apart_that_both_change_the_list_meet():
-    """Guards against changes of one region that never come to the other, or go over newer ones there."""
-    apart = {"at": 0.5, "what": "regions", "lasts": 1.5}
-    changes = [{"at": 0.8, "what": "change", "count": 3, "lasts": 0.6, "region": n} for n in (0, 1)]
-    plan, found = played(regions=2, event=[apart, *changes], must_bite=["regions"], seconds=4.0)
-    assert not run.judged(plan, found) and found["changes"]["told"] == 6
-    assert found["changes"]["in_force_longest_ms"] > 500 and found["bites"]["regions"] > 20
+def test_changes_made_in_two_partitioned_regions_converge():
+    """Guards against changes of one region that never come to the other, or replace newer ones there."""
+    partition = {"at": 0.5, "what": "regions", "lasts": 1.5}
+    changes = [{"at": 0.8, "what": "change", "count": 3, "lasts": 0.6, "region": region} for region in (0, 1)]
+    plan, figures = play_small(regions=2, event=[partition, *changes], must_bite=["regions"], seconds=4.0)
+    assert not find_failures(plan, figures)
+    assert figures.changes.notified == 6
+    assert figures.changes.in_force_max_ms > 500
+    assert figures.activations[PlannedEventKind.REGION_PARTITION] > 20
 
 
-def test_cold_servers_are_counted_window_by_window():
+def test_cold_servers_are_judged_window_by_window():
     """Guards against a window that nobody looks at: too many set-ups in one make the run fail."""
     cold = {"at": 0.5, "what": "cold", "count": 5}
     calls = {"rate": 60.0, "depth": 1}
-    plan, found = played(services=1, event=[cold], calls=calls, window=True, seconds=6.0)
-    assert [each["server"] for each in found["windows"]] == [0, 1, 2, 3, 4]
-    assert sum(each["set_ups"] for each in found["windows"]) > 10
-    assert not run.judged(plan, found)
-    found["windows"][2]["fullest"] = found["windows"][2]["most"] + 1
-    assert [each.split(":")[0] for each in run.judged(plan, found)] == ["server 2"]
+    plan, figures = play_small(services=1, event=[cold], calls=calls, window=True, seconds=6.0)
+    assert [window.server for window in figures.windows] == [0, 1, 2, 3, 4]
+    assert sum(window.setups for window in figures.windows) > 10
+    assert not find_failures(plan, figures)
+    third = figures.windows[2]
+    figures.windows[2] = msgspec.structs.replace(third, fullest=third.limit + 1)
+    assert [failure.split(":")[0] for failure in find_failures(plan, figures)] == ["server 2"]
 
 
-def test_more_memory_than_was_foreseen_ends_the_run(monkeypatch):
+def test_more_memory_than_was_predicted_ends_the_run(monkeypatch):
     """Guards against a run that drives the machine into its swap."""
-    monkeypatch.setattr(run, "machine_memory", lambda: 2 * run.resident() - 2**20)
+    monkeypatch.setattr(memory, "machine_memory_bytes", lambda: 2 * memory.resident_bytes() - 2**20)
     with pytest.raises(ScaleTestError, match="softswitches: at .* more than half"):
-        run.play(parse_plan(SMALL))
+        play(parse_plan(SMALL_PLAN))
+
+
+def arguments_of(pid):
+    """The command line of a process, empty once it has ended."""
+    try:
+        return Path(f"/proc/{pid}/cmdline").read_bytes().decode().split("\0")
+    except OSError:
+        return []
+
+
+def fault_injection_children(pid):
+    """The children of a process that run a module of fault injection."""
+    children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    return [int(each) for each in children if "stairhatch.fault_injection." in " ".join(arguments_of(each))]
 
 
 def test_ctrl_c_leaves_nothing_behind(tmp_path):
     """Guards against softswitches, folders and half-written results that outlive a run that was ended."""
     path = tmp_path / "real.toml"
-    text = FILE.read_text().replace("softswitches = 200", "softswitches = 12")
+    text = CI_FILE.read_text().replace("softswitches = 200", "softswitches = 12")
     path.write_text(text.replace("depth = 4\nseconds = 4.0", "depth = 4\nseconds = 50.0"))
     assert "seconds = 50.0" in path.read_text()
     scale = subprocess.Popen(
-        [sys.executable, "-m", "stairhatch", "scale", str(path), "--out", str(tmp_path / "kept")], cwd=ROOT,
-        stderr=subprocess.PIPE, text=True,
+        [sys.executable, "-m", "stairhatch", "scale", str(path), "--out", str(tmp_path / "kept")],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        text=True,
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),  # a shell's background ignores it
-    )  # fmt: skip
-
-    def arguments(pid):
-        try:
-            return Path(f"/proc/{pid}/cmdline").read_bytes().decode().split("\0")
-        except OSError:
-            return []
+    )
 
-    def children():
-        pids = Path(f"/proc/{scale.pid}/task/{scale.pid}/children").read_text().split()
-        return [int(pid) for pid in pids if "stairhatch.fault_injection." in " ".join(arguments(pid))]
+    def all_children():
+        found = fault_injection_children(scale.pid)
+        return len(found) == 5 and found
 
     try:
-        pids = until(lambda: len(found := children()) == 5 and found, "four softswitches and the reaper")
-        folder = next(
-            Path(arguments(pid)[3]).parents[1] for pid in pids if "member_main" in arguments(pid)[2]
-        )
-        assert folder.exists() and folder.parent == Path(tempfile.gettempdir())
+        pids = until(all_children, "four softswitches and the cleaner of their folder")
+        member = next(arguments for pid in pids if "member_main" in (arguments := arguments_of(pid))[2])
+        folder = Path(member[3]).parents[1]
+        assert folder.exists()
+        assert folder.parent == Path(tempfile.gettempdir())
         scale.send_signal(signal.SIGINT)
         said = scale.communicate(timeout=30)[1]
     finally:
         scale.kill()
         scale.wait()
-    assert scale.returncode == 130 and said.endswith("stairhatch: ended by Ctrl-C; nothing is kept\n")
-    until(lambda: not any(map(arguments, pids)), "their end")
+    assert scale.returncode == 130
+    assert said.endswith("stairhatch: ended by Ctrl-C; nothing is kept\n")
+    until(lambda: not any(map(arguments_of, pids)), "their end")
     until(lambda: not folder.exists(), "the folder's end")
     assert not (tmp_path / "kept").exists()
 
 
-def test_a_hollow_world_puts_the_programs_own_things_back():
+def test_the_virtual_environment_is_taken_back():
     """Guards against a process whose fleet goes on by a virtual clock after a run."""
-    from stairhatch.fleet import runtime
-
-    was = runtime.clock, runtime.VoterStore, runtime.secrets
-    with Simulation(parse_plan(SMALL)).virtual_environment():
-        assert runtime.clock is not was[0]
-    assert (runtime.clock, runtime.VoterStore, runtime.secrets) == was
+    originals = fleet_runtime.clock, fleet_runtime.VoterStore, fleet_runtime.secrets
+    with Simulation(parse_plan(SMALL_PLAN)).virtual_environment():
+        assert fleet_runtime.clock is not originals[0]
+    assert (fleet_runtime.clock, fleet_runtime.VoterStore, fleet_runtime.secrets) == originals
