--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stairhatch scale`: many softswitches on a virtual clock, compared with real processes."""
+"""`stairhatch scale`: simulate many softswitches on a virtual clock, compared with real processes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="what the seed decides as one JSON object")
-@click.option("--quiet", is_flag=True, help="no lines of progress")
+@click.option("--json", "as_json", is_flag=True, help="print what the seed determines as one JSON object")
+@click.option("--quiet", is_flag=True, help="print no progress")
 def scale(file: Path, out: Path, as_json: bool, quiet: bool) -> None:
-    """Play the many softswitches of FILE on a virtual clock and hold them against real processes; keep the
-    run as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run
-    proves nothing. 130: Ctrl-C; nothing is kept.
+    """Simulate the softswitches of FILE on a virtual clock and compare them with real processes; keep the run
+    as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run is void.
+    130: ended by Ctrl-C; nothing is kept.
     """
     from stairhatch.scale_test.errors import ScaleTestError
     from stairhatch.scale_test.plan_file import read_plan
@@ -33,16 +33,17 @@
     from stairhatch.scale_test.run import run_scale_test
     from stairhatch.scale_test.summary import summarize
 
-    def report(line: str) -> None:
+    def show_progress(line: str) -> None:
+        """Print a line on standard error, unless that is not wanted."""
         if not quiet:
             click.echo(line, err=True)
 
     try:
         with failing_with(EXIT_UNUSABLE, ScaleTestError):
-            result = run_scale_test(read_plan(file), report)
+            result = run_scale_test(read_plan(file), show_progress)
             folder = keep_result(result, out, f"stairhatch scale {file.name}")
     except KeyboardInterrupt:
         fail(EXIT_INTERRUPTED, "ended by Ctrl-C; nothing is kept")
     click.echo(result_json(result) if as_json else summarize(result), nl=False)
-    report(f"kept in {folder}")
+    show_progress(f"kept in {folder}")
     sys.exit(EXIT_FOUND_WRONG if result.failures else EXIT_OK)
--- a/stairhatch/config/appliance/addresses.py
+++ b/stairhatch/config/appliance/addresses.py
@@ -7,13 +7,11 @@
 from stairhatch.config.appliance.schema import Listeners, ListenerTable
 from stairhatch.config.model import ConfigError
 from stairhatch.node.address import AddressError, parse_address
-from stairhatch.sip.flows import Networks, Place, is_address
-from stairhatch.sip.front import SipListener
+from stairhatch.sip.addresses import AllowedNetworks, IpNetwork, TransportAddress, is_ip_address
+from stairhatch.sip.config import SipListener
 
-Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
-
-def address_at(path: str, text: str) -> Place:
+def address_at(path: str, text: str) -> TransportAddress:
     """Return the address under a key. Raises ConfigError that names the key if it is none."""
     try:
         return parse_address(text)
@@ -22,9 +20,9 @@
 
 
 def listeners_at(path: str, value: Listeners | None) -> tuple[SipListener, ...]:
-    """Return what stands under a key of listeners: one or several, each an address or a table.
+    """Return the listeners under a key: one or several, each given as an address or a table.
 
-    Raises ConfigError for a name in place of an address, one that stands twice, or a network that is none.
+    Raises ConfigError for a name in place of an address, one that is given twice, or a malformed network.
     """
     if value is None or value == "":
         return ()
@@ -33,7 +31,7 @@
     listeners: list[SipListener] = []
     for index, each in enumerate(value):
         listener = _listener(f"{path}[{index}]", each)
-        if any(listener.place == other.place for other in listeners):
+        if any(listener.address == other.address for other in listeners):
             address = each.address if isinstance(each, ListenerTable) else each
             raise ConfigError(f"{path}[{index}]: {address} stands twice")
         listeners.append(listener)
@@ -42,14 +40,14 @@
 
 def _listener(path: str, value: str | ListenerTable) -> SipListener:
     table = value if isinstance(value, ListenerTable) else ListenerTable(value)
-    place = address_at(path, table.address)
-    if not is_address(place[0]):
-        raise ConfigError(f"{path}: {place[0]!r} is a name; names are not looked up")
+    address = address_at(path, table.address)
+    if not is_ip_address(address[0]):
+        raise ConfigError(f"{path}: {address[0]!r} is a name; names are not looked up")
     networks = (_network(f"{path}.allow[{order}]", text) for order, text in enumerate(table.allow))
-    return SipListener(place, Networks(tuple(networks)))
+    return SipListener(address, AllowedNetworks(tuple(networks)))
 
 
-def _network(path: str, text: str) -> Network:
+def _network(path: str, text: str) -> IpNetwork:
     try:
         return ipaddress.ip_network(text, strict=False)
     except ValueError as error:
--- a/stairhatch/config/appliance/reader.py
+++ b/stairhatch/config/appliance/reader.py
@@ -14,10 +14,9 @@
 from stairhatch.config.appliance.scope import scope_config
 from stairhatch.config.appliance.sip import sip_config
 from stairhatch.config.appliance.validation import validate
-from stairhatch.config.model import Config, ConfigError
-from stairhatch.config.reading import checked_settings, read_text
+from stairhatch.config.model import Config, ConfigError, checked_settings, read_text
 from stairhatch.settings.errors import SettingsError
-from stairhatch.sip.flows import Place
+from stairhatch.sip.addresses import TransportAddress
 
 SERVER_STATES = ("in_service", "terminating")
 
@@ -98,7 +97,7 @@
     return instances
 
 
-def _syslog(value: str | None) -> Place | str | None:
+def _syslog(value: str | None) -> TransportAddress | str | None:
     """Return the receiver's address, or the path of its socket."""
     if not value or value.startswith("/"):
         return value or None
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections: how many there may be, how long they may keep silent, and who goes for a newcomer.
+"""Accepting connections: how many there may be, how long they may be idle, and which is evicted.
 
 Three rules end a connection from this side. One that is idle is evicted where a newcomer needs its place
 (counter `connections_evicted`). One whose first request, or the rest of a message, does not come in time is
@@ -15,7 +15,7 @@
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from stairhatch.node.io.accepted_connection import AcceptedConnection
 from stairhatch.node.io.addresses import SocketAddress
@@ -38,8 +38,7 @@
 ProtocolFactory = Callable[[SocketAddress], ConnectionProtocol]  # is given the peer's address
 
 
-@dataclass(frozen=True, slots=True)
-class ListenerLimits:
+class ListenerLimits(NamedTuple):
     """What those who connect to one address are allowed."""
 
     max_connections: int  # at a time
@@ -158,10 +157,10 @@
     # ---- ending connections ----
 
     def evict(self, count: int = 1) -> int:
-        """Make room: the longest idle go that are owed no answer, silent ones first. Returns how many went.
+        """Evict the longest idle that are owed no answer, those without a request first; return how many.
 
         Otherwise callers that connect and say nothing, or ask once and hold on, would keep all others out.
-        What has sent a request keeps its connection while a silent one can go, and a message that comes in
+        One that has sent a request is kept while one that has not can be evicted, and a message that comes in
         pieces is cut off only where nobody is idle. One whose bytes lie unread is not idle but has not been
         read yet: where the loop comes to a newcomer later than `eviction_grace_s`, it would be evicted for
         silence with its set-up.
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -4,16 +4,15 @@
 
 import math
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, replace
 from itertools import count
+from typing import NamedTuple
 
 from stairhatch.node.calls import RosterServer, ServerRecord
-from stairhatch.node.ports import ServerPool
+from stairhatch.node.context import ServerPool
 from stairhatch.overload.events import Availability
 
 
-@dataclass(frozen=True, slots=True)
-class ServerChange:
+class ServerChange(NamedTuple):
     """What an update has changed at one server."""
 
     server: RosterServer
@@ -22,7 +21,7 @@
 
 
 class ServerRegistry:
-    """Roster servers by the number given to them here and by the directory's instance id."""
+    """Roster servers by the id given to them here and by the coordinator's instance id."""
 
     def __init__(self) -> None:
         """Begin with no server, all numbers being in scope."""
@@ -37,7 +36,7 @@
         return self.in_scope is None or self.in_scope(server.record.number)
 
     def update(self, records: Iterable[ServerRecord], complete: bool) -> Iterator[ServerChange]:
-        """Take in what the directory tells, and yield each change as it is made.
+        """Apply records of the endpoint list, and yield each change as it is made.
 
         A `complete` list makes those servers GONE that it does not name.
         """
@@ -66,7 +65,7 @@
         for server in self.by_id.values():
             record = server.record
             if record.instance not in named and record.availability is not Availability.GONE:
-                server.record = replace(record, availability=Availability.GONE)
+                server.record = record._replace(availability=Availability.GONE)
                 yield ServerChange(server, math.inf, is_listed=False)
 
     def forget(self, server: RosterServer) -> None:
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -6,8 +6,8 @@
 import re
 import time
 from collections.abc import Mapping
-from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
 FACILITY = 16  # local0 (RFC 5424, 6.2.1)
 SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
@@ -25,8 +25,7 @@
     INFORMATIONAL = 6
 
 
-@dataclass(frozen=True, slots=True)
-class Origin:
+class Origin(NamedTuple):
     """Who sends a message."""
 
     host: str
@@ -34,7 +33,7 @@
 
 
 def structured_data(name: str, fields: Mapping[str, object]) -> str:
-    """One structured-data element (RFC 5424, 6.3): values are escaped, names held to what is allowed."""
+    """One structured-data element (RFC 5424, 6.3): values are escaped, names limited to what is allowed."""
     text = ""
     for key, value in fields.items():
         shown = str(value).encode("utf-8", "replace").decode()
@@ -49,7 +48,7 @@
 ) -> str:
     """A whole message about an event, `at` in seconds of Unix time.
 
-    Header fields are held to printable ASCII and to their lengths.
+    Header fields are limited to printable ASCII and to their maximum lengths.
     """
     priority = FACILITY * 8 + severity
     whole = int(at)
--- a/stairhatch/overload/outlier.py
+++ b/stairhatch/overload/outlier.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 from stairhatch.overload.concurrency import ConcurrencyControl
-from stairhatch.overload.endpoint import Endpoint
+from stairhatch.overload.endpoint import DestinationBackoff, Endpoint
 from stairhatch.overload.events import AttemptOutcome
-from stairhatch.overload.pending_call import DestinationBackoff, PendingCall
+from stairhatch.overload.pending_queue import PendingCall
 from stairhatch.overload.slow_start import SlowStart
 from stairhatch.overload.thresholds import Thresholds
 
@@ -29,7 +29,7 @@
     log: Callable[[str], None]
 
     def eject(self, now: float, endpoint: Endpoint, cause: AttemptOutcome, asked_s: float = 0.0) -> None:
-        """Send it nothing for a while, and no less than it asked for."""
+        """Eject an endpoint for a while, at least for as long as it asked."""
         if not endpoint.ejected:
             self.log(f"server {endpoint.id} ejected: {cause.value}")
         if cause is AttemptOutcome.UNREACHABLE and not endpoint.unreachable:
@@ -44,7 +44,7 @@
         endpoint.next_ejection_s = min(MAX_EJECTION_S, 2 * ejection_s)
 
     def readmit(self, now: float, endpoint: Endpoint) -> None:
-        """It has established a call."""
+        """Readmit an endpoint that has established a call."""
         if not endpoint.ejected:
             return
         self.log(f"server {endpoint.id} readmitted")
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -9,21 +9,21 @@
 
 import time
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, replace
+from dataclasses import replace
+from typing import NamedTuple
 
 from stairhatch.components import Components
 from stairhatch.config.model import Config, ConfigError
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, parse_answer
 from stairhatch.settings.errors import LostKeyError
-from stairhatch.settings.lost_keys import check_no_key_lost
+from stairhatch.settings.schema import check_no_key_lost
 
-# Keys that a running process keeps as they were at its start, beside those that a part refuses to take.
+# Keys that keep their value until a restart, beside those that a part refuses to change.
 RESTART_KEYS = ("name", "listen", "console", "sockets", "memory_mb", "syslog", "fleet")
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadRejected:
+class ReloadRejected(NamedTuple):
     """The configuration could not be used; what was in force still is."""
 
     reason: str
@@ -33,8 +33,7 @@
         return f"refused: {self.reason}"
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadApplied:
+class ReloadApplied(NamedTuple):
     """The configuration is in force, but for the keys that only a restart can change."""
 
     at: float  # Unix time
@@ -49,8 +48,7 @@
 ReloadResult = ReloadApplied | ReloadRejected
 
 
-@dataclass(frozen=True, slots=True)
-class _Candidate:
+class _Candidate(NamedTuple):
     """A configuration that has been read and found usable."""
 
     config: Config
@@ -111,7 +109,7 @@
         return ReloadApplied(self._parts.clock(), restart_keys)
 
     def _apply_servers(self, old: Config, candidate: _Candidate) -> None:
-        """Take in the servers that the configuration lists, and another address of the coordinator."""
+        """Apply the servers that the configuration lists, and another address of the coordinator."""
         core = self._parts.core
         directory = self._parts.discovery
         new = candidate.config
--- a/stairhatch/scale_test/connection_drivers.py
+++ b/stairhatch/scale_test/connection_drivers.py
@@ -1,7 +1,7 @@
 """Drivers of a softswitch's protocols on simulated connections, in place of those in `node/io/`.
 
 A driver carries bytes and opens connections again; it decides nothing. Its pauses are those of the driver
-that it stands for, so that `node/io/persistent_connections.py` remains the reference.
+that it stands for, so that `node/io/connector.py` remains the reference.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.io.connector import CONNECT_TIMEOUT_S
-from stairhatch.node.io.persistent_connections import (
+from stairhatch.node.io.connector import (
+    CONNECT_TIMEOUT_S,
     MAX_BACKOFF_S,
     MAX_POLL_BACKOFF_S,
     MIN_BACKOFF_S,
@@ -210,7 +210,7 @@
 
 
 class ServiceDiscoveryDriver(ConnectionDriver):
-    """Keeps the long poll of the coordinator going, as `Network.poll_service_discovery`."""
+    """Keeps the long poll of the coordinator going, as `ServiceDiscoveryPoller`."""
 
     part = ProcessorPart.ENDPOINT_LIST
 
--- /dev/null
+++ b/stairhatch/sip/frontend.py
@@ -0,0 +1,209 @@
+"""The SIP frontend of the appliance: it is fed messages by its flows, and joins the parts of the user agent.
+
+It knows no socket, chooses no server and no answer for the servers' sake, and lets no call or dialog hang on
+one connection.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from stairhatch.node import sip_message as sip
+from stairhatch.node import sip_parser
+from stairhatch.node.call_manager import CallManager
+from stairhatch.node.calls import ReleaseCause
+from stairhatch.node.counters import Counters
+from stairhatch.sip import grammar
+from stairhatch.sip.addresses import TransportAddress
+from stairhatch.sip.call_leg import CallLeg, DialogTable
+from stairhatch.sip.client_requests import ClientRequests
+from stairhatch.sip.client_transactions import ClientTransactions
+from stairhatch.sip.config import SipConfig
+from stairhatch.sip.context import SipContext
+from stairhatch.sip.dialogs import DialogKey
+from stairhatch.sip.flow_router import FlowRouter
+from stairhatch.sip.request_admission import RequestAdmission
+from stairhatch.sip.request_dispatcher import RequestDispatcher
+from stairhatch.sip.request_head import DEFAULT_PORT, RequestHead
+from stairhatch.sip.request_scan import RequestScan, is_ack_to_stateless_response, scan_request
+from stairhatch.sip.responder import ACCEPT, METHODS, Responder
+from stairhatch.sip.response_format import copied_headers, format_headers, format_response
+from stairhatch.sip.server_transactions import ServerTransaction, ServerTransactions
+from stairhatch.sip.transport import Flow, SipConnection, UdpFlow
+from stairhatch.sip.user_agent import UserAgent
+
+BYTES_PER_MB = 1024 * 1024
+ACCEPT_LINE = format_headers([ACCEPT])
+BODY_STATUSES = (413, 415, 513)  # a malformed message that is answered with one is told what is accepted
+
+
+class SipFrontend:
+    """All flows, transactions and dialogs of the appliance; the `MessageHandler` of its flows."""
+
+    def __init__(
+        self,
+        core: CallManager,
+        config: SipConfig,
+        new_token: Callable[[], str],
+        draw_fraction: Callable[[], float],
+        secret: bytes = b"",
+    ) -> None:
+        """Begin without calls.
+
+        `new_token` makes tags and branches, `draw_fraction` draws from 0 to 1 at random, `secret` proves that
+        a nonce was made here.
+        """
+        context = SipContext(core, config, new_token, draw_fraction)
+        self.counters: Counters = core.counters
+        self.flows = FlowRouter(self, config)
+        self.admission = RequestAdmission(context)
+        self.server_transactions = ServerTransactions(
+            core, config.memory_mb * BYTES_PER_MB, self._response_flow, self._overload_feedback
+        )
+        self.client_transactions = ClientTransactions(core)
+        self._context = context
+        self._responder = Responder(context, self.server_transactions)
+        agent = UserAgent(
+            context=context,
+            flows=self.flows,
+            server_transactions=self.server_transactions,
+            client_transactions=self.client_transactions,
+            responder=self._responder,
+        )
+        self._dialogs = DialogTable(ClientRequests(agent))
+        self.dispatcher = RequestDispatcher(agent, self._dialogs, self.admission, secret)
+
+    @property
+    def config(self) -> SipConfig:
+        """The configuration in force."""
+        return self._context.config
+
+    @property
+    def dialogs(self) -> dict[DialogKey, CallLeg]:
+        """The legs of the dialogs that are not over."""
+        return self._dialogs.legs
+
+    def reconfigure(self, new: SipConfig) -> bool:
+        """Take from a new configuration what can be taken while calls go on; returns whether that was all."""
+        old = self._context.config
+        self._context.config = old.with_reloadable(new)
+        if new.auth != old.auth:
+            self.dispatcher.configure_authentication()
+        return self._context.config == new
+
+    def end_dialogs(self) -> int:
+        """The restart can't wait any longer: end the established dialogs on both sides; returns how many."""
+        legs = [leg for leg in self.dialogs.values() if leg.invite is None]
+        for leg in legs:
+            call_id = leg.dialog.call_id if leg.dialog else "-"
+            self._context.core.log("dialog_terminated", call=leg.ident, callid=call_id)
+            leg.success.stop()  # its ACK is not waited for
+            leg.terminate(ReleaseCause.TEMPORARY_FAILURE)
+        return len(legs)
+
+    def is_flushed(self) -> bool:
+        """Whether all output has been written, and requests of ours have been answered."""
+        return self.flows.is_flushed() and self._dialogs.requests.is_settled()
+
+    # ---- what comes in ----
+
+    def datagram_received(self, flow: UdpFlow, data: bytes) -> bool:
+        """Deal with a datagram by a scan while the processor is overloaded; False: it is to be parsed."""
+        if not self.admission.is_overloaded():
+            return False
+        if is_ack_to_stateless_response(data):
+            self.counters.add("got_ACK")
+            return True
+        scan = scan_request(data)
+        return scan is not None and self._scanned(flow, scan)
+
+    def message_received(self, flow: Flow, message: sip.SipMessage) -> None:
+        """Take one message, on any transport."""
+        self._count_received(message.method)
+        if not message.method:
+            if not self.client_transactions.response_received(message):
+                self.counters.add("responses_unmatched")
+            return
+        try:
+            head = RequestHead(message, flow.peer)
+        except sip_parser.SipError as error:
+            self.malformed_received(flow, error)
+            return
+        self.dispatcher.request_received(head, flow)
+
+    def malformed_received(self, flow: Flow, error: sip_parser.SipError) -> None:
+        """Count what can't be read; answer it if enough of it could be."""
+        self.counters.add("malformed_from_callers")
+        partial = error.partial
+        answered = (
+            partial is not None
+            and partial.method not in ("", "ACK")
+            and all(partial.get(name) for name in ("via", "from", "to", "call-id", "cseq"))
+        )
+        self._context.core.log(
+            "malformed",
+            side="caller",
+            source=flow.peer[0],
+            why=str(error),
+            answer=error.status if answered else "-",
+        )
+        if partial is None or not answered:
+            self.counters.add("malformed_unanswered")
+            return
+        address = _malformed_response_address(flow, partial)
+        extra = ACCEPT_LINE if error.status in BODY_STATUSES else ""
+        has_tag = "tag" in sip.parameters(partial.get("to"))
+        tag = "" if has_tag else self._context.new_token()
+        data = format_response(error.status, copied_headers(partial), tag, extra)
+        self._responder.respond_stateless(flow, address, data, error.status)
+
+    def peer_disconnected(self, flow: SipConnection) -> None:
+        """The peer of a connection has ended it, with set-ups unanswered on it: none that waits is sent on.
+
+        The response to one that is out already is brought to where its Via says (RFC 3261, 18.2.2).
+        """
+        for key in flow.unanswered:
+            transaction = self.server_transactions.find(key)
+            if transaction is not None and transaction.user is not None:
+                transaction.user.disconnected()
+
+    def flow_lost(self, flow: Flow) -> None:
+        """A connection has ended, or is used no more."""
+        self.flows.remove(flow)
+        if isinstance(flow, SipConnection):
+            self.peer_disconnected(flow)
+        self.client_transactions.flow_lost(flow)
+
+    def _scanned(self, flow: UdpFlow, scan: RequestScan) -> bool:
+        address = scan.response_address(flow.peer)
+        if self.server_transactions.absorb_scanned(scan.transaction_key, scan.method, flow, address):
+            self._count_received(scan.method)
+            return True
+        if scan.method != "INVITE" or scan.in_dialog:
+            return False
+        rejection = self.admission.admit_scanned(flow.peer[0], scan)
+        if rejection is None:
+            return False
+        self.counters.add("got_INVITE")
+        self.counters.add(rejection.counter)
+        data = scan.service_unavailable(flow.peer, self._context.new_token(), rejection.retry_after_s)
+        self._responder.respond_stateless(flow, address, data, 503)
+        return True
+
+    def _count_received(self, method: str) -> None:
+        kind = method if method in METHODS else "other" if method else "response"
+        self.counters.add(f"got_{kind}")  # a name made up by a caller is no counter
+
+    def _response_flow(self, transaction: ServerTransaction) -> Flow:
+        return self.flows.response_flow(transaction.flow, transaction.address)
+
+    def _overload_feedback(self, transaction: ServerTransaction) -> str:
+        return self.admission.feedback(transaction.source, transaction.overload_algorithms)
+
+
+def _malformed_response_address(flow: Flow, partial: sip.SipMessage) -> TransportAddress:
+    try:
+        via = grammar.parse_via(partial.get_all("via")[0])
+    except grammar.GrammarError:
+        return flow.peer  # where it came from is all that is known
+    return flow.peer[0], flow.peer[1] if "rport" in via.parameters else via.port or DEFAULT_PORT
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -32,7 +32,8 @@
 from stairhatch.scale_test.simulation_figures import gather_figures
 from stairhatch.scale_test.verdict import find_failures
 
-from .peers import ROOT, until
+from .support.paths import ROOT
+from .support.waiting import wait_until
 
 CI_FILE = ROOT / "experiments" / "scale" / "ci.toml"
 SMALL_PLAN = {
@@ -332,7 +333,7 @@
         return len(found) == 5 and found
 
     try:
-        pids = until(all_children, "four softswitches and the cleaner of their folder")
+        pids = wait_until(all_children, "four softswitches and the cleaner of their folder")
         member = next(arguments for pid in pids if "member_main" in (arguments := arguments_of(pid))[2])
         folder = Path(member[3]).parents[1]
         assert folder.exists()
@@ -344,8 +345,8 @@
         scale.wait()
     assert scale.returncode == 130
     assert said.endswith("stairhatch: ended by Ctrl-C; nothing is kept\n")
-    until(lambda: not any(map(arguments_of, pids)), "their end")
-    until(lambda: not folder.exists(), "the folder's end")
+    wait_until(lambda: not any(map(arguments_of, pids)), "their end")
+    wait_until(lambda: not folder.exists(), "the folder's end")
     assert not (tmp_path / "kept").exists()
 
 
