--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -78,8 +78,8 @@
         self.descriptions = SessionDescriptions.from_offer(terms.description)
         self.path = DialogPath(agent.flows, invite)
         self.provisional: ProvisionalResponse | None = None  # until the final response
-        self.success = SuccessResponse(context, self.path, self._ack_timed_out)
-        self.refresh = SessionRefresh(context, dialogs.requests, self, terms.timer, self.terminate)
+        self.success = SuccessResponse(context, self.path, self)
+        self.refresh = SessionRefresh(context, dialogs.requests, self, terms.timer)
         self._bye_cause = 0  # of a BYE that awaits the ACK: none goes before it (RFC 3261, 15)
 
     @property
@@ -221,7 +221,8 @@
         self._end_dialog()
         self._dialogs.requests.send(self, "BYE", [("reason", f"Q.850;cause={cause}")])
 
-    def _ack_timed_out(self) -> None:
+    def ack_timed_out(self) -> None:
+        """No ACK to the 2xx has come within 64 T1."""
         self.terminate(bye_cause=self._bye_cause)
 
     def _prack_timed_out(self) -> None:
--- a/stairhatch/sip/session_refresh.py
+++ b/stairhatch/sip/session_refresh.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
 from typing import Protocol
 
 from stairhatch.node import sip_message as sip
-from stairhatch.node.protocol import do_nothing
 from stairhatch.sip import grammar, session_descriptions
 from stairhatch.sip.client_requests import ClientRequests, DialogUsage
 from stairhatch.sip.context import SipContext
@@ -31,11 +29,14 @@
     ident: str
     descriptions: SessionDescriptions
 
+    def terminate(self) -> None:
+        """End the session on both sides."""
+
 
 class SessionRefresh:
     """What was agreed for a session, and when it is refreshed or released."""
 
-    __slots__ = ("_context", "_expiration", "_release", "_requests", "_session", "allowed_methods", "timer")
+    __slots__ = ("_context", "_expiration", "_requests", "_session", "allowed_methods", "timer")
 
     def __init__(
         self,
@@ -43,15 +44,13 @@
         requests: ClientRequests,
         session: RefreshedSession,
         timer: SessionTimer | None,
-        release: Callable[[], None],
     ) -> None:
-        """`timer` is what the INVITE agreed on; `release` ends the session on both sides."""
+        """`timer` is what the INVITE agreed on."""
         self.timer = timer
         self.allowed_methods = ""  # what the caller allows, as its Allow says
         self._context = context
         self._requests = requests
         self._session: RefreshedSession | None = session  # until it is over
-        self._release = release
         self._expiration = SessionExpiration()
 
     def start(self) -> None:
@@ -71,7 +70,6 @@
         """
         self._expiration.restart(None, 0.0)
         self._session = None
-        self._release = do_nothing
 
     def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
         """What came of our refresh (RFC 4028, 7.4 and section 10); None: nobody answered."""
@@ -83,7 +81,7 @@
             return
         self._context.counters.add("refreshes_failed")
         if status in (408, 481) or message is None:
-            self._release()
+            self._session.terminate()
             return
         self._expiration.postpone_refresh(self._context.now() + self._retry_after_s(status, message))
         self._schedule_check()
@@ -125,7 +123,7 @@
             case SessionTimerAction.RELEASE:
                 self._context.counters.add("sessions_expired")
                 self._context.core.log("session_expired", call=self._session.ident)
-                self._release()
+                self._session.terminate()
                 return
             case SessionTimerAction.NONE:
                 pass
