--- a/benchmarks/scaling/decision_cost.py
+++ b/benchmarks/scaling/decision_cost.py
@@ -8,7 +8,6 @@
 import time
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable
-from dataclasses import replace
 from enum import Enum
 from typing import Protocol
 
@@ -92,7 +91,7 @@
         self.event_counts: Counter[EventPurpose] = Counter()
         self._rng = random.Random(1)
         self.decisions = make_decisions(self.settings, random.Random(2))
-        self._event_time = 0.0  # as the decisions are told it: it moves on by the settings' period
+        self._event_time = 0.0  # as the decisions see it: it advances by the settings' period
         self._call_ids = itertools.count(1)
         self._order = itertools.count()
         self._scheduled: list[tuple[float, int, EventPurpose, Event]] = []
@@ -171,7 +170,7 @@
     state_s = driver.processor_s[EventPurpose.SERVER_STATE] / driver.event_counts[EventPurpose.SERVER_STATE]
     for number in range(CHANGES):
         availability = Availability.DRAINING if number % 2 == 0 else Availability.READY
-        changed = (replace(driver.endpoints[number % size], availability=availability),)
+        changed = (driver.endpoints[number % size]._replace(availability=availability),)
         driver.now += CHANGE_INTERVAL_S
         driver.handle(EventPurpose.LIST_CHANGE, EndpointsUpdated(changed, complete=False))
     return Measurement(
--- /dev/null
+++ b/stairhatch/scale_test/simulated_network.py
@@ -0,0 +1,111 @@
+"""The network between the machines of a run: how long bytes are under way, and what a partition does.
+
+Bytes are carried as they are and never looked into. Whether a datagram is lost, delayed or duplicated is
+drawn by `DatagramLink` from the plan's seed.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from dataclasses import dataclass
+from typing import Protocol
+
+from stairhatch.fault_injection.schedule import ScheduledFault
+from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
+from stairhatch.scale_test.schema import PlannedEvent, PlannedEventKind, ScalePlan
+from stairhatch.scale_test.topology import Topology
+from stairhatch.scale_test.virtual_clock import VirtualClock
+
+# After which a connection sends again what was lost (the least retransmission timeout that Linux has).
+RETRANSMISSION_TIMEOUT_S = 0.2
+
+Address = tuple[str, int]
+
+
+class DatagramReceiver(Protocol):
+    """Who has a datagram port."""
+
+    machine: int
+
+    def receive_datagram(self, data: bytes, sender: Address) -> None:
+        """Take a datagram."""
+
+
+@dataclass(frozen=True, slots=True)
+class ActivePartition:
+    """A partition that is in effect."""
+
+    until: float
+    kind: PlannedEventKind
+    fault: ScheduledFault
+
+
+class SimulatedNetwork:
+    """Delays, losses and partitions between machines, and the datagram ports."""
+
+    def __init__(self, plan: ScalePlan, topology: Topology, clock: VirtualClock) -> None:
+        """Draw the seeds of the network links from the plan's seed."""
+        self.topology = topology
+        self.clock = clock
+        self.activations: Counter[PlannedEventKind] = Counter()  # how often a partition had an effect
+        self.partitions: list[ActivePartition] = []
+        self.connection_bytes = 0  # sent on all connections
+        self.datagram_receivers: dict[str, DatagramReceiver] = {}  # by host
+        rng = random.Random(f"wire {plan.seed}")
+
+        def link(conditions: DatagramConditions) -> DatagramLink:
+            return DatagramLink(conditions, random.Random(rng.getrandbits(64)))
+
+        self._within_zone = link(plan.network.within_zone)
+        self._between_zones = link(plan.network.between_zones)
+        self._between_regions = link(plan.network.between_regions)
+
+    def begin_partition(self, event: PlannedEvent) -> None:
+        """Have a partition in effect from now for its duration."""
+        until = self.clock.now + event.duration_s
+        partition = ActivePartition(until, event.kind, self.topology.partition_for(event))
+        self.partitions.append(partition)
+        self.clock.call_later(event.duration_s, self.partitions.remove, partition)
+
+    def partitioned_until(self, one: int, other: int) -> float:
+        """Return when two machines reach each other again, 0 if they do now. Counts as an activation."""
+        longest: ActivePartition | None = None
+        for partition in self.partitions:
+            lasts_longer = longest is None or partition.until > longest.until
+            if lasts_longer and self.topology.is_separated(partition.fault, one, other):
+                longest = partition
+        if longest is None:
+            return 0.0
+        self.activations[longest.kind] += 1
+        return longest.until
+
+    def one_way_delay_s(self, one: int, other: int) -> float:
+        """Return the delay between two machines without jitter."""
+        return self._link(one, other).weather.delay_ms / 1000
+
+    def send_datagram(self, sender: int, source: Address, host: str, data: bytes) -> None:
+        """Send a datagram from a machine: it arrives later, twice or never."""
+        receiver = self.datagram_receivers[host]
+        delays_s = self._link(sender, receiver.machine).fate()
+        if self.partitioned_until(sender, receiver.machine):
+            return
+        for delay_s in delays_s:
+            self.clock.call_later(delay_s, receiver.receive_datagram, data, source)
+
+    def stream_delay_s(self, one: int, other: int) -> float:
+        """Return how long a piece of a stream takes: it is sent again after a loss, and after a partition."""
+        arrivals_s, delay_s = self._link(one, other).fate(), 0.0
+        if not arrivals_s:
+            delay_s, arrivals_s = RETRANSMISSION_TIMEOUT_S, (self.one_way_delay_s(one, other),)
+        if until := self.partitioned_until(one, other):
+            delay_s += until - self.clock.now + RETRANSMISSION_TIMEOUT_S
+        return delay_s + arrivals_s[0]
+
+    def _link(self, one: int, other: int) -> DatagramLink:
+        topology = self.topology
+        if topology.zones[one] == topology.zones[other]:
+            return self._within_zone
+        if topology.region_of(one) == topology.region_of(other):
+            return self._between_zones
+        return self._between_regions
--- a/tests/test_datagram_peek.py
+++ b/tests/test_datagram_peek.py
@@ -36,10 +36,10 @@
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
     seen, head = scan_request(data), RequestHead(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
     if seen is not None:
-        assert (seen.method, seen.user, seen.key) == (method, "712", head.key)
-        assert seen.within is bool(head.to_tag)
-        assert seen.place(("127.0.0.1", 4000)) == head.place(("127.0.0.1", 4000), False)
-        answer = sip_parser.parse_datagram(seen.unavailable(("127.0.0.1", 4000), "mine", 3))
+        assert (seen.method, seen.user, seen.transaction_key) == (method, "712", head.transaction_key)
+        assert seen.in_dialog is bool(head.to_tag)
+        assert seen.response_address(("127.0.0.1", 4000)) == head.response_address(("127.0.0.1", 4000), False)
+        answer = sip_parser.parse_datagram(seen.service_unavailable(("127.0.0.1", 4000), "mine", 3))
         assert answer.status == 503
         assert answer.get("retry-after") == "3"
         for name in ("call-id", "cseq", "from"):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -45,7 +45,7 @@
         connection = side.connect()
     elif to == "SIP caller":
         side = node.front
-        connection = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
+        connection = side.flows.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
         side = ServerConnectionPool(node.core, server_connections.append)
         side.record_changed(node.core.servers.by_id[1])
@@ -270,5 +270,5 @@
         program.process.send_signal(signal.SIGTERM)
         caller.respond(caller.expect("c1", "BYE"), 200)
     assert program.process.wait(20) == 0
-    assert len(program.log_events("ended")) == (not hangs_up)
+    assert len(program.log_events("dialog_terminated")) == (not hangs_up)
     wait_until(lambda: server.messages("FINISH"), "the release at the roster server")
--- a/tests/test_sip_large_requests.py
+++ b/tests/test_sip_large_requests.py
@@ -9,17 +9,17 @@
 def test_a_request_too_large_for_udp_goes_by_tcp_and_by_udp_if_nobody_listens():
     """A BYE is not lost because it does not fit into a datagram."""
     node, dialled = InProcessNode(), []
-    node.front.dial = dialled.append
-    line = RecordingFlow(node)
+    node.front.flows.dial = dialled.append
+    flow = RecordingFlow(node)
     routes = ", ".join(f"<sip:127.0.0.1:{4100 + n};lr;padding={'x' * 200}>" for n in range(8))
-    line.request(record_route=routes)
+    flow.request(record_route=routes)
     node.establish()
-    line.request("ACK", to=f"<sip:7@net>;tag={line.to_tag()}")
+    flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
     attempt = node.written[0]
     node.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", node.empty_report())
-    assert not node.front.ports[0].output
+    assert not node.front.flows.ports[0].output
     assert dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
     dialled[1].connection_lost()  # tried twice in vain
-    assert line.sent[-1].method == "BYE"
+    assert flow.sent[-1].method == "BYE"
