--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -114,6 +114,25 @@
         program.path = path
         return program
 
+    def serve_again(self, text: str) -> Program:
+        """Start the appliance anew by `serve`, after it has ended, with another text of its file.
+
+        It has its old ports, or others where something else has taken one in the meantime.
+        """
+        port, admin_port = self.address[1], self.admin_address[1]
+        while True:
+            self.path.write_text(text)
+            command = ("serve", str(self.path))
+            program = Program(self.path.parent, *command).wait_until_ready(port, admin_port)
+            if program is not None:
+                program.path = self.path
+                return program
+            new_port, new_admin_port = free_port(), free_port()
+            text = text.replace(f':{port}"', f':{new_port}"').replace(
+                f':{admin_port}"', f':{new_admin_port}"'
+            )
+            port, admin_port = new_port, new_admin_port
+
     def wait_until_ready(self, port: int, admin_port: int) -> Program | None:
         """Wait until it listens; None if something else took its port in the meantime."""
         self.address, self.admin_address = ("127.0.0.1", port), ("127.0.0.1", admin_port)
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -115,11 +115,11 @@
     host, port = program.address
     caller = SipCaller(program.address, udp=True)
 
-    def ask(number, call):
+    def invite(number, call):
         headers = sip_headers("INVITE", "1", f"z9hG4bK{number}", call, caller.host)
         caller.send("INVITE", "sip:71@net", headers, b"v=0")
 
-    ask(1, "c1")
+    invite(1, "c1")
     caller.expect("c1", 200)
     text = program.path.read_text()
     CliRunner().invoke(
@@ -127,10 +127,10 @@
     )
     more = '[sip]\nauth = { users = "u.txt", realm = "r" }'
     assert program.reload(text.replace("[sip]", more, 1))["restart_required"] == "-"
-    ask(2, "c2")
+    invite(2, "c2")
     assert 'realm="r"' in caller.expect("c2", 401).get("www-authenticate")
     assert program.reload(text)["result"] == "applied"
-    ask(3, "c3")
+    invite(3, "c3")
     caller.expect("c3", 200)
     assert (
         program.reload(text.replace("idle_s", "idle").replace("[sip]", "[sip]\nidle = 3", 1))["result"]
@@ -140,14 +140,14 @@
     lists = text.replace(f'udp = "{host}:{port}"', f'udp = ["{host}:{port}", "[::1]:{port}"]')
     lists = lists.replace(f'tcp = "{host}:{port}"', f'tcp = ["{host}:{port}", "[::1]:{port}"]')
     assert lists != text
-    program.path.write_text(lists)
-    both = Program(tmp_path, "serve", str(program.path)).wait_until_ready(port, program.admin_address[1])
-    assert both is not None
+    both = program.serve_again(lists)
     assert both.wait_until_serving()
     for udp in (True, False):
-        six = SipCaller(("::1", port), udp=udp, ipv6=True)
+        six = SipCaller(("::1", both.address[1]), udp=udp, ipv6=True)
         name = f"six{udp}"
-        way = "UDP" if udp else "TCP"
-        six.send("OPTIONS", "sip:x@net", sip_headers("OPTIONS", "1", f"z9hG4bK{name}", name, six.host, way))
+        transport = "UDP" if udp else "TCP"
+        six.send(
+            "OPTIONS", "sip:x@net", sip_headers("OPTIONS", "1", f"z9hG4bK{name}", name, six.host, transport)
+        )
         six.expect(name, 200)
     assert both.stop() == 0
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -247,11 +247,7 @@
     first = Program.as_appliance(tmp_path, server, ScriptedServer())
     text = first.path.read_text().replace("restart_wait_s = 0.2", "restart_wait_s = 60")
     assert first.stop() == 0
-    first.path.write_text(text)
-    program = Program(tmp_path, "serve", str(first.path)).wait_until_ready(
-        first.address[1], first.admin_address[1]
-    )
-    assert program is not None
+    program = first.serve_again(text)
     assert program.wait_until_serving()
     caller = SipCaller(program.address, udp=True)
     caller.send("INVITE", "sip:71@net", sip_headers("INVITE", host=caller.host), b"v=0")
