--- a/tests/support/access_node.py
+++ b/tests/support/access_node.py
@@ -1,4 +1,4 @@
-"""A small stand-in for an access node: it feeds one controller and keeps what it answered."""
+"""An access node driven by hand: it feeds one controller and records the actions."""
 
 from __future__ import annotations
 
--- a/tests/support/full_listener.py
+++ b/tests/support/full_listener.py
@@ -1,4 +1,4 @@
-"""A listener that lets nobody in: who connects waits in the kernel."""
+"""A listener that accepts nobody: connects to it wait in the kernel."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FullListener:
-    """A listener whose queue is full, so that the SYN of who connects next gets no answer."""
+    """A listener whose queue is full, so that the SYN of the next connect gets no answer."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -30,7 +30,7 @@
                 return
 
     def empty_queue(self) -> None:
-        """Accept who is in the queue; the kernel of who was not let in retransmits its SYN by itself."""
+        """Accept the queued connections; the kernel retransmits the SYN of a connect that waits."""
         self.connections += [self.listener.accept()[0] for _ in self.connections[:-1]]
 
     def close(self) -> None:
--- a/tests/support/in_process_node.py
+++ b/tests/support/in_process_node.py
@@ -62,7 +62,7 @@
         self.clock = lambda: loop.time() + offset_s
 
     def record_changed(self, server: object) -> None:
-        """Take the endpoint list's news of a server (the pool's interface)."""
+        """Take a change in a server's entry of the endpoint list (the pool's interface)."""
 
     def send_setup(self, attempt: Attempt) -> None:
         """Write a set-up at once, if it may still be sent (the pool's interface)."""
--- a/tests/support/recording_session.py
+++ b/tests/support/recording_session.py
@@ -1,4 +1,4 @@
-"""A caller's session that records what it is told."""
+"""A caller's session that records the events of its call."""
 
 from __future__ import annotations
 
--- a/tests/support/scripted_coordinator.py
+++ b/tests/support/scripted_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator that publishes the endpoint events a test tells it, on a real socket."""
+"""A coordinator that publishes the endpoint events of a test, on a real socket."""
 
 from __future__ import annotations
 
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -58,7 +58,7 @@
     assert program.admin_command("check").startswith("ok")
     for each in silent:
         each.settimeout(20)
-        assert each.recv(100).startswith(b"fail "), "also who says nothing is told why it ends"
+        assert each.recv(100).startswith(b"fail "), "a silent operator gets the reason as well"
         each.close()
 
 
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from hypothesis import HealthCheck, given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
 from stairhatch.admission.admission_control import (
@@ -19,10 +19,8 @@
 from stairhatch.admission.overload_detector import OverloadDetector, OverloadDetectorPolicy, OverloadLevel
 from stairhatch.admission.rate_limits import RateLimitPolicy, SourceRateLimiter
 
-BOUNDED = settings(
-    derandomize=True, max_examples=150, deadline=None, database=None,
-    suppress_health_check=[HealthCheck.too_slow],
-)  # fmt: skip
+from .support.hypothesis_profile import BOUNDED
+
 SPAN_S = 0.05
 
 
@@ -80,7 +78,7 @@
         now += step
         for _ in range(int(offered(now) * step + chance.random())):
             if waiting / capacity > 0.25:
-                continue  # the socket is full: nobody hears of it
+                continue  # the socket is full: the datagram is lost
             decision = admission.admit(RequestKind.NEW_CALL, "a", 1.0, now)
             waiting += 1.0 if decision.outcome is AdmissionOutcome.ADMITTED else shed_cost
             served += decision.outcome is AdmissionOutcome.ADMITTED and now > seconds / 3
@@ -179,7 +177,7 @@
     for number in range(5000):
         served += limiter.take(f"10.1.2.{number % 250}", number * 0.0001, True) == 0.0
         assert len(limiter.sources) <= 100
-        assert len(limiter._network_names) <= 100  # noqa: SLF001  # nothing public tells its size
+        assert len(limiter._network_names) <= 100  # noqa: SLF001  # its size is not public
     assert served <= 10 + 10 * 0.5 + 1
     assert limiter.take("192.168.1.1", 1.0, True) == 0.0
 
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -1,4 +1,4 @@
-"""The appliance's file and command line: each complaint names its key, and a reload takes what it says."""
+"""The appliance's file and command line: each complaint names its key, and a reload applies it."""
 
 from __future__ import annotations
 
@@ -143,11 +143,14 @@
     both = program.serve_again(lists)
     assert both.wait_until_serving()
     for udp in (True, False):
-        six = SipCaller(("::1", both.address[1]), udp=udp, ipv6=True)
-        name = f"six{udp}"
-        transport = "UDP" if udp else "TCP"
-        six.send(
-            "OPTIONS", "sip:x@net", sip_headers("OPTIONS", "1", f"z9hG4bK{name}", name, six.host, transport)
-        )
-        six.expect(name, 200)
+        check_health_by_ipv6(both.address[1], udp)
     assert both.stop() == 0
+
+
+def check_health_by_ipv6(port, udp):
+    """OPTIONS is answered on the IPv6 loopback."""
+    caller = SipCaller(("::1", port), udp=udp, ipv6=True)
+    call, transport = f"six{udp}", "UDP" if udp else "TCP"
+    headers = sip_headers("OPTIONS", "1", f"z9hG4bK{call}", call, caller.host, transport)
+    caller.send("OPTIONS", "sip:x@net", headers)
+    caller.expect(call, 200)
--- a/tests/test_call_manager.py
+++ b/tests/test_call_manager.py
@@ -38,7 +38,7 @@
     "established": lambda node, _call: node.establish(),
     "abandoned": lambda node, call: node.core.abandon(call),
     "the process ends": lambda node, _call: node.core.answer_pending(),
-    "over before it was heard": lambda node, _call: node.core.responses.call_released(
+    "released before it was established": lambda node, _call: node.core.responses.call_released(
         node.core.servers.by_id[1], IDENT, 16, "", LoadReport()
     ),
     "its time is up": lambda node, _call: node.run(3.5),
@@ -63,7 +63,9 @@
     node.run(20.0)
     assert len(node.written) == 1
     assert len(caller.events) == (how != "abandoned")
-    assert node.releases == ([] if how in ("established", "over before it was heard") else [(IDENT, 16)])
+    assert node.releases == (
+        [] if how in ("established", "released before it was established") else [(IDENT, 16)]
+    )
 
 
 def test_an_attempt_at_an_unknown_server_ends_at_once():
@@ -72,12 +74,12 @@
     call, caller = offer_call(node)
     node.core.responses.call_released(
         node.core.servers.by_id[1], IDENT, 34, "", LoadReport()
-    )  # full: it is held for another try
+    )  # full: it is pending for a retry
     node.core.controller.pending.remove(call.number)
     node.core.attempts.start(SendSetup(call.number, 99))
     assert node.core.counters.counts["rule_violations"] == 1
     node.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
-    assert call.number in node.core.controller.pending, "the decisions have not heard that it never left"
+    assert call.number in node.core.controller.pending, "the decisions do not know yet that it was not sent"
     node.run(3.5)
     assert len(caller.events) == 1
 
@@ -112,17 +114,17 @@
 
 def test_timers_that_are_due_together_wake_the_loop_once():
     """The loop's timer is not set for each call anew."""
-    node, woken, rung = InProcessNode(), [], []
+    node, woken, expired = InProcessNode(), [], []
     node.core.timers.on_earlier_due = lambda: woken.append(1)
     for n in range(1000):
         due = 1000.5 + n / 1e6
-        node.core.timers.schedule(due, lambda due=due: rung.append(node.now >= due))
+        node.core.timers.schedule(due, lambda due=due: expired.append(node.now >= due))
     assert len(woken) <= 2
     node.run(0.49)
-    assert not rung
+    assert not expired
     node.run(0.02)
-    assert len(rung) == 1000
-    assert all(rung), "none rings before its time"
+    assert len(expired) == 1000
+    assert all(expired), "none expires before its time"
 
 
 def test_no_memory_is_kept_of_servers_and_calls_that_are_gone():
@@ -157,7 +159,7 @@
     assert not core.calls.by_number
     assert not frontend.registry.calls
     assert not core.calls.by_ident
-    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # nothing public tells
+    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # not public
     assert len(core.controller.endpoints) <= 10
-    assert len(core.timers._slots) <= 10  # noqa: SLF001  # nothing public tells its size
+    assert len(core.timers._slots) <= 10  # noqa: SLF001  # its size is not public
     assert not any("MADE" in name for name in core.counters.counts)
--- a/tests/test_call_outcomes.py
+++ b/tests/test_call_outcomes.py
@@ -124,4 +124,4 @@
         caller.invite(again, repeat_mark="1")
         wait_until(lambda again=again: caller.final_statuses(again), "its answer")
         assert len(caller.final_statuses(ident)) == len(caller.final_statuses(again)) == 1
-    assert advised, "it was told when to come back"
+    assert advised, "it was told when to retry"
--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -43,7 +43,7 @@
         lambda: len([tag for tag in setup_ids(*servers) if tag != first]) == 2, "the retry of the other"
     )
     assert setup_ids(*servers).count(first) == 1
-    if by == "half-close":  # it still reads, and is told once
+    if by == "half-close":  # it still reads, and gets one answer
         wait_until(lambda: caller.closed, "the end of the connection")
         finals = [m.status for _, m in caller.received if m.status >= 200 and m.cseq()[1] == "INVITE"]
         assert len(finals) == 1
@@ -91,7 +91,7 @@
 
     def script(message, send):
         if message["verb"] == "FINISH":
-            send("FINISH", message["tag"], rc=41)  # crosses what it was told
+            send("FINISH", message["tag"], rc=41)  # crosses the release
 
     program, _, (server,) = start_unusual(script)
     caller, ident = place_call(program, "platform")
--- a/tests/test_congestion_control.py
+++ b/tests/test_congestion_control.py
@@ -162,7 +162,7 @@
         count_setups_of_fleet(replace(SETTINGS, instance_count=n), elapsed_s)
         for n, elapsed_s in ((5, 1.5), (250, 1.5))
     )
-    assert large < 20 * small  # fifty times the nodes, each asked for as much
+    assert large < 20 * small  # fifty times the nodes, each offered as much
     assert count_setups_of_fleet(replace(SETTINGS, instance_count=250), 0.05) > 0
 
 
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Callers' connections: whom a full listener evicts, and floods that it withstands."""
+"""Callers' connections: which of them a full listener evicts, and floods that it withstands."""
 
 from __future__ import annotations
 
@@ -92,28 +92,24 @@
         node = InProcessNode()
         node.follow_loop(asyncio.get_running_loop())
         network = Network(node.core)
-        frontend = PlatformFrontend(node.core)
         sock = socket.create_server(("127.0.0.1", 0))
-        listener = network.listen(sock, frontend.connect, ListenerLimits(1, eviction_grace_s=0.05))
+        limits = ListenerLimits(1, eviction_grace_s=0.05)
+        listener = network.listen(sock, PlatformFrontend(node.core).connect, limits)
         old = socket.create_connection(sock.getsockname())
         await wait_in_loop(lambda: listener.connections)
         one = next(iter(listener.connections))
         await wait_in_loop(  # it is read, and old enough to be evicted
             lambda: one.reading_ended is not None and network.loop.time() > one.received_at + 0.05
         )
-        new = socket.socket()
+        new, ident = socket.socket(), next_call_id()
         new.setblocking(False)
-        ident = next_call_id()
-
-        def both():  # within one turn: the loop finds both when it looks next
-            if first == "request":
-                old.sendall(platform_invite(ident, answer_within_ms="4000"))
-            with contextlib.suppress(BlockingIOError):
-                new.connect(sock.getsockname())
-            if first != "request":
-                old.sendall(platform_invite(ident, answer_within_ms="4000"))
-
-        both()
+        # Both within one turn: the loop finds both when it polls next.
+        if first == "request":
+            old.sendall(platform_invite(ident, answer_within_ms="4000"))
+        with contextlib.suppress(BlockingIOError):
+            new.connect(sock.getsockname())
+        if first != "request":
+            old.sendall(platform_invite(ident, answer_within_ms="4000"))
         await wait_in_loop(lambda: node.written or one not in listener.connections, "its request, or its end")
         assert [each.call.request.ident for each in node.written] == [ident]
         assert one in listener.connections
@@ -131,7 +127,7 @@
 SILENT = ScriptedServer.never_answers
 
 
-@pytest.mark.parametrize("asks", [False, True], ids=["silent", "asks once and holds on"])
+@pytest.mark.parametrize("asks", [False, True], ids=["silent", "one request and idle"])
 def test_callers_that_hold_connections_keep_out_no_other(start_deployment, asks):
     """The limit on connections is not filled by callers that want nothing more, and what is owed an answer
     keeps its connection.
@@ -140,11 +136,11 @@
     waiting, ident = program.caller(), next_call_id()
     waiting.invite(ident, answer_within_ms=9000)
     wait_until(lambda: slow.messages("START"))
-    crowd = []
+    idle_callers = []
     for _ in range(60):
-        crowd.append(program.caller())
+        idle_callers.append(program.caller())
         if asks:
-            crowd[-1].send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
+            idle_callers[-1].send("OPTIONS", "sip:ping@net", {"call-id": "p", "cseq": "1 OPTIONS"})
     # At the silent server it might rightly be refused: on a loaded machine it came once that was flagged.
     newcomer, late = program.caller(), next_call_id()
     newcomer.invite(late, answer_within_ms=9000, routing_data="dest:1;width:1;via:-1")
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -43,7 +43,7 @@
     node.offer(class_index=0)
     node.offer(class_index=0)
     node.offer(class_index=1)
-    node.now += 0.05  # pending calls are looked through once an instant
+    node.now += 0.05  # pending calls are scanned once an instant
     assert [s.call_id for s in setups(node.established(1, 10))][:1] == [3]
 
 
@@ -149,36 +149,36 @@
     assert messages == ["server 10 ejected: rejected"]
 
 
-def test_thousands_of_pending_calls_are_looked_through_once_an_instant(make_node):
-    """Not every event costs a look at all pending calls."""
+def test_thousands_of_pending_calls_are_scanned_once_an_instant(make_node):
+    """Not every event costs a scan of all pending calls."""
     node = make_node()
-    controller, looks = node.controller, []
+    controller, scans = node.controller, []
     balancer, choose = controller.parts.load_balancer, controller.parts.load_balancer.choose
-    balancer.choose = lambda *args: looks.append(1) or choose(*args)
+    balancer.choose = lambda *args: scans.append(1) or choose(*args)
     for _ in range(2000):
         node.offer()
     assert len(controller.pending) > 1000
-    assert len(looks) < 3 * 2000
+    assert len(scans) < 3 * 2000
 
 
-def test_calls_pending_in_vain_are_not_looked_at_each_time(make_node):
+def test_calls_that_no_server_can_take_are_not_scanned_each_time(make_node):
     """Thousands of pending calls that no server can take cost no look at each of them, for each server, at
     every instant; that once took a third of a processor core.
     """
     node = make_node()
-    controller, looks = node.controller, []
-    few = LoadReport(free_lines=1, total_lines=100)  # kept for the calls worth most
+    controller, scans = node.controller, []
+    few = LoadReport(free_lines=1, total_lines=100)  # reserved for the calls of greatest weight
     for server in (10, 11):
         node.handle(LoadReported(server, few))
     for _ in range(500):
         node.offer()
     balancer, choose = controller.parts.load_balancer, controller.parts.load_balancer.choose
-    balancer.choose = lambda *args: looks.append(1) or choose(*args)
+    balancer.choose = lambda *args: scans.append(1) or choose(*args)
     pending = len(controller.pending)
     for _ in range(10):
         node.expire_timer(0.01)
     assert len(controller.pending) == pending > 400
-    assert not looks
+    assert not scans
     node.expire_timer(1.2)
     assert not controller.pending
     assert len(final_answers(node.actions)) == 500  # each is rejected when its time is over
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -54,7 +54,8 @@
             if not self.reconnects:
                 return
 
-    def go(self):
+    def stop(self):
+        """End all connections."""
         self.over = True
         for each in self.threads:
             each.join()
@@ -65,7 +66,19 @@
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
-@pytest.mark.parametrize("reconnects", [True, False], ids=["who come again", "who stay"])
+def start_limited(folder, servers, system_limit, configured_limit):
+    """A program before these servers under a limit of descriptors; returns it and its coordinator."""
+
+    class LimitedProgram(Program):
+        descriptor_limit = system_limit
+
+    entries = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
+    coordinator = ScriptedCoordinator(*entries)
+    program = LimitedProgram.on_platform(folder, coordinator, sockets=configured_limit)
+    return program.wait_until_serving(), coordinator
+
+
+@pytest.mark.parametrize("reconnects", [True, False], ids=["evicted callers reconnect", "callers stay"])
 @pytest.mark.parametrize(("configured", "system"), [(64, 64), (1024, 64), (64, 1024)])
 def test_idle_callers_leave_descriptors_for_servers_and_coordinator_that_return(
     tmp_path, started_programs, configured, system, reconnects
@@ -74,14 +87,8 @@
     connect to them when they return. The limit is that of the settings, of the system, or both.
     """
 
-    class Limited(Program):
-        descriptor_limit = system
-
     servers = [ScriptedServer() for _ in range(6)]
-    coordinator = ScriptedCoordinator(
-        *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
-    )
-    program = Limited.on_platform(tmp_path, coordinator, sockets=configured).wait_until_serving()
+    program, coordinator = start_limited(tmp_path, servers, system, configured)
     started_programs.append(program)
     for each in (coordinator.close, *(each.close for each in servers)):
         each()
@@ -96,22 +103,22 @@
     wait_until(
         lambda: all((program.counters() - before)[name] >= 12 for name in missed), "that all are missed"
     )
-    assert program.counters()["connections_evicted"] > 0, "callers who hold on were in excess"
+    assert program.counters()["connections_evicted"] > 0, "idle callers were in excess"
     polls = len(coordinator.polled_indices)
     coordinator.reopen()
     returned = [ScriptedServer(port=each.port) for each in servers]
     wait_until(lambda: len(program.log_events("server_connected")) >= 12, "the roster servers, reached again")
     wait_until(lambda: len(coordinator.polled_indices) > polls, "the coordinator, polled again")
     coordinator.publish(endpoint_entry("s-0", returned[0].port, 0, "terminating"))
-    wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its news")
+    wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its change")
     assert program.admin_command("check").startswith("ok")
     ident, newcomer = next_call_id(), program.caller()
     newcomer.invite(ident, answer_within_ms=9000)
     newcomer.expect(ident, 200)
     assert open_descriptors(program) <= min(configured, system)
-    idle_callers.go()
+    idle_callers.stop()
     lines = Counter(line.split(".")[0] for line in program.log_text().splitlines() if " accept " in line)
-    assert max(lines.values(), default=0) <= 2, "one line a second says that descriptors have run out"
+    assert max(lines.values(), default=0) <= 2, "one log line a second says that descriptors have run out"
 
 
 def test_a_list_longer_than_the_limit_leaves_callers_and_admin_endpoint_descriptors(
@@ -119,14 +126,8 @@
 ):
     """Server connections do not take every descriptor where so many servers are listed, and all are there."""
 
-    class Limited(Program):
-        descriptor_limit = 64
-
     servers = [ScriptedServer() for _ in range(70)]
-    coordinator = ScriptedCoordinator(
-        *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
-    )
-    program = Limited.on_platform(tmp_path, coordinator, sockets=1024).wait_until_serving()
+    program, _ = start_limited(tmp_path, servers, 64, 1024)
     started_programs.append(program)
     wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
     assert program.log_events("server_connected"), "others are reached"
@@ -140,7 +141,7 @@
     newcomer.invite(ident, answer_within_ms=9000)
     wait_until(lambda: newcomer.final_statuses(ident), "an answer")
     assert open_descriptors(program) <= 64
-    idle_callers.go()
+    idle_callers.stop()
     said = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
     assert 0 < max(said.values()) <= 2, "said, and not in a spin"
 
--- a/tests/test_disconnects_during_stalls.py
+++ b/tests/test_disconnects_during_stalls.py
@@ -62,7 +62,7 @@
         host = self.caller.host
         return headers_of(method, "1", f"z9hG4bK{ident}", ident, host, self.transport)
 
-    def go(self):
+    def leave(self):
         """Leave in its way, if it has one."""
         if self.way == "another's cancel":
             SipCaller(self.program.address).send("CANCEL", "sip:5@net", self.headers("CANCEL"))
@@ -114,7 +114,7 @@
     program, _, servers = start_unusual(RESET, RESET, frontend=frontend)
     *leaving, staying = suspend_in_retry_pause(program, servers, frontend, [*ways, "stays"])
     for each in leaving:
-        each.go()
+        each.leave()
     time.sleep(PAUSE_S[frontend] + 0.3)  # the pause runs out, 0.1 s and more after they left
     program.resume()
     wait_until(lambda: len(staying.attempts(servers)) > 1, "the retry of the caller that stays")
@@ -126,9 +126,9 @@
     later = LeavingCaller(program, frontend)
     wait_until(lambda: len(later.attempts(servers)) > 1, "the caller that came after")
     retried = [each.way for each in leaving if len(each.attempts(servers)) > 1]
-    assert not retried, f"{len(retried)} of {len(leaving)} were sent for nobody: {retried}"
+    assert not retried, f"{len(retried)} of {len(leaving)} were sent without a caller: {retried}"
     for each in leaving:
-        if each.way == "half-close":  # it still reads, and is told once
+        if each.way == "half-close":  # it still reads, and gets one answer
             wait_until(lambda each=each: each.caller.closed, "the end of the connection")
             assert each.caller.final_statuses(each.ident) in ([480], [500], [503])
 
@@ -155,7 +155,7 @@
         callers = [LeavingCaller(program, frontend, way) for way in ways]
     many = [(each, [each.more(1200) for _ in range(80)]) for each in callers]
     for each in callers:
-        each.go()
+        each.leave()
     staying = LeavingCaller(program, frontend)
     time.sleep(0.3)
     program.resume()
@@ -167,7 +167,7 @@
     wait_until(lambda: later.attempts(servers), "the caller that came after")
     stay = {staying.ident, later.ident, *(each.ident for each in callers if known)}
     retried = {m["blob"][:16] for each in servers for m in each.messages("START")} - stay
-    assert not retried, f"{len(retried)} of {80 * len(many)} were sent for nobody"
+    assert not retried, f"{len(retried)} of {80 * len(many)} were sent without a caller"
     for each, idents in many:
         if each.way == "half-close":  # it still reads, and each is answered once
             assert sorted(rejected_ids(each)) == sorted([*idents, *([] if known else [each.ident])])
@@ -191,7 +191,7 @@
     *waiting, staying = suspend_in_retry_pause(program, servers, frontend, [*["cancel"] * TIMES, "stays"])
     fresh = [
         LeavingCaller(program, frontend, "cancel") for _ in range(TIMES)
-    ]  # unread until the process goes on
+    ]  # unread until the process runs again
     ahead = []
     for each in (*waiting, *fresh):
         by_whom = each if by == "the same" else LeavingCaller(program, frontend)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -126,7 +126,7 @@
     assert one.is_idle(), "each may go while the other stays"
     assert two.is_idle(), "each may go while the other stays"
     two.close_when_idle()
-    assert not one.is_idle(), "the last one is kept for the call that stands"
+    assert not one.is_idle(), "the last one is kept for the established call"
     node.run(RELEASE_PATH_S - 0.1)
     assert not one.is_idle()
     node.run(0.2)
@@ -163,7 +163,7 @@
     listener, (one,) = listener_with_connections(node, 4, ours)
     node.core.readiness.drain(True)
     listener.close_idle()
-    assert not one.protocol.closing, "it is new and has not asked yet"
+    assert not one.protocol.closing, "it is new and has sent no request yet"
     node.run(DRAIN_FIRST_REQUEST_S + 0.1)
     theirs.send(platform_invite(ident := next_call_id()))
     listener.close_idle()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -48,7 +48,7 @@
             return
         path.append(name)
         for each in sorted(graph[name]):
-            # a package's own face stands above its modules, and its modules don't ask it
+            # a package's __init__ stands above its modules, which don't import it
             if not name.startswith(f"{each}."):
                 visit(each)
         done.add(path.pop())
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -69,7 +69,7 @@
 
 
 def test_a_release_that_is_not_acknowledged_goes_on_another_connection(start_deployment):
-    """A call is released though the one connection that was told of it is not read."""
+    """A call is released though the one connection that carried the release is not read."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
--- a/tests/test_scope_connections.py
+++ b/tests/test_scope_connections.py
@@ -45,6 +45,11 @@
         """A server is listed, or its entry changes."""
         self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, availability)], complete=False)
 
+    def list_servers(self, **numbers):
+        """Servers are listed, by their names and numbers."""
+        for name, number in numbers.items():
+            self.list_server(name, number)
+
     def offer(self, wanted):
         """A call of a class; returns it and its caller's session."""
         self.calls += 1
@@ -61,25 +66,35 @@
         self.now = end
 
 
+def instances(server_connections):
+    """The servers that connections lead to."""
+    return [each.server.record.instance for each in server_connections]
+
+
+def establish(node, call):
+    """The server establishes a call whose set-up is written; returns its connection."""
+    server_connection = node.pool.active[call.attempt.server.id]
+    assert b'"START"' in server_connection.data_to_send()
+    server_connection.receive_data(
+        b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode()
+    )
+    return server_connection
+
+
 def test_a_connection_stays_until_the_call_established_there_is_released():
     """A release finds a connection, and that of the server comes on one that is still there: the call's set
     leaves while it is established, and its server moves to a service that nobody here asks for.
     """
     a, b = call_class("a", 1, 2), call_class("b", 3)
     node = ScopedNode(a, b)
-    for name, number in (("x", 1), ("y", 2), ("z", 3)):
-        node.list_server(name, number)
+    node.list_servers(x=1, y=2, z=3)
     assert not node.opened
     assert node.core.readiness.startup_health().is_ready, "it waits for what is out of scope"
     call, caller = node.offer(a)
-    assert [server_connection.server.record.instance for server_connection in node.opened] == ["x", "y"]
+    assert instances(node.opened) == ["x", "y"]
     for server_connection in node.opened:
         server_connection.connection_made()
-    server_connection = node.pool.active[call.attempt.server.id]
-    assert b'"START"' in server_connection.data_to_send()
-    server_connection.receive_data(
-        b'{"verb":"STARTED","tag":"%s","blob":"d"}\n' % call.request.ident.encode()
-    )
+    server_connection = establish(node, call)
     assert caller.events == ["established"]
     other = next(each for each in node.opened if each is not server_connection)
     node.run(30)
@@ -88,9 +103,8 @@
     assert other.can_close()
     assert not server_connection.draining
     assert not server_connection.can_close()
-    node.list_server(
-        server_connection.server.record.instance, 3
-    )  # to another service, which is out of scope as well
+    (instance,) = instances([server_connection])
+    node.list_server(instance, 3)  # to another service, which is out of scope as well
     node.run(30)
     assert not server_connection.draining
     assert not server_connection.can_close()
@@ -106,8 +120,7 @@
     assert not node.pool.draining
     assert len(node.opened) == 2
     node.offer(b)
-    at_three = [each.server.record.instance for each in node.opened[2:]]
-    assert sorted(at_three) == sorted([server_connection.server.record.instance, "z"])
+    assert sorted(instances(node.opened[2:])) == sorted([instance, "z"])
 
 
 def test_a_set_that_comes_back_while_its_connections_close_has_connections():
--- a/tests/test_scope_settings.py
+++ b/tests/test_scope_settings.py
@@ -63,7 +63,7 @@
         for server in kept:
             seen = decisions.endpoints[server]
             assert (seen, seen.concurrency_limit) == known[server], "learnt anew"
-        # The old classes live on for callers who have not heard of the new ones.
+        # The former classes stay for callers that do not know the new ones yet.
         simulation.offer_at_random(1.5, 30, [*before.classes, *after.classes], f"both{number}")
         simulation.offer_at_random(2, 30, settings.classes, f"new{number}")
     simulation.finish()
--- a/tests/test_scope_slow_start.py
+++ b/tests/test_scope_slow_start.py
@@ -19,6 +19,55 @@
     return max((sum(t <= other < t + width for other in times) for t in times), default=0)
 
 
+SHARING = 30  # softswitches that ask for the service
+LINES = 100.0  # of a server
+WARM_RATE = 25.0  # set-ups a second that one warm server takes: its lines over their length
+SAFETY = SafetyLimits(
+    initial_capacity_fraction=0.25, warm_up_s=12.0, overload_multiple=2.0, overload_window_s=1.0
+)
+SERVERS = (1, 2, 3)
+STEP_S = 0.02
+STEPS = 250
+BEGIN_S = 1000.0
+REPORT = LoadReport(free_lines=LINES * 0.6, total_lines=LINES, processor_wait_s=0.0)
+
+
+def simulations_of_fleet(divisor, own_divisor, cold):
+    """The softswitches of a fleet; the divisor is the service's own, or that of the fleet."""
+    fleet = 400 if own_divisor and divisor > 1 else divisor
+    simulations = []
+    for number in range(SHARING):
+        settings = settings_with(
+            call_class("a", *SERVERS), call_class("b", 9),
+            instance_count=fleet, instance_index=min(number, fleet - 1), safety=SAFETY,
+        )  # fmt: skip
+        services = [ServiceConfig(("a",), divisor, min(number, divisor - 1))] if own_divisor else []
+        decisions = scoped_controller(settings, number, services=services)
+        simulation = ScopeSimulation(decisions, number, slow_s=0.03)
+        up_since = 0.0 if cold == "one" else BEGIN_S - 1.0
+        others = [endpoint(server, up_since=up_since) for server in SERVERS[1:]]
+        simulation.update_endpoints(endpoint(1, up_since=BEGIN_S - 1.0), *others, endpoint(9))
+        simulations.append(simulation)
+    return simulations
+
+
+def setups_by_server(simulations):
+    """When each server gets a set-up: all call in one step of time, then steadily for 5 s."""
+    for step in range(STEPS):
+        for number, simulation in enumerate(simulations):
+            simulation.run(BEGIN_S + step * STEP_S)
+            if step % 5 == number % 5 or step == 0:
+                simulation.offer(simulation.decisions.settings.classes[0], 1, caller_timeout_s=4.0)
+            if step % 10 == 1:
+                for server in SERVERS:
+                    simulation.handle(LoadReported(server, REPORT))
+    times = {server: [] for server in SERVERS}
+    for simulation in simulations:
+        for at, _, server in simulation.sent:
+            times[server].append(at)
+    return times
+
+
 @pytest.mark.parametrize("own_divisor", [False, True], ids=["the fleet's divisor", "the service's own"])
 @pytest.mark.parametrize("cold", ["all", "one"])
 def test_softswitches_that_bring_a_set_into_scope_at_once_overload_no_warming_server(own_divisor, cold):
@@ -26,51 +75,12 @@
     servers have just started. What they send to a warming one in any overload window stays within the budget.
     With a divisor of 1 the same calls break it, so that the run shows something.
     """
-    sharing, size, warm = 30, 100.0, 25.0  # warm: set-ups a second of one server, its lines over their length
-    a, b = call_class("a", 1, 2, 3), call_class("b", 9)
-    safety = SafetyLimits(
-        initial_capacity_fraction=0.25, warm_up_s=12.0, overload_multiple=2.0, overload_window_s=1.0
-    )
-    budget = safety.overload_multiple * safety.initial_capacity_fraction * warm * safety.overload_window_s
+    window_s = SAFETY.overload_window_s
+    budget = SAFETY.overload_multiple * SAFETY.initial_capacity_fraction * WARM_RATE * window_s
+    warming = (1,) if cold == "one" else SERVERS
     found = {}
-    for divisor in (sharing, 1):
-        per = divisor if own_divisor else None
-        fleet = 400 if own_divisor and divisor > 1 else divisor
-        took = {server: [] for server in (1, 2, 3)}
-        nodes = []
-        for number in range(sharing):
-            own = min(number, fleet - 1)
-            settings = settings_with(a, b, instance_count=fleet, instance_index=own, safety=safety)
-            services = [ServiceConfig(("a",), per, min(number, per - 1))] if per else []
-            nodes.append(
-                ScopeSimulation(scoped_controller(settings, number, services=services), number, slow_s=0.03)
-            )
-            born = 0.0 if cold == "one" else 999.0
-            nodes[-1].update_endpoints(
-                endpoint(1, up_since=999.0),
-                endpoint(2, up_since=born),
-                endpoint(3, up_since=born),
-                endpoint(9),
-            )
-        # All in one step of time, then each server's state once it is linked, then steady calls for 5 s.
-        for step in range(250):
-            now = 1000.0 + step * 0.02
-            for number, node in enumerate(nodes):
-                node.run(now)
-                if step % 5 == number % 5 or step == 0:
-                    node.offer(a, 1, caller_timeout_s=4.0)
-                if step % 10 == 1:
-                    for server in (1, 2, 3):
-                        node.handle(
-                            LoadReported(
-                                server,
-                                LoadReport(free_lines=size * 0.6, total_lines=size, processor_wait_s=0.0),
-                            )
-                        )
-        for node in nodes:
-            for at, _, server in node.sent:
-                took[server].append(at)
-        chilled = (1,) if cold == "one" else (1, 2, 3)
-        found[divisor] = max(most_in_a_window(took[server], safety.overload_window_s) for server in chilled)
-        assert sum(map(len, took.values())) > 8, "nothing was sent at all"
-    assert 0 < found[sharing] <= budget < found[1], (found, budget)
+    for divisor in (SHARING, 1):
+        times = setups_by_server(simulations_of_fleet(divisor, own_divisor, cold))
+        found[divisor] = max(most_in_a_window(times[server], window_s) for server in warming)
+        assert sum(map(len, times.values())) > 8, "nothing was sent at all"
+    assert 0 < found[SHARING] <= budget < found[1], (found, budget)
--- a/tests/test_scoped_controller.py
+++ b/tests/test_scoped_controller.py
@@ -140,12 +140,8 @@
     not take a server that has just started for warm.
     """
     a, b, changes = call_class("a", 1), call_class("b", 2), []
-    decisions = scoped_controller(
-        settings_with(a, b),
-        idle_s=8.0,
-        services=[ServiceConfig(("b",), always_in_scope=True)],
-        changes=changes,
-    )
+    services = [ServiceConfig(("b",), always_in_scope=True)]
+    decisions = scoped_controller(settings_with(a, b), idle_s=8.0, services=services, changes=changes)
     simulation = ScopeSimulation(decisions)
     simulation.update_endpoints(endpoint(1), endpoint(2))
     assert decisions.in_scope(2)
@@ -223,12 +219,12 @@
     before = len(simulation.sent)
     simulation.offer_at_random(4, 10, [b])
     assert {server for _, call, server in simulation.sent[before:] if simulation.classes[call] is b} == {1, 3}
-    simulation.update_endpoints(endpoint(1, 77), complete=False)  # where no class looks
+    simulation.update_endpoints(endpoint(1, 77), complete=False)  # a number of no class
     assert 1 not in decisions.endpoints
     simulation.finish()
 
 
-@pytest.mark.parametrize("complete", [True, False], ids=["a whole list", "changes"])
+@pytest.mark.parametrize("complete", [True, False], ids=["complete list", "changes"])
 def test_all_servers_of_a_set_may_be_replaced(complete):
     """No set-up goes to a server that is gone, and no record stays of one that is not listed again."""
     a, b = call_class("a", 0, 1), call_class("b", 2)
@@ -281,7 +277,7 @@
     assert simulation.sent[-1][1:] == (
         through,
         9,
-    ), "on its way through to a server that its class may not use"
+    ), "in transit to a server that its class may not use"
     elsewhere = simulation.offer(a, 77, in_transit=True)
     simulation.offer(call_class("a", 5, 6))  # a class as it was
     for event in (
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -224,7 +224,7 @@
     old.connection_lost()  # as the driver does
     pool.remove(old)
     pass_time(core, now, 0.2)
-    assert pool.standby, "another is dialled"
+    assert pool.standby, "another is opened"
 
 
 def test_of_connections_kept_for_calls_the_oldest_closes_before_another_opens():
@@ -327,7 +327,7 @@
         node.follow_loop(asyncio.get_running_loop())
         network = Network(node.core)
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
-        for _ in range(3):  # the dial begins
+        for _ in range(3):  # the connect begins
             await asyncio.sleep(0)
         time.sleep(0.5)  # noqa: ASYNC251  # the loop stands still beyond the limit
         if answers:
--- a/tests/test_service_discovery.py
+++ b/tests/test_service_discovery.py
@@ -125,7 +125,7 @@
     lines[drained]["lifecycle"] = "terminating"
     coordinator.publish(
         lines[at], {"cell": "no name"}, lines[drained]
-    )  # returns once the next number is asked
+    )  # returns once the next index is polled
     expected = {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{available}": "ready"}
     wait_until(  # the log has a thread of its own
         lambda: {line["server"]: line["state"] for line in program.log_events("server_listed")} == expected,
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -25,69 +25,103 @@
 from .support.waiting import wait_in_loop
 
 
+class NodeInLoop:
+    """A node in the running event loop, with callers' connections and one listed server."""
+
+    def __init__(self, server_address):
+        self.node = InProcessNode()
+        self.node.follow_loop(asyncio.get_running_loop())
+        self.core = self.node.core
+        self.network = Network(self.core)
+        connections = []
+        self.pool = ServerConnectionPool(self.core, connections.append)
+        self.core.update_servers([ServerRecord("r", server_address, 0, Availability.READY)], True)
+        (self.server_connection,) = connections
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.network.listen(self.listener, PlatformFrontend(self.core).connect, ListenerLimits(100))
+        self.idents = []
+        self.callers = []
+
+    async def place_calls(self, count, body=b"d"):
+        """Have as many callers place a call each; returns once all have been read."""
+        self.idents = [next_call_id() for _ in range(count)]
+        self.callers = [socket.create_connection(self.listener.getsockname()) for _ in self.idents]
+        for ident, caller in zip(self.idents, self.callers, strict=True):
+            caller.sendall(platform_invite(ident, answer_within_ms="4000", body=body))
+        await wait_in_loop(lambda: self.core.calls.unanswered == count)
+
+    def disconnect_callers(self, ways):
+        """Have the first callers leave, each in its way."""
+        for ident, caller, way in zip(self.idents, self.callers, ways, strict=False):
+            disconnect_at_once(caller, ident, way)
+
+    def disconnect_when_connected(self, ways):
+        """Have them leave when the server connection has come up."""
+        connection_made = self.server_connection.connection_made
+
+        def connected():
+            connection_made()
+            self.disconnect_callers(ways)
+
+        self.server_connection.connection_made = connected
+
+    def disconnect_when_queued(self, ways):
+        """Have them leave when the first set-up has been queued for its connection."""
+        send_setup, left = self.pool.send_setup, []
+
+        def queued(attempt):
+            send_setup(attempt)
+            if not left:
+                left.append(True)
+                self.disconnect_callers(ways)
+
+        self.pool.send_setup = queued
+
+    async def close(self, *sockets):
+        """Close the callers' and the given sockets and end the network's tasks."""
+        for each in (*self.callers, *sockets):
+            each.close()
+        for task in list(self.network.tasks.running):
+            task.cancel()
+        await asyncio.sleep(0.01)
+
+
 @pytest.mark.parametrize("when", ["the connection comes up", "the pause is over"])
 def test_callers_that_leave_in_the_turn_in_which_their_setups_are_written_get_no_attempt(when):
     """Callers are looked at between the loop's look at its sockets and the write: they leave when the server
     connection has come up, or the timer has queued their set-ups, and before the queue is written.
     """
+    ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
 
     async def scenario():
-        node, server_connections = InProcessNode(), []
         server = ScriptedServer(ScriptedServer.never_answers)
-        core = node.core
-        node.follow_loop(asyncio.get_running_loop())
-        network, pool, frontend = (
-            Network(core),
-            ServerConnectionPool(core, server_connections.append),
-            PlatformFrontend(core),
-        )
-        core.update_servers([ServerRecord("r", ("127.0.0.1", server.port), 0, Availability.READY)], True)
-        (server_connection,) = server_connections
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), frontend.connect, ListenerLimits(100))
-        ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
-        idents = [next_call_id() for _ in (*ways, "staying")]  # as many as may be open there at a time
-        callers = [socket.create_connection(sock.getsockname()) for _ in idents]
-
-        def all_go():
-            for ident, caller, way in zip(idents, callers, ways, strict=False):
-                disconnect_at_once(caller, ident, way)
-
-        def asked(which):
-            return [m["tag"] for m in server.messages("START") if m["tag"] in which]
-
-        for ident, caller in zip(idents, callers, strict=True):
-            caller.sendall(platform_invite(ident, answer_within_ms="4000"))
-        await wait_in_loop(lambda: core.calls.unanswered == len(idents))
-        leaving, (staying,) = set(idents[:-1]), idents[-1:]
+        node = NodeInLoop(("127.0.0.1", server.port))
+
+        def sent(idents):
+            return [m["tag"] for m in server.messages("START") if m["tag"] in idents]
+
+        await node.place_calls(len(ways) + 1)  # as many as may be open there at a time
+        leaving, staying = set(node.idents[:-1]), node.idents[-1]
         if when == "the connection comes up":
-            connected = server_connection.connection_made
-            server_connection.connection_made = lambda: (connected(), all_go())
+            node.disconnect_when_connected(ways)
             server.script = ScriptedServer.establishes
-            network.dial(server_connection)
-            before = 0
+            node.network.dial(node.server_connection)
+            sent_before = 0
         else:
-            network.dial(server_connection)
-            await wait_in_loop(lambda: len(asked(set(idents))) == len(idents))
-            left, set_up = set(leaving), pool.send_setup
-
-            def queued(attempt):
-                set_up(attempt)
-                if left:
-                    left.clear()
-                    all_go()
-
-            pool.send_setup = queued
+            node.network.dial(node.server_connection)
+            await wait_in_loop(lambda: len(sent(node.idents)) == len(node.idents))
+            node.disconnect_when_queued(ways)
             server.script = ScriptedServer.establishes
-            for ident in idents:
+            for ident in node.idents:
                 server.send("FINISH", ident, rc=41)
-            before = len(leaving)
-        await wait_in_loop(lambda: core.calls.is_established(staying))
+            sent_before = len(leaving)
+        await wait_in_loop(lambda: node.core.calls.is_established(staying))
         late = next_call_id()
-        callers[-1].sendall(platform_invite(late, answer_within_ms="4000"))
-        await wait_in_loop(lambda: late in asked({late}))
-        assert len(asked(leaving)) == before, f"{len(asked(leaving)) - before} of {len(leaving)} were sent"
+        node.callers[-1].sendall(platform_invite(late, answer_within_ms="4000"))
+        await wait_in_loop(lambda: late in sent({late}))
+        assert len(sent(leaving)) == sent_before, f"{len(sent(leaving))} of {len(leaving)} were sent"
         server.close()
-        await close_all(network, *callers)
+        await node.close()
 
     uvloop.run(scenario())
 
@@ -108,78 +142,80 @@
         caller.close()
 
 
+def listen_slowly():
+    """A server's listener whose connections take few bytes at a time."""
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    listener.bind(("127.0.0.1", 0))
+    listener.listen()
+    return listener
+
+
+def connect_with_small_buffers(network):
+    """Have the network's connections to servers hold few unsent bytes."""
+    connect = network.connector.connect
+
+    async def connect_narrowly(address, within_s):
+        sock = await connect(address, within_s)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return sock
+
+    network.connector.connect = connect_narrowly
+
+
+async def read_messages(loop, server, is_complete):
+    """What comes on a server's connection, until it is complete."""
+    messages, data = [], b""
+    while not is_complete(messages):
+        data += await loop.sock_recv(server, 65536)
+        *lines, data = data.split(b"\n")
+        messages += map(json.loads, lines)
+    return messages
+
+
 def test_callers_that_leave_while_their_setups_wait_for_a_slow_connection_get_no_attempt():
     """Set-ups that have left the queue and wait for room at the socket are taken back. The server reads
     nothing until their callers have left; what was begun by then is sent to its end and released.
     """
 
     async def scenario():
-        node, server_connections = InProcessNode(), []
-        core = node.core
-        node.follow_loop(asyncio.get_running_loop())
-        network, frontend = Network(core), PlatformFrontend(core)
-        ServerConnectionPool(core, server_connections.append)
-        listener = socket.socket()
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        listener.bind(("127.0.0.1", 0))
-        listener.listen()
-        core.update_servers([ServerRecord("r", listener.getsockname(), 0, Availability.READY)], True)
-        connect = network.connector.connect
-
-        async def narrow(address, within_s):
-            sock = await connect(address, within_s)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            return sock
-
-        network.connector.connect = narrow
-        network.listen(sock := socket.create_server(("127.0.0.1", 0)), frontend.connect, ListenerLimits(100))
-        (server_connection,) = server_connections
-        idents = [next_call_id() for _ in range(10)]
-        ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 3]
-        callers = [socket.create_connection(sock.getsockname()) for _ in idents]
-        for ident, caller in zip(idents, callers, strict=True):
-            caller.sendall(platform_invite(ident, answer_within_ms="4000", body=b"d" * 12_000))
-        await wait_in_loop(lambda: core.calls.unanswered == len(idents))
-        network.dial(server_connection)
-        await wait_in_loop(lambda: server_connection.writing)
-        retracted = "attempts_retracted"
-        await wait_in_loop(lambda: core.counters.counts[retracted] >= 5, "that most have left the queue")
+        listener = listen_slowly()
+        node = NodeInLoop(listener.getsockname())
+        connect_with_small_buffers(node.network)
+        await node.place_calls(10, b"d" * 12_000)
+        staying, counts = node.idents[-1], node.core.counters.counts
+        node.network.dial(node.server_connection)
+        await wait_in_loop(lambda: node.server_connection.writing)
+        await wait_in_loop(lambda: counts["attempts_retracted"] >= 5, "that most have left the queue")
         for _ in range(20):  # the kernel has taken what it can
             await asyncio.sleep(0.001)
-        begun = set(server_connection.pending_setups)
+        begun = set(node.server_connection.pending_setups)
         assert len(begun) <= 3, "the connection is slow"
-        assert core.counters.counts[retracted] >= 5, "they had left its queue"
-        for ident, caller, way in zip(idents, callers, ways, strict=False):
-            disconnect_at_once(caller, ident, way)
-        await wait_in_loop(lambda: core.calls.unanswered == 1)
+        assert counts["attempts_retracted"] >= 5, "they had left its queue"
+        node.disconnect_callers([*["close"] * 3, *["reset"] * 3, *["cancel"] * 3])
+        await wait_in_loop(lambda: node.core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
-        lines, data = [], b""
-        while sum(each["verb"] == "FINISH" for each in lines) < len(begun) or idents[-1] not in setup_ids(
-            lines
-        ):
-            data += await network.loop.sock_recv(server, 65536)
-            *whole, data = data.split(b"\n")
-            lines += map(json.loads, whole)
-        assert setup_ids(lines) - {idents[-1]} == begun
-        assert {each["tag"] for each in lines if each["verb"] == "FINISH"} == begun
-        await close_all(network, listener, server, *callers)
+
+        def is_complete(messages):
+            return len(released_ids(messages)) >= len(begun) and staying in setup_ids(messages)
+
+        messages = await read_messages(node.network.loop, server, is_complete)
+        assert setup_ids(messages) - {staying} == begun
+        assert set(released_ids(messages)) == begun
+        await node.close(listener, server)
 
     uvloop.run(scenario())
 
 
-def setup_ids(lines):
-    """The ids of the set-ups among messages."""
-    return {each["tag"] for each in lines if each["verb"] == "START"}
+def released_ids(messages):
+    """The ids that messages release, each as often as it is released."""
+    return [each["tag"] for each in messages if each["verb"] == "FINISH"]
 
 
-async def close_all(network, *socks):
-    """Close the sockets and end the network's tasks."""
-    for each in socks:
-        each.close()
-    for task in list(network.tasks.running):
-        task.cancel()
-    await asyncio.sleep(0.01)
+def setup_ids(messages):
+    """The ids of the set-ups among messages."""
+    return {each["tag"] for each in messages if each["verb"] == "START"}
 
 
 def test_callers_are_read_again_before_a_write_that_was_delayed():
@@ -191,15 +227,15 @@
     pool.record_changed(node.core.servers.by_id[1])
     (server_connection,) = server_connections
     server_connection.connection_made()
-    callers, looks = [frontend.connect() for _ in range(3)], []
+    callers, reads = [frontend.connect() for _ in range(3)], []
 
-    def look():
-        """The first caller leaves, unseen, after the first look."""
-        if looks:
+    def read_callers():
+        """The first caller leaves, unnoticed, after the first read."""
+        if reads:
             callers[0].eof_received()
-        looks.append(node.now)
+        reads.append(node.now)
 
-    node.core.read_callers = look
+    node.core.read_callers = read_callers
     idents = [next_call_id() for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
@@ -211,7 +247,7 @@
 
     node.core.attempts.claim_transmission = slow
     started = [json.loads(line)["tag"] for line in server_connection.data_to_send().splitlines()]
-    assert len(looks) == 2
+    assert len(reads) == 2
     assert started == idents[1:]
     assert set(server_connection.pending_setups) == set(idents[1:])
     assert node.core.counters.counts["attempts_sent"] == 2
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -32,7 +32,7 @@
 from .support.scripted_server import ScriptedServer
 from .support.sip_caller import SipCaller
 from .support.sip_messages import platform_invite, sip_headers
-from .support.unusual_settings import UNUSUAL_SETTINGS
+from .support.unusual_settings import UNUSUAL_CELLS, UNUSUAL_SETTINGS
 from .support.waiting import WAIT_LIMIT_S, wait_in_loop, wait_until
 
 
@@ -136,28 +136,31 @@
     return False
 
 
-@pytest.mark.parametrize("frontend", ["platform", "appliance"])
-def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
-    """A shutdown forgets no call, answers none twice and starts no attempt after the drain's limit: one call
-    is established, some attempts are out, some calls are pending, some are queued for a connection that can't
-    come up (on the platform, where the settings let it take its time), one waits for a retry, and the answer
-    to one lies unread when the signal comes. The process is stopped for that instant.
-    """
-    established = set()  # the first few
+def establish_first(count):
+    """A script that establishes the first few calls and answers no other; also the ids of those calls."""
+    established = set()
 
     def script(message, send):
-        if message["verb"] == "START" and len(established) < 3:
+        if message["verb"] == "START" and len(established) < count:
             established.add(message["tag"])
             send("STARTED", message["tag"], blob="kept")
 
+    return script, established
+
+
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
+def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
+    """A shutdown forgets no call, answers none twice and starts no attempt after the drain's deadline. When the
+    signal comes some calls are established, some pending, some attempts out, some queued for a connection that
+    can't come up (on the platform), one waits for a retry, and the answer to one lies unread.
+    """
+    script, established = establish_first(3)
     servers = [ScriptedServer(script), ScriptedServer(script)]
     full_listener = FullListener()
     if frontend == "platform":
         servers[1] = ScriptedServer(listener=full_listener.listener)
     program, _, _ = start_unusual(servers=servers, frontend=frontend)
-    calls = [(SipCaller(program.address), next_call_id()) for _ in range(60)]
-    for number, (caller, ident) in enumerate(calls):
-        invite_preferring(caller, ident, frontend, (31, 47)[number % 2])
+    calls = place_calls(program, frontend, 60)
     wait_until(
         lambda: len(program.log_events("call_offered")) == len(calls)
         and len(setup_ids(*servers)) >= len(established) + 3
@@ -166,29 +169,20 @@
         lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(established)
     )
     answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in established)
-    say = {m["tag"]: each.send for each in servers for m in each.messages("START")}
-    say[paused]("FINISH", paused, rc=41)
+    send = {m["tag"]: each.send for each in servers for m in each.messages("START")}
+    send[paused]("FINISH", paused, rc=41)
     wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
-    program.process.send_signal(signal.SIGSTOP)
-    say[answered]("STARTED", answered, blob="late")
+    program.suspend()
+    send[answered]("STARTED", answered, blob="late")
     assert len(set(setup_ids(*servers))) < len(calls), "some wait"
     program.process.send_signal(signal.SIGTERM)
-    program.process.send_signal(signal.SIGCONT)
+    program.resume()
     assert program.process.wait(WAIT_LIMIT_S) == 0
-    for caller, _ in calls:
-        wait_until(lambda caller=caller: caller.closed, "the end of the connection")
-    finals = [caller.final_statuses(ident) for caller, ident in calls]
-    if frontend == "appliance":  # a 200 goes again until its ACK, which is not sent here
-        finals = [sorted(set(each)) for each in finals]
+    finals = final_statuses(calls, frontend)
     assert all(len(each) == 1 for each in finals), finals
     assert finals.count([200]) == len(established) + 1
     assert {each[0] for each in finals} <= {200, 408, 480, 500, 503}
-    text = program.log_text()
-    limit = text.find(" drain_deadline_reached ")
-    assert text.count(" drain_deadline_reached ") == (
-        frontend == "platform"
-    ), "there the limit ends it, at once for all"
-    assert " attempt_sent " not in text[limit:] or frontend != "platform", "nothing new after it"
+    assert_nothing_sent_after_drain_deadline(program, frontend)
     tags = [line["call"] for line in program.log_events("attempt_sent")]
     assert tags.count(answered) == 1
     assert all(tags.count(tag) == 1 for tag in established)
@@ -197,6 +191,33 @@
     full_listener.close()
 
 
+def place_calls(program, frontend, count):
+    """As many callers with a call each, every other one of which prefers the second server."""
+    calls = [(SipCaller(program.address), next_call_id()) for _ in range(count)]
+    for number, (caller, ident) in enumerate(calls):
+        invite_preferring(caller, ident, frontend, UNUSUAL_CELLS[number % 2])
+    return calls
+
+
+def final_statuses(calls, frontend):
+    """The final statuses of each call, once its caller's connection has ended."""
+    for caller, _ in calls:
+        wait_until(lambda caller=caller: caller.closed, "the end of the connection")
+    statuses = [caller.final_statuses(ident) for caller, ident in calls]
+    if frontend == "appliance":  # a 200 is retransmitted until its ACK, which is not sent here
+        return [sorted(set(each)) for each in statuses]
+    return statuses
+
+
+def assert_nothing_sent_after_drain_deadline(program, frontend):
+    """On the platform the deadline of the drain ends all at once; the appliance has none."""
+    event = " drain_deadline_reached "
+    text = program.log_text()
+    deadline = text.find(event)
+    assert text.count(event) == (frontend == "platform")
+    assert " attempt_sent " not in text[deadline:] or frontend != "platform", "nothing new after it"
+
+
 def invite_preferring(caller, ident, frontend, first):
     """A set-up that would go to the server of that number first."""
     if frontend == "platform":
@@ -254,7 +275,7 @@
     tag = sip.parameters(caller.expect("c1", 200).get("to"))["tag"]
     caller.send("ACK", "sip:71@net", sip_headers("ACK", "1", "z9hG4bKb", host=caller.host, to_tag=tag))
     program.process.send_signal(signal.SIGTERM)
-    wait_until(lambda: program.log_events("waiting_for_dialogs"), "the line that tells whom it waits for")
+    wait_until(lambda: program.log_events("waiting_for_dialogs"), "the event that names what it waits for")
     assert program.log_events("waiting_for_dialogs")[0]["dialogs"] == "1"
     assert "waiting for 1 calls" in program.log_text()
     assert not server.messages("FINISH")
--- a/tests/test_datagram_peek.py
+++ b/tests/test_sip_request_scan.py
@@ -1,9 +1,9 @@
-"""A look at a datagram in place of a parse."""
+"""A scan of a datagram in place of a parse."""
 
 from __future__ import annotations
 
 import pytest
-from hypothesis import HealthCheck, given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
 from stairhatch.node import sip_message as sip
@@ -11,13 +11,9 @@
 from stairhatch.sip.request_head import RequestHead
 from stairhatch.sip.request_scan import scan_request
 
+from .support.hypothesis_profile import BOUNDED
 from .support.sip_messages import sip_headers
 
-BOUNDED = settings(
-    derandomize=True, max_examples=150, deadline=None, database=None,
-    suppress_health_check=[HealthCheck.too_slow],
-)  # fmt: skip
-
 
 @BOUNDED
 @given(
--- a/tests/test_site_calls.py
+++ b/tests/test_site_calls.py
@@ -43,7 +43,7 @@
         """A set-up is given up."""
 
     def send_setup(self, attempt: Any) -> None:
-        """A set-up is written, and stands."""
+        """A set-up is written, and established."""
         if self.core.attempts.claim_transmission(attempt):
             self.sent += 1
             self.core.responses.call_established(attempt.server, attempt.call.request.ident, "d")
@@ -57,7 +57,7 @@
         }  # fmt: skip
         headers.update({name.replace("_", "-"): value for name, value in more.items()})
         self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
-        for _ in range(200):  # what is held is looked at again
+        for _ in range(200):  # pending calls are tried again
             self.now += 0.02
             self.core.timers.run_due()
         parser = sip_parser.StreamParser()
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -1,4 +1,4 @@
-"""How settings are read: each key is taken as it is told, or refused by its name."""
+"""How settings are read: each key is taken as it is given, or refused by its name."""
 
 from __future__ import annotations
 
@@ -158,6 +158,18 @@
         )
 
 
+def assert_class_holds(call_class, told, index):
+    """A class is as its entries in the settings say."""
+    line, family = told["classes"][index], told["family_info"]
+    assert call_class.priority_weight == line["importance"]
+    assert call_class.latency_objective_s == line["aim_s"]
+    assert call_class.deadline_s == line["hard_limit_s"]
+    assert call_class.late_weight == line["late_worth"]
+    assert call_class.idempotent == (line["effect"] == "read_like")
+    assert call_class.mean_duration_s == family["call_length_s"][index]
+    assert call_class.allowed_servers == tuple(family["allowed_pools"][index])
+
+
 @KINDS
 def test_settings_hold_as_they_are_given(tmp_path, told):
     """Each setting that is read is passed on, under any site's settings."""
@@ -166,24 +178,8 @@
     settings = read_platform({"RELAY_CONFIG": str(path)}).settings
     family, permissions, safety = told["family_info"], told["permissions"], told["safety"]
     assert [kind.name for kind in settings.classes] == [line["name"] for line in told["classes"]]
-    for index, (kind, line) in enumerate(zip(settings.classes, told["classes"], strict=True)):
-        assert (
-            kind.priority_weight,
-            kind.latency_objective_s,
-            kind.deadline_s,
-            kind.late_weight,
-            kind.idempotent,
-        ) == (
-            line["importance"],
-            line["aim_s"],
-            line["hard_limit_s"],
-            line["late_worth"],
-            line["effect"] == "read_like",
-        )
-        assert (kind.mean_duration_s, kind.allowed_servers) == (
-            family["call_length_s"][index],
-            tuple(family["allowed_pools"][index]),
-        )
+    for index, call_class in enumerate(settings.classes):
+        assert_class_holds(call_class, told, index)
     assert settings.safety == SafetyLimits(
         answer_slack_s=safety["answer_slack_s"],
         drain_grace_s=safety["drain_grace_s"],
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -96,7 +96,7 @@
     assert core.readiness.health().reason == ""
     core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     server_connections[0].connection_lost()
-    assert core.readiness.health().reason == "", "what comes and goes later is for the decisions"
+    assert core.readiness.health().reason == "", "later changes are for the decisions"
     assert pool.active
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -57,6 +57,13 @@
     made[0].sock.close()
 
 
+def release_on_all_connections(server, ident):
+    """The server releases a call on each of its connections; those of a process that has ended are closed."""
+    for server_connection in server.connections:
+        with contextlib.suppress(OSError):
+            server.send("FINISH", ident, server_connection, rc=16)
+
+
 def test_an_upgrade_loses_no_call(shared_listener):
     """A second process starts beside the first, no caller meets a refused or unread connection, each call is
     answered and each release is told.
@@ -84,21 +91,12 @@
     server.send("STARTED", open_one, connection=server.connections[0], blob="d")
     waits.expect(open_one, 200)
     assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
-    counted = [program.log_events("counters")[-1] for program in (old,)]
-    assert counted[0]["calls_established"] == "2", "what came after SIGTERM is the new process's"
-    for (
-        server_connection
-    ) in server.connections:  # the old process may have dialled more than one, all closed by now
-        with contextlib.suppress(OSError):
-            server.send("FINISH", established, server_connection, rc=16)
-    wait_until(
-        lambda: [c for c in callers if c.messages(established, "BYE")],
-        "the end of a call that the old one set up",
-    )
+    counters = old.log_events("counters")[-1]
+    assert counters["calls_established"] == "2", "what came after SIGTERM is the new process's"
+    release_on_all_connections(server, established)
+    wait_until(lambda: any(each.messages(established, "BYE") for each in callers), "the server's release")
     callers[0].send("BYE", "sip:x@net", {"call-id": open_one, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
-    wait_until(
-        lambda: [m for m in server.messages("FINISH") if m["tag"] == open_one], "its release by a caller"
-    )
+    wait_until(lambda: open_one in [m["tag"] for m in server.messages("FINISH")], "the caller's release")
     platform.start().admin_command("check")
     new.process.terminate()
     assert new.process.wait(20) == 0
