--- a/stairhatch/scale_test/call_generator.py
+++ b/stairhatch/scale_test/call_generator.py
@@ -86,12 +86,12 @@
         self._place_call(call)
 
     def record_server(self, called_number: str, server: int) -> None:
-        """Take note that a roster server has established a call."""
+        """Record the roster server that has established a call."""
         if called_number in self.open_calls:
             self._servers[called_number] = server
 
     def record_result(self, call: GeneratedCall, result: SimulatedCallResult, at_s: float) -> None:
-        """Take note of a call's one final answer, at its time after the beginning of the run.
+        """Record a call's one final answer, at its time in seconds after the beginning of the run.
 
         AssertionError: it had one already.
         """
@@ -107,7 +107,7 @@
                 self._request_follow_ups(call, server, at_s)
 
     def _request_follow_ups(self, call: GeneratedCall, server: int, at_s: float) -> None:
-        """Place the calls that one leads to, at the softswitch beside its roster server."""
+        """Request the calls that an established call leads to, at the softswitch beside its server."""
         if call.depth >= self.graph.max_depth:
             return
         rng = random.Random(f"{self.plan.seed} {call.serial}")
--- a/stairhatch/scale_test/call_result.py
+++ b/stairhatch/scale_test/call_result.py
@@ -1,4 +1,4 @@
-"""What can become of a call of a scale run."""
+"""The possible results of a call of a scale run."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
     ESTABLISHED = "stood"
     REJECTED = "refused"
     FAILED = "failed"
-    UNREACHABLE = "unreached"  # its softswitch was not there
+    UNREACHABLE = "unreached"  # its softswitch was not running
     LOST = "lost"  # its softswitch ended during the set-up
--- a/stairhatch/scale_test/call_tally.py
+++ b/stairhatch/scale_test/call_tally.py
@@ -1,4 +1,4 @@
-"""What became of the calls of a run, counted as their final answers come."""
+"""Counts the calls of a run by result, depth and second."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class CallTally:
-    """Counts of requested calls, of their results, and how long the set-ups took."""
+    """Counts of requested calls and of their results, and the set-up times."""
 
     requested: int = 0
     results: Counter[SimulatedCallResult] = field(default_factory=Counter)
@@ -40,7 +40,7 @@
         self.established_by_depth[depth] += 1
 
     def figures(self) -> CallFigures:
-        """Return the counts as they are kept."""
+        """Return the counts as they are kept in the results."""
         ascending_ms = sorted(self.setup_times_ms)
         return CallFigures(
             requested=self.requested,
--- a/stairhatch/scale_test/comparison.py
+++ b/stairhatch/scale_test/comparison.py
@@ -1,4 +1,4 @@
-"""The scenario that simulated and real softswitches both play, and the ratios of what came of it."""
+"""The scenario that simulated and real softswitches both play, and the ratios of their figures."""
 
 from __future__ import annotations
 
--- a/stairhatch/scale_test/connection_drivers.py
+++ b/stairhatch/scale_test/connection_drivers.py
@@ -1,7 +1,7 @@
 """Drivers of a softswitch's protocols on simulated connections, in place of those in `node/io/`.
 
 A driver carries bytes and opens connections again; it decides nothing. Its pauses are those of the driver
-that it stands for, so that `node/io/connector.py` remains the reference.
+that it replaces, so that `node/io/connector.py` remains the reference.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 class ConnectionDriver:
     """Carries bytes between a protocol and a connection, as `ConnectionRunner` does with a socket.
 
-    A subclass opens the connection (`_dial`) and says what follows its end (`_reconnect`).
+    A subclass opens the connection (`_dial`) and decides when to open the next one (`_reconnect`).
     """
 
     part = ProcessorPart.REST  # what the protocol's work is charged to
 
     def __init__(self, context: SimulationContext, owner: DriverOwner, protocol: ConnectionProtocol) -> None:
-        """Dial as soon as what is due now is done."""
+        """Schedule the first dial."""
         self.context = context
         self.clock = context.clock
         self.owner = owner
@@ -62,7 +62,7 @@
         self._dial_after(0.0)
 
     def stop(self, unnoticed: bool) -> None:
-        """End with its process. Unnoticed: its machine is off, and the other side is not notified."""
+        """Stop with the process; `unnoticed`: without closing the connection, as its machine is off."""
         self.has_stopped = True
         connection, self.connection = self.connection, None
         if connection is None:
@@ -81,7 +81,7 @@
         self._schedule_flush()
 
     def connect_failed(self, refused: bool) -> None:
-        """Take note that no connection came up: refused, or timed out."""
+        """Handle a connection attempt that was refused or timed out."""
         raise NotImplementedError
 
     def receive(self, data: bytes) -> None:
@@ -102,7 +102,7 @@
             self._flush()
 
     def connection_lost(self, connection: SimulatedConnection | None) -> None:
-        """Take note that either side has ended a connection, unless it is no longer the driver's."""
+        """Handle the end of a connection by either side, unless it is no longer the driver's."""
         if self.connection is None or self.has_stopped or connection not in (None, self.connection):
             return
         ended, self.connection = self.connection, None
@@ -120,7 +120,7 @@
         raise NotImplementedError
 
     def _dial_now(self) -> None:
-        """Dial at once if a dial is awaited; else remember that one was wanted."""
+        """Dial at once if a dial is scheduled; else remember that one is wanted."""
         self._dial_wanted_now = True
         if self._next_dial is not None:
             self._dial_after(0.0)
@@ -161,7 +161,7 @@
     part = ProcessorPart.SERVER_CONNECTIONS
 
     def __init__(self, context: SimulationContext, owner: DriverOwner, protocol: ServerConnection) -> None:
-        """Dial the server as soon as what is due now is done."""
+        """Schedule the first dial of the server."""
         super().__init__(context, owner, protocol)
         self.server_connection = protocol
 
@@ -217,7 +217,7 @@
     def __init__(
         self, context: SimulationContext, owner: DriverOwner, protocol: ServiceDiscoveryClient
     ) -> None:
-        """Dial the coordinator as soon as what is due now is done."""
+        """Schedule the first dial of the coordinator."""
         super().__init__(context, owner, protocol)
         self.client = protocol
         self.client.reconnect_now = self._dial_now
@@ -228,7 +228,7 @@
         self.client.connected()
         super().connection_made(connection)
 
-    def connect_failed(self, refused: bool) -> None:  # noqa: ARG002 - the poll makes no difference of it
+    def connect_failed(self, refused: bool) -> None:  # noqa: ARG002 - the poll retries either way
         """Dial again after the backoff."""
         self.owner.core.counters.add("discovery_unreachable")
         self._reconnect()
--- a/stairhatch/scale_test/errors.py
+++ b/stairhatch/scale_test/errors.py
@@ -4,16 +4,16 @@
 
 
 class ScaleTestError(Exception):
-    """What keeps a scale run from being carried out, in one line."""
+    """A scale run could not be carried out; the message is one line."""
 
 
 class ScalePlanError(ScaleTestError, ValueError):
-    """A scale file that cannot be used; the message names the key."""
+    """A scale file cannot be used; the message names the key."""
 
 
 class MemoryLimitError(ScaleTestError):
-    """A run that takes more than its part of the machine's memory."""
+    """A run takes more than the allowed fraction of the machine's memory."""
 
 
 class ProcessStartError(ScaleTestError):
-    """Real processes that did not start or did not answer in time."""
+    """A real process did not start or did not report in time."""
--- a/stairhatch/scale_test/event_injector.py
+++ b/stairhatch/scale_test/event_injector.py
@@ -25,7 +25,7 @@
         coordinators: Sequence[SimulatedCoordinator],
         softswitches: Sequence[SimulatedSoftswitch],
     ) -> None:
-        """With the machines that the events concern."""
+        """Inject events into these machines."""
         self.context = context
         self.servers = servers
         self.coordinators = coordinators
--- a/stairhatch/scale_test/figures.py
+++ b/stairhatch/scale_test/figures.py
@@ -18,7 +18,7 @@
 
 
 class CallFigures(Struct, frozen=True, kw_only=True):
-    """What became of the calls, and how long the set-ups of the established ones took."""
+    """Counts of calls by result and depth, and the set-up times of established calls."""
 
     requested: int = field(name="asked")
     established: int = field(name="stood")
@@ -91,7 +91,7 @@
 
 
 class RealRunFigures(Struct, frozen=True, kw_only=True):
-    """What was counted of the real processes."""
+    """The figures of a run of real processes."""
 
     compared: ComparedFigures
     not_received: int = field(name="not_heard")
@@ -101,7 +101,7 @@
 
 
 class FigureComparison(Struct, frozen=True, kw_only=True):
-    """One figure of the simulated and of the real run, their ratio and the range it has to lie in."""
+    """One figure of the simulated and of the real run, their ratio, and its bounds."""
 
     simulated: float = field(name="hollow")
     real: float
@@ -115,7 +115,7 @@
 
 
 class MachineUsage(Struct, frozen=True, kw_only=True):
-    """What a simulated run took of the machine. These figures differ from run to run."""
+    """The resources that a simulated run used. These figures differ from run to run."""
 
     elapsed_s: float = field(name="seconds")
     processor_s: float
@@ -130,5 +130,5 @@
 
 
 def to_json_object(figures: Struct | dict[Any, Any]) -> Any:
-    """Return figures as JSON has them, under the names that they are kept by."""
+    """Return figures as objects for JSON, under their encoded names."""
     return msgspec.to_builtins(figures, str_keys=True)
--- a/stairhatch/scale_test/list_changes.py
+++ b/stairhatch/scale_test/list_changes.py
@@ -19,22 +19,25 @@
 
 @dataclass(slots=True)
 class ListChangeTracker:
-    """Times are those of the virtual clock. Only changes made while a softswitch runs concern it."""
+    """Tracks list changes and their arrival. Times are those of the virtual clock.
+
+    A change counts for a softswitch only if it was made while the softswitch ran.
+    """
 
     notified: int = 0  # changes so far, each of one or more lines
-    in_force_ms: list[float] = field(default_factory=list)  # from a change until a softswitch goes by it
+    # from each change until it is in force at each softswitch
+    in_force_ms: list[float] = field(default_factory=list)
     _changed_at: dict[str, list[float]] = field(default_factory=dict)  # by instance
-    _received: defaultdict[int, dict[str, int]] = field(
-        default_factory=lambda: defaultdict(dict)
-    )  # how many changes of each instance have come, by softswitch
+    # the number of changes received, by softswitch and instance
+    _received: defaultdict[int, dict[str, int]] = field(default_factory=lambda: defaultdict(dict))
 
     def record_change(self, instance: str, now: float) -> None:
-        """Take note of a change. One of its lines is enough: that it is in force shows that all are."""
+        """Record a change by one of its lines; the lines of a change come into force together."""
         self.notified += 1
         self._changed_at.setdefault(instance, []).append(now)
 
     def record_received(self, softswitch: RunningSoftswitch, instance: str, now: float) -> None:
-        """Take note that a softswitch has taken in a line, and so all changes of it up to now."""
+        """Record that a softswitch has applied a line, and so all changes of it up to now."""
         changes = self._changed_at.get(instance)
         if changes is None:
             return
@@ -46,7 +49,7 @@
                 self.in_force_ms.append(1000 * (now - changed_at))
 
     def not_received(self, running: Iterable[RunningSoftswitch]) -> int:
-        """Return how many changes have not come to softswitches that run, over both."""
+        """Return the number of changes not received, summed over running softswitches."""
         return sum(
             changed_at >= softswitch.started_at
             for softswitch in running
--- a/stairhatch/scale_test/member_log.py
+++ b/stairhatch/scale_test/member_log.py
@@ -1,4 +1,4 @@
-"""What the log of a real softswitch says, as far as a scale run goes by it."""
+"""Reads what a scale run needs from the log of a real softswitch."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ListedServer(NamedTuple):
-    """A line of the endpoint list that a softswitch has taken in, and when, in Unix time."""
+    """A line of the endpoint list that a softswitch has applied, and when, in Unix time."""
 
     at: float
     instance: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberLog:
-    """The log file of one softswitch, read anew at each question."""
+    """The log file of one softswitch, read again by each method."""
 
     path: Path
 
@@ -35,7 +35,7 @@
         return "".join(self.lines()[-1:])
 
     def is_serving(self, with_leased_index: bool) -> bool:
-        """Return whether it serves and, where that is asked, by an instance index that it has leased."""
+        """Return whether it serves, and with a leased instance index if that is required."""
         lines = self.lines()
         has_index = not with_leased_index or any(INDEX_LEASED_MARK in line for line in lines)
         return has_index and any(SERVING_MARK in line for line in lines)
@@ -51,7 +51,7 @@
         return {name: int(value) for name, _, value in pairs}
 
     def listed_servers(self, since: float) -> Iterator[ListedServer]:
-        """Yield the lines of the endpoint list taken in since a Unix time."""
+        """Yield the lines of the endpoint list applied since a Unix time."""
         for line in self.lines():
             words = line.split()
             if len(words) > 2 and words[1] == LISTED_EVENT and float(words[0]) >= since:
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemoryNeed:
-    """What the parts of a run take, in bytes."""
+    """The memory of each part of a run, in bytes."""
 
     softswitch: float
     connection: float  # of a softswitch to a roster server, both ends
@@ -32,7 +32,7 @@
     base: float
 
     def total(self, plan: ScalePlan) -> float:
-        """Return what a run of a plan takes.
+        """Return the memory that a run of a plan takes, in bytes.
 
         The connection to a server that is replaced is kept for a while beside the new one.
         """
@@ -48,7 +48,7 @@
 
 
 def machine_memory_bytes() -> int:
-    """Return the memory of this machine, or what this process may use of it."""
+    """Return the memory of this machine in bytes, or the limit of its control group."""
     physical = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     try:
         return min(physical, int(Path("/sys/fs/cgroup/memory.max").read_text()))
@@ -57,17 +57,17 @@
 
 
 def resident_bytes() -> int:
-    """Return what this process holds now (/proc/self/statm, proc(5))."""
+    """Return the resident memory of this process (/proc/self/statm, proc(5))."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def memory_limit_bytes() -> float:
-    """Return the most that a run may take."""
+    """Return the limit for the memory of a run."""
     return MAX_MEMORY_FRACTION * machine_memory_bytes()
 
 
 def measure_memory_need(plan: ScalePlan) -> MemoryNeed:
-    """Return what the parts of a run take: four small runs, solved for the four unknowns."""
+    """Measure the memory of the parts of a run: four small runs, solved for four unknowns."""
     few, many, less, more = FEW_SOFTSWITCHES, MANY_SOFTSWITCHES, FEW_SERVERS, MANY_SERVERS
     tracemalloc.start()
     try:
@@ -87,7 +87,7 @@
 
 
 def require_memory(plan: ScalePlan) -> MemoryNeed:
-    """Return what the parts of a run take; MemoryLimitError, with the figures, if it does not fit."""
+    """Return the memory of the parts of a run; MemoryLimitError if the run exceeds the limit."""
     need = measure_memory_need(plan)
     total, limit = need.total(plan), memory_limit_bytes()
     if total > limit:
@@ -101,7 +101,7 @@
 
 
 def _traced_bytes(plan: ScalePlan, softswitch_count: int, server_count: int) -> float:
-    """Return what a small run of the same form takes, with all connections up and no calls."""
+    """Return the memory of a small run of the same form, with all connections up and no calls."""
     small = msgspec.structs.replace(
         plan,
         softswitch_count=softswitch_count,
--- a/stairhatch/scale_test/plan_file.py
+++ b/stairhatch/scale_test/plan_file.py
@@ -12,7 +12,7 @@
 from stairhatch.scale_test.errors import ScalePlanError
 from stairhatch.scale_test.schema import FleetPlan, PlannedEvent, PlannedEventKind, RealRunPlan, ScalePlan
 
-JSON_PATH = re.compile(r" - at `\$\.?([^`]*)`$")  # where msgspec tells the place of a fault
+JSON_PATH = re.compile(r" - at `\$\.?([^`]*)`$")  # the place of a fault in a message of msgspec
 UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.+)`")
 MISSING_FIELD = re.compile(r"Object missing required field `(.+)`")
 MIN_KEY_SIMILARITY = 0.6  # of a known key that is suggested for an unknown one
--- a/stairhatch/scale_test/processor_meter.py
+++ b/stairhatch/scale_test/processor_meter.py
@@ -1,4 +1,4 @@
-"""The processor time of a run, by the part of the work that it went to."""
+"""Measures the processor time of a run by part of the work."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ProcessorMeter:
-    """Seconds by part. Time belongs to the part that was entered last and not yet left."""
+    """Seconds by part. Time is charged to the part that was entered last and not yet left."""
 
     def __init__(self) -> None:
         """Begin with the rest."""
--- a/stairhatch/scale_test/real_run.py
+++ b/stairhatch/scale_test/real_run.py
@@ -123,6 +123,7 @@
         )
 
         def observe(what: str, called_number: str) -> None:
+            """Take note of the server at which a call was established."""
             if what == "stood":
                 self._calls.record_server(called_number, index)
 
@@ -183,6 +184,7 @@
 
     def _place_call(self, call: GeneratedCall) -> None:
         def ended(_placed: PlacedCall, result: CallResult, _took_s: float, _status: int) -> None:
+            """Record the final answer."""
             self._calls.record_result(call, RESULTS[result], self._elapsed_s())
 
         now = asyncio.get_running_loop().time()
@@ -207,6 +209,7 @@
         for member, log, before in zip(self._members, self._logs, reports_before, strict=True):
 
             def has_reported(log: MemberLog = log, before: int = before) -> bool:
+                """Return whether the counters have been logged since the signal."""
                 return log.counter_reports() > before
 
             if not await _poll_until(has_reported, READY_TIMEOUT_S):
--- a/stairhatch/scale_test/simulated_caller.py
+++ b/stairhatch/scale_test/simulated_caller.py
@@ -19,7 +19,7 @@
 
 
 class SimulatedCaller:
-    """What the call manager notifies of a call (`CallerSession`), and who hangs up in the end."""
+    """The session of one call (`CallerSession`), which hangs up after the hold time."""
 
     __slots__ = ("call", "context", "has_ended", "owner", "request")
 
@@ -32,7 +32,7 @@
         self.has_ended = False
 
     def progressing(self) -> None:
-        """Take note of nothing: a roster server is at work on the call."""
+        """Ignore progress: only the result counts."""
 
     def established(self, description: bytes) -> None:  # noqa: ARG002 - the session needs no description
         """Hold the call for its time, then hang up."""
@@ -48,13 +48,13 @@
         self._record(SimulatedCallResult.FAILED)
 
     def released(self, cause: int) -> None:
-        """Take note that the roster server's side has ended the call."""
+        """Record the release by the roster server."""
         self.has_ended = True
         if cause != ReleaseCause.NORMAL_CLEARING:
             self.context.calls.tally.interrupted += 1
 
     def softswitch_ended(self) -> None:
-        """Take note that the call has ended with its softswitch."""
+        """Record that the call has ended with its softswitch."""
         if self.request.result is None:
             self._record(SimulatedCallResult.LOST)
         elif not self.has_ended:
--- a/stairhatch/scale_test/simulated_connection.py
+++ b/stairhatch/scale_test/simulated_connection.py
@@ -67,7 +67,7 @@
         self.network.clock.call_at(self._arrival_at(side.peer), self._deliver_end, side.peer)
 
     def drop(self) -> None:
-        """Have a machine be off: nothing arrives any more, and neither side is notified."""
+        """Deliver nothing more and notify neither side, as a machine is off."""
         self._is_closed = [True, True]
 
     def _arrival_at(self, side: Side) -> float:
@@ -86,7 +86,7 @@
             self._ends[side].lost()
 
 
-class Listener(Protocol):
+class SimulatedListener(Protocol):
     """Who accepts connections at an address."""
 
     machine: int
@@ -98,7 +98,7 @@
         """Return whether a process listens there."""
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Take a connection that has come up, and return its server side."""
+        """Accept a connection, and return its server side."""
 
 
 class ConnectionClient(Protocol):
@@ -126,7 +126,7 @@
     def __init__(self, network: SimulatedNetwork) -> None:
         """Nobody listens yet."""
         self.network = network
-        self.listeners: dict[Address, Listener] = {}
+        self.listeners: dict[Address, SimulatedListener] = {}
 
     def connect(self, client: ConnectionClient, address: Address, timeout_s: float) -> None:
         """Open a connection. The client is notified later, by `connection_made` or `connect_failed`."""
@@ -143,7 +143,7 @@
             return
         clock.call_later(round_trip_s, self._accept, client, listener)
 
-    def _accept(self, client: ConnectionClient, listener: Listener) -> None:
+    def _accept(self, client: ConnectionClient, listener: SimulatedListener) -> None:
         if client.has_stopped:
             return
         connection = SimulatedConnection(self.network, client.machine, listener.machine)
--- a/stairhatch/scale_test/simulated_coordinator.py
+++ b/stairhatch/scale_test/simulated_coordinator.py
@@ -17,7 +17,7 @@
 
 
 class ChangeStamp(NamedTuple):
-    """Orders changes of one line: the later stands, and of two at one time the higher region's."""
+    """Orders changes of one line: the later one applies, and of two at one time the higher region's."""
 
     time: float
     region: int
@@ -87,10 +87,11 @@
         return {instance for instance, state in states.items() if state == "in_service"}
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Take a connection that has come up, and return its server side."""
+        """Accept a connection, and return its server side."""
         buffered = b""
 
         def receive(data: bytes) -> None:
+            """Answer each complete poll request."""
             nonlocal buffered
             with self.context.meter.measuring(ProcessorPart.EMULATORS):
                 self.list.asked_bytes += len(data)
@@ -100,6 +101,7 @@
                         self._poll(connection, line)
 
         def lost() -> None:
+            """Drop the poll that waits on the connection."""
             if connection in self._pending_polls:
                 self._pending_polls.pop(connection).timeout.cancel()
 
--- a/stairhatch/scale_test/simulated_fleet_network.py
+++ b/stairhatch/scale_test/simulated_fleet_network.py
@@ -1,4 +1,4 @@
-"""What the fleet of a simulated softswitch takes for its network and its event loop."""
+"""The network and event loop of the fleet of a simulated softswitch."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
         return self
 
     def open_datagram_port(self, address: Address, port: FleetRuntime) -> None:  # noqa: ARG002 - its own
-        """Have what the fleet sends go by the simulated network."""
+        """Send the datagrams of the fleet over the simulated network."""
 
         def send() -> None:
+            """Send what the fleet has written, unless its process has ended."""
             while port.output:
                 data, (host, _) = port.output.popleft()
                 if not self.has_ended:
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -55,6 +55,7 @@
         rng = random.Random(f"wire {plan.seed}")
 
         def link(conditions: DatagramConditions) -> DatagramLink:
+            """Return a link with random numbers of its own."""
             return DatagramLink(conditions, random.Random(rng.getrandbits(64)))
 
         self._within_zone = link(plan.network.within_zone)
@@ -62,14 +63,17 @@
         self._between_regions = link(plan.network.between_regions)
 
     def begin_partition(self, event: PlannedEvent) -> None:
-        """Have a partition in effect from now for its duration."""
+        """Begin a partition that ends after its duration."""
         until = self.clock.now + event.duration_s
         partition = ActivePartition(until, event.kind, self.topology.partition_for(event))
         self.partitions.append(partition)
         self.clock.call_later(event.duration_s, self.partitions.remove, partition)
 
     def partitioned_until(self, one: int, other: int) -> float:
-        """Return when two machines reach each other again, 0 if they do now. Counts as an activation."""
+        """Return when two machines reach each other again, 0.0 if they do now.
+
+        A partition between them is counted as activated.
+        """
         longest: ActivePartition | None = None
         for partition in self.partitions:
             lasts_longer = longest is None or partition.until > longest.until
@@ -94,7 +98,7 @@
             self.clock.call_later(delay_s, receiver.receive_datagram, data, source)
 
     def stream_delay_s(self, one: int, other: int) -> float:
-        """Return how long a piece of a stream takes: it is sent again after a loss, and after a partition."""
+        """Return the delay of a piece of a stream, retransmission after loss or partition included."""
         arrivals_s, delay_s = self._link(one, other).fate(), 0.0
         if not arrivals_s:
             delay_s, arrivals_s = RETRANSMISSION_TIMEOUT_S, (self.one_way_delay_s(one, other),)
--- a/stairhatch/scale_test/simulated_server.py
+++ b/stairhatch/scale_test/simulated_server.py
@@ -18,10 +18,10 @@
 
 
 class SimulatedTransport:
-    """What the emulator writes to in place of an asyncio transport: the server side of a connection."""
+    """Replaces the asyncio transport of the emulator by the server side of a connection."""
 
     def __init__(self, connection: SimulatedConnection) -> None:
-        """The server side of a connection."""
+        """Write to the server side of this connection."""
         self._connection = connection
 
     def write(self, data: bytes) -> None:
@@ -39,7 +39,7 @@
     """A machine with a roster server, and the processes that follow one another on it."""
 
     def __init__(self, context: SimulationContext, index: int) -> None:
-        """A warm server that has run for long."""
+        """Create a warm server on a machine that is on."""
         self.context = context
         self.machine = index
         subnet, host = divmod(index, HOSTS_PER_SUBNET)
@@ -77,17 +77,19 @@
         return self.processor.state not in (ProcessorState.FALLEN, ProcessorState.GONE)
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Take a connection that has come up, and return its server side."""
+        """Accept a connection, and return its server side."""
         meter = self.context.meter
         protocol = ServerEmulatorConnection(self.emulator)
         self._connections[connection] = None
 
         def receive(data: bytes) -> None:
+            """Hand bytes to the emulator, their time charged to it."""
             meter.enter(ProcessorPart.EMULATORS)
             protocol.data_received(data)
             meter.leave()
 
         def lost() -> None:
+            """Tell the emulator that the connection has ended."""
             self._connections.pop(connection, None)
             protocol.connection_lost(None)
 
@@ -100,14 +102,14 @@
         self._connections.clear()
 
     def power_off(self) -> None:
-        """Have its machine be off: nobody is notified."""
+        """Power its machine off, which notifies nobody."""
         for connection in self._connections:
             connection.drop()
         self.kill()
         self.machine_on = False
 
     def start_cold(self) -> None:
-        """Start another process, on a machine that is on."""
+        """Power its machine on if it is off, and start a cold process."""
         self.starts += 1
         self.machine_on = True
         self.cold_setup_times.append([])
--- a/stairhatch/scale_test/simulated_softswitch.py
+++ b/stairhatch/scale_test/simulated_softswitch.py
@@ -19,10 +19,10 @@
 
 
 class SimulatedSoftswitch:
-    """One softswitch of a run, whether it runs or not."""
+    """One softswitch of a run, running or not."""
 
     def __init__(self, context: SimulationContext, index: int, coordinator: Address) -> None:
-        """On a machine that is on, not started yet, with an empty disk."""
+        """Create it on a machine that is on, not started yet, with an empty disk."""
         self.context = context
         self.machine = index
         self.name = softswitch_name(index)
@@ -72,12 +72,12 @@
         return True
 
     def power_off(self) -> None:
-        """Have its machine be off: nobody is notified."""
+        """Power its machine off, which notifies nobody."""
         self.machine_on = False
         self._end(unnoticed=True)
 
     def power_on(self) -> None:
-        """Have its machine be on again, and start its process."""
+        """Power its machine on, and start its process."""
         self.machine_on = True
         self.start()
 
@@ -92,7 +92,7 @@
             self.incarnation.receive_datagram(data, sender)
 
     def offer(self, request: GeneratedCall) -> None:
-        """Have a call come to its frontend."""
+        """Offer a call to its process; without one the call is unreachable."""
         if self.incarnation is not None:
             self.incarnation.offer(request)
         else:
@@ -100,7 +100,7 @@
             self.context.calls.record_result(request, result, self.context.elapsed_s)
 
     def log(self, event: str, **fields: object) -> None:
-        """Take note of a line of its log that the run observes."""
+        """Observe the events of its log that the run counts."""
         running = self.running()
         if event == "server_listed" and running is not None:
             now = self.context.clock.now
--- a/stairhatch/scale_test/simulated_vote_store.py
+++ b/stairhatch/scale_test/simulated_vote_store.py
@@ -36,7 +36,7 @@
         self.clock.call_later(self.rng.uniform(*DISK_SYNC_S), self._finish, write, done)
 
     def close(self) -> None:
-        """Take no write any more, as its process has ended."""
+        """Drop writes that are not synced yet, as its process has ended."""
         self.is_closed = True
 
     def _finish(self, write: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -34,7 +34,7 @@
 
 
 def _observe_nothing(simulation: Simulation) -> None:
-    """Take no note of how a run goes on."""
+    """Observe nothing."""
 
 
 class Simulation:
@@ -87,7 +87,7 @@
                 self.context.clock.call_at(starts_at, softswitch.start)
 
     def virtual_environment(self) -> AbstractContextManager[None]:
-        """Have the fleets go by this run's clock, disks and random numbers inside the block."""
+        """Run the fleets on this run's clock, disks and random numbers inside the block."""
         by_name = {softswitch.name: softswitch for softswitch in self.softswitches}
         return virtual_environment(
             self.context.clock.time, self.context.rng, lambda name: by_name[name].open_store()
@@ -113,12 +113,12 @@
         return total
 
     def changes_not_received(self) -> int:
-        """Return how many list changes have not come to softswitches that run, over both."""
+        """Return the number of list changes not received, summed over running softswitches."""
         running = [each for softswitch in self.softswitches if (each := softswitch.running()) is not None]
         return self.context.list_changes.not_received(running)
 
     def diverged_lists(self) -> int:
-        """Return how many softswitches go by another endpoint list than their coordinator has."""
+        """Return how many softswitches have another endpoint list than their coordinator."""
         return sum(map(self._has_diverged, self.softswitches))
 
     def _create_context(self) -> SimulationContext:
--- a/stairhatch/scale_test/simulation_figures.py
+++ b/stairhatch/scale_test/simulation_figures.py
@@ -15,7 +15,7 @@
 from stairhatch.scale_test.simulation import Simulation
 from stairhatch.scale_test.usage_totals import compared_figures
 
-# Counters of the program that are no sums but a state: they say nothing when added up.
+# Gauges of the program: the sum over softswitches has no meaning.
 GAUGES = (
     "fleet_remaining_ms",
     "fleet_fencing_token",
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SoftswitchIdentity:
-    """What a softswitch is known by, the same for all its incarnations."""
+    """The names and addresses of a softswitch, the same for all its incarnations."""
 
     machine: int
     name: str
@@ -70,7 +70,7 @@
         disk: VirtualDisk,
         log: Callable[..., None],
     ) -> None:
-        """Build the core; `start` joins it to the rest."""
+        """Build the core; `start` connects it to servers, service discovery and fleet."""
         self.context = context
         self.identity = identity
         self.machine = identity.machine
@@ -87,7 +87,7 @@
         self._timer: ScheduledEvent | None = None
 
     def start(self) -> None:
-        """Begin as the program does: servers, service discovery, leases."""
+        """Start as the program does: servers, service discovery, leases."""
         ServerConnectionPool(self.core, self._keep_up)
         self.core.readiness.listening = True
         discovery = ServiceDiscoveryClient(self.core, self.identity.coordinator, 0)
@@ -113,7 +113,7 @@
         return self.core.readiness.startup_health().is_ready
 
     def offer(self, request: GeneratedCall) -> None:
-        """Have a call come to its frontend."""
+        """Offer a call as its frontend would."""
         readiness = self.core.readiness
         rejects_calls = readiness.rejects_new_calls()
         if not self.is_ready() or (readiness.shutting_down and rejects_calls):
@@ -138,7 +138,7 @@
             self._fleet.stop()
 
     def end(self, unnoticed: bool) -> None:
-        """End the process. Unnoticed: its machine is off, and the other sides are not notified."""
+        """End the process; `unnoticed`: without closing connections, as its machine is off."""
         self.is_running = False
         for driver in list(self.drivers):
             driver.stop(unnoticed)
@@ -169,6 +169,7 @@
         meter, handle = self.context.meter, core.controller.handle
 
         def measured_handle(now: float, event: Event) -> Iterator[Action]:
+            """Handle an event, its time charged to the decisions."""
             with meter.measuring(ProcessorPart.DECISIONS):
                 yield from handle(now, event)
 
@@ -189,7 +190,7 @@
             lease_instance_index=fleet.lease_instance_index,
             relay_endpoint_list=fleet.relay_endpoint_list,
         )
-        network = cast(Network, self._fleet_network)  # of which a fleet uses the loop and the datagram port
+        network = cast(Network, self._fleet_network)  # a fleet uses only its loop and datagram port
         self._fleet = FleetRuntime(self.core, network, config, self.context.settings)
         if fleet.relay_endpoint_list:
             self._fleet.directory = discovery
--- a/stairhatch/scale_test/softswitch_settings.py
+++ b/stairhatch/scale_test/softswitch_settings.py
@@ -18,7 +18,7 @@
 
 
 def call_class_name(service: int) -> str:
-    """Return the name of the call class that stands for a service."""
+    """Return the name of the call class of a service."""
     return f"s{service}"
 
 
--- a/stairhatch/scale_test/topology.py
+++ b/stairhatch/scale_test/topology.py
@@ -52,7 +52,7 @@
         return list(range(service, self.plan.server_count, self.plan.service_count))
 
     def softswitch_beside(self, server: int) -> int:
-        """Return the softswitch at which the calls of a roster server's own service enter."""
+        """Return the softswitch at which calls that a roster server makes enter."""
         return server % self.plan.softswitch_count
 
     def partition_for(self, event: PlannedEvent) -> ScheduledFault:
--- a/stairhatch/scale_test/usage_totals.py
+++ b/stairhatch/scale_test/usage_totals.py
@@ -1,4 +1,4 @@
-"""What a run has used so far: counts that only grow, so that their differences are those of a time."""
+"""Totals of set-ups, messages and bytes; the difference of two is the usage between them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsageTotals:
-    """Counted at the same places of simulated and of real runs."""
+    """Totals counted at the same places in simulated and real runs."""
 
     setups: int  # at the roster servers
     list_messages: int  # polls at the coordinators
--- a/stairhatch/scale_test/verdict.py
+++ b/stairhatch/scale_test/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a simulated run: what is wrong with it, or with what it proves."""
+"""The verdict on a simulated run: its failures, and what it does not prove."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def find_failures(plan: ScalePlan, figures: SimulationFigures) -> list[str]:
-    """Return a sentence for each failure. A run without one that proves nothing is a failure, too."""
+    """Return a sentence for each failure; a run that proves nothing is a failure, too."""
     failures = [*_call_failures(figures), *_list_failures(figures)]
     failures += [
         f"{kind.value} had no effect: the run proves nothing of it"
--- a/stairhatch/scale_test/virtual_clock.py
+++ b/stairhatch/scale_test/virtual_clock.py
@@ -14,7 +14,7 @@
 
 
 class ScheduledEvent:
-    """A call that is due, handed to whoever scheduled it, as asyncio's TimerHandle."""
+    """A scheduled callback that can be cancelled, as asyncio's TimerHandle."""
 
     __slots__ = ("args", "callback")
 
@@ -24,7 +24,7 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Have it not carried out."""
+        """Do not carry it out."""
         self.callback = None
         self.args = ()
 
@@ -74,7 +74,7 @@
 
 
 class ProcessClock:
-    """The clock as one process has it: its work is measured, and nothing is carried out once it has ended."""
+    """The clock of one process: its callbacks are measured, and dropped once it has ended."""
 
     def __init__(self, clock: VirtualClock, meter: ProcessorMeter, part: ProcessorPart) -> None:
         """`part` is what the time of its callbacks is charged to."""
--- a/stairhatch/scale_test/virtual_environment.py
+++ b/stairhatch/scale_test/virtual_environment.py
@@ -1,4 +1,4 @@
-"""Puts a run's virtual clock, disks and random numbers in place of those that the fleet takes itself.
+"""Puts a run's virtual clock, disks and random numbers in place of those of the fleet.
 
 `FleetRuntime` looks up `clock`, `VoterStore` and `secrets` in its module at each use.
 """
@@ -29,9 +29,10 @@
 def virtual_environment(
     clock: Callable[[], float], rng: random.Random, open_store: OpenStore
 ) -> Iterator[None]:
-    """Have the fleets go by a virtual clock, disks and random numbers inside the block."""
+    """Run the fleets on a virtual clock, disks and random numbers inside the block."""
 
     def create_store(data_directory: Path, call_on_loop: object) -> SimulatedVoteStore:  # noqa: ARG001 - as VoterStore
+        """Open the store of a data directory on the virtual disk."""
         return open_store(str(data_directory))
 
     replacements: dict[str, Any] = {
