--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -1,9 +1,10 @@
-"""Measures the appliance under calls: processor time a call, memory, times of final answers. Any tree of the
-project that knows `--sip FILE` can be measured, so that two are compared in one run:
+"""Measures the appliance under calls: processor time a call, memory, times of final responses.
+
+Any tree of the project that knows `--sip FILE` can be measured, so that two are compared in one run:
 
     .venv/bin/python benchmarks/sip_calls.py --tree . --tree ../before --rate 500 --seconds 20 --tcp
 
-Roster servers and callers are the project's stand-ins, in processes of their own. A call is INVITE, 200, ACK,
+Roster servers and callers are the project's emulators, in processes of their own. A call is INVITE, 200, ACK,
 BYE and its 200. Each tree is measured in turn, `--repeats` times; every run is printed, not the best.
 """
 
@@ -20,25 +21,38 @@
 import sys
 import tempfile
 import time
+from collections import Counter
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import uvloop
 
+sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
+
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.scripted_replies import stands
 from stairhatch.emulators.server_emulator import ServerEmulator
 
 ROOT = Path(__file__).resolve().parents[1]
-FILE = """\
+ROSTER_SERVERS = 4
+SERVER_LINES = 100_000  # calls that one roster server bears at once
+CALLERS = 4  # in each worker
+CALLED_NUMBER = "1000"
+LATENCY_OBJECTIVE_S = 1.5
+LINGER_S = 1.5  # after the last call has ended, for late responses
+POLL_S = 0.01
+CONFIGURATION = """\
 name = "bench"
 [sip]
-udp = "{at}"
-tcp = "{at}"
-contact = "{at}"
+udp = "{address}"
+tcp = "{address}"
+contact = "{address}"
 default_class = "read-roster"
-{more}
+{keys}
 {servers}
 [settings]
 [[settings.classes]]
@@ -57,135 +71,219 @@
 """
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Workload:
+    """The calls of one run. Times are seconds, the rate is calls a second."""
+
+    rate: float
+    seconds: float
+    hold_s: float  # how long a call stays established
+    workers: int  # processes that place calls
+    tcp: bool
+    admission: str  # "on", "off", or "as-is": as the tree's own default has it
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class CallerFigures:
+    """What the callers saw."""
+
+    placed: int
+    results: Counter[str]  # by result and status
+    retransmissions: int
+    established_after_s: list[float]  # sorted
+
+
+# ---- the processes beside the program ----
+
+
 async def serve_rosters(count: int) -> None:
-    """Stand-in roster servers that set everything up at once, until the input ends."""
-    servers = [await ServerEmulator(lambda key: (stands(),), lines=100_000).listen() for _ in range(count)]
+    """Be roster servers that establish every call at once, until the input ends; prints their ports."""
+    servers = [
+        await ServerEmulator(lambda _key: (stands(),), lines=SERVER_LINES).listen() for _ in range(count)
+    ]
     print(json.dumps([each.place[1] for each in servers]), flush=True)
-    loop, over = asyncio.get_running_loop(), asyncio.Event()
-    loop.add_reader(0, lambda: os.read(0, 1) or over.set())
-    await over.wait()
+    loop, input_ended = asyncio.get_running_loop(), asyncio.Event()
+    loop.add_reader(0, lambda: os.read(0, 1) or input_ended.set())
+    await input_ended.wait()
     os._exit(0)
 
 
-async def place_calls(port: int, rate: float, seconds: float, hold: float, tcp: bool, seed: int) -> None:
-    """Calls at random times at a rate, from several offices; prints what came of them."""
-    loop, chance = asyncio.get_running_loop(), random.Random(seed)
-    make = CallerEmulator.over_tcp if tcp else CallerEmulator.over_udp
-    callers = [await make(("127.0.0.1", port), f"o{seed}x{n}", seed + n) for n in range(4)]
-    ends: dict[str, int] = {}
-    times: list[float] = []
+async def place_calls(port: int, workload: Workload, seed: int) -> None:
+    """Place calls at random times at a rate, from several callers; prints what came of them."""
+    loop, draws = asyncio.get_running_loop(), random.Random(seed)
+    open_caller = CallerEmulator.over_tcp if workload.tcp else CallerEmulator.over_udp
+    callers = [
+        await open_caller(("127.0.0.1", port), f"o{seed}x{index}", seed + index) for index in range(CALLERS)
+    ]
+    results: Counter[str] = Counter()
+    established_after_s: list[float] = []
 
-    def told(call: PlacedCall, end: CallResult, took_s: float, status: int) -> None:
-        ends[f"{end.value}_{status}"] = ends.get(f"{end.value}_{status}", 0) + 1
-        if end is CallResult.STOOD:
-            times.append(took_s)
+    def call_ended(_call: PlacedCall, result: CallResult, after_s: float, status: int) -> None:
+        results[f"{result.value}_{status}"] += 1
+        if result is CallResult.STOOD:
+            established_after_s.append(after_s)
 
-    begun = due = loop.time()
+    started_at = due = loop.time()
     placed = 0
-    while due < begun + seconds:
-        due += chance.expovariate(rate)
-        if (left := due - loop.time()) > 0:
-            await asyncio.sleep(left)
-        chance.choice(callers).place("1000", hold, due, told)
+    while due < started_at + workload.seconds:
+        due += draws.expovariate(workload.rate)
+        if (left_s := due - loop.time()) > 0:
+            await asyncio.sleep(left_s)
+        draws.choice(callers).place(CALLED_NUMBER, workload.hold_s, due, call_ended)
         placed += 1
-    await asyncio.sleep(hold + 1.5)
-    copies = sum(each.counts["copies"] for each in callers)
-    print(json.dumps({"placed": placed, "ends": ends, "copies": copies, "times": times}), flush=True)
+    await asyncio.sleep(workload.hold_s + LINGER_S)
+    retransmissions = sum(each.counts["copies"] for each in callers)
+    figures = {"placed": placed, "ends": results, "copies": retransmissions, "times": established_after_s}
+    print(json.dumps(figures), flush=True)
 
 
-def processor_s(pid: int) -> float:
-    """Processor time that a process has used."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+@contextmanager
+def roster_servers() -> Iterator[list[int]]:
+    """Run the roster servers in a process of their own; gives their ports."""
+    command = [sys.executable, __file__, "--rosters", str(ROSTER_SERVERS)]
+    with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
+        assert process.stdout is not None
+        try:
+            yield json.loads(process.stdout.readline())
+        finally:
+            process.kill()
 
 
-def memory_mb(pid: int) -> float:
-    """What a process holds."""
-    text = Path(f"/proc/{pid}/status").read_text()
-    return int(text.split("VmRSS:")[1].split()[0]) / 1024
+class CallerProcesses:
+    """The processes that place the calls of one run."""
 
+    def __init__(self, port: int, workload: Workload) -> None:
+        """Start them against the program at a port."""
+        command = [sys.executable, __file__, "--place", str(port), "--hold", str(workload.hold_s)]
+        command += ["--rate", str(workload.rate / workload.workers), "--seconds", str(workload.seconds)]
+        command += ["--tcp"] if workload.tcp else []
+        self._processes = [
+            subprocess.Popen([*command, "--seed", str(seed)], stdout=subprocess.PIPE)
+            for seed in range(workload.workers)
+        ]
 
-def counters(log: Path, process: subprocess.Popen[bytes]) -> dict[str, int]:
-    """The program's counters, asked for by signal."""
-    before = log.read_text().count(" counters ")
-    process.send_signal(signal.SIGUSR1)
-    while log.read_text().count(" counters ") <= before:
-        time.sleep(0.01)
-    line = [line for line in log.read_text().splitlines() if " counters " in line][-1]
-    return {name: int(value) for name, _, value in (word.partition("=") for word in line.split()[2:])}
+    def wait(self) -> CallerFigures:
+        """Wait until all calls are over."""
+        figures = [json.loads(process.communicate()[0]) for process in self._processes]
+        return CallerFigures(
+            placed=sum(each["placed"] for each in figures),
+            results=sum((Counter(each["ends"]) for each in figures), Counter()),
+            retransmissions=sum(each["copies"] for each in figures),
+            established_after_s=sorted(after_s for each in figures for after_s in each["times"]),
+        )
 
 
-def evicted_records(counts: dict[str, int]) -> int:
-    """Transaction records that were dropped early, by the counter's name of this tree or an older one."""
-    return counts.get("transaction_records_evicted", counts.get("forgotten_early", 0))
+# ---- the program ----
 
 
-def measure(tree: Path, told: argparse.Namespace, tcp: bool, folder: Path) -> dict[str, Any]:
-    """One run of one tree."""
-    me = [sys.executable, __file__]
-    rosters = subprocess.Popen([*me, "--rosters", "4"], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    assert rosters.stdout is not None
-    ports = json.loads(rosters.stdout.readline())
-    port, log = free_port(), folder / f"log-{time.monotonic_ns()}"
+class ProgramUnderTest:
+    """The program of one tree, started with a configuration of its own."""
+
+    def __init__(self, tree: Path, folder: Path, server_ports: list[int], admission: str) -> None:
+        """Start it, and wait until it serves."""
+        self.port = free_port()
+        self._log = folder / f"log-{time.monotonic_ns()}"
+        path = folder / "sip.toml"
+        path.write_text(_configuration(tree, self.port, server_ports, admission))
+        command = [sys.executable, "-m", "stairhatch", "--sip", str(path)]
+        with self._log.open("wb") as log:
+            self._process = subprocess.Popen(
+                command, cwd=tree, stdin=subprocess.DEVNULL, stdout=log, stderr=log
+            )
+        while " serving " not in self._log.read_text():
+            assert self._process.poll() is None, self._log.read_text()
+            time.sleep(POLL_S)
+
+    def processor_s(self) -> float:
+        """Processor time that it has used."""
+        words = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+
+    def memory_mb(self) -> float:
+        """Its resident memory."""
+        text = Path(f"/proc/{self._process.pid}/status").read_text()
+        return int(text.split("VmRSS:")[1].split()[0]) / 1024
+
+    def counters(self) -> dict[str, int]:
+        """Its counters, asked for by signal."""
+        lines_before = self._log.read_text().count(" counters ")
+        self._process.send_signal(signal.SIGUSR1)
+        while self._log.read_text().count(" counters ") <= lines_before:
+            time.sleep(POLL_S)
+        line = [line for line in self._log.read_text().splitlines() if " counters " in line][-1]
+        return {name: int(value) for name, _, value in (word.partition("=") for word in line.split()[2:])}
+
+    def kill(self) -> None:
+        """End it."""
+        self._process.kill()
+        self._process.wait()
+
+
+def _configuration(tree: Path, port: int, server_ports: list[int], admission: str) -> str:
+    """The configuration file, with only keys that the tree knows."""
     servers = "\n".join(
-        f'[[servers]]\nname = "r{n}"\naddress = "127.0.0.1:{each}"\nnumber = {n}'
-        for n, each in enumerate(ports)
+        f'[[servers]]\nname = "r{number}"\naddress = "127.0.0.1:{each}"\nnumber = {number}'
+        for number, each in enumerate(server_ports)
     )
-    new = (tree / "stairhatch" / "sip").is_dir()
-    path = folder / "sip.toml"
-    more = "restart_wait_s = 0\ndialogs = 60000" if new else ""
-    if (tree / "stairhatch" / "admission").is_dir() and told.gate != "as-is":
-        more += f"\nadmission = {{ on = {'true' if told.gate == 'on' else 'false'} }}"
-    path.write_text(FILE.format(at=f"127.0.0.1:{port}", servers=servers, more=more))
-    with log.open("wb") as out:
-        program = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch", "--sip", str(path)], cwd=tree, stdin=subprocess.DEVNULL,
-            stdout=out, stderr=out,
-        )  # fmt: skip
-    while " serving " not in log.read_text():
-        assert program.poll() is None, log.read_text()
-        time.sleep(0.02)
-    before = processor_s(program.pid)
-    start_mb = memory_mb(program.pid)
-    place = [*me, "--place", str(port), "--rate", str(told.rate / told.workers), "--hold", str(told.hold)]
-    place += ["--seconds", str(told.seconds), *(["--tcp"] if tcp else [])]
-    workers = [
-        subprocess.Popen([*place, "--seed", str(seed)], stdout=subprocess.PIPE)
-        for seed in range(told.workers)
-    ]
+    keys = []
+    if (tree / "stairhatch" / "sip").is_dir():
+        keys += ["restart_wait_s = 0", "dialogs = 60000"]
+    if (tree / "stairhatch" / "admission").is_dir() and admission != "as-is":
+        keys.append(f"admission = {{ on = {'true' if admission == 'on' else 'false'} }}")
+    return CONFIGURATION.format(address=f"127.0.0.1:{port}", servers=servers, keys="\n".join(keys))
+
+
+# ---- a run ----
+
+
+def measure(tree: Path, workload: Workload, folder: Path) -> dict[str, Any]:
+    """One run of one tree."""
+    with roster_servers() as server_ports:
+        program = ProgramUnderTest(tree, folder, server_ports, workload.admission)
+        try:
+            return _measure_program(tree, program, workload)
+        finally:
+            program.kill()
+
+
+def _measure_program(tree: Path, program: ProgramUnderTest, workload: Workload) -> dict[str, Any]:
+    processor_before_s, start_mb = program.processor_s(), program.memory_mb()
+    processes = CallerProcesses(program.port, workload)
     standing_mb = 0.0
-    if told.hold >= told.seconds:
-        time.sleep(told.seconds + 0.5)
-        standing_mb = memory_mb(program.pid)
-    found = [json.loads(worker.communicate()[0]) for worker in workers]
-    used = processor_s(program.pid) - before
-    times = sorted(each for one in found for each in one["times"])
-    ends: dict[str, int] = {}
-    for one in found:
-        for name, count in one["ends"].items():
-            ends[name] = ends.get(name, 0) + count
-    counts = counters(log, program)
-    placed = sum(one["placed"] for one in found)
-    result = {
-        "tree": tree.name, "transport": "tcp" if tcp else "udp", "placed": placed,
-        "gate": told.gate, "stood": len(times) / placed,
-        "in_time_a_second": sum(each <= 1.5 for each in times) / told.seconds,
-        "ms_a_call": 1000 * used / max(1, len(times)),
-        "p50_ms": 1000 * statistics.median(times), "p99_ms": 1000 * times[int(0.99 * len(times))],
-        "copies": sum(one["copies"] for one in found), "start_mb": start_mb,
-        "standing_mb": standing_mb, "after_mb": memory_mb(program.pid),
-        "table_full": counts.get("table_full", 0), "forgotten_early": evicted_records(counts),
-        "ends": ends,
-    }  # fmt: skip
-    program.kill()
-    program.wait()
-    rosters.kill()
-    rosters.wait()
-    return result
+    if workload.hold_s >= workload.seconds:
+        time.sleep(workload.seconds + 0.5)
+        standing_mb = program.memory_mb()
+    callers = processes.wait()
+    used_s = program.processor_s() - processor_before_s
+    counts = program.counters()
+    times = callers.established_after_s
+    return {
+        "tree": tree.name,
+        "transport": "tcp" if workload.tcp else "udp",
+        "placed": callers.placed,
+        "gate": workload.admission,
+        "stood": len(times) / callers.placed,
+        "in_time_a_second": sum(each <= LATENCY_OBJECTIVE_S for each in times) / workload.seconds,
+        "ms_a_call": 1000 * used_s / max(1, len(times)),
+        "p50_ms": 1000 * statistics.median(times),
+        "p99_ms": 1000 * times[int(0.99 * len(times))],
+        "copies": callers.retransmissions,
+        "start_mb": start_mb,
+        "standing_mb": standing_mb,
+        "after_mb": program.memory_mb(),
+        "table_full": counts.get("table_full", 0),
+        "forgotten_early": evicted_records(counts),
+        "ends": callers.results,
+    }
 
 
-def main() -> None:
-    """Measure, or be one of the processes that do."""
+def evicted_records(counts: dict[str, int]) -> int:
+    """Transaction records that were evicted early, by the counter's name in this tree or an older one."""
+    return counts.get("transaction_records_evicted", counts.get("forgotten_early", 0))
+
+
+def parse_arguments() -> argparse.Namespace:
+    """Read the command line; some of its options are for this program's own processes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--tree", type=Path, action="append")
     parser.add_argument("--rate", type=float, default=400.0)
@@ -198,18 +296,30 @@
     parser.add_argument("--rosters", type=int, help=argparse.SUPPRESS)
     parser.add_argument("--place", type=int, help=argparse.SUPPRESS)
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
-    if told.rosters:
-        uvloop.run(serve_rosters(told.rosters))
-    elif told.place:
-        uvloop.run(place_calls(told.place, told.rate, told.seconds, told.hold, told.tcp, told.seed))
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Measure, or be one of the processes that do."""
+    arguments = parse_arguments()
+    workload = Workload(
+        rate=arguments.rate,
+        seconds=arguments.seconds,
+        hold_s=arguments.hold,
+        workers=arguments.workers,
+        tcp=arguments.tcp,
+        admission=arguments.gate,
+    )
+    if arguments.rosters:
+        uvloop.run(serve_rosters(arguments.rosters))
+    elif arguments.place:
+        uvloop.run(place_calls(arguments.place, workload, arguments.seed))
     else:
         with tempfile.TemporaryDirectory() as folder:
-            for _ in range(told.repeats):
-                for tree in told.tree or [ROOT]:
-                    print(json.dumps(measure(tree.resolve(), told, told.tcp, Path(folder))), flush=True)
+            for _ in range(arguments.repeats):
+                for tree in arguments.tree or [ROOT]:
+                    print(json.dumps(measure(tree.resolve(), workload, Path(folder))), flush=True)
 
 
 if __name__ == "__main__":
-    sys.path.insert(0, str(ROOT))
     main()
