--- a/stairhatch/conformance/mutations.py
+++ b/stairhatch/conformance/mutations.py
@@ -25,7 +25,7 @@
 from stairhatch.sip.dialogs import Dialog, SequenceOrder, dialog_key
 from stairhatch.sip.digest_auth import AuthenticationResult, CredentialCheck, DigestAuthenticator
 from stairhatch.sip.provisional_response import ProvisionalResponse
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 from stairhatch.sip.reliable_provisional import PrackMatch, ReliableProvisional
 from stairhatch.sip.request_dispatcher import RequestDispatcher
 from stairhatch.sip.request_head import RequestHead
@@ -118,11 +118,11 @@
     ORIGINALS["cancel_received"](self, transaction, head)
 
 
-def _without_status(*statuses: int) -> Callable[..., Rejection | None]:
+def _without_status(*statuses: int) -> Callable[..., RequestRejection | None]:
     """Requests that are to be rejected for some reasons are taken all the same."""
 
-    def validate(head: RequestHead) -> Rejection | None:
-        rejection: Rejection | None = ORIGINALS["validate_request"](head)
+    def validate(head: RequestHead) -> RequestRejection | None:
+        rejection: RequestRejection | None = ORIGINALS["validate_request"](head)
         return None if rejection is not None and rejection.status in statuses else rejection
 
     return validate
@@ -148,7 +148,7 @@
 
 def _negotiate_any(message: sip.SipMessage, policy: Any) -> Any:
     result = ORIGINALS["negotiate"](message, policy)
-    is_short = isinstance(result, Rejection) and result.status == 422
+    is_short = isinstance(result, RequestRejection) and result.status == 422
     return SessionTimer(60, Refresher.CALLER, required=True) if is_short else result
 
 
--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -93,10 +93,10 @@
         assert self.dialog is not None
         return self.dialog
 
-    # ---- what the call manager says ----
+    # ---- from the call manager ----
 
     def progressing(self) -> None:
-        """A roster server is at work on the call: 180, once, reliably where the caller knows how."""
+        """A roster server is processing the call: send 180, once, reliably if the caller supports that."""
         invite = self.invite
         if invite is None or invite.head is None or self.dialog is not None:
             return
@@ -117,7 +117,7 @@
         )
 
     def established(self, description: bytes) -> None:
-        """The call stands: 200 is sent until the ACK comes, and the dialog is confirmed."""
+        """The call is established: the 200 is sent until the ACK comes, and the dialog is confirmed."""
         invite = self.invite
         if invite is None or invite.head is None:
             return
@@ -155,7 +155,7 @@
         else:
             self._send_bye(cause)
 
-    # ---- what the caller says ----
+    # ---- from the caller ----
 
     def ack_received(self, cseq: int, message: sip.SipMessage) -> None:
         """The ACK to the 2xx, with the caller's answer where the offer was ours."""
@@ -170,7 +170,7 @@
             self._send_bye(self._bye_cause)
 
     def cancelled(self) -> None:
-        """The caller gives the set-up up: by CANCEL, or a BYE in the early dialog."""
+        """The caller abandons the set-up: by CANCEL, or a BYE in the early dialog."""
         if self.invite is None:
             return
         call, self.call = self.call, None
@@ -179,7 +179,7 @@
         self._reject(487, [])
 
     def disconnected(self) -> None:
-        """The caller cannot be heard any more while its INVITE is open: nothing new is sent for it."""
+        """The caller's connection has ended while its INVITE is open: no further attempt is made."""
         if self.call is not None:
             self._agent.context.core.caller_disconnected(self.call)
 
--- a/stairhatch/sip/call_setup.py
+++ b/stairhatch/sip/call_setup.py
@@ -12,7 +12,8 @@
 from stairhatch.sip import grammar, session_descriptions, session_timer
 from stairhatch.sip.call_classification import classify_call
 from stairhatch.sip.call_leg import CallLeg, DialogTable, InviteTerms
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
+from stairhatch.sip.request_admission import TABLE_FULL_RETRY_AFTER_S
 from stairhatch.sip.request_head import RequestHead
 from stairhatch.sip.server_transactions import ServerTransaction
 from stairhatch.sip.session_timer import SessionTimer
@@ -20,9 +21,9 @@
 
 TIMER_HEADERS = frozenset(("supported", "require", "session-expires", "min-se"))
 EXPIRES_DIGITS = 9  # of Expires that count
-BAD_REQUEST = Rejection(400)
-MERGED_REQUEST = Rejection(482)
-TABLE_FULL = Rejection(503, headers=(("retry-after", "2"),))
+BAD_REQUEST = RequestRejection(400)
+MERGED_REQUEST = RequestRejection(482)
+TABLE_FULL = RequestRejection(503, headers=(("retry-after", str(TABLE_FULL_RETRY_AFTER_S)),))
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,16 +46,16 @@
         """An INVITE outside any dialog has come; `user` is who sent it, where that is proved."""
         context = self._agent.context
         ident = head.ident
-        if ident in context.core.calls.by_ident:  # it is here already, by another way (8.2.2.2)
+        if ident in context.core.calls.by_ident:  # merged: it came by another path too (8.2.2.2)
             self._agent.responder.reject(transaction, MERGED_REQUEST)
             return
         new = self._read(head, ident, user)
-        if isinstance(new, Rejection):
+        if isinstance(new, RequestRejection):
             self._agent.responder.reject(transaction, new)
         elif len(self._dialogs.legs) >= context.config.dialogs:
             context.counters.add("table_full")
             self._agent.responder.reject(transaction, TABLE_FULL)
-        elif context.core.calls.was_terminated(ident):  # a copy that comes after its call has ended
+        elif context.core.calls.was_terminated(ident):  # retransmitted after its call has ended
             context.counters.add("retransmissions_received")
             self._agent.server_transactions.discard(transaction)
         else:
@@ -68,8 +69,8 @@
         if leg.invite is not None or leg.dialog is not None:
             leg.call = call
 
-    def _read(self, head: RequestHead, ident: str, user: str) -> NewCall | Rejection:
-        """Read an INVITE whose URI is known to be one."""
+    def _read(self, head: RequestHead, ident: str, user: str) -> NewCall | RequestRejection:
+        """Read an INVITE whose request URI is valid."""
         message = head.message
         called_user = grammar.parse_uri(message.uri).user
         classification = classify_call(self._agent.context, called_user, message.get("call-kind"))
@@ -78,10 +79,10 @@
         if call_class is None or not called_user or is_contact_unclear:
             return BAD_REQUEST
         body = session_descriptions.read_description(message)
-        if isinstance(body, Rejection):
+        if isinstance(body, RequestRejection):
             return body
         timer = self._negotiate_timer(head)
-        if isinstance(timer, Rejection):
+        if isinstance(timer, RequestRejection):
             return timer
         try:
             description = body.decode()  # what is no UTF-8 would be no JSON at the roster server
@@ -89,7 +90,7 @@
         except ValueError:
             return BAD_REQUEST
         if exceeds_line_limit(ident, call_class.name, called_user, description):
-            return Rejection(413)
+            return RequestRejection(413)
         request = CallRequest(
             ident=ident,
             call_class=call_class,
@@ -103,7 +104,7 @@
         terms = InviteTerms(ident=ident, description=body, timer=timer, user=user)
         return NewCall(request, terms)
 
-    def _negotiate_timer(self, head: RequestHead) -> SessionTimer | Rejection | None:
+    def _negotiate_timer(self, head: RequestHead) -> SessionTimer | RequestRejection | None:
         if TIMER_HEADERS.isdisjoint(head.names):
             return None
         return session_timer.negotiate(head.message, self._agent.context.config.timers)
--- a/stairhatch/sip/client_requests.py
+++ b/stairhatch/sip/client_requests.py
@@ -19,7 +19,7 @@
 
 
 class DialogUsage(Protocol):
-    """Whoever sends requests within a dialog (RFC 5057)."""
+    """What sends requests within a dialog: a dialog usage (RFC 5057)."""
 
     path: DialogPath
 
@@ -89,7 +89,7 @@
         self._transaction: ClientTransaction | None = None
 
     def send(self) -> None:
-        """Send it, by the dialog's flow while that is alive, else another way."""
+        """Send it by the dialog's flow while that is alive, else by another."""
         agent = self._agent
         dialog = self._usage.established_dialog
         if not self._cseq:
@@ -108,7 +108,7 @@
         )
 
     def provisional_received(self, status: int, message: sip.SipMessage) -> None:
-        """It is on its way."""
+        """A provisional response changes nothing."""
 
     def final_received(self, status: int, message: sip.SipMessage | None) -> None:
         """It is answered; 408 or 503 without a message where it won't be."""
@@ -121,7 +121,7 @@
             self._agent.context.counters.add("byes_rejected")
 
     def flow_failed(self) -> None:
-        """Its flow has ended: another one, a few times."""
+        """Its flow has ended: send it by another one, `MAX_FLOWS` in all."""
         self._flows_failed += 1
         if self._flows_failed >= MAX_FLOWS:
             self.final_received(503, None)
--- a/stairhatch/sip/client_transactions.py
+++ b/stairhatch/sip/client_transactions.py
@@ -1,6 +1,6 @@
 """Client transactions (RFC 3261, 17.1, with RFC 6026): requests of ours, sent again until they are answered.
 
-The table is fed responses, sends on flows, and tells its user each response once. It knows no dialog.
+The table is fed responses, sends on flows, and passes each response to its user once. It knows no dialog.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
         self.flow = flow
         self.user = user
         self.state = TransactionState.CALLING if method == "INVITE" else TransactionState.TRYING
-        self.ack = b""  # what answers each copy of the final response to an INVITE
+        self.ack = b""  # sent again for each retransmission of the final response to an INVITE
 
     @property
     def key(self) -> ClientTransactionKey:
@@ -102,7 +102,7 @@
             else:
                 self._final_received(transaction, message)
         elif transaction.ack and message.status >= 200:
-            transaction.flow.send(transaction.ack)  # a copy: the ACK was lost
+            transaction.flow.send(transaction.ack)  # retransmitted: the ACK was lost
         return True
 
     def flow_lost(self, flow: Flow) -> None:
--- a/stairhatch/sip/dialog_path.py
+++ b/stairhatch/sip/dialog_path.py
@@ -1,4 +1,4 @@
-"""Which way a dialog's messages go: the flow that its caller used last."""
+"""The path of a dialog's messages: the flow that its caller used last."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     __slots__ = ("_flows", "_is_counted", "address", "flow")
 
     def __init__(self, flows: FlowRouter, invite: ServerTransaction) -> None:
-        """Begin with the way of the INVITE."""
+        """Begin with the flow of the INVITE."""
         self._flows = flows
         self._is_counted = False
         self.flow: Flow = invite.flow
@@ -29,14 +29,14 @@
         self.flow.send(data)
 
     def establish(self, invite: ServerTransaction) -> None:
-        """The dialog is established by the way of the INVITE's 2xx."""
+        """The dialog is established; its path is that of the INVITE's 2xx."""
         self.flow = invite.flow
         self.address = invite.address
         self.flow.count_dialogs(1)
         self._is_counted = True
 
     def follow(self, flow: Flow) -> None:
-        """A request of the established dialog came by a flow: ours go the same way."""
+        """A request of the established dialog has come by a flow: ours use it from now on."""
         if flow is self.flow or not self._is_counted:
             return
         self.flow.count_dialogs(-1)
--- a/stairhatch/sip/dialog_requests.py
+++ b/stairhatch/sip/dialog_requests.py
@@ -1,4 +1,4 @@
-"""Requests within a dialog, once they are known to have come in order."""
+"""Requests within a dialog that have come in order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from stairhatch.sip import session_descriptions, session_timer
 from stairhatch.sip.call_leg import CallLeg, DialogTable
 from stairhatch.sip.dialogs import DialogState
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 from stairhatch.sip.reliable_provisional import PrackMatch
 from stairhatch.sip.request_head import RequestHead
 from stairhatch.sip.responder import ACCEPT, ALLOW, CAPABILITIES, SUPPORTED
@@ -15,9 +15,11 @@
 from stairhatch.sip.session_timer import SessionTimer
 from stairhatch.sip.user_agent import UserAgent
 
-INFO_NOT_SUPPORTED = Rejection(469, headers=(("recv-info", ""),))  # RFC 6086, 4.2.2
-REQUEST_PENDING = Rejection(491)
-CHANGE_REJECTED = Rejection(488, headers=(("warning", '399 stairhatch "the session stays as it is"'), ACCEPT))
+INFO_NOT_SUPPORTED = RequestRejection(469, headers=(("recv-info", ""),))  # RFC 6086, 4.2.2
+REQUEST_PENDING = RequestRejection(491)
+CHANGE_REJECTED = RequestRejection(
+    488, headers=(("warning", '399 stairhatch "the session stays as it is"'), ACCEPT)
+)
 GLARE_RETRY_RANGE_S = 11  # Retry-After is drawn below this (RFC 3261, 14.2)
 
 
@@ -87,11 +89,11 @@
             self._responder.respond(transaction, 500, [("retry-after", str(retry_after_s))])
             return
         body = session_descriptions.read_description(head.message)
-        if isinstance(body, Rejection):
+        if isinstance(body, RequestRejection):
             self._responder.reject(transaction, body)
             return
         timer = session_timer.negotiate(head.message, self._agent.context.config.timers)
-        if isinstance(timer, Rejection):
+        if isinstance(timer, RequestRejection):
             self._responder.reject(transaction, timer)
             return
         change = leg.descriptions.compare(body)
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -24,7 +24,7 @@
 
 
 class SequenceOrder(Enum):
-    """How a request's CSeq stands to those before it."""
+    """How a request's CSeq compares with those before it."""
 
     IN_ORDER = "in order"
     OUT_OF_ORDER = "out of order"  # answered 500 (12.2.2)
--- a/stairhatch/sip/digest_auth.py
+++ b/stairhatch/sip/digest_auth.py
@@ -33,7 +33,7 @@
 
 
 def hex_digest(algorithm: str, text: str) -> str:
-    """The hex digest of a text. KeyError for an algorithm that isn't known here."""
+    """The hex digest of a text. KeyError for an unknown algorithm."""
     data = text.encode("utf-8", "surrogateescape")
     return hashlib.new(ALGORITHMS[algorithm], data, usedforsecurity=False).hexdigest()
 
@@ -127,7 +127,7 @@
     algorithms: tuple[str, ...] = ("SHA-512-256", "SHA-256")
     nonce_s: float = 300.0  # how long a nonce is good
     _counts: OrderedDict[str, _NonceCounts] = field(default_factory=OrderedDict)
-    _evicted_until: str = ""  # nonces as old as this were evicted: whether one was used isn't known any more
+    _evicted_until: str = ""  # nonces up to this timestamp may have been evicted with their counts
 
     @property
     def nonce_count(self) -> int:
@@ -190,7 +190,7 @@
         """Whether the response is what the user's password gives (RFC 7616, 3.4.1)."""
         algorithm = _algorithm(given)
         known_hash = self.users.get((given.get("username", ""), algorithm))
-        a1 = known_hash or hex_digest(algorithm, "")  # the same work for a user that isn't known
+        a1 = known_hash or hex_digest(algorithm, "")  # an unknown user costs the same time
         a2 = hex_digest(algorithm, f"{method}:{uri}")
         nonce, count, cnonce = given.get("nonce", ""), given.get("nc", ""), given.get("cnonce", "")
         right = hex_digest(algorithm, f"{a1}:{nonce}:{count}:{cnonce}:auth:{a2}")
--- a/stairhatch/sip/flow_router.py
+++ b/stairhatch/sip/flow_router.py
@@ -53,7 +53,7 @@
             del self.connections[flow.peer]
 
     def contact(self, flow: Flow) -> str:
-        """The URI that callers are told to send later requests to."""
+        """The Contact for responses and requests by a flow: where later requests are to be sent."""
         address = self.sent_by(flow)
         return f"sip:{address};transport=tcp" if flow.reliable else f"sip:{address}"
 
--- a/stairhatch/sip/frontend.py
+++ b/stairhatch/sip/frontend.py
@@ -34,7 +34,7 @@
 
 BYTES_PER_MB = 1024 * 1024
 ACCEPT_LINE = format_headers([ACCEPT])
-BODY_STATUSES = (413, 415, 513)  # a malformed message that is answered with one is told what is accepted
+BODY_STATUSES = (413, 415, 513)  # their responses list the accepted body types
 
 
 class SipFrontend:
@@ -84,7 +84,7 @@
         return self._dialogs.legs
 
     def reconfigure(self, new: SipConfig) -> bool:
-        """Take from a new configuration what can be taken while calls go on; returns whether that was all."""
+        """Apply what a reload can change while calls go on; returns whether that was all of the change."""
         old = self._context.config
         self._context.config = old.with_reloadable(new)
         if new.auth != old.auth:
@@ -205,5 +205,5 @@
     try:
         via = grammar.parse_via(partial.get_all("via")[0])
     except grammar.GrammarError:
-        return flow.peer  # where it came from is all that is known
+        return flow.peer  # the source is all that is known
     return flow.peer[0], flow.peer[1] if "rport" in via.parameters else via.port or DEFAULT_PORT
--- a/stairhatch/sip/grammar.py
+++ b/stairhatch/sip/grammar.py
@@ -1,4 +1,4 @@
-"""What stands inside SIP header fields (RFC 3261, section 25; RFC 4475 for how it goes wrong).
+"""The grammar of SIP header fields (RFC 3261, section 25; RFC 4475 for malformed ones).
 
 Pure functions from text to frozen values: addresses, URIs and their comparison, Via, parameters and single
 numbers. What is malformed raises GrammarError; nothing is accepted by a guess that another reader could make
@@ -50,7 +50,7 @@
 
 
 class GrammarError(ValueError):
-    """What stands in a header field is not what the grammar allows; the reason in a few words."""
+    """A header field is malformed; the text is the reason in a few words."""
 
 
 class UnknownSchemeError(GrammarError):
@@ -69,7 +69,7 @@
 
 
 def unescape(text: str) -> str:
-    """`%37` as the `7` it stands for. UTF-8; what is none is kept so that it can't pass for text."""
+    """Decode escapes: `%37` is `7`. Bytes that are no UTF-8 become surrogates, which no text contains."""
     if "%" not in text:
         return text
     raw = ESCAPE.sub(
@@ -79,7 +79,7 @@
 
 
 def parse_parameters(text: str, start: int = 0) -> dict[str, str]:
-    """The `;name=value` parameters that make up the rest of a header. A name may stand once (7.3.1)."""
+    """The `;name=value` parameters that make up the rest of a header. A name may occur once (7.3.1)."""
     found: dict[str, str] = {}
     while start < len(text):
         piece = PARAMETER.match(text, start)
@@ -198,7 +198,7 @@
 
 @lru_cache(maxsize=512)  # callers ask for the same few numbers and give the same Contact
 def parse_uri(text: str) -> Uri:
-    """A URI of a scheme that is known here. `UnknownSchemeError` for others that are well formed."""
+    """A `sip`, `sips` or `tel` URI. Raises UnknownSchemeError for others that are well formed."""
     found = SCHEME.match(text)
     if found is None or len(text) > MAX_ADDRESS_LENGTH:
         raise GrammarError(f"no URI: {text[:30]!r}")
--- a/stairhatch/sip/provisional_response.py
+++ b/stairhatch/sip/provisional_response.py
@@ -11,7 +11,7 @@
 from stairhatch.sip.server_transactions import ServerTransaction
 from stairhatch.sip.transaction_base import FIRST_INTERVAL, TIMEOUT_S, RetransmissionInterval
 
-REPEAT_S = 60.0  # an unreliable one is repeated, so that no proxy on the way gives up (RFC 3261, 13.3.1.1)
+REPEAT_S = 60.0  # an unreliable one is repeated, so that no proxy on the path gives up (RFC 3261, 13.3.1.1)
 
 
 class ProvisionalResponse:
@@ -39,7 +39,7 @@
             self._schedule_repetition()
 
     def stop(self) -> None:
-        """The final response is on its way; it waits for no PRACK."""
+        """The final response is being sent; it does not wait for the PRACK."""
         self._invite = None
 
     def _schedule_retransmission(
--- a/stairhatch/sip/rejection.py
+++ b/stairhatch/sip/rejection.py
@@ -1,4 +1,4 @@
-"""A request that is not taken: with which status it is answered, and why."""
+"""How a request is rejected: the status of its response, and why."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rejection:
+class RequestRejection:
     """The non-2xx response to a request."""
 
     status: int
--- a/stairhatch/sip/request_admission.py
+++ b/stairhatch/sip/request_admission.py
@@ -1,4 +1,4 @@
-"""Whether a new request is taken: drain, overload (RFC 7339) and the room in the tables.
+"""Admission of new requests: drain and overload control (RFC 7339).
 
 While the processor is overloaded, datagrams are scanned before they are parsed: a retransmission is answered
 and a call that is shed gets its 503 at the cost of a scan.
@@ -39,7 +39,7 @@
 
 
 class RequestAdmission:
-    """Admission of the new requests of one frontend, and what callers are told of the load."""
+    """Admission of the new requests of one frontend, and the overload feedback to callers."""
 
     def __init__(self, context: SipContext) -> None:
         """By the policy of the configuration; a reload changes nothing here."""
--- a/stairhatch/sip/request_dispatcher.py
+++ b/stairhatch/sip/request_dispatcher.py
@@ -8,8 +8,12 @@
 from stairhatch.sip.dialog_requests import INFO_NOT_SUPPORTED, DialogRequests
 from stairhatch.sip.dialogs import SequenceOrder, dialog_key
 from stairhatch.sip.digest_auth import CredentialCheck, DigestAuthenticator
-from stairhatch.sip.rejection import Rejection
-from stairhatch.sip.request_admission import AdmissionRejection, RequestAdmission
+from stairhatch.sip.rejection import RequestRejection
+from stairhatch.sip.request_admission import (
+    TABLE_FULL_RETRY_AFTER_S,
+    AdmissionRejection,
+    RequestAdmission,
+)
 from stairhatch.sip.request_head import RequestHead
 from stairhatch.sip.responder import CAPABILITIES
 from stairhatch.sip.response_format import OVERLOAD_PLACEHOLDER, format_response
@@ -23,10 +27,9 @@
     "UPDATE",
     "INFO",
 )  # who sends them is proved, where that is asked for
-TABLE_FULL_RETRY_AFTER_S = 2
-UNKNOWN_DIALOG = Rejection(481)
-OUT_OF_ORDER = Rejection(500)
-FORBIDDEN = Rejection(403)
+UNKNOWN_DIALOG = RequestRejection(481)
+OUT_OF_ORDER = RequestRejection(500)
+FORBIDDEN = RequestRejection(403)
 
 
 class RequestDispatcher:
--- a/stairhatch/sip/request_head.py
+++ b/stairhatch/sip/request_head.py
@@ -69,7 +69,7 @@
             elif name in SINGLE_HEADERS and headers.get(name, value) != value:
                 raise sip_parser.SipError(400, f"two {name}", message)
             headers[name] = value
-        self.names = headers.keys()  # of all its headers, to know at once which it has not
+        self.names = headers.keys()  # of all its headers, for a quick test of absence
         try:
             self._read(headers, top_via, peer)
         except GrammarError as error:
@@ -145,7 +145,7 @@
     via = grammar.parse_via(first)
     asks_rport = via.parameters.get("rport") == ""
     knows_overload = "oc" in via.parameters
-    if knows_overload:  # what it said it knows gives way to what it is told (RFC 7339, 4)
+    if knows_overload:  # the caller's parameters are replaced by the feedback (RFC 7339, 4)
         first = OVERLOAD_PARAMETERS.sub("", first)
     if not asks_rport and not knows_overload and via.host == peer[0] and "received" not in via.parameters:
         return via
--- a/stairhatch/sip/request_scan.py
+++ b/stairhatch/sip/request_scan.py
@@ -1,8 +1,8 @@
 """A scan of a datagram that is cheaper than a parse, for the time that the processor is overloaded.
 
 A few regular expressions tell a usual request's method, transaction and called number, and a 503 is made of
-its own lines. It never guesses: what is not written as nearly all write it is left to the parser, and what it
-tells is what the parser would.
+its own lines. It never guesses: unusual notation is left to the parser, and what a scan returns is what the
+parser would.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 
 from stairhatch.sip.addresses import TransportAddress
+from stairhatch.sip.grammar import MAX_PORT
 from stairhatch.sip.request_head import DEFAULT_PORT, identity_hash
 
 REQUEST_LINE = re.compile(rb"([A-Z]{3,10}) sip:([A-Za-z0-9+*#.\-]{1,64})@[^\s@]{1,255} SIP/2\.0\r\n")
@@ -27,14 +28,13 @@
     b"t": b"To", b"to": b"To", b"cseq": b"CSeq",
 }  # fmt: skip
 SINGLE_COPIED_HEADERS = 3  # From, Call-ID and CSeq, once each
-MAX_PORT = 65535
 
 CopiedHeaders = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestScan:
-    """What a scan of a request tells."""
+    """The result of a scan."""
 
     method: str
     user: str  # the number called
--- a/stairhatch/sip/responder.py
+++ b/stairhatch/sip/responder.py
@@ -5,7 +5,7 @@
 from stairhatch.node import sip_message as sip
 from stairhatch.sip.addresses import TransportAddress
 from stairhatch.sip.context import SipContext
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 from stairhatch.sip.response_format import format_headers
 from stairhatch.sip.server_transactions import ServerTransaction, ServerTransactions
 from stairhatch.sip.session_descriptions import ACCEPTED_TYPES
@@ -61,13 +61,13 @@
         self.record(transaction, status, head.call_id, head.cseq, head.method)
         return data
 
-    def reject(self, transaction: ServerTransaction, rejection: Rejection) -> None:
+    def reject(self, transaction: ServerTransaction, rejection: RequestRejection) -> None:
         """Reject a request; a reason, where there is one, goes to the log."""
         if rejection.reason:
             self._log_rejection(transaction, rejection)
         self.respond(transaction, rejection.status, list(rejection.headers))
 
-    def _log_rejection(self, transaction: ServerTransaction, rejection: Rejection) -> None:
+    def _log_rejection(self, transaction: ServerTransaction, rejection: RequestRejection) -> None:
         source = transaction.flow.peer[0]
         self._context.core.log(
             "request_rejected", source=source, status=rejection.status, why=rejection.reason
--- a/stairhatch/sip/response_format.py
+++ b/stairhatch/sip/response_format.py
@@ -15,7 +15,7 @@
 def copied_headers(message: sip.SipMessage) -> str:
     """The header lines that every response copies from its request (RFC 3261, 8.2.6.2).
 
-    To stands last and without its line end, so that a tag can follow.
+    To is last and without its line end, so that a tag can follow.
     """
     lines = []
     to = ""
--- a/stairhatch/sip/server_transactions.py
+++ b/stairhatch/sip/server_transactions.py
@@ -1,7 +1,7 @@
 """Server transactions (RFC 3261, 17.2, with RFC 6026 and RFC 4320) and the records of those that are over.
 
-The table is fed requests, sends on flows, and tells its user each request once: a user never sees a
-retransmission. It knows no dialog and no call, and never grows beyond its bytes.
+The table is fed requests, sends on flows, and absorbs retransmissions: its user sees each request once. It
+knows no dialog and no call, and never grows beyond its bytes.
 
 What is over shrinks: an answered INVITE to a key, another request to a key and its response. A record of what
 must only be recognised costs about 170 bytes, one that may have to be answered again 200 and its response.
@@ -33,7 +33,7 @@
 
 
 class TransactionUser(Protocol):
-    """Who answers a server transaction later than at once (RFC 3261, section 5: the TU)."""
+    """The transaction user that answers an INVITE later (RFC 3261, section 5: TU)."""
 
     tag: str  # the local tag of its responses
 
@@ -41,11 +41,11 @@
         """A CANCEL has come for it."""
 
     def disconnected(self) -> None:
-        """The caller cannot be heard any more."""
+        """The connection that its request came by has ended."""
 
 
 class ServerTransaction:
-    """A server transaction; `user` is who answers it later, if not at once."""
+    """A server transaction; `user` answers it later, None: it is answered at once."""
 
     __slots__ = (
         "address",
@@ -237,7 +237,7 @@
         return data
 
     def _complete(self, transaction: ServerTransaction, status: int) -> None:
-        """The final response is on its way: only what retransmissions need stays."""
+        """The final response is sent: keep only what retransmissions need."""
         transaction.head = None
         transaction.user = None
         transaction.flow.discard_unanswered(transaction.key)
--- a/stairhatch/sip/session_descriptions.py
+++ b/stairhatch/sip/session_descriptions.py
@@ -12,7 +12,7 @@
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 from stairhatch.sip.multipart import parse_multipart
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 
 SDP = "application/sdp"
 MULTIPART_MIXED = "multipart/mixed"
@@ -21,7 +21,7 @@
 UNSUPPORTED_MEDIA_TYPE = 415
 
 
-def read_description(message: sip.SipMessage) -> bytes | Rejection:
+def read_description(message: sip.SipMessage) -> bytes | RequestRejection:
     """The one session description of a message, b"" if it has none (RFC 3261, 8.2.3; RFC 5621)."""
     if not message.body:
         return b""
@@ -31,28 +31,28 @@
     for coding in message.get_all("content-encoding"):
         if coding.strip().lower() != "identity":
             accepted = (("accept-encoding", "identity"),)
-            return Rejection(UNSUPPORTED_MEDIA_TYPE, "content encoding", accepted)
+            return RequestRejection(UNSUPPORTED_MEDIA_TYPE, "content encoding", accepted)
     try:
         return _read_body(message)
     except grammar.GrammarError as error:
-        return Rejection(400, str(error))
+        return RequestRejection(400, str(error))
 
 
-def _read_body(message: sip.SipMessage) -> bytes | Rejection:
+def _read_body(message: sip.SipMessage) -> bytes | RequestRejection:
     media_type, parameters = grammar.parse_media_type(message.get("content-type", SDP))
     disposition = _parse_disposition(message.get("content-disposition"))
     if media_type == SDP:
         if disposition.is_session:
             return message.body
-        rejection = Rejection(UNSUPPORTED_MEDIA_TYPE, "disposition", (("accept", SDP),))
+        rejection = RequestRejection(UNSUPPORTED_MEDIA_TYPE, "disposition", (("accept", SDP),))
         return b"" if disposition.is_optional else rejection
     if media_type.startswith("multipart/"):
         return _read_parts(message.body, media_type, parameters.get("boundary", ""))
     return b"" if disposition.is_optional else _unsupported(f"body of type {media_type[:40]}")
 
 
-def _unsupported(reason: str) -> Rejection:
-    return Rejection(UNSUPPORTED_MEDIA_TYPE, reason, (("accept", ACCEPTED_TYPES),))
+def _unsupported(reason: str) -> RequestRejection:
+    return RequestRejection(UNSUPPORTED_MEDIA_TYPE, reason, (("accept", ACCEPTED_TYPES),))
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     return _Disposition(is_optional, kind.strip().lower() == "session")
 
 
-def _read_parts(body: bytes, media_type: str, boundary: str) -> bytes | Rejection:
+def _read_parts(body: bytes, media_type: str, boundary: str) -> bytes | RequestRejection:
     if media_type != MULTIPART_MIXED:
         return _unsupported(media_type)
     parts = parse_multipart(body, boundary)
@@ -107,7 +107,7 @@
 
 @dataclass(eq=False, slots=True)
 class SessionDescriptions:
-    """Both sides' descriptions of a session: of the caller's only what tells it from another, ours whole."""
+    """Both sides' descriptions of a session: fingerprints of the caller's, ours complete."""
 
     remote_fingerprint: bytes = b""
     remote_origin: bytes = b""
@@ -126,7 +126,7 @@
         if _fingerprint(description) == self.remote_fingerprint:
             return DescriptionChange.UNCHANGED
         origin = _origin_line(description)
-        if not self.remote_fingerprint:  # we have not heard the caller's yet: this is it
+        if not self.remote_fingerprint:  # the caller has sent none yet: this is it
             return DescriptionChange.UNCHANGED
         same_origin = origin and _fingerprint(origin) == self.remote_origin
         return DescriptionChange.UNCHANGED if same_origin else DescriptionChange.CHANGED
--- a/stairhatch/sip/session_refresh.py
+++ b/stairhatch/sip/session_refresh.py
@@ -87,7 +87,7 @@
         self._schedule_check()
 
     def _retry_after_s(self, status: int, message: sip.SipMessage) -> float:
-        """How long a refresh that was refused waits; the next one heeds why."""
+        """How long to wait after a refresh was rejected; the next one is changed by the reason."""
         if status == 491:
             return session_descriptions.glare_retry_s(
                 owns_call_id=False, fraction=self._context.draw_fraction()
--- a/stairhatch/sip/session_timer.py
+++ b/stairhatch/sip/session_timer.py
@@ -10,7 +10,7 @@
 
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 
 MIN_SESSION_EXPIRES_S = 90  # no session timer may be shorter (RFC 4028, section 4)
 MAX_SESSION_EXPIRES_S = 86_400  # a longer one says nothing
@@ -69,7 +69,7 @@
     )
 
 
-def negotiate(message: sip.SipMessage, policy: SessionTimerPolicy) -> SessionTimer | Rejection | None:
+def negotiate(message: sip.SipMessage, policy: SessionTimerPolicy) -> SessionTimer | RequestRejection | None:
     """Agree on a session timer with an INVITE or UPDATE (RFC 4028, section 9). None: the session has none."""
     supported = supports_timer(message)
     try:
@@ -77,17 +77,17 @@
         asked = message.get("session-expires")
         interval_s, parameters = grammar.parse_delta_seconds(asked) if asked else (0, {})
     except grammar.GrammarError as error:
-        return Rejection(400, f"Session-Expires or Min-SE: {error}")
+        return RequestRejection(400, f"Session-Expires or Min-SE: {error}")
     refresher = parameters.get("refresher", "").lower()
     if refresher not in ("", "uac", "uas"):
-        return Rejection(400, "Session-Expires: refresher")
+        return RequestRejection(400, "Session-Expires: refresher")
     if not asked:
         proposed_s = max(min_se_s, policy.min_interval_s, policy.interval_s)
         proposes = supported and policy.interval_s
         return SessionTimer(proposed_s, Refresher.CALLER, required=True) if proposes else None
     if interval_s < policy.min_interval_s and supported:
         min_se = (("min-se", str(policy.min_interval_s)),)
-        return Rejection(SESSION_INTERVAL_TOO_SMALL, "session interval", min_se)
+        return RequestRejection(SESSION_INTERVAL_TOO_SMALL, "session interval", min_se)
     raised_s = min_se_s if min_se_s > MIN_SESSION_EXPIRES_S else interval_s
     agreed_s = min(max(raised_s, interval_s, policy.min_interval_s), MAX_SESSION_EXPIRES_S)
     chosen = Refresher(refresher or "uac") if supported else Refresher.LOCAL
@@ -114,7 +114,7 @@
 
 @dataclass(eq=False, slots=True)
 class SessionExpiration:
-    """When a session is refreshed or released next; `generation` tells an agreement from those before it."""
+    """When a session is refreshed or released next; `generation` counts the agreements."""
 
     timer: SessionTimer | None = None
     release_at: float = 0.0
@@ -130,7 +130,7 @@
             self.refresh_at = now + timer.refresh_after_s
 
     def postpone_refresh(self, until: float) -> None:
-        """A refresh of ours was refused for now."""
+        """A refresh of ours was rejected for now."""
         self.refresh_at = until
 
     def next_check_at(self) -> float | None:
@@ -141,7 +141,7 @@
         return min(self.refresh_at, self.release_at) if refreshes else self.release_at
 
     def due_action(self, now: float) -> SessionTimerAction:
-        """What is to be done now. A refresh is asked for once."""
+        """What is to be done now. A refresh is returned once."""
         if self.timer is None:
             return SessionTimerAction.NONE
         if now >= self.release_at:
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -23,7 +23,7 @@
 
 
 class Flow:
-    """A way of messages to and from one peer (RFC 5626, section 3)."""
+    """Where messages of one peer come from and go to (RFC 5626, section 3)."""
 
     reliable = False
     alive = True
@@ -177,7 +177,7 @@
         return bool(self._unanswered or self.output)
 
     def has_unwritten(self) -> bool:
-        """Whether something waits to be written, or is on its way."""
+        """Whether something waits to be written, or is being written."""
         return bool(self.output) or self.writing
 
     def has_partial_message(self) -> bool:
@@ -189,7 +189,7 @@
         return super().is_idle() and not self._dialogs
 
     def read_timed_out(self) -> None:
-        """A message has not come whole in time: its request is answered, if its head could be read."""
+        """A message was not complete in time: a request is answered, if its head could be read."""
         if (begun := self._parser.pending_request) is not None:
             error = sip_parser.SipError(408, "the rest of a message never came", begun)
             self.handler.malformed_received(self, error)
@@ -237,15 +237,15 @@
         return data
 
     def peer_closing(self) -> None:
-        """What lies unread before the end of the stream is read yet, and its set-ups are given up too."""
+        """What was sent before the end of the stream is read yet, and its set-ups are abandoned too."""
         self._peer_closed = True
         self.handler.peer_disconnected(self)
 
     def eof_received(self) -> None:
         """The peer sends no more.
 
-        What waits for its call is answered on what may be left of the connection; the response to what is out
-        goes another way.
+        Pending set-ups are answered by the connection, if it is half-closed; responses to what has been
+        forwarded go by another flow.
         """
         self.handler.peer_disconnected(self)
         self._end_flow()
@@ -254,7 +254,7 @@
         self.notify_writable()
 
     def connection_lost(self) -> None:
-        """The connection has ended. Established dialogs live on, and are reached another way."""
+        """The connection has ended. Established dialogs go on, and are reached by another flow."""
         self._end_flow()
         self.handler.counters.add("connections_lost")
 
@@ -270,7 +270,7 @@
             self.request_received = True
             self.handler.counters.add("keepalives_answered", self._parser.unanswered_keepalives)
             self._parser.unanswered_keepalives = 0
-            self.send(KEEPALIVE_ANSWER)  # one for all that came at once
+            self.send(KEEPALIVE_ANSWER)  # one for all of one read
 
     def _end_flow(self) -> None:
         if self.alive:
--- a/tests/test_sip_session_timer.py
+++ b/tests/test_sip_session_timer.py
@@ -7,7 +7,7 @@
 
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import session_timer
-from stairhatch.sip.rejection import Rejection
+from stairhatch.sip.rejection import RequestRejection
 from stairhatch.sip.session_timer import (
     Refresher,
     SessionExpiration,
@@ -53,7 +53,7 @@
     if knows:
         message.headers.append(("supported", "timer"))
     got = session_timer.negotiate(message, SessionTimerPolicy(1800, ours))
-    if isinstance(got, Rejection):
+    if isinstance(got, RequestRejection):
         assert got.status == 422
         assert knows
         assert asked < ours
