--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -1,7 +1,9 @@
 """Carry out a fault schedule on real processes and the links between them.
 
-A fault that concerns the holder of the endpoint list's lease waits until somebody holds it. `activations`
-counts how often each fault took effect, since a run whose faults did nothing proves nothing.
+A fault that concerns the holder of the endpoint list's lease waits until somebody holds it. Where the run
+proves nothing without that fault, the rest of the schedule is put off until then; and so where a change of
+the voter set finds that the last one has not come through. `activations` counts how often each fault took
+effect, since a run whose faults did nothing proves nothing.
 """
 
 from __future__ import annotations
@@ -30,10 +32,12 @@
     ScheduledFault,
     blocks_traffic,
 )
+from stairhatch.fleet.effects import LeaseEventKind
 
 POLL_INTERVAL_S = 0.005
 BACKUP_INTERVAL_S = 0.5
 HOLDER_WAIT_LEASES = 2.0  # lease durations for which a fault that wants a holder waits for one
+MAX_PAUSE_S = 30.0  # for which a schedule is put off in all, for required faults that wait
 STOP_WAIT_LEASES = 2.0  # lease durations for which a holder is given work at which to stop
 ADMIN_TIMEOUT_S = 1.0
 RESTART_LEASES = (0.05, 0.3)  # lease durations after which a member with another voter set is started again
@@ -44,7 +48,7 @@
 class FaultInjector:
     """Injects the faults of one schedule, each at its time.
 
-    Holds the faults that are under way or wait for a holder, and the epoch of the voter set in each member's
+    Holds the faults that are under way or wait, the voter sets, and the epoch of the one in each member's
     file: a file never goes back to an earlier epoch.
     """
 
@@ -66,7 +70,8 @@
         self.started_at = 0.0
         self.activations: Counter[str] = Counter()
         self.waiting_faults: list[ScheduledFault] = []
-        self.epoch = 1  # of the voter set that was announced last
+        self.paused_s = 0.0  # for which the schedule was put off so far
+        self.voter_sets = [schedule.voters]  # by their epochs, from 1
         self.member_epochs = dict.fromkeys(schedule.members, 1)  # of the voter set in each file
 
     async def run(self, started_at: float, on_progress: Callable[[float], None]) -> None:
@@ -76,10 +81,15 @@
         """
         self.started_at = started_at
         upcoming = sorted(self.schedule.faults, key=lambda each: each.at_s)
-        while (elapsed_s := self.elapsed_s()) < self.schedule.duration_s:
+        last_s = 0.0
+        while (elapsed_s := self.elapsed_s()) < self.duration_s:
+            if any(self._is_required(fault) for fault in self.waiting_faults):
+                self.paused_s += elapsed_s - last_s
+            last_s = elapsed_s
             due, self.waiting_faults = self.waiting_faults, []
-            while upcoming and upcoming[0].at_s <= elapsed_s:
-                due.append(upcoming.pop(0))
+            while upcoming and upcoming[0].at_s + self.paused_s <= elapsed_s:
+                fault = upcoming.pop(0)
+                due.append(replace(fault, at_s=fault.at_s + self.paused_s))
             for fault in due:
                 self._inject(fault)
             for fault in [each for each in self.links.conditions.active if _end_s(each) <= elapsed_s]:
@@ -89,6 +99,11 @@
             on_progress(elapsed_s)
             await asyncio.sleep(POLL_INTERVAL_S)
 
+    @property
+    def duration_s(self) -> float:
+        """Seconds that the run takes, as far as is known."""
+        return self.schedule.duration_s + self.paused_s
+
     def elapsed_s(self) -> float:
         """Seconds since the run began."""
         return time.monotonic() - self.started_at
@@ -120,9 +135,12 @@
         if fault.member == HOLDER or fault.kind in (FaultKind.HAND_OVER, FaultKind.STOP_BEFORE_WRITE):
             holder = self.holder()
             if holder is None:
-                self._wait_for_holder(fault)
+                self._wait(fault)
                 return
             fault = replace(fault, member=holder.name)
+        if fault.kind is FaultKind.CHANGE_VOTERS and self._is_required(fault) and not self._has_settled():
+            self._wait(fault)
+            return
         member = self.members.get(fault.member)
         if fault.kind is FaultKind.KILL_ALL:
             self._kill_all(fault)
@@ -131,8 +149,35 @@
         elif member is None or not self._inject_on_member(fault, member):
             self._add_network_condition(fault)
 
-    def _wait_for_holder(self, fault: ScheduledFault) -> None:
-        if self.elapsed_s() < fault.at_s + HOLDER_WAIT_LEASES * self.schedule.lease_duration_s:
+    def _has_settled(self) -> bool:
+        """Whether all voters of the last voter set vote, each by that set."""
+        epoch, voters = len(self.voter_sets), self.voter_sets[-1]
+        previous_voters = self.voter_sets[-2] if epoch > 1 else ()
+        records = self.records()
+        voting = {
+            each.member
+            for each in records
+            if each.event == LeaseEventKind.VOTING.value
+            and each.start_number == self.members[each.member].start_count
+        }
+        advanced = {
+            each.member
+            for each in records
+            if each.event == LeaseEventKind.VOTER_SET_ADVANCED.value and each.fencing_token == epoch
+        }
+        # A voter that is new to the set is admitted by those that go by it.
+        return voting >= set(voters) and advanced >= set(voters) & set(previous_voters)
+
+    def _is_required(self, fault: ScheduledFault) -> bool:
+        return fault.kind.value in self.schedule.required_activations
+
+    def _wait(self, fault: ScheduledFault) -> None:
+        """Inject it anew at the next poll, unless it has waited for too long."""
+        if self._is_required(fault):
+            may_wait = self.paused_s < MAX_PAUSE_S
+        else:
+            may_wait = self.elapsed_s() < fault.at_s + HOLDER_WAIT_LEASES * self.schedule.lease_duration_s
+        if may_wait:
             self.waiting_faults.append(fault)
 
     def _inject_on_member(self, fault: ScheduledFault, member: MemberProcess) -> bool:
@@ -189,13 +234,14 @@
         await self._start_later(member, fault.duration_s)
 
     def _change_voters(self, fault: ScheduledFault) -> None:
-        self.epoch += 1
+        self.voter_sets.append(fault.members)
+        epoch = len(self.voter_sets)
         unchanged = set(fault.unchanged_members)
         if HOLDER in unchanged and (holder := self.holder()) is not None:
             unchanged.add(holder.name)
         for name, member in self.members.items():
             if name not in unchanged:
-                self.tasks.spawn(self._restart_with_voters(member, self.epoch, fault))
+                self.tasks.spawn(self._restart_with_voters(member, epoch, fault))
 
     async def _restart_with_voters(self, member: MemberProcess, epoch: int, fault: ScheduledFault) -> None:
         """Write the next voter set to a member's file, some time after the others', and start it again."""
@@ -233,7 +279,7 @@
         if answer.startswith(b"ok"):
             self.activations[fault.kind.value] += 1
         else:
-            self._wait_for_holder(fault)
+            self._wait(fault)
 
     async def _stop_before_write(self, fault: ScheduledFault, member: MemberProcess) -> None:
         """Have the holder stop itself at its next piece of work, and resume it after the duration."""
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -23,7 +23,7 @@
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.callers import Callers
 from stairhatch.fault_injection.errors import RunError
-from stairhatch.fault_injection.fault_injector import FaultInjector
+from stairhatch.fault_injection.fault_injector import MAX_PAUSE_S, FaultInjector
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
 from stairhatch.fault_injection.member_config import (
     CONFIG_TEMPLATE,
@@ -181,11 +181,12 @@
 
     def _observations(self) -> RunObservations:
         records = sorted(self.injector.records(), key=lambda each: each.at_s)
-        quiet_since = self.started_at + self.schedule.duration_s - self.schedule.fault_free_s / 2
+        ended_at = self.started_at + self.injector.duration_s
+        quiet_since = ended_at - self.schedule.fault_free_s / 2
         call_violations = self.callers.find_violations(CALL_SLACK_S + self.stall.longest_s)
         return RunObservations(
             schedule=self.schedule,
-            started_at=self.started_at,
+            ended_at=ended_at,
             records=records,
             activations=self.injector.activations,
             link_activations=self.links.conditions.activations,
@@ -239,7 +240,7 @@
     Raises RunError where it cannot be carried out.
     """
     run = FaultInjectionRun(schedule, seed, keep)
-    timeout_s = 2 * READY_TIMEOUT_S + schedule.duration_s
+    timeout_s = 2 * READY_TIMEOUT_S + schedule.duration_s + MAX_PAUSE_S
     try:
         return await asyncio.wait_for(run.run(on_progress), timeout_s)
     except TimeoutError as error:
--- a/stairhatch/fault_injection/run_report.py
+++ b/stairhatch/fault_injection/run_report.py
@@ -45,7 +45,7 @@
     """What was observed of a run, before the rules of leases are checked."""
 
     schedule: FaultSchedule
-    started_at: float  # in the time of the records
+    ended_at: float  # in the time of the records
     records: list[HistoryRecord]
     activations: Counter[str]  # told by the injector
     link_activations: Counter[str]
@@ -74,11 +74,6 @@
             stalled_s=self.stalled_s,
         )
 
-    @property
-    def ended_at(self) -> float:
-        """The end of the run, in the time of the records."""
-        return self.started_at + self.schedule.duration_s
-
     @property
     def quiet_since(self) -> float:
         """The middle of the time without a fault: from then on everything has recovered."""
