--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -8,7 +8,7 @@
 from stairhatch.fleet.effects import SendMessage, Vote
 from stairhatch.fleet.lease_granter import LeaseGranter
 from stairhatch.fleet.messages import LeaseRelease, LeaseRequest, RejectionReason
-from stairhatch.fleet.vote_table import Rejection
+from stairhatch.fleet.vote_table import VoteRejection
 from stairhatch.fleet.voter import Voter
 from stairhatch.fleet.voter_startup import VoterStartup
 from stairhatch.fleet.voter_state import VoterState
@@ -66,13 +66,13 @@
     """A request with a higher fencing token is granted while another holds the lease."""
     rejection = original(LeaseGranter, "_rejection")
 
-    def reject_lower_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> Rejection | None:
-        found: Rejection | None = rejection(self, now, request)
+    def reject_lower_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> VoteRejection | None:
+        found: VoteRejection | None = rejection(self, now, request)
         if found is None or found.reason != RejectionReason.HELD.value:
             return found
         if request.fencing_token > found.highest_token:
             return None
-        return Rejection(RejectionReason.TOKEN_TOO_LOW.value, found.highest_token)
+        return VoteRejection(RejectionReason.TOKEN_TOO_LOW.value, found.highest_token)
 
     return [AttributePatch(LeaseGranter, "_rejection", reject_lower_tokens)]
 
@@ -82,8 +82,8 @@
     """A request is granted however low its fencing token is."""
     rejection = original(LeaseGranter, "_rejection")
 
-    def ignore_low_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> Rejection | None:
-        found: Rejection | None = rejection(self, now, request)
+    def ignore_low_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> VoteRejection | None:
+        found: VoteRejection | None = rejection(self, now, request)
         is_low = found is not None and found.reason == RejectionReason.TOKEN_TOO_LOW.value
         return None if is_low else found
 
--- a/stairhatch/fleet/lease_granter.py
+++ b/stairhatch/fleet/lease_granter.py
@@ -16,7 +16,7 @@
     StorageVersion,
 )
 from stairhatch.fleet.vote_log import PendingGrant, VoteLog
-from stairhatch.fleet.vote_table import Rejection, VoteTable
+from stairhatch.fleet.vote_table import VoteRejection, VoteTable
 from stairhatch.fleet.voter_set_change import VoterSetChange
 from stairhatch.fleet.voter_state import REJECTION_WORDS, VoterEligibility
 
@@ -55,23 +55,23 @@
             return [SendMessage(sender, self._grant(request, self._log.storage_version))]
         return self._cast_vote(vote, sender, request)
 
-    def _rejection(self, now: float, request: LeaseRequest) -> Rejection | None:
+    def _rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
         """What stands against a request."""
         timings = self._votes.timings
         if not self._eligibility.is_voting:
             remaining_s = max(self._eligibility.remaining_wait_s(now), timings.round_timeout_s)
-            return Rejection(REJECTION_WORDS[self._eligibility.state], remaining_s=remaining_s)
+            return VoteRejection(REJECTION_WORDS[self._eligibility.state], remaining_s=remaining_s)
         voter_set = self._voter_sets.current
         if not voter_set.accepts(request.epoch, request.voter_set_digest):
             reason = f"another list of voters, {voter_set.epoch}"
-            return Rejection(reason, remaining_s=timings.duration_s)
+            return VoteRejection(reason, remaining_s=timings.duration_s)
         if request.duration_ms > math.ceil(timings.duration_s * 1000):
             # a voter that is admitted again waits for no longer than its own duration
             reason = RejectionReason.DURATION_TOO_LONG.value
-            return Rejection(reason, remaining_s=timings.duration_s)
+            return VoteRejection(reason, remaining_s=timings.duration_s)
         return self._votes.rejection(now, request)
 
-    def _reject(self, request: LeaseRequest, rejection: Rejection) -> LeaseRejected:
+    def _reject(self, request: LeaseRequest, rejection: VoteRejection) -> LeaseRejected:
         remaining_ms = min(max(0, math.ceil(rejection.remaining_s * 1000)), MAX_REMAINING_MS)
         return LeaseRejected(
             request.lease,
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rejection:
+class VoteRejection:
     """Why a lease request is rejected, and what the requester may go by."""
 
     reason: str
@@ -76,7 +76,7 @@
         """Of the vote for a lease; negative once it is over."""
         return self.expires_at.get(lease, -math.inf) - now
 
-    def rejection(self, now: float, request: LeaseRequest) -> Rejection | None:
+    def rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
         """What of the votes cast stands against a request."""
         cast = self.by_lease.get(request.lease)
         if cast is None:
@@ -86,25 +86,25 @@
             return None
         remaining_s = self.remaining_s(request.lease, now)
         if cast.holder is not None and remaining_s > 0 and not same_holder:
-            return Rejection(RejectionReason.HELD.value, cast.fencing_token, cast.holder, remaining_s)
+            return VoteRejection(RejectionReason.HELD.value, cast.fencing_token, cast.holder, remaining_s)
         if reservation := self._reservation(now, request, cast):
             return reservation
         if request.fencing_token <= cast.fencing_token:
             holder = cast.holder if remaining_s > 0 else None
-            return Rejection(RejectionReason.TOKEN_TOO_LOW.value, cast.fencing_token, holder)
+            return VoteRejection(RejectionReason.TOKEN_TOO_LOW.value, cast.fencing_token, holder)
         return None
 
-    def _rejection_of_new_lease(self) -> Rejection | None:
+    def _rejection_of_new_lease(self) -> VoteRejection | None:
         if len(self.by_lease) < MAX_LEASES:
             return None
-        return Rejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
+        return VoteRejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
 
-    def _reservation(self, now: float, request: LeaseRequest, cast: Vote) -> Rejection | None:
+    def _reservation(self, now: float, request: LeaseRequest, cast: Vote) -> VoteRejection | None:
         """The lease is kept for a moment for the successor that its last holder named."""
         successor = self.successors.get(request.lease)
         if successor is None or successor.member == request.holder or now >= successor.preferred_until:
             return None
-        return Rejection(
+        return VoteRejection(
             RejectionReason.RESERVED.value,
             cast.fencing_token,
             successor.member,
