--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -39,12 +39,13 @@
 if TYPE_CHECKING:
     from stairhatch.fleet.config import FleetConfig
     from stairhatch.scope.server_sets import ServerNumbers
-    from stairhatch.sip.frontend import SipConfig, SipFrontend
+    from stairhatch.sip.config import SipConfig
+    from stairhatch.sip.frontend import SipFrontend
 
 READY_POLL_S = 0.01
 SECRET_BYTES = 32  # of the SIP frontend's nonces and tags
 IDENT_BYTES = 8
-GC_THRESHOLDS = (20_000, 20, 50)  # of the collector: rare, since a collection holds up calls
+GC_THRESHOLDS = (20_000, 20, 50)  # of the garbage collector: rare, since a collection delays calls
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
@@ -68,7 +69,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
-        """Build the parts that stand from the start. Needs a running event loop."""
+        """Build the parts that exist from the start. Needs a running event loop."""
         rng = random.Random(config.seed or None)
         self.parts = self._build(config, rng)
         self.reloader = ConfigReloader(config, read_config, self.parts)
@@ -143,17 +144,17 @@
 
     def _listen_sip(self, config: SipConfig) -> list[str]:
         network = self.parts.network
-        front = self.parts.sip_frontend = self._sip_frontend(config)
+        flows = self._sip_frontend(config).flows
         opened: list[str] = []
-        for port in front.ports:
+        for port in flows.ports:
             network.open_datagram_port(port.local, port, callers=True)
             opened.append(f"udp:{format_address(port.local)}")
         for listener in config.tcp:
             limits = ListenerLimits(config.connections, idle_timeout_s=config.idle_s)
             self.parts.caller_listeners.append(
-                network.listen(listener.place, front.connector(listener), limits)
+                network.listen(listener.address, flows.connector(listener), limits)
             )
-            opened.append(f"tcp:{format_address(listener.place)}")
+            opened.append(f"tcp:{format_address(listener.address)}")
         return opened
 
     def _sip_frontend(self, config: SipConfig) -> SipFrontend:
@@ -161,17 +162,18 @@
 
         network = self.parts.network
         rng = random.Random(secrets.randbits(64))
-        front = SipFrontend(
+        frontend = SipFrontend(
             self.parts.core,
             config,
             lambda: secrets.token_hex(IDENT_BYTES),
             rng.random,
             secrets.token_bytes(SECRET_BYTES),
         )
-        if front.gate is not None:
-            network.monitor_load(front.looked)
-        front.dial = lambda connection: network.dial_caller(connection, connection.peer)
-        return front
+        if frontend.admission.control is not None:
+            network.monitor_load(frontend.admission.observe_delay)
+        frontend.flows.dial = lambda connection: network.dial_caller(connection, connection.peer)
+        self.parts.sip_frontend = frontend
+        return frontend
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
         core = self.parts.core
@@ -189,7 +191,7 @@
             self.parts.log("descriptors", configured=config.sockets, limit=limit)
 
     def start_discovery(self) -> None:
-        """Take in the call servers that are known, and follow what the coordinator tells of them.
+        """Apply the known endpoint list, and begin to poll the coordinator for changes.
 
         Raises ConfigError if they, or the cluster member's files and address, cannot be used.
         """
@@ -209,7 +211,7 @@
             parts.network.spawn(parts.network.poll_service_discovery(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
-        """Take part in shared work."""
+        """Join the fleet's cluster, and its endpoint relaying where that is configured."""
         from stairhatch.fleet.runtime import FleetRuntime, StoreError
 
         parts = self.parts
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -17,9 +17,9 @@
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.endpoint_list import ServiceDiscoveryError, apply_answer, parse_answer
 from stairhatch.settings.errors import LostKeyError
-from stairhatch.settings.lost_keys import check_no_key_lost
+from stairhatch.settings.schema import check_no_key_lost
 
-# Keys that a running process keeps as they were at its start, beside those that a part refuses to take.
+# Keys that keep their value until a restart, beside those that a part refuses to change.
 RESTART_KEYS = ("name", "listen", "console", "sockets", "memory_mb", "syslog", "fleet")
 
 
@@ -109,7 +109,7 @@
         return ReloadApplied(self._parts.clock(), restart_keys)
 
     def _apply_servers(self, old: Config, candidate: _Candidate) -> None:
-        """Take in the servers that the configuration lists, and another address of the coordinator."""
+        """Apply the servers that the configuration lists, and another address of the coordinator."""
         core = self._parts.core
         directory = self._parts.discovery
         new = candidate.config
--- a/tests/test_appliance_config.py
+++ b/tests/test_appliance_config.py
@@ -59,9 +59,9 @@
         'udp = "127.0.0.1:5060"', 'udp = ["127.0.0.1:5060", {address = "[::1]:5060", allow = ["::1"]}]'
     )
     config = parse_appliance(text, "x.toml", {})
-    assert [each.place for each in config.sip.udp] == [("127.0.0.1", 5060), ("::1", 5060)]
-    assert config.sip.udp[1].networks.admits("::1")
-    assert not config.sip.udp[1].networks.admits("::2")
+    assert [each.address for each in config.sip.udp] == [("127.0.0.1", 5060), ("::1", 5060)]
+    assert config.sip.udp[1].networks.allows("::1")
+    assert not config.sip.udp[1].networks.allows("::2")
 
 
 def test_the_words_of_the_command_line(tmp_path):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -45,7 +45,7 @@
         machine = side.connect()
     elif to == "SIP caller":
         side = inside.front
-        machine = side.connector(side.config.tcp[0])(("127.0.0.1", 4000))
+        machine = side.flows.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
         side = ServerConnectionPool(inside.core, links.append)
         side.record_changed(inside.core.servers.by_id[1])
@@ -268,5 +268,5 @@
         program.process.send_signal(signal.SIGTERM)
         caller.respond(caller.expect("c1", "BYE"), 200)
     assert program.process.wait(20) == 0
-    assert len(program.log_events("ended")) == (not hangs_up)
+    assert len(program.log_events("dialog_terminated")) == (not hangs_up)
     wait_until(lambda: server.messages("FINISH"), "the release at the roster server")
