--- a/stairhatch/scale_test/summary.py
+++ b/stairhatch/scale_test/summary.py
@@ -17,7 +17,7 @@
 def _lines(result: ScaleResult) -> Iterator[str]:
     figures = result.figures
     yield _calls_line(figures.calls)
-    yield (f"set-up     p50 {figures.calls.setup_p50_ms:.1f} ms, p99 {figures.calls.setup_p99_ms:.1f} ms")
+    yield f"set-up     p50 {figures.calls.setup_p50_ms:.1f} ms, p99 {figures.calls.setup_p99_ms:.1f} ms"
     yield from _list_and_control_lines(figures)
     if figures.windows:
         yield _cold_line(figures.windows, figures.servers.overloaded)
--- a/stairhatch/scale_test/virtual_environment.py
+++ b/stairhatch/scale_test/virtual_environment.py
@@ -31,7 +31,7 @@
 ) -> Iterator[None]:
     """Run the fleets on a virtual clock, disks and random numbers inside the block."""
 
-    def create_store(data_directory: Path, call_on_loop: object) -> SimulatedVoteStore:  # noqa: ARG001 - as VoterStore
+    def create_store(data_directory: Path, _call_on_loop: object) -> SimulatedVoteStore:
         """Open the store of a data directory on the virtual disk."""
         return open_store(str(data_directory))
 
