--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -21,9 +21,9 @@
     code 1: a rule was broken, or a run is void.
     """
     from stairhatch.load_test.experiment import carry_out, keep, read_experiment, smaller
-    from stairhatch.load_test.plan import PlanError
-    from stairhatch.load_test.report import run_line
-    from stairhatch.load_test.run import LoadError
+    from stairhatch.load_test.load_plan import PlanError
+    from stairhatch.load_test.load_run import LoadError
+    from stairhatch.load_test.run_summary import run_line
 
     command = f"stairhatch experiment {file.name}" + (f" --short {short}" if short else "")
     with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
--- a/stairhatch/cli/load.py
+++ b/stairhatch/cli/load.py
@@ -33,9 +33,9 @@
     """Generate the calls of PLAN. Without an address the appliance and emulated roster servers are started,
     and the rules are checked on both sides. Exit code 1: a rule was broken, or the run is void.
     """
-    from stairhatch.load_test.plan import PlanError, Transport, read_plan
-    from stairhatch.load_test.report import lines
-    from stairhatch.load_test.run import LoadError, Setup, run
+    from stairhatch.load_test.load_plan import PlanError, Transport, read_plan
+    from stairhatch.load_test.load_run import LoadError, Setup, run
+    from stairhatch.load_test.run_summary import lines
 
     given = {Transport.UDP: optional_address(udp, "--udp"), Transport.TCP: optional_address(tcp, "--tcp")}
     with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -1,6 +1,6 @@
 """Callers of a run: a few SIP calls a second to each softswitch, and what both ends saw of each call.
 
-The rules of calls (`stairhatch.load_test.rules`) are checked over these observations. A softswitch is
+The rules of calls (`stairhatch.load_test.call_rules`) are checked over these observations. A softswitch is
 called at its rate however it fares.
 """
 
--- a/stairhatch/load_test/habit.py
+++ b/stairhatch/load_test/caller_behaviour.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass, field
 
-from stairhatch.load_test.plan import DueCall, Habits, Office
+from stairhatch.load_test.load_plan import DueCall, Habits, Office
 
 
 @dataclass(slots=True)
--- a/stairhatch/load_test/office.py
+++ b/stairhatch/load_test/caller_population.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
+from stairhatch.load_test.caller_behaviour import Throttle, Try, redial_after
 from stairhatch.load_test.event_loop_stall import EventLoopStall
-from stairhatch.load_test.habit import Throttle, Try, redial_after
-from stairhatch.load_test.plan import DueCall, LoadPlan, Office, Transport, calls, offices
-from stairhatch.load_test.tally import LoadTally
+from stairhatch.load_test.load_plan import DueCall, LoadPlan, Office, Transport, calls, offices
+from stairhatch.load_test.load_tally import LoadTally
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 
--- a/stairhatch/load_test/experiment.py
+++ b/stairhatch/load_test/experiment.py
@@ -21,9 +21,9 @@
 from msgspec import Meta, Struct
 
 from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.load_test.plan import LoadPlan, Phase, PlanError, checked
-from stairhatch.load_test.rosters import RosterPlan
-from stairhatch.load_test.run import ROOT, OperatorCommand, Report, Setup, run
+from stairhatch.load_test.load_plan import LoadPlan, Phase, PlanError, checked
+from stairhatch.load_test.load_run import ROOT, OperatorCommand, Report, Setup, run
+from stairhatch.load_test.roster_servers import RosterPlan
 
 SHOWN = (  # figure, heading, form
     ("in_time_a_second", "in time a second", "{:.0f}"), ("worth", "worth", "{:.3f}"),
--- a/stairhatch/load_test/run.py
+++ b/stairhatch/load_test/load_run.py
@@ -30,9 +30,9 @@
     CallRuleViolation,
 )
 from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.load_test.plan import LoadPlan, Transport, offices
-from stairhatch.load_test.rosters import RosterPlan
-from stairhatch.load_test.tally import LoadTally
+from stairhatch.load_test.load_plan import LoadPlan, Transport, offices
+from stairhatch.load_test.load_tally import LoadTally
+from stairhatch.load_test.roster_servers import RosterPlan
 
 ROOT = Path(__file__).resolve().parents[2]
 START_S, LEAD_S = 30.0, 0.3
--- a/stairhatch/load_test/tally.py
+++ b/stairhatch/load_test/load_tally.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from stairhatch.load_test.plan import Kind
+from stairhatch.load_test.load_plan import Kind
 
 MOST_US = 120_000_000
 LATE_MS = 50.0  # a run in which a hundredth of the calls went out later than this is void
--- a/stairhatch/load_test/report.py
+++ b/stairhatch/load_test/run_summary.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stairhatch.load_test.experiment import Run
-from stairhatch.load_test.run import Report
+from stairhatch.load_test.load_run import Report
 
 
 def lines(report: Report) -> str:
--- a/stairhatch/load_test/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -13,11 +13,11 @@
 import msgspec
 import uvloop
 
+from stairhatch.load_test.caller_population import Desk
 from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.load_test.office import Desk
-from stairhatch.load_test.plan import LoadPlan, Transport
-from stairhatch.load_test.relay import Relay
-from stairhatch.load_test.rosters import RosterPlan, Rosters
+from stairhatch.load_test.datagram_relay import Relay
+from stairhatch.load_test.load_plan import LoadPlan, Transport
+from stairhatch.load_test.roster_servers import RosterPlan, Rosters
 
 
 def _say(value: Any) -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -25,9 +25,9 @@
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.load_test import experiment as exp
 from stairhatch.load_test.call_rules import CallObservation, CallRuleChecker
+from stairhatch.load_test.caller_behaviour import Throttle, Try, redial_after
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
-from stairhatch.load_test.habit import Throttle, Try, redial_after
-from stairhatch.load_test.plan import (
+from stairhatch.load_test.load_plan import (
     DueCall,
     Habits,
     Kind,
@@ -39,9 +39,9 @@
     plan_from,
     read_plan,
 )
-from stairhatch.load_test.rosters import RosterPlan, Trouble
-from stairhatch.load_test.run import LoadError, OperatorCommand, Setup, on_this_machine, run
-from stairhatch.load_test.tally import LoadTally
+from stairhatch.load_test.load_run import LoadError, OperatorCommand, Setup, on_this_machine, run
+from stairhatch.load_test.load_tally import LoadTally
+from stairhatch.load_test.roster_servers import RosterPlan, Trouble
 
 from .support.paths import ROOT
 
@@ -464,7 +464,7 @@
         for due in calls(setup.plan, setup.seed):
             tally.asked(due.kind, due.at, 0.5 if len(drawn) == 1 else 0.0)
             tally.ended(due.kind, due.at, "stood", 0.1)
-        from stairhatch.load_test.run import Report
+        from stairhatch.load_test.load_run import Report
 
         return Report(tally, setup.plan.seconds, [], [], {}, True)
 
