--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -20,17 +20,18 @@
     """Run the experiment that FILE describes; keep every run as JSON, a table and a chart under --out. Exit
     code 1: a rule was broken, or a run is void.
     """
-    from stairhatch.load_test.experiment import carry_out, keep, read_experiment, smaller
-    from stairhatch.load_test.load_plan import PlanError
-    from stairhatch.load_test.load_run import LoadError
-    from stairhatch.load_test.run_summary import run_line
+    from stairhatch.load_test.errors import LoadTestError
+    from stairhatch.load_test.experiment import read_experiment, shortened
+    from stairhatch.load_test.experiment_results import keep_results
+    from stairhatch.load_test.experiment_run import run_experiment
+    from stairhatch.load_test.run_summary import render_run_line
 
     command = f"stairhatch experiment {file.name}" + (f" --short {short}" if short else "")
-    with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
+    with failing_with(EXIT_UNUSABLE, LoadTestError):
         plan = read_experiment(file)
-        plan = smaller(plan, short) if short is not None else plan
-        runs = carry_out(plan, lambda run, done, of: click.echo(run_line(run, done, of)))
-        kept_in = keep(plan, runs, out, command)
+        plan = shortened(plan, short) if short is not None else plan
+        runs = run_experiment(plan, lambda run, done, total: click.echo(render_run_line(run, done, total)))
+        kept_in = keep_results(plan, runs, out, command)
     click.echo(f"kept in {kept_in}")
-    is_wrong = any(each.broken or each.figures["void"] for each in runs)
+    is_wrong = any(each.broken or each.void_reason for each in runs)
     sys.exit(EXIT_FOUND_WRONG if is_wrong else EXIT_OK)
--- a/stairhatch/cli/load.py
+++ b/stairhatch/cli/load.py
@@ -33,15 +33,16 @@
     """Generate the calls of PLAN. Without an address the appliance and emulated roster servers are started,
     and the rules are checked on both sides. Exit code 1: a rule was broken, or the run is void.
     """
-    from stairhatch.load_test.load_plan import PlanError, Transport, read_plan
-    from stairhatch.load_test.load_run import LoadError, Setup, run
-    from stairhatch.load_test.run_summary import lines
+    from stairhatch.load_test.errors import LoadTestError
+    from stairhatch.load_test.load_plan import Transport, read_load_plan
+    from stairhatch.load_test.load_run import LoadSetup, run_load
+    from stairhatch.load_test.run_summary import render_summary
 
     given = {Transport.UDP: optional_address(udp, "--udp"), Transport.TCP: optional_address(tcp, "--tcp")}
-    with failing_with(EXIT_UNUSABLE, PlanError, LoadError):
-        load_plan = read_plan(plan)
+    with failing_with(EXIT_UNUSABLE, LoadTestError):
+        load_plan = read_load_plan(plan)
         addresses = {transport: address for transport, address in given.items() if address is not None}
-        setup = Setup(load_plan, seed, workers, addresses)
-        report = run(setup, _progress(progress and sys.stderr.isatty(), load_plan.seconds))
-    click.echo(json.dumps(report.figures()) if as_json else lines(report), nl=as_json)
-    sys.exit(EXIT_FOUND_WRONG if report.broken or report.void() else EXIT_OK)
+        setup = LoadSetup(load_plan, seed, workers, addresses)
+        result = run_load(setup, _progress(progress and sys.stderr.isatty(), load_plan.seconds))
+    click.echo(json.dumps(result.figures()) if as_json else render_summary(result), nl=as_json)
+    sys.exit(EXIT_FOUND_WRONG if result.violations or result.void_reason() else EXIT_OK)
--- a/stairhatch/fault_injection/callers.py
+++ b/stairhatch/fault_injection/callers.py
@@ -16,6 +16,7 @@
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.load_test.call_rules import (
     CallObservation,
+    CallRule,
     CallRuleChecker,
     CallRuleViolation,
 )
@@ -23,7 +24,12 @@
 CALL_DURATION_S = 0.5
 ANSWER_LIMIT_S = 3.0
 OUTAGE_MARGIN_S = 4.0  # a call that began so long before an outage may have been under way in it
-RULES_DESPITE_OUTAGE = ("one attempt", "pause", "attempts", "drain")  # hold for interrupted calls too
+RULES_DESPITE_OUTAGE = (
+    CallRule.ONE_ATTEMPT,
+    CallRule.PAUSE,
+    CallRule.ATTEMPTS,
+    CallRule.DRAIN,
+)  # hold for interrupted calls too
 STATUS_OK = 200  # RFC 3261 section 21.2.1
 
 
@@ -54,7 +60,7 @@
 
     def _observe_caller(self, kind: ObservationKind, call: PlacedCall, status: int, text: str) -> None:
         self.observations.append(
-            CallObservation(time.monotonic(), kind, call.number, value=status, text=text)
+            CallObservation(time.monotonic(), kind, call.number, status=status, told_apart_by=text)
         )
 
     async def open(self) -> None:
@@ -90,7 +96,7 @@
     def count_established_since(self, at_s: float) -> int:
         """Count the calls that were answered with 200 after that time."""
         return sum(
-            each.what is ObservationKind.FINAL_RESPONSE and each.value == STATUS_OK and each.at > at_s
+            each.kind is ObservationKind.FINAL_RESPONSE and each.status == STATUS_OK and each.at > at_s
             for each in self.observations
         )
 
@@ -101,7 +107,7 @@
         not be set up twice either.
         """
         found = CallRuleChecker(time.monotonic(), slack_s, ANSWER_LIMIT_S).check(self.observations)
-        begun = {each.call: each.at for each in self.observations if each.what is ObservationKind.CALL_PLACED}
+        begun = {each.call: each.at for each in self.observations if each.kind is ObservationKind.CALL_PLACED}
         return [
             each
             for each in found
--- a/stairhatch/load_test/caller_population.py
+++ b/stairhatch/load_test/caller_population.py
@@ -1,5 +1,6 @@
-"""The callers of one process: owns their ports and connections, places each call when it is due, and carries
-out what `habit` says after its answer. It must never decide when a call comes, nor judge what became of it.
+"""The callers of one worker process: they place each call when it is due, and retry it by `caller_behaviour`.
+
+It owns their ports and connections. It neither decides when a call comes nor judges what became of it.
 """
 
 from __future__ import annotations
@@ -8,161 +9,223 @@
 import random
 import time
 from functools import partial
-from typing import Any
 
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
-from stairhatch.load_test.caller_behaviour import Throttle, Try, redial_after
+from stairhatch.emulators.observations import ObservationKind
+from stairhatch.load_test.arrivals import CallSource, ScheduledCall, call_sources, scheduled_calls
+from stairhatch.load_test.caller_behaviour import (
+    CallInProgress,
+    OverloadParameters,
+    OverloadThrottle,
+    RetryPolicy,
+)
 from stairhatch.load_test.event_loop_stall import EventLoopStall
-from stairhatch.load_test.load_plan import DueCall, LoadPlan, Office, Transport, calls, offices
-from stairhatch.load_test.load_tally import LoadTally
+from stairhatch.load_test.load_plan import CallerBehaviour, Transport
+from stairhatch.load_test.load_tally import CallOutcome, LoadTally, TallyCount
+from stairhatch.load_test.worker_messages import CallerRecord, CallersJob, CallersResult
 from stairhatch.node import sip_message as sip
 from stairhatch.sip import grammar
 
-Place = tuple[str, int]
-VANISH_S = 0.02  # a caller that vanishes does so this soon after its set-up
-LAST_S = 3.0  # after the last call's time: ends of calls and their copies
-ENDS = {CallResult.REJECTED: "refused", CallResult.FAILED: "failed", CallResult.UNANSWERED: "unheard"}
+VANISH_DELAY_S = 0.02  # a caller that vanishes does so this soon after its INVITE
+SETTLE_S = 3.0  # after the last call's time: releases and their retransmissions
+DRAINED_CHECK_INTERVAL_S = 0.05
+SEED_FACTOR = 7919  # so that seeds of runs and sources do not meet
+OUTCOMES = {
+    CallResult.REJECTED: CallOutcome.REJECTED,
+    CallResult.FAILED: CallOutcome.FAILED,
+    CallResult.UNANSWERED: CallOutcome.UNANSWERED,
+}
+
+
+async def sleep_until(at: float) -> None:
+    """Sleep until a time in the machine's monotonic seconds, and no less: timers may fire early."""
+    while (left_s := at - time.monotonic()) > 0:  # noqa: ASYNC110  # a time is no event
+        await asyncio.sleep(left_s)
 
 
-class Desk:
-    """The offices of one worker."""
+class _SourceCallers:
+    """The callers of one source: its port or connection, its random draws, and what it holds back."""
 
     def __init__(
-        self, plan: LoadPlan, seed: int, places: dict[Transport, Place], worker: int = 0, workers: int = 1
+        self, source: CallSource, caller: CallerEmulator, behaviour: CallerBehaviour, seed: int
     ) -> None:
-        self.plan, self.seed, self.places = plan, seed, places
-        self.worker, self.workers = worker, workers
+        self.source = source
+        self.caller = caller
+        self.rng = random.Random(seed * SEED_FACTOR + source.index)
+        self.retry_policy = RetryPolicy(source=source, behaviour=behaviour, rng=self.rng)
+        self.throttle = OverloadThrottle(source)
+        if source.offers_overload_control:
+            caller.via_parameters = ';oc;oc-algo="loss,rate"'
+            caller.on_final_response = self._final_response_received
+
+    def may_send(self) -> bool:
+        """Return whether a new call goes out now."""
+        return self.throttle.may_send(time.monotonic(), self.rng)
+
+    def _final_response_received(self, message: sip.SipMessage) -> None:
+        self.throttle.parameters_received(time.monotonic(), parse_overload_parameters(message))
+
+
+class CallerPopulation:
+    """The sources of one worker and their calls."""
+
+    def __init__(self, job: CallersJob) -> None:
+        """Prepare the sources that a job names; nothing is open yet."""
+        self.job = job
+        self.plan = job.plan
         self.loop = asyncio.get_running_loop()
         self.tally = LoadTally()
-        self.record: list[tuple[float, str, str, int, str]] = []  # time, what, number called, status, text
-        self.mine = [each for each in offices(plan) if each.index % workers == worker]
-        self.callers: dict[int, CallerEmulator] = {}
-        self.throttles = {each.index: Throttle(each) for each in self.mine}
-        self.chances = {each.index: random.Random(seed * 7919 + each.index) for each in self.mine}
-        self.begun, self.stall = 0.0, EventLoopStall()
+        self.record: list[CallerRecord] = []
+        self.stall = EventLoopStall()
+        self.begin_at = 0.0
+        self._sources: dict[int, _SourceCallers] = {}  # by index
 
     async def open(self) -> None:
         """Open every port and connection."""
-        for office in self.mine:
-            make = CallerEmulator.over_tcp if office.transport is Transport.TCP else CallerEmulator.over_udp
-            place = self.places[office.transport]
-            caller = await make(place, f"o{self.seed}x{office.index}", self.seed + office.index)
-            if office.oc:
-                caller.via_parameters = ';oc;oc-algo="loss,rate"'
-                caller.on_final_response = partial(self._heard, office)
-            caller.observer = self._seen
-            self.callers[office.index] = caller
-
-    async def run(self, begin: float) -> None:
-        """Place every call of these offices; `begin` is in the machine's monotonic seconds."""
-        self.begun = begin
-        watching = self.loop.create_task(self.stall.watch())
-        cuts = [self.loop.create_task(self._cut(at)) for at in self.plan.cuts]
-        for due in calls(self.plan, self.seed, self.worker, self.workers):
-            while (left := begin + due.at - time.monotonic()) > 0:
-                await asyncio.sleep(left)
-            self._first(due)
-        longest = max(kind.limit_s + kind.hold_s for kind in self.plan.kind)
-        await asyncio.sleep(max(0.0, begin + self.plan.seconds - time.monotonic()))
-        until = time.monotonic() + longest + LAST_S
-        while time.monotonic() < until and any(caller.calls for caller in self.callers.values()):
-            await asyncio.sleep(0.05)
-        for task in (*cuts, watching):
-            task.cancel()
-        for caller in self.callers.values():
-            self.tally.counts["copies"] += caller.counters.retransmissions
-            caller.close()
-
-    def told(self) -> dict[str, Any]:
-        """What the process writes out at its end."""
-        return {"tally": self.tally.told(), "record": self.record, "stalled_s": self.stall.longest_s}
-
-    async def _cut(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, self.begun + at - time.monotonic()))
-        tcp = [office.index for office in self.mine if office.transport is Transport.TCP]
-        place = self.places.get(Transport.TCP)
-        if place is not None:
-            await asyncio.gather(*(self.callers[index].reconnect(place) for index in tcp))
+        for source in call_sources(self.plan):
+            if source.index % self.job.workers == self.job.worker:
+                self._sources[source.index] = await self._open_source(source)
+
+    async def _open_source(self, source: CallSource) -> _SourceCallers:
+        is_tcp = source.transport is Transport.TCP
+        open_caller = CallerEmulator.over_tcp if is_tcp else CallerEmulator.over_udp
+        address, seed = self.job.addresses[source.transport], self.job.seed
+        caller = await open_caller(address, f"o{seed}x{source.index}", seed + source.index)
+        caller.observer = self._observe
+        return _SourceCallers(source, caller, self.plan.behaviour, seed)
+
+    def _observe(self, kind: ObservationKind, call: PlacedCall, status: int, text: str) -> None:
+        told_apart_by = f"{hash(text):x}" if text else ""
+        self.record.append(CallerRecord(time.monotonic(), kind, call.number, status, told_apart_by))
+
+    def result(self) -> CallersResult:
+        """Return what came of the calls."""
+        return CallersResult(self.tally.snapshot(), self.record, self.stall.longest_s)
+
+    # ---- the run ----
+
+    async def run(self, begin_at: float) -> None:
+        """Place every call of these sources, and wait until they are over.
+
+        `begin_at` is in the machine's monotonic seconds.
+        """
+        self.begin_at = begin_at
+        async with asyncio.TaskGroup() as tasks:
+            beside = [tasks.create_task(self.stall.watch())]
+            beside += [tasks.create_task(self._reconnect_at(each)) for each in self.plan.reconnects_at_s]
+            await self._place_all()
+            await self._wait_until_over()
+            for task in beside:
+                task.cancel()
+        for each in self._sources.values():
+            self.tally.counts[TallyCount.RETRANSMISSIONS] += each.caller.counters.retransmissions
+            each.caller.close()
+
+    async def _place_all(self) -> None:
+        job = self.job
+        for scheduled in scheduled_calls(job.plan, job.seed, job.worker, job.workers):
+            await sleep_until(self.begin_at + scheduled.at_s)
+            self._call_due(scheduled)
+
+    async def _wait_until_over(self) -> None:
+        longest_s = max(each.time_limit_s + each.hold_s for each in self.plan.classes)
+        await sleep_until(self.begin_at + self.plan.seconds)
+        until = time.monotonic() + longest_s + SETTLE_S
+        while time.monotonic() < until and self._has_open_calls():  # noqa: ASYNC110  # no caller tells its last
+            await asyncio.sleep(DRAINED_CHECK_INTERVAL_S)
+
+    def _has_open_calls(self) -> bool:
+        return any(each.caller.calls for each in self._sources.values())
+
+    async def _reconnect_at(self, at_s: float) -> None:
+        await sleep_until(self.begin_at + at_s)
+        address = self.job.addresses.get(Transport.TCP)
+        if address is None:
+            return
+        by_tcp = [each for each in self._sources.values() if each.source.transport is Transport.TCP]
+        await asyncio.gather(*(each.caller.reconnect(address) for each in by_tcp))
 
     # ---- one call ----
 
-    def _first(self, due: DueCall) -> None:
-        now = time.monotonic()
-        begun = self.begun + due.at
-        self.tally.asked(due.kind, due.at, now - begun)
-        if not self.throttles[due.office].may_send(now, self.chances[due.office]):
-            self.tally.ended(due.kind, due.at, "held", None)
-            return
-        self._place(Try(due, begun))
-
-    def _place(self, this: Try) -> None:
-        """One try. The number called is its name on both sides."""
-        due, office = this.due, self.callers[this.due.office]
-        number = f"{due.kind.number}{due.serial:07d}{this.tries}"
-        call = office.place(number, due.hold_s, this.begun, partial(self._ended, this))
-        if due.vanishes:
-            self.loop.call_later(VANISH_S, self._leaves, this, call, True)
-        elif due.cancels:
-            self.loop.call_later(self.plan.habits.cancel_s, self._leaves, this, call, False)
-        self.loop.call_later(min(due.kind.try_s, max(0.0, this.left(time.monotonic()))), office.cancel, call)
-
-    def _leaves(self, this: Try, call: PlacedCall, vanishes: bool) -> None:
-        """Its caller wants it no more."""
-        if this.over or call.result is not None:
+    def _call_due(self, scheduled: ScheduledCall) -> None:
+        due_at = self.begin_at + scheduled.at_s
+        self.tally.call_offered(scheduled.load_class, scheduled.at_s, time.monotonic() - due_at)
+        call = CallInProgress(scheduled, due_at)
+        if self._sources[call.scheduled.source].may_send():
+            self._place(call)
+        else:
+            self._end(call, CallOutcome.WITHHELD, None)
+
+    def _place(self, call: CallInProgress) -> None:
+        """Place one attempt. The number called is its name on both sides."""
+        scheduled = call.scheduled
+        caller, load_class = self._sources[scheduled.source].caller, scheduled.load_class
+        number = f"{load_class.number}{scheduled.serial:07d}{call.attempt_count}"
+        attempt = caller.place(number, scheduled.hold_s, call.due_at, partial(self._attempt_ended, call))
+        if scheduled.vanishes:
+            self.loop.call_later(VANISH_DELAY_S, self._abandon, call, attempt)
+        elif scheduled.cancels:
+            self.loop.call_later(self.plan.behaviour.cancel_s, self._abandon, call, attempt)
+        time_left_s = max(0.0, call.time_left_s(time.monotonic()))
+        self.loop.call_later(min(load_class.attempt_timeout_s, time_left_s), caller.cancel, attempt)
+
+    def _abandon(self, call: CallInProgress, attempt: PlacedCall) -> None:
+        """Vanish or cancel, as the call is to."""
+        if call.is_over or attempt.result is not None:
             return
-        this.over = True
-        self.tally.ended(this.due.kind, this.due.at, "left", None)
-        caller = self.callers[this.due.office]
-        if vanishes:
-            caller.vanish(call)
+        self._end(call, CallOutcome.ABANDONED, None)
+        caller = self._sources[call.scheduled.source].caller
+        if call.scheduled.vanishes:
+            caller.vanish(attempt)
         else:
-            caller.cancel(call)
+            caller.cancel(attempt)
 
-    def _ended(self, this: Try, call: PlacedCall, end: CallResult, took_s: float, status: int) -> None:
-        """A try has its answer, or never will."""
-        if this.over:
-            return
-        now, due = time.monotonic(), this.due
-        if end is CallResult.ESTABLISHED:
-            this.over = True
-            self.tally.ended(due.kind, due.at, "stood", now - this.begun)
+    def _attempt_ended(
+        self, call: CallInProgress, attempt: PlacedCall, result: CallResult, _took_s: float, _status: int
+    ) -> None:
+        """Take what came of an attempt: the call is over, or retried."""
+        if call.is_over:
             return
-        mine = next(office for office in self.mine if office.index == due.office)
-        chance = self.chances[due.office]
-        wait = redial_after(this, now, call.retry_after_s, mine, self.plan.habits, chance)
-        if wait is None:
-            this.over = True
-            self.tally.ended(
-                due.kind, due.at, ENDS[end], None if end is CallResult.UNANSWERED else now - this.begun
-            )
+        now = time.monotonic()
+        if result is CallResult.ESTABLISHED:
+            self._end(call, CallOutcome.ESTABLISHED, now - call.due_at)
             return
-        this.tries += 1
-        self.loop.call_later(wait, self._redial, this)
-
-    def _redial(self, this: Try) -> None:
-        if not self.throttles[this.due.office].may_send(time.monotonic(), self.chances[this.due.office]):
-            this.over = True
-            self.tally.ended(this.due.kind, this.due.at, "held", None)
+        retry_policy = self._sources[call.scheduled.source].retry_policy
+        delay_s = retry_policy.delay_s(call, now, attempt.retry_after_s)
+        if delay_s is None:
+            elapsed_s = None if result is CallResult.UNANSWERED else now - call.due_at
+            self._end(call, OUTCOMES[result], elapsed_s)
             return
-        self.tally.again()
-        self._place(this)
-
-    # ---- what is heard ----
-
-    def _heard(self, office: Office, message: sip.SipMessage) -> None:
-        """Overload control in an answer's topmost Via."""
-        told = grammar.parse_via(sip.split_list(message.get("via"))[0]).parameters
+        call.attempt_count += 1
+        self.loop.call_later(delay_s, self._retry, call)
 
-        def figure(name: str) -> float | None:
-            try:
-                return float(told[name])
-            except (KeyError, ValueError):
-                return None
-
-        algorithm = told.get("oc-algo", "loss").strip('"')
-        throttle = self.throttles[office.index]
-        now = time.monotonic()
-        throttle.told(now, figure("oc"), algorithm, figure("oc-validity"), figure("oc-seq"))
-
-    def _seen(self, what: str, call: PlacedCall, status: int, text: str) -> None:
-        self.record.append((time.monotonic(), what, call.number, status, f"{hash(text):x}" if text else ""))
+    def _retry(self, call: CallInProgress) -> None:
+        if self._sources[call.scheduled.source].may_send():
+            self.tally.call_retried()
+            self._place(call)
+        else:
+            self._end(call, CallOutcome.WITHHELD, None)
+
+    def _end(self, call: CallInProgress, outcome: CallOutcome, elapsed_s: float | None) -> None:
+        call.is_over = True
+        scheduled = call.scheduled
+        self.tally.call_ended(scheduled.load_class, scheduled.at_s, outcome, elapsed_s)
+
+
+def parse_overload_parameters(message: sip.SipMessage) -> OverloadParameters:
+    """Return the overload control in a response's topmost Via (RFC 7339, 4)."""
+    parameters = grammar.parse_via(sip.split_list(message.get("via"))[0]).parameters
+
+    def number(name: str) -> float | None:
+        try:
+            return float(parameters[name])
+        except (KeyError, ValueError):
+            return None
+
+    validity_ms = number("oc-validity")
+    return OverloadParameters(
+        value=number("oc"),
+        algorithm=parameters.get("oc-algo", "loss").strip('"'),
+        validity_s=None if validity_ms is None else validity_ms / 1000,
+        sequence=number("oc-seq"),
+    )
--- a/stairhatch/load_test/chart.py
+++ b/stairhatch/load_test/chart.py
@@ -1,43 +1,63 @@
-"""Draws what an experiment found, with matplotlib, which is imported when a chart is drawn and not before.
-It must never decide what is shown of which run.
-"""
+"""Draws what an experiment found, with matplotlib, which is imported when a chart is drawn and not before."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from pathlib import Path
+from typing import NamedTuple
 
-PANELS = (  # figure, title, in logarithm
-    ("in_time_a_second", "calls in time a second", False), ("worth", "weighted worth in time", False),
-    ("answered_p99_ms", "p99 until any answer, ms", True), ("copies", "copies a call", False),
-)  # fmt: skip
 
+class Point(NamedTuple):
+    """A side at a rate of calls."""
 
-def draw(name: str, points: dict[tuple[str, float], dict[str, float]], path: Path) -> None:
-    """Each figure against the calls offered, a line a side. The file is the same for the same figures."""
+    side: str
+    rate: float
+
+
+class Panel(NamedTuple):
+    """One figure against the calls offered."""
+
+    figure: str
+    title: str
+    is_logarithmic: bool
+
+
+PANELS = (
+    Panel("in_time_a_second", "calls in time a second", False),
+    Panel("worth", "weighted worth in time", False),
+    Panel("answered_p99_ms", "p99 until any answer, ms", True),
+    Panel("copies", "copies a call", False),
+)
+
+
+def draw_chart(name: str, points: Mapping[Point, Mapping[str, float]], path: Path) -> None:
+    """Draw the figures of each side and rate, a line a side. The file is the same for the same figures."""
     import matplotlib
 
     matplotlib.use("svg")
     matplotlib.rcParams["svg.hashsalt"] = name
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(2, 2, figsize=(9, 6.5))
-    sides = list(dict.fromkeys(side for side, _ in points))
-    for axis, (what, title, logarithm) in zip(axes.flat, PANELS, strict=True):
+    chart, axes = pyplot.subplots(2, 2, figsize=(9, 6.5))
+    sides = list(dict.fromkeys(point.side for point in points))
+    for axis, panel in zip(axes.flat, PANELS, strict=True):
         for side in sides:
             line = sorted(
-                (rate, told[what]) for (at, rate), told in points.items() if at == side and what in told
+                (point.rate, figures[panel.figure])
+                for point, figures in points.items()
+                if point.side == side and panel.figure in figures
             )
             if line:
                 axis.plot(*zip(*line, strict=True), marker="o", markersize=3, label=side)
-        axis.set_title(title, fontsize=9)
+        axis.set_title(panel.title, fontsize=9)
         axis.set_xlabel("calls offered a second", fontsize=8)
         axis.grid(alpha=0.3)
-        if logarithm:
+        if panel.is_logarithmic:
             axis.set_yscale("log")
         else:
             axis.set_ylim(bottom=0)
     axes.flat[0].legend(fontsize=7)
-    figure.suptitle(name)
-    figure.tight_layout()
-    figure.savefig(path, metadata={"Date": None})
-    pyplot.close(figure)
+    chart.suptitle(name)
+    chart.tight_layout()
+    chart.savefig(path, metadata={"Date": None})
+    pyplot.close(chart)
--- a/stairhatch/load_test/datagram_relay.py
+++ b/stairhatch/load_test/datagram_relay.py
@@ -1,5 +1,6 @@
-"""A relay of datagrams in front of a softswitch: owns a port for callers and one port a caller towards the
-softswitch, and does with each datagram what `weather` says. It must never look into one.
+"""A relay of datagrams in front of a softswitch, with the conditions of a network link in both directions.
+
+It owns a port for callers and, towards the softswitch, one port for each caller. No datagram is looked into.
 """
 
 from __future__ import annotations
@@ -8,70 +9,78 @@
 import random
 from collections.abc import Callable
 
+from stairhatch.emulators.ports import Address
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
 
-Place = tuple[str, int]
+LOOPBACK = "127.0.0.1"
 
 
 class _Port(asyncio.DatagramProtocol):
-    def __init__(self, came: Callable[[bytes, Place], None]) -> None:
-        self.came = came
+    """A UDP port that hands on what it receives."""
+
+    def __init__(self, on_received: Callable[[bytes, Address], None]) -> None:
+        self.on_received = on_received
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
-    def datagram_received(self, data: bytes, addr: Place) -> None:
-        self.came(data, addr)
+    def datagram_received(self, data: bytes, addr: Address) -> None:
+        self.on_received(data, addr)
 
 
-class Relay:
+class DatagramRelay:
     """Both directions between callers and one softswitch."""
 
-    def __init__(self, target: Place, weather: DatagramConditions, seed: int) -> None:
-        self.target, self.loop = target, asyncio.get_running_loop()
-        self.there = DatagramLink(weather, random.Random(seed * 2))
-        self.back = DatagramLink(weather, random.Random(seed * 2 + 1))
-        self.ports: dict[Place, _Port] = {}  # by the caller's address
-        self.opening: dict[Place, asyncio.Task[_Port]] = {}
-        self.front: _Port
-        self.place: Place
-
-    async def open(self) -> Relay:
-        """Begin to carry."""
-        transport, self.front = await self.loop.create_datagram_endpoint(
-            lambda: _Port(self._from_caller), local_addr=("127.0.0.1", 0)
+    def __init__(self, target: Address, conditions: DatagramConditions, seed: int) -> None:
+        """Prepare a relay to a softswitch's address; it carries nothing yet."""
+        self.target = target
+        self.loop = asyncio.get_running_loop()
+        self.address: Address
+        self._to_softswitch = DatagramLink(conditions, random.Random(seed * 2))
+        self._to_callers = DatagramLink(conditions, random.Random(seed * 2 + 1))
+        self._caller_side: _Port
+        self._ports: dict[Address, _Port] = {}  # towards the softswitch, by the caller's address
+        self._opening: dict[Address, asyncio.Task[_Port]] = {}
+
+    async def open(self) -> DatagramRelay:
+        """Begin to relay."""
+        transport, self._caller_side = await self.loop.create_datagram_endpoint(
+            lambda: _Port(self._received_from_caller), local_addr=(LOOPBACK, 0)
         )
-        self.place = transport.get_extra_info("sockname")[:2]
+        self.address = transport.get_extra_info("sockname")[:2]
         return self
 
     def close(self) -> None:
-        """Carry no more."""
-        self.front.transport.close()
-        for port in self.ports.values():
+        """Relay no more."""
+        self._caller_side.transport.close()
+        for port in self._ports.values():
             port.transport.close()
 
-    def _from_caller(self, data: bytes, caller: Place) -> None:
-        for after in self.there.fate():
-            self.loop.call_later(after, self._carry, data, caller)
+    def _received_from_caller(self, data: bytes, caller: Address) -> None:
+        for delay_s in self._to_softswitch.draw_delays_s():
+            self.loop.call_later(delay_s, self._send_to_softswitch, data, caller)
 
-    def _carry(self, data: bytes, caller: Place) -> None:
-        port = self.ports.get(caller)
+    def _send_to_softswitch(self, data: bytes, caller: Address) -> None:
+        port = self._ports.get(caller)
         if port is not None:
             port.transport.sendto(data, self.target)
             return
-        if caller not in self.opening:
-            self.opening[caller] = self.loop.create_task(self._port_for(caller))
-        self.opening[caller].add_done_callback(lambda task: task.result().transport.sendto(data, self.target))
+        if caller not in self._opening:
+            self._opening[caller] = self.loop.create_task(self._open_port_for(caller))
+        self._opening[caller].add_done_callback(
+            lambda task: task.result().transport.sendto(data, self.target)
+        )
 
-    async def _port_for(self, caller: Place) -> _Port:
+    async def _open_port_for(self, caller: Address) -> _Port:
         _, port = await self.loop.create_datagram_endpoint(
-            lambda: _Port(lambda data, _: self._from_softswitch(data, caller)), local_addr=("127.0.0.1", 0)
+            lambda: _Port(lambda data, _: self._received_from_softswitch(data, caller)),
+            local_addr=(LOOPBACK, 0),
         )
-        self.ports[caller] = port
-        self.opening.pop(caller, None)
+        self._ports[caller] = port
+        self._opening.pop(caller, None)
         return port
 
-    def _from_softswitch(self, data: bytes, caller: Place) -> None:
-        for after in self.back.fate():
-            self.loop.call_later(after, self.front.transport.sendto, data, caller)
+    def _received_from_softswitch(self, data: bytes, caller: Address) -> None:
+        for delay_s in self._to_callers.draw_delays_s():
+            self.loop.call_later(delay_s, self._caller_side.transport.sendto, data, caller)
--- a/stairhatch/load_test/event_loop_stall.py
+++ b/stairhatch/load_test/event_loop_stall.py
@@ -1,5 +1,6 @@
-"""How late a process notes what comes: owns the longest stall of its loop. On a loaded machine times in a
-record lie so far from the truth, and no rule may be called broken for that.
+"""How late a process notes what happens: the longest stall of its event loop.
+
+On a loaded machine the times of a record lie so far from the truth, and no rule is broken by that alone.
 """
 
 from __future__ import annotations
@@ -7,18 +8,19 @@
 import asyncio
 import time
 
-LOOK_S = 0.01
+CHECK_INTERVAL_S = 0.01
 
 
 class EventLoopStall:
-    """The longest time for which a loop did not come round."""
+    """The longest time for which an event loop did not come round."""
 
     def __init__(self) -> None:
+        """Begin with no stall."""
         self.longest_s = 0.0
 
     async def watch(self) -> None:
-        """Look until cancelled."""
+        """Measure until cancelled."""
         while True:
-            due = time.monotonic() + LOOK_S
-            await asyncio.sleep(LOOK_S)
-            self.longest_s = max(self.longest_s, time.monotonic() - due)
+            due_at = time.monotonic() + CHECK_INTERVAL_S
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.longest_s = max(self.longest_s, time.monotonic() - due_at)
--- a/stairhatch/load_test/load_run.py
+++ b/stairhatch/load_test/load_run.py
@@ -1,322 +1,248 @@
-"""One run of a load: owns the processes that make it up and what is said of it at the end. Against an
-address it brings callers alone; by itself it also brings roster servers and the appliance of a tree, and
-then the rules are read off both sides. It must never talk to another machine.
+"""One run of a load: the processes that make it up, and what came of it.
+
+Against an address it brings callers alone. By itself it also brings roster servers and the softswitch of a
+tree, and then the rules of calls are checked over what both sides observed. It never talks to another
+machine.
 """
 
 from __future__ import annotations
 
 import contextlib
 import ipaddress
-import json
-import os
-import signal
-import subprocess
-import sys
 import tempfile
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
-from stairhatch.emulators.observations import ObservationKind
-from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.ports import Address
+from stairhatch.load_test.arrivals import call_sources
 from stairhatch.load_test.call_rules import (
-    SLACK_S,
+    CLOCK_SLACK_S,
     CallObservation,
     CallRuleChecker,
     CallRuleViolation,
 )
 from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.load_test.load_plan import LoadPlan, Transport, offices
-from stairhatch.load_test.load_tally import LoadTally
-from stairhatch.load_test.roster_servers import RosterPlan
-
-ROOT = Path(__file__).resolve().parents[2]
-START_S, LEAD_S = 30.0, 0.3
-FILE = """\
-name = "load"
-[sip]
-udp = "{at}"
-tcp = "{at}"
-contact = "{at}"
-default_class = "{first}"
-restart_wait_s = 0
-dialogs = 60000
-connections = 4096
-{sip}
-{numbers}
-{servers}
-[settings]
-balancers = 1
-{classes}
-[settings.family_info]
-clear_wait_s = 0.5
-retransmit_s = 0.8
-[settings.permissions]
-send_cap = 6
-cancel = true
-retry_after = true
-max_retry_after_s = 4.0
-[settings.load_report]
-names = ["free", "size", "mean_ms", "can_take"]
-[settings.safety]
-answer_slack_s = 0.02
-drain_grace_s = 1.0
-cold_from = 0.3
-warm_after_s = 14.0
-fall_multiple = 2.5
-fall_s = 1.5
-"""
-
+from stairhatch.load_test.errors import LoadRunError
+from stairhatch.load_test.load_plan import LoadPlan, Transport
+from stairhatch.load_test.load_tally import CallOutcome, LoadTally
+from stairhatch.load_test.revisions import ROOT
+from stairhatch.load_test.server_plan import ServerPlan
+from stairhatch.load_test.softswitch_config import render_config
+from stairhatch.load_test.softswitch_process import ProcessUsage, SoftswitchProcess
+from stairhatch.load_test.worker_messages import (
+    CallersJob,
+    CallersReady,
+    CallersResult,
+    RelayJob,
+    RelayReady,
+    ServersJob,
+    ServersReady,
+    ServersResult,
+    ServerSummary,
+)
+from stairhatch.load_test.worker_process import WorkerProcess
 
-class LoadError(Exception):
-    """A load that can't be run, in one line."""
+LEAD_S = 0.3  # from when all are ready until the load begins
+PROGRESS_INTERVAL_S = 0.1
+END_MESSAGE = "end"
+LOOPBACK = "127.0.0.1"
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorCommand:
-    """Something done to the program while the load is on."""
+class OperatorSignal:
+    """A signal to the softswitch during the load."""
 
-    at: float
+    at_s: float  # after the beginning
     signal: int
 
 
-@dataclass(frozen=True)
-class Setup:
-    """What a run is made of. Without `places` the program is started from `tree`."""
+@dataclass(frozen=True, slots=True)
+class LoadSetup:
+    """What a run is made of. Without `addresses` the softswitch is started from `tree`.
+
+    `conditions` are those between callers and softswitch.
+    """
 
     plan: LoadPlan
     seed: int = 1
     workers: int = 2
-    places: dict[Transport, tuple[str, int]] = field(default_factory=dict)
-    rosters: RosterPlan = field(default_factory=RosterPlan)
-    weather: DatagramConditions = field(default_factory=DatagramConditions)
+    addresses: dict[Transport, Address] = field(default_factory=dict)
+    servers: ServerPlan = field(default_factory=ServerPlan)
+    conditions: DatagramConditions = field(default_factory=DatagramConditions)
     tree: Path = ROOT
-    sip: str = ""  # more lines of [sip]
-    orders: tuple[OperatorCommand, ...] = ()
+    sip_lines: str = ""  # more lines of [sip]
+    signals: tuple[OperatorSignal, ...] = ()
 
 
-@dataclass(slots=True)
-class Report:
+@dataclass(slots=True, kw_only=True)
+class LoadRunResult:
     """What came of a run."""
 
     tally: LoadTally
     seconds: float
-    broken: list[CallRuleViolation]
-    servers: list[dict[str, Any]]
-    program: dict[str, Any]  # processor time, memory, counters; empty where it was not ours
-    checked: bool  # whether both sides were seen, so that the rules could be read off
+    violations: list[CallRuleViolation] = field(default_factory=list)
+    servers: list[ServerSummary] = field(default_factory=list)
+    usage: ProcessUsage | None = None  # None: the softswitch was not ours
+    is_checked: bool = False  # both sides were observed, so that the rules could be checked
 
-    def void(self) -> str:
-        """Why it proves nothing."""
-        return self.tally.void()
+    def void_reason(self) -> str:
+        """Return why it proves nothing; "" if it does."""
+        return self.tally.void_reason()
 
     def figures(self) -> dict[str, Any]:
-        """All figures of the run."""
-        found = self.tally.figures(self.seconds) | self.program
-        if self.program:
-            stood = max(1, self.tally.counts["stood"])
-            found["cpu_ms_a_call"] = 1000 * self.program["cpu_s"] / stood
-        return {**found, "broken": len(self.broken), "void": self.void()}
+        """Return all figures of the run, by the names they are kept under."""
+        figures = self.tally.figures(self.seconds)
+        if self.usage is not None:
+            established = max(1, self.tally.counts[CallOutcome.ESTABLISHED])
+            figures |= self.usage.figures()
+            figures["cpu_ms_a_call"] = 1000 * self.usage.cpu_s / established
+        return {**figures, "broken": len(self.violations), "void": self.void_reason()}
 
 
-def on_this_machine(place: tuple[str, int]) -> tuple[str, int]:
-    """The place, if it is a loopback address; LoadError for any other."""
+def check_loopback(address: Address) -> None:
+    """Check that an address is this machine's loopback. Raises LoadRunError for any other."""
     try:
-        if ipaddress.ip_address(place[0]).is_loopback:
-            return place
+        is_loopback = ipaddress.ip_address(address[0]).is_loopback
     except ValueError:
-        pass
-    raise LoadError(f"{place[0]} is not an address of this machine's loopback: no load goes elsewhere")
-
-
-class Child:
-    """A process of the load that speaks in lines of JSON."""
-
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", "stairhatch.load_test.worker"], cwd=ROOT, stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-        )  # fmt: skip
-        self.say(told)
-
-    def say(self, value: Any) -> None:
-        """A line to it."""
-        assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps(value).encode() + b"\n")
-        self.process.stdin.flush()
-
-    def hear(self) -> Any:
-        """The next line from it."""
-        assert self.process.stdout is not None
-        line = self.process.stdout.readline()
-        if not line:
-            raise LoadError(f"a process of the load ended early, with {self.process.wait()}")
-        return json.loads(line)
-
-    def end(self) -> None:
-        """It ends with its input."""
-        assert self.process.stdin is not None and self.process.stdout is not None
-        with contextlib.suppress(OSError):
-            self.process.stdin.close()
-        try:
-            self.process.wait(5.0)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            self.process.wait()
-        self.process.stdout.close()
-
-
-class Program:
-    """The appliance of a tree, as a process."""
-
-    def __init__(self, setup: Setup, ports: list[int], folder: Path) -> None:
-        self.place = ("127.0.0.1", free_port())
-        self.log, path = folder / "log", folder / "load.toml"
-        path.write_text(configuration(setup, self.place, ports))
-        with self.log.open("wb") as out:
-            self.process = subprocess.Popen(
-                [sys.executable, "-m", "stairhatch", "--sip", str(path)], cwd=setup.tree,
-                stdin=subprocess.DEVNULL, stdout=out, stderr=out,
-            )  # fmt: skip
-        self._until(lambda: " serving " in self.log.read_text(errors="replace"), "it does not serve")
-        self.before = self.cpu_s()
-
-    def _until(self, done: Callable[[], bool], why: str) -> None:
-        end = time.monotonic() + START_S
-        while not done():
-            if self.process.poll() is not None or time.monotonic() > end:
-                last = self.log.read_text(errors="replace").splitlines()[-1:]
-                raise LoadError(f"the program: {why}: {' '.join(last)}")
-            time.sleep(0.02)
-
-    def cpu_s(self) -> float:
-        """Processor time used so far."""
-        words = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
-
-    def told(self) -> dict[str, Any]:
-        """What it has used, and its counters."""
-        if self.process.poll() is not None:
-            return {"cpu_s": 0.0, "memory_mb": 0.0, "ended": self.process.returncode}
-        text = Path(f"/proc/{self.process.pid}/status").read_text()
-        memory_mb = int(text.split("VmHWM:")[1].split()[0]) / 1024
-        used = {"cpu_s": self.cpu_s() - self.before, "memory_mb": memory_mb}
-        known = len(self.lines("counters"))
-        self.process.send_signal(signal.SIGUSR1)
-        self._until(lambda: len(self.lines("counters")) > known, "no counters")
-        pairs = (word.partition("=") for word in self.lines("counters")[-1].split()[2:])
-        return {**used, "counters": {name: int(value) for name, _, value in pairs}}
-
-    def lines(self, event: str) -> list[str]:
-        """The log's lines of an event."""
-        return [each for each in self.log.read_text(errors="replace").splitlines() if f" {event} " in each]
-
-    def end(self) -> None:
-        """End it at once: its calls are over."""
-        self.process.kill()
-        self.process.wait()
-
-
-def configuration(setup: Setup, place: tuple[str, int], ports: list[int]) -> str:
-    """The file of the program under load, from the load's own classes."""
-    classes, numbers = [], []
-    for kind in setup.plan.kind:
-        classes.append(
-            f'[[settings.classes]]\nname = "{kind.name}"\naim_s = {kind.aim_s}\n'
-            f"hard_limit_s = {kind.limit_s}\nimportance = {kind.worth}\nlate_worth = {kind.late_worth}"
+        is_loopback = False
+    if not is_loopback:
+        raise LoadRunError(
+            f"{address[0]} is not an address of this machine's loopback: no load goes elsewhere"
         )
-        numbers.append(f'[[sip.numbers]]\nprefix = "{kind.number}"\nclass = "{kind.name}"')
-    servers = [
-        f'[[servers]]\nname = "r{index}"\naddress = "127.0.0.1:{port}"\nnumber = {index}'
-        for index, port in enumerate(ports)
-    ]
-    return FILE.format(
-        at=f"{place[0]}:{place[1]}", first=setup.plan.kind[0].name, sip=setup.sip, numbers="\n".join(numbers),
-        servers="\n".join(servers), classes="\n".join(classes),
-    )  # fmt: skip
-
-
-def run(setup: Setup, progress: Callable[[float], None] = lambda passed: None) -> Report:
-    """Carry one load out; LoadError where that can't be done."""
-    for place in setup.places.values():
-        on_this_machine(place)
-    with contextlib.ExitStack() as stack, tempfile.TemporaryDirectory() as folder:
-        rosters = program = None
-        places = dict(setup.places)
-        if not places:
-            rosters = Child(
-                {"role": "rosters", "plan": msgspec.to_builtins(setup.rosters), "seed": setup.seed}
-            )
-            stack.callback(rosters.end)
-            program = Program(setup, rosters.hear()["ports"], Path(folder))
-            stack.callback(program.end)
-            places = {Transport.UDP: program.place, Transport.TCP: program.place}
-        if not setup.weather.clear and Transport.UDP in places:
-            weather = msgspec.to_builtins(setup.weather)
-            relay = Child(
-                {"role": "relay", "weather": weather, "target": places[Transport.UDP], "seed": setup.seed}
+
+
+def run_load(setup: LoadSetup, on_progress: Callable[[float], None] = lambda _: None) -> LoadRunResult:
+    """Carry one load out; `on_progress` is told the seconds that have passed. Raises LoadRunError."""
+    for address in setup.addresses.values():
+        check_loopback(address)
+    with contextlib.ExitStack() as processes, tempfile.TemporaryDirectory() as folder:
+        run = _LoadRun(setup, processes, Path(folder))
+        run.start()
+        begin_at = run.begin()
+        run.signal_softswitch(begin_at, on_progress)
+        return run.collect()
+
+
+class _LoadRun:
+    """The processes of one run, in the order in which they are started."""
+
+    def __init__(self, setup: LoadSetup, processes: contextlib.ExitStack, folder: Path) -> None:
+        self.setup = setup
+        self.processes = processes  # ends them
+        self.folder = folder
+        self.addresses = dict(setup.addresses)  # that callers call
+        self.servers: WorkerProcess | None = None
+        self.softswitch: SoftswitchProcess | None = None
+        self.callers: list[WorkerProcess] = []
+
+    # ---- starting ----
+
+    def start(self) -> None:
+        """Start every process, and wait until all are ready."""
+        if not self.addresses:
+            self._start_servers_and_softswitch()
+        if not self.setup.conditions.is_perfect and Transport.UDP in self.addresses:
+            self._start_relay()
+        self._check_addresses()
+        self._start_callers()
+
+    def _start_worker(self, job: CallersJob | ServersJob | RelayJob) -> WorkerProcess:
+        return self.processes.enter_context(WorkerProcess(job))
+
+    def _start_servers_and_softswitch(self) -> None:
+        setup = self.setup
+        self.servers = self._start_worker(ServersJob(setup.servers, setup.seed))
+        ports = self.servers.receive(ServersReady).ports
+        self.softswitch = self.processes.enter_context(
+            SoftswitchProcess(
+                setup.tree,
+                self.folder,
+                lambda address: render_config(setup.plan, setup.sip_lines, address, ports),
             )
-            stack.callback(relay.end)
-            places[Transport.UDP] = ("127.0.0.1", relay.hear()["port"])
-        if missing := {each.transport for each in offices(setup.plan)} - set(places):
+        )
+        self.addresses = dict.fromkeys(Transport, self.softswitch.address)
+
+    def _start_relay(self) -> None:
+        setup = self.setup
+        relay = self._start_worker(RelayJob(setup.conditions, self.addresses[Transport.UDP], setup.seed))
+        self.addresses[Transport.UDP] = (LOOPBACK, relay.receive(RelayReady).port)
+
+    def _check_addresses(self) -> None:
+        used = {source.transport for source in call_sources(self.setup.plan)}
+        if missing := used - set(self.addresses):
             names = ", ".join(sorted(each.value for each in missing))
-            raise LoadError(f"the load has offices over {names}, and no address is given for that")
-        desks = []
+            raise LoadRunError(f"the load has offices over {names}, and no address is given for that")
+
+    def _start_callers(self) -> None:
+        setup = self.setup
         for worker in range(setup.workers):
-            told = {
-                "role": "offices", "plan": msgspec.to_builtins(setup.plan), "seed": setup.seed,
-                "worker": worker, "workers": setup.workers,
-                "places": {name.value: place for name, place in places.items()},
-            }  # fmt: skip
-            desks.append(Child(told))
-            stack.callback(desks[-1].end)
-        for desk in desks:
-            desk.hear()
-        begin = time.monotonic() + LEAD_S
-        for child in [*desks, *([rosters] if rosters else [])]:
-            child.say(begin)
-        _wait(setup, begin, program, progress)
-        return _report(setup, [desk.hear() for desk in desks], rosters, program)
-
-
-def _wait(setup: Setup, begin: float, program: Program | None, progress: Callable[[float], None]) -> None:
-    """While the calls come: what is ordered is done to the program at its time."""
-    orders = sorted(setup.orders, key=lambda each: each.at)
-    while (passed := time.monotonic() - begin) < setup.plan.seconds:
-        while orders and orders[0].at <= passed:
-            order = orders.pop(0)
-            if program is not None:
-                program.process.send_signal(order.signal)
-        progress(max(0.0, passed))
-        time.sleep(min(0.1, max(0.0, setup.plan.seconds - passed)))
-
-
-def _report(
-    setup: Setup, found: list[dict[str, Any]], rosters: Child | None, program: Program | None
-) -> Report:
-    tally = LoadTally()
-    for each in found:
-        tally.add(each["tally"])
-    used = program.told() if program is not None else {}
-    servers: list[dict[str, Any]] = []
-    broken: list[CallRuleViolation] = []
-    if rosters is not None:
-        rosters.say("end")
-        told = rosters.hear()
-        servers = told["servers"]
-        events = list(_seen([line for each in found for line in each["record"]], told["record"]))
-        longest = max(kind.limit_s for kind in setup.plan.kind)
-        stalled_s = max(each["stalled_s"] for each in [*found, told])
-        broken = CallRuleChecker(time.monotonic(), SLACK_S + stalled_s, longest).check(events)
-    return Report(tally, setup.plan.seconds, broken, servers, used, rosters is not None)
-
-
-def _seen(callers: list[Any], servers: list[Any]) -> Iterator[CallObservation]:
-    for at, what, call, status, text in callers:
-        yield CallObservation(at, ObservationKind(what), call, value=status, text=text)
-    for at, what, call, server in servers:
-        yield CallObservation(at, ObservationKind(what), call, server=server)
+            job = CallersJob(setup.plan, setup.seed, worker, setup.workers, self.addresses)
+            self.callers.append(self._start_worker(job))
+        for each in self.callers:
+            each.receive(CallersReady)
+
+    # ---- running ----
+
+    def begin(self) -> float:
+        """Tell all when the load begins, and return that in monotonic seconds."""
+        begin_at = time.monotonic() + LEAD_S
+        for each in [*self.callers, *([self.servers] if self.servers else [])]:
+            each.send(begin_at)
+        return begin_at
+
+    def signal_softswitch(self, begin_at: float, on_progress: Callable[[float], None]) -> None:
+        """Send the softswitch each signal at its time, until no more calls come."""
+        seconds = self.setup.plan.seconds
+        signals = sorted(self.setup.signals, key=lambda each: each.at_s)
+        while (elapsed_s := time.monotonic() - begin_at) < seconds:
+            while signals and signals[0].at_s <= elapsed_s:
+                due = signals.pop(0)
+                if self.softswitch is not None:
+                    self.softswitch.send_signal(due.signal)
+            on_progress(max(0.0, elapsed_s))
+            time.sleep(min(PROGRESS_INTERVAL_S, max(0.0, seconds - elapsed_s)))
+
+    # ---- what came of it ----
+
+    def collect(self) -> LoadRunResult:
+        """Wait until all calls are over, and return what came of them."""
+        by_callers = [each.receive(CallersResult) for each in self.callers]
+        tally = LoadTally()
+        for each in by_callers:
+            tally.add(each.tally)
+        result = LoadRunResult(tally=tally, seconds=self.setup.plan.seconds)
+        if self.softswitch is not None:
+            result.usage = self.softswitch.usage()
+        if self.servers is not None:
+            self.servers.send(END_MESSAGE)
+            by_servers = self.servers.receive(ServersResult)
+            result.servers = by_servers.servers
+            result.violations = self._check_rules(by_callers, by_servers)
+            result.is_checked = True
+        return result
+
+    def _check_rules(
+        self, by_callers: list[CallersResult], by_servers: ServersResult
+    ) -> list[CallRuleViolation]:
+        stalled_s = max(by_servers.stalled_s, *(each.stalled_s for each in by_callers))
+        checker = CallRuleChecker(
+            ends_at=time.monotonic(),
+            slack_s=CLOCK_SLACK_S + stalled_s,
+            answer_limit_s=self.setup.plan.longest_time_limit_s,
+        )
+        return checker.check(list(_observations(by_callers, by_servers)))
+
+
+def _observations(
+    by_callers: Iterable[CallersResult], by_servers: ServersResult
+) -> Iterator[CallObservation]:
+    for result in by_callers:
+        for seen in result.record:
+            yield CallObservation(
+                seen.at, seen.kind, seen.number, status=seen.status, told_apart_by=seen.told_apart_by
+            )
+    for record in by_servers.record:
+        yield CallObservation(record.at, record.kind, record.number, server=record.server)
--- a/stairhatch/load_test/load_tally.py
+++ b/stairhatch/load_test/load_tally.py
@@ -1,150 +1,215 @@
-"""What came of a load: owns the counts and times of calls, from when each was due and not from when it was
-sent, and the verdict whether the tool itself was late. Tallies of several processes add up to one. Pure.
+"""What came of a load: counts and times of calls, and whether the tool itself was late.
+
+Times count from when each call was due, not from when it was sent. Tallies of several processes add up to
+one. Free of I/O.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
+from msgspec import Struct
+
+from stairhatch.load_test.load_plan import LoadClass
+
+LEAST_US, MOST_US = 1, 120_000_000
+SIGNIFICANT_DIGITS = 2
+LATENESS_PERCENTILE = 99.0
+MAX_LATENESS_MS = 50.0  # a run in which one call in a hundred went out later than this is void
+REPORTED_PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+
+Histogram = Any  # hdrhistogram has no types
+
+
+class CallOutcome(StrEnum):
+    """How a call ended for its caller, over all its attempts."""
+
+    ESTABLISHED = "stood"
+    REJECTED = "refused"
+    FAILED = "failed"
+    UNANSWERED = "unheard"
+    ABANDONED = "left"  # by a caller that vanished or cancelled
+    WITHHELD = "held"  # by overload control
+
+
+class TallyCount(StrEnum):
+    """What is counted beside the outcomes."""
+
+    OFFERED = "asked"  # calls whose first attempt went out, or was withheld
+    RETRIES = "redials"
+    RETRANSMISSIONS = "copies"
+    IN_TIME = "in time"  # established within the latency objective
+    LATE = "late"  # established after it
+
+    def of_class(self, name: str) -> str:
+        """Return the name of the same count for one class of calls."""
+        return f"{self} {name}"
 
-from stairhatch.load_test.load_plan import Kind
 
-MOST_US = 120_000_000
-LATE_MS = 50.0  # a run in which a hundredth of the calls went out later than this is void
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+class TallySnapshot(Struct):
+    """A tally as one process hands it to another; histograms as hdrhistogram encodes them."""
 
+    counts: dict[str, int]
+    worth: float
+    earned: float
+    by_second: dict[str, dict[str, int]]
+    stood: dict[str, str]
+    answered: str
+    lateness: str
 
-def histogram() -> Any:
-    """Of microseconds, two digits exact."""
-    return HdrHistogram(1, MOST_US, 2)
 
+def new_histogram() -> Histogram:
+    """Return an empty histogram of microseconds, two digits exact."""
+    return HdrHistogram(LEAST_US, MOST_US, SIGNIFICANT_DIGITS)
 
-def _note(into: Any, seconds: float) -> None:
-    into.record_value(max(1, min(MOST_US, round(seconds * 1e6))))
+
+def _record(histogram: Histogram, seconds: float) -> None:
+    histogram.record_value(max(LEAST_US, min(MOST_US, round(seconds * 1e6))))
+
+
+def _percentile_ms(histogram: Histogram, percentile: float) -> float:
+    if not histogram.get_total_count():
+        return 0.0
+    return float(histogram.get_value_at_percentile(percentile)) / 1000
 
 
 @dataclass(slots=True)
 class LoadTally:
     """One process's count of a run, or the sum of several."""
 
-    counts: Counter[str] = field(default_factory=Counter)
+    counts: Counter[str] = field(default_factory=Counter)  # by outcome, TallyCount, and the latter by class
     by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by the second a call was due in
-    worth: float = 0.0  # asked for
-    earned: float = 0.0
-    stood: dict[str, Any] = field(default_factory=dict)  # class -> times to stand
-    answered: Any = field(default_factory=histogram)  # to any final answer
-    lateness: Any = field(default_factory=histogram)  # of the tool: due until sent
-
-    def asked(self, kind: Kind, due: float, late_s: float) -> None:
-        """A first try went out, so much after it was due."""
-        self.counts["asked"] += 1
-        self.counts[f"asked {kind.name}"] += 1
-        self.worth += kind.worth
-        self._in(due)["asked"] += 1
-        _note(self.lateness, late_s)
-
-    def again(self) -> None:
-        """A further try."""
-        self.counts["redials"] += 1
-
-    def ended(self, kind: Kind, due: float, end: str, took_s: float | None) -> None:
-        """A call is over for its caller: "stood", "refused", "failed", "unheard", "left" or "held". `took_s`
-        counts from when its first try was due; None where no answer came.
+    weight_offered: float = 0.0
+    weight_earned: float = 0.0
+    setup_times: dict[str, Histogram] = field(default_factory=dict)  # by class, until established
+    response_times: Histogram = field(default_factory=new_histogram)  # until any final response
+    lateness: Histogram = field(default_factory=new_histogram)  # of the tool: from due until sent
+
+    # ---- counting ----
+
+    def call_offered(self, load_class: LoadClass, due_s: float, late_s: float) -> None:
+        """Count a call whose first attempt was due at a second of the run, and went out so much later."""
+        self.counts[TallyCount.OFFERED] += 1
+        self.counts[TallyCount.OFFERED.of_class(load_class.name)] += 1
+        self.weight_offered += load_class.weight
+        self._counts_in(due_s)[TallyCount.OFFERED] += 1
+        _record(self.lateness, late_s)
+
+    def call_retried(self) -> None:
+        """Count a further attempt."""
+        self.counts[TallyCount.RETRIES] += 1
+
+    def call_ended(
+        self, load_class: LoadClass, due_s: float, outcome: CallOutcome, elapsed_s: float | None
+    ) -> None:
+        """Count a call that is over for its caller.
+
+        `elapsed_s` counts from when its first attempt was due; None where no response came.
         """
-        self.counts[end] += 1
-        if took_s is not None:
-            _note(self.answered, took_s)
-        if end != "stood" or took_s is None:
-            self._in(due)[end] += 1
-            return
-        if kind.name not in self.stood:
-            self.stood[kind.name] = histogram()
-        _note(self.stood[kind.name], took_s)
-        in_time = took_s <= kind.aim_s
-        self.counts["in time" if in_time else "late"] += 1
-        self.counts[f"in time {kind.name}"] += in_time
-        self.earned += kind.worth * (1.0 if in_time else kind.late_worth)
-        self._in(due)["in time" if in_time else "late"] += 1
-
-    def _in(self, due: float) -> Counter[str]:
-        return self.by_second.setdefault(int(due), Counter())
+        self.counts[outcome] += 1
+        if elapsed_s is not None:
+            _record(self.response_times, elapsed_s)
+        if outcome is CallOutcome.ESTABLISHED and elapsed_s is not None:
+            self._count_established(load_class, due_s, elapsed_s)
+        else:
+            self._counts_in(due_s)[outcome] += 1
+
+    def _count_established(self, load_class: LoadClass, due_s: float, elapsed_s: float) -> None:
+        _record(self._setup_times_of(load_class.name), elapsed_s)
+        is_in_time = elapsed_s <= load_class.latency_objective_s
+        count = TallyCount.IN_TIME if is_in_time else TallyCount.LATE
+        self.counts[count] += 1
+        self.counts[TallyCount.IN_TIME.of_class(load_class.name)] += is_in_time
+        self.weight_earned += load_class.weight * (1.0 if is_in_time else load_class.late_weight)
+        self._counts_in(due_s)[count] += 1
+
+    def _counts_in(self, second: float) -> Counter[str]:
+        return self.by_second.setdefault(int(second), Counter())
+
+    def _setup_times_of(self, class_name: str) -> Histogram:
+        if class_name not in self.setup_times:
+            self.setup_times[class_name] = new_histogram()
+        return self.setup_times[class_name]
 
     # ---- several into one ----
 
-    def told(self) -> dict[str, Any]:
-        """What a process writes out, as plain values."""
-        return {
-            "counts": dict(self.counts), "worth": self.worth, "earned": self.earned,
-            "by_second": {str(second): dict(found) for second, found in self.by_second.items()},
-            "stood": {name: each.encode().decode() for name, each in self.stood.items()},
-            "answered": self.answered.encode().decode(), "lateness": self.lateness.encode().decode(),
-        }  # fmt: skip
-
-    def add(self, told: dict[str, Any]) -> None:
-        """Take in what another process wrote out."""
-        self.counts.update(told["counts"])
-        self.worth += told["worth"]
-        self.earned += told["earned"]
-        for second, found in told["by_second"].items():
-            self._in(float(second)).update(found)
-        for name, text in told["stood"].items():
-            if name not in self.stood:
-                self.stood[name] = histogram()
-            self.stood[name].decode_and_add(text)
-        self.answered.decode_and_add(told["answered"])
-        self.lateness.decode_and_add(told["lateness"])
+    def snapshot(self) -> TallySnapshot:
+        """Return what a process hands to another."""
+        return TallySnapshot(
+            counts=dict(self.counts),
+            worth=self.weight_offered,
+            earned=self.weight_earned,
+            by_second={str(second): dict(counts) for second, counts in self.by_second.items()},
+            stood={name: each.encode().decode() for name, each in self.setup_times.items()},
+            answered=self.response_times.encode().decode(),
+            lateness=self.lateness.encode().decode(),
+        )
+
+    def add(self, other: TallySnapshot) -> None:
+        """Add what another process has counted."""
+        self.counts.update(other.counts)
+        self.weight_offered += other.worth
+        self.weight_earned += other.earned
+        for second, counts in other.by_second.items():
+            self._counts_in(float(second)).update(counts)
+        for name, encoded in other.stood.items():
+            self._setup_times_of(name).decode_and_add(encoded)
+        self.response_times.decode_and_add(other.answered)
+        self.lateness.decode_and_add(other.lateness)
 
     # ---- what it says ----
 
-    @property
-    def late_ms(self) -> float:
-        """How late the tool was, 99th percentile, in milliseconds."""
-        return float(self.lateness.get_value_at_percentile(99.0)) / 1000
+    def lateness_ms(self) -> float:
+        """Return how late the tool was, 99th percentile, in milliseconds."""
+        return float(self.lateness.get_value_at_percentile(LATENESS_PERCENTILE)) / 1000
 
-    def void(self) -> str:
-        """Why the run proves nothing; "" if it does."""
-        if not self.counts["asked"]:
+    def void_reason(self) -> str:
+        """Return why the run proves nothing; "" if it does."""
+        if not self.counts[TallyCount.OFFERED]:
             return "no call was placed"
-        if self.late_ms > LATE_MS:
-            return f"the tool itself was late: 1 % of its calls by over {self.late_ms:.0f} ms"
+        if (lateness_ms := self.lateness_ms()) > MAX_LATENESS_MS:
+            return f"the tool itself was late: 1 % of its calls by over {lateness_ms:.0f} ms"
         return ""
 
     def figures(self, seconds: float) -> dict[str, Any]:
-        """The figures of a run in which calls came for so long."""
-        everything = histogram()
-        for each in self.stood.values():
-            everything.add(each)
-        asked = max(1, self.counts["asked"])
+        """Return the figures of a run in which calls came for so long, by the names they are kept under."""
+        counts = self.counts
+        offered = max(1, counts[TallyCount.OFFERED])
+        failed = counts[CallOutcome.FAILED] + counts[CallOutcome.UNANSWERED]
         return {
-            "asked_a_second": self.counts["asked"] / seconds,
-            "in_time_a_second": self.counts["in time"] / seconds,
-            "in_time": self.counts["in time"] / asked,
-            "late": self.counts["late"] / asked,
-            "refused": self.counts["refused"] / asked,
-            "failed": (self.counts["failed"] + self.counts["unheard"]) / asked,
-            "worth": self.earned / self.worth if self.worth else 0.0,
-            "copies": self.counts["copies"] / asked,
-            "redials": self.counts["redials"] / asked,
-            "tool_late_ms": self.late_ms,
-            **{f"stood_p{q:g}_ms": _milli(everything, q) for q in QUANTILES},
-            **{f"answered_p{q:g}_ms": _milli(self.answered, q) for q in QUANTILES},
-            **{
-                f"in_time {name[6:]}": self.counts[f"in time {name[6:]}"] / max(1, count)
-                for name, count in self.counts.items()
-                if name.startswith("asked ")
-            },
+            "asked_a_second": counts[TallyCount.OFFERED] / seconds,
+            "in_time_a_second": counts[TallyCount.IN_TIME] / seconds,
+            "in_time": counts[TallyCount.IN_TIME] / offered,
+            "late": counts[TallyCount.LATE] / offered,
+            "refused": counts[CallOutcome.REJECTED] / offered,
+            "failed": failed / offered,
+            "worth": self.weight_earned / self.weight_offered if self.weight_offered else 0.0,
+            "copies": counts[TallyCount.RETRANSMISSIONS] / offered,
+            "redials": counts[TallyCount.RETRIES] / offered,
+            "tool_late_ms": self.lateness_ms(),
+            **self._time_figures(),
+            **self._class_figures(),
         }
 
+    def _time_figures(self) -> dict[str, float]:
+        setup_times = new_histogram()
+        for each in self.setup_times.values():
+            setup_times.add(each)
+        named = (("stood", setup_times), ("answered", self.response_times))
+        return {
+            f"{name}_p{percentile:g}_ms": _percentile_ms(histogram, percentile)
+            for name, histogram in named
+            for percentile in REPORTED_PERCENTILES
+        }
 
-def _milli(found: Any, quantile: float) -> float:
-    return float(found.get_value_at_percentile(quantile)) / 1000 if found.get_total_count() else 0.0
-
-
-def best_span(by_second: dict[int, Counter[str]], seconds: Iterable[int], name: str = "in time") -> float:
-    """The mean of a count over some of the seconds."""
-    chosen = [by_second.get(second, Counter())[name] for second in seconds]
-    return sum(chosen) / len(chosen) if chosen else 0.0
+    def _class_figures(self) -> dict[str, float]:
+        prefix = TallyCount.OFFERED.of_class("")
+        offered = {name[len(prefix) :]: n for name, n in self.counts.items() if name.startswith(prefix)}
+        return {
+            f"in_time {name}": self.counts[TallyCount.IN_TIME.of_class(name)] / max(1, count)
+            for name, count in offered.items()
+        }
--- a/stairhatch/load_test/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -1,65 +1,85 @@
-"""One process of a load: reads what it is to do as a line of JSON, says when it is ready, begins when it is
-told the time, and writes what came of it as its last line. It ends with its input, so that none outlives its
-parent.
+"""The main module of a worker process of a load.
+
+It reads its job as a line, says when it is ready, begins when it is told the time, and writes what came of it
+as its last line (`worker_messages`). It ends with its input, so that none outlives its parent.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
+import contextlib
 import sys
-from typing import Any
 
-import msgspec
 import uvloop
 
-from stairhatch.load_test.caller_population import Desk
-from stairhatch.load_test.datagram_conditions import DatagramConditions
-from stairhatch.load_test.datagram_relay import Relay
-from stairhatch.load_test.load_plan import LoadPlan, Transport
-from stairhatch.load_test.roster_servers import RosterPlan, Rosters
+from stairhatch.load_test.caller_population import CallerPopulation
+from stairhatch.load_test.datagram_relay import DatagramRelay
+from stairhatch.load_test.roster_servers import RosterServers
+from stairhatch.load_test.worker_messages import (
+    CallersJob,
+    CallersReady,
+    RelayJob,
+    RelayReady,
+    ServersJob,
+    ServersReady,
+    decode_job,
+    decode_line,
+    encode_line,
+)
+
+MAX_LINE_BYTES = 16 * 1024 * 1024
+
+
+async def run_job() -> None:
+    """Be what the first line asks for."""
+    lines = await _open_input()
+    match decode_job(await lines.readline()):
+        case CallersJob() as job:
+            await _run_callers(job, lines)
+        case ServersJob() as job:
+            await _run_servers(job, lines)
+        case RelayJob() as job:
+            await _run_relay(job, lines)
+
+
+async def _run_callers(job: CallersJob, lines: asyncio.StreamReader) -> None:
+    callers = CallerPopulation(job)
+    await callers.open()
+    _write(CallersReady())
+    if begin_line := await lines.readline():
+        await callers.run(decode_line(begin_line, float))
+        _write(callers.result())
+
 
+async def _run_servers(job: ServersJob, lines: asyncio.StreamReader) -> None:
+    servers = RosterServers(job.plan, job.seed)
+    _write(ServersReady(await servers.open()))
+    if begin_line := await lines.readline():
+        running = asyncio.create_task(servers.run(decode_line(begin_line, float)))
+        await lines.readline()  # until it is told to end, or its parent has gone
+        running.cancel()
+        with contextlib.suppress(asyncio.CancelledError):
+            await running
+        _write(servers.result())
 
-def _say(value: Any) -> None:
-    sys.stdout.write(json.dumps(value) + "\n")
-    sys.stdout.flush()
 
+async def _run_relay(job: RelayJob, lines: asyncio.StreamReader) -> None:
+    relay = await DatagramRelay(job.target, job.conditions, job.seed).open()
+    _write(RelayReady(relay.address[1]))
+    await lines.read()
 
-async def _lines() -> asyncio.StreamReader:
-    reader = asyncio.StreamReader(limit=16 * 1024 * 1024)
+
+async def _open_input() -> asyncio.StreamReader:
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
 
 
-async def work() -> None:
-    """Be what the first line asks for."""
-    lines = await _lines()
-    told = json.loads(await lines.readline())
-    match told["role"]:
-        case "offices":
-            plan = msgspec.convert(told["plan"], LoadPlan)
-            places = {Transport(name): (host, port) for name, (host, port) in told["places"].items()}
-            desk = Desk(plan, told["seed"], places, told["worker"], told["workers"])
-            await desk.open()
-            _say({"ready": True})
-            if begin := await lines.readline():
-                await desk.run(json.loads(begin))
-                _say(desk.told())
-        case "rosters":
-            rosters = Rosters(msgspec.convert(told["plan"], RosterPlan), told["seed"])
-            _say({"ports": await rosters.open()})
-            if begin := await lines.readline():
-                running = asyncio.create_task(rosters.run(json.loads(begin)))
-                await lines.readline()  # until it is told to end, or its parent has gone
-                running.cancel()
-                _say(rosters.told())
-        case "relay":
-            weather = msgspec.convert(told["weather"], DatagramConditions)
-            relay = await Relay(tuple(told["target"]), weather, told["seed"]).open()
-            _say({"port": relay.place[1]})
-            await lines.read()
+def _write(message: object) -> None:
+    sys.stdout.buffer.write(encode_line(message))
+    sys.stdout.buffer.flush()
 
 
 if __name__ == "__main__":
-    uvloop.run(work())
+    uvloop.run(run_job())
--- a/stairhatch/scale_test/clock.py
+++ b/stairhatch/scale_test/clock.py
@@ -180,11 +180,11 @@
 
     def trip_s(self, one: int, other: int) -> float:
         """One way, without jitter."""
-        return self._way(one, other).weather.delay_ms / 1000
+        return self._way(one, other).conditions.delay_ms / 1000
 
     def datagram(self, one: int, other: int, arrive: Callable[[], None]) -> None:
         """A datagram on its way."""
-        fate = self._way(one, other).fate()
+        fate = self._way(one, other).draw_delays_s()
         if self.cuts and self.cut_until(one, other):
             return
         for after in fate:
@@ -192,7 +192,7 @@
 
     def delay(self, one: int, other: int) -> float:
         """How long a piece of a stream takes: what is lost is sent again, and through a cut after its end."""
-        fate, delay = self._way(one, other).fate(), 0.0
+        fate, delay = self._way(one, other).draw_delays_s(), 0.0
         if not fate:
             delay, fate = RESEND_S, (self.trip_s(one, other),)
         if self.cuts and (until := self.cut_until(one, other)):
--- a/stairhatch/scale_test/keep.py
+++ b/stairhatch/scale_test/keep.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from stairhatch.load_test.experiment import commit_now
+from stairhatch.load_test.experiment_results import current_commit
 from stairhatch.scale_test.plan import SimulatedCallResult
 from stairhatch.scale_test.run import ScaleResult
 
@@ -70,7 +70,7 @@
     """Write JSON, table and chart into a folder of the run's name; returns it."""
     where = folder / result.plan.name
     where.mkdir(parents=True, exist_ok=True)
-    commit = commit_now()
+    commit = current_commit()
     run: dict[str, Any] = {
         "commit": commit, "command": command, "machine": result.machine, "real": result.real,
         "compared": result.compared, "broken": result.broken,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,6 +12,7 @@
 import sys
 from typing import Any
 
+import msgspec
 import pytest
 
 from stairhatch.emulators.observations import ObservationKind
@@ -23,25 +24,35 @@
     SetupAdmission,
 )
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
-from stairhatch.load_test import experiment as exp
+from stairhatch.load_test.arrivals import CallSource, ScheduledCall, call_sources, scheduled_calls
 from stairhatch.load_test.call_rules import CallObservation, CallRuleChecker
-from stairhatch.load_test.caller_behaviour import Throttle, Try, redial_after
+from stairhatch.load_test.caller_behaviour import (
+    CallInProgress,
+    OverloadParameters,
+    OverloadThrottle,
+    RetryPolicy,
+)
 from stairhatch.load_test.datagram_conditions import DatagramConditions, DatagramLink
+from stairhatch.load_test.errors import LoadPlanError, LoadRunError
+from stairhatch.load_test.experiment import planned_runs, read_experiment
+from stairhatch.load_test.experiment_results import keep_results
+from stairhatch.load_test.experiment_run import run_experiment
 from stairhatch.load_test.load_plan import (
-    DueCall,
-    Habits,
-    Kind,
-    Office,
-    PlanError,
+    CallerBehaviour,
+    LoadClass,
     Transport,
-    calls,
-    offices,
-    plan_from,
-    read_plan,
+    parse_load_plan,
+    read_load_plan,
+)
+from stairhatch.load_test.load_run import (
+    LoadRunResult,
+    LoadSetup,
+    OperatorSignal,
+    check_loopback,
+    run_load,
 )
-from stairhatch.load_test.load_run import LoadError, OperatorCommand, Setup, on_this_machine, run
-from stairhatch.load_test.load_tally import LoadTally
-from stairhatch.load_test.roster_servers import RosterPlan, Trouble
+from stairhatch.load_test.load_tally import CallOutcome, LoadTally, TallySnapshot
+from stairhatch.load_test.server_plan import ServerFault, ServerFaultKind, ServerPlan
 
 from .support.paths import ROOT
 
@@ -52,7 +63,7 @@
 
 
 def load(**more):
-    return plan_from({"phase": [{"seconds": 20.0, "rate": 50.0}], "kind": KINDS, "offices": 6, **more})
+    return parse_load_plan({"phase": [{"seconds": 20.0, "rate": 50.0}], "kind": KINDS, "offices": 6, **more})
 
 
 # ---- when calls are due ----
@@ -61,12 +72,13 @@
 def test_the_same_seed_draws_the_same_calls_however_many_processes_place_them():
     """Guards against a load that changes with the machine it runs on."""
     plan = load()
-    whole = list(calls(plan, 3))
-    parts = [due for worker in range(4) for due in calls(plan, 3, worker, 4)]
-    assert sorted(parts, key=lambda due: due.serial) == whole and whole != list(calls(plan, 4))
+    whole = list(scheduled_calls(plan, 3))
+    parts = [due for worker in range(4) for due in scheduled_calls(plan, 3, worker, 4)]
+    assert sorted(parts, key=lambda due: due.serial) == whole and whole != list(scheduled_calls(plan, 4))
     assert [due.serial for due in whole] == list(range(len(whole)))
     assert (
-        900 < len(whole) < 1100 and 0.2 < sum(d.kind.name == "save-roster" for d in whole) / len(whole) < 0.3
+        900 < len(whole) < 1100
+        and 0.2 < sum(d.load_class.name == "save-roster" for d in whole) / len(whole) < 0.3
     )
 
 
@@ -78,19 +90,24 @@
     ]
     plan = load(phase=phases, burst=[{"at": 4, "seconds": 2, "times": 3}])
     assert [plan.rate(at) for at in (0, 3, 5, 10, 15, 20)] == [10, 16, 60, 10, 30, 0]
-    assert plan.most() >= max(plan.rate(at / 10) for at in range(200))
-    inside = [due.at for due in calls(plan, 1) if 4 <= due.at < 6]
+    assert plan.rate_bound() >= max(plan.rate(at / 10) for at in range(200))
+    inside = [due.at_s for due in scheduled_calls(plan, 1) if 4 <= due.at_s < 6]
     assert 80 < len(inside) < 150
 
 
 def test_offices_have_their_habits_in_the_shares_told():
     """Guards against a share that rounds away: one office in ten that lies is one of ten."""
-    found = offices(load(offices=10, tcp=0.3, habits={"oc": 0.4, "oc_lies": 0.1, "obeys": 0.5}))
+    found = call_sources(load(offices=10, tcp=0.3, habits={"oc": 0.4, "oc_lies": 0.1, "obeys": 0.5}))
     assert sum(each.transport is Transport.TCP for each in found) == 3
-    assert sum(each.oc for each in found) == 5 and sum(each.oc_lies for each in found) == 1
-    assert sum(each.obeys for each in found) == 5 and all(each.oc for each in found if each.oc_lies)
-    heavy = list(calls(load(offices=10, heavy=20.0), 1))
-    assert 0.6 < sum(due.office == 0 for due in heavy) / len(heavy) < 0.78
+    assert (
+        sum(each.offers_overload_control for each in found) == 5
+        and sum(each.ignores_overload_control for each in found) == 1
+    )
+    assert sum(each.obeys_retry_after for each in found) == 5 and all(
+        each.offers_overload_control for each in found if each.ignores_overload_control
+    )
+    heavy = list(scheduled_calls(load(offices=10, heavy=20.0), 1))
+    assert 0.6 < sum(due.source == 0 for due in heavy) / len(heavy) < 0.78
 
 
 @pytest.mark.parametrize(
@@ -107,15 +124,15 @@
     """Guards against a mistyped key that changes the load without a word."""
     path = tmp_path / "x.toml"
     path.write_text(text)
-    with pytest.raises(PlanError, match=place) as error:
-        read_plan(path)
+    with pytest.raises(LoadPlanError, match=place) as error:
+        read_load_plan(path)
     assert str(path) in str(error.value)
 
 
 # ---- callers ----
 
-KIND = Kind("read-roster", 1.0, "1000")
-DUE = DueCall(0.0, 0, 0, KIND, 1.0, False, False)
+KIND = LoadClass("read-roster", 1.0, "1000")
+DUE = ScheduledCall(0.0, 0, 0, KIND, 1.0, False, False)
 
 
 @pytest.mark.parametrize(
@@ -125,28 +142,37 @@
 )  # fmt: skip
 def test_a_refused_caller_returns_when_it_is_told_or_not_at_all(tries, return_s, obeys, least, most):
     """Guards against callers kinder or ruder than their share says."""
-    office, chance = Office(0, Transport.UDP, obeys, False, False), random.Random(5)
-    wait = redial_after(Try(DUE, 100.0, tries), 100.2, return_s, office, Habits(redials=2), chance)
+    policy = RetryPolicy(
+        source=CallSource(0, Transport.UDP, obeys, False, False),
+        behaviour=CallerBehaviour(max_retries=2),
+        rng=random.Random(5),
+    )
+    wait = policy.delay_s(CallInProgress(DUE, 100.0, tries), 100.2, return_s)
     assert (wait is None) is (least is None)
     assert wait is None or least <= wait <= most
 
 
+def parameters(value, algorithm, validity_s, sequence):
+    return OverloadParameters(value=value, algorithm=algorithm, validity_s=validity_s, sequence=sequence)
+
+
 def test_overload_control_holds_for_its_time_and_an_older_word_counts_for_nothing():
     """Guards against a caller that never sends again, or obeys what was overtaken (RFC 7339, 5.5)."""
     chance = random.Random(1)
-    good = Throttle(Office(0, Transport.UDP, True, True, False))
+    good = OverloadThrottle(CallSource(0, Transport.UDP, True, True, False))
     assert good.may_send(100.0, chance)
-    good.told(100.0, 50.0, "loss", 1000.0, 2.0)
-    good.told(100.1, 100.0, "loss", 9000.0, 1.0)
+    good.parameters_received(100.0, parameters(50.0, "loss", 1.0, 2.0))
+    good.parameters_received(100.1, parameters(100.0, "loss", 9.0, 1.0))
     sent = sum(good.may_send(100.5, chance) for _ in range(400))
-    assert 150 < sent < 250 and good.held == 400 - sent and good.may_send(101.1, chance)
-    good.told(102.0, 10.0, "rate", 5000.0, 3.0)
+    assert 150 < sent < 250 and good.withheld_count == 400 - sent and good.may_send(101.1, chance)
+    good.parameters_received(102.0, parameters(10.0, "rate", 5.0, 3.0))
     assert 29 <= sum(good.may_send(102.0 + n / 100, chance) for n in range(300)) <= 32
     liar, deaf = (
-        Throttle(Office(0, Transport.UDP, True, oc, lies)) for oc, lies in ((True, True), (False, False))
+        OverloadThrottle(CallSource(0, Transport.UDP, True, oc, lies))
+        for oc, lies in ((True, True), (False, False))
     )
     for each in (liar, deaf):
-        each.told(100.0, 100.0, "loss", 9000.0, 1.0)
+        each.parameters_received(100.0, parameters(100.0, "loss", 9.0, 1.0))
         assert each.may_send(100.1, chance)
 
 
@@ -262,22 +288,32 @@
     """Guards against runs that can't be repeated."""
     clear, rough = (
         DatagramConditions(delay_ms=5.0),
-        DatagramConditions(loss=0.2, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0),
+        DatagramConditions(
+            loss=0.2, duplication=0.1, delay_ms=5.0, reordering=0.1, reordering_delay_ms=100.0
+        ),
     )
     ways = [DatagramLink(weather, random.Random(9)) for weather in (rough, rough, clear)]
-    told = [[way.fate() for _ in range(2000)] for way in ways]
+    told = [[way.draw_delays_s() for _ in range(2000)] for way in ways]
     assert (
         told[0] == told[1]
         and set(told[2]) == {(0.005,)}
-        and clear.clear is False
-        and DatagramConditions().clear
+        and clear.is_perfect is False
+        and DatagramConditions().is_perfect
+    )
+    assert (
+        340 < told[0].count(()) < 460
+        and 120 < ways[0].duplicated_count < 220
+        and 120 < ways[0].reordered_count < 220
     )
-    assert 340 < told[0].count(()) < 460 and 120 < ways[0].copied < 220 and 120 < ways[0].late < 220
     drier = DatagramLink(
-        DatagramConditions(loss=0.1, copies=0.1, delay_ms=5.0, late=0.1, late_ms=100.0), random.Random(9)
+        DatagramConditions(
+            loss=0.1, duplication=0.1, delay_ms=5.0, reordering=0.1, reordering_delay_ms=100.0
+        ),
+        random.Random(9),
     )
     assert all(
-        other in ((), one) for one, other in zip((drier.fate() for _ in range(2000)), told[0], strict=True)
+        other in ((), one)
+        for one, other in zip((drier.draw_delays_s() for _ in range(2000)), told[0], strict=True)
     )
 
 
@@ -291,8 +327,8 @@
     CallObservation(1.2, ObservationKind.REJECTED, "c", "r1"),
     CallObservation(1.21, ObservationKind.SETUP_RECEIVED, "c", "r0"),
     CallObservation(1.3, ObservationKind.ESTABLISHED, "c", "r0"),
-    CallObservation(1.31, ObservationKind.FINAL_RESPONSE, "c", value=200, text="a"),
-    CallObservation(1.9, ObservationKind.FINAL_RESPONSE, "c", value=200, text="a"),
+    CallObservation(1.31, ObservationKind.FINAL_RESPONSE, "c", status=200, told_apart_by="a"),
+    CallObservation(1.9, ObservationKind.FINAL_RESPONSE, "c", status=200, told_apart_by="a"),
     CallObservation(5.0, ObservationKind.CALLER_HUNG_UP, "c"),
     CallObservation(5.01, ObservationKind.RELEASE_RECEIVED, "c", "r0"),
 ]
@@ -308,11 +344,19 @@
         (KEPT, []),
         (changed(7, 8, 9, 10), ["answer"]),
         (
-            changed(more=[CallObservation(2.0, ObservationKind.FINAL_RESPONSE, "c", value=503, text="b")]),
+            changed(
+                more=[
+                    CallObservation(2.0, ObservationKind.FINAL_RESPONSE, "c", status=503, told_apart_by="b")
+                ]
+            ),
             ["answer"],
         ),
         (
-            changed(more=[CallObservation(2.0, ObservationKind.FINAL_RESPONSE, "c", value=200, text="b")]),
+            changed(
+                more=[
+                    CallObservation(2.0, ObservationKind.FINAL_RESPONSE, "c", status=200, told_apart_by="b")
+                ]
+            ),
             ["answer"],
         ),
         (changed(0), ["answer"]),
@@ -386,13 +430,14 @@
     one, two = LoadTally(), LoadTally()
     for tally, count, late_s in ((one, 300, 0.001), (two, 10, 0.4)):
         for number in range(count):
-            tally.asked(KIND, number / 10, late_s)
-            tally.ended(KIND, number / 10, "stood", 0.2 if number % 2 else 2.0)
-    assert not one.void() and "late" in two.void() and LoadTally().void()
+            tally.call_offered(KIND, number / 10, late_s)
+            tally.call_ended(KIND, number / 10, CallOutcome.ESTABLISHED, 0.2 if number % 2 else 2.0)
+    assert not one.void_reason() and "late" in two.void_reason() and LoadTally().void_reason()
     whole = LoadTally()
     for each in (one, two):
-        whole.add(json.loads(json.dumps(each.told())))
-    assert whole.counts["asked"] == 310 and whole.worth == 310 and whole.earned == 155 and whole.void()
+        whole.add(msgspec.json.decode(msgspec.json.encode(each.snapshot()), type=TallySnapshot))
+    assert whole.counts["asked"] == 310 and whole.weight_offered == 310
+    assert whole.weight_earned == 155 and whole.void_reason()
     assert whole.figures(30.0)["in_time_a_second"] == pytest.approx(155 / 30)
     assert whole.figures(30.0)["stood_p99_ms"] == pytest.approx(2000, rel=0.02)
 
@@ -410,14 +455,14 @@
         cuts=[3.0],
         habits={"vanish": 0.05, "cancels": 0.05, "cancel_s": 0.3, "oc": 0.3, "oc_lies": 0.2},
     )
-    rosters = RosterPlan(
-        count=2, set_up_ms=5.0, trouble=(Trouble(1.0, 0, "hang"), Trouble(4.0, 0, "recover"))
-    )
-    weather = DatagramConditions(loss=0.1, copies=0.1, jitter_ms=5.0)
-    orders = (OperatorCommand(2.0, signal.SIGHUP), OperatorCommand(2.5, signal.SIGUSR1))
-    report = run(Setup(plan, 2, 2, rosters=rosters, weather=weather, orders=orders))
-    assert report.checked and [each.line() for each in report.broken] == []
-    assert report.tally.counts["stood"] > 50 and report.program["counters"]["reloads"] == 1
+    faults = (ServerFault(1.0, 0, ServerFaultKind.HANG), ServerFault(4.0, 0, ServerFaultKind.RECOVER))
+    servers = ServerPlan(count=2, setup_ms=5.0, faults=faults)
+    conditions = DatagramConditions(loss=0.1, duplication=0.1, jitter_ms=5.0)
+    signals = (OperatorSignal(2.0, signal.SIGHUP), OperatorSignal(2.5, signal.SIGUSR1))
+    result = run_load(LoadSetup(plan, 2, 2, servers=servers, conditions=conditions, signals=signals))
+    assert result.is_checked and [each.line() for each in result.violations] == []
+    assert result.tally.counts["stood"] > 50
+    assert result.usage is not None and result.usage.counters["reloads"] == 1
 
 
 def test_the_command_tells_a_load_that_cannot_be_run(tmp_path):
@@ -427,8 +472,8 @@
     command = [sys.executable, "-m", "stairhatch", "load", str(path)]
     done = subprocess.run([*command, "--udp", "192.0.2.1:5060"], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 2 and "no load goes elsewhere" in done.stderr
-    with pytest.raises(LoadError):
-        on_this_machine(("example.org", 5060))
+    with pytest.raises(LoadRunError):
+        check_loopback(("example.org", 5060))
     done = subprocess.run([*command, "--tcp", "127.0.0.1:9"], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 2 and "over udp" in done.stderr
 
@@ -452,8 +497,8 @@
         '[[side]]\nname = "a"\n[[side]]\nname = "b"\n'
         "[load]\noffices = 2\n[[load.phase]]\nseconds = 1\nrate = 1\n"
     )
-    told = exp.read_experiment(path)
-    assert [(r, n, s.name) for r, n, s in exp.order(told)][:4] == [
+    told = read_experiment(path)
+    assert [(each.rate, each.repeat, each.side.name) for each in planned_runs(told)][:4] == [
         (10, 0, "a"), (10, 0, "b"), (10, 1, "b"), (10, 1, "a"),
     ]  # fmt: skip
     drawn = []
@@ -461,16 +506,14 @@
     def one(setup):
         drawn.append((setup.seed, setup.plan.rate(1.0)))
         tally = LoadTally()
-        for due in calls(setup.plan, setup.seed):
-            tally.asked(due.kind, due.at, 0.5 if len(drawn) == 1 else 0.0)
-            tally.ended(due.kind, due.at, "stood", 0.1)
-        from stairhatch.load_test.load_run import Report
-
-        return Report(tally, setup.plan.seconds, [], [], {}, True)
+        for due in scheduled_calls(setup.plan, setup.seed):
+            tally.call_offered(due.load_class, due.at_s, 0.5 if len(drawn) == 1 else 0.0)
+            tally.call_ended(due.load_class, due.at_s, CallOutcome.ESTABLISHED, 0.1)
+        return LoadRunResult(tally=tally, seconds=setup.plan.seconds, is_checked=True)
 
-    runs = exp.carry_out(told, one=one)
+    runs = run_experiment(told, run_one=one)
     assert len(runs) == 8 and drawn[0] == drawn[1] == (1, 10) and drawn[2] == (2, 10)
-    where = exp.keep(told, runs, tmp_path / "out", "a command")
+    where = keep_results(told, runs, tmp_path / "out", "a command")
     text = (where / "table.md").read_text()
     assert "Void runs: 1 of 8" in text and "| 20 | b |" in text
     assert len(json.loads((where / "experiment.json").read_text())["runs"]) == 8
