--- a/stairhatch/cli/demo.py
+++ b/stairhatch/cli/demo.py
@@ -22,8 +22,15 @@
     """Run the appliance with two emulated roster servers and a few calls a second, and print what happens."""
     import uvloop
 
-    from stairhatch.demo.run import Demo, demonstrate
-
-    users = os.path.abspath(auth) if auth else ""
+    from stairhatch.demo.config import DemoOptions
+    from stairhatch.demo.demonstration import run_demonstration
+
+    options = DemoOptions(
+        udp=udp,
+        tcp=tcp,
+        calls_per_s=0.0 if quiet else rate,
+        seconds=seconds,
+        users_file=os.path.abspath(auth) if auth else "",
+    )
     with failing_with(EXIT_UNUSABLE, ConfigError):
-        sys.exit(uvloop.run(demonstrate(Demo(udp, tcp, 0.0 if quiet else rate, seconds, users), click.echo)))
+        sys.exit(uvloop.run(run_demonstration(options, click.echo)))
--- a/stairhatch/demo/__init__.py
+++ b/stairhatch/demo/__init__.py
@@ -1,4 +1,5 @@
-"""The demonstration: the appliance on an embedded configuration, two stand-in roster servers and a few
-callers, all in one process, so that a new user sees calls on a fresh clone. It must never be what an
-installation runs.
+"""The demonstration: a new user sees calls on a fresh clone.
+
+The appliance, on an embedded configuration (`config`), two emulated roster servers and a few callers
+(`callers`) run in one process (`demonstration`). No installation runs this.
 """
--- /dev/null
+++ b/stairhatch/demo/config.py
@@ -0,0 +1,74 @@
+"""The options of the demonstration, and its embedded configuration."""
+
+from __future__ import annotations
+
+import os
+from dataclasses import dataclass
+
+from stairhatch.config.appliance.reader import parse_appliance
+from stairhatch.config.model import Config
+from stairhatch.emulators.ports import Address
+from stairhatch.node.address import format_address
+
+DEFAULT_LISTEN = "127.0.0.1:5060"
+TEMPLATE = """\
+name = "demo"
+[sip]
+{listeners}
+default_class = "read-roster"
+restart_wait_s = 1.0
+[[sip.numbers]]
+prefix = "7"
+class = "save-roster"
+first_choice = 0
+{servers}
+[settings]
+[[settings.classes]]
+name = "read-roster"
+aim_s = 1.5
+hard_limit_s = 9.0
+late_worth = 0.25
+[[settings.classes]]
+name = "save-roster"
+aim_s = 1.5
+hard_limit_s = 9.0
+importance = 3.0
+late_worth = 0.1
+[settings.family_info]
+clear_wait_s = 0.5
+[settings.permissions]
+send_cap = 6
+cancel = true
+max_retry_after_s = 2.0
+[settings.load_report]
+names = ["free", "size", "mean_ms", "can_take"]
+"""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class DemoOptions:
+    """What the demonstration is told on the command line."""
+
+    udp: str = DEFAULT_LISTEN  # host:port; empty: it does not listen there
+    tcp: str = DEFAULT_LISTEN  # the same
+    calls_per_s: float = 3.0  # 0: none are placed
+    seconds: float = 0.0  # 0: until it is interrupted
+    users_file: str = ""  # where it is named, only its users may call
+    seed: int = 1
+
+
+def demo_config(options: DemoOptions, server_addresses: list[Address]) -> Config:
+    """Return the embedded configuration, read as any file is. Raises ConfigError."""
+    listeners = [f'{name} = "{at}"' for name, at in (("udp", options.udp), ("tcp", options.tcp)) if at]
+    servers = [_server_entry(index, address) for index, address in enumerate(server_addresses)]
+    text = TEMPLATE.format(listeners="\n".join(listeners), servers="\n".join(servers))
+    if options.users_file:
+        text += f'\n[sip.auth]\nusers = "{options.users_file}"\nrealm = "stairhatch"\n'
+    return parse_appliance(text, os.path.join(os.getcwd(), "demo"), {})
+
+
+def _server_entry(index: int, address: Address) -> str:
+    return (
+        f'[[servers]]\nname = "stand-in-{index + 1}"\n'
+        f'address = "{format_address(address)}"\nnumber = {index}'
+    )
