--- /dev/null
+++ b/tests/test_emulators.py
@@ -0,0 +1,178 @@
+"""Emulated servers and callers: what a server's processor can bear, and what is recorded of connections."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+from typing import Any
+
+import pytest
+import uvloop
+
+from stairhatch.emulators.caller_emulator import CallerEmulator
+from stairhatch.emulators.observations import ObservationKind
+from stairhatch.emulators.processor import (
+    COST_PER_CALL,
+    Processor,
+    ProcessorProfile,
+    ProcessorState,
+    SetupAdmission,
+)
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
+
+# Numbers, by what an emulated server does with them (stairhatch.emulators.scripted_replies).
+NEVER_ANSWERED, PROGRESS_ONLY, ESTABLISHED, REJECTED = "1201", "1602", "1003", "1704"
+SETUP_S = 0.1
+
+
+def processor(**profile: float) -> Processor:
+    return Processor(ProcessorProfile(setup_s=SETUP_S, **profile), random.Random(1))
+
+
+# ---- a server's processor ----
+
+
+def test_a_processor_answers_in_turn_rejects_beyond_its_queue_and_reports_both():
+    """An emulated server does not bear any load at once: overload shows."""
+    busy = processor(max_queue_delay_s=1.0, load_report_error=0.0, retransmission_interval_s=0)
+
+    admissions = [busy.offer(100.0, f"c{serial}") for serial in range(20)]
+    queued = admissions.count(SetupAdmission.QUEUED)
+    completed = []
+    while (due_at := busy.next_completion_at()) is not None:
+        completed += busy.take_completed(due_at)
+
+    assert 7 <= queued <= 9
+    assert admissions[queued:] == [SetupAdmission.REJECTED] * (20 - queued)
+    assert busy.rejected_count == 20 - queued
+    assert busy.wasted_work_s > 0
+    assert completed == [f"c{serial}" for serial in range(queued)]
+    load = busy.report_load(100.0)
+    assert load.queue_delay_s > 1.0
+    assert load.calls_per_s == pytest.approx(10 / COST_PER_CALL)
+    assert busy.report_load(100.1) == load, "reports are refreshed now and then"
+    assert busy.report_load(200.0).queue_delay_s == 0.0
+
+
+def test_an_abandoned_setup_is_worked_on_and_not_answered():
+    """A CANCEL is not free to a server."""
+    server = processor(retransmission_interval_s=0)
+    server.offer(100.0, "a")
+    server.offer(100.0, "b")
+
+    server.release(100.01, "a")
+
+    assert server.take_completed(101.0) == ["b"]
+    assert server.wasted_work_s == pytest.approx(SETUP_S)
+
+
+@pytest.mark.parametrize(("rate", "crashes"), [(2.0, False), (12.0, True)])
+def test_a_cold_server_that_gets_too_much_crashes_and_stays_down(rate, crashes):
+    """What the fourth safety rule forbids is not forgiven; set-ups that are rejected count."""
+    cold = processor(initial_capacity_fraction=0.3, warm_up_s=14.0)
+    cold.start_cold(100.0)
+
+    admissions = [cold.offer(100.0 + serial / rate, f"c{serial}") for serial in range(int(3 * rate))]
+    cold.recover(200.0)
+
+    assert (cold.state is ProcessorState.CRASHED) is crashes
+    assert (SetupAdmission.DOWN in admissions) is crashes
+    assert (cold.offer(200.0, "x") is SetupAdmission.DOWN) is crashes
+
+
+def test_a_hung_server_takes_setups_answers_none_and_forgets_them():
+    """Silence does not end in a burst of answers to calls that were given up long ago."""
+    server = processor()
+    server.hang()
+
+    assert server.offer(100.0, "a") is SetupAdmission.IGNORED
+    assert server.next_completion_at() is None
+
+    server.recover(105.0)
+
+    assert server.offer(105.0, "b") is SetupAdmission.QUEUED
+    assert server.take_completed(106.0) == ["b"]
+
+
+# ---- a server's record ----
+
+
+class StoppedClock:
+    """Timers of a server whose delayed replies and load reports never come."""
+
+    def time(self) -> float:
+        return 0.0
+
+    def call_later(self, *_: Any) -> None:
+        pass
+
+    call_at = call_later
+
+
+class DiscardingTransport(asyncio.Transport):
+    """What a server writes is read by nobody."""
+
+    def write(self, data: Any) -> None:
+        pass
+
+
+def connect(server: ServerEmulator) -> ServerEmulatorConnection:
+    connection = ServerEmulatorConnection(server)
+    connection.connection_made(DiscardingTransport())
+    return connection
+
+
+def line_of(verb: str, tag: str, **options: str) -> bytes:
+    return json.dumps({"verb": verb, "tag": tag, "opts": options}).encode() + b"\n"
+
+
+@pytest.mark.parametrize("error", [None, ConnectionResetError()], ids=["closed", "reset"])
+def test_a_setup_is_broken_where_the_softswitch_ends_its_connection_and_an_established_call_is_not(error):
+    """No attempt stays open in the record though the softswitch has ended its connection.
+
+    The next attempt of that call would break the rule of one attempt out.
+    """
+    server = ServerEmulator(timers=StoppedClock())
+    observed: list[tuple[ObservationKind, str]] = []
+    server.observer = lambda kind, number: observed.append((kind, number))
+    first, second = connect(server), connect(server)
+    for tag, number in (("a", NEVER_ANSWERED), ("b", PROGRESS_ONLY), ("c", ESTABLISHED), ("d", REJECTED)):
+        first.data_received(line_of("START", tag, key=number))
+    second.data_received(line_of("START", "e", key=NEVER_ANSWERED))
+    observed.clear()
+
+    first.connection_lost(error)
+    second.data_received(line_of("FINISH", "c"))
+
+    assert observed == [
+        (ObservationKind.CONNECTION_LOST, NEVER_ANSWERED),
+        (ObservationKind.CONNECTION_LOST, PROGRESS_ONLY),
+        (ObservationKind.RELEASE_RECEIVED, ESTABLISHED),
+    ]
+
+
+# ---- a caller's connection ----
+
+
+def test_a_caller_that_is_reconnecting_may_place_calls():
+    """A call that is due between two connections does not end the process that places it.
+
+    On uvloop, whose closed transports raise where asyncio's do not.
+    """
+
+    async def place_while_reconnecting() -> int:
+        loop = asyncio.get_running_loop()
+        server = await loop.create_server(asyncio.Protocol, "127.0.0.1", 0)
+        address = server.sockets[0].getsockname()
+        caller = await CallerEmulator.over_tcp(address, "c", 1)
+        reconnecting = asyncio.create_task(caller.reconnect(address))
+        while not reconnecting.done():
+            caller.place("1000", 0.0, loop.time(), lambda *_: None)
+            await asyncio.sleep(0)
+        await reconnecting
+        caller.close()
+        server.close()
+        return len(caller.calls)
+
+    assert uvloop.run(place_while_reconnecting()) > 1
