--- /dev/null
+++ b/stairhatch/load_test/roster_servers.py
@@ -0,0 +1,87 @@
+"""The emulated roster servers of a load: what happens to them, and the record of what they observed."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+
+from stairhatch.emulators.observations import ObservationKind
+from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
+from stairhatch.emulators.server_emulator import ServerEmulator, ServerObserver
+from stairhatch.load_test.event_loop_stall import EventLoopStall
+from stairhatch.load_test.server_plan import ServerFault, ServerFaultKind, ServerPlan
+from stairhatch.load_test.worker_messages import ServerRecord, ServersResult, ServerSummary
+
+LINES = 100_000  # of each server: never the limit
+SEED_FACTOR = 31  # so that seeds of runs and servers do not meet
+
+
+class RosterServers:
+    """The servers at work."""
+
+    def __init__(self, plan: ServerPlan, seed: int) -> None:
+        """Prepare the servers; none listens yet."""
+        self.plan = plan
+        self.record: list[ServerRecord] = []
+        self.stall = EventLoopStall()
+        profile = ProcessorProfile(setup_s=plan.setup_ms / 1000, max_queue_delay_s=plan.max_queue_delay_s)
+        self.processors = [
+            Processor(profile, random.Random(seed * SEED_FACTOR + index)) for index in range(plan.count)
+        ]
+        self.servers = [ServerEmulator(lines=LINES, processor=each) for each in self.processors]
+        for index, server in enumerate(self.servers):
+            server.observer = self._observer(f"r{index}")
+
+    def _observer(self, name: str) -> ServerObserver:
+        def observe(kind: ObservationKind, number: str) -> None:
+            self.record.append(ServerRecord(time.monotonic(), kind, number, name))
+
+        return observe
+
+    async def open(self) -> list[int]:
+        """Listen, and return the ports."""
+        return [(await server.listen()).address[1] for server in self.servers]
+
+    async def run(self, begin_at: float) -> None:
+        """Inject the faults, and watch how late this process notes what comes. It never returns.
+
+        `begin_at` is in the machine's monotonic seconds.
+        """
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self.stall.watch())
+            for fault in sorted(self.plan.faults, key=lambda each: each.at_s):
+                await asyncio.sleep(max(0.0, begin_at + fault.at_s - time.monotonic()))
+                if fault.server < len(self.servers):
+                    await self._inject(fault)
+
+    async def _inject(self, fault: ServerFault) -> None:
+        server, processor = self.servers[fault.server], self.processors[fault.server]
+        now = asyncio.get_running_loop().time()
+        match fault.kind:
+            case ServerFaultKind.SLOW_DOWN:
+                processor.slowdown = fault.slowdown
+            case ServerFaultKind.HANG:
+                processor.hang()
+            case ServerFaultKind.RECOVER:
+                processor.slowdown = 1.0
+                processor.recover(now)
+            case ServerFaultKind.START_COLD:
+                server.abort_connections()
+                processor.start_cold(now)
+            case ServerFaultKind.DRAIN:
+                processor.state = ProcessorState.DRAINING
+            case ServerFaultKind.GO_DOWN:
+                await server.close()
+                processor.state = ProcessorState.GONE
+            case ServerFaultKind.COME_UP:
+                processor.start_cold(now)
+                await server.listen(*server.address)
+
+    def result(self) -> ServersResult:
+        """Return what came of the servers."""
+        summaries = [
+            ServerSummary(each.state.value, each.rejected_count, each.wasted_work_s)
+            for each in self.processors
+        ]
+        return ServersResult(self.record, self.stall.longest_s, summaries)
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -97,9 +97,9 @@
         """Return what has been used up to now."""
         counters = self.counters()
         return UsageTotals(
-            setups=sum(server.emulator.set_ups for server in self.servers),
-            list_messages=sum(each.list.asked for each in self.coordinators),
-            list_bytes=sum(each.list.asked_bytes + each.list.told_bytes for each in self.coordinators),
+            setups=sum(server.emulator.setup_count for server in self.servers),
+            list_messages=sum(each.list.poll_count for each in self.coordinators),
+            list_bytes=sum(each.list.poll_bytes + each.list.answer_bytes for each in self.coordinators),
             lease_messages=counters["fleet_sent"],
             lease_bytes=counters["fleet_sent_bytes"],
             connection_bytes=self.context.network.connection_bytes,
