--- a/tests/support/sip_layers.py
+++ b/tests/support/sip_layers.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from hypothesis import HealthCheck, settings
 
 from stairhatch.node import sip_message as sip
@@ -23,17 +25,21 @@
 
 
 class ManualClock:
-    """A clock set by hand and its timers."""
+    """A clock set by hand with its timers and counters; the `TransactionContext` of a test."""
 
-    def __init__(self):
-        self.now, self.pending, self.counters = 100.0, [], Counters()
+    def __init__(self) -> None:
+        self.now = 100.0
+        self.pending: list[tuple[float, int, Callable[[], None]]] = []
+        self.counters = Counters()
         self.clock = lambda: self.now
         self.timers = self
 
-    def schedule(self, due, act):
-        self.pending.append((due, len(self.pending), act))
+    def schedule(self, due: float, callback: Callable[[], None]) -> None:
+        """Have a callback called once that time has come."""
+        self.pending.append((due, len(self.pending), callback))
 
-    def run(self, seconds):
+    def run(self, seconds: float) -> None:
+        """Let time pass, timer by timer."""
         end = self.now + seconds
         while self.pending and min(self.pending)[0] <= end:
             first = min(self.pending)
@@ -44,26 +50,34 @@
 
 
 class ByteRecordingFlow(Flow):
-    """A flow that keeps what is sent."""
+    """A flow of no port that keeps the bytes sent on it."""
 
-    def __init__(self, host="127.0.0.1", reliable=False):
-        self.peer, self.reliable, self.sent = (host, 4000), reliable, []
+    def __init__(self, host: str = "127.0.0.1", reliable: bool = False) -> None:
+        self.peer = (host, 4000)
+        self.reliable = reliable
+        self.sent: list[bytes] = []
 
-    def send(self, data):
+    def send(self, data: bytes) -> None:
+        """Record a message."""
         self.sent.append(data)
 
 
-def request_head(method="OPTIONS", branch="z9hG4bKa", call="c1", peer=("127.0.0.1", 4000)):
-    lines = sip_headers(method, "1", branch, call)
-    return RequestHead(sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(lines.items()))), peer)
+def request_head(
+    method: str = "OPTIONS",
+    branch: str = "z9hG4bKa",
+    call_id: str = "c1",
+    peer: tuple[str, int] = ("127.0.0.1", 4000),
+) -> RequestHead:
+    """The head of a plain request that came from a peer."""
+    headers = sip_headers(method, "1", branch, call_id)
+    message = sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(headers.items())))
+    return RequestHead(message, peer)
 
 
-def digest_authenticator(**more):
-    lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
+def digest_authenticator() -> tuple[digest_auth.DigestAuthenticator, ManualClock]:
+    """An authenticator with one user, and its clock."""
     clock = ManualClock()
-    told = {
-        "users": digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"]),
-        "algorithms": ("SHA-256",),
-        **more,
-    }
-    return digest_auth.DigestAuthenticator("r", told.pop("users"), b"s", clock.clock, **told), clock
+    lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
+    users = digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"])
+    authenticator = digest_auth.DigestAuthenticator("r", users, b"s", clock.clock, ("SHA-256",))
+    return authenticator, clock
--- a/tests/test_sip_digest_auth.py
+++ b/tests/test_sip_digest_auth.py
@@ -12,11 +12,11 @@
 
 
 def credentials(nonce, count, password="word", client="c"):
-    asked = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
-    kept = digest_auth.user_hash("SHA-256", "office", "r", password)
-    answer = digest_auth.hex_digest("SHA-256", f"{kept}:{nonce}:{count:08x}:{client}:auth:{asked}")
+    a2 = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
+    a1 = digest_auth.user_hash("SHA-256", "office", "r", password)
+    response = digest_auth.hex_digest("SHA-256", f"{a1}:{nonce}:{count:08x}:{client}:auth:{a2}")
     return [
-        f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{answer}", '
+        f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{response}", '
         f'algorithm=SHA-256, cnonce="{client}", qop=auth, nc={count:08x}'
     ]
 
@@ -25,10 +25,10 @@
 @given(st.lists(st.integers(0, 200), max_size=80))
 def test_a_nonce_count_is_good_once_in_any_order(counts):
     """A replay is told from a count that comes out of order over UDP."""
-    gate, _ = digest_authenticator()
-    nonce, used, highest = gate.nonce(), set(), 0
+    authenticator, _ = digest_authenticator()
+    nonce, used, highest = authenticator.nonce(), set(), 0
     for count in counts:
-        check = gate.authenticate("INVITE", "sip:7@net", credentials(nonce, count)).check
+        check = authenticator.authenticate("INVITE", "sip:7@net", credentials(nonce, count)).check
         if count in used or count == 0:
             assert check is digest_auth.CredentialCheck.REPLAYED
         elif count > highest - digest_auth.COUNT_WINDOW:
@@ -40,39 +40,41 @@
 def test_an_evicted_nonce_is_stale_and_not_good_again(monkeypatch):
     """Otherwise whoever uses many nonces could have one forgotten, and replay it."""
     monkeypatch.setattr(digest_auth, "MAX_NONCES", 3)
-    gate, clock = digest_authenticator()
-    first = gate.nonce()
+    authenticator, clock = digest_authenticator()
+    first = authenticator.nonce()
     assert (
-        gate.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
+        authenticator.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
         is digest_auth.CredentialCheck.GOOD
     )
     for _ in range(5):
         clock.now += 0.01
         assert (
-            gate.authenticate("INVITE", "sip:7@net", credentials(gate.nonce(), 1)).check
+            authenticator.authenticate("INVITE", "sip:7@net", credentials(authenticator.nonce(), 1)).check
             is digest_auth.CredentialCheck.GOOD
         )
     assert (
-        gate.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
+        authenticator.authenticate("INVITE", "sip:7@net", credentials(first, 1)).check
         is digest_auth.CredentialCheck.STALE
     )
     clock.now += 301
     assert (
-        gate.authenticate("INVITE", "sip:7@net", credentials(gate.nonce()[:-1] + "x", 1)).check
+        authenticator.authenticate(
+            "INVITE", "sip:7@net", credentials(authenticator.nonce()[:-1] + "x", 1)
+        ).check
         is digest_auth.CredentialCheck.STALE
     )
 
 
 def test_failed_attempts_leave_no_nonce_behind():
     """Guesses must not fill memory."""
-    gate, _ = digest_authenticator()
-    nonce = gate.nonce()
+    authenticator, _ = digest_authenticator()
+    nonce = authenticator.nonce()
     for count in range(1, 2000):
         assert (
-            gate.authenticate("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).check
+            authenticator.authenticate("INVITE", "sip:7@net", credentials(nonce, count, "wrong")).check
             is digest_auth.CredentialCheck.BAD
         )
-    assert gate.nonce_count == 0
+    assert authenticator.nonce_count == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -46,7 +46,7 @@
     for number in range(400):
         assert table.has_room("127.0.0.1")
         table.respond(
-            table.open(request_head(branch=f"z9hG4bK{number}", call=f"c{number}"), ByteRecordingFlow()),
+            table.open(request_head(branch=f"z9hG4bK{number}", call_id=f"c{number}"), ByteRecordingFlow()),
             200,
             "t",
         )
@@ -77,16 +77,16 @@
     """Who began a request of ours."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def provisional_received(self, status, _message):
-        self.told.append(status)
+        self.received.append(status)
 
     def final_received(self, status, _message):
-        self.told.append(status)
+        self.received.append(status)
 
     def flow_failed(self):
-        self.told.append("unreachable")
+        self.received.append("flow failed")
 
 
 @pytest.mark.parametrize(
@@ -114,23 +114,23 @@
     if status is None:
         clock.run(TIMEOUT_S - 0.1)
         assert table.transactions
-        assert not user.told
+        assert not user.received
         clock.run(0.3)
         assert not table.transactions
-        assert user.told == [408]
+        assert user.received == [408]
         clock.run(TIMEOUT_S)
-        assert user.told == [408]
+        assert user.received == [408]
         assert not clock.pending
         return
     answer = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
     assert table.response_received(answer)
-    assert user.told == [status]
+    assert user.received == [status]
     acks = [sip_parser.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
     assert [m.cseq() for m in acks] == ([(7, "ACK")] if method == "INVITE" and status >= 300 else [])
     for at in (0.0, kept_s - 0.2):
         clock.run(max(0.0, at))
         assert bool(table.transactions) is (kept_s > 0) is table.response_received(answer)
-        assert user.told == [status]
+        assert user.received == [status]
     clock.run(0.3)
     assert not table.transactions
     assert not table.response_received(answer)
