--- a/tests/test_datagram_peek.py
+++ b/tests/test_request_scan.py
@@ -1,9 +1,9 @@
-"""A look at a datagram in place of a parse."""
+"""A scan of a datagram in place of a parse, while the processor is overloaded."""
 
 from __future__ import annotations
 
 import pytest
-from hypothesis import HealthCheck, given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
 from stairhatch.node import sip_message as sip
@@ -11,13 +11,9 @@
 from stairhatch.sip.request_head import RequestHead
 from stairhatch.sip.request_scan import scan_request
 
+from .support.sip_layers import BOUNDED
 from .support.sip_messages import sip_headers
 
-BOUNDED = settings(
-    derandomize=True, max_examples=150, deadline=None, database=None,
-    suppress_health_check=[HealthCheck.too_slow],
-)  # fmt: skip
-
 
 @BOUNDED
 @given(
@@ -27,17 +23,17 @@
     st.booleans(),
     st.binary(max_size=40),
 )
-def test_a_look_tells_what_a_parse_would(method, host, rport, tag, body):
-    """Guards against a copy taken for a new call, or a new call for a copy, where the parser would know."""
-    lines = sip_headers(method, "1", "z9hG4bKlook", to_tag="t" if tag else "")
-    lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKlook{rport}"
+def test_a_scan_returns_what_a_parse_would(method, host, rport, tag, body):
+    """Otherwise a retransmission is taken for a new call, or a new call for a retransmission."""
+    lines = sip_headers(method, "1", "z9hG4bKscan", to_tag="t" if tag else "")
+    lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKscan{rport}"
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
-    seen, head = scan_request(data), RequestHead(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
-    if seen is not None:
-        assert (seen.method, seen.user, seen.transaction_key) == (method, "712", head.transaction_key)
-        assert seen.in_dialog is bool(head.to_tag)
-        assert seen.response_address(("127.0.0.1", 4000)) == head.response_address(("127.0.0.1", 4000), False)
-        answer = sip_parser.parse_datagram(seen.service_unavailable(("127.0.0.1", 4000), "mine", 3))
+    scan, head = scan_request(data), RequestHead(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
+    if scan is not None:
+        assert (scan.method, scan.user, scan.transaction_key) == (method, "712", head.transaction_key)
+        assert scan.in_dialog is bool(head.to_tag)
+        assert scan.response_address(("127.0.0.1", 4000)) == head.response_address(("127.0.0.1", 4000), False)
+        answer = sip_parser.parse_datagram(scan.service_unavailable(("127.0.0.1", 4000), "mine", 3))
         assert answer.status == 503
         assert answer.get("retry-after") == "3"
         for name in ("call-id", "cseq", "from"):
@@ -48,8 +44,8 @@
 
 @BOUNDED
 @given(st.binary(max_size=300))
-def test_a_look_at_anything_upsets_nothing(data):
-    """Guards against a datagram that stops the program before it is parsed."""
+def test_no_datagram_makes_a_scan_fail(data):
+    """It must not stop the program before it is parsed."""
     scan_request(data)
     scan_request(b"INVITE sip:7@net SIP/2.0\r\n" + data + b"\r\n\r\n")
 
@@ -57,8 +53,8 @@
 @pytest.mark.parametrize(
     "line", ["Via: SIP/2.0/UDP h;branch=z9hG4bKq\r\n ;rport", "To: <sip:7@net>", "v : SIP/2.0/UDP h"]
 )
-def test_what_is_written_otherwise_is_left_to_the_parser(line):
-    """Guards against a look at a folded Via, two To or an odd name that a parse would read otherwise."""
+def test_unusual_notation_is_left_to_the_parser(line):
+    """A folded Via, two To or an odd name could be read otherwise by a scan."""
     lines = sip_headers("INVITE")
     data = sip.request("INVITE", "sip:7@net", list(lines.items()))
     first, _, rest = data.partition(b"\r\n")
