--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -22,6 +22,7 @@
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
 from stairhatch.emulators.coordinator_emulator import endpoint_line
+from stairhatch.emulators.observations import ObservationKind
 from stairhatch.emulators.processor import Processor, ProcessorProfile, ProcessorState
 from stairhatch.fault_injection.member_process import MemberProcess
 from stairhatch.fault_injection.process_run import FaultInjectionRun
@@ -32,7 +33,7 @@
 STOPPED_AT_S, COLD_AT_S, RESUMED_AT_S, ENDS_AT_S = 10.0, 17.0, 19.0, 30.0
 LEASE_DURATION_S = 3.0
 CALLS_PER_S = 25.0  # to each softswitch
-PROFILE = ProcessorProfile(set_up_s=0.0095, warm_after_s=11.0, fall_s=1.0)
+PROFILE = ProcessorProfile(setup_s=0.0095, warm_up_s=11.0, overload_window_s=1.0)
 EARLY_S = 5.0  # after the cold start: set-ups of this time are counted
 DEFAULT_RUNS = 3
 
@@ -53,21 +54,21 @@
         text = super()._config_text(member, epoch, voters)
         index = NAMES.index(STOPPED if member.name == REPLACEMENT else member.name)
         text = text.replace("balancers = 3\n", f"balancers = 3\nme = {index}\n")
-        text = text.replace("warm_after_s = 4.0", f"warm_after_s = {PROFILE.warm_after_s}")
+        text = text.replace("warm_after_s = 4.0", f"warm_after_s = {PROFILE.warm_up_s}")
         return text if self.leased else text.replace("list = true", "list = true\nnumbers = false")
 
     async def _open(self) -> None:
         await super()._open()
         for index, server in enumerate(self.servers):
             server.processor = Processor(PROFILE, random.Random(self.seed * 31 + index))
-        observe = self.servers[1].seen
+        observe = self.servers[1].observer
 
-        def observe_setups(what: str, number: str) -> None:
-            if what == "set-up":
+        def observe_setups(kind: ObservationKind, number: str) -> None:
+            if kind is ObservationKind.SETUP_RECEIVED:
                 self.setup_times.append(time.monotonic())
-            observe(what, number)
+            observe(kind, number)
 
-        self.servers[1].seen = observe_setups
+        self.servers[1].observer = observe_setups
 
     def on_progress(self, elapsed_s: float) -> None:
         """Stop one softswitch, and start the server cold, each at its time."""
@@ -82,15 +83,15 @@
         gone, cold = self.servers
         assert cold.processor is not None
         started_at = time.time()
-        cold.cut()
+        cold.abort_connections()
         cold.processor.start_cold(time.monotonic())
         lines = [
-            endpoint_line("r0", gone.place, 0, "terminated"),
-            endpoint_line("r1", cold.place, 1, "terminated"),
-            endpoint_line("r1b", cold.place, 1, "in_service", int(1000 * started_at)),
+            endpoint_line("r0", gone.address, 0, "terminated"),
+            endpoint_line("r1", cold.address, 1, "terminated"),
+            endpoint_line("r1b", cold.address, 1, "in_service", int(1000 * started_at)),
         ]
-        self.coordinator.tell(lines)
-        gone.cut()
+        self.coordinator.publish(lines)
+        gone.abort_connections()
         self.setup_times.clear()
 
 
@@ -109,13 +110,13 @@
     What a server can do grows as it warms, so the same count means less later on.
     """
     first, fullest = 0, Window()
-    started_at = processor.born or 0.0
+    started_at = processor.started_cold_at or 0.0
     for index, at in enumerate(setup_times):
-        while setup_times[first] <= at - PROFILE.fall_s:
+        while setup_times[first] <= at - PROFILE.overload_window_s:
             first += 1
         setups = index + 1 - first
-        load = setups / (PROFILE.fall_multiple * processor.capacity(at) * PROFILE.fall_s)
-        if at - started_at < PROFILE.warm_after_s and load > fullest.load:
+        load = setups / (PROFILE.overload_multiple * processor.capacity(at) * PROFILE.overload_window_s)
+        if at - started_at < PROFILE.warm_up_s and load > fullest.load:
             fullest = Window(load=load, setups=setups, ended_s=at - started_at)
     return fullest
 
@@ -127,13 +128,13 @@
     processor = run.servers[1].processor
     assert processor is not None
     window = fullest_window(processor, run.setup_times)
-    early = sum(at - (processor.born or 0.0) < EARLY_S for at in run.setup_times)
+    early = sum(at - (processor.started_cold_at or 0.0) < EARLY_S for at in run.setup_times)
     kind = "leased    " if leased else "configured"
     print(
         f"{kind} seed {seed}: fullest window {100 * window.load:.0f} in 100"
         f" of what pushes it over ({window.setups} set-ups, {window.ended_s:.1f} s after its start);"
         f" {early} in the first {EARLY_S:.0f} s"
-        f"{', PUSHED OVER' if processor.state is ProcessorState.FALLEN else ''}",
+        f"{', PUSHED OVER' if processor.state is ProcessorState.CRASHED else ''}",
         flush=True,
     )
 
--- a/benchmarks/scaling/counting_emulators.py
+++ b/benchmarks/scaling/counting_emulators.py
@@ -40,11 +40,11 @@
 
     server: CountingServer
 
-    def say(self, line: dict[str, Any]) -> None:
+    def send(self, message: dict[str, Any]) -> None:
         """Write a line."""
         self.server.counts.messages_out += 1
-        self.server.counts.bytes += len(json.dumps(line)) + 1
-        super().say(line)
+        self.server.counts.bytes += len(json.dumps(message)) + 1
+        super().send(message)
 
     def data_received(self, data: bytes) -> None:
         """Take lines of a softswitch."""
@@ -66,7 +66,7 @@
         self._server = await loop.create_server(
             lambda: CountingConnection(self), host, port, backlog=LISTEN_BACKLOG
         )
-        self.place = self._server.sockets[0].getsockname()[:2]
+        self.address = self._server.sockets[0].getsockname()[:2]
         return self
 
 
@@ -75,8 +75,8 @@
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> BusyCoordinator:
         """Begin to serve."""
-        self._server = await asyncio.start_server(self._took, host, port, backlog=LISTEN_BACKLOG)
-        self.place = self._server.sockets[0].getsockname()[:2]
+        self._server = await asyncio.start_server(self._serve_connection, host, port, backlog=LISTEN_BACKLOG)
+        self.address = self._server.sockets[0].getsockname()[:2]
         return self
 
 
@@ -90,11 +90,11 @@
         """Begin to serve."""
         self._counts = ServerCounts()
         self._servers = [await CountingServer(self._counts).listen() for _ in range(self.count)]
-        return [server.place for server in self._servers]
+        return [server.address for server in self._servers]
 
     def answer(self, _question: Question) -> ServerCounts:
         """Answer with the counts."""
-        self._counts.connections = sum(len(server.links) for server in self._servers)
+        self._counts.connections = sum(len(server.connections) for server in self._servers)
         return self._counts
 
 
@@ -107,16 +107,16 @@
     async def start(self) -> Address:
         """Begin to serve."""
         self._coordinator = await BusyCoordinator().listen()
-        self._coordinator.tell(self.records, reset=True)
-        return self._coordinator.place
+        self._coordinator.publish(self.records, reset=True)
+        return self._coordinator.address
 
     def answer(self, question: Question) -> CoordinatorCounts | float:
         """Answer with the counts, or publish a change and answer with its time."""
         match question:
             case ChangeEndpoint(record):
                 published_at = time.time()
-                self._coordinator.tell([record])
+                self._coordinator.publish([record])
                 return published_at
             case StatusQuestion():
                 emulator = self._coordinator
-                return CoordinatorCounts(emulator.asked, emulator.asked_bytes + emulator.told_bytes)
+                return CoordinatorCounts(emulator.poll_count, emulator.poll_bytes + emulator.answer_bytes)
--- a/stairhatch/scale_test/result_files.py
+++ b/stairhatch/scale_test/result_files.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from stairhatch.load_test.experiment import commit_now
+from stairhatch.load_test.experiment_results import current_commit
 from stairhatch.scale_test.chart import draw_chart
 from stairhatch.scale_test.figures import to_json_object
 from stairhatch.scale_test.run import ScaleResult
@@ -26,7 +26,7 @@
     """Write the files of a run into a folder of its name, and return the folder."""
     folder = parent / result.plan.name
     folder.mkdir(parents=True, exist_ok=True)
-    commit = commit_now()
+    commit = current_commit()
     (folder / "result.json").write_text(result_json(result))
     (folder / "run.json").write_text(_run_json(result, commit, command))
     (folder / "table.md").write_text(_table(result, commit, command))
--- a/stairhatch/scale_test/roster_processor.py
+++ b/stairhatch/scale_test/roster_processor.py
@@ -14,12 +14,12 @@
     """Return what the roster servers of a plan can do."""
     server = plan.server
     return ProcessorProfile(
-        set_up_s=server.setup_work_ms / 1000,
-        longest_wait_s=server.max_wait_s,
-        cold_from=server.cold_capacity,
-        warm_after_s=server.warm_up_s,
-        fall_multiple=server.overload_multiple,
-        fall_s=server.overload_window_s,
+        setup_s=server.setup_work_ms / 1000,
+        max_queue_delay_s=server.max_wait_s,
+        initial_capacity_fraction=server.cold_capacity,
+        warm_up_s=server.warm_up_s,
+        overload_multiple=server.overload_multiple,
+        overload_window_s=server.overload_window_s,
     )
 
 
--- a/stairhatch/scale_test/simulated_server.py
+++ b/stairhatch/scale_test/simulated_server.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from stairhatch.emulators.coordinator_emulator import endpoint_line
+from stairhatch.emulators.observations import ObservationKind
 from stairhatch.emulators.processor import ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.scale_test.processor_meter import ProcessorPart
@@ -18,10 +19,10 @@
 
 
 class SimulatedTransport:
-    """What the emulator writes to in place of an asyncio transport: the server side of a connection."""
+    """Replaces the asyncio transport of the emulator by the server side of a connection."""
 
     def __init__(self, connection: SimulatedConnection) -> None:
-        """The server side of a connection."""
+        """Write to the server side of this connection."""
         self._connection = connection
 
     def write(self, data: bytes) -> None:
@@ -39,7 +40,7 @@
     """A machine with a roster server, and the processes that follow one another on it."""
 
     def __init__(self, context: SimulationContext, index: int) -> None:
-        """A warm server that has run for long."""
+        """Create a warm server on a machine that is on."""
         self.context = context
         self.machine = index
         subnet, host = divmod(index, HOSTS_PER_SUBNET)
@@ -52,9 +53,9 @@
             lines=context.plan.server.call_capacity,
             processor=self.processor,
             timers=context.emulator_clock,
-            state_s=context.plan.server.load_report_interval_s,
+            load_report_interval_s=context.plan.server.load_report_interval_s,
         )
-        self.emulator.seen = self._observe
+        self.emulator.observer = self._observe
         self._connections: dict[SimulatedConnection, None] = {}
 
     @property
@@ -64,7 +65,7 @@
 
     def endpoint_line(self, state: str = "in_service") -> dict[str, Any]:
         """Return its line of the endpoint list."""
-        started_at = self.processor.born
+        started_at = self.processor.started_cold_at
         started_ms = int(1000 * started_at) if started_at else 0
         return endpoint_line(self.instance, self.address, self.machine, state, started_ms)
 
@@ -74,20 +75,22 @@
 
     def is_listening(self) -> bool:
         """Return whether its process takes connections."""
-        return self.processor.state not in (ProcessorState.FALLEN, ProcessorState.GONE)
+        return self.processor.state not in (ProcessorState.CRASHED, ProcessorState.GONE)
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Take a connection that has come up, and return its server side."""
+        """Accept a connection, and return its server side."""
         meter = self.context.meter
         protocol = ServerEmulatorConnection(self.emulator)
         self._connections[connection] = None
 
         def receive(data: bytes) -> None:
+            """Hand bytes to the emulator, their time charged to it."""
             meter.enter(ProcessorPart.EMULATORS)
             protocol.data_received(data)
             meter.leave()
 
         def lost() -> None:
+            """Tell the emulator that the connection has ended."""
             self._connections.pop(connection, None)
             protocol.connection_lost(None)
 
@@ -96,30 +99,30 @@
 
     def kill(self) -> None:
         """End its process; the softswitches notice it as a reset of their connections."""
-        self.emulator.cut()
+        self.emulator.abort_connections()
         self._connections.clear()
 
     def power_off(self) -> None:
-        """Have its machine be off: nobody is notified."""
+        """Power its machine off, which notifies nobody."""
         for connection in self._connections:
             connection.drop()
         self.kill()
         self.machine_on = False
 
     def start_cold(self) -> None:
-        """Start another process, on a machine that is on."""
+        """Power its machine on if it is off, and start a cold process."""
         self.starts += 1
         self.machine_on = True
         self.cold_setup_times.append([])
         self.processor.start_cold(self.context.clock.now)
 
-    def _observe(self, what: str, called_number: str) -> None:
+    def _observe(self, kind: ObservationKind, called_number: str) -> None:
         now = self.context.clock.now
-        if what == "stood":
+        if kind is ObservationKind.ESTABLISHED:
             self.context.calls.record_server(called_number, self.machine)
-        elif what == "set-up" and self.cold_setup_times and self._is_cold(now):
+        elif kind is ObservationKind.SETUP_RECEIVED and self.cold_setup_times and self._is_cold(now):
             self.cold_setup_times[-1].append(now)
 
     def _is_cold(self, now: float) -> bool:
-        started_at = self.processor.born
-        return started_at is not None and now - started_at < self.processor.nature.warm_after_s
+        started_at = self.processor.started_cold_at
+        return started_at is not None and now - started_at < self.processor.profile.warm_up_s
--- a/stairhatch/scale_test/simulation_figures.py
+++ b/stairhatch/scale_test/simulation_figures.py
@@ -15,7 +15,7 @@
 from stairhatch.scale_test.simulation import Simulation
 from stairhatch.scale_test.usage_totals import compared_figures
 
-# Counters of the program that are no sums but a state: they say nothing when added up.
+# Gauges of the program: the sum over softswitches has no meaning.
 GAUGES = (
     "fleet_remaining_ms",
     "fleet_fencing_token",
@@ -53,8 +53,8 @@
 def _server_figures(simulation: Simulation) -> ServerFigures:
     processors = [server.processor for server in simulation.servers]
     return ServerFigures(
-        rejected_setups=sum(processor.turned_away for processor in processors),
-        overloaded=sum(processor.state is ProcessorState.FALLEN for processor in processors),
+        rejected_setups=sum(processor.rejected_count for processor in processors),
+        overloaded=sum(processor.state is ProcessorState.CRASHED for processor in processors),
     )
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -179,7 +179,7 @@
 
     def offer(self, now, call):
         offered.append(call)
-        return SetupAdmission.TURNED_AWAY if len(offered) % 3 == 0 else original(self, now, call)
+        return SetupAdmission.REJECTED if len(offered) % 3 == 0 else original(self, now, call)
 
     monkeypatch.setattr(Processor, "offer", offer)
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -150,9 +150,9 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "appliance"])
 def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
-    """A shutdown forgets no call, answers none twice and starts no attempt after the drain's deadline. When the
-    signal comes some calls are established, some pending, some attempts out, some queued for a connection that
-    can't come up (on the platform), one waits for a retry, and the answer to one lies unread.
+    """No call is forgotten or answered twice, and no attempt starts after the drain's deadline. When the
+    signal comes some calls are established, some pending, some queued for a connection that can't come up (on
+    the platform), some attempts are out, one call waits for a retry, and the answer to one lies unread.
     """
     script, established = establish_first(3)
     servers = [ScriptedServer(script), ScriptedServer(script)]
