--- a/stairhatch/overload/load_balancing.py
+++ b/stairhatch/overload/load_balancing.py
@@ -53,12 +53,12 @@
 
     def is_eligible(self, call: PendingCall, endpoint: Endpoint) -> bool:
         """Whether the endpoint list, the class and the call's routing allow this endpoint at all."""
-        own_number = self.thresholds.settings.own_server_number
-        if endpoint.availability is not Availability.READY or endpoint.number == own_number:
+        if endpoint.number == self.thresholds.own_number or endpoint.availability is not Availability.READY:
             return False
         if call.in_transit:
             return endpoint.number == call.preferred_number
-        return call.call_class.allowed_servers is None or endpoint.number in call.call_class.allowed_servers
+        allowed = call.call_class.allowed_servers
+        return allowed is None or endpoint.number in allowed
 
     def available(self, now: float) -> Available:
         """The endpoints that can be sent something at this moment."""
--- a/stairhatch/overload/thresholds.py
+++ b/stairhatch/overload/thresholds.py
@@ -24,6 +24,7 @@
         """Replace the settings and all that is derived from them in one step."""
         self.settings = settings
         self.safety = settings.safety
+        self.own_number = settings.own_server_number  # looked at for each endpoint and call
         self.initial_limit = INITIAL_FLEET_LIMIT / settings.instance_count
         self.min_limit = MIN_FLEET_LIMIT / settings.instance_count
         self.objective_s = settings.strictest_objective_s
