--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -37,33 +37,33 @@
 
 
 @pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
-def test_the_end_waits_for_what_is_being_written(to):
-    """Guards against an answer, or a release, cut in two by the end: its peer reads slowly."""
-    inside, links = InProcessNode(), []
+def test_a_shutdown_waits_for_what_is_being_written(to):
+    """An answer, or a release, to a peer that reads slowly is not cut in two."""
+    node, server_connections = InProcessNode(), []
     if to == "caller":
-        side = PlatformFrontend(inside.core)
-        machine = side.connect()
+        side = PlatformFrontend(node.core)
+        connection = side.connect()
     elif to == "SIP caller":
-        side = inside.front
-        machine = side.flows.connector(side.config.tcp[0])(("127.0.0.1", 4000))
+        side = node.front
+        connection = side.flows.connector(side.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        side = ServerConnectionPool(inside.core, links.append)
-        side.record_changed(inside.core.servers.by_id[1])
-        machine = links[0]
-        machine.connection_made()
+        side = ServerConnectionPool(node.core, server_connections.append)
+        side.record_changed(node.core.servers.by_id[1])
+        connection = server_connections[0]
+        connection.connection_made()
     assert side.is_flushed()
-    machine.writing = True
+    connection.writing = True
     assert not side.is_flushed()
 
 
-def test_a_request_that_comes_at_the_last_look_is_answered(monkeypatch):
-    """Guards against a connection reset by the end with a request unread on it. The caller sends when the
-    program has found that nothing is owed, for the second time.
+def test_a_request_that_comes_at_the_last_check_of_a_shutdown_is_answered(monkeypatch):
+    """No connection is reset with a request unread on it. The caller sends when the program has found for the
+    second time that nothing is owed.
     """
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
     answers = []
 
-    async def story():
+    async def scenario():
         known = {"index": 0, "updates": []}
         settings = {
             **UNUSUAL_SETTINGS,
@@ -92,23 +92,23 @@
         caller.close()
         application.parts.log.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert answers[0].startswith(b"SIP/2.0 503")
     assert b"come-back" not in answers[0].lower(), "these settings allow no advice"
 
 
-def test_the_end_comes_though_nobody_reads_the_log(tmp_path):
-    """Guards against a program that never ends, or ends in a fault: the pipe that its lines go to is full."""
-    server, port, door = ScriptedServer(), free_port(), free_port()
+def test_a_shutdown_ends_though_nobody_reads_the_log(tmp_path):
+    """The program ends, and without a fault, though the pipe that its log goes to is full."""
+    server, port, admin_port = ScriptedServer(), free_port(), free_port()
     config = platform_config(
-        ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, door, UNUSUAL_SETTINGS
+        ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, admin_port, UNUSUAL_SETTINGS
     )
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     reader, writer = os.pipe()
     program = Program.__new__(Program)
     program.start(tmp_path, writer, RELAY_CONFIG=str(path))
-    program.address, program.admin_address = ("127.0.0.1", port), ("127.0.0.1", door)
+    program.address, program.admin_address = ("127.0.0.1", port), ("127.0.0.1", admin_port)
     try:
         wait_until(lambda: can_connect(program.admin_address))
         program.wait_until_serving()
@@ -130,40 +130,42 @@
 
 
 def can_connect(address):
-    """Whether somebody listens there."""
+    """Whether somebody listens at an address."""
     with contextlib.suppress(OSError), socket.create_connection(address):
         return True
     return False
 
 
-@pytest.mark.parametrize("front", ["platform", "appliance"])
-def test_the_end_answers_each_call_once_wherever_it_is(start_unusual, front):
-    """Guards against a call that the end forgets, answers twice, or sends on when the drain's limit is past:
-    one stands, some are out, some wait for room, some lie in the queue of a link that can't come up (on the
-    platform, where the settings let it take its time), one waits in a pause, and the answer to one lies
-    unread when the signal comes. The process is stopped for that instant.
+@pytest.mark.parametrize("frontend", ["platform", "appliance"])
+def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
+    """A shutdown forgets no call, answers none twice and starts no attempt after the drain's limit: one call
+    is established, some attempts are out, some calls are pending, some are queued for a connection that can't
+    come up (on the platform, where the settings let it take its time), one waits for a retry, and the answer
+    to one lies unread when the signal comes. The process is stopped for that instant.
     """
-    stand = set()  # the first few
+    established = set()  # the first few
 
     def script(message, send):
-        if message["verb"] == "START" and len(stand) < 3:
-            stand.add(message["tag"])
+        if message["verb"] == "START" and len(established) < 3:
+            established.add(message["tag"])
             send("STARTED", message["tag"], blob="kept")
 
     servers = [ScriptedServer(script), ScriptedServer(script)]
-    gate = FullListener()
-    if front == "platform":
-        servers[1] = ScriptedServer(listener=gate.listener)
-    program, _, _ = start_unusual(servers=servers, frontend=front)
+    full_listener = FullListener()
+    if frontend == "platform":
+        servers[1] = ScriptedServer(listener=full_listener.listener)
+    program, _, _ = start_unusual(servers=servers, frontend=frontend)
     calls = [(SipCaller(program.address), next_call_id()) for _ in range(60)]
     for number, (caller, ident) in enumerate(calls):
-        place(caller, ident, front, (31, 47)[number % 2])
+        invite_preferring(caller, ident, frontend, (31, 47)[number % 2])
     wait_until(
         lambda: len(program.log_events("call_offered")) == len(calls)
-        and len(setup_ids(*servers)) >= len(stand) + 3
+        and len(setup_ids(*servers)) >= len(established) + 3
     )
-    wait_until(lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(stand))
-    answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in stand)
+    wait_until(
+        lambda: sum(200 in caller.final_statuses(ident) for caller, ident in calls) == len(established)
+    )
+    answered, paused, *_ = (tag for tag in setup_ids(*servers) if tag not in established)
     say = {m["tag"]: each.send for each in servers for m in each.messages("START")}
     say[paused]("FINISH", paused, rc=41)
     wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
@@ -176,41 +178,41 @@
     for caller, _ in calls:
         wait_until(lambda caller=caller: caller.closed, "the end of the connection")
     finals = [caller.final_statuses(ident) for caller, ident in calls]
-    if front == "appliance":  # a 200 goes again until its ACK, which is not sent here
+    if frontend == "appliance":  # a 200 goes again until its ACK, which is not sent here
         finals = [sorted(set(each)) for each in finals]
     assert all(len(each) == 1 for each in finals), finals
-    assert finals.count([200]) == len(stand) + 1
+    assert finals.count([200]) == len(established) + 1
     assert {each[0] for each in finals} <= {200, 408, 480, 500, 503}
     text = program.log_text()
     limit = text.find(" drain_deadline_reached ")
     assert text.count(" drain_deadline_reached ") == (
-        front == "platform"
+        frontend == "platform"
     ), "there the limit ends it, at once for all"
-    assert " attempt_sent " not in text[limit:] or front != "platform", "nothing new after it"
+    assert " attempt_sent " not in text[limit:] or frontend != "platform", "nothing new after it"
     tags = [line["call"] for line in program.log_events("attempt_sent")]
     assert tags.count(answered) == 1
-    assert all(tags.count(tag) == 1 for tag in stand)
+    assert all(tags.count(tag) == 1 for tag in established)
     ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
-    assert stand.isdisjoint(ended) == (front == "platform"), "there they live on"
-    gate.close()
+    assert established.isdisjoint(ended) == (frontend == "platform"), "there they live on"
+    full_listener.close()
 
 
-def place(caller, ident, front, first):
+def invite_preferring(caller, ident, frontend, first):
     """A set-up that would go to the server of that number first."""
-    if front == "platform":
+    if frontend == "platform":
         caller.invite(ident, "ebb", 15_000, routing_data=f"dest:{first};width:1;via:-1")
     else:
         headers = sip_headers("INVITE", "1", f"z9hG4bK{ident}", ident, caller.host, "TCP")
         caller.send("INVITE", "sip:5@net", headers | {"expires": "3"}, b"d")
 
 
-def test_the_end_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
-    """Guards against a program that never ends because somebody takes no answer."""
+def test_a_shutdown_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
+    """The program ends though somebody takes no answer."""
     settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
 
-    async def story():
+    async def scenario():
         known = {"index": 0, "updates": []}
         application = Application(Config("n", settings, listen=("127.0.0.1", 0), known=known), lambda: None)
         application.open_listeners()
@@ -218,29 +220,29 @@
         application.parts.platform_frontend.is_flushed = lambda: False
         await asyncio.wait_for(application.shut_down(asyncio.Event()), 20)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_links_that_were_left_are_not_opened_again():
-    """Guards against an old process that dials again as it leaves, and is told there of ends of calls."""
-    inside, links = InProcessNode(), []
-    side = ServerConnectionPool(inside.core, links.append)
-    inside.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
-    links[0].connection_made()
-    side.send_release(links[0].server, next_call_id(), 16)
+def test_server_connections_closed_by_a_shutdown_are_not_opened_again():
+    """A process that ends does not connect again, where a server would send it releases."""
+    node, server_connections = InProcessNode(), []
+    side = ServerConnectionPool(node.core, server_connections.append)
+    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
+    server_connections[0].connection_made()
+    side.send_release(server_connections[0].server, next_call_id(), 16)
     assert not side.is_flushed()
-    links[0].data_to_send()
+    server_connections[0].data_to_send()
     assert side.is_flushed()
     side.shut_down()
-    links[0].connection_lost()
-    assert links[0].can_close()
-    side.remove(links[0])
-    assert len(links) == 1
+    server_connections[0].connection_lost()
+    assert server_connections[0].can_close()
+    side.remove(server_connections[0])
+    assert len(server_connections) == 1
 
 
 @pytest.mark.parametrize("hangs_up", [True, False], ids=["the caller hangs up", "a second SIGTERM"])
-def test_a_restart_waits_for_calls_that_stand(tmp_path, hangs_up):
-    """Guards against dialogs that are forgotten with the process, and a restart that can't be hurried."""
+def test_the_appliance_waits_for_established_calls_before_a_restart(tmp_path, hangs_up):
+    """Dialogs are not forgotten with the process, and a second SIGTERM hurries the restart."""
     server = ScriptedServer()
     first = Program.as_appliance(tmp_path, server, ScriptedServer())
     text = first.path.read_text().replace("restart_wait_s = 0.2", "restart_wait_s = 60")
