--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -244,7 +244,7 @@
         self._output.append(data)
         self._output_bytes += len(data)
         if self._output_bytes > MAX_OUTPUT_BYTES:
-            self.core.counters.add("slow_callers_cut")
+            self.core.counters.add("connections_slow_closed")
             self.closing = True
             self.abort()
         self.notify_writable()
@@ -332,7 +332,7 @@
         self.core.counters.add("requests_unusable")
         self.respond(message, status, extra or [])
         if self._faults >= MAX_FAULTS and not self.pending:
-            self.core.counters.add("faulty_callers_cut")
+            self.core.counters.add("connections_faulty_closed")
             self._close_when_written()
 
     def _invite_received(self, message: sip.SipMessage, call_id: str) -> None:
@@ -347,11 +347,11 @@
             self._reject_unusable(message, 482)  # every set-up has an id of its own, a repeat too
             return
         if registry.was_cancelled_early(call_id) or self._peer_closed:
-            core.counters.add("calls_given_up_before")
+            core.counters.add("calls_abandoned_early")
             self.respond(message, 480, [])
             return
         if core.readiness.rejects_new_calls():
-            core.counters.add("calls_turned_away")
+            core.counters.add("calls_rejected_draining")
             advice = [("come-back-ms", str(int(RETRY_AFTER_S * 1000)))]
             self.respond(message, 503, advice if core.settings.may_send_retry_after else [])
             return
--- a/stairhatch/sip/request_admission.py
+++ b/stairhatch/sip/request_admission.py
@@ -79,7 +79,7 @@
         """Decide on a new request; None: it is admitted."""
         decision = self._decide(flow, head)
         if head.method == "INVITE" and not head.to_tag and self._context.core.readiness.rejects_new_calls():
-            return AdmissionRejection(max(1, math.ceil(RETRY_AFTER_S)), "calls_turned_away")
+            return AdmissionRejection(max(1, math.ceil(RETRY_AFTER_S)), "calls_rejected_draining")
         if decision.outcome is not AdmissionOutcome.ADMITTED:
             return AdmissionRejection(decision.retry_after_s, decision.outcome.value)
         return None
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -205,7 +205,7 @@
         self.output.append(data)
         self._output_bytes += len(data)
         if self._output_bytes > MAX_OUTPUT_BYTES:
-            self.handler.counters.add("slow_callers_cut")
+            self.handler.counters.add("connections_slow_closed")
             self.closing = True
             self.abort()
         self.notify_writable()
