--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -34,7 +34,7 @@
 
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.ports import free_port
-from stairhatch.emulators.scripted_replies import stands
+from stairhatch.emulators.scripted_replies import establish
 from stairhatch.emulators.server_emulator import ServerEmulator
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -99,9 +99,9 @@
 async def serve_rosters(count: int) -> None:
     """Be roster servers that establish every call at once, until the input ends; prints their ports."""
     servers = [
-        await ServerEmulator(lambda _key: (stands(),), lines=SERVER_LINES).listen() for _ in range(count)
+        await ServerEmulator(lambda _key: (establish(),), lines=SERVER_LINES).listen() for _ in range(count)
     ]
-    print(json.dumps([each.place[1] for each in servers]), flush=True)
+    print(json.dumps([each.address[1] for each in servers]), flush=True)
     loop, input_ended = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(0, lambda: os.read(0, 1) or input_ended.set())
     await input_ended.wait()
@@ -120,7 +120,7 @@
 
     def call_ended(_call: PlacedCall, result: CallResult, after_s: float, status: int) -> None:
         results[f"{result.value}_{status}"] += 1
-        if result is CallResult.STOOD:
+        if result is CallResult.ESTABLISHED:
             established_after_s.append(after_s)
 
     started_at = due = loop.time()
@@ -132,7 +132,7 @@
         draws.choice(callers).place(CALLED_NUMBER, workload.hold_s, due, call_ended)
         placed += 1
     await asyncio.sleep(workload.hold_s + LINGER_S)
-    retransmissions = sum(each.counts["copies"] for each in callers)
+    retransmissions = sum(each.counters.retransmissions for each in callers)
     figures = {"placed": placed, "ends": results, "copies": retransmissions, "times": established_after_s}
     print(json.dumps(figures), flush=True)
 
--- a/benchmarks/slow_start/real_servers.py
+++ b/benchmarks/slow_start/real_servers.py
@@ -7,15 +7,16 @@
 from contextlib import suppress
 
 from benchmarks.slow_start.scenarios import REPORT_ERROR, Site
-from stairhatch.emulators.processor import PER_CALL, Processor, ProcessorProfile
-from stairhatch.emulators.scripted_replies import ScriptedReply, ends
+from stairhatch.emulators.observations import ObservationKind
+from stairhatch.emulators.processor import COST_PER_CALL, Processor, ProcessorLoad, ProcessorProfile
+from stairhatch.emulators.scripted_replies import ReplyVerb, ScriptedReply, release
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 
 CALL_DURATION_S = 4.0  # by the roster server's clock
 SITE = Site(call_duration_s=CALL_DURATION_S, servers=4)
-NOT_REPORTED = -1.0  # figures below 0 count as missing
+NOT_REPORTED = ProcessorLoad(-1.0, -1.0)  # figures below 0 count as missing
 READ_BYTES = 65536
 RECONNECT_PAUSE_S = 0.05
 CALLED_URI = "sip:7f3a9c21e0b4d655@net"
@@ -32,31 +33,31 @@
         self._is_releasing = False
         self.setup_times_s: list[float] = []  # by the loop's clock
         profile = ProcessorProfile(
-            set_up_s=1 / (SITE.capacity * PER_CALL),
-            cold_from=SITE.safety.initial_capacity_fraction,
-            warm_after_s=SITE.safety.warm_up_s,
-            fall_multiple=SITE.safety.overload_multiple,
-            fall_s=SITE.safety.overload_window_s,
-            noise=REPORT_ERROR,
+            setup_s=1 / (SITE.capacity * COST_PER_CALL),
+            initial_capacity_fraction=SITE.safety.initial_capacity_fraction,
+            warm_up_s=SITE.safety.warm_up_s,
+            overload_multiple=SITE.safety.overload_multiple,
+            overload_window_s=SITE.safety.overload_window_s,
+            load_report_error=REPORT_ERROR,
         )
         super().__init__(lines=int(SITE.capacity * CALL_DURATION_S), processor=Processor(profile, self._rng))
-        self.seen = self._count
+        self.observer = self._count
 
-    def told_load(self) -> tuple[float, float]:
+    def processor_load(self) -> ProcessorLoad:
         """Return the processor's figures in a release, else that there are none."""
-        return super().told_load() if self._is_releasing else (NOT_REPORTED, NOT_REPORTED)
+        return super().processor_load() if self._is_releasing else NOT_REPORTED
 
-    def _count(self, event: str, _number: str) -> None:
-        if event == "set-up":
+    def _count(self, kind: ObservationKind, _number: str) -> None:
+        if kind is ObservationKind.SETUP_RECEIVED:
             self.setup_times_s.append(asyncio.get_running_loop().time())
 
-    def _say(self, tag: str, reply: ScriptedReply) -> None:
+    def _reply(self, tag: str, reply: ScriptedReply) -> None:
         self._is_releasing = True
-        super()._say(tag, reply)
+        super()._reply(tag, reply)
         self._is_releasing = False
-        if reply.verb == "STARTED":
+        if reply.verb is ReplyVerb.STARTED:
             duration_s = self._rng.expovariate(1 / CALL_DURATION_S)
-            asyncio.get_running_loop().call_later(duration_s, self._say, tag, ends(0.0))
+            asyncio.get_running_loop().call_later(duration_s, self._reply, tag, release(0.0))
 
 
 class MemberCallers:
--- a/stairhatch/scale_test/cold_start_windows.py
+++ b/stairhatch/scale_test/cold_start_windows.py
@@ -29,17 +29,19 @@
     """Return the fullest window of each cold start, by server and start."""
     windows = []
     for server in servers:
-        profile = server.processor.nature
-        capacity = profile.cold_from / profile.set_up_s * profile.fall_s  # of a cold server, in set-ups
+        profile = server.processor.profile
+        capacity = (
+            profile.initial_capacity_fraction / profile.setup_s * profile.overload_window_s
+        )  # of a cold server, in set-ups
         windows += [
             ColdStartWindow(
                 server=server.machine,
                 start=start,
                 setups=len(times),
-                fullest=fullest_window(times, profile.fall_s),
+                fullest=fullest_window(times, profile.overload_window_s),
                 limit=setup_limit(capacity),
-                overload_limit=round(capacity * profile.fall_multiple, 1),
-                overloaded=server.processor.state is ProcessorState.FALLEN,
+                overload_limit=round(capacity * profile.overload_multiple, 1),
+                overloaded=server.processor.state is ProcessorState.CRASHED,
             )
             for start, times in enumerate(server.cold_setup_times, 1)
         ]
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -86,12 +86,12 @@
 
     def one_way_delay_s(self, one: int, other: int) -> float:
         """Return the delay between two machines without jitter."""
-        return self._link(one, other).weather.delay_ms / 1000
+        return self._link(one, other).conditions.delay_ms / 1000
 
     def send_datagram(self, sender: int, source: Address, host: str, data: bytes) -> None:
         """Send a datagram from a machine: it arrives later, twice or never."""
         receiver = self.datagram_receivers[host]
-        delays_s = self._link(sender, receiver.machine).fate()
+        delays_s = self._link(sender, receiver.machine).draw_delays_s()
         if self.partitioned_until(sender, receiver.machine):
             return
         for delay_s in delays_s:
@@ -99,7 +99,7 @@
 
     def stream_delay_s(self, one: int, other: int) -> float:
         """Return the delay of a piece of a stream, retransmission after loss or partition included."""
-        arrivals_s, delay_s = self._link(one, other).fate(), 0.0
+        arrivals_s, delay_s = self._link(one, other).draw_delays_s(), 0.0
         if not arrivals_s:
             delay_s, arrivals_s = RETRANSMISSION_TIMEOUT_S, (self.one_way_delay_s(one, other),)
         if until := self.partitioned_until(one, other):
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import cast
 
-from stairhatch.emulators.caller_emulator import OFFER
+from stairhatch.emulators.caller_emulator import SESSION_OFFER
 from stairhatch.fault_injection.virtual_disk import VirtualDisk
 from stairhatch.fleet.config import FleetConfig
 from stairhatch.fleet.lease import LeaseTimings
@@ -221,7 +221,7 @@
             ident=f"{request.serial:016x}",
             call_class=self.context.settings.classes[request.service],
             called_uri=request.called_number,
-            description=OFFER.decode(),
+            description=SESSION_OFFER.decode(),
             caller_timeout_s=self.context.plan.calls.hard_limit_s,
             called_number=called_number(request.called_number),
             reports_progress=True,
