--- a/stairhatch/fault_injection/mutations/holders.py
+++ b/stairhatch/fault_injection/mutations/holders.py
@@ -26,7 +26,7 @@
 
 @mutation("may_act does not look at the time")
 def act_without_time() -> list[AttributePatch]:
-    """A holder acts until it hears that it lost the lease, whatever the time."""
+    """A holder acts until it is notified that it lost the lease, whatever the time."""
 
     def may_act(self: LeaseClient, _now: float) -> bool:
         return self.state is LeaseState.HELD
@@ -36,7 +36,7 @@
 
 @mutation("may_act holds while it is asked for again")
 def act_while_requesting() -> list[AttributePatch]:
-    """A holder acts on while it requests the lease anew."""
+    """A holder goes on acting while it requests the lease again."""
 
     def may_act(self: LeaseClient, _now: float) -> bool:
         return self.fencing_token > 0 and self.state is not LeaseState.IDLE
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -171,7 +171,7 @@
 
 @mutation("a fleet is founded by any two")
 def found_with_any_peer() -> list[AttributePatch]:
-    """A new voter begins to vote once it has heard of one other."""
+    """A new voter begins to vote once one other has replied."""
     evaluate_replies: EffectsMethod = original(VoterStartup, "evaluate_replies")
 
     def evaluate_hastily(self: VoterStartup, now: float) -> list[Any]:
@@ -216,7 +216,7 @@
 
 @mutation("who is let in hears the promises before its wait")
 def admit_like_a_founder() -> list[AttributePatch]:
-    """A voter that is admitted takes the votes that it heard before its wait, and none after it."""
+    """A voter that is admitted takes the votes reported before its wait, and none after it."""
     admit: EffectsMethod = original(VoterStartup, "_admit")
 
     def admit_early(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
--- a/stairhatch/fault_injection/run_files.py
+++ b/stairhatch/fault_injection/run_files.py
@@ -1,4 +1,4 @@
-"""The files that a run leaves, from which it can be looked at and checked again.
+"""The files that a run leaves, from which it can be examined and checked again.
 
 A run's folder holds its schedule, its history, its report, and its timeline as text and as a picture. The
 keys in these files stay as they are: older runs are read with them.
--- a/stairhatch/fault_injection/schedule_generator.py
+++ b/stairhatch/fault_injection/schedule_generator.py
@@ -130,7 +130,7 @@
 
 
 def _single_fault(draw: _Draw, at_s: float) -> ScheduledFault:
-    """One fault by itself. Every amount is drawn, whatever the kind, so that the draws stay in step."""
+    """One single fault. Every amount is drawn, whatever the kind, so that the draws stay in step."""
     rng = draw.rng
     kind = rng.choice(SINGLE_FAULTS)
     member, peer = rng.sample(draw.members, 2)
@@ -191,8 +191,8 @@
 def _forgetful_voter(draw: _Draw, at_s: float) -> list[ScheduledFault]:
     """A voter forgets its vote for the new holder as another voter's vote expires.
 
-    The lease changes hands, one voter no longer hears the new holder, and as its vote ends another voter
-    loses its data directory, or gets one back from before the change.
+    The lease changes hands, one voter no longer receives from the new holder, and as its vote ends another
+    voter loses its data directory, or gets one back from before the change.
     """
     rng = draw.rng
     deaf, forgetful = rng.sample(draw.voters, 2)
--- a/stairhatch/fault_injection/virtual_member.py
+++ b/stairhatch/fault_injection/virtual_member.py
@@ -156,7 +156,7 @@
             self.shared.queue.schedule_at(self.stopped_until, partial(self._resume, self.start_count))
 
     def _resume(self, start_number: int) -> None:
-        """Take in what has come meanwhile, messages and timers in any order."""
+        """Handle what has come meanwhile, messages and timers in any order."""
         if self._is_running(start_number) and self.shared.queue.now >= self.stopped_until:
             actions, self.deferred = self.deferred, []
             if self.shared.rng.random() < REORDERED_AFTER_STOP:
--- a/stairhatch/fleet/admin_client.py
+++ b/stairhatch/fleet/admin_client.py
@@ -21,9 +21,9 @@
 
 
 def execute(endpoint: tuple[str, int], command: str) -> str:
-    """One command; what stands behind `ok`.
+    """Execute one command; return the text behind `ok`.
 
-    AdminClientError: what stands behind `fail`, or why nobody answered.
+    AdminClientError: the text behind `fail`, or why nobody answered.
     """
     data = b""
     try:
--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -1,6 +1,6 @@
 """What the decisions ask of whoever drives them, carried out in their order.
 
-What belongs on disk before it is said stands in a `PersistVotes`; the driver reports its end with
+What must be on disk before it is sent is in a `PersistVotes`; the driver reports its end with
 `ClusterMember.write_completed`.
 """
 
@@ -82,7 +82,7 @@
 
 
 class LeaseEventKind(Enum):
-    """What has happened, once a change and not once a message. The values stand in histories."""
+    """What has happened, once a change and not once a message. The values are in history files."""
 
     HELD = "held"
     RENEWED = "renewed"
--- a/stairhatch/fleet/endpoint_relay.py
+++ b/stairhatch/fleet/endpoint_relay.py
@@ -20,7 +20,7 @@
 PART_BYTES = 1000  # of the compressed list in one datagram
 MAX_PARTS = 256
 COMPRESSION_LEVEL = 6
-MAX_TERMINATED = 64  # that stay in the list, so that all hear of them
+MAX_TERMINATED = 64  # that stay in the list, so that all members get them
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
@@ -50,7 +50,7 @@
             del self.instances[name]
 
     def to_answer(self) -> dict[str, Any]:
-        """The whole of it as the coordinator would answer."""
+        """The complete list in the form of a coordinator's answer."""
         endpoints = {"reset": True, "instances": list(self.instances.values())}
         return {"index": self.index, "updates": [{"index": self.index, "endpoints": endpoints}]}
 
@@ -74,7 +74,7 @@
         self._parts: dict[int, bytes] = {}
 
     def add(self, update: EndpointUpdate) -> Any:
-        """The whole answer once all parts are there; None before that, and for what is no list."""
+        """The complete answer once all parts are there; None before that, and for what is no list."""
         version = (update.fencing_token, update.index)
         if version < self._version or update.part_count > MAX_PARTS or update.part_index >= update.part_count:
             return None
@@ -99,8 +99,8 @@
     """When a member asks for updates, in seconds."""
 
     poll_interval_s: float = 0.4  # of a voter
-    holder_silence_s: float = 0.6  # the holder was heard itself so lately: no voter is asked
-    fallback_after_s: float = 2.0  # nothing heard for so long: it polls the coordinator itself
+    holder_silence_s: float = 0.6  # a message of the holder is so recent: no voter is polled
+    fallback_after_s: float = 2.0  # no message for so long: it polls the coordinator itself
 
 
 class EndpointListFollower:
@@ -131,7 +131,7 @@
         if is_holder or polled_lately or hears_holder:
             return None
         self.polled_at = now
-        if self._unanswered:  # the last one said nothing: the next may
+        if self._unanswered:  # the last one did not answer: try the next
             self._position += 1
         self._unanswered += 1
         return self.voters[self._position % len(self.voters)]
--- a/stairhatch/fleet/instance_index.py
+++ b/stairhatch/fleet/instance_index.py
@@ -1,4 +1,4 @@
-"""The instance index of a member, by which it has its own part of the set-ups at cold roster servers.
+"""The instance index of a member, which determines its slow-start slots at cold roster servers.
 
 An index is used `settle_s` after its lease was granted at the earliest: a holder before may have used its
 slow-start slot right up to the end of its lease, and no window of that length may see the slots of both.
--- a/stairhatch/fleet/lease.py
+++ b/stairhatch/fleet/lease.py
@@ -117,8 +117,8 @@
         self.random_source = random_source
         self.storage_versions = storage_versions
         self.state = LeaseState.IDLE
-        self.fencing_token = 0  # held, or asked for
-        self.highest_token = 0  # heard of
+        self.fencing_token = 0  # of the lease that is held, or requested
+        self.highest_token = 0  # that a voter has reported
         self.expires_at = -math.inf  # may act before that
         self.held_since = -math.inf
         self.due_at = math.inf
@@ -152,7 +152,7 @@
             self.due_at = now + after
 
     def release(self, successor: str | None = None) -> list[Effect]:
-        """Hold and want it no longer. It is not acted under from here on, whoever hears of it."""
+        """Release it. No work is done under it from here on, whether or not the voters get the message."""
         was, self.state = self.state, LeaseState.IDLE
         self.expires_at = -math.inf
         self.due_at = math.inf
--- a/stairhatch/fleet/lease_granter.py
+++ b/stairhatch/fleet/lease_granter.py
@@ -42,7 +42,7 @@
         self._log = log
 
     def handle_request(self, now: float, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
-        """Grant a lease once the vote is on disk, or say what stands against it."""
+        """Grant a lease once the vote is on disk, or reject it with the reason."""
         rejection = self._rejection(now, request)
         if rejection is not None:
             return [SendMessage(sender, self._reject(request, rejection))]
@@ -56,7 +56,7 @@
         return self._cast_vote(vote, sender, request)
 
     def _rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
-        """What stands against a request."""
+        """The reason to reject a request; None where there is none."""
         timings = self._votes.timings
         if not self._eligibility.is_voting:
             remaining_s = max(self._eligibility.remaining_wait_s(now), timings.round_timeout_s)
--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -17,7 +17,7 @@
 
 QUERY_INTERVAL_S = 0.5
 OBSERVATION_S = 5.0  # so long after it was last asked for
-STATUS_VALID_S = 2.0  # what a voter said longer ago counts no longer
+STATUS_VALID_S = 2.0  # an older status of a voter is not used
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     """What the voters say of a lease together."""
 
     holder: str | None = None
-    fencing_token: int = 0  # the highest that was heard of
+    fencing_token: int = 0  # the highest that was reported
     remaining_s: float = 0.0  # of the lease, by the voter that says least
     answered_voters: int = 0  # lately
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedStatus:
-    """What one voter has said, and when."""
+    """The status that one voter reported, and when."""
 
     at: float
     status: LeaseStatus
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -67,7 +67,7 @@
         return self.leases[name]
 
     def observe(self, now: float, name: str) -> LeaseObserver | None:
-        """Observe a lease for a while, whoever holds it; None where too many are observed."""
+        """Begin or continue to observe a lease; None where too many are observed."""
         if name not in self.observers:
             if len(self.observers) >= MAX_OBSERVED_LEASES:
                 for old in [
@@ -108,7 +108,7 @@
         return self.voter.write_completed(now, write_id, fault) if self.voter is not None else []
 
     def handle(self, now: float, sender: PeerAddress, message: FleetMessage) -> list[Effect]:
-        """A message has come. One for a lease that this member does not request is passed over."""
+        """Handle a message. One for a lease that this member does not request is ignored."""
         match message:
             case LeaseGranted() if message.lease in self.leases:
                 return self.leases[message.lease].handle_granted(now, message)
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -58,7 +58,7 @@
     request_id: Number = field(name="serial")
     storage_versions: dict[Name, StorageVersion] = field(
         default_factory=dict, name="marks"
-    )  # of the voters, as the requester has heard
+    )  # of the voters, as reported to the requester
     epoch: Number = 1  # of the voter set that is asked
     voter_set_digest: Number = field(default=0, name="roll")  # of that set
 
@@ -74,7 +74,7 @@
 
 
 class LeaseRejected(FleetMessage, frozen=True, tag="no"):
-    """Not granted: what stands against it, and for how long."""
+    """Not granted: the reason, and for how long."""
 
     lease: Name = field(name="claim")
     voter: Name
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -1,6 +1,6 @@
 """Planned restarts, at most k at a time: what an operator's command for a restart slot comes to.
 
-A slot is held by the process that is to be restarted. It is not released by its end: it is over a lease
+A slot is held by the process that is to be restarted. It is not released by its end: it expires a lease
 duration after the process has gone, by which time the next one serves. A slot whose holder dies comes back in
 the same way. SIGTERM ends the program with a slot or without.
 """
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class StoredState:
-    """What a data directory held."""
+    """The content of a data directory when it was opened."""
 
     voter_state: PersistedState
     fencing_tokens: dict[str, int]
@@ -213,11 +213,11 @@
         self._put_rows("own", [(key, str(value)) for key, value in own.items()])
 
     def persist(self, what: PersistVotes | PersistFencingToken, done: WriteCallback) -> None:
-        """Put it on disk; `done` hears of it on the loop, with what went wrong or ""."""
+        """Write it to disk; `done` is called on the loop, with what went wrong or ""."""
         self._work.put((what, done))
 
     def close(self) -> None:
-        """Write what waits, and let go of the directory."""
+        """Write what waits, and unlock the directory."""
         self._work.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
 
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedWrite:
-    """What one write held, whether it succeeded or not."""
+    """The content of one write, whether it succeeded or not."""
 
     leases: tuple[str, ...]  # whose newest vote it was to put on disk
     storage_version: StorageVersion
@@ -92,7 +92,7 @@
         self.pending_grants.clear()
 
     def complete(self, write_id: int) -> CompletedWrite:
-        """A write has ended, well or not: what it held."""
+        """A write has ended, successfully or not; return its content."""
         return CompletedWrite(
             tuple(lease for lease, under in self.under_way.items() if under == write_id),
             self._storage_versions.pop(write_id, self.storage_version),
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -77,7 +77,7 @@
         return self.expires_at.get(lease, -math.inf) - now
 
     def rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
-        """What of the votes cast stands against a request."""
+        """The reason to reject a request by the votes cast; None where there is none."""
         cast = self.by_lease.get(request.lease)
         if cast is None:
             return self._rejection_of_new_lease()
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -75,7 +75,7 @@
     # ---- leases ----
 
     def handle_request(self, now: float, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
-        """Grant a lease once the vote is on disk, or say what stands against it."""
+        """Grant a lease once the vote is on disk, or reject it with the reason."""
         effects = self.startup.compare_versions(now, request.storage_versions)
         return [*effects, *self.granter.handle_request(now, sender, request)]
 
@@ -212,7 +212,7 @@
         return [SendMessage(self.others[request.voter], reply)]
 
     def handle_status_reply(self, now: float, reply: StatusReply) -> list[Effect]:
-        """Another voter has said what it knows."""
+        """Handle another voter's status reply."""
         if reply.voter not in self.others:
             return []
         self.log.record_version(reply.voter, reply.storage_version, is_voting=reply.is_voting)
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """A voter set as a data directory has it."""
+    """A voter set as stored in a data directory."""
 
     epoch: int
     voters: tuple[str, ...]
@@ -71,7 +71,7 @@
 
 
 class VoterSetRelation(Enum):
-    """How the configured voter set stands to the one in the data directory."""
+    """How the configured voter set compares with the one in the data directory."""
 
     SAME = "same"
     SUCCESSOR = "successor"
@@ -88,7 +88,7 @@
 
 
 def compare(stored: VoterSet, epoch: int, voters: tuple[str, ...]) -> VoterSetComparison:
-    """Hold the configured voter set against the one in the data directory."""
+    """Compare the configured voter set with the one in the data directory."""
     listed = " ".join(stored.voters)
     if stored.epoch == epoch:
         if stored.digest == digest_of(voters):
--- a/stairhatch/fleet/voter_startup.py
+++ b/stairhatch/fleet/voter_startup.py
@@ -91,7 +91,7 @@
         return []
 
     def evaluate_replies(self, now: float) -> list[Effect]:
-        """Whether what was heard is enough to vote, or to wait for it."""
+        """Begin to vote, or to wait, where the replies received are enough for it."""
         voter_set = self._voter_sets.current
         if self._eligibility.state is VoterState.STARTING:
             if self._peers.with_intact_storage(voter_set.voters) + 1 >= voter_set.majority:
--- a/stairhatch/fleet/voter_state.py
+++ b/stairhatch/fleet/voter_state.py
@@ -81,7 +81,7 @@
         return self.waiting_until - now if self.state is VoterState.WAITING else 0.0
 
     def start_voting(self, now: float) -> None:
-        """It votes, whatever stood against it."""
+        """It votes, whatever its state was."""
         self.state = VoterState.VOTING
         self.is_new_storage = False
         self.reason = ""
