--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -2,16 +2,12 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
 import os
-import random
 import signal
 import subprocess
 import sys
 import tempfile
-import time
-from dataclasses import dataclass, field
 from pathlib import Path
 
 import pytest
@@ -20,16 +16,8 @@
 from stairhatch.config.model import ConfigError
 from stairhatch.emulators.ports import free_port
 from stairhatch.fault_injection import lease_rules, run_batch
-from stairhatch.fault_injection.fault_injector import FaultInjector
 from stairhatch.fault_injection.history import HistoryRecord
-from stairhatch.fault_injection.network_links import NetworkLinks
-from stairhatch.fault_injection.schedule import (
-    HOLDER,
-    FaultKind,
-    FaultSchedule,
-    ScheduledFault,
-    read_schedule,
-)
+from stairhatch.fault_injection.schedule import read_schedule
 from stairhatch.fault_injection.schedule_generator import draw_schedule
 from stairhatch.fleet import admin_client
 from stairhatch.fleet.effects import PersistFencingToken, PersistVotes, Vote
@@ -113,112 +101,6 @@
     )
 
 
-@dataclass
-class IdleMember:
-    """A member of an injector's run that is no process: `records` is its history."""
-
-    name: str
-    records: list[HistoryRecord] = field(default_factory=list)
-    start_count: int = 1
-    process: None = None
-    kill_count: int = 0
-
-    def history(self):
-        return self.records
-
-    def resume_if_due(self):
-        pass
-
-    def start(self):
-        pass
-
-    def kill(self):
-        self.kill_count += 1
-        return True
-
-
-class IdleRun:
-    """A run without processes and links; an event is added to the members' histories at each poll."""
-
-    def __init__(self, schedule, events):
-        self.schedule = schedule
-        self.members = {name: IdleMember(name) for name in schedule.members}
-        self.events = list(events)
-        self.event_count = 0  # of those that have happened
-        self.file_changes = []  # of each: the epoch, and how many events had happened by then
-
-    def write_config(self, _member, epoch, _voters):
-        self.file_changes.append((epoch, self.event_count))
-
-    def on_progress(self, _elapsed_s):
-        if not self.events:
-            return
-        member, event, token = self.events.pop(0)
-        self.event_count += 1
-        now = time.monotonic()
-        record = HistoryRecord(now, member, event, 1, "list", token, now + 60)
-        self.members[member].records.append(record)
-
-    async def carry_out(self):
-        """Run an injector over the schedule, and return it."""
-        rng = random.Random(1)
-        injector = FaultInjector(self.schedule, self.members, NetworkLinks(1), rng, self.write_config)
-        await injector.run(time.monotonic(), self.on_progress)
-        injector.close()
-        return injector
-
-
-def test_the_schedule_is_put_off_until_a_required_fault_has_its_holder():
-    """A slow start of the members costs a run time and not the fault that it is for."""
-    kill = ScheduledFault(0.0, FaultKind.KILL, HOLDER)
-    schedule = FaultSchedule(
-        0.05, ("a", "b", "c"), ("a",), (kill,), lease_duration_s=0.001, required_activations=("kill",)
-    )
-    run = IdleRun(schedule, [*[("b", "votes", 0)] * 20, ("b", "held", 1)])
-    injector = asyncio.run(run.carry_out())
-    assert injector.activations["kill"] == 1
-    assert run.members["b"].kill_count == 1
-    assert injector.paused_s > 0
-    assert injector.elapsed_s() >= schedule.duration_s + injector.paused_s
-
-
-def test_a_fault_that_is_not_required_waits_for_a_holder_for_two_lease_durations():
-    """Drawn schedules have faults that come to nothing, and keep to their time."""
-    kill = ScheduledFault(0.0, FaultKind.KILL, HOLDER)
-    schedule = FaultSchedule(0.2, ("a", "b", "c"), ("a",), (kill,), lease_duration_s=1e-9)
-    run = IdleRun(schedule, [("b", "held", 1)])
-    injector = asyncio.run(run.carry_out())
-    assert run.event_count == 1
-    assert not injector.activations["kill"]
-    assert injector.paused_s == 0
-
-
-def test_a_required_change_of_the_voters_waits_until_the_last_one_has_come_through():
-    """All voters vote by the last voter set before the next one: else no majority may ever go on to it."""
-    changes = (
-        ScheduledFault(0.0, FaultKind.CHANGE_VOTERS, members=("a", "b", "c")),
-        ScheduledFault(0.0, FaultKind.CHANGE_VOTERS, members=("b", "c")),
-    )
-    schedule = FaultSchedule(
-        0.1, ("a", "b", "c"), ("a", "b"), changes, lease_duration_s=0.001, required_activations=("voters",)
-    )
-    advanced = "goes by the next list of voters"
-    events = [
-        ("a", "votes", 0),
-        ("b", "votes", 0),  # the second event: the first voter set votes
-        ("a", advanced, 2),
-        ("c", "votes", 0),
-        ("b", advanced, 1),  # of another epoch
-        ("b", advanced, 2),  # the sixth event: the second voter set votes
-    ]
-    run = IdleRun(schedule, events)
-    asyncio.run(run.carry_out())
-    first, second = ([count for epoch, count in run.file_changes if epoch == each] for each in (2, 3))
-    assert len(first) == len(second) == 3
-    assert min(first) >= 2
-    assert min(second) >= 6
-
-
 def test_a_run_that_is_killed_leaves_no_process_and_no_folder():
     """Its softswitches end with it, stopped ones as well."""
     run = subprocess.Popen(
