--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -31,36 +31,36 @@
 
 
 def test_a_caller_whose_bytes_come_in_pieces_keeps_its_connection():
-    """Guards against usual callers cut off within a message; who never begins is ended within 3 s."""
-    inside = InProcessNode()
+    """Callers in use are not cut off within a message; one that never sends a request is ended within 3 s."""
+    node = InProcessNode()
     listener, (usual, silent, never_ends) = listener_with_connections(
-        inside, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
+        node, 9, UnreadSocket(), UnreadSocket(), UnreadSocket()
     )
-    receive(inside, usual, platform_invite(next_call_id()))
-    receive(inside, never_ends, b"INVITE sip:1@net")
+    receive(node, usual, platform_invite(next_call_id()))
+    receive(node, never_ends, b"INVITE sip:1@net")
     message = platform_invite(late := next_call_id())
     for start in range(0, len(message), 40):
-        receive(inside, usual, message[start : start + 40])
-        inside.run(0.7)
+        receive(node, usual, message[start : start + 40])
+        node.run(0.7)
         listener.close_overdue()
         assert not usual.protocol.closing
-        overdue = inside.now > 1000 + FIRST_REQUEST_TIMEOUT_S
+        overdue = node.now > 1000 + FIRST_REQUEST_TIMEOUT_S
         assert silent.protocol.closing is overdue is never_ends.protocol.closing
-    assert late in inside.core.calls.by_ident
+    assert late in node.core.calls.by_ident
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 4.0
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 3.0
 
 
-def test_a_message_under_way_is_cut_off_only_where_nobody_is_idle():
-    """Guards against callers evicted for newcomers between two pieces of a message."""
-    inside = InProcessNode()
+def test_a_connection_within_a_message_is_evicted_only_where_none_is_idle():
+    """Callers are not evicted for newcomers between two pieces of a message."""
+    node = InProcessNode()
     listener, (under_way, silent, idle) = listener_with_connections(
-        inside, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
+        node, 3, UnreadSocket(), UnreadSocket(), UnreadSocket()
     )
-    receive(inside, under_way, platform_invite(next_call_id())[:60])
-    receive(inside, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
+    receive(node, under_way, platform_invite(next_call_id())[:60])
+    receive(node, idle, sip.request("OPTIONS", "sip:x@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     take_statuses(idle.protocol, "p")
-    inside.run(1.0)
+    node.run(1.0)
     for expected in (silent, idle, under_way):
         assert listener.evict()
         assert expected.protocol.closing
@@ -68,16 +68,13 @@
         assert closing == 3 - len(listener.connections)
 
 
-def test_a_newcomer_whose_set_up_has_not_been_read_is_not_evicted():
-    """Guards against a set-up lost with its connection where the loop comes to it later than its
-    `eviction_grace_s`: on a loaded machine a newcomer among 60 callers who hold on was taken for one
-    that says nothing.
-    """
-    inside = InProcessNode()
+def test_a_newcomer_whose_setup_has_not_been_read_is_not_evicted():
+    """A set-up is not lost with its connection when a busy loop reads it after `eviction_grace_s`."""
+    node = InProcessNode()
     listener, (newcomer, silent) = listener_with_connections(
-        inside, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
+        node, 2, UnreadSocket(platform_invite(next_call_id())), UnreadSocket()
     )
-    inside.run(1.0)
+    node.run(1.0)
     assert listener.evict()
     assert silent.protocol.closing
     assert not newcomer.protocol.closing
@@ -86,18 +83,18 @@
 
 
 @pytest.mark.parametrize("first", ["request", "newcomer"])
-def test_a_request_read_in_the_turn_in_which_a_newcomer_needs_room_is_not_thrown_away(first):
-    """Guards against a caller evicted as idle whose request the loop has read, but not yet given to its
-    protocol. Both come within one turn of the loop, in either order; the listener has room for one.
+def test_a_caller_whose_request_was_just_read_is_not_evicted_for_a_newcomer(first):
+    """A caller is not evicted as idle whose request the loop has read, but not yet given to its protocol.
+    Both come within one turn of the loop, in either order; the listener has room for one.
     """
 
-    async def story():
-        inside = InProcessNode()
-        inside.follow_loop(asyncio.get_running_loop())
-        network = Network(inside.core)
-        front = PlatformFrontend(inside.core)
+    async def scenario():
+        node = InProcessNode()
+        node.follow_loop(asyncio.get_running_loop())
+        network = Network(node.core)
+        frontend = PlatformFrontend(node.core)
         sock = socket.create_server(("127.0.0.1", 0))
-        listener = network.listen(sock, front.connect, ListenerLimits(1, eviction_grace_s=0.05))
+        listener = network.listen(sock, frontend.connect, ListenerLimits(1, eviction_grace_s=0.05))
         old = socket.create_connection(sock.getsockname())
         await wait_in_loop(lambda: listener.connections)
         one = next(iter(listener.connections))
@@ -117,11 +114,8 @@
                 old.sendall(platform_invite(ident, answer_within_ms="4000"))
 
         both()
-        for _ in range(500):
-            await asyncio.sleep(0.001)
-            if inside.written or one not in listener.connections:
-                break
-        assert [each.call.request.ident for each in inside.written] == [ident]
+        await wait_in_loop(lambda: node.written or one not in listener.connections, "its request, or its end")
+        assert [each.call.request.ident for each in node.written] == [ident]
         assert one in listener.connections
         assert not one.protocol.closing
         old.close()
@@ -131,16 +125,16 @@
         await asyncio.sleep(0.01)
         listener.close()
 
-    uvloop.run(story())
+    uvloop.run(scenario())
 
 
 SILENT = ScriptedServer.never_answers
 
 
 @pytest.mark.parametrize("asks", [False, True], ids=["silent", "asks once and holds on"])
-def test_callers_that_hold_connections_shut_out_no_other(start_deployment, asks):
-    """Guards against a limit on connections that is filled by those who want nothing more. What is owed an
-    answer keeps its connection.
+def test_callers_that_hold_connections_keep_out_no_other(start_deployment, asks):
+    """The limit on connections is not filled by callers that want nothing more, and what is owed an answer
+    keeps its connection.
     """
     program, _, (slow, other) = start_deployment(SILENT, None, sockets=32)
     waiting, ident = program.caller(), next_call_id()
@@ -164,8 +158,8 @@
 
 
 def test_a_caller_that_sends_faster_than_it_reads_gets_each_answer_once(start_deployment):
-    """Guards against answers lost or doubled where a caller sends hundreds of set-ups at once and reads
-    later, and against others who wait for it.
+    """No answer is lost or doubled where a caller sends hundreds of set-ups at once and reads later, and
+    others do not wait for it.
     """
     program, _, _ = start_deployment(None, None, wait_until_serving=True)
     flood, idents = socket.create_connection(program.address), [next_call_id() for _ in range(300)]
@@ -185,8 +179,8 @@
 
 @pytest.mark.parametrize(("sockets", "many"), [(1024, 200), (64, 60)], ids=["room for all", "no room"])
 def test_connections_that_come_in_one_turn_are_all_answered(start_deployment, sockets, many):
-    """Guards against requests whose new connection is closed without an answer: so many come while the
-    program does nothing (SIGSTOP) that it finds them all at once, also where others have to go first.
+    """No new connection is closed without an answer though so many come while the program stands still
+    (SIGSTOP) that it finds them all at once, also where others have to be evicted first.
     """
     program, _, _ = start_deployment(None, None, sockets=sockets, wait_until_serving=True)
     room = DescriptorBudget(sockets, 26, 3).available_to_callers()
@@ -203,7 +197,7 @@
 
 
 def test_line_ends_between_messages_keep_no_connection(start_deployment):
-    """Guards against a limit filled for good by callers who ask once, then send a line end now and then."""
+    """The limit is not filled for good by callers that send one request, then a line end now and then."""
     program, _, _ = start_deployment(None, sockets=64, wait_until_serving=True)
     over, held_on, sent = threading.Event(), [], Counter()
 
