--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -94,7 +94,7 @@
             await coordinator.listen(self._host)
         names = [f"r{number}" for number in range(SITE.servers)]
         records = [
-            endpoint_line(name, (await self._start_server(name)).place, number)
+            endpoint_line(name, (await self._start_server(name)).address, number)
             for number, name in enumerate(names)
         ]
         self._publish(records)
@@ -129,7 +129,7 @@
             "console": f"{self._host}:{free_port(self._host)}",
             "seed": str(self._rng.getrandbits(60)),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "coordinator": format_address(coordinator.place),
+            "coordinator": format_address(coordinator.address),
             "known": {"index": len(coordinator.events), "updates": list(coordinator.events)},
             "settings": complete_settings({**self._settings, "me": number}),
         }
@@ -160,8 +160,8 @@
     def _publish(self, records: list[dict[str, Any]], late_s: float = 0.0) -> None:
         """Publish a change at both coordinators, at the second one so much later."""
         prompt, late = self._coordinators
-        prompt.tell(records)
-        asyncio.get_running_loop().call_later(late_s, late.tell, records)
+        prompt.publish(records)
+        asyncio.get_running_loop().call_later(late_s, late.publish, records)
 
     async def _play(self, scenario: Scenario, index: int) -> dict[str, Any]:
         """Replace the server of number 0 by one that warms up, and do what the scenario says."""
@@ -179,15 +179,15 @@
         await asyncio.sleep(began + SCENARIO_S - loop.time())
         setup_times_s = [at - began for at in server.setup_times_s]
         result = SlowStartResult(setup_times_s=setup_times_s, site=SITE, activations=killed)
-        has_fallen = server.processor.state is ProcessorState.FALLEN
+        has_fallen = server.processor.state is ProcessorState.CRASHED
         return self._result_json(scenario, result, has_fallen)
 
     async def _replace_server(self, old_name: str, name: str, late_s: float) -> None:
         old, new = self._servers[old_name], self._servers[name]
         self._publish(
             [
-                endpoint_line(old_name, old.place, 0, "terminated"),
-                endpoint_line(name, new.place, 0, "in_service", int(1000 * time.time())),
+                endpoint_line(old_name, old.address, 0, "terminated"),
+                endpoint_line(name, new.address, 0, "in_service", int(1000 * time.time())),
             ],
             late_s,
         )
@@ -206,7 +206,7 @@
         names = {number: f"r{number}" for number in range(1, SITE.servers)}
         self._publish(
             [
-                endpoint_line(name, self._servers[name].place, number, "terminated")
+                endpoint_line(name, self._servers[name].address, number, "terminated")
                 for number, name in names.items()
             ]
         )
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -84,7 +84,7 @@
             return
         request = attempt.call.request
         for reply in script_for(request.called_uri):
-            self._timeline.schedule(reply.after_s, self._reply(attempt.server, request.ident, reply))
+            self._timeline.schedule(reply.delay_s, self._reply(attempt.server, request.ident, reply))
 
     def send_release(self, _server: RosterServer, ident: str, _cause: int) -> None:
         """Release a call, or give a set-up up: the server says no more about it."""
@@ -106,7 +106,7 @@
                 case "PENDING":
                     responses.setup_progressing(server, ident)
                 case "STARTED":
-                    responses.call_established(server, ident, reply.blob)
+                    responses.call_established(server, ident, reply.description)
                 case _:
                     responses.call_released(server, ident, reply.cause, "", LoadReport())
 
--- a/stairhatch/scale_test/real_run.py
+++ b/stairhatch/scale_test/real_run.py
@@ -18,6 +18,7 @@
 
 from stairhatch.emulators.caller_emulator import CallerEmulator, CallResult, PlacedCall
 from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator, endpoint_line
+from stairhatch.emulators.observations import ObservationKind
 from stairhatch.emulators.ports import free_port
 from stairhatch.emulators.server_emulator import ServerEmulator
 from stairhatch.fault_injection.folder_cleanup import FOLDER_PREFIX
@@ -42,10 +43,10 @@
 PORTS_PER_SOFTSWITCH = 3  # SIP, fleet, admin endpoint
 
 RESULTS = {
-    CallResult.STOOD: SimulatedCallResult.ESTABLISHED,
-    CallResult.REFUSED: SimulatedCallResult.REJECTED,
+    CallResult.ESTABLISHED: SimulatedCallResult.ESTABLISHED,
+    CallResult.REJECTED: SimulatedCallResult.REJECTED,
     CallResult.FAILED: SimulatedCallResult.FAILED,
-    CallResult.UNHEARD: SimulatedCallResult.FAILED,
+    CallResult.UNANSWERED: SimulatedCallResult.FAILED,
 }
 
 
@@ -107,7 +108,7 @@
         for index in range(self.plan.server_count):
             await self._start_server(index)
         await self._coordinator.listen()
-        self._coordinator.tell([self._endpoint_line(index) for index in range(self.plan.server_count)])
+        self._coordinator.publish([self._endpoint_line(index) for index in range(self.plan.server_count)])
         self._start_members()
         if not await _poll_until(self._all_serving, READY_TIMEOUT_S):
             raise ProcessStartError("real: a softswitch does not serve")
@@ -119,15 +120,15 @@
         server = ServerEmulator(
             lines=self.plan.server.call_capacity,
             processor=create_processor(self.plan, index),
-            state_s=self.plan.server.load_report_interval_s,
+            load_report_interval_s=self.plan.server.load_report_interval_s,
         )
 
-        def observe(what: str, called_number: str) -> None:
+        def observe(kind: ObservationKind, called_number: str) -> None:
             """Take note of the server at which a call was established."""
-            if what == "stood":
+            if kind is ObservationKind.ESTABLISHED:
                 self._calls.record_server(called_number, index)
 
-        server.seen = observe
+        server.observer = observe
         self._servers.append(await server.listen())
 
     def _start_members(self) -> None:
@@ -143,7 +144,7 @@
             self._members.append(MemberProcess(name, folder, sip, listen, admin_endpoint))
             self._logs.append(MemberLog(folder / "log"))
         for index, member in enumerate(self._members):
-            text = config_text(self.plan, self._members, index, self._coordinator.place)
+            text = config_text(self.plan, self._members, index, self._coordinator.address)
             member.config_file.write_text(text)
             member.start()
 
@@ -160,7 +161,7 @@
         return True
 
     def _endpoint_line(self, index: int) -> dict[str, object]:
-        return endpoint_line(instance_name(index), self._servers[index].place, index)
+        return endpoint_line(instance_name(index), self._servers[index].address, index)
 
     def _elapsed_s(self) -> float:
         return time.monotonic() - self._begins_at
@@ -198,7 +199,9 @@
             await asyncio.sleep(max(0.0, due_s - self._elapsed_s()))
             index = order % len(self._servers)
             self._changed_at[instance_name(index)].append(time.time())
-            self._coordinator.tell([{**self._endpoint_line(index), "weight": FIRST_CHANGED_WEIGHT + order}])
+            self._coordinator.publish(
+                [{**self._endpoint_line(index), "weight": FIRST_CHANGED_WEIGHT + order}]
+            )
 
     async def _usage_totals(self) -> UsageTotals:
         """Return what has been used up to now. The softswitches log their counters at SIGUSR1."""
@@ -216,9 +219,9 @@
                 raise ProcessStartError(f"real: {member.name} tells no counters")
             counters.update(log.last_counters())
         return UsageTotals(
-            setups=sum(server.set_ups for server in self._servers),
-            list_messages=self._coordinator.asked,
-            list_bytes=self._coordinator.asked_bytes + self._coordinator.told_bytes,
+            setups=sum(server.setup_count for server in self._servers),
+            list_messages=self._coordinator.poll_count,
+            list_bytes=self._coordinator.poll_bytes + self._coordinator.answer_bytes,
             lease_messages=counters["fleet_sent"],
             lease_bytes=counters["fleet_sent_bytes"],
         )
@@ -237,7 +240,7 @@
 
     def _figures(self, at_begin: UsageTotals, at_end: UsageTotals, since: float) -> RealRunFigures:
         in_force_ms = self._in_force_ms(since)
-        setups = sum(server.set_ups for server in self._servers) - at_begin.setups
+        setups = sum(server.setup_count for server in self._servers) - at_begin.setups
         change_count = sum(map(len, self._changed_at.values()))
         return RealRunFigures(
             compared=compared_figures(self._calls.tally, at_end - at_begin, setups, in_force_ms),
@@ -257,7 +260,7 @@
         self._coordinator.close()
         for server in self._servers:
             server.stop_listening()
-            server.cut()
+            server.abort_connections()
         self._remove_folder()
 
     def _remove_folder(self) -> None:
--- a/stairhatch/scale_test/simulated_coordinator.py
+++ b/stairhatch/scale_test/simulated_coordinator.py
@@ -58,7 +58,7 @@
     def set_initial_list(self, lines: list[EndpointLine]) -> None:
         """Have these lines from the beginning, older than any change."""
         self._stamps.update((line["instanceId"], ChangeStamp(0.0, self.region)) for line in lines)
-        self.list.tell(lines, reset=True)
+        self.list.publish(lines, reset=True)
 
     def change(self, lines: list[EndpointLine]) -> None:
         """Change lines of the list, here and then in the other regions."""
@@ -73,7 +73,7 @@
         self.superseded += len(lines) - len(newer)
         self._stamps.update((line["instanceId"], stamp) for line in newer)
         if newer:
-            self.list.tell(newer)
+            self.list.publish(newer)
             for connection, poll in list(self._pending_polls.items()):
                 poll.timeout.cancel()
                 self._answer(connection, poll.after)
@@ -94,7 +94,7 @@
             """Answer each complete poll request."""
             nonlocal buffered
             with self.context.meter.measuring(ProcessorPart.EMULATORS):
-                self.list.asked_bytes += len(data)
+                self.list.poll_bytes += len(data)
                 *lines, buffered = (buffered + data).split(b"\n")
                 for line in lines:
                     if line.startswith(b"GET "):
@@ -116,7 +116,7 @@
 
     def _poll(self, connection: SimulatedConnection, request: bytes) -> None:
         after, wait_s = parse_poll_request(request)
-        self.list.asked += 1
+        self.list.poll_count += 1
         if len(self.list.events) > after:
             self._answer(connection, after)
             return
--- a/stairhatch/scale_test/simulated_server.py
+++ b/stairhatch/scale_test/simulated_server.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from stairhatch.emulators.coordinator_emulator import endpoint_line
+from stairhatch.emulators.observations import ObservationKind
 from stairhatch.emulators.processor import ProcessorState
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 from stairhatch.scale_test.processor_meter import ProcessorPart
@@ -52,9 +53,9 @@
             lines=context.plan.server.call_capacity,
             processor=self.processor,
             timers=context.emulator_clock,
-            state_s=context.plan.server.load_report_interval_s,
+            load_report_interval_s=context.plan.server.load_report_interval_s,
         )
-        self.emulator.seen = self._observe
+        self.emulator.observer = self._observe
         self._connections: dict[SimulatedConnection, None] = {}
 
     @property
@@ -64,7 +65,7 @@
 
     def endpoint_line(self, state: str = "in_service") -> dict[str, Any]:
         """Return its line of the endpoint list."""
-        started_at = self.processor.born
+        started_at = self.processor.started_cold_at
         started_ms = int(1000 * started_at) if started_at else 0
         return endpoint_line(self.instance, self.address, self.machine, state, started_ms)
 
@@ -74,7 +75,7 @@
 
     def is_listening(self) -> bool:
         """Return whether its process takes connections."""
-        return self.processor.state not in (ProcessorState.FALLEN, ProcessorState.GONE)
+        return self.processor.state not in (ProcessorState.CRASHED, ProcessorState.GONE)
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
         """Accept a connection, and return its server side."""
@@ -98,7 +99,7 @@
 
     def kill(self) -> None:
         """End its process; the softswitches notice it as a reset of their connections."""
-        self.emulator.cut()
+        self.emulator.abort_connections()
         self._connections.clear()
 
     def power_off(self) -> None:
@@ -115,13 +116,13 @@
         self.cold_setup_times.append([])
         self.processor.start_cold(self.context.clock.now)
 
-    def _observe(self, what: str, called_number: str) -> None:
+    def _observe(self, kind: ObservationKind, called_number: str) -> None:
         now = self.context.clock.now
-        if what == "stood":
+        if kind is ObservationKind.ESTABLISHED:
             self.context.calls.record_server(called_number, self.machine)
-        elif what == "set-up" and self.cold_setup_times and self._is_cold(now):
+        elif kind is ObservationKind.SETUP_RECEIVED and self.cold_setup_times and self._is_cold(now):
             self.cold_setup_times[-1].append(now)
 
     def _is_cold(self, now: float) -> bool:
-        started_at = self.processor.born
-        return started_at is not None and now - started_at < self.processor.nature.warm_after_s
+        started_at = self.processor.started_cold_at
+        return started_at is not None and now - started_at < self.processor.profile.warm_up_s
--- a/stairhatch/scale_test/simulation_figures.py
+++ b/stairhatch/scale_test/simulation_figures.py
@@ -53,8 +53,8 @@
 def _server_figures(simulation: Simulation) -> ServerFigures:
     processors = [server.processor for server in simulation.servers]
     return ServerFigures(
-        rejected_setups=sum(processor.turned_away for processor in processors),
-        overloaded=sum(processor.state is ProcessorState.FALLEN for processor in processors),
+        rejected_setups=sum(processor.rejected_count for processor in processors),
+        overloaded=sum(processor.state is ProcessorState.CRASHED for processor in processors),
     )
 
 
