--- a/stairhatch/overload/actions.py
+++ b/stairhatch/overload/actions.py
@@ -8,9 +8,11 @@
 
 from dataclasses import dataclass
 
+from stairhatch.overload.events import Message
 
-@dataclass(slots=True)
-class SendSetup:
+
+@dataclass(slots=True, repr=False)
+class SendSetup(Message):
     """Start an attempt: send a set-up to a server. `timeout_s` 0: until the caller's timeout."""
 
     call_id: int
@@ -18,31 +20,31 @@
     timeout_s: float = 0.0
 
 
-@dataclass(slots=True)
-class RejectCall:
+@dataclass(slots=True, repr=False)
+class RejectCall(Message):
     """Final answer: rejected. `retry_after_s` is when the caller may retry; 0: no time is given."""
 
     call_id: int
     retry_after_s: float = 0.0
 
 
-@dataclass(slots=True)
-class FailCall:
+@dataclass(slots=True, repr=False)
+class FailCall(Message):
     """Final answer: failed, after an attempt or for want of a class."""
 
     call_id: int
 
 
-@dataclass(slots=True)
-class SetTimer:
+@dataclass(slots=True, repr=False)
+class SetTimer(Message):
     """Have TimerExpired come after `delay_s`."""
 
     delay_s: float
     timer_id: int
 
 
-@dataclass(slots=True)
-class LogMessage:
+@dataclass(slots=True, repr=False)
+class LogMessage(Message):
     """A text to be logged, as the event `decision_note`."""
 
     text: str
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import NamedTuple
+from typing import ClassVar, NamedTuple
 
 from stairhatch.overload.settings import CallClass
 
@@ -72,16 +72,31 @@
     started_at: float = 0.0  # when it last started; 0: long ago
 
 
-@dataclass(slots=True, eq=False)
-class EndpointsUpdated:
+class Message:
+    """An event or an action.
+
+    One method shows the fields of all: a generated one for each costs time at every start.
+    """
+
+    __slots__ = ()
+    __match_args__: ClassVar[tuple[str, ...]]  # the names of the fields, as `dataclass` sets them
+
+    def __repr__(self) -> str:
+        """Return the class and the fields, as `dataclass` would."""
+        fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__match_args__)
+        return f"{type(self).__name__}({fields})"
+
+
+@dataclass(slots=True, eq=False, repr=False)
+class EndpointsUpdated(Message):
     """The complete endpoint list, or only the records that changed."""
 
     endpoints: tuple[EndpointRecord, ...]
     complete: bool
 
 
-@dataclass(slots=True, eq=False)
-class CallOffered:
+@dataclass(slots=True, eq=False, repr=False)
+class CallOffered(Message):
     """A caller asks for a call. One final answer is owed within `caller_timeout_s`."""
 
     call_id: int
@@ -93,8 +108,8 @@
     called_number: int = 0  # destination number; 0: unknown
 
 
-@dataclass(slots=True, eq=False)
-class CallEstablished:
+@dataclass(slots=True, eq=False, repr=False)
+class CallEstablished(Message):
     """A call is established; its set-up took `elapsed_s`."""
 
     call_id: int
@@ -102,8 +117,8 @@
     elapsed_s: float
 
 
-@dataclass(slots=True, eq=False)
-class AttemptEnded:
+@dataclass(slots=True, eq=False, repr=False)
+class AttemptEnded(Message):
     """An attempt has ended. `answered`: the caller has had its final answer."""
 
     call_id: int
@@ -117,15 +132,15 @@
     no_free_line: bool = False  # rejected for want of a free line, not of processor time
 
 
-@dataclass(slots=True, eq=False)
-class CallAbandoned:
+@dataclass(slots=True, eq=False, repr=False)
+class CallAbandoned(Message):
     """The caller has gone; no answer is owed any more."""
 
     call_id: int
 
 
-@dataclass(slots=True, eq=False)
-class LoadReported:
+@dataclass(slots=True, eq=False, repr=False)
+class LoadReported(Message):
     """A load report that came by itself or as the answer to a health check."""
 
     server_id: int
@@ -134,15 +149,15 @@
     solicited: bool = False
 
 
-@dataclass(slots=True, eq=False)
-class TimerExpired:
+@dataclass(slots=True, eq=False, repr=False)
+class TimerExpired(Message):
     """A timer that was set by SetTimer has expired."""
 
     timer_id: int
 
 
-@dataclass(slots=True, eq=False)
-class PeerMessageReceived:
+@dataclass(slots=True, eq=False, repr=False)
+class PeerMessageReceived(Message):
     """A message from another node."""
 
     peer_id: int
