--- a/benchmarks/scaling/callers.py
+++ b/benchmarks/scaling/callers.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from functools import partial
 
-from benchmarks.scaling.counting_emulators import Address
 from benchmarks.scaling.errors import UnavailableFigureError
 from benchmarks.scaling.softswitch_process import ProcessorTime, SoftswitchProcess
 from benchmarks.scaling.workload import CALL_DURATION_S, SERVICE_SERVERS, service_name
+from stairhatch.emulators.ports import Address
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 
--- a/benchmarks/scaling/counting_emulators.py
+++ b/benchmarks/scaling/counting_emulators.py
@@ -11,9 +11,9 @@
 from benchmarks.scaling.emulator_processes import ChangeEndpoint, Question, StatusQuestion
 from benchmarks.scaling.workload import SERVER_LINES
 from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator
+from stairhatch.emulators.ports import Address
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 
-Address = tuple[str, int]
 LISTEN_BACKLOG = 2048  # all softswitches may connect at once
 
 
--- a/benchmarks/scaling/simulated_softswitches.py
+++ b/benchmarks/scaling/simulated_softswitches.py
@@ -9,10 +9,10 @@
 from functools import partial
 from typing import Any
 
-from benchmarks.scaling.counting_emulators import Address
 from benchmarks.scaling.emulator_processes import Question
 from benchmarks.scaling.workload import settings_json
 from stairhatch.components import steady_unix_clock
+from stairhatch.emulators.ports import Address
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import ServerRecord
 from stairhatch.node.counters import Counters
--- a/benchmarks/scaling/softswitch_process.py
+++ b/benchmarks/scaling/softswitch_process.py
@@ -15,14 +15,14 @@
 from types import TracebackType
 
 from benchmarks.platform_settings import complete_settings
-from benchmarks.scaling.counting_emulators import Address, Coordinator, RosterServers, ServerCounts
+from benchmarks.scaling.counting_emulators import Coordinator, RosterServers, ServerCounts
 from benchmarks.scaling.emulator_processes import ChangeEndpoint, emulator_processes
 from benchmarks.scaling.errors import UnavailableFigureError
 from benchmarks.scaling.measurement import wait_until
 from benchmarks.scaling.slope_files import ROOT
 from benchmarks.scaling.workload import settings_json
 from stairhatch.emulators.coordinator_emulator import endpoint_line
-from stairhatch.emulators.ports import free_port
+from stairhatch.emulators.ports import Address, free_port
 
 HOST = "127.0.0.1"
 MAX_SERVERS_A_PROCESS = 475
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -18,7 +18,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from stairhatch.conformance.in_process import InProcessEnvironment
-from stairhatch.conformance.request_writer import SESSION_OFFER
+from stairhatch.emulators.caller_emulator import SESSION_OFFER
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 from stairhatch.sip.request_head import RequestHead
@@ -46,7 +46,7 @@
         ("allow", "INVITE, ACK, CANCEL, BYE, OPTIONS"),
         ("content-type", "application/sdp"),
     ]
-    return sip.request("INVITE", CALLED_URI, headers, SESSION_OFFER.encode())
+    return sip.request("INVITE", CALLED_URI, headers, SESSION_OFFER)
 
 
 def in_dialog_request(method: str, cseq: int, branch: str, answer: sip.SipMessage) -> bytes:
--- a/stairhatch/conformance/environment.py
+++ b/stairhatch/conformance/environment.py
@@ -9,8 +9,6 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-Address = tuple[str, int]  # host and port
-
 
 @dataclass(frozen=True, slots=True)
 class ReceivedData:
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -12,8 +12,9 @@
 from itertools import count
 from typing import Any
 
-from stairhatch.conformance.environment import Address, ReceivedData
-from stairhatch.emulators.scripted_replies import ScriptedReply, script_for
+from stairhatch.conformance.environment import ReceivedData
+from stairhatch.emulators.ports import Address
+from stairhatch.emulators.scripted_replies import ReplyVerb, ScriptedReply, script_for
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.calls import Attempt, RosterServer, ServerRecord
 from stairhatch.node.counters import Counters
@@ -103,11 +104,11 @@
                 return
             responses = self._core.responses
             match reply.verb:
-                case "PENDING":
+                case ReplyVerb.PENDING:
                     responses.setup_progressing(server, ident)
-                case "STARTED":
+                case ReplyVerb.STARTED:
                     responses.call_established(server, ident, reply.description)
-                case _:
+                case ReplyVerb.FINISH:
                     responses.call_released(server, ident, reply.cause, "", LoadReport())
 
         return act
--- a/stairhatch/conformance/request_writer.py
+++ b/stairhatch/conformance/request_writer.py
@@ -9,12 +9,9 @@
 from stairhatch.conformance.caller_dialog import CallerDialog, CallerDialogs
 from stairhatch.conformance.environment import CallerTransport
 from stairhatch.conformance.steps import HeaderValues, RequestStep, SendText
+from stairhatch.emulators.caller_emulator import SESSION_OFFER
 from stairhatch.node import sip_message as sip
 
-SESSION_OFFER = (
-    "v=0\r\no=office 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\n"
-    "m=audio 30000 RTP/AVP 8\r\n"
-)
 BRANCH_COOKIE = "z9hG4bK"  # RFC 3261, section 8.1.1.7
 OF_CALL = "of-"  # a tag of another call of the case, by its name
 FILLER = '"'
@@ -55,7 +52,7 @@
             "cseq": f"{cseq} {method}",
         }
         headers |= _method_headers(method, dialog, transport)
-        body = (SESSION_OFFER if method == "INVITE" else "") if step.body is None else step.body
+        body = (SESSION_OFFER.decode() if method == "INVITE" else "") if step.body is None else step.body
         body += FILLER * step.fill
         if body:
             headers["content-type"] = step.content_type
--- a/stairhatch/conformance/sockets.py
+++ b/stairhatch/conformance/sockets.py
@@ -8,7 +8,8 @@
 import time
 from dataclasses import dataclass
 
-from stairhatch.conformance.environment import Address, ReceivedData
+from stairhatch.conformance.environment import ReceivedData
+from stairhatch.emulators.ports import Address
 from stairhatch.node.address import format_address
 
 CONNECT_TIMEOUT_S = 5.0
