--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -4,6 +4,7 @@
 
 import json
 import os
+import re
 import signal
 import socket
 import subprocess
@@ -101,8 +102,7 @@
         addresses.update(
             {f"127.0.0.1:{7001 + i}": f"127.0.0.1:{server.port}" for i, server in enumerate(servers)}
         )
-        for old, new in addresses.items():
-            text = text.replace(old, new)
+        text = re.sub(r"127\.0\.0\.1:\d+", lambda found: addresses.get(found[0], found[0]), text)
         text = text.replace("[sip]", "[sip]\nrestart_wait_s = 0.2", 1)
         if syslog:
             text = text.replace('# syslog = "127.0.0.1:514"', f'syslog = "{syslog}"')
