--- a/stairhatch/demo/config.py
+++ b/stairhatch/demo/config.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoOptions:
-    """What the demonstration is told on the command line."""
+    """The options of the demonstration's command line."""
 
     udp: str = DEFAULT_LISTEN  # host:port; empty: it does not listen there
     tcp: str = DEFAULT_LISTEN  # the same
@@ -69,6 +69,6 @@
 
 def _server_entry(index: int, address: Address) -> str:
     return (
-        f'[[servers]]\nname = "stand-in-{index + 1}"\n'
+        f'[[servers]]\nname = "emulator-{index + 1}"\n'
         f'address = "{format_address(address)}"\nnumber = {index}'
     )
--- a/stairhatch/emulators/caller_emulator.py
+++ b/stairhatch/emulators/caller_emulator.py
@@ -1,6 +1,6 @@
 """An emulated SIP caller over UDP or TCP (RFC 3261), for the demonstration and for load.
 
-It places calls, acknowledges, holds and hangs up, and says when each call's final response came and when a
+It places calls, acknowledges, holds and hangs up, and reports when each call's final response came and when a
 rejected one may come again (Retry-After). It keeps no more than its calls that are open.
 """
 
--- a/stairhatch/emulators/observations.py
+++ b/stairhatch/emulators/observations.py
@@ -15,11 +15,11 @@
     FINAL_RESPONSE = "final"  # a caller received a final response
     CALLER_HUNG_UP = "hung up"  # a caller cancelled a call or ended an established one
     CALLER_VANISHED = "vanished"  # a caller is gone without a word
-    BYE_RECEIVED = "told end"  # a caller was told that its call has ended
+    BYE_RECEIVED = "told end"  # a caller was notified that its call has ended
     SETUP_RECEIVED = "set-up"  # a server received a set-up
     ESTABLISHED = "stood"  # a server established the call
     REJECTED = "refused"  # a server rejected the set-up: it never ran
-    RELEASE_RECEIVED = "given up"  # a server was told that a set-up is abandoned, or a call released
+    RELEASE_RECEIVED = "given up"  # a server was notified that a set-up is abandoned, or a call released
     RELEASED_BY_SERVER = "ended"  # a server ended the call
     CONNECTION_LOST = "broke"  # the connection ended under a set-up, or the server's process under a call
-    DRAIN_NOTIFIED = "told drain"  # a softswitch was told that the server drains or is gone
+    DRAIN_NOTIFIED = "told drain"  # a softswitch was notified that the server drains or is gone
--- a/stairhatch/emulators/server_emulator.py
+++ b/stairhatch/emulators/server_emulator.py
@@ -2,7 +2,7 @@
 
 It replies to each set-up as its script says (`scripted_replies`), or as its processor can where it has one.
 Its timers may be those of a virtual clock, and the transport of a connection anything that writes: then it
-serves without a socket. It never outlives `close`, and tells an observer what happens to each call.
+serves without a socket. It never outlives `close`, and notifies an observer of what happens to each call.
 """
 
 from __future__ import annotations
@@ -164,7 +164,7 @@
             self.observer(ObservationKind.CONNECTION_LOST, call.number)
 
     def connection_lost(self, connection: ServerEmulatorConnection) -> None:
-        """Tell the observer of each set-up that was pending on a connection that has ended.
+        """Notify the observer of each set-up that was pending on a connection that has ended.
 
         Nothing else changes: what is established stays so, since its release may come on another connection,
         and a set-up that is being worked on may still come to be established here.
--- a/stairhatch/load_test/__init__.py
+++ b/stairhatch/load_test/__init__.py
@@ -5,8 +5,8 @@
 - one run: `load_run`, with `softswitch_process` and its `softswitch_config`, and worker processes
   (`worker_process`, `worker`, `worker_messages`) that are the `caller_population`, the `roster_servers` or a
   `datagram_relay`
-- what came of it: `load_tally` (counts and times), `call_rules` (the rules of calls, checked over what both
-  sides observed), `event_loop_stall` (how far times may be believed), `run_summary`
+- what came of it: `load_tally` and `tally_snapshot` (counts and times), `call_rules` (the rules of calls,
+  checked over what both sides observed), `event_loop_stall` (how far times may be believed), `run_summary`
 - many runs: `experiment` (the file), `experiment_run`, `experiment_results`, `chart`, `revisions`
 
 The softswitch itself never imports this package, and no load leaves this machine. The commands are
--- a/stairhatch/load_test/call_rules.py
+++ b/stairhatch/load_test/call_rules.py
@@ -157,7 +157,7 @@
         notified_at = self.drains.get(setup.server)
         if notified_at is not None and setup.at > notified_at + DRAIN_GRACE_S + self.slack_s:
             since_s = setup.at - notified_at
-            description = f"{setup.server} was told to drain {since_s:.2f} s ago"
+            description = f"the drain of {setup.server} was notified {since_s:.2f} s ago"
             self._violated(CallRule.DRAIN, call, setup.at, description)
 
     def _check_after(self, last: _Attempt, call: str, setup: CallObservation) -> None:
@@ -184,7 +184,7 @@
         by_server = _first(since, {ObservationKind.RELEASED_BY_SERVER})
         is_over = _caller_end(story) or _first(story, {ObservationKind.CALLER_VANISHED})
         if by_server and not is_over and self.ends_at > by_server.at + RELEASE_LIMIT_S:
-            self._violated(CallRule.RELEASE, call, by_server.at, "its caller was not told of its end")
+            self._violated(CallRule.RELEASE, call, by_server.at, "its caller was not notified of its end")
 
     def _check_release_at_server(
         self,
@@ -195,7 +195,7 @@
     ) -> None:
         if server_end is not None:
             return
-        where = f"it still stands at {established.server}"
+        where = f"it is still established at {established.server}"
         over = _caller_end(story)
         if over is not None and self.ends_at > max(over.at, established.at) + RELEASE_LIMIT_S:
             self._violated(CallRule.RELEASE, call, established.at, where)
--- a/stairhatch/load_test/caller_population.py
+++ b/stairhatch/load_test/caller_population.py
@@ -131,7 +131,7 @@
         longest_s = max(each.time_limit_s + each.hold_s for each in self.plan.classes)
         await sleep_until(self.begin_at + self.plan.seconds)
         until = time.monotonic() + longest_s + SETTLE_S
-        while time.monotonic() < until and self._has_open_calls():  # noqa: ASYNC110  # no caller tells its last
+        while time.monotonic() < until and self._has_open_calls():  # noqa: ASYNC110  # calls end silently
             await asyncio.sleep(DRAINED_CHECK_INTERVAL_S)
 
     def _has_open_calls(self) -> bool:
--- a/stairhatch/load_test/load_run.py
+++ b/stairhatch/load_test/load_run.py
@@ -115,7 +115,7 @@
 
 
 def run_load(setup: LoadSetup, on_progress: Callable[[float], None] = lambda _: None) -> LoadRunResult:
-    """Carry one load out; `on_progress` is told the seconds that have passed. Raises LoadRunError."""
+    """Carry one load out; `on_progress` is called with the seconds that have passed. Raises LoadRunError."""
     for address in setup.addresses.values():
         check_loopback(address)
     with contextlib.ExitStack() as processes, tempfile.TemporaryDirectory() as folder:
--- a/stairhatch/load_test/load_tally.py
+++ b/stairhatch/load_test/load_tally.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
-from msgspec import Struct
 
 from stairhatch.load_test.load_plan import LoadClass
+from stairhatch.load_test.tally_snapshot import TallySnapshot
 
 LEAST_US, MOST_US = 1, 120_000_000
 SIGNIFICANT_DIGITS = 2
@@ -50,18 +50,6 @@
         return f"{self} {name}"
 
 
-class TallySnapshot(Struct):
-    """A tally as one process hands it to another; histograms as hdrhistogram encodes them."""
-
-    counts: dict[str, int]
-    worth: float
-    earned: float
-    by_second: dict[str, dict[str, int]]
-    stood: dict[str, str]
-    answered: str
-    lateness: str
-
-
 def new_histogram() -> Histogram:
     """Return an empty histogram of microseconds, two digits exact."""
     return HdrHistogram(LEAST_US, MOST_US, SIGNIFICANT_DIGITS)
@@ -141,24 +129,24 @@
         """Return what a process hands to another."""
         return TallySnapshot(
             counts=dict(self.counts),
-            worth=self.weight_offered,
-            earned=self.weight_earned,
+            weight_offered=self.weight_offered,
+            weight_earned=self.weight_earned,
             by_second={str(second): dict(counts) for second, counts in self.by_second.items()},
-            stood={name: each.encode().decode() for name, each in self.setup_times.items()},
-            answered=self.response_times.encode().decode(),
+            setup_times={name: each.encode().decode() for name, each in self.setup_times.items()},
+            response_times=self.response_times.encode().decode(),
             lateness=self.lateness.encode().decode(),
         )
 
     def add(self, other: TallySnapshot) -> None:
         """Add what another process has counted."""
         self.counts.update(other.counts)
-        self.weight_offered += other.worth
-        self.weight_earned += other.earned
+        self.weight_offered += other.weight_offered
+        self.weight_earned += other.weight_earned
         for second, counts in other.by_second.items():
             self._counts_in(float(second)).update(counts)
-        for name, encoded in other.stood.items():
+        for name, encoded in other.setup_times.items():
             self._setup_times_of(name).decode_and_add(encoded)
-        self.response_times.decode_and_add(other.answered)
+        self.response_times.decode_and_add(other.response_times)
         self.lateness.decode_and_add(other.lateness)
 
     # ---- what it says ----
--- a/stairhatch/load_test/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -1,7 +1,7 @@
 """The main module of a worker process of a load.
 
-It reads its job as a line, says when it is ready, begins when it is told the time, and writes what came of it
-as its last line (`worker_messages`). It ends with its input, so that none outlives its parent.
+It reads its job as a line, says when it is ready, begins at the time that it is sent, and writes what came of
+it as its last line (`worker_messages`). It ends with its input, so that none outlives its parent.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     _write(ServersReady(await servers.open()))
     if begin_line := await lines.readline():
         running = asyncio.create_task(servers.run(decode_line(begin_line, float)))
-        await lines.readline()  # until it is told to end, or its parent has gone
+        await lines.readline()  # until it is to end, or its parent has gone
         running.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await running
--- a/stairhatch/load_test/worker_messages.py
+++ b/stairhatch/load_test/worker_messages.py
@@ -1,7 +1,7 @@
 """The lines of JSON between a load and its worker processes, each typed.
 
-A worker's first line is its job. It says that it is ready, callers and servers begin at a time that they are
-told, and their last line is what came of it.
+A worker's first line is its job, and it says that it is ready. Callers and servers begin at the time that is
+sent to them; their last line is what came of it.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from stairhatch.emulators.ports import Address
 from stairhatch.load_test.datagram_conditions import DatagramConditions
 from stairhatch.load_test.load_plan import LoadPlan, Transport
-from stairhatch.load_test.load_tally import TallySnapshot
 from stairhatch.load_test.server_plan import ServerPlan
+from stairhatch.load_test.tally_snapshot import TallySnapshot
 
 Message = TypeVar("Message")
 
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -25,8 +25,9 @@
     check_loopback,
     run_load,
 )
-from stairhatch.load_test.load_tally import CallOutcome, LoadTally, TallyCount, TallySnapshot
+from stairhatch.load_test.load_tally import CallOutcome, LoadTally, TallyCount
 from stairhatch.load_test.server_plan import ServerFault, ServerFaultKind, ServerPlan
+from stairhatch.load_test.tally_snapshot import TallySnapshot
 
 from .support.load_plans import two_class_plan
 from .support.paths import ROOT
