--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -44,7 +44,7 @@
 CALLS_PER_S = 3.0  # to each softswitch
 ROSTER_SERVERS = 2
 ROSTER_LINES = 200
-ROSTER_NATURE = ProcessorProfile(setup_s=0.005, warm_up_s=4.0, overload_window_s=1.0)
+ROSTER_SERVER_PROFILE = ProcessorProfile(setup_s=0.005, warm_up_s=4.0, overload_window_s=1.0)
 MAX_CLOCK_OFFSET_S = 1e5
 CALL_SLACK_S = 0.05  # of the rules of calls, beside the time for which this process did not run
 
@@ -131,7 +131,7 @@
 
     async def _open_servers(self) -> None:
         for index in range(ROSTER_SERVERS):
-            processor = Processor(ROSTER_NATURE, random.Random(self.seed * 31 + index))
+            processor = Processor(ROSTER_SERVER_PROFILE, random.Random(self.seed * 31 + index))
             self.servers.append(await ServerEmulator(lines=ROSTER_LINES, processor=processor).listen())
         await self.coordinator.listen()
         self.coordinator.publish(
--- a/stairhatch/load_test/roster_servers.py
+++ b/stairhatch/load_test/roster_servers.py
@@ -11,7 +11,7 @@
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerObserver
 from stairhatch.load_test.event_loop_stall import EventLoopStall
 from stairhatch.load_test.server_plan import ServerFault, ServerFaultKind, ServerPlan
-from stairhatch.load_test.worker_messages import ServerRecord, ServersResult, ServerSummary
+from stairhatch.load_test.worker_messages import ServerObservation, ServersResult, ServerSummary
 
 LINES = 100_000  # of each server: never the limit
 SEED_FACTOR = 31  # so that seeds of runs and servers do not meet
@@ -23,7 +23,7 @@
     def __init__(self, plan: ServerPlan, seed: int) -> None:
         """Prepare the servers; none listens yet."""
         self.plan = plan
-        self.record: list[ServerRecord] = []
+        self.record: list[ServerObservation] = []
         self.stall = EventLoopStall()
         profile = ProcessorProfile(setup_s=plan.setup_ms / 1000, max_queue_delay_s=plan.max_queue_delay_s)
         self.processors = [
@@ -35,7 +35,7 @@
 
     def _observer(self, name: str) -> ServerObserver:
         def observe(kind: ObservationKind, number: str) -> None:
-            self.record.append(ServerRecord(time.monotonic(), kind, number, name))
+            self.record.append(ServerObservation(time.monotonic(), kind, number, name))
 
         return observe
 
--- a/stairhatch/load_test/worker_messages.py
+++ b/stairhatch/load_test/worker_messages.py
@@ -77,7 +77,7 @@
     told_apart_by: str  # two final responses differ where this does
 
 
-class ServerRecord(Struct, array_like=True, frozen=True):
+class ServerObservation(Struct, array_like=True, frozen=True):
     """What a server observed of a call."""
 
     at: float  # monotonic seconds
@@ -105,7 +105,7 @@
 class ServersResult(Struct, frozen=True):
     """What came of the servers."""
 
-    record: list[ServerRecord]
+    record: list[ServerObservation]
     stalled_s: float  # the longest stall of their event loop
     servers: list[ServerSummary]
 
