--- a/stairhatch/admission/feedback.py
+++ b/stairhatch/admission/feedback.py
@@ -1,7 +1,7 @@
 """Feedback to callers that support SIP overload control: RFC 7339 (loss) and RFC 7415 (rate).
 
 Holds each such caller's rate, the values of the Via parameters with their sequence and validity, and which
-callers don't comply with what they are told. It is given the fraction that is shed and the time, and never
+callers don't comply with their feedback. It is given the fraction that is shed and the time, and never
 sees a message. Times are seconds, rates are new requests a second.
 """
 
--- a/stairhatch/admission/rate_limits.py
+++ b/stairhatch/admission/rate_limits.py
@@ -1,7 +1,7 @@
 """What a source may send: a token bucket for each source and each network, in tables of bounded size.
 
 A source's bucket fills at its rate up to its burst size. While the processor is not overloaded a source may
-go beyond it; while it is, it may not, unless nobody else calls. So one office's storm is cut to its part
+go beyond it; while it is, it may not, unless nobody else calls. So one source's storm is cut to its rate
 exactly when others would suffer from it. Rates are new calls a second, times are seconds.
 """
 
--- a/stairhatch/config/appliance/schema.py
+++ b/stairhatch/config/appliance/schema.py
@@ -1,7 +1,7 @@
 """The schema of the appliance's TOML file: a struct for each table, a field for each key.
 
-A key that stands in no struct is refused, so every key that any part needs is declared here. What the
-keys mean is told in deploy/sip.toml, docs/sip.md, docs/overload.md, docs/fleet.md and docs/scope.md.
+A key that no struct declares is refused, so every key that any part needs is declared here. What the
+keys mean: deploy/sip.toml, docs/sip.md, docs/overload.md, docs/fleet.md and docs/scope.md.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class AdmissionTable(_Table, frozen=True):
-    """What the appliance itself can take. Off until it is turned on: docs/overload.md says what it costs."""
+    """Overload control for the appliance itself. Off by default: docs/overload.md says what it costs."""
 
     on: bool = False
     onset_ms: Annotated[float, Meta(gt=0, le=1000)] = 50.0
--- a/stairhatch/fault_injection/schedule_generator.py
+++ b/stairhatch/fault_injection/schedule_generator.py
@@ -192,7 +192,7 @@
     """A voter forgets its vote for the new holder as another voter's vote expires.
 
     The lease changes hands, one voter no longer receives from the new holder, and as its vote ends another
-    voter loses its data directory, or gets one back from before the change.
+    voter voter loses its data directory, or gets one back from before the change.
     """
     rng = draw.rng
     deaf, forgetful = rng.sample(draw.voters, 2)
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -258,7 +258,7 @@
                 # The usual timeouts of all classes are kept, whatever set a class goes to.
                 scoped_set.controller.update_settings(settings)
                 continue
-            else:  # its classes have gone, or gone elsewhere: it ends by itself
+            else:  # its classes are gone, or in other sets: it ends when its calls have
                 scoped_set.server_set = replace(
                     scoped_set.server_set,
                     instance_count=settings.instance_count,
--- a/stairhatch/scope/scoped_set.py
+++ b/stairhatch/scope/scoped_set.py
@@ -34,7 +34,7 @@
         return any(call.answer_by + ANSWER_OVERDUE_S > now for call in self.controller.calls.values())
 
     def handle(self, now: float, event: Event) -> Iterator[Action]:
-        """Have the controller take an event, and before it the records that it has not been told."""
+        """Have the controller take an event, and before it the records that it does not have yet."""
         if self.unsent_records:
             records = self.unsent_records
             self.unsent_records = ()
--- a/stairhatch/scope/server_sets.py
+++ b/stairhatch/scope/server_sets.py
@@ -90,7 +90,7 @@
 
 
 def check_services(settings: Settings, services: Iterable[ServiceConfig]) -> None:
-    """ConflictingServicesError where two classes share servers and are told of different softswitches.
+    """ConflictingServicesError where two classes share servers and name different softswitches.
 
     The figure divides what all may send together, so it is never guessed from one of them.
     """
@@ -106,7 +106,7 @@
 
 
 def server_sets(settings: Settings, services: Iterable[ServiceConfig]) -> tuple[ServerSet, ...]:
-    """All sets. One whose classes are told of different softswitches counts as the whole fleet's."""
+    """All sets. One whose classes name different softswitches counts as the whole fleet's."""
     service_of = {name: each for each in services for name in each.classes}
     sets = []
     for numbers, members in group_classes(settings.classes):
--- a/stairhatch/simulator/records.py
+++ b/stairhatch/simulator/records.py
@@ -1,7 +1,7 @@
 """The records of the simulator's wire: its events and actions, each with its code and its fields' layout.
 
 A record is a one-byte code, fixed fields and at most one counted tail, little-endian and unpadded. Each class
-gives the wire's own name of the event or action that it stands for. Times are seconds.
+gives the wire's own name of its event or action. Times are seconds.
 """
 
 from __future__ import annotations
--- a/stairhatch/users.py
+++ b/stairhatch/users.py
@@ -43,7 +43,7 @@
 
 
 def add(file: Path, user: str, realm: str, password: str, md5: bool) -> str:
-    """Add a user, or replace its hashes; return the line that tells which.
+    """Add a user, or replace its hashes; return the line that says which.
 
     Raises UsersError for a name or password that cannot be used, or a file that holds something else.
     """
