--- a/stairhatch/sip/grammar.py
+++ b/stairhatch/sip/grammar.py
@@ -1,8 +1,8 @@
 """The grammar of SIP header fields (RFC 3261, section 25; RFC 4475 for malformed ones).
 
-Pure functions from text to frozen values: addresses, URIs and their comparison, Via, parameters and single
-numbers. What is malformed raises GrammarError; nothing is accepted by a guess that another reader could make
-differently.
+Pure functions parse text into frozen values: addresses, URIs (with their comparison), Via values, parameters
+and single numbers. Malformed text raises GrammarError. Ambiguous text is rejected too, because another SIP
+element could interpret it differently.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-MAX_ADDRESS_LENGTH = 4096  # characters; a longer one is no address that anybody uses
+MAX_ADDRESS_LENGTH = 4096  # characters; no address in practical use is longer
 MAX_PORT = 65535
 MAX_INTEGER = 2**32 - 1
 MAX_CSEQ = 2**31 - 1  # RFC 3261, 8.1.1.5
@@ -25,7 +25,7 @@
 VIA = re.compile(
     rf"\s*SIP\s*/\s*2\.0\s*/\s*({TOKEN})\s+({HOST})\s*(?::\s*([0-9]{{1,9}}))?\s*(?=;|\Z)", re.IGNORECASE
 )
-USUAL_VIA = re.compile(
+COMMON_VIA = re.compile(
     rf"SIP/2\.0/(UDP|TCP) ({HOST})(?::([0-9]{{1,5}}))?;branch=([A-Za-z0-9\-.!%*_+`'~]+)(;rport)?\Z"
 )
 HOST_PORT = re.compile(rf"({HOST})(?::([0-9]{{1,9}}))?\Z")
@@ -33,12 +33,12 @@
 PASSWORD = re.compile(r"(?:[A-Za-z0-9\-_.!~*'()&=+$,]|%[0-9A-Fa-f]{2})*\Z")
 URI_PART = re.compile(r"(?:[A-Za-z0-9\-_.!~*'()\[\]/:&+$?]|%[0-9A-Fa-f]{2})+\Z")
 SCHEME = re.compile(r"([A-Za-z][A-Za-z0-9+.\-]*):(.+)\Z", re.DOTALL)
-SUBSCRIBER = re.compile(
+TELEPHONE_SUBSCRIBER = re.compile(
     r"(?:\+[0-9\-.()]*[0-9][0-9\-.()]*|[0-9A-Fa-f*#\-.()]*[0-9A-Fa-f*#][0-9A-Fa-f*#\-.()]*)\Z"
 )
-CREDENTIAL = re.compile(rf"\s*({TOKEN})\s*=\s*({QUOTED}|[^\s,\"]+)\s*(?:,|\Z)")
+CREDENTIALS_PARAMETER = re.compile(rf"\s*({TOKEN})\s*=\s*({QUOTED}|[^\s,\"]+)\s*(?:,|\Z)")
 MEDIA_TYPE = re.compile(rf"\s*({TOKEN})\s*/\s*({TOKEN})\s*")
-VISUAL_SEPARATORS = str.maketrans("", "", "-.()")  # of a telephone number (RFC 3966, section 3)
+VISUAL_SEPARATORS = str.maketrans("", "", "-.()")  # ignored in a telephone number (RFC 3966, section 3)
 ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 QUOTED_PAIR = re.compile(r"\\(.)", re.DOTALL)
 DISTINGUISHING_PARAMETERS = (
@@ -46,30 +46,33 @@
     "ttl",
     "method",
     "maddr",
-)  # in one URI alone they make it another (19.1.4)
+)  # URIs differ if only one of them has such a parameter (RFC 3261, 19.1.4)
 
 
 class GrammarError(ValueError):
-    """A header field is malformed; the text is the reason in a few words."""
+    """Raised for a malformed header field; its text is a short reason."""
 
 
 class UnknownSchemeError(GrammarError):
-    """A URI of a scheme that isn't served here (416)."""
+    """Raised for a well-formed URI whose scheme is not supported; the response is 416."""
 
 
 def unquote(text: str) -> str:
-    """The text of a quoted string, without its quotes and escapes; a token as it is."""
+    """Return a quoted string without its quotes and escapes; return a token unchanged."""
     return QUOTED_PAIR.sub(r"\1", text[1:-1]) if text[:1] == '"' else text
 
 
 def quote(text: str) -> str:
-    """A quoted string. Control characters can't stand in one and become spaces."""
+    """Return the text as a quoted string; control characters are not allowed there and become spaces."""
     plain = "".join(char if char >= " " and char != "\x7f" else " " for char in text)
     return '"' + plain.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
 def unescape(text: str) -> str:
-    """Decode escapes: `%37` is `7`. Bytes that are no UTF-8 become surrogates, which no text contains."""
+    """Decode percent escapes: `%37` becomes `7`.
+
+    Bytes that are not valid UTF-8 become lone surrogates, which never occur in valid text.
+    """
     if "%" not in text:
         return text
     raw = ESCAPE.sub(
@@ -79,7 +82,11 @@
 
 
 def parse_parameters(text: str, start: int = 0) -> dict[str, str]:
-    """The `;name=value` parameters that make up the rest of a header. A name may occur once (7.3.1)."""
+    """Parse the `;name=value` parameters from `start` to the end of a header value.
+
+    Names are in lower case, values unquoted, "" for a parameter without a value. Raises GrammarError for a
+    malformed parameter or a repeated name (RFC 3261, 7.3.1).
+    """
     found: dict[str, str] = {}
     while start < len(text):
         piece = PARAMETER.match(text, start)
@@ -89,7 +96,7 @@
             break
         name = piece.group(1).lower()
         if name in found:
-            raise GrammarError(f"two parameters {name[:20]}")
+            raise GrammarError(f"repeated parameter {name[:20]}")
         found[name] = unquote(piece.group(2) or "")
         start = piece.end()
     return found
@@ -100,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A From, To, Contact, Route or Record-Route value."""
+    """The value of a From, To, Contact, Route or Record-Route header."""
 
     display: str
     uri: str
@@ -108,23 +115,23 @@
 
     @property
     def tag(self) -> str:
-        """The tag, "" if it has none."""
+        """The `tag` parameter, "" if the address has none."""
         return self.parameters.get("tag", "")
 
 
-@lru_cache(maxsize=1024)  # the requests of a call repeat theirs
+@lru_cache(maxsize=1024)  # all requests of a call repeat the same addresses
 def parse_address(text: str) -> Address:
-    """A name-addr or addr-spec with the header's parameters (20.10).
+    """Parse a name-addr or addr-spec with its header parameters (RFC 3261, 20.10).
 
-    Without angle brackets a `;` begins the header's parameters, not the URI's.
+    Without angle brackets a `;` begins the header's parameters, not the URI's. Raises GrammarError.
     """
     if len(text) > MAX_ADDRESS_LENGTH:
-        raise GrammarError("an address is too long")
+        raise GrammarError("address is too long")
     found = DISPLAY_NAME.match(text)
     if found is not None:
         end = text.find(">", found.end())
         if end < 0:
-            raise GrammarError("no > behind an address")
+            raise GrammarError("address has no closing >")
         uri = text[found.end() : end].strip()
         display = unquote(found.group(1)) if found.group(1) else (found.group(2) or "").strip()
         parameters_start = end + 1
@@ -132,9 +139,9 @@
         uri, display = text.split(";", 1)[0].strip(), ""
         parameters_start = text.index(";") if ";" in text else len(text)
         if "?" in uri or "," in uri or "<" in uri or '"' in uri:
-            raise GrammarError("an address that wants angle brackets")
+            raise GrammarError("address needs angle brackets")
     if not SCHEME.match(uri) or re.search(r"[\s<>\"]", uri):
-        raise GrammarError(f"no address in {text[:30]!r}")
+        raise GrammarError(f"no valid address in {text[:30]!r}")
     return Address(display, uri, parse_parameters(text, parameters_start))
 
 
@@ -143,24 +150,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Uri:
-    """A `sip`, `sips` or `tel` URI. `user` is unescaped; of `tel` it is the number without separators."""
+    """A `sip`, `sips` or `tel` URI.
+
+    `user` is unescaped; for a `tel` URI it is the telephone number without visual separators.
+    """
 
     scheme: str
     user: str
     password: str | None
-    host: str  # in lower case; IPv6 without its brackets
+    host: str  # in lower case; an IPv6 address without brackets
     port: int | None
     parameters: dict[str, str] = field(hash=False)
     headers: dict[str, str] = field(hash=False)
 
     @property
     def transport(self) -> str:
-        """The transport asked for, in lower case; "" for none."""
+        """The `transport` parameter in lower case, "" if the URI has none."""
         return self.parameters.get("transport", "").lower()
 
     @property
     def is_loose_router(self) -> bool:
-        """Whether it names a loose router (19.1.1)."""
+        """Whether the URI has the `lr` parameter of a loose router (RFC 3261, 19.1.1)."""
         return "lr" in self.parameters
 
 
@@ -172,7 +182,7 @@
             raise GrammarError(f"malformed URI parameter {piece[:20]!r}")
         name = unescape(name).lower()
         if name in found:
-            raise GrammarError(f"two URI parameters {name[:20]}")
+            raise GrammarError(f"repeated URI parameter {name[:20]}")
         found[name] = unescape(value)
     return found
 
@@ -188,20 +198,23 @@
 
 
 def parse_port(text: str | None) -> int | None:
-    """A port's number; None for none. What is out of range is malformed."""
+    """Parse the digits of a port; None if there are none. Raises GrammarError unless 1 to 65535."""
     if text is None:
         return None
     if not 0 < int(text) <= MAX_PORT:
-        raise GrammarError(f"no port: {text[:9]}")
+        raise GrammarError(f"port out of range: {text[:9]}")
     return int(text)
 
 
-@lru_cache(maxsize=512)  # callers ask for the same few numbers and give the same Contact
+@lru_cache(maxsize=512)  # the same few called numbers and Contact URIs recur
 def parse_uri(text: str) -> Uri:
-    """A `sip`, `sips` or `tel` URI. Raises UnknownSchemeError for others that are well formed."""
+    """Parse a `sip`, `sips` or `tel` URI.
+
+    Raises UnknownSchemeError for a well-formed URI of another scheme, and GrammarError for a malformed URI.
+    """
     found = SCHEME.match(text)
     if found is None or len(text) > MAX_ADDRESS_LENGTH:
-        raise GrammarError(f"no URI: {text[:30]!r}")
+        raise GrammarError(f"not a URI: {text[:30]!r}")
     scheme, rest = found.group(1).lower(), found.group(2)
     if scheme == "tel":
         return _tel_uri(rest)
@@ -212,8 +225,8 @@
 
 def _tel_uri(rest: str) -> Uri:
     number, _, parameters = rest.partition(";")
-    if not SUBSCRIBER.match(number):
-        raise GrammarError(f"no telephone number: {number[:20]!r}")
+    if not TELEPHONE_SUBSCRIBER.match(number):
+        raise GrammarError(f"not a telephone number: {number[:20]!r}")
     user = number.translate(VISUAL_SEPARATORS)
     return Uri("tel", user, None, "", None, _uri_parameters(parameters) if parameters else {}, {})
 
@@ -224,7 +237,7 @@
     if at:
         name, colon, secret = userinfo.partition(":")
         if not USER.match(name) or not PASSWORD.match(secret):
-            raise GrammarError("malformed user in a URI")
+            raise GrammarError("malformed user part of a URI")
         user, password = unescape(name), unescape(secret) if colon else None
     else:
         hostport = rest
@@ -232,7 +245,7 @@
     hostport, semicolon, parameters = hostport.partition(";")
     found = HOST_PORT.match(hostport)
     if found is None or (question and not headers):
-        raise GrammarError("malformed host in a URI")
+        raise GrammarError("malformed host or empty headers in a URI")
     return Uri(
         scheme,
         user,
@@ -244,25 +257,30 @@
     )
 
 
-def same_uri(one: Uri, other: Uri) -> bool:
-    """Whether two URIs name the same resource (RFC 3261, 19.1.4; RFC 3966, section 4 for `tel`).
+def same_uri(first: Uri, second: Uri) -> bool:
+    """Whether two URIs are equivalent (RFC 3261, 19.1.4; RFC 3966, section 4 for `tel`).
 
-    A port left out is not the default port written out, and a parameter that both have must be the same in
-    both. Those in one alone don't count, but for four of them.
+    An omitted port differs from an explicit default port. A parameter that both `sip` URIs have must have the
+    same value in both. A parameter that only one of them has is ignored, except `DISTINGUISHING_PARAMETERS`.
     """
-    if one.scheme != other.scheme:
+    if first.scheme != second.scheme:
         return False
-    if one.scheme == "tel":
-        return one.user.lower() == other.user.lower() and _tel_parameters(one) == _tel_parameters(other)
-    if (one.user, one.password, one.host, one.port) != (other.user, other.password, other.host, other.port):
+    if first.scheme == "tel":
+        return first.user.lower() == second.user.lower() and _tel_parameters(first) == _tel_parameters(second)
+    if (first.user, first.password, first.host, first.port) != (
+        second.user,
+        second.password,
+        second.host,
+        second.port,
+    ):
         return False
-    for name in {*one.parameters, *other.parameters}:
-        if name in one.parameters and name in other.parameters:
-            if one.parameters[name].lower() != other.parameters[name].lower():
+    for name in {*first.parameters, *second.parameters}:
+        if name in first.parameters and name in second.parameters:
+            if first.parameters[name].lower() != second.parameters[name].lower():
                 return False
         elif name in DISTINGUISHING_PARAMETERS:
             return False
-    return one.headers == other.headers
+    return first.headers == second.headers
 
 
 def _tel_parameters(uri: Uri) -> dict[str, str]:
@@ -274,24 +292,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Via:
-    """One Via value (20.42)."""
+    """One value of a Via header (RFC 3261, 20.42)."""
 
     transport: str  # in upper case
-    host: str  # in lower case; IPv6 without its brackets
-    port: int | None  # None: none given, or one that is none
+    host: str  # in lower case; an IPv6 address without brackets
+    port: int | None  # None if the port is missing or out of range
     parameters: dict[str, str] = field(hash=False)
 
     @property
     def branch(self) -> str:
-        """The branch, "" if it has none."""
+        """The `branch` parameter, "" if the Via has none."""
         return self.parameters.get("branch", "")
 
 
 def parse_via(text: str) -> Via:
-    """One Via value; linear white space may stand around its slashes and colon."""
-    usual = USUAL_VIA.match(text)
-    if usual is not None:  # nearly all are written so
-        transport, host, digits, branch, rport = usual.groups()
+    """Parse one Via value, in which white space is allowed around slashes and colon. Raises GrammarError."""
+    common = COMMON_VIA.match(text)
+    if common is not None:  # fast path: nearly every Via has this notation
+        transport, host, digits, branch, rport = common.groups()
         parameters = {"branch": branch, "rport": ""} if rport else {"branch": branch}
         number = int(digits) if digits else None
         port = number if number and number <= MAX_PORT else None
@@ -301,44 +319,47 @@
         raise GrammarError("malformed Via")
     port = int(found.group(3)) if found.group(3) else None
     if port is not None and not 0 < port <= MAX_PORT:
-        port = None  # the response goes to the default port; who lies loses only its own
+        port = None  # the response goes to the default port; only the sender of the bad port loses it
     host = found.group(2).lower().strip("[]")
     return Via(found.group(1).upper(), host, port, parse_parameters(text, found.end()))
 
 
-# ---- single numbers and small lists ----
+# ---- numbers, media types and credentials ----
 
 
 def parse_integer(text: str, limit: int = MAX_INTEGER) -> int:
-    """A number of digits alone, not beyond `limit` (20, 25.1)."""
+    """Parse a decimal number of at most `limit` (RFC 3261, 20 and 25.1); GrammarError for any other text."""
     text = text.strip()
     if not text.isascii() or not text.isdigit() or len(text) > MAX_DIGITS or int(text) > limit:
-        raise GrammarError(f"no number: {text[:12]!r}")
+        raise GrammarError(f"not a number in range: {text[:12]!r}")
     return int(text)
 
 
 class DeltaSeconds(NamedTuple):
-    """A number of seconds with parameters."""
+    """A number of seconds and the header parameters that follow it."""
 
     seconds: int
     parameters: dict[str, str]
 
 
 def parse_delta_seconds(text: str) -> DeltaSeconds:
-    """A delta-seconds field with parameters, such as Session-Expires or Min-SE (RFC 4028, section 4)."""
+    """Parse a delta-seconds header with parameters, such as Session-Expires or Min-SE (RFC 4028, section 4).
+
+    Raises GrammarError for a malformed number or parameter.
+    """
     number, semicolon, rest = text.partition(";")
     return DeltaSeconds(parse_integer(number), parse_parameters(semicolon + rest) if semicolon else {})
 
 
 class MediaType(NamedTuple):
-    """A media type in lower case, with its parameters."""
+    """A media type, `type/subtype` in lower case, and its parameters."""
 
     name: str
     parameters: dict[str, str]
 
 
 def parse_media_type(text: str) -> MediaType:
-    """A Content-Type (20.15)."""
+    """Parse a Content-Type header (RFC 3261, 20.15). Raises GrammarError."""
     name, semicolon, rest = text.partition(";")
     words = MEDIA_TYPE.fullmatch(name)
     if words is None:
@@ -348,7 +369,7 @@
 
 
 class RAck(NamedTuple):
-    """Which response a PRACK acknowledges."""
+    """The RAck header of a PRACK: it identifies the provisional response that the PRACK acknowledges."""
 
     rseq: int
     cseq: int
@@ -356,7 +377,7 @@
 
 
 def parse_rack(text: str) -> RAck:
-    """A RAck (RFC 3262, 7.2): response number, CSeq number, method."""
+    """Parse a RAck header: response number, CSeq number, method (RFC 3262, 7.2). Raises GrammarError."""
     words = text.split()
     if len(words) != 3:
         raise GrammarError("malformed RAck")
@@ -364,24 +385,27 @@
 
 
 class Credentials(NamedTuple):
-    """The scheme in lower case and the parameters of an Authorization header."""
+    """The scheme, in lower case, and the parameters of an Authorization header."""
 
     scheme: str
     parameters: dict[str, str]
 
 
 def parse_credentials(text: str) -> Credentials:
-    """The value of an Authorization header (20.7)."""
+    """Parse the value of an Authorization header (RFC 3261, 20.7).
+
+    Raises GrammarError for a malformed or repeated parameter.
+    """
     scheme, _, rest = text.strip().partition(" ")
     found: dict[str, str] = {}
     start = 0
     while start < len(rest):
-        piece = CREDENTIAL.match(rest, start)
+        piece = CREDENTIALS_PARAMETER.match(rest, start)
         if piece is None:
             raise GrammarError("malformed credentials")
         name = piece.group(1).lower()
         if name in found:
-            raise GrammarError(f"two credentials {name[:20]}")
+            raise GrammarError(f"repeated credentials parameter {name[:20]}")
         found[name] = unquote(piece.group(2))
         start = piece.end()
     return Credentials(scheme.lower(), found)
--- a/stairhatch/sip/request_scan.py
+++ b/stairhatch/sip/request_scan.py
@@ -1,8 +1,8 @@
-"""A scan of a datagram that is cheaper than a parse, for the time that the processor is overloaded.
+"""A scan of a request datagram that costs less than a parse, for use while the processor is overloaded.
 
-A few regular expressions tell a usual request's method, transaction and called number, and a 503 is made of
-its own lines. It never guesses: unusual notation is left to the parser, and what a scan returns is what the
-parser would.
+A few regular expressions find the method, transaction key and called number of a request in common notation,
+and a 503 response is built from the request's own header lines. Any other notation is left to the parser, so
+that a scan never returns a value that differs from the parser's.
 """
 
 from __future__ import annotations
@@ -22,35 +22,39 @@
 COPIED_HEADER = re.compile(
     rb"\r\n(?:(via|v|from|f|to|t|call-id|i|cseq)[ \t]*:[ \t]*([^\r\n]*)|[ \t])", re.IGNORECASE
 )
-STATELESS_TAG = b";tag=shed-"  # in the To of a stateless 503: its ACK is recognised by it
+STATELESS_TAG = b";tag=shed-"  # in the To of a stateless 503; identifies the ACK to it
 FULL_NAMES = {
     b"v": b"Via", b"via": b"Via", b"f": b"From", b"from": b"From", b"i": b"Call-ID", b"call-id": b"Call-ID",
     b"t": b"To", b"to": b"To", b"cseq": b"CSeq",
 }  # fmt: skip
-SINGLE_COPIED_HEADERS = 3  # From, Call-ID and CSeq, once each
+SINGLE_COPIED_HEADERS = 3  # From, Call-ID and CSeq, each exactly once
 
 CopiedHeaders = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestScan:
-    """The result of a scan."""
+    """The parts of a request that a scan found."""
 
     method: str
-    user: str  # the number called
+    user: str  # the called number
     transaction_key: bytes
     to: bytes
-    copied: CopiedHeaders  # what a response copies, but To; the topmost Via first of its kind
-    rport: bool
-    port: int  # of the topmost Via
+    # The headers that a response copies, except To; the topmost Via precedes the other Via values.
+    copied: CopiedHeaders
+    rport: bool  # whether the topmost Via has the parameter
+    port: int  # of the topmost Via; 5060 if it has no valid port
 
     @property
     def in_dialog(self) -> bool:
-        """Whether its To has a tag."""
+        """Whether the To header has a tag, which only a request within a dialog has."""
         return b"tag=" in self.to.lower()
 
     def service_unavailable(self, peer: TransportAddress, tag: str, retry_after_s: int) -> bytes:
-        """A 503 for it, with Retry-After; `peer` is where the request came from."""
+        """Return the bytes of a 503 response with Retry-After; `peer` is the source of the request.
+
+        `tag` is appended to `STATELESS_TAG` in the To header.
+        """
         received = f"={peer[1]};received={peer[0]}" if self.rport else f";received={peer[0]}"
         lines = [b"SIP/2.0 503 Service Unavailable"]
         via_suffix = received.encode()
@@ -65,22 +69,22 @@
         return b"\r\n".join(lines)
 
     def response_address(self, peer: TransportAddress) -> TransportAddress:
-        """Where its response goes (RFC 3581)."""
+        """Return the address for the response to a request that came from `peer` by UDP (RFC 3581)."""
         return peer if self.rport else (peer[0], self.port)
 
 
 def is_ack_to_stateless_response(data: bytes) -> bool:
-    """Whether a datagram acknowledges a 503 that was sent without a transaction: it needs nothing more."""
+    """Whether a datagram is the ACK to a stateless 503 response; it needs no further processing."""
     return data.startswith(b"ACK ") and STATELESS_TAG in data
 
 
 def scan_request(data: bytes) -> RequestScan | None:
-    """Scan a datagram; None where only a parse can tell."""
+    """Scan a datagram; return None if it needs a full parse."""
     start = REQUEST_LINE.match(data)
     end = data.find(b"\r\n\r\n")
     if start is None or end < 0:
         return None
-    headers = _copied_headers(data, start.end() - 2, end)
+    headers = _find_copied_headers(data, start.end() - 2, end)
     if headers is None:
         return None
     copied, to, via = headers
@@ -92,15 +96,20 @@
     return RequestScan(method, start.group(2).decode(), key, to, copied, bool(rport), port or DEFAULT_PORT)
 
 
-def _copied_headers(data: bytes, start: int, end: int) -> tuple[CopiedHeaders, bytes, re.Match[bytes]] | None:
-    """The headers that a response copies but To, the To, and the topmost Via; None where they are unusual."""
+def _find_copied_headers(
+    data: bytes, start: int, end: int
+) -> tuple[CopiedHeaders, bytes, re.Match[bytes]] | None:
+    """Return the headers that a response copies except To, the To value, and the match of the topmost Via.
+
+    Returns None for a folded, missing or repeated header, or a topmost Via in uncommon notation.
+    """
     copied: CopiedHeaders = []
     to = via = None
-    single = 0
-    for written, value in COPIED_HEADER.findall(data, start, end):
-        if not written:
-            return None  # a folded line
-        name = FULL_NAMES[written.lower()]
+    single_count = 0
+    for name_as_sent, value in COPIED_HEADER.findall(data, start, end):
+        if not name_as_sent:
+            return None  # a folded header line
+        name = FULL_NAMES[name_as_sent.lower()]
         if name == b"To":
             if to is not None:
                 return None
@@ -111,9 +120,14 @@
             if via is None:
                 return None
         else:
-            single += 1
+            single_count += 1
         copied.append((name, value))
     kinds = len({name for name, _ in copied})
-    if to is None or via is None or single != SINGLE_COPIED_HEADERS or kinds != SINGLE_COPIED_HEADERS + 1:
+    if (
+        to is None
+        or via is None
+        or single_count != SINGLE_COPIED_HEADERS
+        or kinds != SINGLE_COPIED_HEADERS + 1
+    ):
         return None
     return copied, to, via
--- a/stairhatch/sip/request_validation.py
+++ b/stairhatch/sip/request_validation.py
@@ -1,4 +1,4 @@
-"""What is wrong with a request before its method counts (RFC 3261, 8.2.1 to 8.2.3)."""
+"""Checks of a request that precede the processing of its method (RFC 3261, 8.2.1 to 8.2.3)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def validate_request(head: RequestHead) -> RequestRejection | None:
-    """How an unacceptable request is rejected; None for an acceptable one."""
+    """Return the rejection of an unacceptable request, or None if the request is acceptable."""
     return _validate_uri(head.message.uri) or _validate_headers(head)
 
 
@@ -22,14 +22,14 @@
         return UNSUPPORTED_URI_SCHEME
     except grammar.GrammarError:
         return RequestRejection(400)
-    return UNSUPPORTED_URI_SCHEME if scheme == "sips" else None  # there is no TLS here (RFC 5630, 4.1.1)
+    return UNSUPPORTED_URI_SCHEME if scheme == "sips" else None  # TLS is not supported (RFC 5630, 4.1.1)
 
 
 def _validate_headers(head: RequestHead) -> RequestRejection | None:
     if head.method not in METHODS:
         return RequestRejection(405, headers=(ALLOW,))
     if head.method != "CANCEL" and "require" in head.names:
-        unknown = [each for each in head.message.get_all("require") if each.lower() not in EXTENSIONS]
+        unknown = [option for option in head.message.get_all("require") if option.lower() not in EXTENSIONS]
         if unknown:
             return RequestRejection(420, headers=(("unsupported", ", ".join(unknown)), SUPPORTED))
     if head.max_forwards == 0 and head.method != "CANCEL":
