--- a/stairhatch/sip/client_transactions.py
+++ b/stairhatch/sip/client_transactions.py
@@ -1,6 +1,7 @@
-"""Client transactions (RFC 3261, 17.1, with RFC 6026): requests of ours, sent again until they are answered.
+"""Client transactions (RFC 3261, 17.1, with RFC 6026): requests retransmitted until they are answered.
 
-The table is fed responses, sends on flows, and passes each response to its user once. It knows no dialog.
+The table is fed responses, sends requests on flows, and passes each response to the user of its transaction
+once. It is independent of dialogs.
 """
 
 from __future__ import annotations
@@ -21,47 +22,47 @@
 )
 from stairhatch.sip.transport import Flow
 
-ClientTransactionKey = tuple[str, str]  # branch and method (17.1.3)
+ClientTransactionKey = tuple[str, str]  # branch and method (RFC 3261, 17.1.3)
 
 
 class ClientTransactionUser(Protocol):
-    """Who has sent a request."""
+    """The sender of a request, which is notified of its responses."""
 
     def provisional_received(self, status: int, message: sip.SipMessage) -> None:
-        """A provisional response has come."""
+        """Called for each provisional response."""
 
     def final_received(self, status: int, message: sip.SipMessage | None) -> None:
-        """The final response has come; 408 without a message where none came in time (8.1.3.1)."""
+        """Called with the final response, or with 408 and None after a timeout (RFC 3261, 8.1.3.1)."""
 
     def flow_failed(self) -> None:
-        """The flow ended before an answer."""
+        """Called when the flow has ended before a final response."""
 
 
 class ClientTransaction:
-    """A client transaction."""
+    """A client transaction: a request and the state of its responses."""
 
     __slots__ = ("ack", "branch", "flow", "method", "request", "state", "user")
 
     def __init__(
         self, branch: str, method: str, request: bytes, flow: Flow, user: ClientTransactionUser
     ) -> None:
-        """Begin for the bytes of a request that goes by a flow."""
+        """Create the transaction of a request, given as bytes, that is sent on `flow`."""
         self.branch = branch
         self.method = method
-        self.request = request  # until its final response
+        self.request = request  # empty after the final response
         self.flow = flow
         self.user = user
         self.state = TransactionState.CALLING if method == "INVITE" else TransactionState.TRYING
-        self.ack = b""  # sent again for each retransmission of the final response to an INVITE
+        self.ack = b""  # sent for each non-2xx final response to an INVITE; empty: none
 
     @property
     def key(self) -> ClientTransactionKey:
-        """What its responses are matched by."""
+        """The branch and method by which responses are matched to the transaction."""
         return self.branch, self.method
 
     @property
     def is_open(self) -> bool:
-        """Whether its final response is still to come."""
+        """Whether the final response has not been received yet."""
         return self.state in (TransactionState.CALLING, TransactionState.TRYING, TransactionState.PROCEEDING)
 
 
@@ -69,14 +70,14 @@
     """The table of all client transactions of one user agent."""
 
     def __init__(self, context: TransactionContext) -> None:
-        """Begin empty."""
+        """Create an empty table."""
         self.transactions: dict[ClientTransactionKey, ClientTransaction] = {}
         self._context = context
 
     def send_request(
         self, branch: str, method: str, request: bytes, flow: Flow, user: ClientTransactionUser
     ) -> ClientTransaction:
-        """Send a request of ours (17.1.1.2, 17.1.2.2)."""
+        """Send a request and return its new transaction (RFC 3261, 17.1.1.2 and 17.1.2.2)."""
         transaction = ClientTransaction(branch, method, request, flow, user)
         self.transactions[transaction.key] = transaction
         self._context.counters.add(f"sent_{method}")
@@ -85,15 +86,15 @@
         return transaction
 
     def response_received(self, message: sip.SipMessage) -> bool:
-        """Take a response; returns whether it belongs to a request of ours.
+        """Process a response; returns whether it matches a transaction of this table.
 
-        Retransmissions of a final one end here.
+        Retransmissions of a final response are not passed to the user.
         """
         vias = message.get_all("via")
         method = message.cseq()[1]
         branch = sip.parameters(vias[0]).get("branch", "") if vias else ""
         transaction = self.transactions.get((branch, method))
-        if transaction is None or len(vias) != 1:  # one with another Via below was not for us (8.1.3.3)
+        if transaction is None or len(vias) != 1:  # several Via: misdirected (RFC 3261, 8.1.3.3)
             return False
         if transaction.is_open:
             if message.status < 200:
@@ -102,12 +103,16 @@
             else:
                 self._final_received(transaction, message)
         elif transaction.ack and message.status >= 200:
-            transaction.flow.send(transaction.ack)  # retransmitted: the ACK was lost
+            transaction.flow.send(transaction.ack)  # the final response was repeated, so the ACK was lost
         return True
 
     def flow_lost(self, flow: Flow) -> None:
-        """A connection has ended: what awaits an answer on it is sent anew by its user, elsewhere."""
-        lost = [each for each in self.transactions.values() if each.flow is flow and each.is_open]
+        """Terminate the open transactions of an ended flow, so that their users resend on another flow."""
+        lost = [
+            transaction
+            for transaction in self.transactions.values()
+            if transaction.flow is flow and transaction.is_open
+        ]
         for transaction in lost:
             transaction.state = TransactionState.TERMINATED
             self.transactions.pop(transaction.key, None)
@@ -121,7 +126,7 @@
         self._context.timers.schedule(due, partial(self._retransmit, transaction.key, interval))
 
     def _retransmit(self, key: ClientTransactionKey, interval: RetransmissionInterval) -> None:
-        """Send a request again, or give it up (timers A, B, E and F)."""
+        """Retransmit a request, or end its transaction after the timeout (timers A, B, E and F)."""
         transaction = self.transactions.get(key)
         if transaction is None or not transaction.is_open:
             return
@@ -142,8 +147,11 @@
     def _next_interval(
         transaction: ClientTransaction, interval: RetransmissionInterval
     ) -> RetransmissionInterval:
-        """Timer A doubles without bound, timer E up to T2, and is T2 once a provisional response has come."""
-        if interval.timed_out():  # an INVITE that rings on
+        """Return the interval that follows `interval`.
+
+        Timer A doubles without limit. Timer E doubles up to T2, and is T2 after a provisional response.
+        """
+        if interval.timed_out():  # only an INVITE with a provisional response gets here
             return RetransmissionInterval(TIMEOUT_S, interval.elapsed_s + TIMEOUT_S)
         if transaction.state is TransactionState.PROCEEDING:
             gap_s = min(T2, TIMEOUT_S - interval.elapsed_s)
@@ -154,26 +162,26 @@
         is_invite = transaction.method == "INVITE"
         accepted = message.status < 300
         transaction.state = TransactionState.ACCEPTED if accepted else TransactionState.COMPLETED
-        kept_s = TIMEOUT_S if is_invite else T4  # timers D and M, and K
+        retention_s = TIMEOUT_S if is_invite else T4  # timers D and M, and K
         if transaction.flow.reliable and not (is_invite and accepted):
-            kept_s = 0.0
+            retention_s = 0.0
         if is_invite and not accepted:
             transaction.ack = self._ack_to_non2xx(transaction, message)
             transaction.flow.send(transaction.ack)
-        if kept_s:
-            due = self._context.clock() + kept_s
-            self._context.timers.schedule(due, partial(self._forget, transaction.key))
+        if retention_s:
+            due = self._context.clock() + retention_s
+            self._context.timers.schedule(due, partial(self._remove, transaction.key))
         else:
             del self.transactions[transaction.key]
         transaction.request = b""
         transaction.user.final_received(message.status, message)
 
-    def _forget(self, key: ClientTransactionKey) -> None:
+    def _remove(self, key: ClientTransactionKey) -> None:
         self.transactions.pop(key, None)
 
     @staticmethod
     def _ack_to_non2xx(transaction: ClientTransaction, response: sip.SipMessage) -> bytes:
-        """The ACK that belongs to the same transaction (17.1.1.3)."""
+        """Return the ACK to a non-2xx response, which is part of the transaction (RFC 3261, 17.1.1.3)."""
         sent = sip_parser.parse_datagram(transaction.request)
         headers = [("via", sent.get_all("via")[0]), ("max-forwards", "70")]
         headers += [(name, value) for name, value in sent.headers if name == "route"]
--- a/stairhatch/sip/server_transactions.py
+++ b/stairhatch/sip/server_transactions.py
@@ -1,10 +1,10 @@
-"""Server transactions (RFC 3261, 17.2, with RFC 6026 and RFC 4320) and the records of those that are over.
+"""Server transactions (RFC 3261, 17.2, with RFC 6026 and RFC 4320) and the records of completed ones.
 
-The table is fed requests, sends on flows, and absorbs retransmissions: its user sees each request once. It
-knows no dialog and no call, and never grows beyond its bytes.
+The table is fed requests, sends responses on flows, and absorbs retransmissions, so that the transaction user
+sees each request once. It is independent of dialogs and calls, and its memory is limited to `max_bytes`.
 
-What is over shrinks: an answered INVITE to a key, another request to a key and its response. A record of what
-must only be recognised costs about 170 bytes, one that may have to be answered again 200 and its response.
+A completed transaction shrinks to a record: an answered INVITE to a key, any other request to a key and its
+response. A record without a response costs about 170 bytes, a record with one 200 bytes plus the response.
 """
 
 from __future__ import annotations
@@ -26,26 +26,29 @@
 )
 from stairhatch.sip.transport import Flow, UdpFlow
 
-BUNDLE_S = 2.0  # records that expire within so long of each other are dropped together
-TRANSACTION_BYTES = 3072  # what an open transaction costs beside its body
-RECORD_BYTES = 170  # what a record costs beside its response
-MAX_SOURCE_FRACTION = 0.25  # of the memory, that one source may hold once half of it is in use
+BUNDLE_S = 2.0  # records that expire within the same span of this length are dropped together
+TRANSACTION_BYTES = 3072  # memory of an open transaction, apart from the body of its request
+RECORD_BYTES = 170  # memory of a record, apart from its response
+MAX_SOURCE_FRACTION = 0.25  # limit of one source's share of the memory once half of it is in use
 
 
 class TransactionUser(Protocol):
-    """The transaction user that answers an INVITE later (RFC 3261, section 5: TU)."""
+    """The transaction user (TU; RFC 3261, section 5) that answers an INVITE after `open` has returned."""
 
-    tag: str  # the local tag of its responses
+    tag: str  # the local tag of the responses
 
     def cancelled(self) -> None:
-        """A CANCEL has come for it."""
+        """Called when a CANCEL for the INVITE has been received."""
 
     def disconnected(self) -> None:
-        """The connection that its request came by has ended."""
+        """Called when the connection on which the INVITE was received has ended."""
 
 
 class ServerTransaction:
-    """A server transaction; `user` answers it later, None: it is answered at once."""
+    """A server transaction.
+
+    `user` is notified of events until the final response; None if the request is answered at once.
+    """
 
     __slots__ = (
         "address",
@@ -63,11 +66,11 @@
     )
 
     def __init__(self, head: RequestHead, flow: Flow) -> None:
-        """Begin for a request that came on a flow."""
+        """Create the transaction of a request that was received on `flow`."""
         self.key = head.transaction_key
         self.flow = flow
         self.source = flow.peer[0]
-        self.head: RequestHead | None = head  # until its final response
+        self.head: RequestHead | None = head  # None after the final response
         self.copied = head.copied
         self.overload_algorithms = head.overload_algorithms
         self.is_invite = head.method == "INVITE"
@@ -79,21 +82,25 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether its final response is still to come."""
+        """Whether the final response has not been sent yet."""
         return self.state in (TransactionState.TRYING, TransactionState.PROCEEDING)
 
 
 class TransactionRecords:
-    """Transactions that are over and must be recognised, in bundles by when they may be dropped."""
+    """A store of completed transactions whose retransmissions must be recognised.
+
+    Records are grouped into bundles by expiry time, and a bundle is dropped as a whole.
+    """
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self.responses: dict[bytes, bytes] = {}  # key -> what answers a retransmission; empty: nothing
+        """Create an empty store."""
+        self.responses: dict[bytes, bytes] = {}  # key -> response to a retransmission; empty: none is sent
         self.size_bytes = 0
-        self._bundles: dict[int, list[bytes]] = {}  # keys, by the number of the span in which they expire
+        # Lists of keys, by the number of the span of `BUNDLE_S` in which the keys expire.
+        self._bundles: dict[int, list[bytes]] = {}
 
     def store(self, key: bytes, response: bytes, until: float) -> None:
-        """Keep a record until at least then."""
+        """Keep a record at least until the time `until`, in seconds of the context's clock."""
         if key in self.responses:
             self.size_bytes -= RECORD_BYTES + len(self.responses[key])
         self.responses[key] = response
@@ -101,8 +108,8 @@
         self._bundles.setdefault(int(until / BUNDLE_S) + 1, []).append(key)
 
     def expire(self, now: float) -> None:
-        """Drop what is past its time."""
-        for bundle in [each for each in self._bundles if each * BUNDLE_S <= now]:
+        """Drop the bundles whose expiry time has passed."""
+        for bundle in [number for number in self._bundles if number * BUNDLE_S <= now]:
             self._drop(bundle)
 
     def can_evict(self) -> bool:
@@ -110,7 +117,7 @@
         return bool(self._bundles)
 
     def evict(self) -> int:
-        """Drop the bundle that would expire first, to make room; returns how many keys it had."""
+        """Drop the bundle that expires first to free memory; returns the number of its keys."""
         return self._drop(min(self._bundles)) if self._bundles else 0
 
     def _drop(self, bundle: int) -> int:
@@ -122,7 +129,7 @@
         return len(keys)
 
 
-def _own_flow(transaction: ServerTransaction) -> Flow:
+def _original_flow(transaction: ServerTransaction) -> Flow:
     return transaction.flow
 
 
@@ -131,34 +138,34 @@
 
 
 class ServerTransactions:
-    """All server transactions of one user agent."""
+    """The table of all server transactions of one user agent, open and recorded."""
 
     def __init__(
         self,
         context: TransactionContext,
         max_bytes: int,
-        reroute: Callable[[ServerTransaction], Flow] = _own_flow,
+        reroute: Callable[[ServerTransaction], Flow] = _original_flow,
         overload_feedback: Callable[[ServerTransaction], str] = _no_feedback,
     ) -> None:
-        """Begin empty.
+        """Create an empty table whose memory is limited to `max_bytes`.
 
-        `reroute` gives the flow of a response whose own has ended, `overload_feedback` the Via parameters for
-        a caller that knows overload control.
+        `reroute` returns the flow for a response if the flow of the transaction has ended.
+        `overload_feedback` returns the Via parameters for a caller that supports overload control (RFC 7339).
         """
         self.max_bytes = max_bytes
         self.open_transactions: dict[bytes, ServerTransaction] = {}
         self.records = TransactionRecords()
         self.open_bytes = 0
-        self.bytes_by_source: dict[str, int] = {}  # of open transactions
+        self.bytes_by_source: dict[str, int] = {}  # memory of the open transactions
         self._context = context
         self._reroute = reroute
         self._overload_feedback = overload_feedback
         self._expiry_scheduled = False
 
-    # ---- requests ----
+    # ---- received requests ----
 
     def absorb(self, head: RequestHead, flow: Flow) -> bool:
-        """Deal with a retransmission, or with the ACK to a non-2xx response; False for what is neither."""
+        """Process a retransmission or the ACK to a non-2xx response; returns False for any other request."""
         key = head.transaction_key
         if head.method == "ACK":
             transaction = self.open_transactions.get(key)
@@ -167,20 +174,21 @@
             if transaction.state is TransactionState.COMPLETED:
                 self._confirm(transaction)
             return True
-        return self._answer_again(key, flow, lambda: head.response_address(flow.peer, False))
+        return self._answer_retransmission(key, flow, lambda: head.response_address(flow.peer, False))
 
     def absorb_scanned(self, key: bytes, method: str, flow: Flow, address: TransportAddress) -> bool:
-        """Deal with a request that was only scanned, if it is a retransmission.
+        """Process a request that was only scanned, if it is a retransmission; returns whether it was.
 
-        An ACK never is one here: a dialog may have to hear it.
+        An ACK is never processed here, because it may belong to a dialog. `address` is where the response to
+        a request received by UDP is sent.
         """
-        return method != "ACK" and self._answer_again(key, flow, lambda: address)
+        return method != "ACK" and self._answer_retransmission(key, flow, lambda: address)
 
     def has_room(self, source: str) -> bool:
-        """Whether a new transaction may be opened for a source.
+        """Whether a new transaction may be opened for a source address.
 
-        Records give way first; once half is taken by open transactions, one source may not have more than
-        `MAX_SOURCE_FRACTION`.
+        Records don't count, as they are evicted for open transactions. Once open transactions use more than
+        half of the memory, one source may use at most `MAX_SOURCE_FRACTION` of it.
         """
         if self.open_bytes >= self.max_bytes:
             return False
@@ -189,7 +197,7 @@
         return True
 
     def open(self, head: RequestHead, flow: Flow) -> ServerTransaction:
-        """Open the transaction of a new request."""
+        """Open and return the transaction of a new request; evicts records if the memory is full."""
         transaction = self.open_transactions[head.transaction_key] = ServerTransaction(head, flow)
         self.open_bytes += transaction.size_bytes
         source_bytes = self.bytes_by_source.get(transaction.source, 0)
@@ -200,28 +208,28 @@
         return transaction
 
     def find(self, key: bytes) -> ServerTransaction | None:
-        """The open transaction of a key."""
+        """Return the open transaction with a key, or None."""
         return self.open_transactions.get(key)
 
     def is_recorded(self, key: bytes) -> bool:
-        """Whether a transaction of that key is over, and remembered."""
+        """Whether there is a record of a completed transaction with this key."""
         return key in self.records.responses
 
     def discard(self, transaction: ServerTransaction) -> None:
-        """Drop one without a response: its request must leave no trace."""
+        """Drop a transaction without a response and without a record, so that its request leaves no state."""
         transaction.flow.discard_unanswered(transaction.key)
         transaction.state = TransactionState.TERMINATED
         self._close(transaction)
 
-    # ---- responses ----
+    # ---- sent responses ----
 
     def respond(
         self, transaction: ServerTransaction, status: int, tag: str, extra: str = "", body: bytes = b""
     ) -> bytes:
-        """Answer; returns the bytes, b"" where nothing is sent.
+        """Send a response and return its bytes; returns b"" if nothing is sent.
 
-        A second final response is not sent, nor a provisional one behind a final one. `extra` is header
-        lines.
+        After the final response no further response is sent, neither final nor provisional. `tag` is the
+        local tag to add to To ("" for none), `extra` is formatted header lines.
         """
         if not transaction.is_open:
             return b""
@@ -237,7 +245,7 @@
         return data
 
     def _complete(self, transaction: ServerTransaction, status: int) -> None:
-        """The final response is sent: keep only what retransmissions need."""
+        """Enter the state that follows a final response, and keep only what retransmissions need."""
         transaction.head = None
         transaction.user = None
         transaction.flow.discard_unanswered(transaction.key)
@@ -255,7 +263,7 @@
                 self._record(transaction.key, transaction.last_response, TIMEOUT_S)  # timer J
 
     def _confirm(self, transaction: ServerTransaction) -> None:
-        """The ACK to a non-2xx response has come (timer I)."""
+        """Enter the state that follows the ACK to a non-2xx response (timer I)."""
         transaction.state = TransactionState.CONFIRMED
         self._close(transaction)
         if not transaction.flow.reliable:
@@ -266,7 +274,7 @@
         self._context.timers.schedule(due, partial(self._retransmit, key, interval))
 
     def _retransmit(self, key: bytes, interval: RetransmissionInterval) -> None:
-        """Send a non-2xx response to an INVITE again until its ACK (timers G and H)."""
+        """Retransmit a non-2xx response to an INVITE until its ACK is received (timers G and H)."""
         transaction = self.open_transactions.get(key)
         if transaction is None or transaction.state is not TransactionState.COMPLETED:
             return
@@ -280,22 +288,25 @@
             self._count("retransmissions_sent")
         self._schedule_retransmission(key, interval.doubled())
 
-    def _answer_again(self, key: bytes, flow: Flow, address: Callable[[], TransportAddress]) -> bool:
-        """Answer a retransmission as the request was answered before; False for what is none."""
+    def _answer_retransmission(self, key: bytes, flow: Flow, address: Callable[[], TransportAddress]) -> bool:
+        """Answer a retransmission with the last response; returns False for any other request.
+
+        `address` returns where a recorded response is sent by UDP.
+        """
         transaction = self.open_transactions.get(key)
         if transaction is not None:
-            self._request_repeated(transaction, flow)
+            self._retransmission_received(transaction, flow)
             return True
         response = self.records.responses.get(key)
         if response is None:
             return False
         self._count("retransmissions_received")
         if response:
-            back = UdpFlow(flow.port, address()) if isinstance(flow, UdpFlow) else flow
-            back.send(response)
+            response_flow = UdpFlow(flow.port, address()) if isinstance(flow, UdpFlow) else flow
+            response_flow.send(response)
         return True
 
-    def _request_repeated(self, transaction: ServerTransaction, flow: Flow) -> None:
+    def _retransmission_received(self, transaction: ServerTransaction, flow: Flow) -> None:
         self._count("retransmissions_received")
         if flow.reliable or not transaction.flow.alive:
             if transaction.flow.discard_unanswered(transaction.key):
@@ -312,20 +323,20 @@
             flow = transaction.flow = UdpFlow(flow.port, transaction.address)
         flow.send(data)
 
-    # ---- the table ----
+    # ---- closed transactions and their records ----
 
     def _close(self, transaction: ServerTransaction) -> None:
         if self.open_transactions.pop(transaction.key, None) is None:
             return
         self.open_bytes -= transaction.size_bytes
-        left = self.bytes_by_source.get(transaction.source, 0) - transaction.size_bytes
-        if left > 0:
-            self.bytes_by_source[transaction.source] = left
+        remaining_bytes = self.bytes_by_source.get(transaction.source, 0) - transaction.size_bytes
+        if remaining_bytes > 0:
+            self.bytes_by_source[transaction.source] = remaining_bytes
         else:
             self.bytes_by_source.pop(transaction.source, None)
 
-    def _record(self, key: bytes, response: bytes, for_s: float) -> None:
-        self.records.store(key, response, self._context.clock() + for_s)
+    def _record(self, key: bytes, response: bytes, duration_s: float) -> None:
+        self.records.store(key, response, self._context.clock() + duration_s)
         if not self._expiry_scheduled:
             self._expiry_scheduled = True
             self._context.timers.schedule(self._context.clock() + BUNDLE_S, self._expire_records)
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -1,7 +1,7 @@
-"""The transport layer (RFC 3261, section 18): one UDP port and one TCP connection, as sans-I/O protocols.
+"""The transport layer (RFC 3261, section 18): sans-I/O protocols of a UDP port and of a TCP connection.
 
-They are fed bytes and hand bytes out. A message is cut out of its stream and parsed; what it means is for the
-`MessageHandler` that it is given to.
+Both are fed received bytes and hand out bytes to send. They split streams into messages, parse the messages
+and pass them to a `MessageHandler`, which processes them.
 """
 
 from __future__ import annotations
@@ -16,65 +16,65 @@
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 from stairhatch.sip.addresses import AllowedNetworks, TransportAddress
 
-MAX_OUTPUT_BYTES = 256 * 1024  # of a connection; one that reads so much too slowly is cut off
-MAX_QUEUED_DATAGRAMS = 4096
+MAX_OUTPUT_BYTES = 256 * 1024  # queued per connection; beyond it the peer reads too slowly and is cut off
+MAX_QUEUED_DATAGRAMS = 4096  # per port; beyond it the oldest is dropped
 KEEPALIVE_ANSWER = b"\r\n"  # RFC 5626, 4.4.1
-MAX_FAULTS = 8  # messages that can't be read on one connection, in step or not
+MAX_FAULTS = 8  # malformed messages on a connection before it is closed, even if the parser resynchronized
 
 
 class Flow:
-    """Where messages of one peer come from and go to (RFC 5626, section 3)."""
+    """A bidirectional path of messages to and from one peer (RFC 5626, section 3)."""
 
     reliable = False
     alive = True
     peer: TransportAddress = ("", 0)
-    local: TransportAddress = ("", 0)  # our end of it
+    local: TransportAddress = ("", 0)  # the address of this end
 
     def send(self, data: bytes) -> None:
-        """Queue a message."""
+        """Queue a message for sending."""
         raise NotImplementedError
 
     @property
     def transport(self) -> str:
-        """As a Via names it."""
+        """The transport as it is written in a Via header: "TCP" or "UDP"."""
         return "TCP" if self.reliable else "UDP"
 
     def add_unanswered(self, transaction_key: bytes) -> None:
-        """A server transaction awaits its final response here: a connection is not closed meanwhile."""
+        """Note a server transaction without a final response, until which a connection is kept open."""
 
-    def discard_unanswered(self, transaction_key: bytes) -> bool:  # noqa: ARG002 - for connections alone
-        """It awaits none any more; whether it did."""
+    def discard_unanswered(self, transaction_key: bytes) -> bool:  # noqa: ARG002 - used by connections only
+        """Remove a server transaction from the unanswered ones; returns whether it was among them."""
         return False
 
     def count_dialogs(self, change: int) -> None:
-        """So many more established dialogs use this flow."""
+        """Add `change` to the number of established dialogs that use this flow."""
 
 
 class MessageHandler(Protocol):
-    """Whoever is given what has come, or could not be read."""
+    """The receiver of messages, malformed input and connection events."""
 
     @property
     def counters(self) -> Counters:
-        """The process's counters."""
+        """The counters of the process."""
 
     def message_received(self, flow: Flow, message: sip.SipMessage) -> None:
-        """A message has come."""
+        """Process a parsed message."""
 
     def datagram_received(self, flow: UdpFlow, data: bytes) -> bool:
-        """A datagram has come; returns whether it is dealt with and needs no parse."""
+        """Process a datagram before it is parsed; returns True if it needs no parse."""
 
     def malformed_received(self, flow: Flow, error: sip_parser.SipError) -> None:
-        """Something has come that cannot be read."""
+        """Process a message that could not be parsed."""
 
     def peer_disconnected(self, flow: SipConnection) -> None:
-        """The peer has ended its side of a connection."""
+        """Process the end of the stream from the peer of a connection."""
 
     def flow_lost(self, flow: Flow) -> None:
-        """A connection has ended, or is used no more."""
+        """Process a connection that has ended, or that is being drained and sends no new messages."""
 
 
 class UdpPort:
-    """A UDP port: datagrams in, datagrams out."""
+    """The sans-I/O protocol of a UDP port."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         local: TransportAddress = ("", 0),
         networks: AllowedNetworks | None = None,
     ) -> None:
-        """Begin with nothing to send; `networks` are those whose datagrams are read, None: all."""
+        """Create a port; datagrams from outside `networks` are dropped, None allows all."""
         self.handler = handler
         self.local = local
         self.networks = networks or AllowedNetworks()
@@ -90,7 +90,11 @@
         self.notify_writable: Callable[[], None] = do_nothing
 
     def receive(self, data: bytes, peer: TransportAddress) -> None:
-        """Take one datagram. What is malformed and can't be answered is counted and dropped."""
+        """Process a datagram.
+
+        A keep-alive is ignored. A malformed message is passed to the handler, which counts it and answers it
+        if possible.
+        """
         if not self.networks.allows(peer[0]):
             self.handler.counters.add("datagrams_denied")
             return
@@ -108,28 +112,28 @@
 
 
 class UdpFlow(Flow):
-    """A peer's address, by one of our ports."""
+    """The flow between a local UDP port and the address of a peer."""
 
     __slots__ = ("peer", "port")
 
     def __init__(self, port: UdpPort, peer: TransportAddress) -> None:
-        """Datagrams go to `peer` by `port`."""
+        """Create the flow from the local port `port` to the address `peer`."""
         self.port = port
         self.peer = peer
 
     @property
     def local(self) -> TransportAddress:  # type: ignore[override]
-        """Our port's address."""
+        """The address of the local port."""
         return self.port.local
 
     def send(self, data: bytes) -> None:
-        """Queue a datagram."""
+        """Queue a datagram for sending."""
         self.port.output.append((data, self.peer))
         self.port.notify_writable()
 
 
 class SipConnection(ConnectionProtocol, Flow):
-    """A TCP connection, accepted or dialled."""
+    """The sans-I/O protocol of a TCP connection, accepted or dialled."""
 
     reliable = True
 
@@ -139,7 +143,7 @@
         peer: TransportAddress = ("", 0),
         local: TransportAddress = ("", 0),
     ) -> None:
-        """Begin with nothing received; `local` has port 0 where the connection is dialled."""
+        """Create the protocol of a connection; `local` has port 0 if the connection is dialled."""
         super().__init__()
         self.handler = handler
         self.peer = peer
@@ -148,60 +152,69 @@
         self.faults = 0
         self._output_bytes = 0
         self._parser = sip_parser.StreamParser(resynchronizes=True)
-        self._peer_closed = False  # what came before may still be unread
-        self._unanswered: set[bytes] = set()  # transactions that await their final response here
-        self._dialogs = 0  # established dialogs that use it
+        self._peer_closed = False  # data that the peer sent before may still be unread
+        self._unanswered: set[bytes] = set()  # keys of transactions that await their final response
+        self._dialogs = 0  # number of established dialogs that use the connection
 
     @property
     def unanswered(self) -> list[bytes]:
-        """The keys of the server transactions that await their final response here."""
+        """The keys of the server transactions that await their final response on this connection."""
         return list(self._unanswered)
 
     def add_unanswered(self, transaction_key: bytes) -> None:
-        """A server transaction awaits its final response here."""
+        """Note a server transaction that awaits its final response on this connection."""
         self._unanswered.add(transaction_key)
 
     def discard_unanswered(self, transaction_key: bytes) -> bool:
-        """It awaits none any more; whether it did."""
+        """Remove a server transaction from the unanswered ones; returns whether it was among them."""
         if transaction_key not in self._unanswered:
             return False
         self._unanswered.discard(transaction_key)
         return True
 
     def count_dialogs(self, change: int) -> None:
-        """So many more established dialogs use this connection."""
+        """Add `change` to the number of established dialogs that use this connection."""
         self._dialogs += change
 
     def owes_response(self) -> bool:
-        """Whether a final response is owed on it, or one waits to be written."""
+        """Whether a transaction awaits its final response on this connection, or output is queued."""
         return bool(self._unanswered or self.output)
 
     def has_unwritten(self) -> bool:
-        """Whether something waits to be written, or is being written."""
+        """Whether output is queued or being written."""
         return bool(self.output) or self.writing
 
     def has_partial_message(self) -> bool:
-        """Whether the rest of a message is awaited."""
+        """Whether a message has been received only in part."""
         return self._parser.has_partial_message()
 
     def is_idle(self) -> bool:
-        """Also that no dialog uses it: a drain lets those end, and their BYE come by it."""
+        """Whether a drain may close the connection: nothing is pending on it and no dialog uses it.
+
+        A drain waits for the dialogs to end, because their BYE is received on this connection.
+        """
         return super().is_idle() and not self._dialogs
 
     def read_timed_out(self) -> None:
-        """A message was not complete in time: a request is answered, if its head could be read."""
-        if (begun := self._parser.pending_request) is not None:
-            error = sip_parser.SipError(408, "the rest of a message never came", begun)
+        """Close the connection, as a message was not complete in time.
+
+        A request whose head could be parsed is answered 408.
+        """
+        if (partial_request := self._parser.pending_request) is not None:
+            error = sip_parser.SipError(408, "message was not complete in time", partial_request)
             self.handler.malformed_received(self, error)
         super().read_timed_out()
 
     def close_when_idle(self) -> None:
-        """Nothing more goes by it: what is due to the peer later is dialled or sent by UDP."""
+        """Send no new messages on the connection, and close it once it is idle.
+
+        Later messages to the peer use a new connection or UDP.
+        """
         self._end_flow()
         super().close_when_idle()
 
     def send(self, data: bytes) -> None:
-        """Queue a message. A peer that reads too slowly for `MAX_OUTPUT_BYTES` is cut off."""
+        """Queue a message; abort the connection if the peer reads too slowly for `MAX_OUTPUT_BYTES`."""
         self.output.append(data)
         self._output_bytes += len(data)
         if self._output_bytes > MAX_OUTPUT_BYTES:
@@ -211,7 +224,7 @@
         self.notify_writable()
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the peer. After a malformed message of unknown length the stream is closed."""
+        """Process received bytes; closes the connection after a malformed message of unknown length."""
         if self.closing:
             return
         self._parser.feed(data)
@@ -230,22 +243,25 @@
             self.handler.peer_disconnected(self)
 
     def data_to_send(self) -> bytes:
-        """What is to be written."""
+        """Return the queued output and empty the queue."""
         data = b"".join(self.output)
         self.output.clear()
         self._output_bytes = 0
         return data
 
     def peer_closing(self) -> None:
-        """What was sent before the end of the stream is read yet, and its set-ups are abandoned too."""
+        """Abandon the set-ups of a peer that has closed its side.
+
+        Data that it sent before is still processed, and the set-ups in that data are abandoned as well.
+        """
         self._peer_closed = True
         self.handler.peer_disconnected(self)
 
     def eof_received(self) -> None:
-        """The peer sends no more.
+        """Abandon the pending set-ups at the end of the stream from the peer, and close the connection.
 
-        Pending set-ups are answered by the connection, if it is half-closed; responses to what has been
-        forwarded go by another flow.
+        Set-ups that have not been forwarded are answered on this connection, which the peer may have
+        half-closed. Responses to set-ups that have been forwarded are sent on another flow.
         """
         self.handler.peer_disconnected(self)
         self._end_flow()
@@ -254,7 +270,7 @@
         self.notify_writable()
 
     def connection_lost(self) -> None:
-        """The connection has ended. Established dialogs go on, and are reached by another flow."""
+        """Process the end of the connection; established dialogs continue and use another flow."""
         self._end_flow()
         self.handler.counters.add("connections_lost")
 
@@ -270,7 +286,7 @@
             self.request_received = True
             self.handler.counters.add("keepalives_answered", self._parser.unanswered_keepalives)
             self._parser.unanswered_keepalives = 0
-            self.send(KEEPALIVE_ANSWER)  # one for all of one read
+            self.send(KEEPALIVE_ANSWER)  # one answer for all keep-alives of a read
 
     def _end_flow(self) -> None:
         if self.alive:
