--- a/stairhatch/sip/addresses.py
+++ b/stairhatch/sip/addresses.py
@@ -11,9 +11,9 @@
 
 
 def is_ip_address(host: str) -> bool:
-    """Whether a host is an IP address and no name.
+    """Whether a host is an IP address, and not a host name.
 
-    Names are never looked up: that would hold up every call.
+    Host names are never looked up, as a look-up would delay all calls.
     """
     try:
         ipaddress.ip_address(host)
@@ -23,18 +23,22 @@
 
 
 def is_ipv6(host: str) -> bool:
-    """Whether an IP address is of version 6."""
+    """Whether an IP address, given as text, is an IPv6 address."""
     return ":" in host
 
 
 @dataclass(frozen=True, slots=True)
 class AllowedNetworks:
-    """The networks whose messages a listener accepts; none listed: those of all."""
+    """The networks whose messages a listener accepts; if the list is empty, it accepts all."""
 
     networks: tuple[IpNetwork, ...] = ()
 
     def allows(self, host: str) -> bool:
-        """Whether messages from an IP address are accepted; an IPv4-mapped one counts as both."""
+        """Whether messages from an IP address are accepted.
+
+        An IPv4-mapped IPv6 address is compared with IPv4 and IPv6 networks. A host name is not accepted if
+        any networks are listed.
+        """
         if not self.networks:
             return True
         try:
--- a/stairhatch/sip/digest_auth.py
+++ b/stairhatch/sip/digest_auth.py
@@ -1,7 +1,8 @@
-"""Digest authentication as a server (RFC 7616; RFC 8760 for SIP): users, their hashes, and nonces.
+"""Digest authentication on the server side (RFC 7616; RFC 8760 for SIP): users, their hashes, and nonces.
 
-A nonce carries its own proof and age. Decisions and state alone: the clock and the secret are passed in, and
-files are read by whoever gives their text. No password is kept or logged, and failed attempts leave nothing.
+A nonce contains its creation time and a proof of its origin. The module does no I/O: the clock, the secret
+and the text of the user file are passed in. Passwords are neither kept nor logged, and failed attempts leave
+no state.
 """
 
 from __future__ import annotations
@@ -15,12 +16,13 @@
 
 from stairhatch.sip import grammar
 
-ALGORITHMS = {"SHA-512-256": "sha512_256", "SHA-256": "sha256", "MD5": "md5"}  # the strongest first
-TIMESTAMP_DIGITS = 12  # hex digits of a nonce: milliseconds
-PROOF_DIGITS = 24
-COUNT_DIGITS = 8  # of `nc` (RFC 7616, 3.4)
-COUNT_WINDOW = 64  # nonce counts that may come out of order, over UDP
-MAX_NONCES = 20_000  # with counts kept; a client whose nonce was evicted is challenged anew
+# The strongest first; the values are the names in `hashlib`.
+ALGORITHMS = {"SHA-512-256": "sha512_256", "SHA-256": "sha256", "MD5": "md5"}
+TIMESTAMP_DIGITS = 12  # hex digits of the timestamp of a nonce, in milliseconds
+PROOF_DIGITS = 24  # hex digits of the proof in a nonce
+COUNT_DIGITS = 8  # hex digits of the nonce count `nc` (RFC 7616, 3.4)
+COUNT_WINDOW = 64  # counts below the highest that are accepted out of order, as UDP may reorder requests
+MAX_NONCES = 20_000  # nonces whose counts are kept; a client whose nonce was evicted is challenged again
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 LOWER_HEX_DIGITS = frozenset("0123456789abcdef")
 USER_LINE_FIELDS = 4
@@ -29,31 +31,37 @@
 
 
 class UserFileError(ValueError):
-    """A file of users that can't be used, with its line."""
+    """Raised for an invalid line of a user file, named by number, or an invalid user, realm or password."""
 
 
 def hex_digest(algorithm: str, text: str) -> str:
-    """The hex digest of a text. KeyError for an unknown algorithm."""
+    """Return the hex digest of a text. Raises KeyError for an unknown algorithm."""
     data = text.encode("utf-8", "surrogateescape")
     return hashlib.new(ALGORITHMS[algorithm], data, usedforsecurity=False).hexdigest()
 
 
 def user_hash(algorithm: str, user: str, realm: str, password: str) -> str:
-    """What is kept of a password (A1 of RFC 7616, 3.4.2)."""
+    """Return the hash that is stored in place of a password: H(A1) of RFC 7616, 3.4.2."""
     return hex_digest(algorithm, f"{user}:{realm}:{password}")
 
 
 def format_user_lines(user: str, realm: str, password: str, algorithms: Iterable[str]) -> list[str]:
-    """The lines of a file of users for one of them. UserFileError for a name that can't stand there."""
+    """Return the lines of a user file for one user, a line for each algorithm.
+
+    Raises UserFileError for a user or realm that the file format can't represent.
+    """
     if not user or any(char in user for char in ':\r\n"') or any(char in realm for char in ":\r\n"):
-        raise UserFileError("a user or realm may not be empty, nor hold a colon, quote or line end")
+        raise UserFileError(
+            "user must not be empty or contain a colon, quote or line end, and realm no colon or line end"
+        )
     return [f"{user}:{realm}:{each}:{user_hash(each, user, realm, password)}" for each in algorithms]
 
 
 def parse_users(text: str, realm: str, algorithms: Iterable[str]) -> dict[tuple[str, str], str]:
-    """(user, algorithm) -> hash, of a realm. Raises UserFileError.
+    """Parse a user file; returns (user, algorithm) -> hash for one realm and the given algorithms.
 
-    Lines of `user:realm:algorithm:hash`; `#` begins a comment.
+    Each line is `user:realm:algorithm:hash`, empty, or a comment that begins with `#`. Raises UserFileError
+    for an invalid line.
     """
     allowed = set(algorithms)
     users: dict[tuple[str, str], str] = {}
@@ -65,27 +73,30 @@
             raise UserFileError(f"line {number}: not user:realm:algorithm:hash")
         user, user_realm, algorithm, digest = words
         if len(digest) != len(hex_digest(algorithm, "")) or not LOWER_HEX_DIGITS.issuperset(digest):
-            raise UserFileError(f"line {number}: the hash is none of {algorithm}")
+            raise UserFileError(f"line {number}: the hash is not a hash of {algorithm}")
         if user_realm == realm and algorithm in allowed:
             if (user, algorithm) in users:
-                raise UserFileError(f"line {number}: {user} stands twice for {algorithm}")
+                raise UserFileError(f"line {number}: user {user} is listed twice for {algorithm}")
             users[user, algorithm] = digest
     return users
 
 
 class CredentialCheck(Enum):
-    """What a request's credentials are worth; the values of all but the first two are counted and logged."""
+    """The result of the check of a request's credentials.
+
+    The values of all results except the first two are counted and logged.
+    """
 
     GOOD = "good"
-    NONE = "none"  # there are none for our realm
-    STALE = "stale"  # right, but for a nonce that is too old or unknown by now
-    REPLAYED = "replayed"  # right, but used before
-    BAD = "bad"
+    NONE = "none"  # the request has no digest credentials for our realm
+    STALE = "stale"  # the response is correct, but the nonce is expired, evicted or not ours
+    REPLAYED = "replayed"  # the response is correct, but the nonce count was used before
+    BAD = "bad"  # the credentials are malformed or the response is wrong
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticationResult:
-    """What a request's credentials are worth and, where they are good, whose they are."""
+    """The result of the check of a request's credentials and, if they are good, the name of the user."""
 
     check: CredentialCheck
     user: str = ""
@@ -96,16 +107,18 @@
 
 @dataclass(eq=False, slots=True)
 class _NonceCounts:
-    """Which counts of a nonce were used: the highest, and a bit for each of those below it."""
+    """The used counts of a nonce: the highest, and a bit mask of the `COUNT_WINDOW` counts below it."""
 
     highest: int = 0
-    used: int = 0
+    used: int = 0  # bit n is set if the count `highest - n - 1` was used
 
     def claim(self, count: int) -> bool:
-        """Note a count as used; whether it was not before."""
-        ahead = count - self.highest
-        if ahead > 0:
-            shifted = (self.used << ahead | 1 << (ahead - 1)) if ahead <= COUNT_WINDOW else 0
+        """Mark a count as used; returns whether it was unused, and False for one below the window."""
+        steps_above = count - self.highest
+        if steps_above > 0:
+            shifted = (
+                (self.used << steps_above | 1 << (steps_above - 1)) if steps_above <= COUNT_WINDOW else 0
+            )
             self.used = shifted & ((1 << COUNT_WINDOW) - 1)
             self.highest = count
             return True
@@ -118,29 +131,32 @@
 
 @dataclass(eq=False)
 class DigestAuthenticator:
-    """Challenges, and the credentials that come back."""
+    """The server side of digest authentication: makes challenges and checks the credentials of requests."""
 
     realm: str
     users: UserHashes
     secret: bytes
     clock: Callable[[], float]
     algorithms: tuple[str, ...] = ("SHA-512-256", "SHA-256")
-    nonce_s: float = 300.0  # how long a nonce is good
+    nonce_s: float = 300.0  # lifetime of a nonce in seconds
     _counts: OrderedDict[str, _NonceCounts] = field(default_factory=OrderedDict)
-    _evicted_until: str = ""  # nonces up to this timestamp may have been evicted with their counts
+    _evicted_until: str = ""  # nonces with a timestamp up to this may have been evicted
 
     @property
     def nonce_count(self) -> int:
-        """How many nonces have counts that were used."""
+        """The number of nonces whose used counts are kept."""
         return len(self._counts)
 
     def nonce(self) -> str:
-        """A nonce: when it was made, and proof that it was made here."""
+        """Return a new nonce: the current time, and a proof that this server made the nonce."""
         timestamp = f"{int(self.clock() * 1000):0{TIMESTAMP_DIGITS}x}"[-TIMESTAMP_DIGITS:]
         return timestamp + self._proof(timestamp)
 
     def challenges(self, stale: bool = False) -> list[str]:
-        """A WWW-Authenticate value for each algorithm, the strongest first (RFC 8760, 2.3)."""
+        """Return a WWW-Authenticate value for each algorithm, the strongest first (RFC 8760, 2.3).
+
+        `stale` indicates that only the nonce of the request was refused (RFC 7616, 3.3).
+        """
         nonce = self.nonce()
         suffix = ", stale=true" if stale else ""
         return [
@@ -149,53 +165,60 @@
         ]
 
     def authenticate(self, method: str, uri: str, values: Iterable[str]) -> AuthenticationResult:
-        """Check a request by the values of its Authorization headers."""
+        """Check the credentials of a request, given the values of its Authorization headers."""
         result = AuthenticationResult(CredentialCheck.NONE)
         for value in values:
             try:
-                scheme, given = grammar.parse_credentials(value)
+                scheme, credentials = grammar.parse_credentials(value)
             except grammar.GrammarError:
                 result = BAD_CREDENTIALS
                 continue
-            if scheme != "digest" or given.get("realm") != self.realm:
+            if scheme != "digest" or credentials.get("realm") != self.realm:
                 continue
-            result = self._check(method, uri, given)
+            result = self._check(method, uri, credentials)
             if result.check is CredentialCheck.GOOD:
                 return result
         return result
 
-    def _check(self, method: str, uri: str, given: Mapping[str, str]) -> AuthenticationResult:
-        if not self._is_well_formed(uri, given) or not self._is_response_right(method, uri, given):
+    def _check(self, method: str, uri: str, credentials: Mapping[str, str]) -> AuthenticationResult:
+        if not self._is_well_formed(uri, credentials) or not self._is_response_correct(
+            method, uri, credentials
+        ):
             return BAD_CREDENTIALS
-        nonce = given.get("nonce", "")
-        fresh = self._is_own_nonce(nonce) and 0 <= self._nonce_age_s(nonce) <= self.nonce_s
-        if not fresh or (nonce not in self._counts and nonce[:TIMESTAMP_DIGITS] <= self._evicted_until):
+        nonce = credentials.get("nonce", "")
+        is_fresh = self._is_own_nonce(nonce) and 0 <= self._nonce_age_s(nonce) <= self.nonce_s
+        if not is_fresh or (nonce not in self._counts and nonce[:TIMESTAMP_DIGITS] <= self._evicted_until):
             return AuthenticationResult(CredentialCheck.STALE)
-        if not self._claim_count(nonce, int(given.get("nc", ""), 16)):
+        if not self._claim_count(nonce, int(credentials.get("nc", ""), 16)):
             return AuthenticationResult(CredentialCheck.REPLAYED)
-        return AuthenticationResult(CredentialCheck.GOOD, given.get("username", ""))
+        return AuthenticationResult(CredentialCheck.GOOD, credentials.get("username", ""))
 
-    def _is_well_formed(self, uri: str, given: Mapping[str, str]) -> bool:
-        count = given.get("nc", "")
+    def _is_well_formed(self, uri: str, credentials: Mapping[str, str]) -> bool:
+        count = credentials.get("nc", "")
         return (
-            _algorithm(given) in self.algorithms
-            and given.get("qop", "").lower() == "auth"
-            and bool(given.get("cnonce", ""))
+            _algorithm(credentials) in self.algorithms
+            and credentials.get("qop", "").lower() == "auth"
+            and bool(credentials.get("cnonce", ""))
             and len(count) == COUNT_DIGITS
             and HEX_DIGITS.issuperset(count)
-            and given.get("uri") == uri
+            and credentials.get("uri") == uri
         )
 
-    def _is_response_right(self, method: str, uri: str, given: Mapping[str, str]) -> bool:
-        """Whether the response is what the user's password gives (RFC 7616, 3.4.1)."""
-        algorithm = _algorithm(given)
-        known_hash = self.users.get((given.get("username", ""), algorithm))
-        a1 = known_hash or hex_digest(algorithm, "")  # an unknown user costs the same time
+    def _is_response_correct(self, method: str, uri: str, credentials: Mapping[str, str]) -> bool:
+        """Whether the digest response matches the user's stored hash (RFC 7616, 3.4.1)."""
+        algorithm = _algorithm(credentials)
+        stored_hash = self.users.get((credentials.get("username", ""), algorithm))
+        # For an unknown user the same work is done, so that the response time reveals no user names.
+        a1 = stored_hash or hex_digest(algorithm, "")
         a2 = hex_digest(algorithm, f"{method}:{uri}")
-        nonce, count, cnonce = given.get("nonce", ""), given.get("nc", ""), given.get("cnonce", "")
-        right = hex_digest(algorithm, f"{a1}:{nonce}:{count}:{cnonce}:auth:{a2}")
-        response = given.get("response", "").lower().encode("utf-8", "replace")
-        return hmac.compare_digest(right.encode(), response) and known_hash is not None
+        nonce, count, cnonce = (
+            credentials.get("nonce", ""),
+            credentials.get("nc", ""),
+            credentials.get("cnonce", ""),
+        )
+        expected = hex_digest(algorithm, f"{a1}:{nonce}:{count}:{cnonce}:auth:{a2}")
+        response = credentials.get("response", "").lower().encode("utf-8", "replace")
+        return hmac.compare_digest(expected.encode(), response) and stored_hash is not None
 
     def _proof(self, timestamp: str) -> str:
         text = f"{timestamp}:{self.realm}".encode()
@@ -213,7 +236,7 @@
         return self.clock() - int(nonce[:TIMESTAMP_DIGITS], 16) / 1000
 
     def _claim_count(self, nonce: str, count: int) -> bool:
-        """Note a nonce's count as used; whether it was not before."""
+        """Mark a count of a nonce as used; returns whether it was unused. Evicts old nonces."""
         counts = self._counts.get(nonce)
         if counts is None:
             counts = self._counts[nonce] = _NonceCounts()
@@ -225,5 +248,5 @@
         return count > 0 and counts.claim(count)
 
 
-def _algorithm(given: Mapping[str, str]) -> str:
-    return given.get("algorithm", "MD5").upper()
+def _algorithm(credentials: Mapping[str, str]) -> str:
+    return credentials.get("algorithm", "MD5").upper()
--- a/stairhatch/sip/rejection.py
+++ b/stairhatch/sip/rejection.py
@@ -1,4 +1,4 @@
-"""How a request is rejected: the status of its response, and why."""
+"""The rejection of a request: the status and headers of its response, and the reason."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRejection:
-    """The non-2xx response to a request."""
+    """The non-2xx response with which a request is rejected."""
 
     status: int
-    reason: str = ""  # for the log
-    headers: tuple[tuple[str, str], ...] = ()
+    reason: str = ""  # logged, not sent; "" if nothing is logged
+    headers: tuple[tuple[str, str], ...] = ()  # (name, value) pairs of the response
--- a/stairhatch/sip/reliable_provisional.py
+++ b/stairhatch/sip/reliable_provisional.py
@@ -1,4 +1,4 @@
-"""Reliable provisional responses (RFC 3262): the one that awaits its PRACK."""
+"""Reliable provisional responses (RFC 3262), and the match of a PRACK to them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PrackMatch(Enum):
-    """What a PRACK is to us."""
+    """Whether a PRACK matches the provisional response that awaits one."""
 
     MATCHED = "matched"  # answered 200
     UNMATCHED = "unmatched"  # answered 481
@@ -18,15 +18,18 @@
 
 @dataclass(eq=False, slots=True)
 class ReliableProvisional:
-    """A provisional response of ours that awaits its PRACK."""
+    """A reliable provisional response that we have sent, and its acknowledgement."""
 
     rseq: int
     cseq: int
-    data: bytes = b""  # the response, until it is acknowledged
+    data: bytes = b""  # the bytes of the response; empty after its PRACK
     acknowledged: bool = False
 
     def match_prack(self, message: sip.SipMessage) -> PrackMatch:
-        """A PRACK has come; one for another response, or a second one, matches nothing (RFC 3262, 3)."""
+        """Process a PRACK; returns UNMATCHED for a malformed RAck, another response or a repeated PRACK.
+
+        Source: RFC 3262, section 3.
+        """
         try:
             rack = grammar.parse_rack(message.get("rack"))
         except grammar.GrammarError:
@@ -39,7 +42,7 @@
 
 
 def supports_100rel(message: sip.SipMessage) -> bool:
-    """Whether a caller can be sent provisional responses reliably."""
+    """Whether the sender of a request accepts reliable provisional responses (option tag 100rel)."""
     return any(
         option.lower() == "100rel" for name in ("supported", "require") for option in message.get_all(name)
     )
--- a/stairhatch/sip/responder.py
+++ b/stairhatch/sip/responder.py
@@ -1,4 +1,4 @@
-"""Answers requests: by their transaction, or without one, and counts and traces each response."""
+"""Responses to requests, sent by a transaction or statelessly; each response is counted and may be traced."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class Responder:
-    """Answers the requests of one frontend."""
+    """The sender of all responses of one frontend."""
 
     def __init__(self, context: SipContext, transactions: ServerTransactions) -> None:
-        """Answer by these transactions."""
+        """Create a responder that uses the given table of server transactions."""
         self._context = context
         self._transactions = transactions
 
@@ -41,10 +41,10 @@
         tag: str = "",
         body: bytes = b"",
     ) -> bytes:
-        """Answer a transaction; returns the bytes, b"" if it has its final response already.
+        """Respond to a transaction's request; returns the bytes, or b"" after the final response.
 
-        `tag` is the local tag where the request has none; "" for that of the transaction's user, or a new
-        one.
+        `tag` is the local tag to add if the To header of the request has none. If `tag` is "", the tag of the
+        transaction's user is used, or a new one.
         """
         head = transaction.head
         if not transaction.is_open or head is None:
@@ -56,13 +56,13 @@
             tag = ""
         lines = format_headers(extra) if extra else ""
         if status == 100 and "timestamp" in head.names:
-            lines += f"Timestamp: {head.message.get('timestamp')}\r\n"  # 8.2.6.1
+            lines += f"Timestamp: {head.message.get('timestamp')}\r\n"  # RFC 3261, 8.2.6.1
         data = self._transactions.respond(transaction, status, tag, lines, body)
         self.record(transaction, status, head.call_id, head.cseq, head.method)
         return data
 
     def reject(self, transaction: ServerTransaction, rejection: RequestRejection) -> None:
-        """Reject a request; a reason, where there is one, goes to the log."""
+        """Reject a request; a rejection with a reason is logged."""
         if rejection.reason:
             self._log_rejection(transaction, rejection)
         self.respond(transaction, rejection.status, list(rejection.headers))
@@ -74,7 +74,7 @@
         )
 
     def respond_stateless(self, flow: Flow, address: TransportAddress, data: bytes, status: int) -> None:
-        """Send a response that leaves no trace here; over UDP it goes to `address`."""
+        """Send a response, given as bytes, without keeping state; a response by UDP is sent to `address`."""
         self._context.counters.add(f"sent_{status}")
         if isinstance(flow, UdpFlow):
             flow = UdpFlow(flow.port, address)
@@ -83,7 +83,7 @@
     def record(
         self, transaction: ServerTransaction, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
     ) -> None:
-        """Count a response, and trace it if calls are traced."""
+        """Count a sent response, and log it if calls are traced."""
         core = self._context.core
         core.counters.add(f"sent_{status}")
         if core.context.tracing:
--- a/stairhatch/sip/response_format.py
+++ b/stairhatch/sip/response_format.py
@@ -1,21 +1,20 @@
-"""The text of responses: the headers that they copy from their request, and the bytes that are sent.
+"""The format of responses: the headers copied from the request, and the bytes that are sent.
 
-Text is joined by hand and not by way of a message object, since every call pays for it.
+The text is concatenated directly instead of being built as a message object, to save time on every call.
 """
 
 from __future__ import annotations
 
 from stairhatch.node import sip_message as sip
 
-OVERLOAD_PLACEHOLDER = (
-    "\x01"  # in the topmost Via of copied headers: the overload feedback, if any, goes here
-)
+# In the topmost Via of copied headers; replaced by overload feedback or removed.
+OVERLOAD_PLACEHOLDER = "\x01"
 
 
 def copied_headers(message: sip.SipMessage) -> str:
-    """The header lines that every response copies from its request (RFC 3261, 8.2.6.2).
+    """Return the header lines that every response copies from its request (RFC 3261, 8.2.6.2).
 
-    To is last and without its line end, so that a tag can follow.
+    To is the last one and has no line end, so that a tag can be appended.
     """
     lines = []
     to = ""
@@ -30,14 +29,15 @@
 
 
 def format_headers(headers: sip.Headers) -> str:
-    """The header lines for `format_response`."""
+    """Return headers as text lines, the `extra` of `format_response`."""
     return "".join(f"{sip.WRITTEN_NAMES.get(name) or name.title()}: {value}\r\n" for name, value in headers)
 
 
 def format_response(status: int, copied: str, tag: str, extra: str = "", body: bytes = b"") -> bytes:
-    """The bytes of a response.
+    """Return the bytes of a response.
 
-    `copied` is what `copied_headers` gave, `tag` the local tag if To has none yet, `extra` header lines.
+    `copied` is the result of `copied_headers`. `tag` is the local tag, "" if To already has a tag or none is
+    to be added. `extra` is header lines from `format_headers`.
     """
     reason = sip.REASON_PHRASES.get(status, "Unknown")
     if OVERLOAD_PLACEHOLDER in copied:
--- a/stairhatch/sip/session_descriptions.py
+++ b/stairhatch/sip/session_descriptions.py
@@ -1,6 +1,6 @@
-"""What each side of a session has offered (RFC 3264, RFC 6337), and offers that cross (RFC 3261, 14.2).
+"""The session descriptions of both sides (RFC 3264, RFC 6337), and the glare of offers (RFC 3261, 14.2).
 
-Decisions and state alone: it builds no message, finds no dialog and knows no call.
+The module only keeps state and decides; it builds no messages and is independent of dialogs and calls.
 """
 
 from __future__ import annotations
@@ -22,16 +22,19 @@
 
 
 def read_description(message: sip.SipMessage) -> bytes | RequestRejection:
-    """The one session description of a message, b"" if it has none (RFC 3261, 8.2.3; RFC 5621)."""
+    """Return the session description of a message, b"" if there is none, or the rejection of its body.
+
+    Sources: RFC 3261, 8.2.3; RFC 5621.
+    """
     if not message.body:
         return b""
     names = {name for name, _ in message.headers}
     if BODY_HEADERS.isdisjoint(names) and message.get("content-type", SDP) == SDP:
-        return message.body  # as nearly all have it
+        return message.body  # fast path: the notation of nearly every message
     for coding in message.get_all("content-encoding"):
         if coding.strip().lower() != "identity":
             accepted = (("accept-encoding", "identity"),)
-            return RequestRejection(UNSUPPORTED_MEDIA_TYPE, "content encoding", accepted)
+            return RequestRejection(UNSUPPORTED_MEDIA_TYPE, "unsupported content encoding", accepted)
     try:
         return _read_body(message)
     except grammar.GrammarError as error:
@@ -48,7 +51,7 @@
         return b"" if disposition.is_optional else rejection
     if media_type.startswith("multipart/"):
         return _read_parts(message.body, media_type, parameters.get("boundary", ""))
-    return b"" if disposition.is_optional else _unsupported(f"body of type {media_type[:40]}")
+    return b"" if disposition.is_optional else _unsupported(f"unsupported body type {media_type[:40]}")
 
 
 def _unsupported(reason: str) -> RequestRejection:
@@ -57,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Disposition:
-    """What a body is for (RFC 3261, 20.11)."""
+    """A parsed Content-Disposition header (RFC 3261, 20.11)."""
 
-    is_optional: bool  # it may be passed over
-    is_session: bool
+    is_optional: bool  # the body may be ignored if it is not supported
+    is_session: bool  # the body is a session description
 
 
 def _parse_disposition(text: str) -> _Disposition:
@@ -79,14 +82,14 @@
     descriptions = [part.body for part in parts if part.media_type == SDP]
     unknown = [part.media_type for part in parts if part.media_type != SDP and part.required]
     if unknown:
-        return _unsupported(f"part of type {unknown[0][:40]}")
+        return _unsupported(f"unsupported body part type {unknown[0][:40]}")
     if len(descriptions) > 1:
-        return _unsupported("two descriptions")
+        return _unsupported("several session descriptions")
     return descriptions[0] if descriptions else b""
 
 
 class DescriptionChange(Enum):
-    """What the description of a later request is, beside the one in use."""
+    """The result of comparing the session description of a later request with the one in use."""
 
     ABSENT = "absent"
     UNCHANGED = "unchanged"
@@ -98,7 +101,7 @@
 
 
 def _origin_line(description: bytes) -> bytes:
-    """The o= line: with it unchanged the session is (RFC 3264, 8)."""
+    """Return the o= line, b"" if there is none; if it is unchanged, so is the session (RFC 3264, 8)."""
     start = description.find(b"o=")
     if start < 0 or (start and description[start - 1 : start] != b"\n"):
         return b""
@@ -107,32 +110,32 @@
 
 @dataclass(eq=False, slots=True)
 class SessionDescriptions:
-    """Both sides' descriptions of a session: fingerprints of the caller's, ours complete."""
+    """The session descriptions of both sides: fingerprints of the caller's, and the full text of ours."""
 
     remote_fingerprint: bytes = b""
     remote_origin: bytes = b""
     local: bytes = b""
-    awaits_answer: bool = False  # ours was an offer, whose answer comes in the ACK (RFC 3261, 13.2.1)
+    awaits_answer: bool = False  # we sent the offer; its answer is expected in the ACK (RFC 3261, 13.2.1)
 
     @classmethod
     def from_offer(cls, offer: bytes) -> SessionDescriptions:
-        """Those of an INVITE with this offer, b"" if the offer is ours to make."""
+        """Create the state for an INVITE with the given offer, b"" if it has none and we make the offer."""
         return cls(_fingerprint(offer), _fingerprint(_origin_line(offer)), b"", not offer.strip())
 
     def compare(self, description: bytes) -> DescriptionChange:
-        """Tell a description of a later request from the one in use."""
+        """Compare the description of a later request with the caller's description in use."""
         if not description.strip():
             return DescriptionChange.ABSENT
         if _fingerprint(description) == self.remote_fingerprint:
             return DescriptionChange.UNCHANGED
         origin = _origin_line(description)
-        if not self.remote_fingerprint:  # the caller has sent none yet: this is it
+        if not self.remote_fingerprint:  # the first description that the caller sends is not a change
             return DescriptionChange.UNCHANGED
         same_origin = origin and _fingerprint(origin) == self.remote_origin
         return DescriptionChange.UNCHANGED if same_origin else DescriptionChange.CHANGED
 
     def receive_answer(self, description: bytes) -> None:
-        """The caller's answer to an offer of ours."""
+        """Store the caller's answer to our offer, unless a description of the caller is already in use."""
         if description.strip() and not self.remote_fingerprint:
             self.remote_fingerprint = _fingerprint(description)
             self.remote_origin = _fingerprint(_origin_line(description))
@@ -140,23 +143,23 @@
 
 
 class Glare(Enum):
-    """Whether a request that changes a session crosses another (RFC 3261, 14.2; RFC 3311, 5.2)."""
+    """The kind of glare between two requests that change a session (RFC 3261, 14.2; RFC 3311, 5.2)."""
 
     NONE = "none"
-    LOCAL_PENDING = "local pending"  # one of ours is open: 491
-    REMOTE_PENDING = "remote pending"  # one of the caller's is open: 500 with Retry-After
+    LOCAL_PENDING = "local pending"  # a request of ours is open; the response is 491
+    REMOTE_PENDING = "remote pending"  # a request of the caller is open; the response is 500 with Retry-After
 
 
 def detect_glare(local_pending: bool, remote_pending: bool) -> Glare:
-    """Which open request a new one of the caller's crosses."""
+    """Return the kind of glare between a new request of the caller and the open requests."""
     if local_pending:
         return Glare.LOCAL_PENDING
     return Glare.REMOTE_PENDING if remote_pending else Glare.NONE
 
 
 def glare_retry_s(owns_call_id: bool, fraction: float) -> float:
-    """Seconds until a request of ours that was answered 491 is sent again.
+    """Return the delay in seconds before a request that was answered 491 is sent again (RFC 3261, 14.1).
 
-    `fraction` is drawn from 0 to 1 at random; the side that made the Call-ID waits longer (RFC 3261, 14.1).
+    `fraction` is a random number from 0 to 1. The side that created the Call-ID waits longer.
     """
     return 2.1 + 1.9 * fraction if owns_call_id else 2.0 * fraction
