--- a/stairhatch/sip/reliable_provisional.py
+++ b/stairhatch/sip/reliable_provisional.py
@@ -12,8 +12,8 @@
 class PrackMatch(Enum):
     """Whether a PRACK matches the provisional response that awaits one."""
 
-    MATCHED = "matched"  # answered 200
-    UNMATCHED = "unmatched"  # answered 481
+    MATCHED = "matched"  # the PRACK is answered 200
+    UNMATCHED = "unmatched"  # the PRACK is answered 481
 
 
 @dataclass(eq=False, slots=True)
--- a/stairhatch/sip/request_head.py
+++ b/stairhatch/sip/request_head.py
@@ -57,7 +57,8 @@
     def __init__(self, message: sip.SipMessage, peer: TransportAddress) -> None:
         """Parse the headers of a request received from `peer`, and add that source to its topmost Via.
 
-        Raises SipError, with the status to answer, for a header that is missing, repeated or malformed.
+        Raises SipError, with the status to answer, for a header that is missing, malformed, or repeated with
+        a different value.
         """
         self.message = message
         self.method = message.method
--- a/stairhatch/sip/request_scan.py
+++ b/stairhatch/sip/request_scan.py
@@ -101,7 +101,8 @@
 ) -> tuple[CopiedHeaders, bytes, re.Match[bytes]] | None:
     """Return the headers that a response copies except To, the To value, and the match of the topmost Via.
 
-    Returns None for a folded, missing or repeated header, or a topmost Via in uncommon notation.
+    Returns None if a line is folded, a header is missing, a header other than Via is repeated, or the topmost
+    Via has an uncommon notation.
     """
     copied: CopiedHeaders = []
     to = via = None
--- a/stairhatch/sip/server_transactions.py
+++ b/stairhatch/sip/server_transactions.py
@@ -250,7 +250,7 @@
         transaction.user = None
         transaction.flow.discard_unanswered(transaction.key)
         if transaction.is_invite and status >= 300:
-            transaction.state = TransactionState.COMPLETED  # until the ACK
+            transaction.state = TransactionState.COMPLETED  # left when the ACK is received
             self._schedule_retransmission(transaction.key, FIRST_INTERVAL)
         elif transaction.is_invite:
             transaction.state = TransactionState.ACCEPTED
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -99,7 +99,7 @@
             self.handler.counters.add("datagrams_denied")
             return
         if not data.strip(b"\r\n\0 "):
-            return  # a keep-alive
+            return  # a keep-alive, which needs no answer by UDP
         flow = UdpFlow(self, (peer[0], peer[1]))
         if self.handler.datagram_received(flow, data):
             return
--- a/tests/test_request_scan.py
+++ b/tests/test_request_scan.py
@@ -1,4 +1,4 @@
-"""A scan of a datagram in place of a parse, while the processor is overloaded."""
+"""The scan of a datagram that replaces a parse while the processor is overloaded."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     st.booleans(),
     st.binary(max_size=40),
 )
-def test_a_scan_returns_what_a_parse_would(method, host, rport, tag, body):
-    """Otherwise a retransmission is taken for a new call, or a new call for a retransmission."""
-    lines = sip_headers(method, "1", "z9hG4bKscan", to_tag="t" if tag else "")
+def test_a_scan_returns_the_same_values_as_a_parse(method, host, rport, has_tag, body):
+    """A different key would make a retransmission a new call, or a new call a retransmission."""
+    lines = sip_headers(method, "1", "z9hG4bKscan", to_tag="t" if has_tag else "")
     lines["via"] = f"SIP/2.0/UDP {host};branch=z9hG4bKscan{rport}"
     data = sip.request(method, "sip:712@net", list(lines.items()), body)
     scan, head = scan_request(data), RequestHead(sip_parser.parse_datagram(data), ("127.0.0.1", 4000))
@@ -33,19 +33,19 @@
         assert (scan.method, scan.user, scan.transaction_key) == (method, "712", head.transaction_key)
         assert scan.in_dialog is bool(head.to_tag)
         assert scan.response_address(("127.0.0.1", 4000)) == head.response_address(("127.0.0.1", 4000), False)
-        answer = sip_parser.parse_datagram(scan.service_unavailable(("127.0.0.1", 4000), "mine", 3))
-        assert answer.status == 503
-        assert answer.get("retry-after") == "3"
+        response = sip_parser.parse_datagram(scan.service_unavailable(("127.0.0.1", 4000), "mine", 3))
+        assert response.status == 503
+        assert response.get("retry-after") == "3"
         for name in ("call-id", "cseq", "from"):
-            assert answer.get(name) == lines[name]
+            assert response.get(name) == lines[name]
     else:
         assert rport == ";rport;x=y"
 
 
 @BOUNDED
 @given(st.binary(max_size=300))
-def test_no_datagram_makes_a_scan_fail(data):
-    """It must not stop the program before it is parsed."""
+def test_a_scan_raises_no_exception_for_any_datagram(data):
+    """An exception here would stop the program before the parser could reject the datagram."""
     scan_request(data)
     scan_request(b"INVITE sip:7@net SIP/2.0\r\n" + data + b"\r\n\r\n")
 
@@ -54,7 +54,7 @@
     "line", ["Via: SIP/2.0/UDP h;branch=z9hG4bKq\r\n ;rport", "To: <sip:7@net>", "v : SIP/2.0/UDP h"]
 )
 def test_unusual_notation_is_left_to_the_parser(line):
-    """A folded Via, two To or an odd name could be read otherwise by a scan."""
+    """A scan could misread a folded Via, a second To, or a space before the colon of a header."""
     lines = sip_headers("INVITE")
     data = sip.request("INVITE", "sip:7@net", list(lines.items()))
     first, _, rest = data.partition(b"\r\n")
--- a/tests/test_sip_digest_auth.py
+++ b/tests/test_sip_digest_auth.py
@@ -1,4 +1,4 @@
-"""Digest authentication and the file of users (RFC 7616)."""
+"""Digest authentication and the user file (RFC 7616)."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from .support.sip_layers import BOUNDED, digest_authenticator
 
 
-def credentials(nonce, count, password="word", client="c"):
+def credentials(nonce, count, password="word", cnonce="c"):
     a2 = digest_auth.hex_digest("SHA-256", "INVITE:sip:7@net")
     a1 = digest_auth.user_hash("SHA-256", "office", "r", password)
-    response = digest_auth.hex_digest("SHA-256", f"{a1}:{nonce}:{count:08x}:{client}:auth:{a2}")
+    response = digest_auth.hex_digest("SHA-256", f"{a1}:{nonce}:{count:08x}:{cnonce}:auth:{a2}")
     return [
         f'Digest username="office", realm="r", nonce="{nonce}", uri="sip:7@net", response="{response}", '
-        f'algorithm=SHA-256, cnonce="{client}", qop=auth, nc={count:08x}'
+        f'algorithm=SHA-256, cnonce="{cnonce}", qop=auth, nc={count:08x}'
     ]
 
 
 @BOUNDED
 @given(st.lists(st.integers(0, 200), max_size=80))
-def test_a_nonce_count_is_good_once_in_any_order(counts):
-    """A replay is told from a count that comes out of order over UDP."""
+def test_a_nonce_count_is_accepted_once_in_any_order(counts):
+    """A replayed count is refused, a count that UDP has reordered is accepted."""
     authenticator, _ = digest_authenticator()
     nonce, used, highest = authenticator.nonce(), set(), 0
     for count in counts:
@@ -37,8 +37,8 @@
         highest = max(highest, count)
 
 
-def test_an_evicted_nonce_is_stale_and_not_good_again(monkeypatch):
-    """Otherwise whoever uses many nonces could have one forgotten, and replay it."""
+def test_an_evicted_nonce_is_stale_and_cannot_be_replayed(monkeypatch):
+    """Otherwise a client could evict a nonce by using many others, and then replay its credentials."""
     monkeypatch.setattr(digest_auth, "MAX_NONCES", 3)
     authenticator, clock = digest_authenticator()
     first = authenticator.nonce()
@@ -65,8 +65,8 @@
     )
 
 
-def test_failed_attempts_leave_no_nonce_behind():
-    """Guesses must not fill memory."""
+def test_failed_attempts_keep_no_nonce():
+    """Password guesses must not use up memory."""
     authenticator, _ = digest_authenticator()
     nonce = authenticator.nonce()
     for count in range(1, 2000):
@@ -78,14 +78,14 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "why"),
+    ("line", "message"),
     [
         ("office:r:SHA-256", "line 2: not user"), ("office:r:SHA-1:00", "line 2: not user"),
         ("office:r:SHA-256:00", "line 2: the hash"), (digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0], "is listed twice"),  # noqa: E501
     ],
 )  # fmt: skip
-def test_an_unreadable_file_of_users_names_its_line(line, why):
-    """Otherwise a user could not call, for a reason that nobody sees."""
+def test_an_invalid_user_file_is_refused_with_its_line_number(line, message):
+    """If invalid lines were ignored, their users would be rejected without a visible reason."""
     first = digest_auth.format_user_lines("a", "r", "x", ["SHA-256"])[0]
-    with pytest.raises(digest_auth.UserFileError, match=why):
+    with pytest.raises(digest_auth.UserFileError, match=message):
         digest_auth.parse_users(f"{first}\n{line}\n", "r", ["SHA-256"])
--- a/tests/test_sip_grammar.py
+++ b/tests/test_sip_grammar.py
@@ -1,4 +1,4 @@
-"""What stands inside SIP header fields, and messages cut out of a stream."""
+"""The grammar of SIP header fields, and the split of a stream into messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "other", "same"),
+    ("first_text", "second_text", "same"),
     [
         ("sip:alice@a.example;transport=TCP", "SIP:alice@A.EXAMPLE;Transport=tcp", True),
         ("sip:%61lice@a.example", "sip:alice@a.example", True),
@@ -39,36 +39,36 @@
         ("tel:7042;a=1;b=2", "tel:70-42;b=2;a=1", True),
     ],
 )
-def test_uris_are_compared_as_the_rfc_says(one, other, same):
-    """Two names must not be taken for one resource, nor one for two (RFC 3261, 19.1.4)."""
-    first, second = grammar.parse_uri(one), grammar.parse_uri(other)
+def test_uri_comparison_follows_rfc_3261_and_rfc_3966(first_text, second_text, same):
+    """Different resources must not compare equal, nor equivalent URIs different (RFC 3261, 19.1.4)."""
+    first, second = grammar.parse_uri(first_text), grammar.parse_uri(second_text)
     assert grammar.same_uri(first, second) is same
     assert grammar.same_uri(second, first) is same
 
 
 @BOUNDED
 @given(st.text(max_size=60), st.text(max_size=40), st.integers(1, 2**31 - 1))
-def test_any_quoted_display_name_is_read_back(display, more, cseq):
-    """Brackets, semicolons and quotes in a display name are no structure."""
+def test_any_quoted_display_name_and_parameter_round_trips(display, value, number):
+    """Brackets, semicolons and quotes inside a quoted string must not be parsed as delimiters."""
     plain = (
         "".join(c for c in display if c.isprintable() and c not in "\r\n").encode("utf-8", "replace").decode()
     )
-    text = f"{grammar.quote(plain)} <sip:a@b.example;x=y> ; tag = t{cseq} ; q={grammar.quote(more)}"
-    if any(ord(c) < 32 or ord(c) == 127 for c in more):
+    text = f"{grammar.quote(plain)} <sip:a@b.example;x=y> ; tag = t{number} ; q={grammar.quote(value)}"
+    if any(ord(c) < 32 or ord(c) == 127 for c in value):
         return
     address = grammar.parse_address(text)
-    assert (address.display, address.uri, address.tag) == (plain, "sip:a@b.example;x=y", f"t{cseq}")
-    assert address.parameters["q"] == more
+    assert (address.display, address.uri, address.tag) == (plain, "sip:a@b.example;x=y", f"t{number}")
+    assert address.parameters["q"] == value
 
 
 @BOUNDED
 @given(st.text(max_size=200))
-def test_no_text_makes_a_parser_fail_otherwise_than_by_grammar_error(text):
-    """Any other exception would end the connection that a header came on."""
-    for read in (grammar.parse_address, grammar.parse_uri, grammar.parse_via, grammar.parse_credentials,
+def test_parsers_raise_only_grammar_errors_for_any_text(text):
+    """Any other exception would end the connection on which the header was received."""
+    for parse in (grammar.parse_address, grammar.parse_uri, grammar.parse_via, grammar.parse_credentials,
                  grammar.parse_media_type, grammar.parse_rack, grammar.parse_delta_seconds):  # fmt: skip
         with contextlib.suppress(grammar.GrammarError):
-            read(text)
+            parse(text)
 
 
 @BOUNDED
@@ -80,18 +80,18 @@
     ),
     st.lists(st.integers(1, 90), min_size=1, max_size=40),
 )
-def test_messages_of_a_stream_are_the_same_however_it_is_cut(told, cuts):
-    """No message is lost or joined: single bytes, one segment, and any cuts between."""
+def test_stream_parser_returns_the_same_messages_for_any_segmentation(requests, segment_sizes):
+    """No message is lost or merged: in segments of any sizes, of single bytes, and in one segment."""
     data = b"".join(
         sip.request(method, "sip:7@net", list(sip_headers(method, "1", f"z9hG4bK{n}").items()), body)
-        for n, (method, body) in enumerate(told)
+        for n, (method, body) in enumerate(requests)
     )
-    for pieces in (cuts, [1], [len(data)]):
-        parser, found, at, turn = sip_parser.StreamParser(resynchronizes=True), [], 0, 0
-        while at < len(data):
-            size = pieces[turn % len(pieces)]
-            parser.feed(data[at : at + size])
-            at, turn = at + size, turn + 1
+    for sizes in (segment_sizes, [1], [len(data)]):
+        parser, found, offset, segment = sip_parser.StreamParser(resynchronizes=True), [], 0, 0
+        while offset < len(data):
+            size = sizes[segment % len(sizes)]
+            parser.feed(data[offset : offset + size])
+            offset, segment = offset + size, segment + 1
             while (message := parser.next_message()) is not None:
                 found.append((message.method, message.body))
-        assert found == told
+        assert found == requests
--- a/tests/test_sip_large_requests.py
+++ b/tests/test_sip_large_requests.py
@@ -6,8 +6,8 @@
 from .support.recording_flow import RecordingFlow
 
 
-def test_a_request_too_large_for_udp_goes_by_tcp_and_by_udp_if_nobody_listens():
-    """A BYE is not lost because it does not fit into a datagram."""
+def test_a_request_too_large_for_udp_is_sent_by_tcp_and_by_udp_if_tcp_fails():
+    """A BYE that exceeds the size limit of UDP must not be lost if the peer accepts no TCP connection."""
     node, dialled = InProcessNode(), []
     node.front.flows.dial = dialled.append
     flow = RecordingFlow(node)
@@ -21,5 +21,5 @@
     assert dialled[0].peer == ("127.0.0.1", 4100)
     assert dialled[0].data_to_send().startswith(b"BYE ")
     dialled[0].connection_lost()
-    dialled[1].connection_lost()  # tried twice in vain
+    dialled[1].connection_lost()  # both attempts by TCP have failed
     assert flow.sent[-1].method == "BYE"
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -1,4 +1,4 @@
-"""SIP transactions and the records of those that are over (RFC 3261, section 17)."""
+"""SIP transactions and the records of completed ones (RFC 3261, section 17)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_completed_transactions_shrink_to_records_that_expire():
-    """Memory must not grow with calls that are over: 1 KB each at most, and nothing after 64 T1."""
+    """Completed transactions must not accumulate in memory: at most 1 KB each, and nothing after 64 T1."""
     clock = ManualClock()
     table = ServerTransactions(clock, 64 * 1024 * 1024)
     for number in range(1000):
@@ -40,7 +40,7 @@
 
 
 def test_a_full_table_evicts_records_before_it_rejects_new_transactions():
-    """Records answer only retransmissions, which may never come."""
+    """Records serve only possible retransmissions, so new transactions take precedence over them."""
     clock = ManualClock()
     table = ServerTransactions(clock, 40_000)
     for number in range(400):
@@ -54,17 +54,17 @@
     assert clock.counters.counts["transaction_records_evicted"] > 0
 
 
-def test_one_source_with_ten_thousand_open_transactions_leaves_room_for_others():
-    """A storm of INVITEs from one source that are never answered."""
+def test_ten_thousand_open_transactions_of_one_source_leave_room_for_others():
+    """A flood of INVITEs from one source, none of them answered, must not block other sources."""
     table = ServerTransactions(ManualClock(), 8 * 1024 * 1024)
-    taken = 0
+    opened = 0
     for number in range(10_000):
         if table.has_room("10.0.0.66"):
             peer = ("10.0.0.66", 4000)
             flow = ByteRecordingFlow("10.0.0.66")
             table.open(request_head("INVITE", f"z9hG4bK{number}", f"c{number}", peer), flow)
-            taken += 1
-    assert 0 < taken < 5000
+            opened += 1
+    assert 0 < opened < 5000
     assert not table.has_room("10.0.0.66")
     assert table.has_room("10.0.0.7")
     for number in range(200):
@@ -74,7 +74,7 @@
 
 
 class RecordingUser:
-    """Who began a request of ours."""
+    """A user of a client transaction that records the statuses of the responses."""
 
     def __init__(self):
         self.received = []
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "status", "reliable", "kept_s"),
+    ("method", "status", "reliable", "retention_s"),
     [
         ("INVITE", 200, False, TIMEOUT_S),
         ("INVITE", 486, False, TIMEOUT_S),
@@ -102,9 +102,11 @@
         ("INVITE", None, True, TIMEOUT_S),
     ],
 )
-def test_a_client_transaction_is_kept_until_its_timer_fires_and_no_longer(method, status, reliable, kept_s):
-    """Kept for good it would fill the table; dropped too early, a retransmitted response would be reported
-    twice or lack its ACK (RFC 3261, 17.1.1.2 and 17.1.2.2; RFC 6026, 7.2).
+def test_a_client_transaction_is_kept_until_its_timer_fires_and_no_longer(
+    method, status, reliable, retention_s
+):
+    """A transaction that is never dropped fills the table. If it is dropped too early, a retransmitted
+    response is reported twice or not acknowledged (RFC 3261, 17.1.1.2 and 17.1.2.2; RFC 6026, 7.2).
     """
     clock, flow, user = ManualClock(), ByteRecordingFlow(reliable=reliable), RecordingUser()
     table = ClientTransactions(clock)
@@ -122,24 +124,24 @@
         assert user.received == [408]
         assert not clock.pending
         return
-    answer = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
-    assert table.response_received(answer)
+    response = sip_parser.parse_datagram(sip.response(status, [*lines.items()]))
+    assert table.response_received(response)
     assert user.received == [status]
     acks = [sip_parser.parse_datagram(data) for data in flow.sent if data.startswith(b"ACK")]
     assert [m.cseq() for m in acks] == ([(7, "ACK")] if method == "INVITE" and status >= 300 else [])
-    for at in (0.0, kept_s - 0.2):
-        clock.run(max(0.0, at))
-        assert bool(table.transactions) is (kept_s > 0) is table.response_received(answer)
+    for wait_s in (0.0, retention_s - 0.2):
+        clock.run(max(0.0, wait_s))
+        assert bool(table.transactions) is (retention_s > 0) is table.response_received(response)
         assert user.received == [status]
     clock.run(0.3)
     assert not table.transactions
-    assert not table.response_received(answer)
+    assert not table.response_received(response)
 
 
 @BOUNDED
 @given(st.lists(st.sampled_from(["copy", "ack", "wait", "final", "provisional"]), max_size=12), st.booleans())
-def test_an_invite_has_one_final_response_whatever_comes(steps, stood):
-    """In any order of retransmissions, ACKs, waits and responses."""
+def test_an_invite_has_one_final_response_for_any_sequence_of_events(steps, accepted):
+    """Retransmissions, ACKs, waits and responses in any order must not produce a second final response."""
     clock, flow = ManualClock(), ByteRecordingFlow()
     table = ServerTransactions(clock, 1024 * 1024)
     request = request_head("INVITE")
@@ -153,7 +155,7 @@
             case "wait":
                 clock.run(0.7)
             case "final":
-                table.respond(transaction, 200 if stood else 486, "t")
+                table.respond(transaction, 200 if accepted else 486, "t")
             case _:
                 table.respond(transaction, 180, "t")
     finals = {data for data in flow.sent if sip_parser.parse_datagram(data).status >= 200}
