--- a/stairhatch/fleet/effects.py
+++ b/stairhatch/fleet/effects.py
@@ -1,7 +1,7 @@
-"""What the decisions ask of whoever drives them, carried out in their order.
+"""The effects that the protocol classes return; their driver carries them out in the given order.
 
-What must be on disk before it is sent is in a `PersistVotes`; the driver reports its end with
-`ClusterMember.write_completed`.
+A `PersistVotes` holds state that must be on disk before a message may report it; the driver reports the end
+of the write with `ClusterMember.write_completed`.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberId:
-    """Which process a member is: the name that the operators gave it, and this start of it."""
+    """The identity of a member's process."""
 
-    name: str
-    incarnation: int
+    name: str  # from the configuration
+    incarnation: int  # identifies the start of the process
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """What a voter has voted for of one lease. Without a holder only the fencing token counts."""
+    """A voter's vote for one lease; without a holder, only the fencing token has a meaning."""
 
     lease: str
     fencing_token: int
@@ -36,26 +36,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistedState:
-    """Everything of a voter that must outlive it."""
+    """The state of a voter that must survive a restart."""
 
     storage_version: StorageVersion
-    admitted: bool = False  # this data directory has voted, or been admitted
+    admitted: bool = False  # the voter has voted from this data directory or been admitted with it
     votes: tuple[Vote, ...] = ()
     known_versions: dict[str, StorageVersion] = field(default_factory=dict)  # of the other voters
-    voter_set: VoterSet | None = None  # that it goes by
+    voter_set: VoterSet | None = None  # the current voter set; None: none has been stored
 
 
 @dataclass(frozen=True, slots=True)
 class MemberState:
-    """Everything of a member that must outlive it."""
+    """The state of a member that must survive a restart."""
 
     voter_state: PersistedState | None = None  # None: the member is no voter
-    fencing_tokens: dict[str, int] = field(default_factory=dict)  # the highest that it has seen, by lease
+    fencing_tokens: dict[str, int] = field(default_factory=dict)  # the highest seen, by lease
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message."""
+    """Send a message to a peer in one datagram."""
 
     destination: PeerAddress
     message: FleetMessage
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistVotes:
-    """Put this on disk, synced, and report its end by `write_id`."""
+    """Write this state to disk, sync it, and report the end of the write by `write_id`."""
 
     write_id: int
     storage_version: StorageVersion
@@ -75,14 +75,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistFencingToken:
-    """Keep this as the highest fencing token seen of a lease."""
+    """Write the highest fencing token seen of a lease to disk."""
 
     lease: str
     fencing_token: int
 
 
 class LeaseEventKind(Enum):
-    """What has happened, once a change and not once a message. The values are in history files."""
+    """The kinds of lease events; one event reports a change, not a message.
+
+    The values are stored in history files.
+    """
 
     HELD = "held"
     RENEWED = "renewed"
@@ -99,12 +102,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseEvent:
-    """Something for the log and the history."""
+    """An event for the log and the history file."""
 
     kind: LeaseEventKind
     lease: str = ""
     fencing_token: int = 0
-    expires_at: float = 0.0  # on the member's clock; 0.0 where nothing ends
+    expires_at: float = 0.0  # on the member's clock; 0.0: the event has no expiry
     reason: str = ""
 
 
--- a/stairhatch/fleet/errors.py
+++ b/stairhatch/fleet/errors.py
@@ -1,15 +1,15 @@
-"""What can go wrong in the fleet's part of a softswitch, as exceptions."""
+"""The exceptions of the fleet package."""
 
 from __future__ import annotations
 
 
 class FleetError(Exception):
-    """What every error of the fleet is; its text is one line for operators."""
+    """Base class of the fleet's errors; the text is one line for operators."""
 
 
 class StoreError(FleetError):
-    """A data directory can't be used."""
+    """Raised when a data directory cannot be used."""
 
 
 class AdminClientError(FleetError):
-    """A member's admin endpoint can't be asked, or has answered `fail`."""
+    """Raised when a member's admin endpoint cannot be reached or has answered `fail`."""
--- a/stairhatch/fleet/fencing.py
+++ b/stairhatch/fleet/fencing.py
@@ -1,8 +1,8 @@
-"""The fencing tokens that a receiver of shared work goes by: a lower one than seen is rejected.
+"""The check of fencing tokens by the receiver of work under a lease.
 
-A lease alone binds nobody who is stopped between its check and its write; the receiver's memory does
-(fencing: Burrows, OSDI 2006, section 2.4, 'sequencer'). The highest tokens are kept over restarts by the
-driver.
+A lease alone does not stop a holder that is suspended between its check of the lease and its write. The
+receiver therefore remembers the highest token of each lease and rejects lower ones (fencing: Burrows, OSDI
+2006, section 2.4, 'sequencer'). The driver persists the highest tokens over restarts.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenCheck:
-    """Whether work under a fencing token may be taken, and what is to be done about it."""
+    """The result of a token check: whether the work is accepted, and the effects to carry out."""
 
     is_accepted: bool
     effects: list[Effect] = field(default_factory=list)
 
 
 class FencingTokens:
-    """The highest fencing tokens that one receiver has seen, by lease."""
+    """Table of the highest fencing tokens that one receiver has seen, by lease."""
 
     def __init__(self, highest: dict[str, int] | None = None) -> None:
-        """`highest` is what was kept over a restart."""
+        """`highest` has the tokens persisted before a restart, by lease."""
         self.highest = dict(highest or {})
         self.rejected_count = 0
 
     def admit(self, lease: str, token: int) -> TokenCheck:
-        """Check a token; a new highest one is to be persisted."""
+        """Accept a token unless a higher one was seen or the table is full; persist a new highest token."""
         highest = self.highest.get(lease, 0)
         is_full = lease not in self.highest and len(self.highest) >= MAX_FENCED_LEASES
         if token < highest or is_full:
@@ -51,12 +51,15 @@
         return TokenCheck(True, [PersistFencingToken(lease, token)])
 
     def check(self, lease: str, token: int, sender: PeerAddress) -> TokenCheck:
-        """The same, with the answer that makes an old holder step down."""
+        """Check a token as `admit` does; a rejection also returns an event and a `Superseded` to `sender`.
+
+        `Superseded` makes the previous holder step down.
+        """
         check = self.admit(lease, token)
         if check.is_accepted:
             return check
         highest = self.highest.get(lease, 0)
-        reason = f"{highest} was seen"
+        reason = f"{highest} is the highest fencing token seen"
         return TokenCheck(
             False,
             [
--- a/stairhatch/fleet/lease_granter.py
+++ b/stairhatch/fleet/lease_granter.py
@@ -1,4 +1,4 @@
-"""How one voter answers requests, releases and queries of leases."""
+"""The handling of lease requests, releases and queries by one voter."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 class LeaseGranter:
-    """Grants a lease to one holder at a time, once the vote is on disk, and only while the voter may vote."""
+    """Request handler of one voter: grants each lease to one holder at a time.
+
+    A grant is sent only after the vote is on disk, and only while the voter may vote.
+    """
 
     def __init__(
         self,
@@ -34,7 +37,7 @@
         votes: VoteTable,
         log: VoteLog,
     ) -> None:
-        """`voter` is the name in the answers."""
+        """`voter` is the voter's name in its answers."""
         self._voter = voter
         self._eligibility = eligibility
         self._voter_sets = voter_sets
@@ -42,12 +45,16 @@
         self._log = log
 
     def handle_request(self, now: float, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
-        """Grant a lease once the vote is on disk, or reject it with the reason."""
+        """Return a rejection with its reason, a grant, or the write of a new vote.
+
+        A new vote is granted later, by `send_grant`, once it is on disk. A renewal is granted at once: the
+        vote is on disk already.
+        """
         rejection = self._rejection(now, request)
         if rejection is not None:
             return [SendMessage(sender, self._reject(request, rejection))]
         if request.lease in self._log.under_way:
-            return []  # not granted before it is on disk, whoever asks a second time
+            return []  # a repeated request is not granted either before the vote is on disk
         duration_s = request.duration_ms / 1000
         vote = Vote(request.lease, request.fencing_token, request.holder, request.incarnation, duration_s)
         self._votes.extend(now, vote)
@@ -56,7 +63,7 @@
         return self._cast_vote(vote, sender, request)
 
     def _rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
-        """The reason to reject a request; None where there is none."""
+        """Return why a request must be rejected; None if it may be granted."""
         timings = self._votes.timings
         if not self._eligibility.is_voting:
             remaining_s = max(self._eligibility.remaining_wait_s(now), timings.round_timeout_s)
@@ -66,7 +73,8 @@
             reason = f"another list of voters, {voter_set.epoch}"
             return VoteRejection(reason, remaining_s=timings.duration_s)
         if request.duration_ms > math.ceil(timings.duration_s * 1000):
-            # a voter that is admitted again waits for no longer than its own duration
+            # A voter that is admitted again waits only for its own lease duration, so a longer vote could
+            # outlast the wait.
             reason = RejectionReason.DURATION_TOO_LONG.value
             return VoteRejection(reason, remaining_s=timings.duration_s)
         return self._votes.rejection(now, request)
@@ -94,17 +102,18 @@
         return [write]
 
     def send_grant(self, now: float, grant: PendingGrant) -> list[Effect]:
-        """Grant a lease whose vote is on disk now."""
+        """Return the event and the message for a grant whose vote is on disk now."""
         lease = grant.message.lease
         vote = self._votes.by_lease[lease]
         expires_at = self._votes.expires_at.get(lease, now)
-        voted = LeaseEvent(LeaseEventKind.VOTED, lease, vote.fencing_token, expires_at, vote.holder or "")
-        return [voted, SendMessage(grant.destination, grant.message)]
+        event = LeaseEvent(LeaseEventKind.VOTED, lease, vote.fencing_token, expires_at, vote.holder or "")
+        return [event, SendMessage(grant.destination, grant.message)]
 
     def handle_release(self, now: float, release: LeaseRelease) -> list[Effect]:
-        """The holder wants a lease no longer.
+        """Release a lease if the vote is for this holder and fencing token; otherwise do nothing.
 
-        The loss of this costs one duration, so no write is made for it.
+        The release is not written to disk: if the voter restarts and forgets it, the lease becomes free one
+        duration later.
         """
         if self._votes.is_cast_for(release):
             self._log.withhold_grant(release.lease)
@@ -112,7 +121,7 @@
         return []
 
     def handle_query(self, now: float, query: LeaseQuery, sender: PeerAddress) -> list[Effect]:
-        """Say who holds a lease."""
+        """Return the reply with the holder, fencing token and remaining time of the vote for a lease."""
         vote = self._votes.by_lease.get(query.lease)
         remaining_s = max(0.0, self._votes.remaining_s(query.lease, now))
         if vote is None:
--- a/stairhatch/fleet/lease_pool.py
+++ b/stairhatch/fleet/lease_pool.py
@@ -1,6 +1,6 @@
-"""One of several leases that serve alike, such as an index of k or a slot of k: which one is requested next.
+"""The choice of one lease among several equivalent ones, such as instance indices or restart slots.
 
-Never two of them are held: the one that is left is released before the next is requested.
+A member holds at most one lease of a pool: it releases a lease before it requests the next one.
 """
 
 from __future__ import annotations
@@ -12,50 +12,53 @@
 from stairhatch.fleet.lease import LeaseClient, LeaseState
 
 MAX_PAUSE_DOUBLINGS = 4
-EXHAUSTED_PAUSE_TERMS = 0.5  # all were held by others: so many durations until they are gone through again
+EXHAUSTED_PAUSE_DURATIONS = 0.5  # first pause after all leases were held by others, in lease durations
 
 
 class LeasePool:
-    """Requests one lease after the other until one is held, and keeps to it."""
+    """Pool of equivalent leases: requests them one after the other until it holds one, and keeps that one."""
 
     def __init__(
         self, lease_names: list[str], lease_by_name: Callable[[str], LeaseClient], first: int
     ) -> None:
-        """`first` is the position to begin at. ValueError: there are no names."""
+        """Begin at position `first`, modulo the number of leases.
+
+        Raise ValueError if `lease_names` is empty.
+        """
         if not lease_names:
-            raise ValueError("there is nothing to pick from")
+            raise ValueError("a lease pool needs at least one lease name")
         self.lease_names = lease_names
         self.lease_by_name = lease_by_name
         self.position = first % len(lease_names)
         self.is_requested = False
-        self.due_at = math.inf
-        self._rejections = 0  # one after the other
-        self._exhausted_rounds = 0  # in which all were held by others
+        self.due_at = math.inf  # when the next lease may be requested
+        self._rejections = 0  # successive leases that were held by others
+        self._exhausted_rounds = 0  # successive passes in which all leases were held by others
 
     @property
     def current(self) -> LeaseClient:
-        """The lease that is held, or requested."""
+        """The lease at the current position, which is held or requested unless the pool is idle."""
         return self.lease_by_name(self.lease_names[self.position])
 
     def request(self, now: float) -> None:
-        """Begin to ask."""
+        """Start to request leases; does nothing if this has begun already."""
         if not self.is_requested:
             self.is_requested = True
             self.due_at = now
             self.current.request(now)
 
     def release(self) -> list[Effect]:
-        """Hold and want none."""
+        """Stop the requests and release the current lease; return the events and messages for it."""
         self.is_requested = False
         self.due_at = math.inf
         return self.current.release()
 
     def held_position(self, now: float) -> int | None:
-        """Which may be acted under at this moment; None for none."""
+        """Return the position of the lease that the member holds at `now`; None if it holds none."""
         return self.position if self.is_requested and self.current.may_act(now) else None
 
     def tick(self, now: float) -> list[Effect]:
-        """Go on to the next where another member holds the one that was requested."""
+        """If another member holds the requested lease, release the request and request the next lease."""
         lease = self.current
         if lease.state is LeaseState.HELD:
             self._rejections = 0
@@ -77,8 +80,14 @@
         return effects
 
     def _exhausted_pause_s(self, lease: LeaseClient) -> float:
-        """All are held by others: the pause doubles with each time in turn, and half of it is for chance."""
+        """Return the pause in seconds after a pass in which all leases were held by others.
+
+        The base pause doubles with each successive such pass, up to `MAX_PAUSE_DOUBLINGS`. A random factor
+        between 0.5 and 1.5 keeps the members from retrying in step.
+        """
         self._rejections = 0
         self._exhausted_rounds = min(self._exhausted_rounds + 1, MAX_PAUSE_DOUBLINGS)
-        longest_s = lease.timings.duration_s * EXHAUSTED_PAUSE_TERMS * 2.0 ** (self._exhausted_rounds - 1)
-        return longest_s * (0.5 + lease.random_source.random())
+        base_pause_s = (
+            lease.timings.duration_s * EXHAUSTED_PAUSE_DURATIONS * 2.0 ** (self._exhausted_rounds - 1)
+        )
+        return base_pause_s * (0.5 + lease.random_source.random())
--- a/stairhatch/fleet/member.py
+++ b/stairhatch/fleet/member.py
@@ -1,7 +1,7 @@
-"""One cluster member: its leases, its vote if it is a voter, and which message goes to which of them.
+"""One cluster member: its lease clients and observers, its voter if it has one, and message dispatch.
 
-A protocol without I/O: it is told the time with each message and answers with effects. It knows no socket, no
-disk and no call; `runtime` drives it in the program, `fault_injection` on a virtual clock.
+This is a sans-I/O protocol: each method takes the current time and returns effects. It uses no sockets, no
+disk and no calls. `runtime` drives it in the program, and `fault_injection` drives it on a virtual clock.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class ClusterMember:
-    """The decisions of one softswitch about shared work."""
+    """Sans-I/O protocol of one softswitch for the leases of its fleet."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         now: float,
         persisted: MemberState,
     ) -> None:
-        """`persisted` is what its data directory held; without a voter's state it is no voter."""
+        """`persisted` is the content of the data directory; without `voter_state` the member is no voter."""
         self.identity = identity
         self.config = config
         self.random_source = random_source
@@ -55,7 +55,7 @@
             self.voter = Voter(identity.name, config, persisted.voter_state, now)
 
     def lease(self, name: str) -> LeaseClient:
-        """A lease as this member requests it; made at the first call."""
+        """Return this member's client of a lease; the first call creates it."""
         if name not in self.leases:
             self.leases[name] = LeaseClient(
                 name,
@@ -67,13 +67,16 @@
         return self.leases[name]
 
     def observe(self, now: float, name: str) -> LeaseObserver | None:
-        """Begin or continue to observe a lease; None where too many are observed."""
+        """Start or continue to observe a lease, and return its observer.
+
+        Return None if `MAX_OBSERVED_LEASES` other leases have active observers.
+        """
         if name not in self.observers:
             if len(self.observers) >= MAX_OBSERVED_LEASES:
-                for old in [
-                    each for each, observer in self.observers.items() if now >= observer.active_until
+                for expired in [
+                    lease for lease, observer in self.observers.items() if now >= observer.active_until
                 ]:
-                    del self.observers[old]
+                    del self.observers[expired]
             if len(self.observers) >= MAX_OBSERVED_LEASES:
                 return None
             self.observers[name] = LeaseObserver(name, self.config.voters)
@@ -81,21 +84,21 @@
         return self.observers[name]
 
     def may_act(self, now: float, name: str) -> bool:
-        """`LeaseClient.may_act` of a lease by its name."""
+        """Return whether this member holds the named lease at `now` (see `LeaseClient.may_act`)."""
         lease = self.leases.get(name)
         return lease is not None and lease.may_act(now)
 
     def next_due_at(self) -> float:
         """When `tick` should be called next."""
-        dues = [each.due_at for each in self.leases.values() if each.state is not LeaseState.IDLE]
-        dues += [each.expires_at for each in self.leases.values() if each.state is LeaseState.HELD]
-        dues += [each.due_at for each in self.observers.values()]
+        due_times = [each.due_at for each in self.leases.values() if each.state is not LeaseState.IDLE]
+        due_times += [each.expires_at for each in self.leases.values() if each.state is LeaseState.HELD]
+        due_times += [each.due_at for each in self.observers.values()]
         if self.voter is not None:
-            dues.append(self.voter.due_at)
-        return min(dues, default=math.inf)
+            due_times.append(self.voter.due_at)
+        return min(due_times, default=math.inf)
 
     def tick(self, now: float) -> list[Effect]:
-        """What is due."""
+        """Let the voter, the lease clients and the observers do what is due."""
         effects: list[Effect] = self.voter.tick(now) if self.voter is not None else []
         for lease in list(self.leases.values()):
             effects += lease.tick(now)
@@ -104,11 +107,15 @@
         return effects
 
     def write_completed(self, now: float, write_id: int, fault: str = "") -> list[Effect]:
-        """A `PersistVotes` has ended; `fault` says what went wrong, "" for nothing."""
+        """Handle the end of a `PersistVotes`; `fault` describes its failure, "" means success."""
         return self.voter.write_completed(now, write_id, fault) if self.voter is not None else []
 
     def handle(self, now: float, sender: PeerAddress, message: FleetMessage) -> list[Effect]:
-        """Handle a message. One for a lease that this member does not request is ignored."""
+        """Handle a message and return the effects.
+
+        Ignore answers for leases that this member neither requests nor observes, and requests to a voter if
+        this member is no voter.
+        """
         match message:
             case LeaseGranted() if message.lease in self.leases:
                 return self.leases[message.lease].handle_granted(now, message)
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -1,8 +1,8 @@
-"""Planned restarts, at most k at a time: what an operator's command for a restart slot comes to.
+"""Restart slots, which limit the planned restarts in a fleet to k at a time, and the commands for them.
 
-A slot is held by the process that is to be restarted. It is not released by its end: it expires a lease
-duration after the process has gone, by which time the next one serves. A slot whose holder dies comes back in
-the same way. SIGTERM ends the program with a slot or without.
+The process that is to be restarted holds a slot. The end of the process does not release the slot: the slot
+expires one lease duration later, by which time the restarted process serves. The slot of a process that dies
+expires in the same way. SIGTERM ends the program with or without a slot.
 """
 
 from __future__ import annotations
@@ -17,46 +17,50 @@
 
 
 def lease_names(slots: int) -> list[str]:
-    """The leases of that many slots."""
+    """Return the names of the leases for the given number of slots."""
     return [f"{PREFIX}{index}" for index in range(slots)]
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRelease:
-    """The answer to an operator who releases a slot, and what is to be done."""
+    """The result of a slot release: the answer to the operator, and the effects to carry out."""
 
     answer: str
     effects: list[Effect] = field(default_factory=list)
 
 
 class RestartSlotLease:
-    """One member's wish to be restarted."""
+    """Lease of a restart slot by one member, from a pool of all slots."""
 
     def __init__(self, pool: LeasePool | None) -> None:
-        """`pool` has one lease for each slot; None where restarts need no slot."""
+        """`pool` has one lease for each slot; it is None if restarts need no slot."""
         self.pool = pool
 
     def request(self, now: float) -> str:
-        """The answer to `restart-ask`: it is asked again until it says ok."""
+        """Request a slot; return the answer to the command `restart-ask`.
+
+        The client repeats the command until the answer begins with "ok". It repeats only after answers that
+        begin with "fail not yet".
+        """
         if self.pool is None:
-            return "fail fleet.restarts is 0: a restart needs no slot here"
+            return "fail fleet.restarts is 0: restarts need no slot in this fleet"
         self.pool.request(now)
         slot = self.pool.held_position(now)
         lease = self.pool.current
         if slot is None:
-            return f"fail not yet: {lease.reason or 'asking'}"
+            return f"fail not yet: {lease.reason or 'a restart slot has been requested'}"
         slots = len(self.pool.lease_names)
         remaining_s = lease.expires_at - now
         return f"ok slot {slot + 1} of {slots}, held for {remaining_s:.1f} s more unless renewed"
 
     def release(self) -> SlotRelease:
-        """The answer to `restart-give`, and what comes of it."""
+        """Release the slot or withdraw the request; return the answer to the command `restart-give`."""
         if self.pool is None or not self.pool.is_requested:
-            return SlotRelease("ok no slot was held or asked for")
+            return SlotRelease("ok no slot was held or requested")
         was_held = self.pool.current.state is LeaseState.HELD
-        answer = f"ok {'given back' if was_held else 'no longer asked for'}"
+        answer = f"ok {'slot released' if was_held else 'slot request withdrawn'}"
         return SlotRelease(answer, self.pool.release())
 
     def tick(self, now: float) -> list[Effect]:
-        """What is due."""
+        """Request the next slot if another member holds the requested one; return the effects."""
         return self.pool.tick(now) if self.pool is not None else []
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -1,7 +1,7 @@
-"""What of one voter is on disk, what is on its way there, and which answers wait for it.
+"""The record of one voter's writes: the state on disk, the writes in progress, and the grants that wait.
 
-A lease is granted only after the vote is synced: the grant is kept here by the number of its write. A write
-that fails leaves its votes among those that are written again before the voter votes once more.
+A lease is granted only after its vote has been synced to disk; until then, the grant is stored under the id
+of the write. The votes of a failed write are written again before the voter resumes voting.
 """
 
 from __future__ import annotations
@@ -25,37 +25,37 @@
 class CompletedWrite:
     """The content of one write, whether it succeeded or not."""
 
-    leases: tuple[str, ...]  # whose newest vote it was to put on disk
+    leases: tuple[str, ...]  # the leases whose newest vote was part of this write
     storage_version: StorageVersion
     voter_set: VoterSet | None
-    grant: PendingGrant | None
+    grant: PendingGrant | None  # that waited for this write
 
 
 class VoteLog:
-    """The writes of one voter."""
-
-    def __init__(self, kept: PersistedState) -> None:
-        """`kept` is what the data directory held."""
-        self.storage_version = kept.storage_version  # on disk, so that others may be told of it
-        self.voter_set = kept.voter_set  # on disk
-        self.known_versions = dict(kept.known_versions)  # of the other voters
-        self.vote_count = kept.storage_version.vote_count  # with those that are not on disk yet
-        self.has_unsaved_state = kept.voter_set is None  # a known version, or the voter set
+    """Record of one voter's writes to disk, in progress and completed."""
+
+    def __init__(self, persisted: PersistedState) -> None:
+        """`persisted` is the content of the data directory."""
+        self.storage_version = persisted.storage_version  # on disk; only this version is reported to others
+        self.voter_set = persisted.voter_set  # on disk
+        self.known_versions = dict(persisted.known_versions)  # of the other voters, by name
+        self.vote_count = persisted.storage_version.vote_count  # includes votes that are not on disk yet
+        self.has_unsaved_state = persisted.voter_set is None  # of the voter set or known versions
         self.last_write_id = 1
-        self.pending_grants: dict[int, PendingGrant] = {}
-        self.under_way: dict[str, int] = {}  # by lease, the write that holds its newest vote
-        self.unwritten: dict[str, Vote] = {}
+        self.pending_grants: dict[int, PendingGrant] = {}  # by write id
+        self.under_way: dict[str, int] = {}  # by lease: id of the write in progress with its newest vote
+        self.unwritten: dict[str, Vote] = {}  # by lease: newest vote, if no write of it has succeeded
         self._storage_versions: dict[int, StorageVersion] = {}
         self._voter_sets: dict[int, VoterSet] = {}
 
     @property
     def next_storage_version(self) -> StorageVersion:
-        """Once all that is under way is on disk."""
+        """The storage version that will be on disk once all present votes are."""
         written = self.storage_version
         return StorageVersion(written.storage_id, written.incarnation, self.vote_count)
 
     def write(self, votes: tuple[Vote, ...], voter_set: VoterSet) -> PersistVotes:
-        """Put these votes on disk, with the voter set and the versions known of others."""
+        """Return a write of these votes, the voter set and the known versions of the other voters."""
         self.last_write_id += 1
         version = self.next_storage_version
         self._storage_versions[self.last_write_id] = version
@@ -65,7 +65,7 @@
         return PersistVotes(self.last_write_id, version, votes, known, True, voter_set)
 
     def cast(self, vote: Vote, voter_set: VoterSet) -> PersistVotes:
-        """Put a new vote on disk."""
+        """Count a new vote and return the write of it."""
         self.vote_count += 1
         self.unwritten[vote.lease] = vote
         write = self.write((vote,), voter_set)
@@ -73,40 +73,43 @@
         return write
 
     def retry(self, voter_set: VoterSet) -> PersistVotes:
-        """Put all votes on disk that no write has put there."""
+        """Return a new write of all votes of which no write has succeeded."""
         write = self.write(tuple(self.unwritten.values()), voter_set)
         self.under_way = dict.fromkeys(self.unwritten, write.write_id)
         return write
 
     def grant_once_written(self, write: PersistVotes, grant: PendingGrant) -> None:
-        """Keep a grant until its vote is on disk."""
+        """Store a grant until the write of its vote succeeds."""
         self.pending_grants[write.write_id] = grant
 
     def withhold_grant(self, lease: str) -> None:
-        """The vote under way for a lease, if any, must not be answered any more."""
+        """Drop the grant that waits for the write in progress for a lease, if there is one."""
         if lease in self.under_way:
             self.pending_grants.pop(self.under_way[lease], None)
 
     def withhold_all_grants(self) -> None:
-        """No vote under way must be answered any more."""
+        """Drop all grants that wait for a write."""
         self.pending_grants.clear()
 
     def complete(self, write_id: int) -> CompletedWrite:
-        """A write has ended, successfully or not; return its content."""
+        """Remove a write that has ended, successfully or not, and return its content."""
         return CompletedWrite(
-            tuple(lease for lease, under in self.under_way.items() if under == write_id),
+            tuple(lease for lease, pending_id in self.under_way.items() if pending_id == write_id),
             self._storage_versions.pop(write_id, self.storage_version),
             self._voter_sets.pop(write_id, None),
             self.pending_grants.pop(write_id, None),
         )
 
     def abandon(self, write: CompletedWrite) -> None:
-        """A write failed whose votes are written anew when the voter votes again."""
+        """Handle a failed write while the voter does not vote; it writes all votes when it starts to vote."""
         for lease in write.leases:
             del self.under_way[lease]
 
     def mark_persisted(self, write: CompletedWrite) -> None:
-        """A write succeeded. Writes may end out of order: nothing on disk goes back."""
+        """Record the content of a successful write as on disk.
+
+        Writes may end out of order: an older vote count or voter set does not replace a newer one.
+        """
         if write.storage_version.vote_count >= self.storage_version.vote_count:
             self.storage_version = write.storage_version
         if write.voter_set is not None and (
@@ -118,30 +121,37 @@
             self.unwritten.pop(lease, None)
 
     def mark_unsaved(self) -> None:
-        """The voter set has changed: it belongs on disk with the next write."""
+        """Mark the voter set as changed, so that it is written even without a new vote."""
         self.has_unsaved_state = True
 
-    def count_beyond(self, seen: StorageVersion) -> None:
-        """Others have seen this very storage so far: without that they would find it behind again."""
+    def raise_vote_count_above(self, seen: StorageVersion) -> None:
+        """Raise the vote count above the one that another voter knows of this storage.
+
+        Otherwise that voter would again find this storage behind. Versions of other storages are ignored.
+        """
         if seen.storage_id == self.storage_version.storage_id:
             self.vote_count = max(self.vote_count, seen.vote_count + 1)
 
     def record_version(self, voter: str, version: StorageVersion, *, is_voting: bool) -> None:
-        """Remember how far another voter has come; a new storage of its only once it votes from it."""
-        old = self.known_versions.get(voter)
-        if old is not None and old.storage_id == version.storage_id:
-            # Each by itself: a directory that is put back old has started once more, with fewer votes.
+        """Store the storage version of another voter.
+
+        A new storage replaces a known one only if `is_voting` is true: the voter votes from the new storage.
+        """
+        known = self.known_versions.get(voter)
+        if known is not None and known.storage_id == version.storage_id:
+            # Each number is compared by itself: a data directory that was restored from an old copy and then
+            # opened may have a higher incarnation but a lower vote count.
             version = StorageVersion(
                 version.storage_id,
-                max(old.incarnation, version.incarnation),
-                max(old.vote_count, version.vote_count),
+                max(known.incarnation, version.incarnation),
+                max(known.vote_count, version.vote_count),
             )
-        elif old is not None and not is_voting:
+        elif known is not None and not is_voting:
             return
-        if version != old:
+        if version != known:
             self.known_versions[voter] = version
             self.has_unsaved_state = True
 
     def is_older_than(self, seen: StorageVersion) -> bool:
-        """Whether others have seen more of this very storage than is in it."""
+        """Return whether `seen`, a known version of the same storage, is newer than this storage."""
         return seen.incarnation > self.storage_version.incarnation or seen.vote_count > self.vote_count
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -1,7 +1,7 @@
-"""The leases that one voter has voted for: to whom, under which fencing token, and until when.
+"""The votes of one voter: the holder, fencing token and expiry for each lease.
 
-A vote without a holder keeps the fencing token alone: a token that was voted for is never voted for again.
-Times are seconds of the clock that the voter is called with.
+A vote without a holder stores only the fencing token, since a voter never votes for the same token again.
+Times are in seconds of the clock that the voter's callers use.
 """
 
 from __future__ import annotations
@@ -21,33 +21,33 @@
 )
 
 MAX_LEASES = 4096
-WITHHELD = "-"  # the holder of a lease that nobody is to get for its duration
-SUCCESSOR_PRIORITY_S = 1.0  # a successor that a holder names is preferred for so long
+WITHHELD = "-"  # placeholder holder; no member can get the lease while the vote lasts
+SUCCESSOR_PRIORITY_S = 1.0  # how long a released lease is reserved for the named successor, at most
 
 
 @dataclass(frozen=True, slots=True)
 class VoteRejection:
-    """Why a lease request is rejected, and what the requester may go by."""
+    """The content of a rejection: its reason, and hints for the requester's next attempt."""
 
     reason: str
     highest_token: int = 0
     holder: str | None = None
-    remaining_s: float = 0.0  # nothing is to be had before that
+    remaining_s: float = 0.0  # time until the voter may grant the lease
 
 
 @dataclass(frozen=True, slots=True)
 class Successor:
-    """A member that a holder named as it released a lease."""
+    """The member that a holder named as its successor when it released a lease."""
 
     member: str
     preferred_until: float
 
 
 class VoteTable:
-    """The votes of one voter, by lease."""
+    """Table of one voter's votes, by lease."""
 
     def __init__(self, votes: Iterable[Vote], timings: LeaseTimings, now: float) -> None:
-        """Votes that were on disk count as cast at `now`: a renewal is not written."""
+        """`votes` come from disk and count as cast at `now`, since renewals are not written."""
         self.timings = timings
         self.by_lease = {each.lease: each for each in votes}
         self.expires_at: dict[str, float] = {}
@@ -55,17 +55,17 @@
         self.restart_durations(now)
 
     def duration_s(self, vote: Vote) -> float:
-        """For how long a vote binds this voter; the clock drift bound is added."""
+        """Return how long a vote binds this voter, in seconds, extended by the clock drift bound."""
         return max(vote.duration_s, self.timings.duration_s) * (1 + self.timings.clock_drift)
 
     @property
     def longest_binding_s(self) -> float:
-        """For how long any vote for these leases may bind a voter; the clock drift bound is added."""
+        """The longest time that any vote may bind a voter, in seconds, extended by the clock drift bound."""
         longest_s = max([self.timings.duration_s, *(each.duration_s for each in self.by_lease.values())])
         return longest_s * (1 + self.timings.clock_drift)
 
     def restart_durations(self, now: float) -> None:
-        """All votes count as cast at this moment."""
+        """Let all votes count as cast at `now`."""
         self.expires_at = {
             each.lease: now + self.duration_s(each)
             for each in self.by_lease.values()
@@ -73,11 +73,11 @@
         }
 
     def remaining_s(self, lease: str, now: float) -> float:
-        """Of the vote for a lease; negative once it is over."""
+        """Return the remaining time of the vote for a lease in seconds; negative without a valid vote."""
         return self.expires_at.get(lease, -math.inf) - now
 
     def rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
-        """The reason to reject a request by the votes cast; None where there is none."""
+        """Return the rejection that the votes require for a request; None if it may be granted."""
         cast = self.by_lease.get(request.lease)
         if cast is None:
             return self._rejection_of_new_lease()
@@ -100,7 +100,7 @@
         return VoteRejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
 
     def _reservation(self, now: float, request: LeaseRequest, cast: Vote) -> VoteRejection | None:
-        """The lease is kept for a moment for the successor that its last holder named."""
+        """Return the rejection if the lease is reserved for a successor other than the requester."""
         successor = self.successors.get(request.lease)
         if successor is None or successor.member == request.holder or now >= successor.preferred_until:
             return None
@@ -112,20 +112,20 @@
         )
 
     def all(self) -> tuple[Vote, ...]:
-        """One for each lease that was voted for."""
+        """Return all votes, one for each lease."""
         return tuple(self.by_lease.values())
 
     def cast(self, vote: Vote) -> None:
-        """A new vote, in place of the one for that lease before it."""
+        """Store a new vote, which replaces the previous vote for the lease."""
         self.by_lease[vote.lease] = vote
 
     def extend(self, now: float, vote: Vote) -> None:
-        """A vote binds anew from here."""
+        """Restart the duration of a vote at `now`, and remove a reservation of the lease."""
         self.expires_at[vote.lease] = now + self.duration_s(vote)
         self.successors.pop(vote.lease, None)
 
     def is_cast_for(self, release: LeaseRelease) -> bool:
-        """Whether a release is by whom the lease was voted to, under that token."""
+        """Return whether the vote for the lease is for the releasing member and its fencing token."""
         cast = self.by_lease.get(release.lease)
         return cast is not None and (cast.holder, cast.incarnation, cast.fencing_token) == (
             release.holder,
@@ -134,7 +134,10 @@
         )
 
     def release(self, now: float, release: LeaseRelease) -> None:
-        """The holder wants the lease no longer; its token stays voted for."""
+        """Release a lease; the vote's fencing token stays stored.
+
+        Reserve the lease for the successor if the release names one.
+        """
         self.expires_at.pop(release.lease, None)
         if release.successor:
             preferred_until = now + min(SUCCESSOR_PRIORITY_S, self.timings.duration_s)
@@ -142,11 +145,11 @@
         self.by_lease[release.lease] = Vote(release.lease, self.by_lease[release.lease].fencing_token)
 
     def take_over(self, now: float, report: VoteReport) -> bool:
-        """Adopt what another voter has voted for; whether that changed anything.
+        """Adopt another voter's vote; return whether this changed the table.
 
-        Who has the lease may hold
-        it for its duration from now. Where two holders are reported for one lease, a majority may stand
-        behind either: the higher token counts, and for the duration nobody gets the lease.
+        The adopted vote binds for its whole duration from `now`. If there are two holders for one lease,
+        either of them may have a majority: the higher token is stored, and the lease is withheld from all
+        members for the duration.
         """
         old = self.by_lease.get(report.lease, Vote(report.lease, 0))
         new = Vote(
@@ -171,7 +174,7 @@
         return True
 
     def page(self, now: float, after_lease: str) -> tuple[tuple[VoteReport, ...], bool]:
-        """The votes for the leases that follow this one by name, and whether more follow these."""
+        """Return the page of votes after `after_lease` in order of lease names, and whether more follow."""
         names = sorted(name for name in self.by_lease if name > after_lease)
         reports = tuple(self._report(now, self.by_lease[name]) for name in names[:VOTES_PER_PAGE])
         return reports, len(names) > VOTES_PER_PAGE
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -1,11 +1,12 @@
-"""One voter: grants a lease to one holder at a time, once its vote is on disk, and only while it may vote.
+"""A voter: grants each lease to one holder at a time, after the vote is on disk, and only while it may vote.
 
-What is written: the lease, its fencing token and its holder at each new vote. A renewal is not: after a start
-every vote on disk counts as cast just then, for a whole duration. So a fleet at rest writes nothing.
+Each new vote is written with its lease, fencing token and holder. A renewal is not written; instead, after a
+start every vote on disk counts as cast at that moment, for a whole duration. Therefore a fleet whose leases
+are only renewed writes nothing.
 
-`Voter` joins its parts, each of which has state and rules of its own: `lease_granter` answers requests by
-the votes in `vote_table`; `voter_startup` decides whether the voter may vote (`voter_state`) by what the
-others reply (`peer_replies`); `voter_set_change` has the voters that count, `vote_log` the writes.
+`Voter` combines parts that have their own state and rules: `lease_granter` answers requests from the votes in
+`vote_table`; `voter_startup` decides from the replies of the other voters (`peer_replies`) whether the voter
+may vote (`voter_state`); `voter_set_change` keeps the current voter set; `vote_log` tracks the writes.
 """
 
 from __future__ import annotations
@@ -31,32 +32,32 @@
 from stairhatch.fleet.voter_startup import VoterStartup
 from stairhatch.fleet.voter_state import IGNORES_REPLIES, VoterEligibility, VoterState
 
-STATUS_INTERVAL_S = 0.2  # between two status requests to each other voter
+STATUS_INTERVAL_S = 0.2  # between status requests to each other voter, unless settled
 SETTLED_STATUS_INTERVAL_S = (
-    3.0  # of a voter that votes, so that others hear of a directory that came back old
+    3.0  # while voting without a proposed voter set: lets others detect a restored old data directory
 )
-DISK_RETRY_S = 1.0  # a disk that took no write is tried again
+DISK_RETRY_S = 1.0  # between attempts to write after a failed write
 
 
 class Voter:
-    """The decisions of one voter. Each call is given the time and answers with effects."""
+    """Sans-I/O protocol of one voter: each method takes the current time and returns effects."""
 
     def __init__(
         self,
         name: str,
         config: LeaseConfig,
-        kept: PersistedState,
+        persisted: PersistedState,
         now: float,
     ) -> None:
-        """`config` has the configured voter set, `kept` is what the data directory held."""
+        """`config` has the configured voter set; `persisted` is the content of the data directory."""
         self.name = name
-        self.others = {each: place for each, place in config.voters.items() if each != name}
-        self.log = VoteLog(kept)
-        self.votes = VoteTable(kept.votes, config.timings, now)
-        # Replies to requests of an earlier start don't count.
-        version = kept.storage_version
+        self.others = {voter: address for voter, address in config.voters.items() if voter != name}
+        self.log = VoteLog(persisted)
+        self.votes = VoteTable(persisted.votes, config.timings, now)
+        # The request ids depend on the incarnation: replies to requests of an earlier start are ignored.
+        version = persisted.storage_version
         self.peers = PeerReplies(self.others, digest_of((version.storage_id, str(version.incarnation))))
-        self.eligibility = VoterEligibility(is_new_storage=not kept.admitted, now=now)
+        self.eligibility = VoterEligibility(is_new_storage=not persisted.admitted, now=now)
         configured = VoterSet(config.epoch, tuple(sorted(config.voters)), 0, config.epoch)
         self.voter_sets = VoterSetChange(name, configured, self.votes, self.log, self.peers)
         self.startup = VoterStartup(self.eligibility, self.voter_sets, self.votes, self.log, self.peers)
@@ -64,7 +65,7 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether it may grant leases."""
+        """Whether the voter may grant leases."""
         return self.eligibility.is_voting
 
     @property
@@ -72,27 +73,28 @@
         """When `tick` should be called next."""
         return self.eligibility.due_at
 
-    # ---- leases ----
+    # ---- Requests of lease clients ----
 
     def handle_request(self, now: float, sender: PeerAddress, request: LeaseRequest) -> list[Effect]:
-        """Grant a lease once the vote is on disk, or reject it with the reason."""
+        """Compare the reported storage versions, then answer the request or write the vote for it."""
         effects = self.startup.compare_versions(now, request.storage_versions)
         return [*effects, *self.granter.handle_request(now, sender, request)]
 
     def handle_release(self, now: float, release: LeaseRelease) -> list[Effect]:
-        """The holder wants a lease no longer."""
+        """Release a lease if the vote is for this holder and fencing token; otherwise do nothing."""
         return self.granter.handle_release(now, release)
 
     def handle_query(self, now: float, query: LeaseQuery, sender: PeerAddress) -> list[Effect]:
-        """Say who holds a lease."""
+        """Return the reply with the holder that this voter has voted for."""
         return self.granter.handle_query(now, query, sender)
 
-    # ---- the disk ----
+    # ---- Completion of disk writes ----
 
     def write_completed(self, now: float, write_id: int, fault: str) -> list[Effect]:
-        """A write has ended; `fault` says what went wrong, "" for nothing.
+        """Handle the end of a write; `fault` describes its failure, "" means success.
 
-        Only now is said what it holds; a fault ends the voting until a write succeeds.
+        A successful write sends the grant that waited for it. A failed write stops the voting until a write
+        succeeds.
         """
         write = self.log.complete(write_id)
         if fault:
@@ -102,13 +104,16 @@
             if self.log.unwritten:
                 return []
             self.eligibility.start_voting(now)
-            return [LeaseEvent(LeaseEventKind.VOTING, reason="the disk takes promises again")]
+            return [LeaseEvent(LeaseEventKind.VOTING, reason="the disk accepts votes again")]
         if write.grant is None or not self.is_voting:
             return []
-        return [*self.granter.send_grant(now, write.grant), *self._vote_reports()]
+        return [*self.granter.send_grant(now, write.grant), *self._storage_version_reports()]
 
-    def _vote_reports(self) -> list[Effect]:
-        """Tell the others how far this voter has come, so that they know a directory that comes back old."""
+    def _storage_version_reports(self) -> list[Effect]:
+        """Return reports of the storage version to the other voters.
+
+        With these reports they can detect that this data directory was replaced by an older copy.
+        """
         status = StatusRequest(
             self.name,
             self.log.storage_version,
@@ -116,12 +121,12 @@
             True,
             epoch=self.voter_sets.current.epoch,
         )
-        return [SendMessage(place, status) for place in self.others.values()]
+        return [SendMessage(address, status) for address in self.others.values()]
 
     def _write_failed(self, now: float, write: CompletedWrite, fault: str) -> list[Effect]:
         has_failed_before = self.eligibility.state is VoterState.DISK_FAILED
         if not self.is_voting and not has_failed_before:
-            self.log.abandon(write)  # it does not vote as it is, and writes all of it when it does
+            self.log.abandon(write)  # a voter writes all its votes when it starts to vote
             return []
         self.eligibility.due_at = min(self.eligibility.due_at, now + DISK_RETRY_S)
         if has_failed_before:
@@ -129,10 +134,10 @@
         self.eligibility.fail_disk(fault)
         return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=f"{self.eligibility.state.value}: {fault}")]
 
-    # ---- what is due ----
+    # ---- Timed actions ----
 
     def tick(self, now: float) -> list[Effect]:
-        """What is due: status requests, the end of a wait, and a disk that is tried again."""
+        """Do what is due: send status requests, end a wait, or retry the disk."""
         if now < self.eligibility.due_at:
             return []
         match self.eligibility.state:
@@ -148,7 +153,7 @@
         return [*effects, *self._try_to_advance(now), *self._exchange_statuses(now)]
 
     def _exchange_statuses(self, now: float) -> list[Effect]:
-        """Ask the others, and write what is known of them."""
+        """Send status requests to the other voters, and write the unsaved state if this voter votes."""
         is_settled = self.is_voting and not self.voter_sets.is_proposing
         interval_s = SETTLED_STATUS_INTERVAL_S if is_settled else STATUS_INTERVAL_S
         self.eligibility.due_at = now + interval_s
@@ -166,7 +171,7 @@
         proposed_digest = self.voter_sets.proposed_digest if self.is_voting else 0
         return [
             SendMessage(
-                place,
+                address,
                 StatusRequest(
                     self.name,
                     self.log.storage_version,
@@ -178,13 +183,17 @@
                     proposed_digest,
                 ),
             )
-            for name, place in self.others.items()
+            for name, address in self.others.items()
         ]
 
-    # ---- the other voters ----
+    # ---- Messages of other voters ----
 
     def handle_status_request(self, now: float, request: StatusRequest) -> list[Effect]:
-        """Another voter asks what is known of it."""
+        """Store another voter's storage version; return a reply with this voter's state and votes.
+
+        If the other voter proposes a next voter set, agree to it. A sender outside the configured voter set
+        gets no reply.
+        """
         if request.voter not in self.others:
             return []
         known_version = self.log.known_versions.get(request.voter)
@@ -212,7 +221,11 @@
         return [SendMessage(self.others[request.voter], reply)]
 
     def handle_status_reply(self, now: float, reply: StatusReply) -> list[Effect]:
-        """Handle another voter's status reply."""
+        """Handle another voter's status reply.
+
+        Exclude this voter if the other one knows more of its storage. Otherwise use the reply, if it answers
+        the present request, to start voting or to advance to the proposed voter set.
+        """
         if reply.voter not in self.others:
             return []
         self.log.record_version(reply.voter, reply.storage_version, is_voting=reply.is_voting)
@@ -228,12 +241,12 @@
         return self._try_to_advance(now) if self.is_voting else self.startup.evaluate_replies(now)
 
     def _agree_to(self, now: float, proposed_digest: int) -> None:
-        """To the first next set that is heard of, which is said at once."""
+        """Agree to a next voter set unless one is agreed already; report a new agreement at once."""
         if self.voter_sets.agree_to(proposed_digest):
             self.eligibility.due_at = now
 
     def _try_to_advance(self, now: float) -> list[Effect]:
-        """Go on to the configured voter set, where enough have said that they agree."""
+        """Advance to the configured voter set if a majority of the current set has agreed to it."""
         if not self.is_voting or not self.voter_sets.is_proposing:
             return []
         self._agree_to(now, self.voter_sets.proposed_digest)
--- a/stairhatch/fleet/voter_set_change.py
+++ b/stairhatch/fleet/voter_set_change.py
@@ -1,4 +1,4 @@
-"""How one voter goes from its voter set to the configured one (the rules are in `voter_set`)."""
+"""The advance of one voter from its current voter set to the configured one; `voter_set` has the rules."""
 
 from __future__ import annotations
 
@@ -12,27 +12,31 @@
 
 
 class VoterSetChange:
-    """The voter set that one voter goes by, and the next one where its configuration has one."""
+    """The current voter set of one voter, and its advance to the configured one if that is the next."""
 
     def __init__(
         self, member: str, configured: VoterSet, votes: VoteTable, log: VoteLog, peers: PeerReplies
     ) -> None:
-        """`log` has the voter set that the data directory held."""
+        """`log` has the voter set from the data directory; without one, `configured` is the current set."""
         self.member = member
         self.configured = configured
         self.current = log.voter_set or configured
-        self.proposed_digest = 0  # of the configured voter set, where that is the next one
+        self.proposed_digest = 0  # of the configured voter set if it is the next one, otherwise 0
         self._votes = votes
         self._log = log
         self._peers = peers
 
     @property
     def is_proposing(self) -> bool:
-        """Whether the configured voter set is the next one, and not gone by yet."""
+        """Whether the configured voter set is the next one and this voter has not advanced to it yet."""
         return bool(self.proposed_digest)
 
     def compare_with_configured(self) -> VoterSetComparison:
-        """Settle at the start what the configured voter set means beside the one in the data directory."""
+        """Compare the stored voter set with the configured one at the start, and return the comparison.
+
+        If the configured set is the next one, propose it. If the stored set is older than that, use the
+        configured set at once; the caller must then exclude the voter.
+        """
         comparison = compare(self.current, self.configured.epoch, self.configured.voters)
         match comparison.relation:
             case VoterSetRelation.SUCCESSOR:
@@ -43,25 +47,29 @@
         return comparison
 
     def close_previous(self) -> None:
-        """No request by the voter set before is served from here on."""
+        """Reject requests under the previous voter set from now on."""
         self.current = replace(self.current, minimum_epoch=self.current.epoch)
 
     def agree_to(self, digest: int) -> bool:
-        """Agree to the first next set that is heard of, and close the one before; whether that is new."""
-        agreed = self.current.agree_to(digest)
-        if agreed == self.current:
+        """Agree to the next set with this digest, and close the previous set; return whether that is new.
+
+        An earlier agreement to another set is kept.
+        """
+        agreed_set = self.current.agree_to(digest)
+        if agreed_set == self.current:
             return False
-        self.current = agreed
+        self.current = agreed_set
         self._log.mark_unsaved()
         return True
 
     def advance(self, now: float) -> list[Effect]:
-        """Go on to the configured voter set, where enough have said that they agree to it.
+        """Advance to the configured voter set if a majority of the current set has agreed to it.
 
-        To be called while this voter votes, has agreed itself and proposes the set.
+        Return the write and the event of the advance, or nothing. Call this only while the voter votes, has
+        agreed to the set itself and proposes it.
         """
         if self._log.voter_set != self.current:
-            return []  # its own consent is not on disk yet
+            return []  # this voter's own agreement is not on disk yet
         peers = self._peers.voting()
         statuses = {name: voter_set_status(each.reply) for name, each in peers.items()}
         if not may_advance(self.current, self.proposed_digest, statuses, self.member):
--- a/stairhatch/fleet/voter_startup.py
+++ b/stairhatch/fleet/voter_startup.py
@@ -1,6 +1,6 @@
-"""When one voter may vote: its way from the start, or from a data directory that came back old.
+"""The decision when one voter may vote, after its start or after an older data directory was restored.
 
-The states and the way between them are told in `voter_state`.
+`voter_state` documents the states and the transitions between them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class VoterStartup:
-    """Decides by the replies of the other voters whether one voter may vote, and has it wait before that."""
+    """Controller of one voter's changes of state up to its voting, based on the other voters' replies."""
 
     def __init__(
         self,
@@ -28,8 +28,8 @@
         log: VoteLog,
         peers: PeerReplies,
     ) -> None:
-        """The configured voter set may already stand against its voting."""
-        self.is_founding = False  # nobody has voted for anything yet
+        """Compare the configured voter set with the stored one; an inconsistent set prevents voting."""
+        self.is_founding = False  # the fleet is new: no voter has cast a vote yet
         self._eligibility = eligibility
         self._voter_sets = voter_sets
         self._votes = votes
@@ -44,7 +44,10 @@
                 eligibility.skip_voter_set(comparison.reason)
 
     def compare_versions(self, now: float, versions: dict[str, StorageVersion]) -> list[Effect]:
-        """Learn what a requester has heard of the voters; more of this storage than is in it ends voting."""
+        """Store the voters' storage versions that a requester reports.
+
+        Exclude this voter if a newer version of its own storage is reported; return the event for this.
+        """
         for name, version in versions.items():
             if name == self._voter_sets.member:
                 if self.is_behind(version):
@@ -54,14 +57,18 @@
         return []
 
     def is_behind(self, seen: StorageVersion) -> bool:
-        """Whether others have seen more of this voter's storage than is in it."""
+        """Return whether `seen`, which another member knows, is newer than this voter's storage."""
         if seen.storage_id != self._log.storage_version.storage_id:
-            # one that votes was admitted after that
+            # `seen` is of another storage. A voter that votes was admitted with the present storage after
+            # that, so only a voter that has just started is behind.
             return self._eligibility.state is VoterState.STARTING
         return self._log.is_older_than(seen)
 
     def exclude(self, now: float) -> list[Effect]:
-        """End the voting until this voter is admitted again, unless it is on that way already."""
+        """Stop voting until this voter is admitted again; return the event.
+
+        Return nothing if its admission is under way already.
+        """
         if self._eligibility.may_have_forgotten or self._eligibility.state is VoterState.NEW_STORAGE:
             return []
         self._eligibility.exclude(now)
@@ -72,41 +79,41 @@
         return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self._eligibility.state.value)]
 
     def report_new_storage(self) -> list[Effect]:
-        """Say once, at the first tick, that the data directory was empty."""
+        """Return the event that the data directory was empty, once, at the first tick."""
         if self._eligibility.state is not VoterState.NEW_STORAGE or self._new_storage_reported:
             return []
         self._new_storage_reported = True
         return [LeaseEvent(LeaseEventKind.NOT_VOTING, reason=self._eligibility.state.value)]
 
     def tick(self, now: float) -> list[Effect]:
-        """What comes without a reply: the end of a wait, and the voting of an only voter."""
+        """Make the state changes that need no reply: end a wait, or start voting as the only voter."""
         if self._eligibility.state is VoterState.WAITING and now >= self._eligibility.waiting_until:
             if self.is_founding:
-                return self._start_voting(now, "a term has passed since the fleet was founded")
+                return self._start_voting(now, "one lease duration has passed since the fleet was founded")
             self._eligibility.catch_up()
             self._peers.forget()
         is_only_voter = self._voter_sets.current.voters == (self._voter_sets.member,)
         if self._eligibility.state is VoterState.STARTING and is_only_voter:
-            return self._start_voting(now, "the only voter")
+            return self._start_voting(now, "this member is the only voter")
         return []
 
     def evaluate_replies(self, now: float) -> list[Effect]:
-        """Begin to vote, or to wait, where the replies received are enough for it."""
+        """Start to vote, or to wait, if the replies received so far permit it; return the effects."""
         voter_set = self._voter_sets.current
         if self._eligibility.state is VoterState.STARTING:
-            if self._peers.with_intact_storage(voter_set.voters) + 1 >= voter_set.majority:
-                return self._start_voting(now, "a majority has seen nothing newer")
+            if self._peers.count_with_intact_storage(voter_set.voters) + 1 >= voter_set.majority:
+                return self._start_voting(now, "a majority of the voters knows no newer storage")
             return []
-        voting = self._peers.voting_by(voter_set)
+        voting = self._peers.voting_in(voter_set)
         if len(voting) >= voter_set.majority:
             return self._admit(now, voting)
         if (
             self._eligibility.state is VoterState.NEW_STORAGE
             and voter_set.epoch == 1
             and self._peers.have_all_replied
-            and self._peers.all_found(self._log.storage_version.storage_id, self.is_behind)
+            and self._peers.all_permit_founding(self._log.storage_version.storage_id, self.is_behind)
         ):
-            self.is_founding = True  # and nobody has voted, so there is nothing to catch up with
+            self.is_founding = True  # no voter has cast a vote, so there are no votes to catch up with
             self._start_waiting(now)
         return []
 
@@ -116,18 +123,24 @@
         return [write, LeaseEvent(LeaseEventKind.VOTING, reason=reason)]
 
     def _admit(self, now: float, voting: Collection[PeerStatus]) -> list[Effect]:
-        """Enough are there that vote: wait a duration, and then go by the votes that they report."""
+        """Proceed with the admission, given a majority that votes and has reported its votes.
+
+        Adopt the reported votes. Start to wait for a lease duration or, after that wait, start to vote.
+        """
         for peer in voting:
             if peer.reply.known_version is not None:
-                self._log.count_beyond(peer.reply.known_version)
+                self._log.raise_vote_count_above(peer.reply.known_version)
         self.is_founding = False
         take_over_reported_votes(self._votes, self._log, voting, now)
         if self._eligibility.state is VoterState.CATCHING_UP:
-            return self._start_voting(now, "a majority has told it what was promised")
+            return self._start_voting(now, "a majority of the voters has reported its votes")
         self._start_waiting(now)
         return []
 
     def _start_waiting(self, now: float) -> None:
-        """Wait until what it may have voted for before it forgot is over; other votes count as new."""
+        """Wait until votes that this voter may have forgotten have expired.
+
+        The known votes count as cast at `now`.
+        """
         self._eligibility.start_waiting(now, self._votes.longest_binding_s)
         self._votes.restart_durations(now)
--- a/stairhatch/fleet/voter_state.py
+++ b/stairhatch/fleet/voter_state.py
@@ -1,16 +1,19 @@
-"""Whether one voter votes, as states.
-
-A voter that has started asks the others what they have seen of its storage.
-  `STARTING`     no less than any of them has seen, as a majority with itself says: it votes.
-  `NEW_STORAGE`  its data directory was empty. Where all others say that of theirs, or know this very storage
-                 (they were quicker, and may have started again since), the fleet is founded, a lease duration
-                 later; with the first voter set only. Else it is admitted as
-  `EXCLUDED`     one whose data directory is older than what others have seen: it waits a whole lease duration
-                 (`WAITING`), and then a majority of others that vote report all their votes (`CATCHING_UP`);
-                 these are written, and only then it votes. Any majority that it took part in shares a voter
-                 with those that reported: no fencing token that it has forgotten can be voted for again. They
-                 report after the wait, not before it: until then one of them may still vote so that a
-                 majority stands with a vote that this voter has forgotten.
+"""The states that decide whether a voter votes.
+
+After its start, a voter sends the other voters its storage version and learns which version of its storage
+they know.
+  `STARTING`     The voter votes as soon as a majority, counting itself, knows no newer version of its
+                 storage.
+  `NEW_STORAGE`  The data directory was empty. If all other voters report an empty directory as well, or know
+                 the present storage (they were faster, and may have restarted since), this is the founding of
+                 the fleet: the voter votes one lease duration later. Founding is possible only with the first
+                 voter set. Otherwise the voter is admitted in the same way as from `EXCLUDED`.
+  `EXCLUDED`     The data directory is older than the version that others know. The voter first waits for a
+                 whole lease duration (`WAITING`). Then a majority of voters that vote must report all their
+                 votes (`CATCHING_UP`). The voter writes these votes and only then votes. Any majority that
+                 it took part in shares a voter with the majority that reported, so the voter cannot vote
+                 again for a fencing token that it has forgotten. The reports must follow the wait: during the
+                 wait, another voter may still cast a vote that forms a majority with a forgotten vote.
 """
 
 from __future__ import annotations
@@ -20,7 +23,7 @@
 
 
 class VoterState(Enum):
-    """Whether a voter votes. The values are shown to operators."""
+    """The states of a voter; only `VOTING` permits grants. The values are shown to operators."""
 
     STARTING = "has just started"
     VOTING = "votes"
@@ -32,7 +35,7 @@
     DISK_FAILED = "its disk takes no promise"
 
 
-REJECTION_WORDS = {  # what a voter that does not vote rejects with on the wire
+REJECTION_WORDS = {  # `LeaseRejected.reason` on the wire, by the state of a voter that does not vote
     VoterState.STARTING: "starting",
     VoterState.NEW_STORAGE: "new",
     VoterState.EXCLUDED: "out",
@@ -51,70 +54,76 @@
 
 
 class VoterEligibility:
-    """Whether one voter may vote, and what its start and its faults have made of that.
+    """State machine for whether one voter may vote.
 
-    It has the rules of each change of state alone; when a state is due to change is for `VoterStartup` and
-    `Voter`. A change makes the voter due at once.
+    The class defines the effect of each state change; `VoterStartup` and `Voter` decide when a change
+    happens. Most changes set `due_at` to the present, so that the voter's next `tick` acts on them.
     """
 
     def __init__(self, *, is_new_storage: bool, now: float) -> None:
-        """`is_new_storage`: the data directory has neither voted nor been admitted."""
+        """`is_new_storage`: no voter has voted from this data directory or been admitted with it."""
         self.is_new_storage = is_new_storage
         self.state = VoterState.NEW_STORAGE if is_new_storage else VoterState.STARTING
-        self.reason = ""  # it does not vote
-        self.may_have_voted_at = now  # votes that it has forgotten were cast before that
+        self.reason = ""  # why the voter does not vote
+        self.may_have_voted_at = now  # votes that the voter has forgotten were cast before this time
         self.waiting_until = math.inf
         self.due_at = now
 
     @property
     def is_voting(self) -> bool:
-        """Whether it may grant leases."""
+        """Whether the voter may grant leases."""
         return self.state is VoterState.VOTING
 
     @property
     def may_have_forgotten(self) -> bool:
-        """Whether others may know more of its votes than it does."""
+        """Whether the voter may have cast votes that are missing from its data directory."""
         return self.state in MAY_HAVE_FORGOTTEN
 
     def remaining_wait_s(self, now: float) -> float:
-        """Until its wait is over; 0.0 where it does not wait."""
+        """Return the remaining time of the wait in seconds; 0.0 if the voter is not in state `WAITING`."""
         return self.waiting_until - now if self.state is VoterState.WAITING else 0.0
 
     def start_voting(self, now: float) -> None:
-        """It votes, whatever its state was."""
+        """Change to `VOTING` from any state."""
         self.state = VoterState.VOTING
         self.is_new_storage = False
         self.reason = ""
         self.due_at = now
 
     def exclude(self, now: float) -> None:
-        """Others have seen more of its storage than is in it: what it voted for counts from here."""
+        """Change to `EXCLUDED` because others know a newer version of the voter's storage.
+
+        Votes that the voter has forgotten may have been cast up to `now`.
+        """
         self.state = VoterState.EXCLUDED
         self.may_have_voted_at = now
         self.due_at = now
 
     def start_waiting(self, now: float, duration_s: float) -> None:
-        """Wait until votes that it has forgotten are over, which bind for so long."""
+        """Change to `WAITING` until all forgotten votes have expired; they bind for up to `duration_s`."""
         self.state = VoterState.WAITING
         self.waiting_until = self.may_have_voted_at + duration_s
         self.due_at = now
 
     def catch_up(self) -> None:
-        """Its wait is over: what others have voted for is to be heard."""
+        """Change to `CATCHING_UP` after the wait; the votes of the other voters are needed next."""
         self.state = VoterState.CATCHING_UP
 
     def misconfigure(self, reason: str) -> None:
-        """It can't go by its configuration, for as long as it lives."""
+        """Change to `MISCONFIGURED`, which lasts until the process restarts."""
         self.state = VoterState.MISCONFIGURED
         self.reason = reason
 
     def skip_voter_set(self, reason: str) -> None:
-        """Its data directory has a voter set before the last: it votes once it is admitted."""
+        """Exclude a starting voter whose stored voter set is more than one epoch behind the configured one.
+
+        The voter votes again only after the other voters have admitted it.
+        """
         if self.state is VoterState.STARTING:
             self.state = VoterState.EXCLUDED
             self.reason = reason
 
     def fail_disk(self, fault: str) -> None:
-        """Its disk takes no vote."""
+        """Change to `DISK_FAILED` because the disk did not accept a write."""
         self.state = VoterState.DISK_FAILED
         self.reason = fault
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""Leases on a virtual clock and under exhaustive search: one holder at a time, tokens that only grow."""
+"""Lease safety on a virtual clock and under exhaustive search.
+
+A lease has at most one holder at a time, and the fencing tokens of successive holders increase.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 def test_forty_seeds_break_no_rule_and_activate_every_fault():
-    """No two hold a lease at once, no token goes back, and the faults of the seeds take effect."""
+    """No two members hold a lease at once, no token decreases, and every kind of fault takes effect."""
     found = run_seeds(range(40))
     assert not found.failed
     never_activated = {"kill", "stop", "loss", "delay", "cut", "mute", "kill all", "stopped at work"} - set(
@@ -39,8 +42,8 @@
     assert found.holds > 200
 
 
-def test_a_seed_gives_the_same_history_each_time():
-    """Clock, random draws and order are the run's own, so that it can be replayed."""
+def test_runs_with_the_same_seed_have_the_same_history():
+    """A run has its own clock, random source and order of events, so a seed replays it exactly."""
     first, second = (VirtualCluster(draw_schedule(7), 7).run() for _ in range(2))
     assert first == second
     assert len(first) > 200
@@ -61,7 +64,7 @@
     ],
 )
 def test_a_mutation_breaks_a_rule(mutation):
-    """The rules can fail: without the mutation such seeds break none, as shown above."""
+    """The rules detect each mutation; without a mutation the seeds break no rule (see the test above)."""
     assert run_seeds(range(200), TrialOptions(mutation=mutation), until_violation=True).failed
 
 
@@ -69,14 +72,17 @@
     "mutation", ["any list of voters is served", "a voter goes on to its file's list by itself"]
 )
 def test_a_mutation_of_voter_set_changes_breaks_a_rule(mutation):
-    """Two majorities at once, while the voter set changes twice, are found."""
+    """The rules detect two simultaneous majorities while the voter set changes twice."""
     assert not run_seeds(range(20), TrialOptions(voter_changes_only=True)).failed
     options = TrialOptions(mutation=mutation, voter_changes_only=True)
     assert run_seeds(range(100), options, until_violation=True).failed
 
 
 def test_a_voter_set_is_closed_before_a_majority_advances_to_the_second_after_it():
-    """A majority of the first set and one of the third need not share a voter."""
+    """Majorities of the first and the third voter set may have no voter in common.
+
+    The first set must therefore be closed before a majority advances to the third set.
+    """
     first, second, third = ("a", "b", "c"), ("a", "b", "c", "d"), ("a", "b", "c", "d", "e")
     current = VoterSet(1, first, 0, 1).successor(second)
     assert current.accepts(1, digest_of(first))
@@ -92,8 +98,8 @@
     advanced = VoterSetStatus(3, proposed, 2, 0)
     assert not may_advance(agreed, proposed, {"b": closed}, "a")  # two of four
     assert not may_advance(agreed, proposed, {"b": closed, "c": still_open}, "a")
-    assert not may_advance(agreed, proposed, {"b": closed, "e": closed}, "a")  # not one of its voters
-    assert not may_advance(current, proposed, {"b": closed, "c": advanced}, "a")  # has not agreed itself
+    assert not may_advance(agreed, proposed, {"b": closed, "e": closed}, "a")  # "e" is no voter of this set
+    assert not may_advance(current, proposed, {"b": closed, "c": advanced}, "a")  # "a" has not agreed itself
     assert may_advance(agreed, proposed, {"b": closed, "c": advanced}, "a")
     assert not agreed.successor(third).accepts(1, digest_of(first))
 
@@ -112,7 +118,7 @@
     ids=["from the start", "over the end of a lease", "with a crash"],
 )
 def test_no_order_of_events_within_small_bounds_breaks_a_rule(bounds):
-    """Three voters and two clients, nothing left out: also the orders that no seed draws."""
+    """The search covers every order of events of three voters and two clients within the bounds."""
     found = explore(bounds)
     assert not found.violation
     assert found.complete
@@ -120,7 +126,7 @@
 
 
 def test_exploration_finds_a_vote_that_is_granted_before_it_is_written():
-    """The search can fail: a crash loses the vote, and a second holder is granted the lease."""
+    """With the mutation, a crash loses a granted vote and a second member is granted the lease."""
     with mutation_applied("a promise is answered before it is on disk"):
         found = explore(
             ExplorationBounds(depth=10, crashes=1, duplicates=0, slow_writes=1, clock_steps=0, clock_leaps=0)
@@ -129,24 +135,27 @@
     assert any(step.startswith("crash") for step in found.path)
 
 
-def test_a_fleet_is_founded_though_a_voter_restarts_meanwhile():
-    """A voter that votes, is killed and starts again does not wait for others that wait for it."""
+def test_a_fleet_is_founded_even_if_a_voter_restarts_meanwhile():
+    """With these seeds, a voter starts to vote, is killed and restarts while the others are new.
+
+    It must not wait for the others while they wait for it.
+    """
     assert not run_seeds([1753, 2357, 2753]).failed
 
 
 def persisted_state(storage_id, *, admitted):
-    """What a data directory held from which this voter set voted, or nothing was."""
+    """Return the state of a data directory whose voter has been admitted, or of an empty one."""
     voter_set = VoterSet(1, tuple(VOTERS), 0, 1) if admitted else None
     return PersistedState(StorageVersion(storage_id, 1, 0), admitted, voter_set=voter_set)
 
 
 def request_lease(lease, holder, incarnation, token, **fields):
-    """A request of 3 s under the voter set of these tests."""
+    """Return a lease request for 3 s."""
     return LeaseRequest(lease, holder, incarnation, token, 3000, 1, **fields)
 
 
 def exchange_statuses(voter, now, others):
-    """One voter asks the others at a moment; its writes succeed at once."""
+    """Call a voter's `tick`, deliver its status requests and their replies, and let its writes succeed."""
     effects = voter.tick(now)
     while effects:
         effect = effects.pop(0)
@@ -158,26 +167,29 @@
 
 
 def test_a_vote_cast_after_a_status_reply_is_not_forgotten():
-    """No fencing token is voted for twice.
+    """A voter that lost its data directory does not vote twice for one fencing token.
 
-    A voter votes, loses its data directory, and the others report their votes; only then the same request
-    reaches one of them and makes a majority.
+    The voter votes, loses its data directory and learns the votes of the other voters. A delayed copy of the
+    request then reaches one of them and completes a majority with the lost vote. The reports must follow the
+    wait so that they contain this vote.
     """
     digest = digest_of(VOTERS)
     others = {name: Voter(name, CONFIG, persisted_state(name, admitted=True), 0.0) for name in ("v1", "v2")}
     for each in others.values():
         each.eligibility.state = VoterState.VOTING
-    forgetful = Voter("v0", CONFIG, persisted_state("empty", admitted=False), 0.1)
-    exchange_statuses(forgetful, 0.1, others)
-    assert forgetful.eligibility.state is VoterState.WAITING
+    restarted = Voter("v0", CONFIG, persisted_state("empty", admitted=False), 0.1)
+    exchange_statuses(restarted, 0.1, others)
+    assert restarted.eligibility.state is VoterState.WAITING
     request = request_lease("work", "a", 1, 5, voter_set_digest=digest)
-    late = others["v1"]
-    writes = [each for each in late.handle_request(0.5, SENDER, request) if isinstance(each, PersistVotes)]
-    late.write_completed(0.5, writes[0].write_id, "")
-    for tenth in range(2, 60):
-        exchange_statuses(forgetful, tenth / 10, others)
-    assert forgetful.is_voting
-    answers = forgetful.handle_request(
+    delayed_voter = others["v1"]
+    writes = [
+        each for each in delayed_voter.handle_request(0.5, SENDER, request) if isinstance(each, PersistVotes)
+    ]
+    delayed_voter.write_completed(0.5, writes[0].write_id, "")
+    for tenths in range(2, 60):
+        exchange_statuses(restarted, tenths / 10, others)
+    assert restarted.is_voting
+    answers = restarted.handle_request(
         9.0, ("b", 0), request_lease("work", "b", 2, 5, voter_set_digest=digest)
     )
     assert answers[0].message.reason == "low"
@@ -185,7 +197,7 @@
 
 
 def test_an_excluded_voter_does_not_vote_once_its_disk_recovers():
-    """An old data directory keeps a voter from voting, whatever its disk did meanwhile."""
+    """A successful write ends `DISK_FAILED`, but not the exclusion for an old data directory."""
     voter = Voter("v0", CONFIG, PersistedState(StorageVersion("f", 1, 0), True), 0.0)
     voter.eligibility.state = VoterState.VOTING
     request = request_lease(
@@ -199,8 +211,8 @@
     write = next(
         each for each in voter.handle_request(0.1, SENDER, request) if isinstance(each, PersistVotes)
     )
-    newer = {"v0": StorageVersion("f", 9, 9)}
-    voter.handle_request(0.2, ("b", 0), request_lease("other", "b", 1, 1, storage_versions=newer))
+    newer_versions = {"v0": StorageVersion("f", 9, 9)}
+    voter.handle_request(0.2, ("b", 0), request_lease("other", "b", 1, 1, storage_versions=newer_versions))
     assert voter.eligibility.state is VoterState.EXCLUDED
     voter.write_completed(0.3, write.write_id, "full")
     for each in voter.tick(2.0):
@@ -215,14 +227,14 @@
         (2, ("a", "b", "c"), VoterSetRelation.SAME, ""),
         (3, ("a", "b", "c", "d"), VoterSetRelation.SUCCESSOR, ""),
         (3, ("a", "b"), VoterSetRelation.SUCCESSOR, ""),
-        (2, ("a", "b", "d"), VoterSetRelation.INCONSISTENT, "a change needs an epoch"),
+        (2, ("a", "b", "d"), VoterSetRelation.INCONSISTENT, "a change needs a new epoch"),
         (3, ("a", "b", "d"), VoterSetRelation.INCONSISTENT, "more than one voter"),
-        (1, ("a", "b", "c"), VoterSetRelation.INCONSISTENT, "list 2 already"),
-        (4, ("a", "b"), VoterSetRelation.BEHIND, "list 2, its file list 4"),
+        (1, ("a", "b", "c"), VoterSetRelation.INCONSISTENT, "epoch 2 already"),
+        (4, ("a", "b"), VoterSetRelation.BEHIND, "epoch 2, the configuration epoch 4"),
     ],
 )
 def test_the_configured_voter_set_is_compared_with_the_stored_one(epoch, voters, relation, reason):
-    """A voter set that is mistyped makes no second majority."""
+    """An inconsistent configuration, such as a mistyped voter, must not form a second majority."""
     found = compare(VoterSet(2, ("a", "b", "c")), epoch, voters)
     assert found.relation is relation
     assert reason in found.reason
--- a/tests/test_fleet_compatibility.py
+++ b/tests/test_fleet_compatibility.py
@@ -1,6 +1,7 @@
-"""Datagrams, their words and data directories are read as commit e23b41d wrote them, and written the same.
+"""Compatibility of datagrams, data directories and shown values with recordings of earlier versions.
 
-The data directory from before voter sets were kept was written by 67ce4d2, the first with a store.
+The datagrams and the data directory `folder` were written by commit e23b41d. The data directory
+`folder-before-lists`, which has no voter set, was written by 67ce4d2, the first commit with a store.
 """
 
 from __future__ import annotations
@@ -42,8 +43,8 @@
     name: bytes.fromhex(text) for name, text in json.loads((DATA / "messages.json").read_text()).items()
 }
 
-HERE = StorageVersion(storage_id="0123456789abcdef", incarnation=3, vote_count=41)
-THERE = StorageVersion(storage_id="fedcba9876543210", incarnation=1, vote_count=0)
+VERSION = StorageVersion(storage_id="0123456789abcdef", incarnation=3, vote_count=41)
+OTHER_VERSION = StorageVersion(storage_id="fedcba9876543210", incarnation=1, vote_count=0)
 MESSAGES = {
     "ask": LeaseRequest(
         lease="list",
@@ -52,7 +53,7 @@
         fencing_token=9,
         duration_ms=3000,
         request_id=17,
-        storage_versions={"a": HERE, "b": THERE},
+        storage_versions={"a": VERSION, "b": OTHER_VERSION},
         epoch=2,
         voter_set_digest=123456789012345,
     ),
@@ -67,7 +68,7 @@
         epoch=1,
         voter_set_digest=0,
     ),
-    "yes": LeaseGranted(lease="list", voter="b", fencing_token=9, request_id=17, storage_version=HERE),
+    "yes": LeaseGranted(lease="list", voter="b", fencing_token=9, request_id=17, storage_version=VERSION),
     "no": LeaseRejected(
         lease="list", voter="b", request_id=17, reason="held", highest_token=8, holder="c", remaining_ms=2999
     ),
@@ -87,7 +88,7 @@
     ),
     "roll": StatusRequest(
         voter="a",
-        storage_version=HERE,
+        storage_version=VERSION,
         is_new_storage=True,
         is_voting=True,
         after_lease="list",
@@ -97,7 +98,7 @@
     ),
     "roll, no more than it must": StatusRequest(
         voter="a",
-        storage_version=HERE,
+        storage_version=VERSION,
         is_new_storage=False,
         is_voting=False,
         after_lease="",
@@ -107,11 +108,11 @@
     ),
     "here": StatusReply(
         voter="b",
-        storage_version=THERE,
+        storage_version=OTHER_VERSION,
         is_new_storage=True,
         is_voting=True,
         may_have_forgotten=True,
-        known_version=HERE,
+        known_version=VERSION,
         after_lease="list",
         votes=(
             VoteReport(lease="number/1", fencing_token=7, holder="d", incarnation=77, duration_ms=3000),
@@ -126,7 +127,7 @@
     ),
     "here, no more than it must": StatusReply(
         voter="b",
-        storage_version=THERE,
+        storage_version=OTHER_VERSION,
         is_new_storage=False,
         is_voting=False,
         may_have_forgotten=False,
@@ -187,7 +188,7 @@
 PERSISTED = PersistedState(
     storage_version=StorageVersion(
         storage_id="0123456789abcdef", incarnation=2, vote_count=5
-    ),  # the opening counts as a start
+    ),  # opening the directory increments the incarnation
     admitted=True,
     votes=(
         Vote(lease="list", fencing_token=9, holder="a", incarnation=2**62 - 1, duration_s=3.0),
@@ -217,11 +218,11 @@
 
 
 def rows(directory: Path) -> dict[str, list[tuple[object, ...]]]:
-    """All rows of a data directory's file, by table."""
-    base = sqlite3.connect(directory / FILE_NAME)
-    names = [name for (name,) in base.execute("SELECT name FROM sqlite_master WHERE type = 'table'")]
-    found = {name: base.execute(f"SELECT * FROM {name}").fetchall() for name in sorted(names)}
-    base.close()
+    """Return all rows of a data directory's database, by table."""
+    database = sqlite3.connect(directory / FILE_NAME)
+    names = [name for (name,) in database.execute("SELECT name FROM sqlite_master WHERE type = 'table'")]
+    found = {name: database.execute(f"SELECT * FROM {name}").fetchall() for name in sorted(names)}
+    database.close()
     return found
 
 
@@ -238,16 +239,16 @@
 
 
 def test_votes_are_written_as_the_recorded_rows(tmp_path):
-    """The same contents, put into an empty data directory, are the same rows, names and sums as recorded."""
+    """Writing the recorded contents to an emptied data directory yields the recorded rows and checksums."""
     shutil.copytree(DATA / "folder", tmp_path / "old")
     (tmp_path / "new").mkdir()
     shutil.copy(DATA / "folder" / FILE_NAME, tmp_path / "new" / FILE_NAME)
-    base = sqlite3.connect(tmp_path / "new" / FILE_NAME)
+    database = sqlite3.connect(tmp_path / "new" / FILE_NAME)
     for table in ("promises", "known", "fences"):
-        base.execute(f"DELETE FROM {table}")
-    base.execute("DELETE FROM own WHERE key IN ('admitted', 'roll')")
-    base.commit()
-    base.close()
+        database.execute(f"DELETE FROM {table}")
+    database.execute("DELETE FROM own WHERE key IN ('admitted', 'roll')")
+    database.commit()
+    database.close()
     store = VoterStore(tmp_path / "new", lambda act: act())
     done: list[str] = []
     version = StorageVersion(PERSISTED.storage_version.storage_id, PERSISTED.storage_version.incarnation, 5)
