--- a/stairhatch/fleet/lease.py
+++ b/stairhatch/fleet/lease.py
@@ -156,7 +156,7 @@
         """Release the lease; return the events and messages for it.
 
         `may_act` is false from here on, whether or not the voters receive the release. If `successor` is
-        named, the voters reserve the lease for this member for a moment.
+        named, the voters reserve the lease for the successor for a moment.
         """
         previous_state, self.state = self.state, LeaseState.IDLE
         self.expires_at = -math.inf
@@ -231,7 +231,7 @@
             self.highest_token += 1
             self.fencing_token = self.highest_token
             self.due_at = now + self.timings.round_timeout_s
-        else:  # a renewal, which is sent up to three times before the lease expires
+        else:  # a renewal, which is repeated up to three times before the lease expires
             self.due_at = now + self.timings.duration_s / RENEWAL_RETRY_DIVISOR
             if self._must_raise_token:
                 self.highest_token += 1
--- a/stairhatch/fleet/vote_table.py
+++ b/stairhatch/fleet/vote_table.py
@@ -78,20 +78,22 @@
 
     def rejection(self, now: float, request: LeaseRequest) -> VoteRejection | None:
         """Return the rejection that the votes require for a request; None if it may be granted."""
-        cast = self.by_lease.get(request.lease)
-        if cast is None:
+        current_vote = self.by_lease.get(request.lease)
+        if current_vote is None:
             return self._rejection_of_new_lease()
-        same_holder = (request.holder, request.incarnation) == (cast.holder, cast.incarnation)
-        if same_holder and request.fencing_token == cast.fencing_token:
+        same_holder = (request.holder, request.incarnation) == (current_vote.holder, current_vote.incarnation)
+        if same_holder and request.fencing_token == current_vote.fencing_token:
             return None
         remaining_s = self.remaining_s(request.lease, now)
-        if cast.holder is not None and remaining_s > 0 and not same_holder:
-            return VoteRejection(RejectionReason.HELD.value, cast.fencing_token, cast.holder, remaining_s)
-        if reservation := self._reservation(now, request, cast):
+        if current_vote.holder is not None and remaining_s > 0 and not same_holder:
+            return VoteRejection(
+                RejectionReason.HELD.value, current_vote.fencing_token, current_vote.holder, remaining_s
+            )
+        if reservation := self._reservation(now, request, current_vote):
             return reservation
-        if request.fencing_token <= cast.fencing_token:
-            holder = cast.holder if remaining_s > 0 else None
-            return VoteRejection(RejectionReason.TOKEN_TOO_LOW.value, cast.fencing_token, holder)
+        if request.fencing_token <= current_vote.fencing_token:
+            holder = current_vote.holder if remaining_s > 0 else None
+            return VoteRejection(RejectionReason.TOKEN_TOO_LOW.value, current_vote.fencing_token, holder)
         return None
 
     def _rejection_of_new_lease(self) -> VoteRejection | None:
@@ -99,14 +101,14 @@
             return None
         return VoteRejection(RejectionReason.TOO_MANY_LEASES.value, remaining_s=self.timings.duration_s)
 
-    def _reservation(self, now: float, request: LeaseRequest, cast: Vote) -> VoteRejection | None:
+    def _reservation(self, now: float, request: LeaseRequest, current_vote: Vote) -> VoteRejection | None:
         """Return the rejection if the lease is reserved for a successor other than the requester."""
         successor = self.successors.get(request.lease)
         if successor is None or successor.member == request.holder or now >= successor.preferred_until:
             return None
         return VoteRejection(
             RejectionReason.RESERVED.value,
-            cast.fencing_token,
+            current_vote.fencing_token,
             successor.member,
             successor.preferred_until - now,
         )
@@ -126,8 +128,12 @@
 
     def is_cast_for(self, release: LeaseRelease) -> bool:
         """Return whether the vote for the lease is for the releasing member and its fencing token."""
-        cast = self.by_lease.get(release.lease)
-        return cast is not None and (cast.holder, cast.incarnation, cast.fencing_token) == (
+        current_vote = self.by_lease.get(release.lease)
+        return current_vote is not None and (
+            current_vote.holder,
+            current_vote.incarnation,
+            current_vote.fencing_token,
+        ) == (
             release.holder,
             release.incarnation,
             release.fencing_token,
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -93,8 +93,8 @@
     def write_completed(self, now: float, write_id: int, fault: str) -> list[Effect]:
         """Handle the end of a write; `fault` describes its failure, "" means success.
 
-        A successful write sends the grant that waited for it. A failed write stops the voting until a write
-        succeeds.
+        A successful write sends the grant that waited for it. The content of a write is not reported to other
+        members before the write has succeeded. A failed write stops the voting until a write succeeds.
         """
         write = self.log.complete(write_id)
         if fault:
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -79,8 +79,8 @@
 
     epoch: int
     digest: int
-    minimum_epoch: int
-    agreed_digest: int
+    minimum_epoch: int  # the voter rejects requests of lower epochs
+    agreed_digest: int  # of the next set that the voter has agreed to; 0: none
 
 
 class VoterSetRelation(Enum):
--- a/stairhatch/fleet/voter_startup.py
+++ b/stairhatch/fleet/voter_startup.py
@@ -41,7 +41,7 @@
             case VoterSetRelation.INCONSISTENT:
                 eligibility.misconfigure(comparison.reason)
             case VoterSetRelation.BEHIND:
-                eligibility.skip_voter_set(comparison.reason)
+                eligibility.exclude_for_skipped_epoch(comparison.reason)
 
     def compare_versions(self, now: float, versions: dict[str, StorageVersion]) -> list[Effect]:
         """Store the voters' storage versions that a requester reports.
@@ -67,7 +67,7 @@
     def exclude(self, now: float) -> list[Effect]:
         """Stop voting until this voter is admitted again; return the event.
 
-        Return nothing if its admission is under way already.
+        Return nothing if the voter is excluded or new already, or cannot vote with its configuration.
         """
         if self._eligibility.may_have_forgotten or self._eligibility.state is VoterState.NEW_STORAGE:
             return []
--- a/stairhatch/fleet/voter_state.py
+++ b/stairhatch/fleet/voter_state.py
@@ -61,7 +61,7 @@
     """
 
     def __init__(self, *, is_new_storage: bool, now: float) -> None:
-        """`is_new_storage`: no voter has voted from this data directory or been admitted with it."""
+        """`is_new_storage`: the voter has neither voted nor been admitted with this data directory."""
         self.is_new_storage = is_new_storage
         self.state = VoterState.NEW_STORAGE if is_new_storage else VoterState.STARTING
         self.reason = ""  # why the voter does not vote
@@ -114,7 +114,7 @@
         self.state = VoterState.MISCONFIGURED
         self.reason = reason
 
-    def skip_voter_set(self, reason: str) -> None:
+    def exclude_for_skipped_epoch(self, reason: str) -> None:
         """Exclude a starting voter whose stored voter set is more than one epoch behind the configured one.
 
         The voter votes again only after the other voters have admitted it.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,7 +32,7 @@
 
 
 def test_forty_seeds_break_no_rule_and_activate_every_fault():
-    """No two members hold a lease at once, no token decreases, and every kind of fault takes effect."""
+    """No two members hold a lease at once, no token decreases, and each listed kind of fault takes effect."""
     found = run_seeds(range(40))
     assert not found.failed
     never_activated = {"kill", "stop", "loss", "delay", "cut", "mute", "kill all", "stopped at work"} - set(
@@ -181,11 +181,11 @@
     exchange_statuses(restarted, 0.1, others)
     assert restarted.eligibility.state is VoterState.WAITING
     request = request_lease("work", "a", 1, 5, voter_set_digest=digest)
-    delayed_voter = others["v1"]
+    receiver = others["v1"]
     writes = [
-        each for each in delayed_voter.handle_request(0.5, SENDER, request) if isinstance(each, PersistVotes)
+        each for each in receiver.handle_request(0.5, SENDER, request) if isinstance(each, PersistVotes)
     ]
-    delayed_voter.write_completed(0.5, writes[0].write_id, "")
+    receiver.write_completed(0.5, writes[0].write_id, "")
     for tenths in range(2, 60):
         exchange_statuses(restarted, tenths / 10, others)
     assert restarted.is_voting
