--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -1,7 +1,9 @@
-"""The attempts of calls at roster servers, from the decision to make one until its outcome is reported.
+"""Attempts of calls at roster servers, from the decision to start one until its outcome is reported.
 
-It keeps the rules that hold whatever the controller asks for: one attempt out at a time, the cap on attempts,
-the pause after an unclear outcome, and no set-up written after its caller left, its time ended or a drain.
+`AttemptManager` enforces these rules whatever actions the overload control returns: a call has one attempt in
+progress at a time and a maximum of attempts, no attempt is sent during the retry pause after an unclear
+outcome, and no set-up is written after its caller has abandoned it, its deadline has passed or its server
+has started to drain.
 """
 
 from __future__ import annotations
@@ -19,17 +21,17 @@
 from stairhatch.overload.actions import SendSetup
 from stairhatch.overload.events import NO_LOAD, AttemptEnded, AttemptOutcome, Availability, LoadReport
 
-PAUSE_MARGIN_S = 0.02  # added to the pause after an unclear outcome: the two roads differ in length
-UNCLEAR = (
+PAUSE_MARGIN_S = 0.02  # added to the retry pause: the two set-ups may take network paths of different latency
+UNCLEAR_OUTCOMES = (
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.RESET,
     AttemptOutcome.CANCELLED,
-)  # it may still be at work
+)  # after these the server may still be processing the set-up
 
 
 @dataclass(eq=False, repr=False, kw_only=True)
 class AttemptManager:
-    """Starts attempts, decides whether they may still be written, and ends each with one outcome."""
+    """Manager of all attempts: starts them, permits or forbids writing them, ends each with one outcome."""
 
     context: NodeContext
     calls: CallRegistry
@@ -37,18 +39,24 @@
     timers: TimerWheel
     dispatcher: EventDispatcher
     answers: FinalAnswers
-    check_instance_index: Callable[[], None] | None = None  # brings the leased instance index up to date
+    check_instance_index: Callable[[], None] | None = None  # updates the leased instance index
 
     def start(self, action: SendSetup) -> None:
-        """The decisions ask for an attempt. What the rules forbid ends here and never leaves."""
+        """Start the attempt that the overload control requests.
+
+        An attempt that violates a rule is not sent. Its outcome is NOT_SENT, except if the call has ended or
+        already has an attempt in progress: the violation is only logged then.
+        """
         now = self.context.clock()
         call = self.calls.by_number.get(action.call_id)
         server = self.servers.by_id.get(action.server_id)
         if call is None or call.state is not CallState.OFFERED or call.attempt is not None:
-            self._log_violation(why="an attempt was asked for a call that is over or has one out")
+            self._log_violation(
+                why="attempt requested for a call that has ended or has an attempt in progress"
+            )
             return
         if server is None:
-            self._log_violation(call=call.request.ident, why="unknown server")
+            self._log_violation(call=call.request.ident, why="attempt requested at an unknown server")
             outcome = AttemptOutcome.NOT_SENT
             self.dispatcher.dispatch(AttemptEnded(call.number, action.server_id, outcome, False, NO_LOAD))
             return
@@ -62,15 +70,16 @@
             return
         self.timers.schedule(deadline, partial(self._time_out, call.number, attempt.number))
         if now < call.pause_until:
-            self.timers.schedule(call.pause_until, lambda: self._send(attempt))
+            self.timers.schedule(call.pause_until, lambda: self._send_setup(attempt))
         else:
-            self._send(attempt)
+            self._send_setup(attempt)
 
     def claim_transmission(self, attempt: Attempt) -> bool:
         """Return whether a set-up that is about to be written may be sent.
 
-        If so, it counts as written and `remaining_ms` is set. A set-up that has waited for its connection may
-        have been overtaken by its caller, its time-out or the endpoint list.
+        If True, the attempt is marked as written and its `remaining_ms` is set. If False, the attempt has
+        ended or was written before: while the set-up waited for a connection, its caller may have abandoned
+        it, its deadline may have passed, or its server may have become unavailable.
         """
         if attempt.ended or attempt.written:
             return False
@@ -78,7 +87,7 @@
         if attempt.server.record.availability is not Availability.READY or attempt.deadline <= now:
             self.end(attempt, AttemptOutcome.NOT_SENT, NO_LOAD)
             return False
-        if self.check_instance_index is not None and not self._holds_slot(
+        if self.check_instance_index is not None and not self._has_slow_start_slot(
             attempt.server, self.check_instance_index
         ):
             self.context.counters.add("slow_start_slots_lost")
@@ -98,7 +107,10 @@
         return True
 
     def retract_transmission(self, attempt: Attempt) -> None:
-        """Nothing of a set-up was sent and it is queued again: `claim_transmission` will be called again."""
+        """Undo `claim_transmission` for a set-up that was queued again before any byte of it was sent.
+
+        The server pool calls `claim_transmission` again before the next write.
+        """
         attempt.written = False
         self.context.counters.add("attempts_sent", -1)
         self.context.counters.add("attempts_retracted")
@@ -106,17 +118,23 @@
             self.context.log("attempt_retracted", call=attempt.call.request.ident, attempt=attempt.number)
 
     def transmission_failed(self, attempt: Attempt, reached: bool) -> None:
-        """The set-up never left: there was no connection, or (`reached`) no capacity on it."""
+        """End an attempt whose set-up could not be written.
+
+        The outcome is NOT_SENT if `reached` (a connection existed but had no capacity), else UNREACHABLE.
+        """
         if not attempt.ended and not attempt.written:
             self.end(attempt, AttemptOutcome.NOT_SENT if reached else AttemptOutcome.UNREACHABLE, NO_LOAD)
 
     def connection_lost(self, attempt: Attempt) -> None:
-        """The connection broke under a set-up that had been written on it."""
+        """End an attempt with RESET because the connection that its set-up was written on has ended."""
         if not attempt.ended and attempt.call.state is CallState.OFFERED:
             self.end(attempt, AttemptOutcome.RESET, NO_LOAD)
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Stop waiting for an attempt. One that was never written is never sent."""
+        """End an attempt that has no answer yet; a set-up that has been written is released at the server.
+
+        A set-up that has not been written is never sent; its outcome is UNREACHABLE instead of TIMED_OUT.
+        """
         if attempt.written:
             ident = attempt.call.request.ident
             self.servers.pool.send_release(attempt.server, ident, ReleaseCause.NORMAL_CLEARING)
@@ -125,12 +143,12 @@
         self.end(attempt, outcome, NO_LOAD)
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome, report: LoadReport, note: str = "") -> None:
-        """End an attempt with its one outcome and report that to the controller. `note` is the server's."""
+        """End an attempt and report its outcome to the overload control. `note` is the server's text."""
         now = self.context.clock()
         call = attempt.call
         attempt.ended = True
         call.attempt = None
-        if outcome in UNCLEAR and attempt.written:
+        if outcome in UNCLEAR_OUTCOMES and attempt.written:
             call.pause_until = now + self.context.settings.safety.retry_pause_s + PAUSE_MARGIN_S
         self.context.counters.add("outcome_" + outcome.value.replace(" ", "_"))
         if self.context.tracing:
@@ -143,7 +161,7 @@
                 note=note,
             )
         if call.caller_disconnected and call.state is CallState.OFFERED:
-            self.answers.give_undecided(call)
+            self.answers.give_without_decision(call)
         self.dispatcher.dispatch(
             AttemptEnded(
                 call_id=call.number,
@@ -159,7 +177,7 @@
         )
 
     def _is_permitted(self, attempt: Attempt) -> bool:
-        """Whether an attempt keeps the rules of its call and its server, now or after the pause."""
+        """Whether the rules of the call and the server permit the attempt, now or after the retry pause."""
         call, server = attempt.call, attempt.server
         allowed = call.request.call_class.allowed_servers
         return (
@@ -169,7 +187,7 @@
             and attempt.deadline > max(attempt.started_at, call.pause_until)
         )
 
-    def _send(self, attempt: Attempt) -> None:
+    def _send_setup(self, attempt: Attempt) -> None:
         if not attempt.ended:
             self.servers.pool.send_setup(attempt)
 
@@ -179,11 +197,11 @@
         if attempt is not None and attempt.number == attempt_number and not attempt.ended:
             self.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
-    def _holds_slot(self, server: RosterServer, check_instance_index: Callable[[], None]) -> bool:
-        """Whether this softswitch still has a slow-start slot at a server, if its index is leased.
+    def _has_slow_start_slot(self, server: RosterServer, check_instance_index: Callable[[], None]) -> bool:
+        """Whether this softswitch may still send to a server, by its slow-start slots if it is warming up.
 
-        A process may have been stopped between its decision and its write, and another may have its index
-        by now: both would use the same slots.
+        The process may have been suspended between the decision and the write, and another softswitch may
+        have leased its instance index since; both would then use the same slots.
         """
         controller = self.dispatcher.controller
         endpoint = controller.endpoints.get(server.id)
--- a/stairhatch/node/call_manager.py
+++ b/stairhatch/node/call_manager.py
@@ -1,10 +1,11 @@
-"""The calls of one softswitch, from their offer to their final answer and their end.
-
-`CallManager` is what frontends, server connections and the admin endpoint hold; the parts that it composes
-are reached by name. It feeds the overload control and turns its actions into effects, and it keeps the rules
-that bind whatever the decisions say: one final answer a call, and an answer before the caller's time is up.
-Those on attempts are in `node/attempts.py`, those on drains in `node/readiness.py`. It knows no wire and no
-event loop (the clock is passed in), and never decides where a call goes or whether it is rejected.
+"""Call handling of one softswitch, from the offer of a call to its final answer and its termination.
+
+Frontends, server connections and the admin endpoint hold a reference to `CallManager` and reach its
+components by attribute. `CallManager` passes events to the overload control and executes the actions that the
+overload control returns. It enforces two rules regardless of those actions: each call gets exactly one final
+answer, and gets it before the caller timeout. `node/attempts.py` enforces the rules on attempts and
+`node/readiness.py` the rules on drains. The module depends on no wire format and no event loop (the clock is
+passed in), and never decides which server a call goes to or whether it is rejected.
 """
 
 from __future__ import annotations
@@ -47,11 +48,11 @@
 )
 from stairhatch.overload.settings import Settings
 
-BACKSTOP_S = 0.01  # what the decisions have left unanswered so long after its deadline is failed
+BACKSTOP_DELAY_S = 0.01  # after its deadline, a call that the overload control has not answered is failed
 
 
 class CallManager:
-    """All calls of one softswitch, and the parts that serve them."""
+    """Owner of all calls of one softswitch and of the components that handle them."""
 
     def __init__(
         self,
@@ -63,14 +64,14 @@
         tracing: bool = False,
         decisions: OverloadControl | None = None,
     ) -> None:
-        """Compose the parts. Without `decisions` a `Controller` is made, which draws from `rng`."""
+        """Create the components. The default for `decisions` is a `Controller` that draws from `rng`."""
         self.clock = clock
         self.log = log
         self.counters = counters
         self.controller: OverloadControl = decisions or Controller(settings, rng)
-        self.read_callers: Callable[[], None] = do_nothing  # take in what they have sent so far; the driver's
-        self.admin_commands: dict[str, Callable[..., str]] = {}  # more of them, by their first word
-        self.last_health_answer = ""  # what the command `check` was answered last
+        self.read_callers: Callable[[], None] = do_nothing  # set by the driver: reads all data received
+        self.admin_commands: dict[str, Callable[..., str]] = {}  # additional admin commands, by first word
+        self.last_health_answer = ""  # the latest reply to the admin command `check`
         self.context = NodeContext(settings, clock, log, counters, tracing)
         self.timers = TimerWheel(self.context)
         self.classes = CallClasses(settings.classes, clock)
@@ -101,19 +102,20 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings in force."""
+        """Settings in force; `update_settings` replaces them."""
         return self.context.settings
 
     def update_settings(self, settings: Settings) -> None:
-        """Use other settings from now on. Open calls keep their class and their cap on attempts."""
+        """Replace the settings in force. Open calls keep their call class and their maximum of attempts."""
         self.classes.replace(settings.classes)
         self.context.settings = settings
         self.controller.update_settings(settings)
 
     def update_servers(self, records: Iterable[ServerRecord], complete: bool) -> None:
-        """Apply records of the endpoint list; `complete` says that they name every server there is.
+        """Apply records of the endpoint list and pass the changes to the server pool and overload control.
 
-        Calls at a server that is gone, or was restarted, are terminated.
+        If `complete` is True, `records` name every existing server. Established calls at a server that is
+        gone or has restarted are terminated.
         """
         listed = []
         for change in self.servers.update(records, complete):
@@ -132,10 +134,13 @@
                 self.log("server_listed", server=record.instance, state=state, number=record.number)
         self.dispatcher.dispatch(EndpointsUpdated(tuple(listed), complete))
 
-    # ---- what callers do ----
+    # ---- requests of callers ----
 
     def offer_call(self, request: CallRequest, session: CallerSession) -> Call | None:
-        """Register a call, for which one final answer is owed; return None where its id is in use."""
+        """Register a call and offer it to the overload control; the session gets exactly one final answer.
+
+        Returns the call, or None if an open call has the same id; the session is not called then.
+        """
         if request.ident in self.calls.by_ident:
             return None
         now = self.clock()
@@ -147,7 +152,7 @@
             caller_timeout_ms = int(request.caller_timeout_s * 1000)
             name = request.call_class.name
             self.log("call_offered", call=request.ident, call_class=name, caller_timeout_ms=caller_timeout_ms)
-        self.timers.schedule(deadline + BACKSTOP_S, partial(self._fail_unanswered, call.number))
+        self.timers.schedule(deadline + BACKSTOP_DELAY_S, partial(self._fail_unanswered, call.number))
         self.dispatcher.dispatch(
             CallOffered(
                 call_id=call.number,
@@ -161,9 +166,9 @@
         return call
 
     def abandon(self, call: Call) -> None:
-        """The caller gave the set-up up; no answer is owed any more.
+        """End a call whose caller has cancelled the set-up; the caller gets no further answer.
 
-        A call that is established by now is released.
+        A call that has been established in the meantime is released.
         """
         if call.state is CallState.ESTABLISHED:
             self.release(call, ReleaseCause.NORMAL_CLEARING)
@@ -179,20 +184,23 @@
             self.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
 
     def caller_disconnected(self, call: Call) -> None:
-        """The caller's connection has ended, and an answer would have to be brought to it by another.
+        """Record that the caller's connection has ended; an answer would need another connection.
 
-        A pending call is answered now and not forwarded, for nobody waits for it; a set-up that is out may be
-        established, and is the last.
+        A call without a written set-up is answered now and not forwarded, because no caller waits for it. A
+        set-up that has been written may still be established; the call gets no further attempt.
         """
         if call.state is not CallState.OFFERED or call.caller_disconnected:
             return
         call.caller_disconnected = True
         self.counters.add("callers_disconnected")
         if call.attempt is None or not call.attempt.written:
-            self._answer_undecided(call)
+            self._answer_without_decision(call)
 
     def release(self, call: Call, cause: int) -> None:
-        """The caller ends a call that is established."""
+        """Release an established call at its server by a Q.850 cause, on behalf of the caller.
+
+        A call in any other state is left unchanged.
+        """
         if call.state is CallState.ESTABLISHED and call.attempt is not None:
             attempt = call.attempt
             self.counters.add("calls_released_by_caller")
@@ -203,59 +211,71 @@
             self.attempts.end(attempt, AttemptOutcome.CANCELLED, NO_LOAD)
 
     def release_unknown(self, ident: str, cause: int) -> None:
-        """A caller ends a call from before a restart: only the roster servers know which of them holds it."""
+        """Send a caller's release of an unregistered call to every roster server that is not gone.
+
+        The call was set up before a restart of this process, which has no record of its server. A call that
+        has terminated here recently is ignored.
+        """
         if self.calls.was_terminated(ident):
-            return  # it has ended here: the two releases crossed
+            return  # the call has terminated here: the releases of both sides crossed
         self.calls.remember_terminated(ident)
         self.counters.add("releases_of_unknown_calls")
         for server in self.servers.by_id.values():
             if server.record.availability is not Availability.GONE:
                 self.servers.pool.send_release(server, ident, cause)
 
-    # ---- the end of the process ----
+    # ---- shutdown of the process ----
 
     def answer_pending(self) -> None:
-        """Answer all callers that still wait, since the process is about to end; they may retry elsewhere."""
+        """Answer every unanswered call before the process ends, so that callers can retry elsewhere."""
         for call in self.calls.offered():
-            if call.state is CallState.OFFERED:  # still, after the answers before it
-                self._answer_undecided(call)
+            if call.state is CallState.OFFERED:  # an earlier answer may have ended it
+                self._answer_without_decision(call)
 
     def is_settled(self) -> bool:
         """Whether every call has its answer, and every release to a server has been written."""
         return not self.calls.unanswered and self.servers.pool.is_flushed()
 
     def complete_shutdown(self) -> None:
-        """All is answered: the next process gets the releases of established calls, and takes new calls."""
+        """Reject new set-ups and shut the server pool down, once all calls have been answered.
+
+        The next process receives the releases of established calls and accepts new calls.
+        """
         self.readiness.complete_shutdown()
         self.servers.pool.shut_down()
 
-    # ---- answers ----
+    # ---- final answers ----
 
     def _answer(self, call: Call, action: RejectCall | FailCall) -> None:
-        """The final answer. An attempt that is out is given up."""
+        """Give the final answer that an action requests, and cancel the call's attempt in progress."""
         attempt = call.attempt
         self.answers.give(call, action)
         if attempt is not None and not attempt.ended:
             self.attempts.give_up(attempt, AttemptOutcome.CANCELLED)
 
-    def _answer_undecided(self, call: Call) -> None:
-        """Give the final answer without asking the controller, and report to it that the call is over."""
+    def _answer_without_decision(self, call: Call) -> None:
+        """Answer a call without a decision of the overload control, and report the call as abandoned to it.
+
+        The call is rejected if a caller retry is safe, else failed.
+        """
         self._answer(call, (RejectCall if call.is_retry_safe() else FailCall)(call.number))
         self.dispatcher.dispatch(CallAbandoned(call.number))
 
     def _fail_unanswered(self, number: int) -> None:
-        """Fail a call that is still unanswered when its time is up.
+        """Fail a call that is still unanswered after its deadline.
 
-        It is named by its number: a timer that held the call kept it, its caller and its description until
-        the longest wait was over, long after its end.
+        The timer refers to the call by number: a timer that referenced the call object kept the call, its
+        caller session and its session description in memory until the deadline, long after the call's end.
         """
         call = self.calls.by_number.get(number)
         if call is not None and call.state is CallState.OFFERED:
-            self.log("rule_violated", call=call.request.ident, why="the decisions left it unanswered")
+            self.log(
+                "rule_violated", call=call.request.ident, why="overload control left the call unanswered"
+            )
             self._answer(call, FailCall(call.number))
             self.dispatcher.dispatch(CallAbandoned(call.number))
 
-    # ---- what the decisions ask for ----
+    # ---- actions of the overload control ----
 
     def _execute(self, action: Action) -> None:
         match action:
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -1,6 +1,6 @@
-"""The records of calls, attempts and roster servers, and the registry of the calls that are open.
+"""Records of calls, attempts and roster servers, and the registry of open calls.
 
-They are shared by the call manager, the frontends and the server connections.
+The call manager, the frontends and the server connections share them.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from stairhatch.overload.events import Availability
 from stairhatch.overload.settings import CallClass
 
-TERMINATED_KEPT_S = 40.0  # how long the id of a terminated call is remembered, to recognize late messages
-MAX_TERMINATED_KEPT = 20_000  # how many of them
+TERMINATED_KEPT_S = 40.0  # the id of a terminated call is kept this long to recognize late messages
+MAX_TERMINATED_KEPT = 20_000  # ids of terminated calls
 
 
 class ReleaseCause(IntEnum):
-    """Causes of a release that mean something here (ITU-T Q.850)."""
+    """Release causes (ITU-T Q.850) that the softswitch sends or evaluates."""
 
     NORMAL_CLEARING = 16
     USER_BUSY = 17
@@ -32,53 +32,53 @@
 
 
 class CallerSession(Protocol):
-    """One call as its frontend holds it.
+    """Interface of a frontend's record of one call, which the call manager reports the outcome to.
 
-    Exactly one of `established`, `rejected` and `failed` is called, once; before it `progressing` any number
-    of times, where its frontend asked for that.
+    Exactly one of `established`, `rejected` and `failed` is called, once. Before it, `progressing` may be
+    called any number of times if the request has `reports_progress` set.
     """
 
     def progressing(self) -> None:
-        """A roster server is at work on it."""
+        """Report that a roster server is processing the set-up."""
 
     def established(self, description: bytes) -> None:
-        """It is established; `description` is the server's session description."""
+        """Report that the call is established; `description` is the server's session description."""
 
     def rejected(self, retry_after_s: float) -> None:
-        """Answer that it is rejected and may be retried after so many seconds; 0: no time is given."""
+        """Report that the call is rejected; the caller may retry after `retry_after_s`, 0 if unspecified."""
 
     def failed(self, timed_out: bool) -> None:
-        """It has failed, because its time is up or for another reason."""
+        """Report that the call has failed; `timed_out` is True if its deadline has passed."""
 
     def released(self, cause: int) -> None:
-        """Its server has ended the established call, by a Q.850 cause."""
+        """Report that the server has released the established call, by a Q.850 cause."""
 
 
 class CallState(Enum):
-    """The state of a call; the values are the console's words."""
+    """State of a call; the values appear in the output of the admin endpoint."""
 
     OFFERED = "offered"
-    ESTABLISHED = "standing"  # the console's word
+    ESTABLISHED = "standing"  # word of the admin endpoint's output
     TERMINATED = "over"
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class CallRequest:
-    """A set-up as its caller made it. Nothing changes it; `ident` goes to the roster server as it is."""
+    """Set-up request of a caller, never modified; `ident` is sent to the roster server unchanged."""
 
     ident: str
-    call_class: CallClass  # held for as long as the call is open, whatever the settings say by then
-    called_uri: str  # the number called, as it was written
+    call_class: CallClass  # kept while the call is open, even if a reload changes or removes the class
+    called_uri: str  # the called number as the caller wrote it
     description: str
     caller_timeout_s: float
     preferred_number: int = -1
     called_number: int = 0
     is_caller_retry: bool = False
-    reports_progress: bool = False  # `progressing` is called when a roster server is at work on it
+    reports_progress: bool = False  # `progressing` is called when a roster server processes the set-up
 
 
 class ServerRecord(NamedTuple):
-    """One roster server as the endpoint list has it; `started_at` is Unix time in seconds, 0: unknown."""
+    """Endpoint list record of one roster server; `started_at` is Unix time in seconds, 0 if unknown."""
 
     instance: str
     address: tuple[str, int]
@@ -89,17 +89,17 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class RosterServer:
-    """A roster server. Keyed by the coordinator's instance id, since addresses are reused."""
+    """State of a roster server, keyed by the coordinator's instance id because addresses are reused."""
 
     id: int
     record: ServerRecord
-    connected: bool = False  # these two are kept by the server pool
-    dial_attempted: bool = False  # a connection has come up, or failed to
+    connected: bool = False  # set by the server pool
+    dial_attempted: bool = False  # a connection was established or has failed; set by the server pool
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Call:
-    """A call from its offer to its end."""
+    """State of a call from its offer to its termination; times are the clock's, in seconds."""
 
     number: int
     request: CallRequest
@@ -109,18 +109,18 @@
     state: CallState = CallState.OFFERED
     attempt: Attempt | None = None
     attempts: int = 0
-    pause_until: float = 0.0  # no attempt is sent before
+    pause_until: float = 0.0  # time before which no attempt may be sent
     established_at: float = 0.0
-    caller_disconnected: bool = False  # its caller's connection has ended: no further attempt is made
+    caller_disconnected: bool = False  # the caller's connection has ended: no further attempt is made
 
     def is_retry_safe(self) -> bool:
-        """Whether a retry by its caller does no harm: no attempt was made, or the class is idempotent."""
+        """Whether a caller retry cannot set the call up twice: no attempt yet, or an idempotent class."""
         return self.attempts == 0 or self.request.call_class.idempotent
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Attempt:
-    """One set-up of a call at one server."""
+    """State of one attempt to set up a call at one server; times are the clock's, in seconds."""
 
     call: Call
     server: RosterServer
@@ -129,27 +129,27 @@
     deadline: float
     written: bool = False
     written_at: float = 0.0
-    remaining_ms: int = 0  # how long its answer was awaited from then on
+    remaining_ms: int = 0  # from `written_at` until the deadline
     ended: bool = False
 
 
 class CallRegistry:
-    """The calls that are open, by the number given to them here and by their id.
+    """Registry of the open calls, by call number (assigned here) and by call id.
 
-    It remembers the ids of calls that have ended lately. Only its methods change the state of a call.
+    The registry keeps the ids of recently terminated calls. Only its methods change the state of a call.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Begin with no call."""
+        """Start without calls; `clock` returns the time in seconds."""
         self.by_number: dict[int, Call] = {}
         self.by_ident: dict[str, Call] = {}
-        self.unanswered = 0  # how many are OFFERED
+        self.unanswered = 0  # number of calls in state OFFERED
         self._clock = clock
         self._numbers = count(1)
-        self._terminated: OrderedDict[str, float] = OrderedDict()  # id -> when it ended, oldest first
+        self._terminated: OrderedDict[str, float] = OrderedDict()  # id -> time of termination, oldest first
 
     def add(self, request: CallRequest, session: CallerSession, deadline: float, max_attempts: int) -> Call:
-        """Register a call that is offered. Its id must not be in use."""
+        """Register a new call in state OFFERED and return it. No open call may have the same id."""
         call = Call(next(self._numbers), request, session, deadline, max_attempts)
         self.by_number[call.number] = call
         self.by_ident[request.ident] = call
@@ -157,13 +157,13 @@
         return call
 
     def establish(self, call: Call, now: float) -> None:
-        """An offered call is established."""
+        """Set the state of an offered call to ESTABLISHED, as of the time `now`."""
         call.state = CallState.ESTABLISHED
         call.established_at = now
         self.unanswered -= 1
 
     def remove(self, call: Call) -> None:
-        """Terminate a call and remember its id."""
+        """Remove a call from the registry, set its state to TERMINATED and keep its id."""
         if call.state is CallState.OFFERED:
             self.unanswered -= 1
         call.state = CallState.TERMINATED
@@ -172,16 +172,16 @@
         self.remember_terminated(call.request.ident)
 
     def offered(self) -> list[Call]:
-        """The calls whose callers still wait for an answer."""
+        """Return the calls that have no final answer yet."""
         return [call for call in self.by_number.values() if call.state is CallState.OFFERED]
 
     def is_established(self, ident: str) -> bool:
-        """Whether a call of that id is established."""
+        """Whether the call with this id is open and established."""
         call = self.by_ident.get(ident)
         return call is not None and call.state is CallState.ESTABLISHED
 
     def has_established_at(self, server: RosterServer, before: float = math.inf) -> bool:
-        """Whether any call was established at a server before a time, and still is."""
+        """Whether any call that is still established was established at the server before a time."""
         return any(
             call.state is CallState.ESTABLISHED
             and call.attempt is not None
@@ -191,7 +191,7 @@
         )
 
     def established_at(self, server: RosterServer, before: float) -> list[Call]:
-        """The calls that were established at a server before a time."""
+        """Return the calls still established that were established at the server before a time."""
         return [
             call
             for call in self.by_number.values()
@@ -202,11 +202,11 @@
         ]
 
     def was_terminated(self, ident: str) -> bool:
-        """Whether a call of that id has ended lately."""
+        """Whether a call with this id has terminated recently and its id is still kept."""
         return ident in self._terminated
 
     def remember_terminated(self, ident: str) -> None:
-        """Keep the id of a call that has ended for `TERMINATED_KEPT_S`."""
+        """Keep the id of a terminated call for `TERMINATED_KEPT_S`, and drop expired or surplus ids."""
         now = self._clock()
         self._terminated[ident] = now
         self._terminated.move_to_end(ident)
--- a/stairhatch/node/event_dispatcher.py
+++ b/stairhatch/node/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the overload control, one after the other, and has the actions that it returns executed."""
+"""Dispatch of events to the overload control, one at a time, and execution of the actions it returns."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class EventDispatcher:
-    """The only caller of the overload control's `handle`.
+    """Queue of events, and the only caller of `OverloadControl.handle`.
 
-    An event that an action leads to is handled after all actions on the event before it.
+    An event that the execution of an action causes is handled after all actions of the current event.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         controller: OverloadControl,
         execute: Callable[[Action], None],
     ) -> None:
-        """Begin with no event; `execute` is called with each action."""
+        """Start with an empty queue; `execute` is called with each action of the overload control."""
         self.controller = controller
         self._context = context
         self._calls = calls
@@ -34,7 +34,7 @@
         self._event_time = 0.0
 
     def dispatch(self, event: Event) -> None:
-        """Give the overload control an event, or queue it where one is being handled."""
+        """Pass an event to the overload control, or queue it if another event is being handled."""
         self._queue.append(event)
         if self._dispatching:
             return
@@ -47,27 +47,33 @@
             self._dispatching = False
 
     def _decide(self, event: Event) -> list[Action]:
-        """The actions on one event. If the decisions fail, that is logged and the call still answered."""
+        """Return the actions of the overload control on one event.
+
+        An exception of the overload control is logged. The event's call is then failed, unless it has an
+        attempt in progress or one among the actions returned before the exception.
+        """
         actions: list[Action] = []
         try:
             for action in self.controller.handle(self._time_of_event(), event):
-                actions.append(action)  # one by one: what came before a failure counts
-        except Exception as error:  # noqa: BLE001 - a caller must not wait for a fault of ours
+                actions.append(action)  # one at a time, to keep the actions returned before an exception
+        except Exception as error:  # noqa: BLE001 - the caller must get an answer despite the fault
             self._context.counters.add("decision_faults")
             why = f"{type(error).__name__}: {error}"
             self._context.log("fault", why=why, event=type(event).__name__)
             call = self._calls.by_number.get(getattr(event, "call_id", 0))
             if call is not None and call.state is CallState.OFFERED and call.attempt is None:
-                sent = any(isinstance(each, SendSetup) and each.call_id == call.number for each in actions)
-                if not sent:
+                has_setup = any(
+                    isinstance(each, SendSetup) and each.call_id == call.number for each in actions
+                )
+                if not has_setup:
                     actions.append(FailCall(call.number))
         return actions
 
     def _time_of_event(self) -> float:
-        """The decisions' time: one instant a period, as in the simulator.
+        """Return the event time in seconds. It advances once per `event_period_s`, as in the simulator.
 
-        They look through all calls that they hold once an instant; with a new instant for each event that
-        took more than half of a core where a thousand calls were held (snapshot 1e8dc2f4).
+        The overload control scans all pending calls once per distinct event time. With a new time for each
+        event the scans took more than half of a core at a thousand pending calls (snapshot 1e8dc2f4).
         """
         now = self._context.clock()
         if now - self._event_time >= self._context.settings.event_period_s:
--- a/stairhatch/node/timer_wheel.py
+++ b/stairhatch/node/timer_wheel.py
@@ -1,7 +1,7 @@
-"""The timers of one process, on a grid: what is to be called when.
+"""Timers of one process, rounded up to a grid of times.
 
-The driver (`node/io/network.py`) asks `next_due` when to call `run_due`, and sets `on_earlier_due` to hear of
-a timer that falls due before all others.
+The driver (`node/io/network.py`) calls `run_due` at the time that `next_due` returns. It sets
+`on_earlier_due`, which is called when a new timer is due before all others.
 """
 
 from __future__ import annotations
@@ -13,51 +13,51 @@
 from stairhatch.node.context import NodeContext
 from stairhatch.node.protocol import do_nothing
 
-GRID_HZ = 256  # timers fall due at multiples of 1/256 s
-LOGGED_CHARACTERS = 80  # of the description of a timer that failed
+GRID_HZ = 256  # due times are multiples of 1/256 s
+MAX_LOGGED_CHARACTERS = 80  # of a failed callback's repr
 
 
 class TimerWheel:
-    """Calls that are due at a time of the clock; those of one slot of the grid are called together."""
+    """Schedule of callbacks by due time; callbacks of the same grid slot are called together."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Begin with no timer; the clock is the context's."""
-        self.on_earlier_due: Callable[[], None] = do_nothing  # the earliest timer has changed
+        """Start without timers; due times refer to the context's clock."""
+        self.on_earlier_due: Callable[[], None] = do_nothing  # called when the earliest due time changes
         self._context = context
-        self._slots: dict[float, list[Callable[[], None]]] = {}  # by the time that they are due
-        self._due: list[float] = []  # a heap of the keys of `_slots`
+        self._slots: dict[float, list[Callable[[], None]]] = {}  # due time -> callbacks
+        self._due_times: list[float] = []  # a heap of the keys of `_slots`
 
     def next_due(self) -> float | None:
-        """When `run_due` should be called next; None where no timer is set."""
-        return self._due[0] if self._due else None
+        """Return the time at which `run_due` should be called next, or None if no timer is set."""
+        return self._due_times[0] if self._due_times else None
 
     def schedule(self, due: float, callback: Callable[[], None]) -> None:
-        """Have `callback` called by `run_due` at that time, or up to 4 ms later.
+        """Schedule `callback` for the time `due` in seconds; `run_due` calls it then or up to 4 ms later.
 
-        Times lie on a grid: with one of its own for each call the loop was woken, and its timer set,
-        thousands of times a second, which took a tenth of a full core (snapshot 81b776db).
+        Due times are rounded up to a grid. With an individual time for each call, the event loop was woken
+        and its timer set thousands of times a second, a tenth of a fully used core (snapshot 81b776db).
         """
         due = math.ceil(due * GRID_HZ) / GRID_HZ
         if due in self._slots:
             self._slots[due].append(callback)
             return
         self._slots[due] = [callback]
-        heapq.heappush(self._due, due)
-        if self._due[0] == due:
+        heapq.heappush(self._due_times, due)
+        if self._due_times[0] == due:
             self.on_earlier_due()
 
     def run_due(self) -> None:
-        """Call what is due.
+        """Call all callbacks that are due.
 
-        An error in one callback is logged and stops no other: hundreds of answers and pauses may be due in
-        the same 4 ms.
+        An exception of one callback is logged and does not stop the others: hundreds of final answers and
+        retry pauses may be due in the same 4 ms.
         """
         now = self._context.clock()
-        while self._due and self._due[0] <= now:
-            for callback in self._slots.pop(heapq.heappop(self._due)):
+        while self._due_times and self._due_times[0] <= now:
+            for callback in self._slots.pop(heapq.heappop(self._due_times)):
                 try:
                     callback()
-                except Exception as error:  # noqa: BLE001 - others' answers are due with it
+                except Exception as error:  # noqa: BLE001 - other calls' answers may be due too
                     self._context.counters.add("timer_faults")
                     why = f"{type(error).__name__}: {error}"
-                    self._context.log("fault", why=why, timer=repr(callback)[:LOGGED_CHARACTERS])
+                    self._context.log("fault", why=why, timer=repr(callback)[:MAX_LOGGED_CHARACTERS])
