--- a/stairhatch/node/address.py
+++ b/stairhatch/node/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as text: `host:port`, with IPv6 in brackets (RFC 3986, 3.2.2)."""
+"""Text form of network addresses: `host:port`, with IPv6 in brackets (RFC 3986, section 3.2.2)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class AddressError(ValueError):
-    """Text that is no address."""
+    """Error: a text is not a valid `host:port` address."""
 
 
 def parse_address(text: object) -> tuple[str, int]:
-    """Return host and port. A name is taken as it is. Raises AddressError."""
+    """Return host and port; a host name is not resolved. Raises AddressError if the text is malformed."""
     host, _, port = str(text).rpartition(":")
     if ":" in host:
         host = host[1:-1] if host[0] == "[" and host[-1] == "]" else ""
@@ -20,6 +20,6 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """Return the text of an address."""
+    """Return `host:port` for an address, with an IPv6 host in brackets."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/stairhatch/node/admin_endpoint.py
+++ b/stairhatch/node/admin_endpoint.py
@@ -90,7 +90,7 @@
         self._received = b""
         self._answer = b""
 
-    def owes_response(self) -> bool:
+    def has_pending_response(self) -> bool:
         """Whether the answer waits to be written."""
         return bool(self._answer)
 
--- a/stairhatch/node/context.py
+++ b/stairhatch/node/context.py
@@ -1,6 +1,6 @@
-"""What the call manager is given: its process's context, and the neighbours that it asks for something.
+"""Dependencies of the call manager: the context of the process and two interfaces that it calls.
 
-The neighbours are the connections to the servers and the overload control.
+The interfaces are the server connection pool and the overload control.
 """
 
 from __future__ import annotations
@@ -16,54 +16,54 @@
 from stairhatch.overload.events import Event
 from stairhatch.overload.settings import Settings
 
-Logger = Callable[..., None]  # (event, **fields)
+Logger = Callable[..., None]  # called with the event's name and its fields as keyword arguments
 
 
 class ServerPool(Protocol):
-    """The connections to the roster servers."""
+    """Interface of the pool of connections to the roster servers."""
 
     def record_changed(self, server: RosterServer) -> None:
-        """A server's record in the endpoint list is new or has changed."""
+        """Open or close connections after a change of the server's endpoint list record, or a new one."""
 
     def send_setup(self, attempt: Attempt) -> None:
-        """Write a set-up once there is a connection, if `AttemptManager.claim_transmission` permits."""
+        """Write a set-up once connected, if `AttemptManager.claim_transmission` permits it then."""
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
-        """Have a server release a call, or give a set-up up."""
+        """Send a release by a Q.850 cause: the server ends the call, or cancels its set-up."""
 
     def shut_down(self) -> None:
-        """Another process takes over: what servers send from now on comes on its connections."""
+        """Shut the pool down; from now on servers send to the process that takes over."""
 
     def is_flushed(self) -> bool:
-        """Whether all that is owed to the servers has been written."""
+        """Whether all messages to the servers have been written."""
 
 
 class OverloadControl(Protocol):
-    """What decides where calls go: a `Controller`, or what stands in its place. Times are the clock's."""
+    """Interface of the component that decides where calls go, such as `Controller`. Times are in seconds."""
 
     @property
     def endpoints(self) -> Mapping[int, endpoint.Endpoint]:
-        """What it knows of each server, by the server's id."""
+        """State of each server, by the server's id."""
 
     def handle(self, now: float, event: Event) -> Iterator[Action]:
-        """Take an event in and yield what is to be done."""
+        """Process an event and yield the actions to execute."""
 
     def update_settings(self, settings: Settings) -> None:
-        """Go by other settings from now on."""
+        """Replace the settings in force."""
 
     def is_warming_up(self, now: float, server: endpoint.Endpoint) -> bool:
-        """Whether a server is in its slow start."""
+        """Whether a server is warming up (in slow start)."""
 
     def slow_start_slots(self, now: float, server: endpoint.Endpoint) -> float:
-        """How many set-ups this instance may send to a server in its slow start, now."""
+        """Return how many set-ups this softswitch may send to a server in slow start at the time `now`."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class NodeContext:
-    """One for a process, shared by the parts of its call manager. A reload replaces `settings`."""
+    """Context of one process, shared by all components of its call manager. A reload replaces `settings`."""
 
     settings: Settings
-    clock: Callable[[], float]  # Unix time in seconds, which never steps
+    clock: Callable[[], float]  # Unix time in seconds, without steps
     log: Logger
     counters: Counters
-    tracing: bool = False  # whether each call leaves lines in the event log
+    tracing: bool = False  # whether the steps of each call are logged
--- a/stairhatch/node/counters.py
+++ b/stairhatch/node/counters.py
@@ -1,15 +1,15 @@
-"""The counters of one process: how many messages, calls and faults of each kind there were."""
+"""Counters of one process: numbers of messages, calls and faults of each kind."""
 
 from __future__ import annotations
 
 
 class Counters:
-    """Counts by name."""
+    """Set of named counters; a counter exists from its first count."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start without counters."""
         self.counts: dict[str, int] = {}
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count something once, or `by` times."""
+        """Increase the counter `name` by `by`, which may be negative."""
         self.counts[name] = self.counts.get(name, 0) + by
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -194,7 +194,7 @@
         idle = [
             connection
             for connection in self.connections
-            if connection.is_idle_since(since, now) and not connection.protocol.owes_response()
+            if connection.is_idle_since(since, now) and not connection.protocol.has_pending_response()
         ]
         idle.sort(key=lambda each: (each.partial_since > 0, each.protocol.request_received))  # stable
         return idle
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -1,7 +1,7 @@
-"""One TCP connection of the platform's callers, as a sans-I/O protocol: thin SIP, many calls a connection.
+"""Sans-I/O protocol of one TCP connection of the platform's callers: thin SIP, many calls per connection.
 
-It is fed bytes and hands bytes out, answers each request, and gives set-ups to the call manager. What all
-connections share is in `PlatformRegistry`; an established call is not tied to the connection it came on.
+The protocol parses received bytes, answers each request and offers set-ups to the call manager. The state
+that all connections share is in `PlatformRegistry`; an established call is not tied to its connection.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
     ALLOW,
     METHODS,
     UnusableRequestError,
-    names_its_call,
+    has_valid_call_headers,
     read_call_request,
 )
 from stairhatch.node.protocol import ConnectionProtocol
 from stairhatch.node.readiness import RETRY_AFTER_S
 from stairhatch.node.release_delivery import ReleaseDelivery
 
-MAX_OUTPUT_BYTES = 128 * 1024  # a caller that reads so much too slowly is cut off
-MAX_CANCELLED_EARLY = 4096  # ids of set-ups whose CANCEL came before them, by another connection
-MAX_FAULTS = 8  # a connection with so many requests that can't be used is ended
+MAX_OUTPUT_BYTES = 128 * 1024  # unsent output above this limit aborts the connection
+MAX_EARLY_CANCELS = 4096  # ids of set-ups whose CANCEL arrived earlier, on another connection
+MAX_FAULTS = 8  # a connection is closed after this many unusable requests
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class PlatformCall:
-    """A caller's set-up, as the call manager sees it (`CallerSession`)."""
+    """Caller session of one set-up: sends the call manager's answers to the caller (`CallerSession`)."""
 
     connection: PlatformConnection
     request: sip.SipMessage
@@ -39,125 +39,126 @@
 
     @property
     def call_id(self) -> str:
-        """What names the call, on both sides."""
+        """Call id, which callers and servers use alike."""
         return self.request.get("call-id")
 
     def respond(self, status: int, extra: sip.Headers, body: bytes = b"") -> None:
-        """Answer the set-up finally, once."""
+        """Send the final response to the set-up; called once."""
         self.connection.pending.pop(self.call_id, None)
         self.connection.respond(self.request, status, extra, body)
         if status >= 300:
             self.connection.registry.calls.pop(self.call_id, None)
-            self.call = None  # no cycle is left for the collector: it paused a busy node for too long
+            self.call = None  # breaks the reference cycle: garbage collection paused a busy node for too long
 
     def progressing(self) -> None:
-        """Do nothing: the platform's callers get the final answer only."""
+        """Do nothing: the platform's callers get only the final response."""
 
     def established(self, description: bytes) -> None:
-        """Answer 200 with the server's session description."""
+        """Respond 200 with the server's session description."""
         self.connection.established_calls.add(self.call_id)
         self.respond(200, [], description)
 
     def rejected(self, retry_after_s: float) -> None:
-        """Answer 503; the caller may retry after `retry_after_s`, which is not sent where it is 0."""
+        """Respond 503; the caller may retry after `retry_after_s`, which is not sent if it is 0."""
         self.respond(503, [("come-back-ms", str(int(retry_after_s * 1000)))] if retry_after_s > 0 else [])
 
     def failed(self, timed_out: bool) -> None:
-        """Answer 500."""
+        """Respond 500, whether or not the call has timed out."""
         self.respond(500, [])
 
     def released(self, cause: int) -> None:
-        """Release the call at its caller, since its roster server has ended it."""
+        """Send the caller a release by a Q.850 cause, because the roster server has ended the call."""
         self.call = None
         self.connection.established_calls.discard(self.call_id)
         self.connection.registry.release(self.call_id, cause, self.connection)
 
 
 class PlatformRegistry:
-    """What the platform's callers share: their connections, their calls and the releases under way."""
+    """Registry shared by all platform connections: the connections, their calls and pending releases."""
 
     def __init__(self, core: CallManager) -> None:
-        """Begin without calls; releases of calls that are not known are delivered too."""
+        """Start without calls; releases of unknown calls by servers are delivered to callers too."""
         self.core = core
-        self.connections: dict[PlatformConnection, None] = {}  # the last that spoke comes last
+        self.connections: dict[PlatformConnection, None] = {}  # the last active connection comes last
         self.calls: dict[str, PlatformCall] = {}
         self.deliveries = ReleaseDelivery(core, self.connections)
-        self._cancelled_early: OrderedDict[str, None] = OrderedDict()
+        self._early_cancels: OrderedDict[str, None] = OrderedDict()
         self._last_branch = 0
         core.responses.unknown_release_listeners.append(self.release)
 
-    def release(self, call_id: str, cause: int, own: PlatformConnection | None = None) -> None:
-        """Release a call at its caller: on the call's own connection while that is open."""
+    def release(self, call_id: str, cause: int, call_connection: PlatformConnection | None = None) -> None:
+        """Send a caller the release of its call, on `call_connection` if that is open."""
         self.calls.pop(call_id, None)
-        self.deliveries.deliver(call_id, cause, own)
+        self.deliveries.deliver(call_id, cause, call_connection)
 
     def mark_active(self, connection: PlatformConnection) -> None:
-        """A connection has come, or has spoken."""
+        """Add a connection, or move it to the end after data was received on it."""
         self.connections[connection] = self.connections.pop(connection, None)
 
     def next_branch(self) -> str:
-        """The Via branch of the next request from here (RFC 3261, 8.1.1.7)."""
+        """Return a new Via branch for a request to a caller (RFC 3261, section 8.1.1.7)."""
         self._last_branch += 1
         return f"z9hG4bK{self._last_branch:x}"
 
-    def cancelled_early(self, call_id: str) -> None:
-        """A CANCEL for a set-up that has not come: it may lie unread on another connection.
+    def remember_early_cancel(self, call_id: str) -> None:
+        """Record a CANCEL for an unknown set-up, which may still be unread on another connection.
 
-        Should it come yet, nobody waits for it.
+        A set-up that arrives later under this call id is answered and not offered.
         """
-        self._cancelled_early[call_id] = None
-        if len(self._cancelled_early) > MAX_CANCELLED_EARLY:
-            self._cancelled_early.popitem(last=False)
+        self._early_cancels[call_id] = None
+        if len(self._early_cancels) > MAX_EARLY_CANCELS:
+            self._early_cancels.popitem(last=False)
 
-    def was_cancelled_early(self, call_id: str) -> bool:
-        """Whether the CANCEL of a set-up came before it. It is asked once."""
-        if call_id not in self._cancelled_early:
+    def take_early_cancel(self, call_id: str) -> bool:
+        """Return whether the CANCEL of a set-up arrived before the set-up, and remove the record of it."""
+        if call_id not in self._early_cancels:
             return False
-        del self._cancelled_early[call_id]
+        del self._early_cancels[call_id]
         return True
 
 
 class PlatformConnection(ConnectionProtocol):
-    """One connection of callers."""
+    """Protocol of one connection of the platform's callers."""
 
     counts_requests = True
 
     def __init__(self, registry: PlatformRegistry) -> None:
-        """Begin with nothing received."""
+        """Start with nothing received; `registry` is shared by all connections."""
         super().__init__()
         self.registry = registry
         self.core = registry.core
-        self.pending: dict[str, PlatformCall] = {}  # set-ups without a final answer
-        self.established_calls: set[str] = set()  # that were set up on it and, as far as is known, go on
+        self.pending: dict[str, PlatformCall] = {}  # set-ups without a final response
+        self.established_calls: set[str] = set()  # set up on this connection and not known to have ended
         self.requests = 0
-        self.is_caller = False  # something other than a health check has come on it, or nothing for a while
-        self.has_acknowledged = False  # a release was acknowledged on it
-        self._faults = 0  # requests that could not be used
-        self._peer_closed = False  # what came before may still be unread
-        self._releases_sent: set[str] = set()  # here, and not yet acknowledged
+        self.is_caller = False  # a request other than a health check arrived, or none for a while
+        self.has_acknowledged = False  # a release was acknowledged on this connection
+        self._faults = 0  # unusable requests
+        self._peer_closed = False  # data received before may still be unread
+        self._releases_sent: set[str] = set()  # call ids of unacknowledged releases sent on this connection
         self._parser = sip_parser.StreamParser()
         self._output: list[bytes] = []
         self._output_bytes = 0
 
-    # ---- the driver's side ----
+    # ---- calls of the driver ----
 
-    def owes_response(self) -> bool:
-        """Whether a set-up is open on it, or an answer waits to be written."""
+    def has_pending_response(self) -> bool:
+        """Whether a set-up on this connection has no final response yet, or output is unwritten."""
         return bool(self.pending or self._output)
 
     def has_unwritten(self) -> bool:
-        """Whether something waits to be written, or is on its way."""
+        """Whether output is queued, or the driver is writing it."""
         return bool(self._output) or self.writing
 
     def has_partial_message(self) -> bool:
-        """Whether the rest of a message is awaited."""
+        """Whether part of a message has been received and the rest has not."""
         return self._parser.has_partial_message()
 
     def is_idle(self) -> bool:
-        """Also that no release sent on it is unacknowledged, and that none may have to go on it.
+        """Whether a drain may close the connection: no work is pending, and it is not needed for releases.
 
-        A drain keeps the connections of established calls, so that their callers are told of the ends. Were
-        all connections closed early in a drain, the releases of other calls would find no caller.
+        A connection is not idle while a release sent on it is unacknowledged. A drain keeps the connections
+        of established calls so that their callers get the releases, and for a limited time the connection
+        most likely to be read, so that releases of other calls find a caller.
         """
         deliveries = self.registry.deliveries
         return (
@@ -168,19 +169,19 @@
         )
 
     def carries_calls(self) -> bool:
-        """Whether a call that was set up on it is established."""
+        """Whether a call that was set up on this connection is still established; drops ended calls."""
         self.established_calls = set(filter(self.core.calls.is_established, self.established_calls))
         return bool(self.established_calls)
 
     def read_timed_out(self) -> None:
-        """A message is not complete in time: its request is answered, if its head could be read."""
-        begun = self._parser.pending_request
-        if begun is not None and begun.method not in ("", "ACK"):
-            self.respond(begun, 408, [])
+        """Respond 408 to a request that was not complete in time, if its head was received, and close."""
+        partial_request = self._parser.pending_request
+        if partial_request is not None and partial_request.method not in ("", "ACK"):
+            self.respond(partial_request, 408, [])
         super().read_timed_out()
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the caller."""
+        """Parse and handle bytes from the caller; malformed data closes the connection after a response."""
         if self.closing:
             return
         self.registry.mark_active(self)
@@ -198,46 +199,46 @@
             self._close_when_written()
 
     def data_to_send(self) -> bytes:
-        """What is to be written."""
+        """Return all queued output and clear the queue."""
         data = b"".join(self._output)
         self._output.clear()
         self._output_bytes = 0
         return data
 
     def eof_received(self) -> None:
-        """The caller sends no more: it has left what is open, as with a close, which looks the same."""
+        """Handle the end of the caller's stream as a close, which is indistinguishable from it."""
         self.peer_closing()
         self._close_when_written()
 
     def peer_closing(self) -> None:
-        """Nobody waits for the set-ups any more; each is answered once all the same.
+        """Abandon the pending set-ups and still send each one final response.
 
-        A caller may have ended only its side of the connection and still read. Those that lie unread before
-        the end of the stream are answered as they are read.
+        The caller may have closed only its sending side and may still read. Set-ups that are unread before
+        the end of the stream are answered when they are read.
         """
         self._peer_closed = True
-        for held in list(self.pending.values()):
-            call = held.call
-            self.abandon(held)
-            held.respond(480 if call is None or call.is_retry_safe() else 500, [])
+        for platform_call in list(self.pending.values()):
+            call = platform_call.call
+            self.abandon(platform_call)
+            platform_call.respond(480 if call is None or call.is_retry_safe() else 500, [])
 
     def connection_lost(self) -> None:
-        """The connection has ended: pending set-ups are abandoned, established calls live on."""
+        """Abandon the pending set-ups and resend unacknowledged releases; established calls continue."""
         self.registry.connections.pop(self, None)
-        for held in list(self.pending.values()):
-            self.abandon(held)
+        for platform_call in list(self.pending.values()):
+            self.abandon(platform_call)
         self.registry.deliveries.resend(self, self._releases_sent)
         self._releases_sent.clear()
 
-    # ---- what goes to the caller ----
+    # ---- messages to the caller ----
 
     def respond(self, request: sip.SipMessage, status: int, extra: sip.Headers, body: bytes = b"") -> None:
-        """Queue a response."""
+        """Queue a response to a request; `extra` are headers beyond those copied from the request."""
         self.core.counters.add(f"sent_{status}")
         self._queue_output(sip.response(status, sip.echoed(request) + extra, body))
 
     def send_release(self, call_id: str, cause: int) -> None:
-        """Queue a release."""
+        """Queue a BYE for a call, with a Q.850 cause in its Reason header."""
         self._releases_sent.add(call_id)
         self.core.counters.add("sent_BYE")
         headers = [
@@ -263,28 +264,28 @@
         self.closing = True
         self.notify_writable()
 
-    # ---- what comes from the caller ----
+    # ---- messages from the caller ----
 
     def identify_as_caller(self) -> None:
-        """It is a caller's connection: releases that found none go to it."""
+        """Mark the connection as a caller's and send it the releases that wait for a connection."""
         if not self.is_caller and self in self.registry.connections:
             self.is_caller = True
             self.registry.deliveries.deliver_waiting(self)
 
-    def abandon(self, held: PlatformCall) -> None:
-        """Nobody waits for this set-up any more."""
-        call_id = held.call_id
+    def abandon(self, platform_call: PlatformCall) -> None:
+        """Remove a set-up that its caller has abandoned, and end its call."""
+        call_id = platform_call.call_id
         self.registry.calls.pop(call_id, None)
         self.pending.pop(call_id, None)
-        if held.call is not None:
-            self.core.abandon(held.call)
+        if platform_call.call is not None:
+            self.core.abandon(platform_call.call)
 
     def _message_received(self, message: sip.SipMessage) -> None:
         call_id, method = message.get("call-id"), message.method
         is_known = method in METHODS
         kind = method if is_known else "other" if method else "response"
-        self.core.counters.add(f"got_{kind}")  # a name made up by a caller is no counter
-        if is_known and not names_its_call(message, call_id):
+        self.core.counters.add(f"got_{kind}")  # unknown method names must not create counters
+        if is_known and not has_valid_call_headers(message, call_id):
             self._reject_unusable(message, 400)
             return
         if is_known and method != "OPTIONS" and not self.is_caller:
@@ -306,31 +307,31 @@
                 self._reject_unusable(message, 405, [("allow", ALLOW)])
 
     def _response_received(self, message: sip.SipMessage, call_id: str) -> None:
-        """The answer to a release."""
+        """Handle a response to a BYE as the acknowledgement of a release; ignore other responses."""
         if message.cseq()[1] == "BYE" and call_id in self._releases_sent:
             self._releases_sent.discard(call_id)
             self.has_acknowledged = True
             self.registry.deliveries.acknowledged(call_id)
 
     def _cancel_received(self, message: sip.SipMessage, call_id: str) -> None:
-        held = self.registry.calls.get(call_id)
-        if held is not None:
+        platform_call = self.registry.calls.get(call_id)
+        if platform_call is not None:
             is_established = self.core.calls.is_established(call_id)
-            held.connection.abandon(held)
-            held.connection.notify_writable()  # it may have ended but for this
-            if is_established:  # it crossed the answer, which its caller may have read
+            platform_call.connection.abandon(platform_call)
+            platform_call.connection.notify_writable()  # it may be closing, and was waiting for this set-up
+            if is_established:  # the CANCEL crossed the 200, which the caller may have read
                 self.core.counters.add("cancels_crossed")
-                self.registry.release(call_id, ReleaseCause.NORMAL_CLEARING, held.connection)
+                self.registry.release(call_id, ReleaseCause.NORMAL_CLEARING, platform_call.connection)
         elif not self.core.calls.was_terminated(call_id):
-            self.registry.cancelled_early(call_id)
-        self.respond(message, 200 if held is not None else 481, [])
+            self.registry.remember_early_cancel(call_id)
+        self.respond(message, 200 if platform_call is not None else 481, [])
 
     def _bye_received(self, message: sip.SipMessage, call_id: str) -> None:
-        held = self.registry.calls.pop(call_id, None)
-        if held is not None and held.call is not None:
-            held.connection.pending.pop(call_id, None)
-            held.connection.established_calls.discard(call_id)
-            self.core.release(held.call, sip.release_cause(message))
+        platform_call = self.registry.calls.pop(call_id, None)
+        if platform_call is not None and platform_call.call is not None:
+            platform_call.connection.pending.pop(call_id, None)
+            platform_call.connection.established_calls.discard(call_id)
+            self.core.release(platform_call.call, sip.release_cause(message))
         elif not self.registry.deliveries.acknowledged(call_id):
             self.core.release_unknown(call_id, sip.release_cause(message))
         self.respond(message, 200, [])
@@ -338,7 +339,10 @@
     def _reject_unusable(
         self, message: sip.SipMessage, status: int, extra: sip.Headers | None = None
     ) -> None:
-        """Answer a request that can't be used; a connection that brings only such is ended."""
+        """Respond to an unusable request; close the connection after `MAX_FAULTS` of them.
+
+        A connection with pending set-ups is not closed.
+        """
         self._faults += 1
         self.core.counters.add("requests_unusable")
         self.respond(message, status, extra or [])
@@ -347,7 +351,11 @@
             self._close_when_written()
 
     def _invite_received(self, message: sip.SipMessage, call_id: str) -> None:
-        """A set-up. One that can't be understood, or no roster server could read, is answered at once."""
+        """Offer a set-up to the call manager, or respond to it immediately if it cannot be offered.
+
+        Not offered are unusable set-ups, set-ups with a used call id, set-ups whose caller has left, and new
+        set-ups during a drain.
+        """
         core, registry = self.core, self.registry
         try:
             request = read_call_request(core, message, call_id)
@@ -355,9 +363,9 @@
             self._reject_unusable(message, error.status)
             return
         if call_id in registry.calls or core.calls.was_terminated(call_id):
-            self._reject_unusable(message, 482)  # every set-up has an id of its own, a repeat too
+            self._reject_unusable(message, 482)  # every set-up needs a new call id, also a caller retry
             return
-        if registry.was_cancelled_early(call_id) or self._peer_closed:
+        if registry.take_early_cancel(call_id) or self._peer_closed:
             core.counters.add("calls_abandoned_early")
             self.respond(message, 480, [])
             return
@@ -368,11 +376,11 @@
             advice = [("come-back-ms", str(int(RETRY_AFTER_S * 1000)))]
             self.respond(message, 503, advice if core.settings.may_send_retry_after else [])
             return
-        held = PlatformCall(self, message)
-        message.body = b""  # not needed any more
-        registry.calls[call_id] = self.pending[call_id] = held
-        call = core.offer_call(request, held)
+        platform_call = PlatformCall(self, message)
+        message.body = b""  # freed: no longer needed
+        registry.calls[call_id] = self.pending[call_id] = platform_call
+        call = core.offer_call(request, platform_call)
         if call is None:
-            held.respond(482, [])
+            platform_call.respond(482, [])
         if call_id in registry.calls:
-            held.call = call
+            platform_call.call = call
--- a/stairhatch/node/platform_frontend.py
+++ b/stairhatch/node/platform_frontend.py
@@ -1,8 +1,8 @@
-"""The platform's frontend: all connections of its callers, who speak a thin SIP over TCP.
+"""The platform frontend: all connections of the platform's callers, which use a thin SIP over TCP.
 
-It takes new connections and knows when all of them are done. The requests are `platform_connection`'s, their
-form is `platform_request`'s, and the releases that have to reach a caller are `release_delivery`'s. It knows
-no socket and chooses neither a server nor an answer.
+The frontend creates the protocol of each new connection and reports when all output has been written.
+Requests are handled in `platform_connection` and validated in `platform_request`; releases to callers are
+delivered by `release_delivery`. The frontend uses no socket and selects neither servers nor answers.
 """
 
 from __future__ import annotations
@@ -12,38 +12,41 @@
 from stairhatch.node.call_manager import CallManager
 from stairhatch.node.platform_connection import PlatformConnection, PlatformRegistry
 
-CALLER_AFTER_S = 0.1  # a connection that is silent so long is a caller's
+CALLER_DETECTION_DELAY_S = 0.1  # a connection without a request for this long is a caller's
 
 
 class PlatformFrontend:
-    """All connections of the platform's callers."""
+    """Frontend for the connections of the platform's callers."""
 
     def __init__(self, core: CallManager) -> None:
-        """Begin without connections."""
+        """Start without connections; `core` handles the calls."""
         self.core = core
         self.registry = PlatformRegistry(core)
 
     def connect(self, _peer: tuple[str, int] = ("", 0)) -> PlatformConnection:
-        """Return the protocol of a new connection, of a caller or of somebody who checks the health."""
+        """Return the protocol object for a new connection of a caller or of a health checker."""
         connection = PlatformConnection(self.registry)
         self.registry.mark_active(connection)
-        self.core.timers.schedule(self.core.clock() + CALLER_AFTER_S, partial(self._check_silent, connection))
+        self.core.timers.schedule(
+            self.core.clock() + CALLER_DETECTION_DELAY_S, partial(self._identify_silent_caller, connection)
+        )
         return connection
 
     def is_flushed(self) -> bool:
-        """Whether all output has been written, and the releases sent have been acknowledged.
+        """Whether all output has been written and all releases sent have been acknowledged.
 
-        What the driver has pulled counts as output until it is written: the end of the process must not cut
-        an answer in two while its caller reads slowly.
+        Data that the driver has fetched counts as unwritten until the write is complete: the process must not
+        end in the middle of an answer to a caller that reads slowly.
         """
         has_unwritten = any(connection.has_unwritten() for connection in self.registry.connections)
         return self.registry.deliveries.is_settled() and not has_unwritten
 
     @staticmethod
-    def _check_silent(connection: PlatformConnection) -> None:
-        """A health check asks at once; what has said nothing by now is a caller.
+    def _identify_silent_caller(connection: PlatformConnection) -> None:
+        """Classify a connection without any request yet as a caller's.
 
-        One that asks for a health check must not get releases: it would take them for the answer.
+        A health checker sends its request immediately. It must not get releases, because it would mistake
+        them for the response to its health check.
         """
         if not connection.requests:
             connection.identify_as_caller()
--- a/stairhatch/node/platform_request.py
+++ b/stairhatch/node/platform_request.py
@@ -1,7 +1,7 @@
-"""The requests of the platform's callers, in its thin SIP: which can be used, and what a set-up asks for.
+"""Validation of the requests of the platform's callers (thin SIP), and conversion of an INVITE to a set-up.
 
-Decides nothing and keeps nothing: a request that can't be understood, or that no roster server could read, is
-reported as `UnusableRequestError` with the status that answers it.
+The module keeps no state and sends no response. `UnusableRequestError` reports a request that is malformed or
+that no roster server could parse, with the status code of the response.
 """
 
 from __future__ import annotations
@@ -16,66 +16,70 @@
 
 ALLOW = "INVITE, ACK, CANCEL, BYE, OPTIONS, NOTIFY"
 METHODS = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY")
-METHODS_WITHOUT_CALL = ("OPTIONS", "NOTIFY", "ACK")  # they need not name a call
-HEADERS_ONCE = frozenset(("call-id", "call-kind", "answer-within", "cseq", "routing-data"))
-CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")  # what names a call, on both sides
+METHODS_WITHOUT_CALL = ("OPTIONS", "NOTIFY", "ACK")  # no Call-ID required
+SINGLE_HEADERS = frozenset(("call-id", "call-kind", "answer-within", "cseq", "routing-data"))
+CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")  # the call id, as used by callers and servers
 ANSWER_WITHIN_MS = re.compile(r"[0-9]{1,8}\Z")
-NUMBER = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,9})?\Z")
+DECIMAL_NUMBER = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 MAX_ROUTING_DATA = 200  # characters
 ROUTING_RANGES = {"dest": (-1, 65535), "width": (1, 1024), "via": (-1, 65535), "again": (0, 1)}
-ANY_FIGURE = (-1e9, 1e9)  # of what Routing-Data may name besides
-TIMEOUT_SLACK = 1.5  # Answer-Within may be so many times the class's limit; no caller waits longer
+DEFAULT_RANGE = (-1e9, 1e9)  # of Routing-Data values with other names
+TIMEOUT_SLACK = 1.5  # maximum ratio of Answer-Within to the class's deadline; no caller waits longer
 
 
 class UnusableRequestError(ValueError):
-    """A request that can't be used. `status` answers it."""
+    """Error: a request is malformed or unusable; `status` is the status code of the response."""
 
     def __init__(self, status: int) -> None:
-        """Keep the status."""
-        super().__init__(f"answered {status}")
+        """Create the error for a response with the given status code."""
+        super().__init__(f"unusable request: response status {status}")
         self.status = status
 
 
-@lru_cache(maxsize=64)  # few are in use, and each comes with thousands of set-ups
+@lru_cache(maxsize=64)  # few values are in use, each in thousands of set-ups
 def preferred_server_number(routing_data: str) -> int:
-    """The server of first choice in Routing-Data; -1 if it names none.
+    """Return the number of the preferred server in a Routing-Data header; -1 if it contains none.
 
     Raises:
-        ValueError: a figure is none, or out of its range.
+        ValueError: the header is too long, or a value is not a number or out of range.
     """
     preferred = -1
     if len(routing_data) > MAX_ROUTING_DATA:
         raise ValueError("Routing-Data is too long")
     for piece in filter(None, routing_data.split(";")):
         name, _, value = piece.partition(":")
-        least, most = ROUTING_RANGES.get(name.strip(), ANY_FIGURE)
-        if not NUMBER.match(value.strip()) or not least <= float(value) <= most:
-            raise ValueError(f"Routing-Data: {name[:20]}")
+        minimum, maximum = ROUTING_RANGES.get(name.strip(), DEFAULT_RANGE)
+        if not DECIMAL_NUMBER.match(value.strip()) or not minimum <= float(value) <= maximum:
+            raise ValueError(f"Routing-Data has an invalid value of {name[:20]}")
         if name.strip() == "dest":
             preferred = int(float(value))
     return preferred
 
 
-def names_its_call(message: sip.SipMessage, call_id: str) -> bool:
-    """Whether a request names its call in a form that a roster server can read."""
+def has_valid_call_headers(message: sip.SipMessage, call_id: str) -> bool:
+    """Whether a request identifies its call in a form that a roster server can parse.
+
+    The call id must be well-formed, CSeq must name the request's method, and no header of `SINGLE_HEADERS`
+    may be repeated. True for methods that need no call.
+    """
     if message.method in METHODS_WITHOUT_CALL:
         return True
-    once = [name for name, _ in message.headers if name in HEADERS_ONCE]
-    has_repeated = len(once) != len(set(once))
+    single_headers = [name for name, _ in message.headers if name in SINGLE_HEADERS]
+    has_repeated = len(single_headers) != len(set(single_headers))
     return CALL_ID.match(call_id) is not None and not has_repeated and message.cseq()[1] == message.method
 
 
 def read_call_request(core: CallManager, message: sip.SipMessage, call_id: str) -> CallRequest:
-    """The set-up that an INVITE asks for.
+    """Return the set-up that an INVITE requests.
 
     Raises:
-        UnusableRequestError: it can't be understood (400), or would not fit into a server's line (413).
+        UnusableRequestError: the INVITE is malformed (400), or exceeds the line limit of a server (413).
     """
     class_name, answer_within = message.get("call-kind"), message.get("answer-within")
     call_class = core.classes.named(class_name)
     called_uri = sip.user_of(message.uri)
     try:
-        description = message.body.decode()  # what is no UTF-8 would be no JSON either
+        description = message.body.decode()  # the server protocol is JSON, which requires UTF-8
         called_uri.encode()
         timeout_s = int(answer_within) / 1000 if ANSWER_WITHIN_MS.match(answer_within) else 0.0
         preferred_number = preferred_server_number(message.get("routing-data"))
--- a/stairhatch/node/protocol.py
+++ b/stairhatch/node/protocol.py
@@ -1,7 +1,7 @@
-"""The sans-I/O base of every protocol on a connection.
+"""Base class of the sans-I/O connection protocols.
 
-A protocol is fed bytes and hands bytes out; it knows neither socket nor event loop. Its driver, which reads
-and writes the socket, is `node/io/connection_runner.py`.
+A protocol processes received bytes and produces bytes to send, without a socket or an event loop. Its driver,
+which reads and writes the socket, is `node/io/connection_runner.py`.
 """
 
 from __future__ import annotations
@@ -10,81 +10,83 @@
 
 
 def do_nothing() -> None:
-    """Take the place of a callback that nothing has set yet."""
+    """Do nothing: the default of callbacks that have not been set."""
 
 
 class ConnectionProtocol:
-    """One end of a connection. The driver calls it, and sets `notify_writable` and `abort`."""
+    """Base class of protocols. The driver calls the methods, and sets `notify_writable` and `abort`."""
 
-    counts_requests = False  # whether `requests` is kept; only then does what makes no request count as idle
-    requests = 0  # complete requests that have come on the connection
+    counts_requests = False  # `requests` is maintained; only then can a connection without requests be idle
+    requests = 0  # complete requests received on the connection
 
     def __init__(self) -> None:
-        """Begin with nothing read, nothing to write and no driver."""
-        self.notify_writable: Callable[[], None] = do_nothing  # `data_to_send` has something
-        self.abort: Callable[[], None] = do_nothing  # end the connection at once
+        """Start with nothing received, nothing to send and no driver."""
+        self.notify_writable: Callable[[], None] = do_nothing  # reports that `data_to_send` has data
+        self.abort: Callable[[], None] = do_nothing  # closes the connection immediately
         self.closing = False
-        self.request_received = False  # a complete request has come on it
-        self.writing = False  # what was taken for sending is on its way; kept by the driver
-        self.reads_until_eof = False  # what comes after its own last word is of use
+        self.request_received = False  # a complete request has been received
+        self.writing = False  # data from `data_to_send` is being written; set by the driver
+        self.reads_until_eof = False  # data is still read after the protocol's last output
 
-    def owes_response(self) -> bool:
-        """Whether a response is owed on this connection, so that it must not be closed."""
+    def has_pending_response(self) -> bool:
+        """Whether a request on this connection has no response yet, so that it must not be closed."""
         return False
 
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and its rest is awaited."""
+        """Whether part of a message has been received and the rest has not."""
         return False
 
     def read_timed_out(self) -> None:
-        """A message has not come in time: answer that where a response is possible, and close."""
+        """Handle a message that was not complete in time: respond if possible, and close."""
         self.closing = True
         self.notify_writable()
 
     def peer_closing(self) -> None:
-        """The peer has closed its side, or reset the connection, and waits for no call any more.
+        """Handle that the peer has closed its side or reset the connection and awaits no call any more.
 
-        What it sent before may still lie unread: it comes by `receive_data`, and then `eof_received`.
+        Data that the peer sent before may still be unread: the driver passes it to `receive_data` and then
+        calls `eof_received`.
         """
 
     def eof_received(self) -> None:
-        """The peer will send no more. A protocol with something left to say sets `closing`: it is written."""
+        """Handle the end of the peer's stream. A protocol with unsent output sets `closing` to send it."""
 
     def eviction_response(self) -> bytes:
-        """The last word on a connection that has to go for a newcomer."""
+        """Return the last bytes to send on a connection that is evicted in favour of a new one."""
         return b""
 
     def is_idle(self) -> bool:
-        """Whether nothing is owed or under way on it, so that a drain may end it."""
-        return not (self.owes_response() or self.writing or self.has_partial_message())
+        """Whether no response, write or message is pending, so that a drain may close the connection."""
+        return not (self.has_pending_response() or self.writing or self.has_partial_message())
 
     def close_when_idle(self) -> None:
-        """A drain ends the connection at an idle moment."""
+        """Close the connection for a drain; the driver calls it while the connection is idle."""
         self.closing = True
         self.notify_writable()
 
     def can_close(self) -> bool:
-        """Whether the connection may be closed once all is written.
+        """Whether the connection may be closed once all output is written.
 
-        Never while a response is owed on it: a good set-up must not go down with a bad message behind it.
+        False while a response is pending: a malformed message must not end the valid set-up before it.
         """
-        return self.closing and not self.owes_response()
+        return self.closing and not self.has_pending_response()
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Take bytes from the peer."""
+        """Process bytes received from the peer."""
         raise NotImplementedError
 
     def data_to_send(self) -> bytes:
-        """Hand out what is to be written now."""
+        """Return the bytes to write now; they count as sent."""
         raise NotImplementedError
 
     def reclaim_unsent(self, rest: bytes) -> bytes:
-        """Take back what the peer does not read: `rest` of what `data_to_send` gave last.
+        """Take back unsent bytes because the peer does not read; `rest` is the end of the last output.
 
-        Returns how much of that must still go; the protocol hands the others out again once there is room.
+        Returns the bytes that must still be sent. `data_to_send` returns the others again once the peer reads
+        on.
         """
         return rest
 
     def connection_lost(self) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
         raise NotImplementedError
--- a/stairhatch/node/readiness.py
+++ b/stairhatch/node/readiness.py
@@ -1,6 +1,6 @@
-"""Whether this process takes calls: its health, drains, and its end (graceful shutdown).
+"""Readiness of a process for new calls: its start-up, its health, drains and graceful shutdown.
 
-The frontends answer health checks by it, and so does the admin endpoint.
+The frontends and the admin endpoint answer health checks with `Readiness.health`.
 """
 
 from __future__ import annotations
@@ -16,15 +16,18 @@
 from stairhatch.node.server_registry import ServerRegistry
 from stairhatch.overload.events import Availability
 
-FIRST_CONNECT_WAIT_S = 1.5  # how long a start waits for connections; some come up a second late
-REJECT_AFTER_S = 0.7  # so long into a drain new set-ups are rejected, so that each connection empties
-RELEASE_PATH_S = 3.6  # how long a drain keeps connections for the releases of established calls
-RETRY_AFTER_S = 0.1  # what a drain tells callers: another softswitch takes them
-NAMED_CHARACTERS = 80  # of the instance ids that a reason names
+FIRST_CONNECT_WAIT_S = 1.5  # limit on the wait for connections at start-up; some connect a second late
+REJECT_AFTER_S = 0.7  # a drain rejects new set-ups after this time, so that each connection becomes idle
+RELEASE_PATH_S = 3.6  # a drain keeps connections for releases of established calls for this long
+RETRY_AFTER_S = 0.1  # Retry-After of a draining process; short, because another softswitch accepts the call
+MAX_REASON_CHARACTERS = 80  # of the instance ids in a reason
 
 
 class HealthStatus(Enum):
-    """What keeps a process from serving new callers; the values are the admin endpoint's words."""
+    """Health of a process; every status but READY keeps it from serving new callers.
+
+    The values appear in replies of the admin endpoint.
+    """
 
     READY = ""
     DRAINING = "draining"
@@ -35,19 +38,19 @@
 
 
 class Health(NamedTuple):
-    """Whether new callers are served, and if not, why."""
+    """Result of a health check: the status and, for CONNECTING, the servers not yet tried."""
 
     status: HealthStatus
-    untried: str = ""  # instance ids of the servers that no connection has been tried to
+    untried: str = ""  # instance ids of the servers without a connection attempt, separated by spaces
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers are served."""
+        """Whether the process can serve new callers."""
         return self.status is HealthStatus.READY
 
     @property
     def reason(self) -> str:
-        """The status in words; "" where it is READY."""
+        """Description of the status for operators; "" for READY."""
         if self.status is HealthStatus.CONNECTING:
             return f"{self.status.value}: {self.untried}"
         return str(self.status.value)
@@ -61,28 +64,28 @@
 
 
 class Readiness:
-    """The state of one process from its start through drains to its end. Accepted calls are finished."""
+    """State of one process from start-up through drains to shutdown; accepted calls are completed in all."""
 
     def __init__(self, context: NodeContext, calls: CallRegistry, servers: ServerRegistry) -> None:
-        """Begin as a process that does not listen yet and knows no list."""
+        """Start in the state of a process that is not listening and has no endpoint list."""
         self.listening = False  # the frontends accept connections
-        self.list_known = False  # the coordinator has answered, or need not
+        self.list_known = False  # the coordinator has sent the endpoint list, or none is needed
         self.drain_since: float | None = None
         self.reject_after_s = REJECT_AFTER_S
-        self.shutting_down = False  # the drain is for good
-        self.shutdown_complete = False  # and all that was taken is answered
-        self.on_drain_started: Callable[[], None] = do_nothing  # the driver ends idle connections
+        self.shutting_down = False  # the drain ends with the end of the process
+        self.shutdown_complete = False  # the process is shutting down and all accepted calls are answered
+        self.on_drain_started: Callable[[], None] = do_nothing  # set by the driver: closes idle connections
         self._context = context
         self._calls = calls
         self._servers = servers
-        self._started = False  # every server listed at the start has been tried
-        self._connecting_since = math.inf  # when connections were first awaited, the list being known
+        self._started = False  # start-up is complete: `startup_health` returns READY from now on
+        self._connecting_since = math.inf  # start of the wait for connections to the listed servers
 
     def health(self) -> Health:
-        """Whether this process can serve new callers now.
+        """Return whether this process can serve new callers now, and the reason if not.
 
-        Once every listed server has been tried it is able for good: a server that dies is for the decisions,
-        and a `no` for its sake would take away callers that others can serve.
+        After start-up the state of the servers no longer counts: the overload control handles server
+        failures, and a negative answer would turn away callers that the other servers can serve.
         """
         if self.drain_since is not None:
             return DRAINING
@@ -92,10 +95,11 @@
         return READY if self.listening else NOT_LISTENING
 
     def startup_health(self) -> Health:
-        """What has to come before calls can be set up; READY from the first time on that nothing has.
+        """Return the start-up step that is still missing before calls can be set up, or READY.
 
-        The wait for connections is bounded for all of them together: one server that is listed and never
-        answers, or servers that are listed one after the other, must not hold up a start.
+        Once READY, the result stays READY. One time limit applies to the connections to all servers
+        together: a listed server that never answers, or servers that are listed one after the other, must
+        not delay start-up any longer.
         """
         if self._started:
             return READY
@@ -116,12 +120,12 @@
             if not server.dial_attempted and self._servers.is_in_scope(server)
         ]
         if untried and now - self._connecting_since < FIRST_CONNECT_WAIT_S:
-            return Health(HealthStatus.CONNECTING, " ".join(untried)[:NAMED_CHARACTERS])
+            return Health(HealthStatus.CONNECTING, " ".join(untried)[:MAX_REASON_CHARACTERS])
         self._started = True
         return READY
 
     def drain(self, on: bool) -> None:
-        """Begin or end a drain. Accepted calls are finished either way."""
+        """Start or cancel a drain; no effect if already in that state. Accepted calls are completed."""
         if on is (self.drain_since is not None):
             return
         self.drain_since = self._context.clock() if on else None
@@ -131,16 +135,19 @@
             self.on_drain_started()
 
     def rejects_new_calls(self) -> bool:
-        """Whether a drain rejects new set-ups. A caller that never pauses would keep its connection."""
+        """Whether a drain rejects new set-ups now, `reject_after_s` after its start.
+
+        Otherwise the connection of a caller that keeps sending set-ups would never become idle and close.
+        """
         return (
             self.drain_since is not None and self._context.clock() - self.drain_since >= self.reject_after_s
         )
 
     def keeps_release_path(self) -> bool:
-        """Whether a drain keeps a connection for the releases of established calls.
+        """Whether a drain keeps a caller's connection open for the releases of established calls.
 
-        A process that ends keeps it until its shutdown is complete: the next gets the releases of calls that
-        live on.
+        A process that is shutting down keeps it until its shutdown is complete: the next process receives the
+        releases of the calls that are still established then.
         """
         if self.drain_since is None or self._context.clock() - self.drain_since >= RELEASE_PATH_S:
             return False
@@ -149,13 +156,13 @@
         return bool(self._calls.by_number)
 
     def keeps_connections_of_calls(self) -> bool:
-        """Whether a drain keeps each connection whose calls go on, until their ends are told.
+        """Whether a drain keeps each connection with established calls until these calls are released.
 
-        A process that ends does not wait for them: the next one gets their releases.
+        A process that is shutting down does not wait for them: the next process receives their releases.
         """
         return self.drain_since is not None and not self.shutting_down
 
     def complete_shutdown(self) -> None:
-        """All accepted calls are answered: new ones are rejected at once."""
+        """Record that all accepted calls are answered; new set-ups are rejected immediately from now on."""
         self.shutdown_complete = True
         self.reject_after_s = 0.0
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -1,8 +1,8 @@
-"""Delivery of releases to the platform's callers: each is sent again until a caller has acknowledged it.
+"""Delivery of releases to the platform's callers; each release is repeated until a caller acknowledges it.
 
-A release belongs to a call and to no connection. It goes on the call's own connection while that is open,
-else on the one most likely to be read; unacknowledged it goes on another, and where nobody reads it is kept
-for whoever connects next. Times are in seconds.
+A release belongs to a call, not to a connection. It is sent on the call's own connection while that is open,
+else on the connection that a caller most likely reads. A release that is not acknowledged is sent on another
+connection; if no caller acknowledges it, it is kept for the next caller that connects. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 from stairhatch.node.call_manager import CallManager
 
-RELEASE_KEPT_S = 30.0  # how long a release waits for a caller to connect
-ACKNOWLEDGED_WITHIN_S = 0.3  # one that is not acknowledged within this time goes on another connection
-EXPIRY_MARGIN_S = 0.01  # a release is looked at so much later than its end
+RELEASE_KEPT_S = 30.0  # a release waits this long for a caller to connect
+ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # an unacknowledged release is sent on another connection after this time
+EXPIRY_MARGIN_S = 0.01  # the expiry timer of a release fires this long after RELEASE_KEPT_S
 MAX_ATTEMPTS = 4
-MAX_PENDING = 8192  # releases that are not acknowledged yet
-MAX_REQUESTS_RANKED = 8  # a connection that has brought more requests is no likelier to be read
+MAX_PENDING = 8192  # unacknowledged releases
+MAX_REQUESTS_RANKED = 8  # more requests on a connection don't make it likelier that its caller reads
 
 
 class ReleaseChannel(Protocol):
-    """A connection that releases can be sent on."""
+    """Interface of a connection that releases can be sent on."""
 
     closing: bool
-    is_caller: bool  # a caller's, and no health check's
+    is_caller: bool  # used by a caller, not for health checks only
     requests: int
-    has_acknowledged: bool  # a release was acknowledged on it
+    has_acknowledged: bool  # a release was acknowledged on the connection
 
     def send_release(self, call_id: str, cause: int) -> None:
-        """Send a release."""
+        """Send a release of a call by a Q.850 cause."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class UnacknowledgedRelease:
-    """A release that its caller has not acknowledged yet."""
+    """State of a release that its caller has not acknowledged yet."""
 
     cause: int
     since: float
@@ -44,41 +44,44 @@
 
 
 class ReleaseDelivery:
-    """Sends releases to the platform's callers until each is acknowledged, or too old."""
+    """Sender of releases to the platform's callers; repeats each until it is acknowledged or expires."""
 
     def __init__(self, core: CallManager, channels: Collection[ReleaseChannel]) -> None:
-        """Send on `channels`, which others keep: the open ones, of which the last that spoke comes last."""
+        """Send on `channels`, the open connections, whose owner keeps them ordered by last activity."""
         self.pending: dict[str, UnacknowledgedRelease] = {}  # by the call's id, the oldest first
         self._core, self._channels = core, channels
 
     def is_only_listener(self, channel: ReleaseChannel) -> bool:
-        """Whether no other connection is as likely to be read."""
+        """Whether the channel is a caller's and no other open one is as likely to be read by its caller."""
         others = (c for c in self._channels if c is not channel and c.is_caller and not c.closing)
         return channel.is_caller and not any(c.has_acknowledged >= channel.has_acknowledged for c in others)
 
     def deliver_waiting(self, channel: ReleaseChannel) -> None:
-        """A caller has connected: releases that found no connection at all go to it."""
+        """Send the releases that wait for a connection to a caller that has connected."""
         for call_id, release in list(self.pending.items()):
             if not release.tried:
                 self._send(call_id, release, channel)
 
     def deliver(self, call_id: str, cause: int, preferred: ReleaseChannel | None = None) -> None:
-        """Send a release: on the preferred connection while that is open."""
+        """Send a release of a call by a Q.850 cause, on the preferred connection if that is open."""
         if len(self.pending) >= MAX_PENDING:
             self._drop(next(iter(self.pending)))
         release = self.pending[call_id] = UnacknowledgedRelease(cause, self._core.clock())
         self._send(call_id, release, preferred)
 
     def acknowledged(self, call_id: str) -> bool:
-        """A caller has acknowledged a release, or released the call itself. False: none was under way."""
+        """Stop repeating the release of a call that a caller has acknowledged, or has released itself.
+
+        Returns whether an unacknowledged release of the call existed.
+        """
         return self.pending.pop(call_id, None) is not None
 
     def awaits_acknowledgement(self, channel: ReleaseChannel, call_ids: set[str]) -> bool:
-        """Whether one of these releases was sent last on this connection and is unacknowledged."""
+        """Whether one of these calls has an unacknowledged release that was last sent on this connection."""
         return any(self._last_sent_on(channel, call_id) is not None for call_id in call_ids)
 
     def resend(self, channel: ReleaseChannel, call_ids: set[str]) -> None:
-        """A connection has ended: those of these releases that were sent last on it go on another."""
+        """Resend those of these calls' unacknowledged releases that were last sent on an ended connection."""
         for call_id in call_ids:
             release = self._last_sent_on(channel, call_id)
             if release is not None:
@@ -88,7 +91,7 @@
         """Whether each release that was sent has been acknowledged."""
         return not any(release.tried for release in self.pending.values())
 
-    # ---- inside ----
+    # ---- sending and repeating one release ----
 
     def _last_sent_on(self, channel: ReleaseChannel, call_id: str) -> UnacknowledgedRelease | None:
         release = self.pending.get(call_id)
@@ -103,21 +106,22 @@
     def _send(
         self, call_id: str, release: UnacknowledgedRelease, preferred: ReleaseChannel | None = None
     ) -> None:
-        """Send a release, and again on another connection until it is acknowledged.
+        """Send a release, and schedule its repetition on another connection until it is acknowledged.
 
-        A caller may hold a connection and read no release on it: what spoke last may be one that asks once.
+        A caller may keep a connection open and not read releases on it; the last active connection may belong
+        to a client that sends one request and does not read afterwards.
         """
         core = self._core
         now = core.clock()
         if core.readiness.drain_since is not None:
-            release.since = now  # kept for the next caller, however long the drain
+            release.since = now  # does not expire during a drain: kept for the next caller
         if now - release.since > RELEASE_KEPT_S:
             self._drop(call_id)
             return
-        if len(release.tried) >= MAX_ATTEMPTS:  # nobody here reads: kept for whoever connects next
+        if len(release.tried) >= MAX_ATTEMPTS:  # no connected caller reads: kept for the next connection
             release.tried.clear()
             expires_at = release.since + RELEASE_KEPT_S + EXPIRY_MARGIN_S
-            core.timers.schedule(expires_at, partial(self._check, call_id, release, 0))
+            core.timers.schedule(expires_at, partial(self._retry_unless_acknowledged, call_id, release, 0))
             return
         is_usable = preferred is not None and preferred in self._channels and not preferred.closing
         channel = preferred if is_usable else self._likeliest_listener(release)
@@ -126,28 +130,31 @@
             channel.send_release(call_id, release.cause)
             attempts = len(release.tried)
             core.timers.schedule(
-                now + ACKNOWLEDGED_WITHIN_S, partial(self._check, call_id, release, attempts)
+                now + ACKNOWLEDGEMENT_TIMEOUT_S,
+                partial(self._retry_unless_acknowledged, call_id, release, attempts),
             )
         else:
-            release.tried.clear()  # the next connection gets it
-            core.timers.schedule(now + RELEASE_KEPT_S, partial(self._check, call_id, release, 0))
+            release.tried.clear()  # no open connection: kept for the next one
+            core.timers.schedule(
+                now + RELEASE_KEPT_S, partial(self._retry_unless_acknowledged, call_id, release, 0)
+            )
 
-    def _check(self, call_id: str, release: UnacknowledgedRelease, attempts: int) -> None:
-        """Send it again unless it was acknowledged, or sent, meanwhile."""
+    def _retry_unless_acknowledged(self, call_id: str, release: UnacknowledgedRelease, attempts: int) -> None:
+        """Send a release again unless it was acknowledged or sent since; `attempts` was its count then."""
         if self.pending.get(call_id) is release and len(release.tried) == attempts:
             self._send(call_id, release)
 
     def _likeliest_listener(self, release: UnacknowledgedRelease) -> ReleaseChannel | None:
-        """The connection most likely to be read.
+        """Return the open connection that a caller most likely reads and that was not tried for this release.
 
-        That is one that has acknowledged a release, or brought most requests, and lately. Where all were
-        tried it is the one tried last.
+        Connections that have acknowledged a release come first, then those with more requests, then those
+        active more recently. If all were tried, returns the open one tried last; None if none is open.
         """
-        best, found = (False, -1), None
-        for channel in self._channels:  # of equals the one that spoke last
-            value = (channel.has_acknowledged, min(channel.requests, MAX_REQUESTS_RANKED))
-            fit = channel.is_caller and not channel.closing
-            if fit and channel not in release.tried and value >= best:
-                best, found = value, channel
+        best_rank, found = (False, -1), None
+        for channel in self._channels:  # of equal ranks the last active one is chosen
+            rank = (channel.has_acknowledged, min(channel.requests, MAX_REQUESTS_RANKED))
+            is_usable = channel.is_caller and not channel.closing
+            if is_usable and channel not in release.tried and rank >= best_rank:
+                best_rank, found = rank, channel
         tried = (c for c in reversed(release.tried) if c in self._channels and not c.closing)
         return found or next(tried, None)
--- a/stairhatch/node/sip_message.py
+++ b/stairhatch/node/sip_message.py
@@ -1,7 +1,7 @@
-"""SIP messages as both frontends hold them, and how they are written (RFC 3261, section 7).
+"""SIP messages of both frontends, and their serialization (RFC 3261, section 7).
 
-Also what both read alike from them: lists and parameters in headers, the number called, the cause of a
-release. Messages are parsed by `sip_parser`; the grammar of single headers is `stairhatch.sip.grammar`'s.
+The module also extracts what both frontends need: header lists and parameters, the called number, the cause
+of a release. `sip_parser` parses messages; `stairhatch.sip.grammar` parses the contents of single headers.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import re
 from dataclasses import dataclass, field
 
-REASON_PHRASES = {  # RFC 3261, section 21, and the RFCs that added more
+REASON_PHRASES = {  # RFC 3261, section 21, and RFCs that define further status codes
     100: "Trying",
     180: "Ringing",
     183: "Session Progress",
@@ -42,11 +42,11 @@
     505: "Version Not Supported",
     513: "Message Too Large",
 }
-Headers = list[tuple[str, str]]  # names in lower case, in the order of the message
+Headers = list[tuple[str, str]]  # (name in lower case, value), in message order
 ECHOED_HEADERS = ("via", "from", "to", "call-id", "cseq")
-NORMAL_CLEARING = 16  # the Q.850 cause of a call that has come to its end
-MAX_CAUSE = 127  # of Q.850
-MAX_CSEQ = 2**31 - 1  # RFC 3261, 8.1.1.5
+NORMAL_CLEARING = 16  # Q.850 cause of a normal release
+MAX_CAUSE = 127  # the largest Q.850 cause
+MAX_CSEQ = 2**31 - 1  # RFC 3261, section 8.1.1.5
 MAX_CSEQ_DIGITS = 10
 MAX_CACHED_NAMES = 64
 MALFORMED_CSEQ = (-1, "")
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class SipMessage:
-    """A request (with `method` and `uri`) or a response (with `status`). Header names are in lower case."""
+    """SIP request (`method` and `uri` set) or response (`status` set). Header names are in lower case."""
 
     method: str = ""
     uri: str = ""
@@ -63,14 +63,14 @@
     body: bytes = b""
 
     def get(self, name: str, default: str = "") -> str:
-        """The first header of that name."""
+        """Return the value of the first header with this name, or `default` if there is none."""
         for key, value in self.headers:
             if key == name:
                 return value
         return default
 
     def get_all(self, name: str) -> list[str]:
-        """All values of that name, in order, also those that share a line."""
+        """Return all values of a header in order; a line with commas is split into its values."""
         found: list[str] = []
         for key, value in self.headers:
             if key == name:
@@ -78,29 +78,32 @@
         return found
 
     def get_lines(self, name: str) -> list[str]:
-        """All values of that name as written, one a line: for headers that commas do not separate."""
+        """Return the value of each line of a header unsplit, for headers whose values may contain commas."""
         return [value for key, value in self.headers if key == name]
 
     def cseq(self) -> tuple[int, str]:
-        """Number and method of CSeq; (-1, "") where it is malformed."""
+        """Return the number and the method of CSeq, or (-1, "") if it is malformed."""
         number, _, method = self.get("cseq").partition(" ")
         if not number.isascii() or not number.isdigit():
-            number, method = (*self.get("cseq").split(None, 1), "", "")[:2]  # other white space is as good
+            number, method = (*self.get("cseq").split(None, 1), "", "")[:2]  # other white space is allowed
         is_number = number.isascii() and number.isdigit() and len(number) <= MAX_CSEQ_DIGITS
         if not is_number or int(number) > MAX_CSEQ:
             return MALFORMED_CSEQ
         return int(number), method.strip()
 
 
-COMMA = re.compile(r'"(?:[^"\\]|\\.)*"|<[^>]*>|,')  # commas within the first two part nothing
+QUOTED_OR_COMMA = re.compile(r'"(?:[^"\\]|\\.)*"|<[^>]*>|,')  # only the last alternative separates values
 
 
 def split_list(value: str) -> list[str]:
-    """Cut a header at its commas, but not inside quotes or angle brackets."""
+    """Split a header value at commas outside quotes and angle brackets; empty values are dropped.
+
+    A value without any comma is returned as the only element, even if empty.
+    """
     if "," not in value:
         return [value.strip()]
     pieces, start = [], 0
-    for found in COMMA.finditer(value):
+    for found in QUOTED_OR_COMMA.finditer(value):
         if found.group() == ",":
             pieces.append(value[start : found.start()].strip())
             start = found.end()
@@ -114,9 +117,9 @@
 
 
 def parameters(value: str) -> dict[str, str]:
-    """The `;name=value` parameters after the address or first word of a header, names in lower case.
+    """Return the `;name=value` parameters after the address or first word of a header, names in lower case.
 
-    What is in quotes or angle brackets is none. Takes what it can read; `grammar` finds what is malformed.
+    Text in quotes or angle brackets is skipped. Malformed parts are ignored here; `grammar` reports them.
     """
     before = BEFORE_PARAMETERS.match(value)
     found: dict[str, str] = {}
@@ -129,14 +132,14 @@
 
 
 def user_of(uri: str) -> str:
-    """The user part of a `sip:` URI, "" if it has none."""
+    """Return the user part of a `sip:` or `sips:` URI, without password and parameters; "" if absent."""
     scheme, _, rest = uri.partition(":")
     if scheme.lower() not in ("sip", "sips") or "@" not in rest:
         return ""
     return rest.split("@", 1)[0].split(":")[0].split(";")[0]
 
 
-WRITTEN_NAMES = {"cseq": "CSeq", "call-id": "Call-ID"}  # others are written as Like-This, and cached here
+WRITTEN_NAMES = {"cseq": "CSeq", "call-id": "Call-ID"}  # other names are title-cased and cached here
 
 
 def _write_name(name: str) -> str:
@@ -154,22 +157,22 @@
 
 
 def request(method: str, uri: str, headers: Headers, body: bytes = b"") -> bytes:
-    """The bytes of a request; Content-Length is added."""
+    """Return the bytes of a request, with a Content-Length header added."""
     return _render(f"{method} {uri} SIP/2.0", headers, body)
 
 
 def response(status: int, headers: Headers, body: bytes = b"") -> bytes:
-    """The bytes of a response; Content-Length is added."""
+    """Return the bytes of a response, with its reason phrase and a Content-Length header added."""
     return _render(f"SIP/2.0 {status} {REASON_PHRASES.get(status, 'Unknown')}", headers, body)
 
 
 def echoed(message: SipMessage) -> Headers:
-    """The headers that every response repeats (RFC 3261, 8.2.6)."""
+    """Return the headers of a request that its responses copy (RFC 3261, section 8.2.6)."""
     return [(name, value) for name, value in message.headers if name in ECHOED_HEADERS]
 
 
 def called_number(key: str) -> int:
-    """The number called, as the overload control wants it: 16 hex digits, else 0."""
+    """Return the called number for the overload control: the value of 16 hex digits, else 0."""
     try:
         return int(key, 16) if len(key) == 16 else 0
     except ValueError:
@@ -177,7 +180,7 @@
 
 
 def release_cause(message: SipMessage) -> int:
-    """The cause in a Reason header; 16 where it says nothing."""
+    """Return the Q.850 cause of the Reason headers (at most 127); 16 (normal clearing) if there is none."""
     for value in message.get_all("reason"):
         cause = parameters(value).get("cause", "")
         if value.lower().startswith("q.850") and cause.isascii() and cause.isdigit():
--- a/stairhatch/node/sip_parser.py
+++ b/stairhatch/node/sip_parser.py
@@ -1,7 +1,7 @@
-"""Parses SIP's text form (RFC 3261, section 7): whole messages from datagrams and from byte streams.
+"""Parser for SIP messages (RFC 3261, section 7) from datagrams and byte streams, used by both frontends.
 
-Both frontends use it. It knows the start line, the headers' names and Content-Length; what stands inside a
-header is read by `stairhatch.sip.grammar`. It buffers one message at most.
+The parser handles the start line, header names and Content-Length; `stairhatch.sip.grammar` parses the
+contents of headers. It buffers one incomplete message at most.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from stairhatch.node.sip_message import SipMessage
 
 MAX_MESSAGE_BYTES = 16 * 1024
-MAX_SKIPPED_BYTES = 256 * 1024  # of a message that can't be used; a longer one ends its stream
-MAX_CACHED_NAMES, MAX_CACHED_NAME = 512, 64  # names made up by the thousand must not pile up here
-MAX_LENGTH_DIGITS = 9  # of a Content-Length; a longer one is beyond every limit
+MAX_SKIPPED_BYTES = 256 * 1024  # of an unusable message; the stream of a longer one is not resynchronized
+MAX_CACHED_NAMES, MAX_CACHED_NAME = 512, 64  # entries, characters; bounds the memory for invented names
+MAX_LENGTH_DIGITS = 9  # a Content-Length with more digits exceeds every limit
 HEAD_END = b"\r\n\r\n"
 DECLARED_LENGTH = re.compile(rb"(?:\A|\n)(?:content-length|l)[ \t]*:[ \t]*(\d{1,7})[ \t]*(?=\r|\n|\Z)", re.I)
 TOKEN = re.compile(r"[A-Za-z0-9\-.!%*_+`'~]+\Z")
-COMPACT_NAMES = {  # RFC 3261, 7.3.3, and the registry of header fields
+COMPACT_NAMES = {  # RFC 3261, section 7.3.3, and the IANA registry of SIP header fields
     "a": "accept-contact",
     "b": "referred-by",
     "c": "content-type",
@@ -38,33 +38,36 @@
 
 
 class SipError(ValueError):
-    """A message that can't be taken.
+    """Error: a received message is malformed, unsupported or too long.
 
-    `status` answers it and `partial` is what could be read of it, if it can be answered at all.
-    `is_synchronized` says that the messages behind it on a stream can still be read.
+    `status` is the status code of the response. `partial` is the part of the message that was parsed, from
+    which the response is made; None if no response is possible. `is_synchronized` is True if the parser can
+    still parse the messages after this one on the stream.
     """
 
-    def __init__(self, status: int, why: str, partial: SipMessage | None = None) -> None:
-        """Keep what the answer needs; the stream counts as lost until its parser says otherwise."""
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, partial: SipMessage | None = None) -> None:
+        """Create the error; `is_synchronized` is False until the stream parser sets it."""
+        super().__init__(reason)
         self.status = status
         self.partial = partial
         self.is_synchronized = False
 
 
 class _VersionError(Exception):
-    """Another version of SIP: the rest is still read, to answer 505."""
+    """Internal error: a request has another SIP version; its head is parsed again for the 505 response."""
 
     def __init__(self, message: SipMessage) -> None:
         super().__init__()
         self.message = message
 
 
-_cached_names: dict[str, str] = {}  # as written -> in lower case, written out; callers repeat theirs
+_cached_names: dict[
+    str, str
+] = {}  # name as received -> full name in lower case; callers repeat the same names
 
 
 def _read_name(written: str) -> str | None:
-    """The name of a header; None if it is malformed."""
+    """Return the full header name in lower case and cache it; None if the name is malformed."""
     name = written.strip().lower()
     if not TOKEN.match(name):
         return None
@@ -75,7 +78,10 @@
 
 
 def _read_lines(head: str) -> SipMessage:
-    """The start line and the headers, unfolded, with compact names written out."""
+    """Parse the start line and the headers; folded lines are joined and compact names expanded.
+
+    Raises SipError for a malformed header after parsing the others, so that the response can use them.
+    """
     lines = head.split("\r\n") if "\r\n" in head else head.split("\n")
     message = _read_start_line(lines[0])
     headers = message.headers
@@ -83,13 +89,13 @@
     for line in lines[1:]:
         if line[:1] in (" ", "\t"):
             if headers:
-                last_name, begun = headers[-1]
-                headers[-1] = (last_name, f"{begun} {line.strip()}".strip())
+                last_name, previous_value = headers[-1]
+                headers[-1] = (last_name, f"{previous_value} {line.strip()}".strip())
             continue
         written, colon, value = line.partition(":")
         name = _cached_names.get(written) or _read_name(written)
         if not colon or name is None:
-            fault = fault or f"malformed header {line[:40]!r}"
+            fault = fault or f"malformed header line {line[:40]!r}"
             continue
         headers.append((name, value.strip()))
     if fault:
@@ -98,7 +104,7 @@
 
 
 def _read_start_line(line: str) -> SipMessage:
-    """A message without headers, from a request line or a status line."""
+    """Parse a request line or status line into a message without headers."""
     words = line.split(" ")
     if words[0].upper() == "SIP/2.0":
         if len(words) < 2 or not re.fullmatch(r"[1-6][0-9][0-9]", words[1]):
@@ -115,26 +121,29 @@
 
 
 def _read_head(data: bytes) -> SipMessage:
-    """Parse a head; another version's headers are read too, so that it can be answered."""
+    """Parse the head of a message. The head of another SIP version is parsed too, for the 505 response."""
     text = data.decode("utf-8", "surrogateescape")
     try:
         return _read_lines(text)
-    except _VersionError as other:
+    except _VersionError as unsupported:
         first, _, rest = text.partition("\n")
         try:
-            partial = _read_lines(f"{other.message.method} {other.message.uri} SIP/2.0\r\n{rest}")
+            partial = _read_lines(f"{unsupported.message.method} {unsupported.message.uri} SIP/2.0\r\n{rest}")
         except SipError as error:
-            partial = error.partial or other.message
-        raise SipError(505, f"version in {first.strip()[:60]!r}", partial) from None
+            partial = error.partial or unsupported.message
+        raise SipError(505, f"unsupported SIP version in {first.strip()[:60]!r}", partial) from None
 
 
 def _content_length(message: SipMessage) -> int | None:
-    """Content-Length; None if it is absent."""
+    """Return the Content-Length, or None if absent. Raises SipError if malformed or contradictory.
+
+    A number with too many digits is returned as a length beyond the limit on messages.
+    """
     found = None
     for name, value in message.headers:
         if name == "content-length":
             if not value.isascii() or not value.isdigit() or found not in (None, value):
-                raise SipError(400, "bad Content-Length", message)
+                raise SipError(400, "malformed or contradictory Content-Length", message)
             found = value
     if found is None:
         return None
@@ -142,55 +151,55 @@
 
 
 def parse_datagram(data: bytes) -> SipMessage:
-    """One message that fills a datagram; a body beyond Content-Length is cut off (RFC 3261, 18.3).
+    """Parse the message in a datagram; bytes beyond Content-Length are dropped (RFC 3261, section 18.3).
 
     Raises:
-        SipError: it is malformed, too long, or shorter than it says.
+        SipError: the message is malformed, too long, or shorter than its Content-Length.
     """
-    too_long = len(data) >= MAX_MESSAGE_BYTES  # a datagram that fills the buffer may have been cut off
+    too_long = len(data) >= MAX_MESSAGE_BYTES  # a datagram that fills the buffer may have been truncated
     head, _, body = data.lstrip(b"\r\n").partition(HEAD_END)
     message = _read_head(head)
     if too_long:
-        raise SipError(413, "longer than 16 KiB", message)
+        raise SipError(413, "message is longer than 16 KiB", message)
     length = _content_length(message)
     if length is not None and length > len(body):
-        raise SipError(400, "the datagram is shorter than its Content-Length", message)
+        raise SipError(400, "datagram is shorter than its Content-Length", message)
     message.body = body if length is None else body[:length]
     return message
 
 
 def _declared_length(head: bytes) -> int | None:
-    """The length of the body behind an unusable head; None where it is not given, or given twice."""
+    """Return the body length that an unusable head declares; None if missing or contradictory."""
     lengths = {int(text) for text in DECLARED_LENGTH.findall(head)}
     return lengths.pop() if len(lengths) == 1 else None
 
 
 class StreamParser:
-    """Cuts a byte stream into messages.
+    """Parser that splits a byte stream into messages.
 
-    After a SipError the stream can't be followed any further, unless `resynchronizes` was asked for and the
-    error is `is_synchronized`: then what belongs to the bad message is passed over.
+    After a SipError the parser cannot be used any further, unless it was created with `resynchronizes` and
+    the error has `is_synchronized` set: it then skips the rest of the malformed message.
     """
 
     def __init__(self, resynchronizes: bool = False) -> None:
-        """Begin at the start of a stream."""
-        self.unanswered_keepalives = 0  # CRLF CRLF between messages, not yet answered (RFC 5626, 4.4.1)
+        """Start at the beginning of a stream; `resynchronizes` permits skipping malformed messages."""
+        self.unanswered_keepalives = 0  # CRLF CRLF between messages, unanswered (RFC 5626, section 4.4.1)
         self._resynchronizes = resynchronizes
         self._data = bytearray()
-        self._message: SipMessage | None = None  # its head has come
-        self._body_bytes = 0  # of that message
-        self._searched_bytes = 0  # in which no end of a head was found
-        self._skip_bytes = 0  # of a bad message that are still to come
+        self._message: SipMessage | None = None  # message whose head is parsed and whose body is incomplete
+        self._body_bytes = 0  # body length of `_message`
+        self._searched_bytes = 0  # length of the start of `_data` that contains no end of a head
+        self._skip_bytes = 0  # bytes of a malformed message that are still to be skipped
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Add what has come."""
+        """Append received bytes to the buffer."""
         self._data += data
 
     def next_message(self) -> SipMessage | None:
-        """The next whole message, or None until more has come.
+        """Return the next complete message, or None if more bytes are needed.
 
         Raises:
-            SipError: what has come is malformed or too long.
+            SipError: the next message is malformed or too long.
         """
         if self._skip_bytes:
             passed = min(self._skip_bytes, len(self._data))
@@ -208,15 +217,15 @@
 
     @property
     def pending_request(self) -> SipMessage | None:
-        """The request whose body is still awaited."""
+        """Message whose head has been received and whose body is incomplete; None if there is none."""
         return self._message
 
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and its rest is awaited."""
+        """Whether part of a message has been received, or skipped, and the rest has not."""
         return self._message is not None or self._skip_bytes > 0 or bool(self._data.strip(b"\r\n"))
 
     def _next_head(self) -> bool:
-        """Read the next head. False: its end has not come."""
+        """Parse the next head into `_message`; return False if its end has not been received."""
         if not self._data:
             return False
         if self._data[0] in b"\r\n":
@@ -225,7 +234,7 @@
         self._searched_bytes = len(self._data)
         if end < 0 or end + len(HEAD_END) > MAX_MESSAGE_BYTES:
             if len(self._data) > MAX_MESSAGE_BYTES:
-                raise self._endless_head()
+                raise self._oversized_head_error()
             return False
         head = bytes(self._data[:end])
         body_from = end + len(HEAD_END)
@@ -244,30 +253,36 @@
 
     @staticmethod
     def _read_framed_head(head: bytes, body_from: int) -> tuple[SipMessage, int]:
-        """A message without its body, and how long that is."""
+        """Return a message without its body, and the length of the body in bytes."""
         message = _read_head(head)
         length = _content_length(message)
         if length is None:
-            raise SipError(400, "no Content-Length on a stream", message)
+            raise SipError(400, "message on a stream has no Content-Length", message)
         if body_from + length > MAX_MESSAGE_BYTES:
-            raise SipError(413, "longer than 16 KiB", message)
+            raise SipError(413, "message is longer than 16 KiB", message)
         return message, length
 
     def _drop_keepalives(self) -> None:
-        """Pass over line ends between messages; whole keep-alives are counted where they are answered."""
+        """Skip line ends between messages, and count complete keep-alives if the parser resynchronizes.
+
+        The parser resynchronizes only for the frontend that answers keep-alives.
+        """
         skip = 0
         while skip < len(self._data) and self._data[skip] in b"\r\n":
             skip += 1
         if self._resynchronizes:
             keepalives = self._data[:skip].count(HEAD_END)
             self.unanswered_keepalives += keepalives
-            if skip == len(self._data):  # half a keep-alive may wait for its other half
+            if skip == len(self._data):  # the rest of a keep-alive may follow
                 skip = self._data.rfind(HEAD_END, 0, skip) + 4 if keepalives else max(0, skip - 3)
         del self._data[:skip]
         self._searched_bytes = 0
 
-    def _endless_head(self) -> SipError:
-        """A head beyond the limit: answered, where it may be, from its first 16 KiB."""
+    def _oversized_head_error(self) -> SipError:
+        """Return the error for a head beyond the limit; its first 16 KiB are parsed for the response.
+
+        They are parsed only if the parser resynchronizes; otherwise no response is possible.
+        """
         partial = None
         if self._resynchronizes:
             begin = bytes(self._data[:MAX_MESSAGE_BYTES])
@@ -275,4 +290,4 @@
                 partial = _read_head(begin[: begin.rfind(b"\r\n")])
             except SipError as error:
                 partial = error.partial
-        return SipError(513 if self._resynchronizes else 413, "head longer than 16 KiB", partial)
+        return SipError(513 if self._resynchronizes else 413, "message head is longer than 16 KiB", partial)
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -172,7 +172,7 @@
         """So many more established dialogs use this connection."""
         self._dialogs += change
 
-    def owes_response(self) -> bool:
+    def has_pending_response(self) -> bool:
         """Whether a final response is owed on it, or one waits to be written."""
         return bool(self._unanswered or self.output)
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -10,7 +10,7 @@
 from stairhatch.node.io.listener import (
     DRAIN_FIRST_REQUEST_S,
 )
-from stairhatch.node.platform_frontend import CALLER_AFTER_S, PlatformFrontend
+from stairhatch.node.platform_frontend import CALLER_DETECTION_DELAY_S, PlatformFrontend
 from stairhatch.node.readiness import REJECT_AFTER_S, RELEASE_PATH_S
 
 from .support.accepted_connections import listener_with_connections, take_statuses
@@ -160,7 +160,7 @@
     for each in (one, two):
         each.connection_lost()
     others = [frontend.connect(), frontend.connect()]
-    node.run(2 * CALLER_AFTER_S)
+    node.run(2 * CALLER_DETECTION_DELAY_S)
     node.core.readiness.drain(True)
     assert all(each.is_idle() for each in others), "each may go while the other stays"
     others[1].close_when_idle()
@@ -187,10 +187,10 @@
     tests = frontend.connect()
     tests.receive_data(sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b""))
     assert take_statuses(tests, "p") == [503]
-    node.run(2 * CALLER_AFTER_S)
+    node.run(2 * CALLER_DETECTION_DELAY_S)
     assert take_statuses(tests, ident) == []
     silent = frontend.connect()
-    node.run(2 * CALLER_AFTER_S)
+    node.run(2 * CALLER_DETECTION_DELAY_S)
     assert take_statuses(silent, ident) == ["BYE"]
 
 
