--- a/tests/test_call_manager.py
+++ b/tests/test_call_manager.py
@@ -1,4 +1,4 @@
-"""The call manager: what it tells the decisions, what it keeps and its timers."""
+"""Tests of the call manager: events to the overload control, drains, timers and memory of ended calls."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def offer_call(node, caller_timeout_s=3.0):
-    """A call whose set-up has been written."""
+    """Offer a call, check that its set-up was written, and return the call and its caller session."""
     caller = RecordingSession()
     kind = node.settings.classes[0]
     call = node.core.offer_call(CallRequest(IDENT, kind, "1000", "d", caller_timeout_s), caller)
@@ -34,7 +34,7 @@
     return call, caller
 
 
-ENDINGS = {
+CALL_ENDINGS = {
     "established": lambda node, _call: node.establish(),
     "abandoned": lambda node, call: node.core.abandon(call),
     "the process ends": lambda node, _call: node.core.answer_pending(),
@@ -45,47 +45,50 @@
 }
 
 
-@pytest.mark.parametrize("how", sorted(ENDINGS))
-def test_the_decisions_are_told_each_call_end_and_the_caller_one_answer(how):
-    """No set-up stays pending in the decisions, where it would hold their concurrency limit, and no call that
-    is over is retried.
+@pytest.mark.parametrize("ending", sorted(CALL_ENDINGS))
+def test_each_call_end_is_reported_and_answered_at_most_once(ending):
+    """Guards against an ended call that stays in the overload control.
+
+    Its set-up would count against the concurrency limit of its server, and the call could be retried.
     """
     node = InProcessNode()
     call, caller = offer_call(node)
-    decided = node.core.controller
-    assert decided.calls
-    assert decided.endpoints[1].pending_setups
-    ENDINGS[how](node, call)
-    assert not decided.calls
-    assert not decided.pending
-    assert not decided.endpoints[1].pending_setups
-    assert len(caller.events) == (how != "abandoned")
+    controller = node.core.controller
+    assert controller.calls
+    assert controller.endpoints[1].pending_setups
+    CALL_ENDINGS[ending](node, call)
+    assert not controller.calls
+    assert not controller.pending
+    assert not controller.endpoints[1].pending_setups
+    assert len(caller.events) == (ending != "abandoned")
     node.run(20.0)
     assert len(node.written) == 1
-    assert len(caller.events) == (how != "abandoned")
+    assert len(caller.events) == (ending != "abandoned")
     assert node.releases == (
-        [] if how in ("established", "released before it was established") else [(IDENT, 16)]
+        [] if ending in ("established", "released before it was established") else [(IDENT, 16)]
     )
 
 
-def test_an_attempt_at_an_unknown_server_ends_at_once():
-    """A call whose attempt never was one does not hang until its caller's time is up."""
+def test_an_attempt_at_an_unknown_server_ends_immediately():
+    """Guards against a call that waits for its deadline because its attempt was never reported as ended."""
     node = InProcessNode()
     call, caller = offer_call(node)
     node.core.responses.call_released(
         node.core.servers.by_id[1], IDENT, 34, "", LoadReport()
-    )  # full: it is pending for a retry
+    )  # the server is full: the call is pending for a retry
     node.core.controller.pending.remove(call.number)
     node.core.attempts.start(SendSetup(call.number, 99))
     assert node.core.counters.counts["rule_violations"] == 1
-    node.core.dispatcher.dispatch(TimerExpired(1))  # the next event, whatever it is
-    assert call.number in node.core.controller.pending, "the decisions do not know yet that it was not sent"
+    node.core.dispatcher.dispatch(TimerExpired(1))  # any next event
+    assert (
+        call.number in node.core.controller.pending
+    ), "the NOT_SENT outcome did not make the call pending again"
     node.run(3.5)
     assert len(caller.events) == 1
 
 
-def test_a_drain_keeps_a_connection_for_releases_and_not_for_good():
-    """Releases find a connection during a drain, and the softswitch empties all the same."""
+def test_a_drain_keeps_a_release_path_for_a_limited_time():
+    """A drain keeps a connection for releases while calls are established, for `RELEASE_PATH_S` at most."""
     node = InProcessNode()
     offer_call(node)
     node.establish()
@@ -102,33 +105,33 @@
     assert not node.core.readiness.keeps_release_path(), "no call is established"
 
 
-def test_an_exception_in_a_timer_leaves_the_others_due_with_it():
-    """Answers are given though something else, due in the same 4 ms, went wrong."""
-    node, done = InProcessNode(), []
+def test_an_exception_of_a_timer_callback_does_not_stop_the_others():
+    """Guards against lost final answers when another callback due in the same 4 ms raises an exception."""
+    node, called = InProcessNode(), []
     node.core.timers.schedule(node.now + 0.1, lambda: 1 // 0)
-    node.core.timers.schedule(node.now + 0.1, lambda: done.append("the answer"))
+    node.core.timers.schedule(node.now + 0.1, lambda: called.append("the answer"))
     node.run(0.2)
-    assert done == ["the answer"]
+    assert called == ["the answer"]
     assert node.core.counters.counts["timer_faults"] == 1
 
 
-def test_timers_that_are_due_together_wake_the_loop_once():
-    """The loop's timer is not set for each call anew."""
-    node, woken, expired = InProcessNode(), [], []
-    node.core.timers.on_earlier_due = lambda: woken.append(1)
+def test_timers_of_one_grid_slot_wake_the_loop_once():
+    """Guards against setting the event loop's timer anew for each call."""
+    node, wake_ups, expired = InProcessNode(), [], []
+    node.core.timers.on_earlier_due = lambda: wake_ups.append(1)
     for n in range(1000):
         due = 1000.5 + n / 1e6
         node.core.timers.schedule(due, lambda due=due: expired.append(node.now >= due))
-    assert len(woken) <= 2
+    assert len(wake_ups) <= 2
     node.run(0.49)
     assert not expired
     node.run(0.02)
     assert len(expired) == 1000
-    assert all(expired), "none expires before its time"
+    assert all(expired), "a callback ran before its due time"
 
 
-def test_no_memory_is_kept_of_servers_and_calls_that_are_gone():
-    """Memory does not grow with each server and call that ever was."""
+def test_the_state_of_ended_calls_and_gone_servers_is_freed():
+    """Guards against memory that grows with each server, call and invented method name."""
     now = [1000.0]
     core = CallManager(
         settings_from_object(SETTINGS).settings,
@@ -150,7 +153,7 @@
             server_connection for server_connection in server_connections if server_connection.can_close()
         ]:
             server_connections.remove(server_connection)
-            pool.remove(server_connection)  # as the driver does when a connection has ended
+            pool.remove(server_connection)  # the driver does this when a connection has ended
         now[0] += 5
         core.timers.run_due()
     assert not core.servers.by_id
@@ -159,7 +162,7 @@
     assert not core.calls.by_number
     assert not frontend.registry.calls
     assert not core.calls.by_ident
-    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # not public
+    assert len(core.calls._terminated) <= TERMINATED_KEPT_S / 5 + 1  # noqa: SLF001  # has no public accessor
     assert len(core.controller.endpoints) <= 10
-    assert len(core.timers._slots) <= 10  # noqa: SLF001  # its size is not public
+    assert len(core.timers._slots) <= 10  # noqa: SLF001  # has no public accessor
     assert not any("MADE" in name for name in core.counters.counts)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Releases of established calls: each reaches the other side, on whatever connection is there."""
+"""Tests that the release of an established call reaches the other side on any available connection."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("reopened", [False, True])
 def test_a_release_reaches_the_caller_on_any_connection(start_deployment, reopened):
-    """A call is released at its caller also when its own connection has gone."""
+    """A caller gets a release on the call's own connection, or on a new one if that has been closed."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -27,7 +27,7 @@
 
 
 def test_a_release_waits_for_a_caller_to_connect(start_deployment):
-    """A release is not lost because nobody is connected just then."""
+    """Guards against a release that is lost because no caller is connected when the server sends it."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -39,7 +39,7 @@
 
 
 def test_a_call_from_before_a_restart_is_released_both_ways(start_deployment):
-    """Calls that outlive the softswitch that set them up can be released from either side."""
+    """A call set up before a restart of the softswitch can be released by its server and by its caller."""
     program, _, (server,) = start_deployment(None)
     caller, old, other = program.caller(), next_call_id(), next_call_id()
     wait_until(lambda: server.connections)
@@ -56,20 +56,20 @@
 
 
 def test_a_release_goes_on_the_calls_own_connection(start_deployment):
-    """A release does not go to whoever spoke last, which may be a frontend's health check."""
+    """Guards against a release on the last active connection, which may be one used for health checks."""
     program, _, (server,) = start_deployment(None)
-    caller, passer, ident = program.caller(), program.caller(), next_call_id()
+    caller, other_caller, ident = program.caller(), program.caller(), next_call_id()
     caller.invite(ident)
     caller.expect(ident, 200)
-    passer.send("BYE", "sip:x@net", {"call-id": next_call_id(), "cseq": "1 BYE"})
-    wait_until(lambda: passer.received)
+    other_caller.send("BYE", "sip:x@net", {"call-id": next_call_id(), "cseq": "1 BYE"})
+    wait_until(lambda: other_caller.received)
     server.send("FINISH", ident, rc=16)
     caller.expect(ident, "BYE")
-    assert not passer.messages(ident, "BYE")
+    assert not other_caller.messages(ident, "BYE")
 
 
 def test_a_release_that_is_not_acknowledged_goes_on_another_connection(start_deployment):
-    """A call is released though the one connection that carried the release is not read."""
+    """Guards against a release that is lost because the connection it was sent on is not read."""
     program, _, (server,) = start_deployment(None)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
@@ -85,7 +85,7 @@
 
 
 def test_a_release_that_nobody_acknowledges_is_kept_for_the_next_connection():
-    """A release is not dropped after four attempts at callers that don't read."""
+    """Guards against a release that is dropped after four attempts at callers that don't read."""
     node = InProcessNode()
     frontend = PlatformFrontend(node.core)
     not_reading, ident = frontend.connect(), next_call_id()
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -1,4 +1,4 @@
-"""Requests of callers that cannot be served: malformed, cut short, or without use for a server."""
+"""Tests of callers' requests that cannot be served: malformed, incomplete, or unusable for a server."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("frontend", ["platform", "appliance"])
 @pytest.mark.parametrize(("data", "status"), [(b"", 0), (HEAD, 0), (HEAD + b"\r\nhalf", 408)])
 def test_a_first_request_must_be_complete_in_time(tmp_path, start_deployment, frontend, data, status):
-    """Connections are not held for good by callers that never finish a request."""
+    """Guards against connections that stay open because their callers never complete a request."""
     if frontend == "platform":
         program = start_deployment(None)[0]
     else:
@@ -36,7 +36,7 @@
 
 
 def unusable_invite(ident="00000000005e0000", answer_within_ms="1000", **fields):
-    """The bytes of a set-up with one field that no server could use."""
+    """Return the bytes of a set-up that is valid apart from the unusable field that a test passes."""
     return platform_invite(ident, answer_within_ms=answer_within_ms, **fields)
 
 
@@ -66,16 +66,18 @@
     ],
     ids=range(20),
 )
-def test_a_setup_that_no_server_could_use_is_refused(start_deployment, data):
-    """One caller's bytes make no server close a connection under others' set-ups, and no figure raises where
-    it is read.
+def test_a_setup_that_no_server_could_use_is_rejected(start_deployment, data):
+    """Guards against forwarding bytes of one caller that make a server close its connection.
+
+    Other callers' set-ups would end with the connection. Also, no invalid number may raise an exception in
+    the softswitch.
     """
     program, _, (server,) = start_deployment(SILENT)
     good, bad, ident = program.caller(), program.caller(), next_call_id()
     good.invite(ident)
     wait_until(lambda: server.messages("START"))
     bad.send_bytes(data)
-    wait_until(lambda: bad.received, "a refusal")
+    wait_until(lambda: bad.received, "a rejection")
     assert [m.status for _, m in bad.received] == [400]
     server.send("STARTED", ident, blob="d")
     good.expect(ident, 200)
@@ -83,8 +85,8 @@
     assert "fault" not in program.log_text()
 
 
-def test_a_caller_that_sends_nothing_usable_is_disconnected(start_deployment):
-    """A caller that sends the same again the moment it is refused does not go on for ever."""
+def test_a_caller_that_sends_only_unusable_requests_is_disconnected(start_deployment):
+    """Guards against a caller that repeats an unusable request endlessly after each rejection."""
     program, _, _ = start_deployment(None)
     bad = program.caller()
     for _ in range(200):
@@ -102,7 +104,7 @@
     ],
 )
 def test_a_malformed_request_ends_only_its_own_connection(start_deployment, data, status):
-    """One caller's malformed bytes do not disturb the others."""
+    """Malformed bytes close the connection they came on; other callers' connections are unaffected."""
     program, _, _ = start_deployment(None)
     bad, good, ident = program.caller(), program.caller(), next_call_id()
     bad.sock.sendall(data)
@@ -112,8 +114,8 @@
     good.expect(ident, 200)
 
 
-def test_health_checks_are_answered_and_other_methods_refused(start_deployment):
-    """A frontend's OPTIONS is answered with 200, so that it sends calls here."""
+def test_health_checks_are_answered_and_other_methods_rejected(start_deployment):
+    """OPTIONS is answered with 200, so that frontends send calls; other methods get 405 with Allow."""
     program, _, _ = start_deployment(None)
     program.wait_until_serving()
     caller = program.caller()
@@ -126,25 +128,28 @@
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
 
 
-@pytest.mark.parametrize("by", ["its answer", "its CANCEL"])
-def test_a_setup_outlives_malformed_bytes_behind_it(start_unusual, by):
-    """A good set-up is not lost with its connection because what came behind it was malformed."""
+@pytest.mark.parametrize("ended_by", ["its answer", "its CANCEL"])
+def test_a_pending_setup_survives_malformed_bytes_after_it(start_unusual, ended_by):
+    """Guards against closing a connection with a pending set-up because malformed bytes followed it."""
     program, _, (server,) = start_unusual(SILENT)
     caller, ident = place_call(program, "platform")
     wait_until(lambda: setup_ids(server) == [ident])
     caller.send_bytes(b"\x00\x01 noise without sense\r\n\r\n")
     wait_until(lambda: program.log_events("malformed"), "that the noise has been read")
     assert not caller.closed
-    if by == "its answer":
+    if ended_by == "its answer":
         server.send("STARTED", ident, blob="kept")
         assert caller.expect(ident, 200).body == b"kept"
-    else:  # by another connection: nothing more is read on this one
+    else:  # the CANCEL needs another connection: this one is not read any more
         disconnect(program.caller(), ident, "cancel")
     wait_until(lambda: caller.closed, "the end of the connection")
 
 
-def test_an_incomplete_message_that_times_out_takes_no_setup_with_it():
-    """The same where the rest of a message never comes: its time is shorter than a call's."""
+def test_a_pending_setup_survives_the_timeout_of_an_incomplete_message():
+    """Guards against closing a connection with a pending set-up when an incomplete message times out.
+
+    The time limit for a message is shorter than a call's deadline.
+    """
     node = InProcessNode()
     frontend = PlatformFrontend(node.core)
     connection, ident = frontend.connect(), next_call_id()
--- a/tests/test_safety_rules.py
+++ b/tests/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""The five safety rules, and how a call's life ends."""
+"""Tests of the overload control: the five safety rules, and the final answer of each call."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def expire_timers(node, seconds, step=0.02):
-    """Have the timer expire for so long and collect the actions."""
-    found = []
+    """Let the timer expire every `step` seconds for `seconds`, and return all actions."""
+    actions = []
     for _ in range(int(seconds / step)):
-        found += node.expire_timer(step)
-    return found
+        actions += node.expire_timer(step)
+    return actions
 
 
-def test_no_server_known_ends_in_one_answer_in_time(make_node):
+def test_without_servers_a_call_gets_one_answer_in_time(make_node):
     node = make_node(servers=0)
     assert not final_answers(node.offer(caller_timeout_s=3.0))
     assert len(final_answers(expire_timers(node, 2.99))) == 1
@@ -39,37 +39,37 @@
 
 
 @pytest.mark.parametrize("outcome", [each for each in AttemptOutcome if each is not AttemptOutcome.COMPLETED])
-def test_attempts_used_up_end_in_one_answer(make_node, outcome):
+def test_a_call_at_its_maximum_of_attempts_gets_one_answer(make_node, outcome):
     node = make_node(servers=2)
-    out = setups(node.offer(caller_timeout_s=3.0))
-    answers, count = [], len(out)
+    in_progress = setups(node.offer(caller_timeout_s=3.0))
+    answers, count = [], len(in_progress)
     for _ in range(150):
-        acts = node.expire_timer(0.02)
-        if out:
-            acts = node.attempt_ended(out.pop().call_id, 10, outcome) + acts
-        out += setups(acts)
-        count += len(setups(acts))
-        answers += final_answers(acts)
+        actions = node.expire_timer(0.02)
+        if in_progress:
+            actions = node.attempt_ended(in_progress.pop().call_id, 10, outcome) + actions
+        in_progress += setups(actions)
+        count += len(setups(actions))
+        answers += final_answers(actions)
     assert len(answers) == 1
     assert count <= SETTINGS.max_attempts
     assert not node.controller.calls
 
 
-def test_time_out_at_the_deadline_is_answered_at_once(make_node):
+def test_a_time_out_at_the_deadline_is_answered_immediately(make_node):
     node = make_node()
     assert setups(node.offer(caller_timeout_s=3.0))
     node.now += 3.0
     assert len(final_answers(node.attempt_ended(1, 10, AttemptOutcome.TIMED_OUT))) == 1
 
 
-def test_a_call_with_no_time_left_is_answered_in_the_same_instant(make_node):
-    """Calls that a stalled node finds late, all in one batch, are answered at once."""
+def test_a_call_past_its_deadline_is_answered_immediately(make_node):
+    """Guards against a further delay of calls that a stalled node processes after their deadline."""
     node = make_node(servers=0)
     node.offer(caller_timeout_s=3.0)
     assert len(final_answers(node.offer(caller_timeout_s=0.0))) == 1
 
 
-def test_nothing_is_sent_after_the_caller_abandoned_the_call(make_node):
+def test_no_setup_is_sent_for_an_abandoned_call(make_node):
     node = make_node(servers=0)
     node.offer()
     node.handle(CallAbandoned(1))
@@ -77,24 +77,24 @@
     assert not setups(expire_timers(node, 1.0))
 
 
-def test_one_attempt_at_a_time(make_node):
+def test_a_call_has_one_attempt_at_a_time(make_node):
     node = make_node()
     assert len(setups(node.offer())) == 1
     assert not setups(expire_timers(node, 2.5))
 
 
 @pytest.mark.parametrize("availability", [Availability.DRAINING, Availability.GONE])
-def test_draining_and_gone_servers_get_nothing_at_once(make_node, availability):
+def test_draining_and_gone_servers_get_no_setups(make_node, availability):
     node = make_node()
     node.update_endpoints(EndpointRecord(10, 0, availability), complete=False)
     for _ in range(5):
-        assert all(s.server_id == 11 for s in setups(node.offer(preferred_number=0)))
+        assert all(setup.server_id == 11 for setup in setups(node.offer(preferred_number=0)))
 
 
 def test_a_server_missing_from_the_complete_list_is_gone(make_node):
     node = make_node()
     node.update_endpoints(EndpointRecord(11, 1))
-    assert [s.server_id for s in setups(node.offer(preferred_number=0))] == [11]
+    assert [setup.server_id for setup in setups(node.offer(preferred_number=0))] == [11]
     node.now += 60.0
     node.update_endpoints(EndpointRecord(11, 1))
     assert 10 not in node.controller.endpoints
@@ -108,26 +108,26 @@
     node.offer()
     node.attempt_ended(1, 10, outcome)
     ended_at = node.now
-    again = []
-    while not again:
-        again = setups(node.expire_timer(0.02))
+    retries = []
+    while not retries:
+        retries = setups(node.expire_timer(0.02))
     assert node.now - ended_at >= SETTINGS.safety.retry_pause_s
 
 
-def test_a_rejected_setup_goes_elsewhere_without_a_pause(make_node):
+def test_a_rejected_setup_is_retried_elsewhere_without_a_pause(make_node):
     node = make_node()
     node.offer()
-    assert [s.server_id for s in setups(node.attempt_ended(1, 10, AttemptOutcome.REJECTED))] == [11]
+    assert [setup.server_id for setup in setups(node.attempt_ended(1, 10, AttemptOutcome.REJECTED))] == [11]
 
 
-def test_calls_that_are_not_idempotent_are_not_sent_twice_nor_rejected(make_node):
+def test_a_call_that_is_not_idempotent_is_failed_after_an_attempt(make_node):
     classes = (replace(SETTINGS.classes[0], idempotent=False),)
     node = make_node(settings=replace(SETTINGS, classes=classes))
     node.offer()
     assert final_answers(node.attempt_ended(1, 10, AttemptOutcome.RESET)) == [FailCall(1)]
 
 
-def test_events_of_unknown_calls_and_servers_are_taken_quietly(make_node):
+def test_events_of_unknown_calls_and_servers_are_ignored(make_node):
     node = make_node()
     node.attempt_ended(77, 99, AttemptOutcome.COMPLETED, answered=True)
     node.established(77, 99)
@@ -146,16 +146,19 @@
     exec(compile(code, "README.md", "exec"), {})
 
 
-def test_a_rejected_caller_is_told_when_to_retry(make_node):
-    """Immediate retries would swell the load behind the throttle. The times are spread, and within bounds."""
-    told = set()
+def test_a_rejection_contains_a_random_retry_after(make_node):
+    """Retry-After values differ between callers and are within bounds; none is sent if settings forbid it.
+
+    Simultaneous immediate retries would add load while the softswitch rejects calls.
+    """
+    retry_times = set()
     for seed in range(20):
         node = make_node(servers=0, seed=seed, settings=replace(SETTINGS, max_retry_after_s=2.0))
         node.offer(caller_timeout_s=0.0)
-        told |= {act.retry_after_s for act in final_answers(node.actions)}
-    assert len(told) > 5
-    assert all(0 < each <= 2.0 for each in told)
-    silent = make_node(
+        retry_times |= {action.retry_after_s for action in final_answers(node.actions)}
+    assert len(retry_times) > 5
+    assert all(0 < each <= 2.0 for each in retry_times)
+    silent_node = make_node(
         servers=0, settings=replace(SETTINGS, may_send_retry_after=False, max_retry_after_s=2.0)
     )
-    assert final_answers(silent.offer(caller_timeout_s=0.0)) == [RejectCall(1)]
+    assert final_answers(silent_node.offer(caller_timeout_s=0.0)) == [RejectCall(1)]
--- a/tests/test_sip_parser.py
+++ b/tests/test_sip_parser.py
@@ -1,4 +1,4 @@
-"""SIP's text form: streams cut into messages, and lengths that cannot be right."""
+"""Tests of the SIP parser: messages of a byte stream, invalid lengths and oversized heads."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 )
 
 
-@pytest.mark.parametrize("step", [1, 2, 7, 1000])
-def test_a_stream_is_cut_into_the_same_messages_however_it_comes(step):
-    """No message is lost or joined to another where reads end within them."""
+@pytest.mark.parametrize("read_size", [1, 2, 7, 1000])
+def test_message_boundaries_do_not_depend_on_read_sizes(read_size):
+    """Guards against messages that are lost or merged when a read ends inside a message."""
     parser, found, data = sip_parser.StreamParser(), [], FOLDED * 3
-    for at in range(0, len(data), step):
-        parser.feed(data[at : at + step])
+    for at in range(0, len(data), read_size):
+        parser.feed(data[at : at + read_size])
         while (message := parser.next_message()) is not None:
             found.append(message)
     assert len(found) == 3
@@ -30,8 +30,11 @@
 
 
 @pytest.mark.parametrize("length", ["-1", "3 ", "x", "3\r\nContent-Length: 4", "99999999999"])
-def test_lengths_that_cannot_be_right_are_refused(length):
-    """A stream is not cut in the wrong place and does not grow without bound."""
+def test_invalid_content_lengths_are_rejected(length):
+    """Guards against wrong message boundaries and unlimited buffering after an invalid Content-Length.
+
+    Only "3 " is valid: the space after the number is allowed.
+    """
     parser = sip_parser.StreamParser()
     parser.feed(f"BYE sip:7@net SIP/2.0\r\nContent-Length: {length}\r\n\r\nabc".encode())
     if length == "3 ":
@@ -41,8 +44,8 @@
         parser.next_message()
 
 
-def test_a_head_without_end_is_refused():
-    """One connection does not fill the memory."""
+def test_a_head_without_end_is_rejected():
+    """Guards against a connection that fills the memory with an endless message head."""
     parser = sip_parser.StreamParser()
 
     def read_20_header_fields():
