--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -39,7 +39,9 @@
     timers: TimerWheel
     dispatcher: EventDispatcher
     answers: FinalAnswers
-    check_instance_index: Callable[[], None] | None = None  # updates the leased instance index
+    check_instance_index: Callable[[], None] | None = (
+        None  # refreshes the leased instance index; None: no lease
+    )
 
     def start(self, action: SendSetup) -> None:
         """Start the attempt that the overload control requests.
--- a/stairhatch/node/call_classes.py
+++ b/stairhatch/node/call_classes.py
@@ -7,7 +7,7 @@
 
 from stairhatch.overload.settings import CallClass
 
-FORMER_CLASS_S = 2.0  # callers use a removed class for up to 1.2 s after a reload
+FORMER_CLASS_S = 2.0  # a former class is kept this long: callers use it for up to 1.2 s after a reload
 
 
 class _FormerClass(NamedTuple):
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -25,7 +25,7 @@
 from stairhatch.node.release_delivery import ReleaseDelivery
 
 MAX_OUTPUT_BYTES = 128 * 1024  # unsent output above this limit aborts the connection
-MAX_EARLY_CANCELS = 4096  # ids of set-ups whose CANCEL arrived earlier, on another connection
+MAX_EARLY_CANCELS = 4096  # limit on the ids of set-ups whose CANCEL arrived first, on another connection
 MAX_FAULTS = 8  # a connection is closed after this many unusable requests
 
 
@@ -130,7 +130,7 @@
         self.pending: dict[str, PlatformCall] = {}  # set-ups without a final response
         self.established_calls: set[str] = set()  # set up on this connection and not known to have ended
         self.requests = 0
-        self.is_caller = False  # a request other than a health check arrived, or none for a while
+        self.is_caller = False  # got a non-health-check request, or none within CALLER_DETECTION_DELAY_S
         self.has_acknowledged = False  # a release was acknowledged on this connection
         self._faults = 0  # unusable requests
         self._peer_closed = False  # data received before may still be unread
--- a/stairhatch/node/readiness.py
+++ b/stairhatch/node/readiness.py
@@ -19,8 +19,8 @@
 FIRST_CONNECT_WAIT_S = 1.5  # limit on the wait for connections at start-up; some connect a second late
 REJECT_AFTER_S = 0.7  # a drain rejects new set-ups after this time, so that each connection becomes idle
 RELEASE_PATH_S = 3.6  # a drain keeps connections for releases of established calls for this long
-RETRY_AFTER_S = 0.1  # Retry-After of a draining process; short, because another softswitch accepts the call
-MAX_REASON_CHARACTERS = 80  # of the instance ids in a reason
+RETRY_AFTER_S = 0.1  # retry time sent by a draining process: another softswitch accepts the call
+MAX_REASON_CHARACTERS = 80  # limit on the instance ids listed in `Health.reason`
 
 
 class HealthStatus(Enum):
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -18,7 +18,7 @@
 ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # an unacknowledged release is sent on another connection after this time
 EXPIRY_MARGIN_S = 0.01  # the expiry timer of a release fires this long after RELEASE_KEPT_S
 MAX_ATTEMPTS = 4
-MAX_PENDING = 8192  # unacknowledged releases
+MAX_PENDING = 8192  # limit on unacknowledged releases; above it the oldest is dropped
 MAX_REQUESTS_RANKED = 8  # more requests on a connection don't make it likelier that its caller reads
 
 
@@ -27,7 +27,7 @@
 
     closing: bool
     is_caller: bool  # used by a caller, not for health checks only
-    requests: int
+    requests: int  # complete requests received on the connection
     has_acknowledged: bool  # a release was acknowledged on the connection
 
     def send_release(self, call_id: str, cause: int) -> None:
--- a/stairhatch/node/sip_parser.py
+++ b/stairhatch/node/sip_parser.py
@@ -11,7 +11,7 @@
 from stairhatch.node.sip_message import SipMessage
 
 MAX_MESSAGE_BYTES = 16 * 1024
-MAX_SKIPPED_BYTES = 256 * 1024  # of an unusable message; the stream of a longer one is not resynchronized
+MAX_SKIPPED_BYTES = 256 * 1024  # a malformed message with a longer body makes the rest of the stream unusable
 MAX_CACHED_NAMES, MAX_CACHED_NAME = 512, 64  # entries, characters; bounds the memory for invented names
 MAX_LENGTH_DIGITS = 9  # a Content-Length with more digits exceeds every limit
 HEAD_END = b"\r\n\r\n"
@@ -273,7 +273,7 @@
         if self._resynchronizes:
             keepalives = self._data[:skip].count(HEAD_END)
             self.unanswered_keepalives += keepalives
-            if skip == len(self._data):  # the rest of a keep-alive may follow
+            if skip == len(self._data):  # the rest of an incomplete keep-alive may follow
                 skip = self._data.rfind(HEAD_END, 0, skip) + 4 if keepalives else max(0, skip - 3)
         del self._data[:skip]
         self._searched_bytes = 0
--- a/stairhatch/node/timer_wheel.py
+++ b/stairhatch/node/timer_wheel.py
@@ -14,7 +14,7 @@
 from stairhatch.node.protocol import do_nothing
 
 GRID_HZ = 256  # due times are multiples of 1/256 s
-MAX_LOGGED_CHARACTERS = 80  # of a failed callback's repr
+MAX_LOGGED_CHARACTERS = 80  # limit on the logged repr of a failed callback
 
 
 class TimerWheel:
