--- a/stairhatch/node/sip_parser.py
+++ b/stairhatch/node/sip_parser.py
@@ -281,7 +281,7 @@
     def _oversized_head_error(self) -> SipError:
         """Return the error for a head beyond the limit; its first 16 KiB are parsed for the response.
 
-        They are parsed only if the parser resynchronizes; otherwise no response is possible.
+        They are parsed only if the parser resynchronizes; otherwise the message gets no response.
         """
         partial = None
         if self._resynchronizes:
