--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -176,7 +176,7 @@
         """Add `change` to the number of established dialogs that use this connection."""
         self._dialogs += change
 
-    def owes_response(self) -> bool:
+    def has_pending_response(self) -> bool:
         """Whether a transaction awaits its final response on this connection, or output is queued."""
         return bool(self._unanswered or self.output)
 
