--- a/stairhatch/overload/__init__.py
+++ b/stairhatch/overload/__init__.py
@@ -1,13 +1,14 @@
-"""The overload control: which server takes a call, whether it is tried again, and which calls are rejected.
+"""The overload control: chooses the server of each call, retries failed attempts and rejects excess calls.
 
-It is fed typed events and answers with typed actions; it knows no wire, no socket and no clock of its own.
-Where to look:
+The control receives typed events and returns typed actions. It uses no wire format, no socket and no clock.
+Modules by subject:
 
-- a call's life and its final answer: `controller`; the calls that wait: `pending_queue`
-- which server a call goes to: `load_balancing`; whether a server counts as congested: `congestion`
-- how many set-ups may be pending at a server: `concurrency`; at one that is warming up: `slow_start`
-- servers that get nothing for a while, and busy numbers: `outlier`
-- what load reports and the results of attempts lead to: `load_reports`
-- callers that retry unmarked: `caller_retry`; onset, abatement and the settings in use: `thresholds`
-- what is known of a server: `endpoint`; how the parts are wired: `controller_parts`
+- the course of a call up to its final answer: `controller`; the calls that wait for a server: `pending_queue`
+- the choice of a server for a call: `load_balancing`; the detection of congested servers: `congestion`
+- the limit on pending set-ups at a server: `concurrency`; the limit at a warming server: `slow_start`
+- the temporary ejection of servers, and the backoff from busy called numbers: `outlier`
+- the evaluation of load reports and of the results of attempts: `load_reports`
+- the detection of caller retries that are not marked as retries: `caller_retry`
+- the settings in use, with the onset and abatement thresholds: `thresholds`
+- the recorded state of a server: `endpoint`; the construction of the parts: `controller_parts`
 """
--- a/stairhatch/overload/actions.py
+++ b/stairhatch/overload/actions.py
@@ -1,7 +1,7 @@
-"""The actions that the overload control answers an event with. Durations are seconds.
+"""The actions that the overload control returns for an event. Durations are seconds.
 
-Nothing here decides anything, and nothing changes an action once it is made; why none is `frozen` stands in
-`events`.
+This module makes no decisions. An action is never changed after its creation; the docstring of `events`
+explains why the classes are not `frozen` all the same.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, repr=False)
 class SendSetup(Message):
-    """Start an attempt: send a set-up to a server. `timeout_s` 0: until the caller's timeout."""
+    """Sends a set-up to a server, as a new attempt. `timeout_s` 0: it ends with the caller's timeout."""
 
     call_id: int
     server_id: int
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, repr=False)
 class RejectCall(Message):
-    """Final answer: rejected. `retry_after_s` is when the caller may retry; 0: no time is given."""
+    """Answers a call finally: rejected. The caller may retry after `retry_after_s`; 0: no delay is given."""
 
     call_id: int
     retry_after_s: float = 0.0
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, repr=False)
 class FailCall(Message):
-    """Final answer: failed, after an attempt or for want of a class."""
+    """Answers a call finally: failed, because an attempt failed or the call's class is unknown."""
 
     call_id: int
 
 
 @dataclass(slots=True, repr=False)
 class SetTimer(Message):
-    """Have TimerExpired come after `delay_s`."""
+    """Sets a timer: the node delivers TimerExpired with this `timer_id` after `delay_s`."""
 
     delay_s: float
     timer_id: int
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, repr=False)
 class LogMessage(Message):
-    """A text to be logged, as the event `decision_note`."""
+    """Writes a text to the log, as the event `decision_note`."""
 
     text: str
 
--- a/stairhatch/overload/averages.py
+++ b/stairhatch/overload/averages.py
@@ -1,28 +1,28 @@
-"""Running averages that the overload control feeds and reads. They decide nothing; times are seconds."""
+"""Running averages that the overload control updates and reads. Times are seconds."""
 
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-EXPECTED_MEMORY = 1000  # calls
-OBSERVED_MEMORY = 100
+EXPECTED_WINDOW_CALLS = 1000
+OBSERVED_WINDOW_CALLS = 100
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class RunningMean:
-    """A mean of all values, and of about the last `memory` once there are more."""
+    """The mean of all values, or of about the last `window` values once there have been more."""
 
-    memory: int
+    window: int
     mean: float = 0.0
     count: int = 0
 
     def add(self, value: float) -> None:
-        """Take one value in."""
+        """Include one value in the mean."""
         self.count += 1
-        self.mean += (value - self.mean) / min(self.count, self.memory)
+        self.mean += (value - self.mean) / min(self.count, self.window)
 
     def merge(self, others: Iterable["RunningMean"]) -> None:
-        """Become the mean of what others have seen, if they have seen anything."""
+        """Replace this mean by the weighted mean of `others`; keep it if none of them has a value."""
         others = list(others)
         self.count = sum(other.count for other in others)
         if self.count:
@@ -30,30 +30,33 @@
 
 
 class CallDurations:
-    """Mean duration of calls in seconds: `expected` by their classes as they come, `observed` as they end."""
+    """Mean duration of calls in seconds.
+
+    `expected` averages the class's duration of each offered call, `observed` the duration of each ended call.
+    """
 
     def __init__(self) -> None:
-        """Begin with nothing seen."""
-        self.expected = RunningMean(EXPECTED_MEMORY)
-        self.observed = RunningMean(OBSERVED_MEMORY)
+        """Create both means without values."""
+        self.expected = RunningMean(EXPECTED_WINDOW_CALLS)
+        self.observed = RunningMean(OBSERVED_WINDOW_CALLS)
 
     @property
-    def longest_s(self) -> float:
-        """The longer of both: calls last longer where they were not the first choice."""
+    def longer_mean_s(self) -> float:
+        """The longer of both means: a call lasts longer at an endpoint that was not its first choice."""
         return max(self.expected.mean, self.observed.mean)
 
 
 @dataclass(slots=True, eq=False, repr=False)
-class FadingPeak:
-    """The greatest value of late: it fades with the time constant `memory_s`."""
+class DecayingPeak:
+    """The greatest recent value. It decays exponentially with the time constant `time_constant_s`."""
 
-    memory_s: float
+    time_constant_s: float
     value: float = 0.0
-    seen_at: float = 0.0
+    recorded_at: float = 0.0
 
     def update(self, now: float, value: float) -> float:
-        """Take a value in; returns the greater of it and what is left of the peak."""
-        faded = self.value * math.exp((self.seen_at - now) / self.memory_s)
-        if value > faded:
-            self.value, self.seen_at = value, now
-        return max(value, faded)
+        """Record a value as the peak if it exceeds the decayed peak; return the greater of the two."""
+        decayed = self.value * math.exp((self.recorded_at - now) / self.time_constant_s)
+        if value > decayed:
+            self.value, self.recorded_at = value, now
+        return max(value, decayed)
--- a/stairhatch/overload/controller.py
+++ b/stairhatch/overload/controller.py
@@ -1,7 +1,7 @@
-"""The controller: takes events, answers with actions, and carries each call to its one final answer.
+"""The controller of one node: receives events, returns actions and gives each call exactly one final answer.
 
-Its settings, events, actions and records stand beside this module, as do its parts (`controller_parts`). The
-ordinary path is Roughan and Pearce's (`congestion`); "Extension" marks what their control does not have.
+The settings, events, actions and records are in this package, with the parts of the controller. The basic
+control is Roughan and Pearce's (`congestion`); "Extension" marks what their control does not include.
 """
 
 import random
@@ -17,26 +17,26 @@
 from stairhatch.overload.settings import CallClass, Settings
 from stairhatch.overload.thresholds import MEMORY_S, Thresholds
 
-MAX_ERRORS_OF_CALL = 2  # what two attempts answer with an error is the call's own fault
-BEFORE_RETRANSMIT = 0.9  # of its interval: a set-up to a warming endpoint is given up after this
-PENDING_INTERVAL_S = 0.02  # pending calls are looked at this often
-ANSWER_MARGIN_S = 0.05  # a final answer is given this long before the caller's timeout
-PENDING_TIMER_ID = 1  # of the only timer
+MAX_ERRORS_PER_CALL = 2  # after errors in two attempts the fault is assumed to be the call's own
+WARM_UP_TIMEOUT_FRACTION = 0.9  # of the retransmission interval: timeout of set-ups to warming endpoints
+PENDING_INTERVAL_S = 0.02  # interval at which pending calls are scanned
+ANSWER_MARGIN_S = 0.05  # the final answer is due this long before the caller's timeout
+PENDING_TIMER_ID = 1  # the id of the controller's only timer
 
 
 class Controller:
-    """The decisions of one access node."""
+    """The controller that makes the decisions of one access node."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        """Know no endpoint and no call yet. Every random draw comes from `rng`."""
+        """Create a controller without endpoints and calls. All random numbers come from `rng`."""
         self.rng = rng
         self.thresholds = Thresholds(settings)
         self.parts = ControllerParts(self.thresholds, rng)
         self.endpoints = self.parts.endpoints
-        self.calls: dict[int, PendingCall] = {}  # those that are owed an answer
-        self.pending = PendingQueue()  # those of them that wait for an available endpoint
+        self.calls: dict[int, PendingCall] = {}  # calls without a final answer, by id
+        self.pending = PendingQueue()  # the calls in `calls` that wait for an available endpoint
         self.timer_set = False
-        self._served_at = -1.0  # when the pending calls were last looked through
+        self._scanned_at = -1.0  # when the pending calls were last scanned
         self.update_settings(settings)
 
     @property
@@ -45,24 +45,24 @@
         return self.thresholds.settings
 
     def update_settings(self, settings: Settings) -> None:
-        """Take other settings in one step, with all that is derived from them. What was learnt stays."""
+        """Replace the settings and the derived thresholds in one step. Learned averages are kept."""
         self.parts.caller_retries.update_settings(self.settings, settings)
         self.thresholds.update(settings)
         if not self.parts.durations.expected.count:
             self.parts.durations.expected.mean = settings.mean_duration_s
 
     def is_warming_up(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether an endpoint may not be warm."""
+        """Return whether an endpoint may still be warming up."""
         return self.parts.slow_start.is_warming_up(now, endpoint)
 
     def slow_start_slots(self, now: float, endpoint: Endpoint) -> float:
-        """This node's slots in a span at an endpoint that is warming up."""
+        """Return this node's slots per span at an endpoint that is warming up."""
         return self.parts.slow_start.slots_per_span(now, endpoint)
 
     def handle(self, now: float, event: Event) -> Iterator[Action]:
-        """Take one event; yield what is to be done."""
+        """Process one event and yield the resulting actions; the caller must exhaust the iterator."""
         yield from self._dispatch(now, event)
-        newest = None  # a call that has come, or has come back
+        newest = None  # the call that this event added to the pending calls, if any
         if isinstance(event, events.CallOffered | events.AttemptEnded):
             newest = self.pending.calls.get(event.call_id)
         yield from self._serve_pending(now, newest)
@@ -77,26 +77,26 @@
             case events.EndpointsUpdated():
                 self.parts.registry.update(now, event)
             case events.CallOffered():
-                yield from self._offered(now, event)
+                yield from self._handle_offered(now, event)
             case events.CallEstablished():
-                self._established(now, event)
+                self._handle_established(now, event)
             case events.AttemptEnded():
-                yield from self._attempt_ended(now, event)
+                yield from self._handle_attempt_ended(now, event)
             case events.CallAbandoned():
                 self.forget(event.call_id)
             case events.LoadReported():
                 if (endpoint := self.endpoints.get(event.server_id)) is not None:
-                    self.parts.evidence.report(now, endpoint, event.report)
+                    self.parts.load_evaluation.apply_report(now, endpoint, event.report)
             case events.TimerExpired():
                 self.timer_set = False
 
     def forget(self, call_id: int) -> None:
-        """Nothing more is done for this call."""
+        """Remove a call from all records, so that no further action concerns it."""
         self.calls.pop(call_id, None)
         self.pending.remove(call_id)
 
-    def _offered(self, now: float, event: events.CallOffered) -> Iterator[Action]:
-        """The ordinary path: choose an endpoint; while it is flagged, reject a fraction; else send."""
+    def _handle_offered(self, now: float, event: events.CallOffered) -> Iterator[Action]:
+        """Choose an endpoint and queue the call, or reject a fraction of the calls while it is flagged."""
         if event.call_class is None:
             yield FailCall(event.call_id)
             return
@@ -127,18 +127,18 @@
             call.weight *= call_class.late_weight
         return call
 
-    def _established(self, now: float, event: events.CallEstablished) -> None:
+    def _handle_established(self, now: float, event: events.CallEstablished) -> None:
         if (call := self.calls.get(event.call_id)) is not None:
             self.parts.backoffs.record_established(now, call.called_number)
             self.parts.outliers.attribute_errors(now, call, event.server_id)
         self.forget(event.call_id)
         if (endpoint := self.endpoints.get(event.server_id)) is not None:
-            self.parts.evidence.established(now, endpoint, event)
+            self.parts.load_evaluation.record_setup(now, endpoint, event)
 
-    def _attempt_ended(self, now: float, event: events.AttemptEnded) -> Iterator[Action]:
-        """Learn from the end of an attempt, then go on with the call if its caller still waits."""
+    def _handle_attempt_ended(self, now: float, event: events.AttemptEnded) -> Iterator[Action]:
+        """Record the end of an attempt; fail the call or queue it again if its caller still waits."""
         if (endpoint := self.endpoints.get(event.server_id)) is not None:
-            self.parts.evidence.ended(now, endpoint, event)
+            self.parts.load_evaluation.record_attempt_end(now, endpoint, event)
         if event.outcome is AttemptOutcome.COMPLETED:
             self.parts.durations.observed.add(event.elapsed_s)
         call = self.calls.get(event.call_id)
@@ -151,12 +151,12 @@
             yield FailCall(call.id)
             return
         if not event.no_free_line:
-            call.queue_until = call.answer_by  # a further attempt is pending while the caller waits
+            call.queue_until = call.answer_by  # a call that was sent once may wait as long as its caller
         self.pending.add(call)
 
     def _record_outcome(self, now: float, call: PendingCall, event: events.AttemptEnded) -> None:
         if event.outcome.is_unclear:
-            call.not_before = now + self.settings.safety.retry_pause_s  # rule 5
+            call.not_before = now + self.settings.safety.retry_pause_s  # rule 5: retry pause
         if not event.outcome.never_ran:
             call.may_have_run = True
         if event.destination_busy:
@@ -165,13 +165,13 @@
             call.error_servers += (event.server_id,)
 
     def _may_retry(self, now: float, call: PendingCall) -> bool:
-        exhausted = call.attempts >= call.max_attempts or len(call.error_servers) >= MAX_ERRORS_OF_CALL
+        exhausted = call.attempts >= call.max_attempts or len(call.error_servers) >= MAX_ERRORS_PER_CALL
         if exhausted or (call.may_have_run and not call.call_class.idempotent):
             return False
         return max(now, call.not_before) < call.answer_by
 
     def _reject(self, now: float, call: PendingCall) -> Iterator[Action]:
-        """The final answer to a call that is not set up; one that may have run must not be 'rejected'."""
+        """Answer a call that is not set up: rejected, or failed if it may have run and isn't idempotent."""
         self.forget(call.id)
         if call.may_have_run and not call.call_class.idempotent:
             yield FailCall(call.id)
@@ -179,37 +179,37 @@
             yield RejectCall(call.id, self._retry_after(now, call))
 
     def _retry_after(self, now: float, call: PendingCall) -> float:
-        """Extension: when a caller may retry: about when the least congested endpoint should have abated."""
+        """Extension: return the retry delay: about when the least congested endpoint should have abated."""
         if not self.settings.may_send_retry_after:
             return 0.0
-        longest_s = self.settings.max_retry_after_s
+        max_s = self.settings.max_retry_after_s
         eligible = (e for e in self.endpoints.values() if self.parts.load_balancer.is_eligible(call, e))
-        least_s = min((self.parts.congestion.queueing_delay(now, e) for e in eligible), default=longest_s)
-        about_s = max(self.thresholds.objective_s, least_s)
-        return min(longest_s, about_s * (0.5 + self.rng.random()))
+        least_s = min((self.parts.congestion.queueing_delay(now, e) for e in eligible), default=max_s)
+        mean_s = max(self.thresholds.objective_s, least_s)
+        return min(max_s, mean_s * (0.5 + self.rng.random()))
 
     def _serve_pending(self, now: float, newest: PendingCall | None) -> Iterator[Action]:
-        """Send what may go, the greatest weight first; reject what can no longer be served in time."""
-        seen, self._served_at = now == self._served_at, now
-        if not self.pending or (seen and newest is None):
-            return  # thousands may be pending: look them through once an instant
+        """Send pending calls while endpoints are available, greatest weight first; reject overdue calls."""
+        scanned, self._scanned_at = now == self._scanned_at, now
+        if not self.pending or (scanned and newest is None):
+            return  # thousands of calls may be pending, so they are scanned once per instant
         available = self.parts.load_balancer.available(now)
-        # A new call is always looked at: one that a stalled node finds late may have no time left at all.
-        if seen and newest is not None:
+        # The newest call is always tried: after a stall of the node it may have no time left to wait.
+        if scanned and newest is not None:
             yield from self._serve(now, (newest,), available)
         else:
             for weight in self.pending.weights():
-                if not any(weight >= least for _, least in available):
+                if not any(weight >= min_weight for _, min_weight in available):
                     break
-                yield from self._serve(now, self.pending.calls_of(weight), available)
-        while (late := self.pending.pop_due(now)) is not None:
-            if now < late.not_before < late.answer_by:
-                self.pending.postpone(late, late.not_before)
+                yield from self._serve(now, self.pending.calls_of_weight(weight), available)
+        while (due := self.pending.pop_due(now)) is not None:
+            if now < due.not_before < due.answer_by:
+                self.pending.postpone(due, due.not_before)
             else:
-                yield from self._reject(now, late)
+                yield from self._reject(now, due)
 
     def _serve(self, now: float, calls: Iterable[PendingCall], available: Available) -> Iterator[Action]:
-        """Send calls in their order, while there are available endpoints."""
+        """Send the given calls in order while endpoints are available."""
         for call in calls:
             if not available:
                 return
@@ -221,19 +221,19 @@
                 self.parts.load_balancer.refresh(now, available, endpoint)
 
     def _send(self, now: float, call: PendingCall, endpoint: Endpoint) -> Action:
-        """Rule 2: the call leaves the pending ones, so it has one attempt out at a time."""
+        """Send a call; it leaves the queue, so only one of its attempts is in progress at a time (rule 2)."""
         self.pending.remove(call.id)
         call.attempts += 1
         endpoint.pending_setups[call.id] = now
         endpoint.tokens -= 1
-        endpoint.slot_open_until = now  # spent
+        endpoint.slot_open_until = now  # the set-up uses the open slot
         return SendSetup(call.id, endpoint.id, self._attempt_timeout(now, call, endpoint))
 
     def _attempt_timeout(self, now: float, call: PendingCall, endpoint: Endpoint) -> float:
-        """Extension: where set-ups were lost lately, give up in time for another attempt; 0: never."""
+        """Extension: return a timeout that leaves time for a retry after recent losses; 0: no timeout."""
         settings, onset_s = self.settings, self.thresholds.onset_s
         if self.parts.slow_start.is_warming_up(now, endpoint):
-            return BEFORE_RETRANSMIT * settings.retransmit_interval_s  # rule 4: no repeats
+            return WARM_UP_TIMEOUT_FRACTION * settings.retransmit_interval_s  # rule 4: no retransmissions
         objective_at = call.offered_at + call.call_class.latency_objective_s
         left_s = objective_at - now - settings.safety.retry_pause_s - onset_s
         lossy = now - endpoint.loss_seen_at < MEMORY_S and not self.parts.congestion.is_flagged(now, endpoint)
--- a/stairhatch/overload/controller_parts.py
+++ b/stairhatch/overload/controller_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one controller, wired to what they share. Nothing here decides anything."""
+"""The construction of one controller's parts with the objects that they share. It makes no decisions."""
 
 import random
 
@@ -8,20 +8,20 @@
 from stairhatch.overload.congestion import CongestionControl
 from stairhatch.overload.endpoint import Endpoint, EndpointRegistry
 from stairhatch.overload.load_balancing import LoadBalancer
-from stairhatch.overload.load_reports import LoadEvidence
+from stairhatch.overload.load_reports import LoadEvaluation
 from stairhatch.overload.outlier import DestinationBackoffs, OutlierDetection
 from stairhatch.overload.slow_start import SlowStart
 from stairhatch.overload.thresholds import MEMORY_S, Thresholds
 
 
 class ControllerParts:
-    """One of each part; they share the thresholds, the endpoints and the random source.
+    """One instance of each part. The parts share the thresholds, the endpoints and the random source.
 
-    `messages` collects the lines that they have for the log.
+    `messages` collects the texts that the parts write to the log.
     """
 
     def __init__(self, thresholds: Thresholds, rng: random.Random) -> None:
-        """Wire new parts."""
+        """Create each part and connect it to the parts that it uses."""
         self.messages: list[str] = []
         log = self.messages.append
         self.thresholds = thresholds
@@ -33,7 +33,7 @@
         self.concurrency = ConcurrencyControl(thresholds, self.congestion, self.durations, rng)
         self.slow_start = SlowStart(thresholds, self.endpoints, self.durations, rng, log)
         self.registry = EndpointRegistry(
-            self.endpoints, self.concurrency.new_endpoint, self.slow_start.note_start, MEMORY_S
+            self.endpoints, self.concurrency.new_endpoint, self.slow_start.detect_restart, MEMORY_S
         )
         self.load_balancer = LoadBalancer(
             thresholds, self.endpoints, self.congestion, self.concurrency, self.slow_start, rng
@@ -41,4 +41,6 @@
         self.outliers = OutlierDetection(
             thresholds, self.endpoints, self.concurrency, self.slow_start, rng, log
         )
-        self.evidence = LoadEvidence(thresholds, self.concurrency, self.slow_start, self.outliers, rng)
+        self.load_evaluation = LoadEvaluation(
+            thresholds, self.concurrency, self.slow_start, self.outliers, rng
+        )
--- a/stairhatch/overload/events.py
+++ b/stairhatch/overload/events.py
@@ -1,10 +1,10 @@
-"""The events that the overload control is fed, in order, and the records that they carry.
+"""The events that the overload control receives, in order, and the records that the events carry.
 
-Durations are seconds, points in time seconds on the node's own clock. Nothing here decides anything.
+Durations are seconds; points in time are seconds on the node's own clock. This module makes no decisions.
 
-Nothing changes an event once it is made. They are not `frozen` for all that: several are made for each call,
-and a frozen one takes two and a half times as long to make (and twice as long to define at each start). An
-event is equal to itself alone, a record to any other that holds the same.
+An event is never changed after its creation. The classes are not `frozen` all the same: each call creates
+several events, and a frozen instance takes two and a half times as long to create (and its class twice as
+long to define at each start). An event equals only itself; a record equals any record with the same values.
 """
 
 from __future__ import annotations
@@ -30,66 +30,66 @@
     COMPLETED = "completed"  # the call was established and has ended normally
     ERROR = "error"  # the called number is busy, or a signalling fault
     REJECTED = "rejected"  # the server had no capacity; the set-up never ran
-    TIMED_OUT = "timed out"  # no answer in time; it may have gone on
-    UNREACHABLE = "unreachable"  # no connection; it never ran
-    RESET = "reset"  # the set-up or the established call was cut
+    TIMED_OUT = "timed out"  # no answer in time; the server may have gone on with the set-up
+    UNREACHABLE = "unreachable"  # no connection to the server; the set-up never ran
+    RESET = "reset"  # the set-up or the established call was cut off
     CANCELLED = "cancelled"
-    NOT_SENT = "not sent"  # it never left the node
+    NOT_SENT = "not sent"  # the set-up never left the node
 
     @property
     def is_unclear(self) -> bool:
-        """Whether the server may still be at work on the set-up, or hold the call."""
+        """Whether the server may still process the set-up or keep the call."""
         return self in (AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)
 
     @property
     def never_ran(self) -> bool:
-        """Whether the server certainly did nothing for the call."""
+        """Whether the server certainly did not process the set-up."""
         return self in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT)
 
 
 class LoadReport(NamedTuple):
-    """A server's load figures; each may be missing. Line counts are exact, the others late and noisy."""
+    """A server's load figures; None: not reported. Line counts are exact, the others late and noisy."""
 
     free_lines: float | None = None
     total_lines: float | None = None
     processor_wait_s: float | None = None  # queueing delay at its processor
-    queue_length: float | None = None  # messages waiting there
+    queue_length: float | None = None  # messages waiting for its processor
     in_service: float | None = None  # messages being processed
     utilization: float | None = None  # fraction of the processor in use, 0 to 1
-    admissible_rate: float | None = None  # new set-ups a second it can take from all senders
-    throttle_fraction: float | None = None  # fraction of new set-ups it asks each sender to reject
+    admissible_rate: float | None = None  # new set-ups per second that it accepts from all senders
+    throttle_fraction: float | None = None  # fraction of new set-ups that each sender should reject
 
 
-NO_LOAD = LoadReport()  # for what came without a load report
+NO_LOAD = LoadReport()  # for a message that carries no load report
 
 
 class EndpointRecord(NamedTuple):
-    """One call server in the endpoint list; several servers may have one number."""
+    """One call server in the endpoint list; several servers may share a number."""
 
     server_id: int
     number: int
     availability: Availability = Availability.READY
-    started_at: float = 0.0  # when it last started; 0: long ago
+    started_at: float = 0.0  # when the server last started; 0: long ago
 
 
 class Message:
-    """An event or an action.
+    """The base class of events and actions.
 
-    One method shows the fields of all: a generated one for each costs time at every start.
+    All subclasses share one `__repr__`, because a generated one for each class takes time at every start.
     """
 
     __slots__ = ()
-    __match_args__: ClassVar[tuple[str, ...]]  # the names of the fields, as `dataclass` sets them
+    __match_args__: ClassVar[tuple[str, ...]]  # the field names, set by `dataclass`
 
     def __repr__(self) -> str:
-        """Return the class and the fields, as `dataclass` would."""
+        """Return the class name and the fields in the format of `dataclass`."""
         fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__match_args__)
         return f"{type(self).__name__}({fields})"
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class EndpointsUpdated(Message):
-    """The complete endpoint list, or only the records that changed."""
+    """The endpoint list was received: completely, or only the records that changed."""
 
     endpoints: tuple[EndpointRecord, ...]
     complete: bool
@@ -97,20 +97,20 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class CallOffered(Message):
-    """A caller asks for a call. One final answer is owed within `caller_timeout_s`."""
+    """A caller offered a call. The call needs one final answer within `caller_timeout_s`."""
 
     call_id: int
-    call_class: CallClass | None  # as it was when the call came, while the call is open; None: unknown
+    call_class: CallClass | None  # the class as set when the call was offered, until it ends; None: unknown
     preferred_number: int  # number of the servers of first choice; -1: none
     caller_timeout_s: float
-    is_caller_retry: bool = False  # the caller has tried this call before, and says so
-    in_transit: bool = False  # it comes from another node and must go to its first choice
+    is_caller_retry: bool = False  # the caller marked the call as a retry
+    in_transit: bool = False  # the call comes from another node and may go only to its first choice
     called_number: int = 0  # destination number; 0: unknown
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class CallEstablished(Message):
-    """A call is established; its set-up took `elapsed_s`."""
+    """A server established a call; the set-up took `elapsed_s`."""
 
     call_id: int
     server_id: int
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class AttemptEnded(Message):
-    """An attempt has ended. `answered`: the caller has had its final answer."""
+    """An attempt has ended. `answered`: the caller already has its final answer."""
 
     call_id: int
     server_id: int
@@ -127,21 +127,21 @@
     answered: bool
     report: LoadReport
     elapsed_s: float = 0.0
-    retry_after_s: float | None = None  # as the server that rejected it asked
-    destination_busy: bool = False  # all lines of the number called are busy
-    no_free_line: bool = False  # rejected for want of a free line, not of processor time
+    retry_after_s: float | None = None  # the delay requested in the server's rejection
+    destination_busy: bool = False  # all lines of the called number are busy
+    no_free_line: bool = False  # the set-up was rejected for lack of a free line, not of processor time
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class CallAbandoned(Message):
-    """The caller has gone; no answer is owed any more."""
+    """The caller abandoned the call, which needs no final answer any more."""
 
     call_id: int
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class LoadReported(Message):
-    """A load report that came by itself or as the answer to a health check."""
+    """A server sent a load report, unsolicited or as the answer to a health check."""
 
     server_id: int
     report: LoadReport
@@ -158,7 +158,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class PeerMessageReceived(Message):
-    """A message from another node."""
+    """Another node sent a message."""
 
     peer_id: int
     body: bytes
--- a/stairhatch/overload/load_balancing.py
+++ b/stairhatch/overload/load_balancing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a call goes to: the first choice while it is clear, else the better of two drawn."""
+"""The choice of an endpoint for a call: the first choice while unflagged, else the better of two drawn."""
 
 import math
 import random
@@ -12,14 +12,14 @@
 from stairhatch.overload.slow_start import SlowStart
 from stairhatch.overload.thresholds import EVIDENCE_LIFETIME_S, Thresholds
 
-RESERVED_LINES = 1.0  # free lines kept from calls of no weight, in roots of an endpoint's lines
+RESERVED_LINES = 1.0  # free lines closed to calls of weight 0, in square roots of an endpoint's lines
 
-Available = list[tuple[Endpoint, float]]  # each with the least weight of a call that it is open to
+Available = list[tuple[Endpoint, float]]  # each endpoint with the minimum weight of a call that may use it
 
 
 @dataclass(eq=False, repr=False)
 class LoadBalancer:
-    """Chooses among the endpoints that are eligible for a call and have capacity at this moment."""
+    """Chooses an endpoint among those that are eligible for a call and have capacity at the moment."""
 
     thresholds: Thresholds
     endpoints: dict[int, Endpoint]
@@ -29,9 +29,12 @@
     rng: random.Random
 
     def choose(self, now: float, call: PendingCall, available: Available) -> Endpoint | None:
-        """First choice while clear; else an unflagged one of two drawn; else fewer own pending set-ups."""
-        choices = [e for e, least in available if call.weight >= least and self.is_eligible(call, e)]
-        if call.error_servers:  # another server's answer shows whose fault it is
+        """Return the first choice if unflagged; else, of two drawn, one unflagged or with fewer pending.
+
+        None if no endpoint in `available` is eligible. Pending are this node's own set-ups.
+        """
+        choices = [e for e, weight in available if call.weight >= weight and self.is_eligible(call, e)]
+        if call.error_servers:  # another server's answer shows whether the call or the server is at fault
             choices = [e for e in choices if e.id not in call.error_servers] or choices
         if not choices:
             return None
@@ -45,14 +48,14 @@
         return min(drawn, key=lambda endpoint: len(endpoint.pending_setups))
 
     def first_choice(self, call: PendingCall) -> Endpoint | None:
-        """The endpoint that the call names, if it is known."""
+        """Return the first ready endpoint with the call's preferred number, or None."""
         for endpoint in self.endpoints.values():
             if endpoint.number == call.preferred_number and endpoint.availability is Availability.READY:
                 return endpoint
         return None
 
     def is_eligible(self, call: PendingCall, endpoint: Endpoint) -> bool:
-        """Whether the endpoint list, the class and the call's routing allow this endpoint at all."""
+        """Return whether the endpoint list, the call's class and its routing allow this endpoint."""
         if endpoint.number == self.thresholds.own_number or endpoint.availability is not Availability.READY:
             return False
         if call.in_transit:
@@ -61,11 +64,11 @@
         return allowed is None or endpoint.number in allowed
 
     def available(self, now: float) -> Available:
-        """The endpoints that can be sent something at this moment."""
+        """Return the endpoints that have capacity at the moment, with their minimum weights."""
         return [each for endpoint in self.endpoints.values() for each in self._if_available(now, endpoint)]
 
     def refresh(self, now: float, available: Available, endpoint: Endpoint) -> None:
-        """Bring an endpoint's place among the available ones up to date: it has been sent something."""
+        """Update or remove an endpoint in `available` after a set-up was sent to it."""
         index = next(i for i, (each, _) in enumerate(available) if each is endpoint)
         available[index : index + 1] = self._if_available(now, endpoint)
 
@@ -73,7 +76,7 @@
         return [(endpoint, self._min_weight(now, endpoint))] if self.has_capacity(now, endpoint) else []
 
     def _min_weight(self, now: float, endpoint: Endpoint) -> float:
-        """Extension: the last free lines are kept for the calls of the greatest weight (f920180d)."""
+        """Extension: reserve the last free lines for the calls of the greatest weight (f920180d)."""
         total, in_use = endpoint.total_lines, endpoint.lines_in_use
         if total <= 0 or in_use is None or now - endpoint.lines_reported_at > EVIDENCE_LIFETIME_S:
             return 0.0
@@ -81,7 +84,7 @@
         return self.thresholds.max_weight * (1 - free / (RESERVED_LINES * math.sqrt(total)))
 
     def has_capacity(self, now: float, endpoint: Endpoint) -> bool:
-        """Extension: ejected, warming and flagged endpoints get only what they can take."""
+        """Return whether a set-up may be sent. Extension: limits ejected, warming and slow endpoints."""
         if now < endpoint.ejected_until:
             return False
         warming = self.slow_start.is_warming_up(now, endpoint)
--- a/stairhatch/overload/pending_queue.py
+++ b/stairhatch/overload/pending_queue.py
@@ -1,6 +1,6 @@
-"""The calls that are owed a final answer, and the queue of those that wait for an available endpoint.
+"""Calls without a final answer, and the set-up queue of those that wait for an available endpoint.
 
-The queue keeps order. Nothing here decides anything.
+The queue only keeps the order and the deadlines of the calls. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class PendingCall:
-    """A call that is owed its final answer."""
+    """A call that has no final answer yet."""
 
     id: int
     call_class: CallClass
     preferred_number: int
     offered_at: float
     answer_by: float
-    weight: float  # its class's, less in a caller's retry
+    weight: float  # the priority weight of the call's class, reduced for a caller retry
     in_transit: bool
     called_number: int
-    queue_until: float  # it is rejected if no endpoint was available until then
+    queue_until: float  # the call is rejected if no endpoint is available by this time
     max_attempts: int
     attempts: int = 0
     may_have_run: bool = False  # an attempt may have been processed
     error_servers: tuple[int, ...] = ()  # servers that answered it with an error
-    not_before: float = 0.0  # no further attempt before: the end of the last one was unclear
+    not_before: float = 0.0  # earliest time of the next attempt, after one with an unclear outcome
 
     @classmethod
     def offered(
         cls, event: CallOffered, now: float, answer_by: float, queue_until: float, max_attempts: int
     ) -> PendingCall:
-        """A call as it comes; its class must be known. Its weight is its class's."""
+        """Create the record of an offered call with the weight of its class, which must be known."""
         assert event.call_class is not None
         return cls(
             id=event.call_id,
@@ -54,34 +54,34 @@
 
 
 class PendingQueue:
-    """Pending calls by weight, the oldest first, and the time at which each leaves the queue."""
+    """The set-up queue: pending calls by weight, oldest first, and the time at which each becomes due."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.calls: dict[int, PendingCall] = {}
         self.by_weight: dict[float, list[tuple[float, int]]] = {}  # weight -> (offered at, call id), in order
-        self.deadlines: list[tuple[float, int]] = []  # a heap; some are of calls that wait no more
+        self.deadlines: list[tuple[float, int]] = []  # heap of (time, call id), also of calls removed since
 
     def __len__(self) -> int:
-        """How many calls wait."""
+        """Return the number of calls in the queue."""
         return len(self.calls)
 
     def __contains__(self, call_id: int) -> bool:
-        """Whether a call waits."""
+        """Return whether a call is in the queue."""
         return call_id in self.calls
 
     def __iter__(self) -> Iterator[int]:
-        """The ids of the calls, in the order in which they were added."""
+        """Iterate over the ids of the calls in the order in which the calls were added."""
         return iter(self.calls)
 
     def add(self, call: PendingCall) -> None:
-        """Queue a call until its `queue_until`."""
+        """Add a call, to be due at its `queue_until`."""
         self.calls[call.id] = call
         bisect.insort(self.by_weight.setdefault(call.weight, []), (call.offered_at, call.id))
         heapq.heappush(self.deadlines, (call.queue_until, call.id))
 
     def remove(self, call_id: int) -> None:
-        """Take a call out, if it is there."""
+        """Remove a call if it is in the queue."""
         call = self.calls.pop(call_id, None)
         if call is not None:
             queue = self.by_weight[call.weight]
@@ -90,16 +90,16 @@
                 del self.by_weight[call.weight]
 
     def weights(self) -> list[float]:
-        """The weights of the calls, the greatest first."""
+        """Return the distinct weights of the calls, greatest first."""
         return sorted(self.by_weight, reverse=True)
 
-    def calls_of(self, weight: float) -> Iterator[PendingCall]:
-        """The calls of one weight, the oldest first. They may be removed meanwhile."""
+    def calls_of_weight(self, weight: float) -> Iterator[PendingCall]:
+        """Iterate over the calls of one weight, oldest first. The current call may be removed meanwhile."""
         for _, call_id in self.by_weight[weight].copy():
             yield self.calls[call_id]
 
     def pop_due(self, now: float) -> PendingCall | None:
-        """The next call whose pending deadline has passed; it stays in the queue until it is removed."""
+        """Return the next call that is due, or None. The call stays in the queue until `remove`."""
         while self.deadlines and self.deadlines[0][0] <= now:
             call = self.calls.get(heapq.heappop(self.deadlines)[1])
             if call is not None and now >= call.queue_until:
@@ -107,5 +107,5 @@
         return None
 
     def postpone(self, call: PendingCall, until: float) -> None:
-        """Have a call that was due come due again."""
+        """Make a call that `pop_due` returned due again at `until`."""
         heapq.heappush(self.deadlines, (until, call.id))
--- a/stairhatch/overload/thresholds.py
+++ b/stairhatch/overload/thresholds.py
@@ -1,30 +1,28 @@
-"""The settings in use, and the thresholds of the overload control that are derived from them."""
+"""The settings in use, and the thresholds that the overload control derives from them."""
 
 from stairhatch.overload.settings import Settings
 
-# Fractions of the strictest latency objective: the delay after which a pending set-up is sent again or late.
+# Fractions of the strictest objective, the delay after which a pending set-up is late or retransmitted.
 ONSET_FRACTION = 0.35
 ABATEMENT_FRACTION = 0.2
-EVIDENCE_LIFETIME_S = 3.0  # a measurement or a report older than this is not used
-MEMORY_S = 30.0  # time constant of what is remembered for long
-INITIAL_FLEET_LIMIT = (
-    10.0  # set-ups pending at one server from all nodes together, at first; each node has its part
-)
-MIN_FLEET_LIMIT = 1.0
+EVIDENCE_LIFETIME_S = 3.0  # a measurement or a load report older than this is not used
+MEMORY_S = 30.0  # time constant of the long-term averages, and how long old observations are kept
+INITIAL_FLEET_LIMIT = 10.0  # first limit on pending set-ups of all nodes at a server, divided evenly
+MIN_FLEET_LIMIT = 1.0  # lower bound of the same limit, divided evenly too
 
 
 class Thresholds:
-    """The settings and what follows from them; all parts of one controller share it. Delays are seconds."""
+    """The settings and the thresholds derived from them, shared by all parts of a controller, in seconds."""
 
     def __init__(self, settings: Settings) -> None:
-        """Derive all from the settings."""
+        """Derive the thresholds from the settings."""
         self.update(settings)
 
     def update(self, settings: Settings) -> None:
-        """Replace the settings and all that is derived from them in one step."""
+        """Replace the settings and all derived thresholds in one step."""
         self.settings = settings
         self.safety = settings.safety
-        self.own_number = settings.own_server_number  # looked at for each endpoint and call
+        self.own_number = settings.own_server_number  # stored because each endpoint and call reads it
         self.initial_limit = INITIAL_FLEET_LIMIT / settings.instance_count
         self.min_limit = MIN_FLEET_LIMIT / settings.instance_count
         self.objective_s = settings.strictest_objective_s
