--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -1,8 +1,8 @@
-"""Rule 4 with twenty and thirty softswitches: a warming server is not pushed over.
+"""Tests of rule 4 with 20 and 30 softswitches: they must not overload a server that is warming up.
 
-Beyond the budget of N set-ups a window only 2 root N + 2 are put down to chance (issue 35). The real
-decisions run on the virtual clock of `benchmarks/slow_start/simulation.py`, which counts what reaches the
-warming server; `docs/cold.md` has the derivation.
+With a budget of N set-ups per window, at most 2 sqrt(N) + 2 more are attributed to chance (issue 35). The
+real decisions run on the virtual clock of `benchmarks/slow_start/simulation.py`, which counts the set-ups
+that reach the warming server; `docs/cold.md` has the derivation.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def drawn_site(seed: int) -> Site:
-    """Settings and servers of other sites: every figure that the rule or the pace depends on."""
+    """Return a site with random values of all settings that rule 4 or the rate of slow start depends on."""
     rng = random.Random(seed)
     safety = SafetyLimits(
         initial_capacity_fraction=rng.uniform(0.2, 0.6),
@@ -66,21 +66,21 @@
 
 
 def took_effect(scenario: Scenario, members: int, result: SlowStartResult) -> bool:
-    """Whether what the scenario does to members and connections has happened: else nothing was tested."""
-    least = {
+    """Return whether the scenario's changes to members and connections happened; else it tested nothing."""
+    required_activations = {
         Scenario.RESTARTED: members // 2,
         Scenario.BOTH: members // 2,
         Scenario.LATE: members // 5,
         Scenario.RENUMBERED: members,
         Scenario.LINKS_LATE: members,
     }
-    return result.activations >= least.get(scenario, 0)
+    return result.activations >= required_activations.get(scenario, 0)
 
 
 @pytest.mark.parametrize("members", [20, 30])
 @pytest.mark.parametrize("scenario", Scenario)
-def test_no_window_of_a_warming_server_goes_beyond_the_budget_and_chance(scenario, members):
-    """A fleet does not push a warming server over, at sites of all kinds."""
+def test_no_window_of_a_warming_server_exceeds_the_budget_and_its_chance_margin(scenario, members):
+    """A fleet must not overload a warming server at any kind of site."""
     for seed in range(10):
         site = SMALL_SITE if seed % 4 == 0 else drawn_site(seed)
 
@@ -94,15 +94,15 @@
 
 @pytest.mark.parametrize("site", [KELP_WATCH, MOSS_LINE], ids=["kelp-watch", "moss-line"])
 @pytest.mark.parametrize("scenario", [Scenario.ALONE, Scenario.BOTH])
-def test_no_window_goes_beyond_it_at_the_made_up_sites(scenario, site):
-    """The pace is right for other deployments too: these are the figures of `deploy/sites/`."""
+def test_no_window_exceeds_the_bound_at_the_example_sites(scenario, site):
+    """The bound must hold for other deployments too; the sites have the figures of `deploy/sites/`."""
     for members in (20, 30):
         result = SlowStartSimulation(site, scenario, members, 1).run()
         assert result.fullest_window().bound_fraction <= 1.0
 
 
-def test_the_checker_tells_a_fleet_that_sends_too_much(monkeypatch):
-    """Without slow-start slots the bound is broken, so the checker and the load are worth something."""
+def test_a_fleet_without_slow_start_slots_exceeds_the_bound(monkeypatch):
+    """Shows that the offered load is high enough and that the check detects a fleet that sends too much."""
     monkeypatch.setattr(SlowStart, "has_slot", lambda *_: True)
 
     result = SlowStartSimulation(replace(Site(), capacity=15.0), Scenario.ALONE, 30, 1).run()
@@ -119,10 +119,10 @@
         (False, Scenario.BOTH, 0.2),
     ],
 )
-def test_what_the_bound_leaves_is_used(lines, scenario, least):
-    """A timid slow start rejects calls while a warming server idles. Of what it can bear in the first 12 s
-    it got 0.32 where lines are reported and 0.12 where none are, and with half of the processes new 0.18 and
-    0.09, while the rate that it reports was not used.
+def test_slow_start_uses_enough_of_the_capacity_within_the_bound(lines, scenario, least):
+    """Too slow a start rejects calls while the warming server is idle. While the reported rate was not used,
+    the server got these fractions of its capacity in the first 12 s: 0.32 with reported lines, 0.12 without;
+    with half of the processes new, 0.18 and 0.09.
     """
     site = Site(reports_lines=lines)
 
@@ -133,23 +133,23 @@
 
 
 def admissible_rate_after_restart(report: LoadReport | None) -> float:
-    """What one member lets the warming server have, which reported this before it started anew."""
+    """Return the rate that one member admits to a restarted server, given its report before the restart."""
     simulation = SlowStartSimulation(Site(), Scenario.CALM, 20, 1)
     member = simulation.members[0]
     simulation.handle(member, EndpointsUpdated((EndpointRecord(WARMING, 0),), False))
     if report is not None:
         simulation.handle(member, LoadReported(WARMING, report))
-    anew = EndpointRecord(WARMING, 0, started_at=simulation.now)
-    simulation.handle(member, EndpointsUpdated((anew,), False))
+    restarted = EndpointRecord(WARMING, 0, started_at=simulation.now)
+    simulation.handle(member, EndpointsUpdated((restarted,), False))
     controller = member.controller
     assert controller is not None
     return controller.parts.slow_start.admissible_rate(simulation.now, controller.endpoints[WARMING])
 
 
-def test_what_a_server_reported_before_it_started_anew_counts_no_more():
-    """A warming server must not get what the process before it was able to do."""
-    without = admissible_rate_after_restart(None)
-    reported = admissible_rate_after_restart(
+def test_reports_from_before_a_restart_do_not_raise_the_admissible_rate():
+    """A warming server must not get the rate that its previous process could sustain."""
+    rate_without_report = admissible_rate_after_restart(None)
+    rate_with_report = admissible_rate_after_restart(
         LoadReport(free_lines=10.0, total_lines=360.0, admissible_rate=40.0)
     )
-    assert 0 < reported < 1.1 * without
+    assert 0 < rate_with_report < 1.1 * rate_without_report
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller: first choice, pending calls, retries, log messages, and the settings it takes."""
+"""Tests of the controller: first choice, pending calls, retries, log messages and settings."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_first_choice_while_clear(make_node):
+def test_a_call_goes_to_its_first_choice_while_that_is_unflagged(make_node):
     node = make_node(servers=3)
     for choice in (2, 0, 1):
         assert [s.server_id for s in setups(node.offer(preferred_number=choice))] == [10 + choice]
@@ -43,24 +43,26 @@
     node.offer(class_index=0)
     node.offer(class_index=0)
     node.offer(class_index=1)
-    node.now += 0.05  # pending calls are scanned once an instant
+    node.now += 0.05  # pending calls are scanned once per instant
     assert [s.call_id for s in setups(node.established(1, 10))][:1] == [3]
 
 
-def test_same_events_same_actions():
-    def play():
-        controller, found = Controller(SETTINGS, random.Random(5)), []
-        found += controller.handle(1.0, EndpointsUpdated(tuple(EndpointRecord(s, s) for s in range(4)), True))
+def test_the_same_events_and_seed_give_the_same_actions():
+    def run():
+        controller, actions = Controller(SETTINGS, random.Random(5)), []
+        actions += controller.handle(
+            1.0, EndpointsUpdated(tuple(EndpointRecord(s, s) for s in range(4)), True)
+        )
         for i in range(300):
-            found += controller.handle(1.0 + i / 50, CallOffered(i, SETTINGS.classes[i % 2], i % 4, 3.0))
+            actions += controller.handle(1.0 + i / 50, CallOffered(i, SETTINGS.classes[i % 2], i % 4, 3.0))
             if i % 3 == 0:
-                found += controller.handle(1.0 + i / 50, CallEstablished(i, i % 4, 0.3))
-        return found
+                actions += controller.handle(1.0 + i / 50, CallEstablished(i, i % 4, 0.3))
+        return actions
 
-    assert play() == play()
+    assert run() == run()
 
 
-def test_nothing_is_kept_of_calls_that_have_their_answer(make_node):
+def test_no_record_of_a_call_remains_after_its_final_answer(make_node):
     node = make_node()
     for i in range(200):
         node.now += 0.05
@@ -74,7 +76,7 @@
     assert all(not s.pending_setups for s in controller.endpoints.values())
 
 
-def test_impossible_settings_are_named():
+def test_the_error_for_an_impossible_setting_contains_its_name():
     with pytest.raises(ValueError, match="instance_count"):
         replace(SETTINGS, instance_count=0)
     with pytest.raises(ValueError, match="latency_objective_s"):
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "index"),
+    ("keys", "index"),
     [
         ({}, 0),
         ({"balancers": 5}, -1),
@@ -97,11 +99,11 @@
         ({"me": 0}, 0),
     ],
 )
-def test_a_node_knows_its_instance_index_only_where_it_is_told(told, index):
-    """Nodes that all took themselves for the first would use the same slow-start slots. An index out of range
-    is rejected: what was meant would be a guess.
+def test_a_node_of_several_has_an_instance_index_only_if_one_is_set(keys, index):
+    """If every node defaulted to index 0, all would use the same slow-start slots. An index out of range is
+    rejected, because the intended index can't be derived from it.
     """
-    raw = {"classes": [{"name": "a"}], **told}
+    raw = {"classes": [{"name": "a"}], **keys}
     if index is None:
         with pytest.raises(SettingsError, match=r"settings\.me: must be"):
             settings_from_object(raw)
@@ -110,7 +112,7 @@
 
 
 def test_the_policy_files_stay_within_730_lines_and_all_modules_within_110_columns():
-    """The size that the deploy file's policy files may have together holds."""
+    """The policy files of the deploy file must not exceed their allowed total size."""
     policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     lines = [line for name in policy for line in (ROOT / name).read_text().splitlines()]
     assert 0 < len([line for line in lines if line.strip()]) <= 730
@@ -119,8 +121,8 @@
     assert "settings, events, actions and records" in (ROOT / policy[0]).read_text()[:300]
 
 
-def test_caller_retries_weigh_less_whether_marked_or_not(make_node):
-    """Late retries do not take the place of fresh calls."""
+def test_marked_and_unmarked_caller_retries_have_a_lower_weight(make_node):
+    """Late retries must not displace calls that are offered for the first time."""
     node = make_node(servers=1)
     for _ in range(50):
         node.offer(class_index=0, caller_timeout_s=3.0)
@@ -132,25 +134,25 @@
     assert node.controller.calls[node.next_call - 1].weight == fresh * SETTINGS.classes[0].late_weight
 
 
-def test_log_messages_are_one_for_each_change_and_no_more(make_node):
+def test_each_change_is_logged_once(make_node):
     node = make_node()
-    todo = setups(node.offer(preferred_number=0))
+    sent = setups(node.offer(preferred_number=0))
     for _ in range(100):
-        todo += setups(node.expire_timer(0.05))
-        while todo:
-            act = todo.pop()
-            todo += setups(
+        sent += setups(node.expire_timer(0.05))
+        while sent:
+            act = sent.pop()
+            sent += setups(
                 node.attempt_ended(act.call_id, act.server_id, AttemptOutcome.REJECTED)
                 if act.server_id == 10
                 else []
             )
-        todo += setups(node.offer(preferred_number=0))
+        sent += setups(node.offer(preferred_number=0))
     messages = [a.text for a in node.actions if isinstance(a, LogMessage)]
     assert messages == ["server 10 ejected: rejected"]
 
 
 def test_thousands_of_pending_calls_are_scanned_once_an_instant(make_node):
-    """Not every event costs a scan of all pending calls."""
+    """An event must not cause a scan of all pending calls if another event at the same instant did."""
     node = make_node()
     controller, scans = node.controller, []
     balancer, choose = controller.parts.load_balancer, controller.parts.load_balancer.choose
@@ -161,15 +163,15 @@
     assert len(scans) < 3 * 2000
 
 
-def test_calls_that_no_server_can_take_are_not_scanned_each_time(make_node):
-    """Thousands of pending calls that no server can take cost no look at each of them, for each server, at
-    every instant; that once took a third of a processor core.
+def test_pending_calls_that_no_server_accepts_are_not_scanned(make_node):
+    """Thousands of pending calls whose weight no server accepts must not be checked against each server at
+    every instant. Such checks once took a third of a processor core.
     """
     node = make_node()
     controller, scans = node.controller, []
-    few = LoadReport(free_lines=1, total_lines=100)  # reserved for the calls of greatest weight
+    one_free_line = LoadReport(free_lines=1, total_lines=100)  # reserved for calls of the greatest weight
     for server in (10, 11):
-        node.handle(LoadReported(server, few))
+        node.handle(LoadReported(server, one_free_line))
     for _ in range(500):
         node.offer()
     balancer, choose = controller.parts.load_balancer, controller.parts.load_balancer.choose
@@ -181,4 +183,4 @@
     assert not scans
     node.expire_timer(1.2)
     assert not controller.pending
-    assert len(final_answers(node.actions)) == 500  # each is rejected when its time is over
+    assert len(final_answers(node.actions)) == 500  # each call is rejected at its deadline in the queue
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Which servers are left out, and for what: rejections, errors, busy numbers, want of free lines."""
+"""Tests of ejection: rejections and errors eject a server; busy numbers and a lack of free lines do not."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from .support.access_node import final_answers, setups
 
 
-def test_a_server_that_rejects_at_once_does_not_draw_the_calls(make_node):
-    """Rejections within 20 ms do not make a full server look the least loaded."""
+def test_a_server_that_rejects_quickly_does_not_attract_calls(make_node):
+    """Rejections within 20 ms must not make a full server appear to be the least loaded."""
     node = make_node()
-    full = 0
+    rejected = 0
     for _ in range(100):
         node.now += 0.02
-        todo = setups(node.offer(preferred_number=0))
-        while todo:
-            act = todo.pop()
+        sent = setups(node.offer(preferred_number=0))
+        while sent:
+            act = sent.pop()
             if act.server_id == 10:
-                full += 1
-                todo += setups(node.attempt_ended(act.call_id, 10, AttemptOutcome.REJECTED))
+                rejected += 1
+                sent += setups(node.attempt_ended(act.call_id, 10, AttemptOutcome.REJECTED))
             else:
                 node.established(act.call_id, 11)
-    assert full <= 4
+    assert rejected <= 4
 
 
-def test_a_server_is_ejected_for_errors_to_calls_established_elsewhere_but_not_for_a_lone_one(make_node):
-    """A server that answers with errors at once does not pass for the fastest of all."""
+def test_a_server_is_ejected_after_two_errors_to_calls_established_elsewhere(make_node):
+    """A server that quickly answers with errors must not count as the fastest. One error doesn't eject it."""
     node = make_node()
     for call in (1, 2):
         assert not node.controller.endpoints[10].ejected
@@ -41,8 +41,8 @@
     assert not node.controller.endpoints[11].ejected
 
 
-def test_setups_that_no_server_can_use_eject_none_and_have_two_attempts_at_most(make_node):
-    """Errors to the set-ups of bad clients do not eject sound servers."""
+def test_a_setup_that_fails_at_each_server_ejects_none_and_has_two_attempts(make_node):
+    """Errors to faulty set-ups of a client must not eject sound servers."""
     node = make_node()
     for call in range(1, 20):
         (first,) = setups(node.offer())
@@ -54,38 +54,38 @@
     assert not any(server.ejected for server in node.controller.endpoints.values())
 
 
-def test_a_busy_number_gets_trial_calls_only_and_others_go_on(make_node):
-    """A rush on one busy number neither ejects servers nor holds up calls to other numbers."""
+def test_a_busy_number_gets_only_trial_calls_and_other_numbers_are_unaffected(make_node):
+    """Many calls to one busy number must neither eject servers nor delay calls to other numbers."""
     node = make_node()
-    tried = 0
+    trial_calls = 0
     for _ in range(100):
         node.now += 0.05
         for act in setups(node.offer(called_number=7)):
-            tried += 1
+            trial_calls += 1
             assert final_answers(
                 node.attempt_ended(act.call_id, act.server_id, AttemptOutcome.ERROR, destination_busy=True)
             )
-    assert tried <= 5
+    assert trial_calls <= 5
     assert not node.controller.endpoints[10].ejected
     assert setups(node.offer(called_number=8))
-    for _ in range(3000):  # once the number answers again, it is forgotten
+    for _ in range(3000):  # the backoff ends once calls to the number are established again
         node.now += 0.05
         for act in setups(node.offer(called_number=7)):
             node.established(act.call_id, act.server_id)
     assert not node.controller.parts.backoffs.by_number
 
 
-def test_the_last_free_lines_are_not_stormed(make_node):
-    taken = 0
+def test_not_all_nodes_send_to_the_last_free_line(make_node):
+    sent = 0
     for seed in range(100):
         node = make_node(servers=1, seed=seed)
         node.handle(LoadReported(10, LoadReport(free_lines=1, total_lines=100)))
-        taken += len(setups(node.offer(class_index=1)))
-    assert 5 < taken < 45  # one line among five nodes
+        sent += len(setups(node.offer(class_index=1)))
+    assert 5 < sent < 45  # five nodes share one free line
 
 
-def test_the_last_free_lines_are_kept_for_calls_of_greater_weight(make_node):
-    """Calls of less weight do not take the lines that those of greater weight then lack."""
+def test_the_last_free_lines_are_reserved_for_calls_of_greater_weight(make_node):
+    """Calls of less weight must not use the last lines, which calls of greater weight need."""
     node = make_node(servers=1)
     node.handle(LoadReported(10, LoadReport(free_lines=5, total_lines=100)))
     assert not setups(node.offer(class_index=0))
@@ -94,8 +94,8 @@
     assert setups(node.expire_timer(0.02))
 
 
-def test_want_of_a_line_does_not_eject_a_server(make_node):
-    """A rejection for want of a line does not eject a server whose processor is idle."""
+def test_a_rejection_for_lack_of_a_free_line_does_not_eject_a_server(make_node):
+    """The server's processor may be idle, so it must be used again once a load report shows free lines."""
     node = make_node(servers=1)
     node.offer(class_index=1)
     node.attempt_ended(1, 10, AttemptOutcome.REJECTED, no_free_line=True)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a warming server is paced by its own size."""
+"""Tests of slow start: the rate of set-ups to a warming server depends on that server's size."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from .support.access_node import SETTINGS, setups
 
 
-def test_a_big_warming_server_is_not_held_to_what_small_ones_bear(make_node):
-    """A warming server's lines tell its size; an answer of its own does not."""
+def test_the_rate_of_a_large_warming_server_exceeds_the_capacity_of_small_ones(make_node):
+    """The size of a warming server follows from its lines; its answers must not change the rate."""
     rates = {}
     for lines in (100, 1000):
         node = make_node()
@@ -28,15 +28,15 @@
         node.established(1, 10, 0.001)
         assert node.slow_start.admissible_rate(node.now, server) == rates[lines]
         server.pending_setups[2] = node.now
-        # A timeout is no answer in no time at all:
+        # A timeout must not count as an answer with a delay of 0.
         node.attempt_ended(2, 10, AttemptOutcome.TIMED_OUT, elapsed_s=3.0)
         assert node.slow_start.admissible_rate(node.now, server) <= rates[lines]
     assert rates[1000] > 5 * rates[100] > 0
 
 
-def test_all_nodes_together_keep_to_the_size_of_a_small_warming_server(make_node):
-    """A small warming server is not paced by what the largest server bears."""
-    settings, kept = replace(SETTINGS, instance_count=240), []
+def test_all_nodes_together_keep_within_the_capacity_of_a_small_warming_server(make_node):
+    """The rate to a small warming server must not depend on the capacity of the largest server."""
+    settings, totals = replace(SETTINGS, instance_count=240), []
     for lines in (200, 2000):
         sent = 0
         for seed in range(240):
@@ -50,10 +50,10 @@
                     act.server_id == 10
                     for act in setups(node.expire_timer(0.1) + node.offer(preferred_number=0))
                 )
-        kept.append(sent)
-    warm = [0.9 * lines / SETTINGS.classes[0].mean_duration_s for lines in (200, 2000)]
+        totals.append(sent)
+    warm_rates = [0.9 * lines / SETTINGS.classes[0].mean_duration_s for lines in (200, 2000)]
     safety = SETTINGS.safety
-    for sent, rate in zip(kept, warm, strict=True):
+    for sent, rate in zip(totals, warm_rates, strict=True):
         assert (
             0
             < sent
@@ -61,8 +61,8 @@
         )
 
 
-def test_after_an_outage_of_all_the_first_to_return_is_paced_by_what_was_borne(make_node):
-    """The rates that were reached before an outage count for the first server that returns."""
+def test_the_first_server_after_a_full_outage_gets_the_rate_reached_before(make_node):
+    """After an outage of all servers, the slow start of the first one must use the earlier utilization."""
     node = make_node(servers=1)
     for call in range(900, 910):
         node.attempt_ended(
@@ -78,8 +78,8 @@
     assert 0 < node.slow_start.warm_rate(node.now + 30, server) < node.slow_start.warm_rate(node.now, server)
 
 
-def test_a_warming_server_is_not_paced_by_a_small_one_that_happens_to_be_idle(make_node):
-    """The use of a small server's lines does not stand for that of a large one."""
+def test_the_rate_of_a_warming_server_does_not_follow_a_small_idle_server(make_node):
+    """The low utilization of a small server must not count as much as that of a large one."""
     node = make_node(servers=3)
     node.handle(LoadReported(10, LoadReport(free_lines=100, total_lines=1000)))
     node.handle(LoadReported(11, LoadReport(free_lines=80, total_lines=100)))
