--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -1,6 +1,6 @@
-"""The caller's leg of a call: its INVITE and its dialog, between the call manager and the caller.
+"""The caller's leg of a call: the INVITE and its dialog, between the call manager and the caller.
 
-It hangs on no connection, and chooses neither a server nor an answer.
+A leg is not bound to a connection. The call manager chooses the roster server and the result of the call.
 """
 
 from __future__ import annotations
@@ -29,74 +29,80 @@
 
 CAPABILITY_LINES = format_headers([ALLOW, SUPPORTED])
 SDP_LINE = format_headers([("content-type", SDP)])
-RSEQ_RANGE = 1_000_000  # the first RSeq is drawn from 1 to this (RFC 3262, section 3)
+RSEQ_RANGE = 1_000_000  # the first RSeq is a random number from 1 to this (RFC 3262, section 3)
 
 
 @dataclass(eq=False, slots=True)
 class DialogTable:
-    """The dialogs of a frontend and our open requests within them."""
+    """The table of a frontend's dialogs, and our open requests within them."""
 
     requests: ClientRequests
     legs: dict[DialogKey, CallLeg] = field(default_factory=dict)
 
     def find(self, key: DialogKey) -> CallLeg | None:
-        """The leg of a dialog that is not over."""
+        """Return the leg of an early or confirmed dialog, or None if there is no such dialog."""
         return self.legs.get(key)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class InviteTerms:
-    """What an INVITE asks for, beside the call itself."""
+class InviteParameters:
+    """The parameters of a leg that its INVITE has set."""
 
-    ident: str  # of the call, at the roster servers too
-    description: bytes  # b"": the offer is ours to make
-    timer: SessionTimer | None
-    user: str  # who calls, where that is proved
+    ident: str  # the id of the call, also sent to the roster servers
+    description: bytes  # the caller's offer; b"" if the INVITE has none, so that our 2xx makes the offer
+    timer: SessionTimer | None  # the negotiated session timer
+    user: str  # the authenticated user; "" if the caller was not authenticated
 
 
 class CallLeg:
-    """A caller's INVITE and its dialog; the call manager's `CallerSession`."""
+    """The caller's leg of one call; implements the call manager's `CallerSession`."""
 
     __slots__ = (
-        "_agent", "_bye_cause", "_dialogs", "call", "descriptions", "dialog", "ident", "invite", "path",
-        "provisional", "refresh", "success", "tag", "user",
+        "_agent", "_delayed_bye_cause", "_dialogs", "call", "descriptions", "dialog", "ident", "invite",
+        "path", "provisional", "refresh", "success", "tag", "user",
     )  # fmt: skip
 
     def __init__(
-        self, agent: UserAgent, dialogs: DialogTable, invite: ServerTransaction, terms: InviteTerms
+        self, agent: UserAgent, dialogs: DialogTable, invite: ServerTransaction, parameters: InviteParameters
     ) -> None:
-        """Begin for a new INVITE, which awaits its final response."""
+        """Create the leg of a new INVITE that has no final response."""
         context = agent.context
         self._agent = agent
         self._dialogs = dialogs
-        self.ident = terms.ident
+        self.ident = parameters.ident
         self.tag = context.new_token()
-        self.user = terms.user
-        self.invite: ServerTransaction | None = invite  # until its final response
+        self.user = parameters.user
+        self.invite: ServerTransaction | None = invite  # None after its final response
         self.call: Call | None = None
         self.dialog: Dialog | None = None
-        self.descriptions = SessionDescriptions.from_offer(terms.description)
+        self.descriptions = SessionDescriptions.from_offer(parameters.description)
         self.path = DialogPath(agent.flows, invite)
-        self.provisional: ProvisionalResponse | None = None  # until the final response
+        self.provisional: ProvisionalResponse | None = (
+            None  # None before the 180 and after the final response
+        )
         self.success = SuccessResponse(context, self.path, self)
-        self.refresh = SessionRefresh(context, dialogs.requests, self, terms.timer)
-        self._bye_cause = 0  # of a BYE that awaits the ACK: none goes before it (RFC 3261, 15)
+        self.refresh = SessionRefresh(context, dialogs.requests, self, parameters.timer)
+        # Q.850 cause of a BYE that is delayed until the ACK (RFC 3261, section 15); 0 if there is none.
+        self._delayed_bye_cause = 0
 
     @property
     def flow(self) -> Flow:
-        """The flow that the caller used last."""
+        """The flow of the dialog: the one of the caller's latest request."""
         return self.path.flow
 
     @property
     def established_dialog(self) -> Dialog:
-        """The dialog, where one has begun."""
+        """The dialog; it must exist, that is, a response with our tag must have been sent."""
         assert self.dialog is not None
         return self.dialog
 
-    # ---- from the call manager ----
+    # ---- events from the call manager ----
 
     def progressing(self) -> None:
-        """A roster server is processing the call: send 180, once, reliably if the caller supports that."""
+        """Send one 180 when a roster server is processing the call.
+
+        The 180 is reliable if the caller supports that (RFC 3262). A repeated notification sends nothing.
+        """
         invite = self.invite
         if invite is None or invite.head is None or self.dialog is not None:
             return
@@ -117,7 +123,10 @@
         )
 
     def established(self, description: bytes) -> None:
-        """The call is established: the 200 is sent until the ACK comes, and the dialog is confirmed."""
+        """Answer the INVITE with 200, which is retransmitted until its ACK, and confirm the dialog.
+
+        `description` is the roster server's session description.
+        """
         invite = self.invite
         if invite is None or invite.head is None:
             return
@@ -137,28 +146,31 @@
         self.refresh.start()
 
     def rejected(self, retry_after_s: float) -> None:
-        """The call is rejected; the caller may come back after so many seconds."""
+        """Answer the INVITE with 503; its Retry-After is `retry_after_s` rounded up, at least 1."""
         self._reject(503, [("retry-after", str(max(1, math.ceil(retry_after_s))))])
 
     def failed(self, timed_out: bool) -> None:
-        """The call can't be set up."""
+        """Answer the INVITE after a failed set-up: with 408 if it timed out, else with 500."""
         if timed_out:
             self._reject(408, [])
         else:
             self._reject(500, [("retry-after", "1")])
 
     def released(self, cause: int) -> None:
-        """The roster server has ended the call."""
+        """Send BYE after the roster server has released the call; `cause` is a Q.850 cause."""
         self.call = None
         if self.success.awaits_ack:
-            self._bye_cause = cause  # the ACK comes first, or the end of waiting for it
+            self._delayed_bye_cause = cause  # the BYE is sent after the ACK or its timeout
         else:
             self._send_bye(cause)
 
-    # ---- from the caller ----
+    # ---- events from the caller ----
 
     def ack_received(self, cseq: int, message: sip.SipMessage) -> None:
-        """The ACK to the 2xx, with the caller's answer where the offer was ours."""
+        """Process an ACK to the 2xx; it carries the caller's answer if our 2xx made the offer.
+
+        An ACK with the CSeq of another request is ignored. A BYE delayed until the ACK is sent now.
+        """
         if not self.success.acknowledge(cseq):
             return
         if self.descriptions.awaits_answer:
@@ -166,11 +178,11 @@
                 self._agent.context.counters.add("answers_missing")
             body = session_descriptions.read_description(message)
             self.descriptions.receive_answer(body if isinstance(body, bytes) else b"")
-        if self._bye_cause:
-            self._send_bye(self._bye_cause)
+        if self._delayed_bye_cause:
+            self._send_bye(self._delayed_bye_cause)
 
     def cancelled(self) -> None:
-        """The caller abandons the set-up: by CANCEL, or a BYE in the early dialog."""
+        """End the set-up with 487 after a CANCEL, or after a BYE in the early dialog."""
         if self.invite is None:
             return
         call, self.call = self.call, None
@@ -179,12 +191,12 @@
         self._reject(487, [])
 
     def disconnected(self) -> None:
-        """The caller's connection has ended while its INVITE is open: no further attempt is made."""
+        """Make no further attempt after the caller's connection has ended without a final response."""
         if self.call is not None:
             self._agent.context.core.caller_disconnected(self.call)
 
     def bye_received(self, cause: int) -> None:
-        """The caller has hung up."""
+        """Release the call after a BYE from the caller; `cause` is a Q.850 cause."""
         call, self.call = self.call, None
         self._end_dialog()
         if call is not None:
@@ -193,7 +205,10 @@
     def reinvite_accepted(
         self, transaction: ServerTransaction, extra: sip.Headers, description: bytes, awaits_answer: bool
     ) -> None:
-        """Answer a re-INVITE with 200, which is sent until its ACK as the first was."""
+        """Answer a re-INVITE with 200, which is retransmitted until its ACK.
+
+        `awaits_answer` is true if `description` is an offer, so that the ACK must carry the answer.
+        """
         assert transaction.head is not None
         cseq = transaction.head.cseq
         data = self._agent.responder.respond(transaction, 200, extra, tag=self.tag, body=description)
@@ -202,14 +217,17 @@
         self.success.sent(data, cseq)
 
     def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
-        """A refresh of ours has its final response."""
+        """Pass the final response of our session refresh on, unless the dialog has ended."""
         if self.dialog is not None and self.dialog.state is not DialogState.TERMINATED:
             self.refresh.refresh_answered(status, message)
 
-    # ---- the end ----
+    # ---- release and rejection ----
 
     def terminate(self, cause: int = ReleaseCause.NORMAL_CLEARING, bye_cause: int = 0) -> None:
-        """End the call on both sides; `bye_cause` is what the caller is told, 0: the same."""
+        """Send BYE to the caller and release the call at the roster server.
+
+        `cause` and `bye_cause` are Q.850 causes. The BYE has `bye_cause`, or `cause` if that is 0.
+        """
         call, self.call = self.call, None
         self._send_bye(bye_cause or cause)
         if call is not None:
@@ -222,8 +240,8 @@
         self._dialogs.requests.send(self, "BYE", [("reason", f"Q.850;cause={cause}")])
 
     def ack_timed_out(self) -> None:
-        """No ACK to the 2xx has come within 64 T1."""
-        self.terminate(bye_cause=self._bye_cause)
+        """End the call if no ACK to the 2xx has been received within 64 T1."""
+        self.terminate(bye_cause=self._delayed_bye_cause)
 
     def _prack_timed_out(self) -> None:
         call, self.call = self.call, None
@@ -232,7 +250,7 @@
             self._agent.context.core.abandon(call)
 
     def _reject(self, status: int, extra: sip.Headers) -> None:
-        """Answer the INVITE with a non-2xx response."""
+        """Answer the INVITE with a non-2xx response and end its dialog."""
         invite = self.invite
         self.call = None
         self._end_invite()
@@ -241,23 +259,23 @@
             self._agent.responder.respond(invite, status, extra, tag=self.tag)
 
     def _end_invite(self) -> None:
-        """The INVITE has its final response."""
+        """Record that the INVITE gets its final response, and stop the repetition of the 180."""
         self.invite = None
         if self.provisional is not None:
             self.provisional.stop()
             self.provisional = None
 
-    # ---- the dialog ----
+    # ---- dialog state ----
 
     def _begin_dialog(self, head: RequestHead) -> None:
-        """The dialog begins with the first response that carries our tag (RFC 3261, 12.1)."""
+        """Create the dialog, for the first response that carries our tag (RFC 3261, 12.1)."""
         host, port = self.path.flow.peer
         fallback_target = f"sip:[{host}]:{port}" if ":" in host else f"sip:{host}:{port}"
         self.dialog = create_dialog(head, self.tag, fallback_target)
         self._dialogs.legs[self.dialog.key] = self
 
     def _end_dialog(self) -> None:
-        """The dialog is over; nothing is found by it any more."""
+        """Terminate the dialog, remove it from the table and stop its timers."""
         if self.dialog is not None and self.dialog.state is not DialogState.TERMINATED:
             self.path.terminate()
             self.dialog.state = DialogState.TERMINATED
@@ -269,7 +287,7 @@
         return [("record-route", value) for value in self.established_dialog.routes]
 
     def _success_lines(self, description: bytes) -> str:
-        """The header lines of the 200 to the INVITE."""
+        """Format the header lines of the 200 to the INVITE, without those copied from the request."""
         extra = self._record_routes()
         if self.refresh.timer is not None:
             extra += self.refresh.timer.headers()
--- a/stairhatch/sip/client_requests.py
+++ b/stairhatch/sip/client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of ours within a dialog, and another flow for them where their own ends."""
+"""The requests that we send within a dialog, sent again on another flow if their flow ends."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from stairhatch.sip.transport import Flow
 from stairhatch.sip.user_agent import UserAgent
 
-MAX_FLOWS = 3  # that one request is tried by
-HEADER_BYTES = 400  # about what a request takes beside its body, routes and addresses
+MAX_FLOWS = 3  # flows on which one request is tried
+HEADER_BYTES = 400  # estimated size of a request without its body, routes and addresses
 
 
 class DialogUsage(Protocol):
-    """What sends requests within a dialog: a dialog usage (RFC 5057)."""
+    """A dialog usage (RFC 5057): the sender of requests within a dialog."""
 
     path: DialogPath
 
     @property
     def established_dialog(self) -> Dialog:
-        """The dialog."""
+        """The dialog, which must exist."""
 
     def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
-        """A refresh of the session has its final response; None: it came from nobody."""
+        """Called with the final response of a session refresh; `message` is None if there was no response."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestContent:
-    """What a request says, beside what its dialog gives."""
+    """The content of a request that its dialog does not determine."""
 
     method: str
     headers: sip.Headers
@@ -41,34 +41,34 @@
 
 
 class ClientRequests:
-    """Our open requests within dialogs; one of a method at a time in each."""
+    """The table of our requests without a final response: at most one per dialog and method."""
 
     def __init__(self, agent: UserAgent) -> None:
-        """Begin with none."""
+        """Create an empty table; its requests are sent by `agent`."""
         self._agent = agent
         self._open: dict[tuple[DialogUsage, str], ClientRequest] = {}
 
     def send(self, usage: DialogUsage, method: str, extra: sip.Headers, body: bytes = b"") -> None:
-        """Send a request within a dialog."""
+        """Send a request within the dialog of `usage`; `extra` are its headers beside those of the dialog."""
         request = ClientRequest(self, self._agent, usage, RequestContent(method, extra, body))
         self._open[usage, method] = request
         request.send()
 
     def is_open(self, usage: DialogUsage, method: str) -> bool:
-        """Whether such a request awaits its final response."""
+        """Whether a request with this method awaits its final response in the dialog of `usage`."""
         return (usage, method) in self._open
 
     def is_settled(self) -> bool:
-        """Whether none awaits its final response."""
+        """Whether no request awaits its final response."""
         return not self._open
 
     def answered(self, usage: DialogUsage, method: str) -> None:
-        """One has its final response."""
+        """Remove the request with this method, which has its final response or has failed."""
         self._open.pop((usage, method), None)
 
 
 class ClientRequest:
-    """A request of ours within a dialog: the user of its client transactions, one after the other."""
+    """A request that we send within a dialog; the user of its client transactions, one per flow tried."""
 
     __slots__ = ("_agent", "_content", "_cseq", "_flows_failed", "_requests", "_transaction", "_usage")
 
@@ -79,17 +79,20 @@
         usage: DialogUsage,
         content: RequestContent,
     ) -> None:
-        """One that is not yet sent."""
+        """Create a request without sending it."""
         self._requests = requests
         self._agent = agent
         self._usage = usage
         self._content = content
         self._flows_failed = 0
-        self._cseq = 0  # until it is sent first
+        self._cseq = 0  # assigned when the request is sent for the first time
         self._transaction: ClientTransaction | None = None
 
     def send(self) -> None:
-        """Send it by the dialog's flow while that is alive, else by another."""
+        """Send the request on the dialog's flow if that is alive, else on another flow.
+
+        Each flow gets a new transaction, with the same CSeq.
+        """
         agent = self._agent
         dialog = self._usage.established_dialog
         if not self._cseq:
@@ -108,10 +111,10 @@
         )
 
     def provisional_received(self, status: int, message: sip.SipMessage) -> None:
-        """A provisional response changes nothing."""
+        """Ignore a provisional response."""
 
     def final_received(self, status: int, message: sip.SipMessage | None) -> None:
-        """It is answered; 408 or 503 without a message where it won't be."""
+        """Process the final response; `message` is None for a timeout (408) or if all flows failed (503)."""
         self._requests.answered(self._usage, self._content.method)
         if self._content.method == "INVITE" and 200 <= status < 300:
             self._acknowledge()
@@ -121,7 +124,10 @@
             self._agent.context.counters.add("byes_rejected")
 
     def flow_failed(self) -> None:
-        """Its flow has ended: send it by another one, `MAX_FLOWS` in all."""
+        """Send the request on another flow after its flow has ended.
+
+        After `MAX_FLOWS` flows the request fails with 503.
+        """
         self._flows_failed += 1
         if self._flows_failed >= MAX_FLOWS:
             self.final_received(503, None)
@@ -132,14 +138,17 @@
         size_bytes = HEADER_BYTES + len(self._content.body) + sum(map(len, dialog.routes))
         size_bytes += len(dialog.remote) + len(dialog.local)
         prefer_tcp = self._flows_failed < MAX_FLOWS - 1
-        used = self._usage.path.flow
-        return self._agent.flows.request_flow(dialog.next_hop(), used, size_bytes, prefer_tcp)
+        last_flow = self._usage.path.flow
+        return self._agent.flows.request_flow(dialog.next_hop(), last_flow, size_bytes, prefer_tcp)
 
     def _via(self, flow: Flow, branch: str) -> str:
         return f"SIP/2.0/{flow.transport} {self._agent.flows.sent_by(flow)};branch={branch}"
 
     def _acknowledge(self) -> None:
-        """The ACK to a 2xx is a transaction of its own (RFC 3261, 13.2.2.4)."""
+        """Send the ACK to a 2xx, with a branch of its own (RFC 3261, 13.2.2.4).
+
+        The transaction keeps the ACK to answer retransmissions of the 2xx.
+        """
         transaction = self._transaction
         if transaction is None:
             return
--- a/stairhatch/sip/dialog_path.py
+++ b/stairhatch/sip/dialog_path.py
@@ -1,4 +1,4 @@
-"""The path of a dialog's messages: the flow that its caller used last."""
+"""The path of a dialog's messages: the flow of the caller's latest request."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class DialogPath:
-    """The flow of a dialog and the address of its responses.
+    """The path of a dialog: the flow of its messages and the address of its responses.
 
-    While the dialog is established it is counted on its flow, so that a drain does not end the connection.
+    The flow counts its established dialogs, so that a drain does not end a connection that has any.
     """
 
     __slots__ = ("_flows", "_is_counted", "address", "flow")
 
     def __init__(self, flows: FlowRouter, invite: ServerTransaction) -> None:
-        """Begin with the flow of the INVITE."""
+        """Create a path that uses the flow and response address of the INVITE."""
         self._flows = flows
         self._is_counted = False
         self.flow: Flow = invite.flow
         self.address = invite.address
 
     def send_response(self, data: bytes) -> None:
-        """Send a response again, to where its request's Via says."""
+        """Retransmit a response; if its flow has ended, on a connection to the address from the Via."""
         if not self.flow.alive:
             self.flow = self._flows.response_flow(self.flow, self.address)
         self.flow.send(data)
 
     def establish(self, invite: ServerTransaction) -> None:
-        """The dialog is established; its path is that of the INVITE's 2xx."""
+        """Use the path of the INVITE's 2xx for the dialog, and count the dialog on its flow."""
         self.flow = invite.flow
         self.address = invite.address
         self.flow.count_dialogs(1)
         self._is_counted = True
 
     def follow(self, flow: Flow) -> None:
-        """A request of the established dialog has come by a flow: ours use it from now on."""
+        """Send our requests on the flow of the caller's latest request in the established dialog."""
         if flow is self.flow or not self._is_counted:
             return
         self.flow.count_dialogs(-1)
@@ -46,7 +46,7 @@
             self.address = flow.peer
 
     def terminate(self) -> None:
-        """The dialog is over."""
+        """Stop counting the dialog, which has ended, on its flow."""
         if self._is_counted:
             self._is_counted = False
             self.flow.count_dialogs(-1)
--- a/stairhatch/sip/dialog_requests.py
+++ b/stairhatch/sip/dialog_requests.py
@@ -1,4 +1,4 @@
-"""Requests within a dialog that have come in order."""
+"""The processing of the caller's requests within a dialog, after their CSeq has been checked."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 CHANGE_REJECTED = RequestRejection(
     488, headers=(("warning", '399 stairhatch "the session stays as it is"'), ACCEPT)
 )
-GLARE_RETRY_RANGE_S = 11  # Retry-After is drawn below this (RFC 3261, 14.2)
+GLARE_RETRY_RANGE_S = 11  # Retry-After is a random integer from 0 to 10 s (RFC 3261, 14.2)
 
 
 class DialogRequests:
-    """Answers the requests within the dialogs of one frontend."""
+    """The part of a frontend that answers requests within dialogs."""
 
     def __init__(self, agent: UserAgent, dialogs: DialogTable) -> None:
-        """Answer by this user agent."""
+        """Create a part that answers with the layers of `agent`."""
         self._agent = agent
         self._responder = agent.responder
         self._client_requests = dialogs.requests
 
     def request_received(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
-        """A request of a dialog has come in its order."""
+        """Answer a request whose CSeq is in order; other methods (OPTIONS) get 200 with our capabilities."""
         match head.method:
             case "BYE":
                 self._bye_received(transaction, head, leg)
@@ -62,14 +62,17 @@
         self._responder.respond(transaction, 200 if matched else 481)
 
     def _reinvite_received(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
-        """A re-INVITE refreshes the session, or is rejected and changes nothing (14.2)."""
+        """Accept a re-INVITE as a session refresh, or reject it without any change (RFC 3261, 14.2)."""
         remote_pending = leg.invite is not None
         local_pending = self._client_requests.is_open(leg, "INVITE") or leg.success.awaits_ack
         glare = session_descriptions.detect_glare(local_pending, remote_pending)
         self._offer_received(transaction, head, leg, glare)
 
     def _update_received(self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg) -> None:
-        """RFC 3311, 5.2. An UPDATE without a description never crosses anything."""
+        """Accept an UPDATE as a session refresh, or reject it (RFC 3311, 5.2).
+
+        An UPDATE without a body makes no offer and cannot cause glare.
+        """
         has_body = bool(head.message.body)
         remote_pending = has_body and leg.invite is not None
         awaits_answer = leg.success.awaits_ack and leg.descriptions.awaits_answer
@@ -80,7 +83,7 @@
     def _offer_received(
         self, transaction: ServerTransaction, head: RequestHead, leg: CallLeg, glare: Glare
     ) -> None:
-        """A re-INVITE or UPDATE is checked: for glare, for its description and its session timer."""
+        """Reject a re-INVITE or UPDATE for glare, its description or its session timer, or accept it."""
         if glare is Glare.LOCAL_PENDING:
             self._responder.reject(transaction, REQUEST_PENDING)
             return
@@ -111,7 +114,7 @@
         change: DescriptionChange,
         timer: SessionTimer | None,
     ) -> None:
-        """Answer a re-INVITE or UPDATE with 200: the session stays as it is and is refreshed."""
+        """Answer a re-INVITE or UPDATE with 200 and refresh the session; its description is unchanged."""
         dialog = leg.established_dialog
         dialog.refresh_target(head.message)
         if "allow" in head.names:
--- a/stairhatch/sip/dialogs.py
+++ b/stairhatch/sip/dialogs.py
@@ -1,6 +1,7 @@
-"""Dialogs (RFC 3261, section 12): identity, route set, target, and the order of the requests within one.
+"""Dialogs (RFC 3261, section 12): their id, route set, remote target and sequence numbers.
 
-It knows no transaction and no session, and sends nothing.
+This module does not depend on transactions or sessions, and sends nothing. Section numbers below refer to
+RFC 3261.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class DialogState(Enum):
-    """The state of a dialog."""
+    """The state of a dialog; a dialog begins in the early state."""
 
     EARLY = "early"
     CONFIRMED = "confirmed"
@@ -24,67 +25,70 @@
 
 
 class SequenceOrder(Enum):
-    """How a request's CSeq compares with those before it."""
+    """The comparison of a request's CSeq with those of earlier requests in its dialog."""
 
     IN_ORDER = "in order"
-    OUT_OF_ORDER = "out of order"  # answered 500 (12.2.2)
+    OUT_OF_ORDER = "out of order"  # the request is answered 500 (12.2.2)
 
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class Dialog:
-    """One dialog, of which we are the called side (UAS)."""
+    """A dialog in which we are the called side (UAS)."""
 
     call_id: str
     local_tag: str
     remote_tag: str
-    local: str  # our address without tag: the To of the INVITE
-    remote: str  # the caller's, with its tag: the From
-    target: str  # the remote target (12.2.1.1), as a URI
-    routes: tuple[str, ...]  # Record-Route as it came, in its order (12.1.1)
+    local: str  # the To header of the INVITE: our address, without tag
+    remote: str  # the From header of the INVITE: the caller's address, with its tag
+    target: str  # the URI of the remote target (12.2.1.1)
+    routes: tuple[str, ...]  # the Record-Route values of the INVITE, unchanged and in their order (12.1.1)
     remote_cseq: int
     local_cseq: int = 0
     state: DialogState = DialogState.EARLY
 
     @property
     def key(self) -> DialogKey:
-        """What its requests are found by."""
+        """The dialog id (section 12) by which the dialog of a request is found."""
         return self.call_id, self.local_tag, self.remote_tag
 
     def accept_cseq(self, cseq: int) -> SequenceOrder:
-        """Take note of a request's sequence number. A gap is no fault (12.2.2)."""
+        """Compare a request's CSeq with the last one, and store it if it is higher.
+
+        Gaps are allowed (12.2.2).
+        """
         if cseq <= self.remote_cseq:
             return SequenceOrder.OUT_OF_ORDER
         self.remote_cseq = cseq
         return SequenceOrder.IN_ORDER
 
     def next_cseq(self) -> int:
-        """The sequence number of our next request."""
+        """Increment and return the CSeq number for our next request."""
         self.local_cseq += 1
         return self.local_cseq
 
     def refresh_target(self, message: sip.SipMessage) -> None:
-        """A target refresh request names a new Contact (12.2.2); one that can't be read changes nothing."""
+        """Replace the remote target with the Contact of a message (12.2.2), unless that is not usable."""
         self.target = contact_uri(message) or self.target
 
     def next_hop(self) -> str:
-        """The URI that our next request is sent to."""
+        """Return the URI to which our next request is sent: the first route, or else the remote target."""
         return grammar.parse_address(self.routes[0]).uri if self.routes else self.target
 
     def format_request(
         self, method: str, cseq: int, via: str, extra: sip.Headers, body: bytes = b""
     ) -> bytes:
-        """The bytes of a request of ours.
+        """Format a request that we send within the dialog, and return its bytes.
 
-        A first route that is a strict router takes the place of the target, which then ends the list of
-        routes (12.2.1.1).
+        If the first route is a strict router, its URI becomes the request URI and the remote target becomes
+        the last route (12.2.1.1).
         """
         uri = self.target
         routes = list(self.routes)
         if routes:
-            hop = self.next_hop()
-            if not grammar.parse_uri(hop).is_loose_router:
+            first_route = self.next_hop()
+            if not grammar.parse_uri(first_route).is_loose_router:
                 routes = [*routes[1:], f"<{self.target}>"]
-                uri = hop
+                uri = first_route
         headers = [("via", via), ("max-forwards", "70")]
         headers += [("route", value) for value in routes]
         headers += [
@@ -98,7 +102,10 @@
 
 
 def contact_uri(message: sip.SipMessage) -> str:
-    """The URI of the one Contact of a request that makes or refreshes a dialog, "" without a usable one."""
+    """Return the URI of a message's Contact.
+
+    Returns "" unless the message has exactly one Contact, with a valid sip or sips URI.
+    """
     values = message.get_all("contact")
     if len(values) != 1:
         return ""
@@ -111,9 +118,10 @@
 
 
 def create_dialog(head: RequestHead, tag: str, fallback_target: str) -> Dialog:
-    """The dialog of an INVITE that is answered with a local tag (12.1.1).
+    """Create the early dialog of an INVITE that is answered with the local tag `tag` (12.1.1).
 
-    `fallback_target` is its target where Contact names none.
+    `fallback_target` is the URI of the remote target if the INVITE has no usable Contact. Malformed
+    Record-Route values are left out.
     """
     message = head.message
     routes = [value for value in message.get_all("record-route") if _is_route(value)]
@@ -130,7 +138,7 @@
 
 
 def _is_route(value: str) -> bool:
-    """Whether a route can be read; one that can't, can't be followed either."""
+    """Whether a Record-Route value can be parsed; a request cannot be routed by a malformed one."""
     try:
         grammar.parse_uri(grammar.parse_address(value).uri)
     except grammar.GrammarError:
@@ -139,5 +147,5 @@
 
 
 def dialog_key(head: RequestHead) -> DialogKey:
-    """The dialog that a request names."""
+    """Return the id of the dialog that a received request belongs to, by its Call-ID and tags."""
     return head.call_id, head.to_tag, head.from_tag
