--- a/stairhatch/sip/call_classification.py
+++ b/stairhatch/sip/call_classification.py
@@ -1,4 +1,4 @@
-"""The class and the preferred roster server of a call, by what its INVITE says."""
+"""The classification of a call from its INVITE: the call class and the preferred roster server."""
 
 from __future__ import annotations
 
@@ -12,18 +12,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CallClassification:
-    """What a call is."""
+    """The class and the preferred roster server of a call."""
 
-    call_class: CallClass | None  # None: the settings have no class of that name
-    preferred_number: int  # of the roster server that is tried first; -1: none
+    call_class: CallClass | None  # None if the settings have no class with the name
+    preferred_number: int  # number of the roster server that is tried first, or NO_PREFERENCE
 
 
 def classify_call(context: SipContext, called_user: str, call_kind: str) -> CallClassification:
-    """Classify a call: `Call-Kind` names its class, else the number called does by its prefix."""
+    """Classify a call by its Call-Kind header and the called number.
+
+    The first prefix in `config.numbers` that matches gives the preferred roster server, and the class if
+    `call_kind` is "". Without a match the default class is used.
+    """
     config = context.config
     name, preferred_number = config.default_class, NO_PREFERENCE
-    for each in config.numbers:
-        if called_user.startswith(each.prefix):
-            name, preferred_number = each.call_class, each.preferred_number
+    for number_prefix in config.numbers:
+        if called_user.startswith(number_prefix.prefix):
+            name, preferred_number = number_prefix.call_class, number_prefix.preferred_number
             break
     return CallClassification(context.core.classes.named(call_kind or name), preferred_number)
--- a/stairhatch/sip/context.py
+++ b/stairhatch/sip/context.py
@@ -1,4 +1,4 @@
-"""What every part of the SIP frontend needs from its process."""
+"""The context of the SIP frontend: the services of the process that all its parts use."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(eq=False, slots=True)
 class SipContext:
-    """One for a frontend, shared by its parts. A reload replaces `config`."""
+    """The context that the parts of one frontend share."""
 
     core: CallManager
-    config: SipConfig
-    new_token: Callable[[], str]  # for tags and branches: unique, and not to be guessed
-    draw_fraction: Callable[[], float]  # draws a number from 0 to 1 at random
+    config: SipConfig  # replaced by a reload
+    new_token: Callable[[], str]  # returns a unique, unpredictable token for a tag or branch
+    draw_fraction: Callable[[], float]  # returns a random number from 0 to 1
 
     @property
     def counters(self) -> Counters:
@@ -31,5 +31,5 @@
         return self.core.timers
 
     def now(self) -> float:
-        """Unix time in seconds, which never steps."""
+        """Return the Unix time in seconds, from a clock that is never stepped."""
         return self.core.clock()
--- a/stairhatch/sip/frontend.py
+++ b/stairhatch/sip/frontend.py
@@ -1,7 +1,7 @@
-"""The SIP frontend of the appliance: it is fed messages by its flows, and joins the parts of the user agent.
+"""The SIP frontend of the appliance: the handler of all received messages, and the parts of the user agent.
 
-It knows no socket, chooses no server and no answer for the servers' sake, and lets no call or dialog hang on
-one connection.
+The frontend uses no sockets. The call manager chooses the roster server and the result of each call. Calls
+and dialogs are not bound to a connection.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 
 BYTES_PER_MB = 1024 * 1024
 ACCEPT_LINE = format_headers([ACCEPT])
-BODY_STATUSES = (413, 415, 513)  # their responses list the accepted body types
+BODY_ERROR_STATUSES = (413, 415, 513)  # their responses list the accepted body types
 
 
 class SipFrontend:
-    """All flows, transactions and dialogs of the appliance; the `MessageHandler` of its flows."""
+    """The owner of the appliance's flows, transactions and dialogs; the `MessageHandler` of the flows."""
 
     def __init__(
         self,
@@ -48,10 +48,10 @@
         draw_fraction: Callable[[], float],
         secret: bytes = b"",
     ) -> None:
-        """Begin without calls.
+        """Create a frontend without calls.
 
-        `new_token` makes tags and branches, `draw_fraction` draws from 0 to 1 at random, `secret` proves that
-        a nonce was made here.
+        `new_token` returns a new tag or branch, `draw_fraction` a random number from 0 to 1. `secret` is the
+        key that proves that a nonce was created here.
         """
         context = SipContext(core, config, new_token, draw_fraction)
         self.counters: Counters = core.counters
@@ -75,16 +75,16 @@
 
     @property
     def config(self) -> SipConfig:
-        """The configuration in force."""
+        """The current configuration."""
         return self._context.config
 
     @property
     def dialogs(self) -> dict[DialogKey, CallLeg]:
-        """The legs of the dialogs that are not over."""
+        """The legs of all early and confirmed dialogs."""
         return self._dialogs.legs
 
     def reconfigure(self, new: SipConfig) -> bool:
-        """Apply what a reload can change while calls go on; returns whether that was all of the change."""
+        """Apply the reloadable part of a new configuration; returns whether no other part differs."""
         old = self._context.config
         self._context.config = old.with_reloadable(new)
         if new.auth != old.auth:
@@ -92,33 +92,36 @@
         return self._context.config == new
 
     def end_dialogs(self) -> int:
-        """The restart can't wait any longer: end the established dialogs on both sides; returns how many."""
+        """End the established dialogs on both sides before a restart that can't wait for them any longer.
+
+        Returns the number of dialogs ended.
+        """
         legs = [leg for leg in self.dialogs.values() if leg.invite is None]
         for leg in legs:
             call_id = leg.dialog.call_id if leg.dialog else "-"
             self._context.core.log("dialog_terminated", call=leg.ident, callid=call_id)
-            leg.success.stop()  # its ACK is not waited for
+            leg.success.stop()  # so that the BYE is sent without waiting for the ACK
             leg.terminate(ReleaseCause.TEMPORARY_FAILURE)
         return len(legs)
 
     def is_flushed(self) -> bool:
-        """Whether all output has been written, and requests of ours have been answered."""
+        """Whether all output has been written and all our requests have final responses."""
         return self.flows.is_flushed() and self._dialogs.requests.is_settled()
 
-    # ---- what comes in ----
+    # ---- received messages and ended connections ----
 
     def datagram_received(self, flow: UdpFlow, data: bytes) -> bool:
-        """Deal with a datagram by a scan while the processor is overloaded; False: it is to be parsed."""
+        """Scan a datagram while the processor is overloaded; returns False if it still must be parsed."""
         if not self.admission.is_overloaded():
             return False
         if is_ack_to_stateless_response(data):
             self.counters.add("got_ACK")
             return True
         scan = scan_request(data)
-        return scan is not None and self._scanned(flow, scan)
+        return scan is not None and self._process_scan(flow, scan)
 
     def message_received(self, flow: Flow, message: sip.SipMessage) -> None:
-        """Take one message, on any transport."""
+        """Process a message received by UDP or TCP: a response, or a request to dispatch."""
         self._count_received(message.method)
         if not message.method:
             if not self.client_transactions.response_received(message):
@@ -132,7 +135,10 @@
         self.dispatcher.request_received(head, flow)
 
     def malformed_received(self, flow: Flow, error: sip_parser.SipError) -> None:
-        """Count what can't be read; answer it if enough of it could be."""
+        """Count and log a malformed message; answer it if it is a request whose copied headers were parsed.
+
+        The copied headers are Via, From, To, Call-ID and CSeq. An ACK is never answered.
+        """
         self.counters.add("malformed_from_callers")
         partial = error.partial
         answered = (
@@ -151,16 +157,17 @@
             self.counters.add("malformed_unanswered")
             return
         address = _malformed_response_address(flow, partial)
-        extra = ACCEPT_LINE if error.status in BODY_STATUSES else ""
+        extra = ACCEPT_LINE if error.status in BODY_ERROR_STATUSES else ""
         has_tag = "tag" in sip.parameters(partial.get("to"))
         tag = "" if has_tag else self._context.new_token()
         data = format_response(error.status, copied_headers(partial), tag, extra)
         self._responder.respond_stateless(flow, address, data, error.status)
 
     def peer_disconnected(self, flow: SipConnection) -> None:
-        """The peer of a connection has ended it, with set-ups unanswered on it: none that waits is sent on.
+        """Notify the calls whose INVITE is unanswered on a connection that the peer has ended.
 
-        The response to one that is out already is brought to where its Via says (RFC 3261, 18.2.2).
+        No further attempt is made for these calls. The response after an attempt that is already under way is
+        sent to the address from the Via (RFC 3261, 18.2.2).
         """
         for key in flow.unanswered:
             transaction = self.server_transactions.find(key)
@@ -168,13 +175,14 @@
                 transaction.user.disconnected()
 
     def flow_lost(self, flow: Flow) -> None:
-        """A connection has ended, or is used no more."""
+        """Remove a connection that has ended or is drained, and resend our open requests on other flows."""
         self.flows.remove(flow)
         if isinstance(flow, SipConnection):
             self.peer_disconnected(flow)
         self.client_transactions.flow_lost(flow)
 
-    def _scanned(self, flow: UdpFlow, scan: RequestScan) -> bool:
+    def _process_scan(self, flow: UdpFlow, scan: RequestScan) -> bool:
+        """Answer a retransmission or shed a new call from its scan; returns False for any other request."""
         address = scan.response_address(flow.peer)
         if self.server_transactions.absorb_scanned(scan.transaction_key, scan.method, flow, address):
             self._count_received(scan.method)
@@ -192,7 +200,7 @@
 
     def _count_received(self, method: str) -> None:
         kind = method if method in METHODS else "other" if method else "response"
-        self.counters.add(f"got_{kind}")  # a name made up by a caller is no counter
+        self.counters.add(f"got_{kind}")  # unknown methods share a counter: callers must not create counters
 
     def _response_flow(self, transaction: ServerTransaction) -> Flow:
         return self.flows.response_flow(transaction.flow, transaction.address)
@@ -205,5 +213,5 @@
     try:
         via = grammar.parse_via(partial.get_all("via")[0])
     except grammar.GrammarError:
-        return flow.peer  # the source is all that is known
+        return flow.peer  # without a valid Via, the source is the only known address
     return flow.peer[0], flow.peer[1] if "rport" in via.parameters else via.port or DEFAULT_PORT
--- a/stairhatch/sip/provisional_response.py
+++ b/stairhatch/sip/provisional_response.py
@@ -1,4 +1,4 @@
-"""The 180 to an INVITE, repeated until the final response: reliably where the caller can (RFC 3262)."""
+"""The 180 to an INVITE, repeated until the final response, or sent reliably until its PRACK (RFC 3262)."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from stairhatch.sip.server_transactions import ServerTransaction
 from stairhatch.sip.transaction_base import FIRST_INTERVAL, TIMEOUT_S, RetransmissionInterval
 
-REPEAT_S = 60.0  # an unreliable one is repeated, so that no proxy on the path gives up (RFC 3261, 13.3.1.1)
+# An unreliable 180 is repeated, so that no proxy on the path cancels the INVITE (RFC 3261, 13.3.1.1).
+REPETITION_INTERVAL_S = 60.0
 
 
 class ProvisionalResponse:
-    """The provisional response of an INVITE that has no final one."""
+    """The provisional response to an INVITE that has no final response, and its timers."""
 
     __slots__ = ("_context", "_invite", "_on_prack_timeout", "_path", "reliable")
 
@@ -27,7 +28,11 @@
         reliable: ReliableProvisional | None,
         on_prack_timeout: Callable[[], None],
     ) -> None:
-        """One that has just been sent; `on_prack_timeout` is called if no PRACK comes within 64 T1."""
+        """Start the timers of a response that has just been sent.
+
+        `reliable` is None for an unreliable response. `on_prack_timeout` is called if a reliable response
+        gets no PRACK within 64 T1.
+        """
         self.reliable = reliable
         self._context = context
         self._path = path
@@ -39,7 +44,7 @@
             self._schedule_repetition()
 
     def stop(self) -> None:
-        """The final response is being sent; it does not wait for the PRACK."""
+        """Stop the repetition when the final response is sent, which does not wait for the PRACK."""
         self._invite = None
 
     def _schedule_retransmission(
@@ -49,7 +54,7 @@
         self._context.timers.schedule(due, partial(self._retransmit, reliable, interval))
 
     def _retransmit(self, reliable: ReliableProvisional, interval: RetransmissionInterval) -> None:
-        """Send it again until its PRACK; without one the INVITE is rejected in the end (RFC 3262, 3)."""
+        """Retransmit the reliable response until its PRACK or the timeout (RFC 3262, section 3)."""
         if reliable.acknowledged or self._invite is None:
             return
         if interval.timed_out():
@@ -61,7 +66,7 @@
         self._schedule_retransmission(reliable, interval.doubled(TIMEOUT_S))
 
     def _schedule_repetition(self) -> None:
-        self._context.timers.schedule(self._context.now() + REPEAT_S, self._repeat)
+        self._context.timers.schedule(self._context.now() + REPETITION_INTERVAL_S, self._repeat)
 
     def _repeat(self) -> None:
         if self._invite is not None and self._invite.last_response:
--- a/stairhatch/sip/request_admission.py
+++ b/stairhatch/sip/request_admission.py
@@ -1,7 +1,7 @@
-"""Admission of new requests: drain and overload control (RFC 7339).
+"""The admission of new requests: drain and overload control (RFC 7339).
 
-While the processor is overloaded, datagrams are scanned before they are parsed: a retransmission is answered
-and a call that is shed gets its 503 at the cost of a scan.
+While the processor is overloaded, datagrams are scanned before they are parsed, so that a retransmission is
+answered and a call is shed with 503 without the cost of a parse.
 """
 
 from __future__ import annotations
@@ -32,28 +32,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRejection:
-    """A new request that is answered 503 without a transaction."""
+    """The rejection of a new request, which is answered 503 without a transaction."""
 
     retry_after_s: int
-    counter: str
+    counter: str  # name of the counter that the rejection increments
 
 
 class RequestAdmission:
-    """Admission of the new requests of one frontend, and the overload feedback to callers."""
+    """The admission of one frontend's new requests, and the overload feedback to callers."""
 
     def __init__(self, context: SipContext) -> None:
-        """By the policy of the configuration; a reload changes nothing here."""
+        """Create admission control with the configured policy, which a reload does not change."""
         policy = context.config.admission
         self.control = AdmissionControl(context.draw_fraction, policy) if policy is not None else None
         self._context = context
-        self._admitted_key = b""  # the transaction that a scan has just admitted
+        # Transaction key of the INVITE that was admitted by its scan and is being parsed, or b"".
+        self._admitted_key = b""
 
     def is_overloaded(self) -> bool:
         """Whether datagrams should be scanned before they are parsed."""
         return self.control is not None and self.control.overload.level is not OverloadLevel.NORMAL
 
     def observe_delay(self, delay_s: float) -> None:
-        """The event loop was late by so much, or a datagram has waited so long."""
+        """Record a delay of the event loop or of a datagram; logs a change of the overload level."""
         if self.control is None:
             return
         overload = self.control.overload
@@ -68,7 +69,10 @@
             )
 
     def admit_scanned(self, source: str, scan: RequestScan) -> AdmissionRejection | None:
-        """Decide on a new INVITE that was only scanned; None: it is admitted, and is to be parsed."""
+        """Return the rejection of a new INVITE that was only scanned, or None if it is admitted.
+
+        An admitted INVITE must be parsed next; `admit` then does not apply overload control to it again.
+        """
         decision = self._decide_call(source, scan.user, "")
         if decision.outcome is AdmissionOutcome.ADMITTED:
             self._admitted_key = scan.transaction_key
@@ -76,7 +80,7 @@
         return AdmissionRejection(decision.retry_after_s, decision.outcome.value)
 
     def admit(self, flow: Flow, head: RequestHead) -> AdmissionRejection | None:
-        """Decide on a new request; None: it is admitted."""
+        """Return the rejection of a new request, or None if it is admitted."""
         decision = self._decide(flow, head)
         if head.method == "INVITE" and not head.to_tag and self._context.core.readiness.rejects_new_calls():
             return AdmissionRejection(max(1, math.ceil(RETRY_AFTER_S)), "calls_rejected_draining")
@@ -85,9 +89,10 @@
         return None
 
     def feedback(self, source: str, algorithms: str) -> str:
-        """The Via parameters for a caller that knows overload control, "" for others (RFC 7339).
+        """Return the Via parameters of the overload feedback to a caller (RFC 7339).
 
-        `algorithms` is its `oc-algo`, "" if it knows none.
+        `algorithms` is the caller's `oc-algo` parameter, or "" if the caller does not support overload
+        control. For a caller without a supported algorithm, "" is returned.
         """
         algorithm = algorithm_for(algorithms)
         if self.control is None or algorithm is None:
@@ -112,7 +117,10 @@
         return self._decide_call(source, sip.user_of(head.message.uri), head.message.get("call-kind"))
 
     def _decide_call(self, source: str, called_user: str, call_kind: str) -> AdmissionDecision:
-        """Decide on a new call of a source, by what its class is worth."""
+        """Decide on a new call of a source by its rate limit and the priority weight of the call's class.
+
+        A call of an unknown class has weight 0.
+        """
         assert self.control is not None
         call_class = classify_call(self._context, called_user, call_kind).call_class
         weight = call_class.priority_weight if call_class else 0.0
--- a/stairhatch/sip/request_dispatcher.py
+++ b/stairhatch/sip/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Which part of the user agent a request is for, and whether its sender may ask for it."""
+"""The dispatch of received requests: admission, authentication and the choice of the part that answers."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     "BYE",
     "UPDATE",
     "INFO",
-)  # who sends them is proved, where that is asked for
+)  # the sender is authenticated if authentication is configured
 UNKNOWN_DIALOG = RequestRejection(481)
 OUT_OF_ORDER = RequestRejection(500)
 FORBIDDEN = RequestRejection(403)
 
 
 class RequestDispatcher:
-    """Takes every request of one frontend whose mandatory headers could be read."""
+    """The dispatcher of one frontend's requests, whose mandatory headers have been parsed."""
 
     def __init__(
         self, agent: UserAgent, dialogs: DialogTable, admission: RequestAdmission, secret: bytes
     ) -> None:
-        """Begin without calls; `secret` proves that a nonce was made here."""
+        """Create a dispatcher; `secret` is the key that proves that a nonce was created here."""
         self.authenticator: DigestAuthenticator | None = None
         self._agent = agent
         self._dialogs = dialogs
@@ -49,7 +49,7 @@
         self.configure_authentication()
 
     def configure_authentication(self) -> None:
-        """Authenticate by the configuration that is in force; nonces given out before are forgotten."""
+        """Create the authenticator of the current configuration; the used nonce counts are discarded."""
         context = self._agent.context
         auth = context.config.auth
         self.authenticator = None
@@ -59,15 +59,15 @@
             )
 
     def request_received(self, head: RequestHead, flow: Flow) -> None:
-        """A request has come."""
+        """Process a received request: absorb a retransmission, or admit, validate and dispatch it."""
         if self._agent.server_transactions.absorb(head, flow):
             return
         if head.method == "ACK":
             self._ack_received(head, flow)
             return
-        refusal = self._admit(flow, head)
-        if refusal is not None:
-            self._reject_stateless(flow, head, refusal)
+        admission_rejection = self._admit(flow, head)
+        if admission_rejection is not None:
+            self._reject_stateless(flow, head, admission_rejection)
             return
         transaction = self._agent.server_transactions.open(head, flow)
         rejection = request_validation.validate_request(head)
@@ -76,10 +76,13 @@
         else:
             self._dispatch(transaction, head)
 
-    # ---- admission ----
+    # ---- admission of new requests ----
 
     def _admit(self, flow: Flow, head: RequestHead) -> AdmissionRejection | None:
-        """Whether a new request may open a transaction; else it is answered without one."""
+        """Return the rejection of a new request, or None if it may open a transaction.
+
+        A request in a known dialog is admitted even if the transaction table is full.
+        """
         rejection = self._admission.admit(flow, head)
         if rejection is not None:
             return rejection
@@ -99,16 +102,16 @@
         address = head.response_address(flow.peer, flow.reliable)
         self._agent.responder.respond_stateless(flow, address, data, 503)
 
-    # ---- dispatch ----
+    # ---- dispatch of admitted requests ----
 
     def _dispatch(self, transaction: ServerTransaction, head: RequestHead) -> None:
-        """A request that has a transaction and is well formed."""
+        """Authenticate a valid request that has a transaction, and pass it to the part that answers it."""
         leg = self._dialogs.find(dialog_key(head)) if head.to_tag else None
         if head.method == "CANCEL":
             self._cancel_received(transaction, head)
             return
         user = ""
-        # A call from before users were asked for must be able to end.
+        # A call that was established before authentication was enabled must still be able to end.
         is_anonymous = leg is not None and not leg.user
         if head.method in AUTHENTICATED_METHODS and self.authenticator is not None and not is_anonymous:
             authenticated = self._authenticate(self.authenticator, transaction, head)
@@ -151,7 +154,7 @@
     def _authenticate(
         self, authenticator: DigestAuthenticator, transaction: ServerTransaction, head: RequestHead
     ) -> str | None:
-        """Who sends a request; None where that is not proved, and the request is answered."""
+        """Return the authenticated sender of a request, or None after a 401 response with challenges."""
         message = head.message
         result = authenticator.authenticate(head.method, message.uri, message.get_lines("authorization"))
         if result.check is CredentialCheck.GOOD:
@@ -169,7 +172,7 @@
         return None
 
     def _ack_received(self, head: RequestHead, flow: Flow) -> None:
-        """An ACK that belongs to no transaction: to a 2xx."""
+        """Pass an ACK that matches no transaction, so is the ACK to a 2xx, to the leg of its dialog."""
         leg = self._dialogs.find(dialog_key(head))
         if leg is None:
             self._agent.context.counters.add("acks_unmatched")
@@ -178,7 +181,10 @@
             leg.ack_received(head.cseq, head.message)
 
     def _cancel_received(self, transaction: ServerTransaction, head: RequestHead) -> None:
-        """CANCEL names its INVITE by the branch. It has no effect once a final response is out (9.2)."""
+        """Cancel the INVITE with the branch of a CANCEL (RFC 3261, 9.2).
+
+        A CANCEL after the final response has no effect but its own 200.
+        """
         transactions = self._agent.server_transactions
         key = head.key_for("INVITE")
         invite = transactions.find(key)
--- a/stairhatch/sip/session_refresh.py
+++ b/stairhatch/sip/session_refresh.py
@@ -1,4 +1,4 @@
-"""The session timer of one dialog at work (RFC 4028): refreshes by either side, and the release."""
+"""The session timer of a dialog (RFC 4028): its refreshes by either side, and the release at expiration."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     timer_of_refresh_response,
 )
 
-RETRY_S = 5.0  # a refresh that the caller can't take now is tried again
+REFRESH_RETRY_S = 5.0  # delay before a rejected refresh is sent again
 
 
 class RefreshedSession(DialogUsage, Protocol):
-    """The dialog whose session is kept alive."""
+    """The dialog usage whose session is refreshed."""
 
     ident: str
     descriptions: SessionDescriptions
@@ -34,7 +34,7 @@
 
 
 class SessionRefresh:
-    """What was agreed for a session, and when it is refreshed or released."""
+    """The session timer of one session: sends our refreshes, and releases the session when it expires."""
 
     __slots__ = ("_context", "_expiration", "_requests", "_session", "allowed_methods", "timer")
 
@@ -45,34 +45,38 @@
         session: RefreshedSession,
         timer: SessionTimer | None,
     ) -> None:
-        """`timer` is what the INVITE agreed on."""
+        """Create a stopped session timer; `timer` was negotiated by the INVITE, None if there is none."""
         self.timer = timer
-        self.allowed_methods = ""  # what the caller allows, as its Allow says
+        self.allowed_methods = ""  # the caller's Allow header
         self._context = context
         self._requests = requests
-        self._session: RefreshedSession | None = session  # until it is over
+        self._session: RefreshedSession | None = session  # None after the end of the session
         self._expiration = SessionExpiration()
 
     def start(self) -> None:
-        """The session is established: its timer runs."""
+        """Start or restart the timer when the session is established or refreshed."""
         self._expiration.restart(self.timer, self._context.now())
         self._schedule_check()
 
     def refreshed(self, timer: SessionTimer | None) -> None:
-        """The session is refreshed, with this timer from now on."""
+        """Restart after a refresh by either side, with the timer that it has negotiated."""
         self.timer = timer
         self.start()
 
     def stop(self) -> None:
-        """The session is over.
+        """Stop the timer at the end of the session.
 
-        It is let go of, so that no reference cycle is left for the collector.
+        The reference to the session is dropped, so that no reference cycle is left to the garbage collector.
         """
         self._expiration.restart(None, 0.0)
         self._session = None
 
     def refresh_answered(self, status: int, message: sip.SipMessage | None) -> None:
-        """What came of our refresh (RFC 4028, 7.4 and section 10); None: nobody answered."""
+        """Process the final response of our refresh (RFC 4028, 7.4 and section 10).
+
+        The session is ended after 408, 481 or no response (`message` is None). After any other rejection the
+        refresh is sent again later.
+        """
         if self._session is None:
             return
         if 200 <= status < 300 and message is not None:
@@ -87,7 +91,10 @@
         self._schedule_check()
 
     def _retry_after_s(self, status: int, message: sip.SipMessage) -> float:
-        """How long to wait after a refresh was rejected; the next one is changed by the reason."""
+        """Return the delay in seconds until the refresh after a rejected one.
+
+        After 422 the interval of the next refresh is raised; after 405 it is sent by re-INVITE.
+        """
         if status == 491:
             return session_descriptions.glare_retry_s(
                 owns_call_id=False, fraction=self._context.draw_fraction()
@@ -98,7 +105,7 @@
         if status == 405 and "UPDATE" in self.allowed_methods.upper():
             self.allowed_methods = "INVITE"
             return 0.0
-        return RETRY_S
+        return REFRESH_RETRY_S
 
     def _raise_interval(self, timer: SessionTimer, message: sip.SipMessage) -> None:
         try:
@@ -114,7 +121,7 @@
             self._context.timers.schedule(due, partial(self._check, self._expiration.generation))
 
     def _check(self, generation: int) -> None:
-        """Refresh the session, or release it, if that is due."""
+        """Refresh or release the session if that is due, and schedule the next check."""
         if generation != self._expiration.generation or self._session is None:
             return
         match self._expiration.due_action(self._context.now()):
@@ -130,7 +137,7 @@
         self._schedule_check()
 
     def _send_refresh(self, session: RefreshedSession) -> None:
-        """Refresh the session from our side: by UPDATE where the caller takes it, else by a re-INVITE."""
+        """Send a refresh: by UPDATE if the caller allows that method, else by re-INVITE."""
         timer = self.timer
         if timer is None:
             return
--- a/stairhatch/sip/session_timer.py
+++ b/stairhatch/sip/session_timer.py
@@ -1,6 +1,6 @@
-"""Session timers (RFC 4028): what is agreed, and when a session is refreshed or released.
+"""Session timers (RFC 4028): their negotiation, and the times at which a session is refreshed or released.
 
-Decisions and state alone: the clock is passed in. Times are seconds.
+This module does no I/O: the clock is passed in. All times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,15 +12,17 @@
 from stairhatch.sip import grammar
 from stairhatch.sip.rejection import RequestRejection
 
-MIN_SESSION_EXPIRES_S = 90  # no session timer may be shorter (RFC 4028, section 4)
-MAX_SESSION_EXPIRES_S = 86_400  # a longer one says nothing
-RELEASE_MARGIN_S = 32.0  # a session is released so long before its end ...
-RELEASE_MARGIN_DIVISOR = 3.0  # ... or a third of the interval, whichever is less (section 10)
+MIN_SESSION_EXPIRES_S = 90  # the minimum session interval (RFC 4028, section 4)
+MAX_SESSION_EXPIRES_S = 86_400  # longer intervals are useless and are reduced to this
+# A session is released 32 s or a third of its interval before its expiration, whichever is less (RFC 4028,
+# section 10).
+RELEASE_MARGIN_S = 32.0
+RELEASE_MARGIN_DIVISOR = 3.0
 SESSION_INTERVAL_TOO_SMALL = 422
 
 
 class Refresher(Enum):
-    """Who keeps a session alive, by its role in the request in which that was agreed."""
+    """The side that refreshes a session; the value is its role in the caller's request (refresher=)."""
 
     CALLER = "uac"
     LOCAL = "uas"
@@ -29,83 +31,93 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionTimerPolicy:
-    """What the configuration says of session timers."""
+    """The configured session interval and its minimum."""
 
-    interval_s: int = 1800  # proposed where a caller knows timers and names none; 0: none is proposed
+    interval_s: int = 1800  # used if a caller supports timers without Session-Expires; 0 for no timer
     min_interval_s: int = MIN_SESSION_EXPIRES_S
 
 
 @dataclass(frozen=True, slots=True)
 class SessionTimer:
-    """A session's interval and who refreshes it."""
+    """A negotiated session timer: the session interval and the side that refreshes the session."""
 
     interval_s: int
     refresher: Refresher
-    required: bool = False  # the caller knows timers, so that the response says `Require: timer`
+    required: bool = False  # true if the caller supports timers, so that the response has `Require: timer`
 
     @property
     def release_after_s(self) -> float:
-        """When a session that nobody refreshed is released, from its last refresh.
+        """The time from the last refresh to the release of the session.
 
-        A little before its end (RFC 4028, section 10), so that both sides agree that it is over.
+        The release precedes the expiration (RFC 4028, section 10), so that both sides agree that the session
+        has ended.
         """
         return self.interval_s - min(RELEASE_MARGIN_S, self.interval_s / RELEASE_MARGIN_DIVISOR)
 
     @property
     def refresh_after_s(self) -> float:
-        """When we refresh, if that is ours to do: half the interval (RFC 4028, 7.2)."""
+        """The time from the last refresh to the one that we send: half the interval (RFC 4028, 7.2)."""
         return self.interval_s / 2
 
     def headers(self) -> sip.Headers:
-        """For the response that agrees to it."""
+        """Return the headers of the 2xx response that accepts this timer."""
         expires = [("session-expires", f"{self.interval_s};refresher={self.refresher.value}")]
         return [*expires, ("require", "timer")] if self.required else expires
 
 
 def supports_timer(message: sip.SipMessage) -> bool:
-    """Whether a message says that its sender knows session timers."""
+    """Whether the sender of a message supports session timers (option tag timer)."""
     return any(
         option.lower() == "timer" for name in ("supported", "require") for option in message.get_all(name)
     )
 
 
 def negotiate(message: sip.SipMessage, policy: SessionTimerPolicy) -> SessionTimer | RequestRejection | None:
-    """Agree on a session timer with an INVITE or UPDATE (RFC 4028, section 9). None: the session has none."""
+    """Negotiate the session timer of an INVITE or UPDATE (RFC 4028, section 9).
+
+    Returns None if the session has no timer, a 400 rejection for malformed headers, and a 422 rejection for
+    an interval below the configured minimum.
+    """
     supported = supports_timer(message)
     try:
         min_se_s = max(MIN_SESSION_EXPIRES_S, grammar.parse_delta_seconds(message.get("min-se", "0")).seconds)
-        asked = message.get("session-expires")
-        interval_s, parameters = grammar.parse_delta_seconds(asked) if asked else (0, {})
+        requested = message.get("session-expires")
+        interval_s, parameters = grammar.parse_delta_seconds(requested) if requested else (0, {})
     except grammar.GrammarError as error:
         return RequestRejection(400, f"Session-Expires or Min-SE: {error}")
     refresher = parameters.get("refresher", "").lower()
     if refresher not in ("", "uac", "uas"):
-        return RequestRejection(400, "Session-Expires: refresher")
-    if not asked:
+        return RequestRejection(400, "Session-Expires has an unknown refresher")
+    if not requested:
         proposed_s = max(min_se_s, policy.min_interval_s, policy.interval_s)
-        proposes = supported and policy.interval_s
-        return SessionTimer(proposed_s, Refresher.CALLER, required=True) if proposes else None
+        proposes_timer = supported and policy.interval_s
+        return SessionTimer(proposed_s, Refresher.CALLER, required=True) if proposes_timer else None
     if interval_s < policy.min_interval_s and supported:
-        min_se = (("min-se", str(policy.min_interval_s)),)
-        return RequestRejection(SESSION_INTERVAL_TOO_SMALL, "session interval", min_se)
+        min_se_headers = (("min-se", str(policy.min_interval_s)),)
+        return RequestRejection(
+            SESSION_INTERVAL_TOO_SMALL, "session interval is below the configured minimum", min_se_headers
+        )
     raised_s = min_se_s if min_se_s > MIN_SESSION_EXPIRES_S else interval_s
     agreed_s = min(max(raised_s, interval_s, policy.min_interval_s), MAX_SESSION_EXPIRES_S)
-    chosen = Refresher(refresher or "uac") if supported else Refresher.LOCAL
-    return SessionTimer(agreed_s, chosen, required=supported)
+    agreed_refresher = Refresher(refresher or "uac") if supported else Refresher.LOCAL
+    return SessionTimer(agreed_s, agreed_refresher, required=supported)
 
 
 def timer_of_refresh_response(message: sip.SipMessage) -> SessionTimer | None:
-    """What the 2xx to a refresh of ours says. None: the session has no timer any more (7.2)."""
+    """Return the timer that the 2xx to our refresh has set (RFC 4028, 7.2).
+
+    Returns None if the session has no timer any more.
+    """
     try:
         interval_s, parameters = grammar.parse_delta_seconds(message.get("session-expires"))
     except grammar.GrammarError:
         return None
-    is_local = parameters.get("refresher", "uac").lower() != "uas"  # the caller is the server of this one
+    is_local = parameters.get("refresher", "uac").lower() != "uas"  # the caller is the UAS of our refresh
     return SessionTimer(max(interval_s, 1), Refresher.LOCAL if is_local else Refresher.CALLER)
 
 
 class SessionTimerAction(Enum):
-    """What a session timer asks for."""
+    """The action that is due for a session."""
 
     NONE = "none"
     REFRESH = "refresh"
@@ -114,15 +126,15 @@
 
 @dataclass(eq=False, slots=True)
 class SessionExpiration:
-    """When a session is refreshed or released next; `generation` counts the agreements."""
+    """The times of the next refresh and of the release of a session."""
 
-    timer: SessionTimer | None = None
+    timer: SessionTimer | None = None  # None if the session does not expire
     release_at: float = 0.0
     refresh_at: float = 0.0
-    generation: int = 0
+    generation: int = 0  # incremented by each restart, to recognize checks scheduled before it
 
     def restart(self, timer: SessionTimer | None, now: float) -> None:
-        """An agreement, or a refresh."""
+        """Restart the times after a negotiation or a refresh; None stops the timer."""
         self.generation += 1
         self.timer = timer
         if timer is not None:
@@ -130,18 +142,18 @@
             self.refresh_at = now + timer.refresh_after_s
 
     def postpone_refresh(self, until: float) -> None:
-        """A refresh of ours was rejected for now."""
+        """Set the time of the next refresh after our refresh was rejected."""
         self.refresh_at = until
 
     def next_check_at(self) -> float | None:
-        """When to ask `due_action` next; None: never."""
+        """Return the time at which to call `due_action` next, or None if the session does not expire."""
         if self.timer is None:
             return None
         refreshes = self.timer.refresher is Refresher.LOCAL and self.refresh_at < self.release_at
         return min(self.refresh_at, self.release_at) if refreshes else self.release_at
 
     def due_action(self, now: float) -> SessionTimerAction:
-        """What is to be done now. A refresh is returned once."""
+        """Return the action that is due at `now`; REFRESH is returned once per interval."""
         if self.timer is None:
             return SessionTimerAction.NONE
         if now >= self.release_at:
--- a/stairhatch/sip/success_response.py
+++ b/stairhatch/sip/success_response.py
@@ -1,4 +1,4 @@
-"""The 2xx to an INVITE, which its user sends again until the ACK (RFC 3261, 13.3.1.4)."""
+"""The 2xx to an INVITE, which the transaction user retransmits until the ACK (RFC 3261, 13.3.1.4)."""
 
 from __future__ import annotations
 
@@ -11,47 +11,47 @@
 
 
 class AckAwaiter(Protocol):
-    """Whoever answered the INVITE."""
+    """The sender of a 2xx to an INVITE."""
 
     def ack_timed_out(self) -> None:
-        """No ACK has come within 64 T1."""
+        """Called if no ACK has been received within 64 T1."""
 
 
 class SuccessResponse:
-    """The 2xx of a dialog that awaits its ACK, if one does."""
+    """The latest 2xx to an INVITE or re-INVITE of a dialog, retransmitted until its ACK."""
 
     __slots__ = ("_context", "_cseq", "_data", "_owner", "_path")
 
     def __init__(self, context: SipContext, path: DialogPath, owner: AckAwaiter) -> None:
-        """Begin with none."""
+        """Create the state of a dialog without a 2xx; `owner` is notified if an ACK is missing."""
         self._context = context
         self._path = path
-        self._owner: AckAwaiter | None = owner  # until the dialog is over
-        self._data = b""  # the response; empty: none awaits its ACK
-        self._cseq = 0
+        self._owner: AckAwaiter | None = owner  # None after the end of the dialog
+        self._data = b""  # the bytes of the 2xx; empty if none awaits its ACK
+        self._cseq = 0  # the CSeq number of the request that the 2xx answers
 
     @property
     def awaits_ack(self) -> bool:
-        """Whether one has been sent and not yet acknowledged."""
+        """Whether a 2xx has been sent and its ACK has not been received."""
         return bool(self._data)
 
     def sent(self, data: bytes, cseq: int) -> None:
-        """One has been sent, for an INVITE with this sequence number."""
+        """Start the retransmission of a 2xx that has just been sent to an INVITE with this CSeq number."""
         self._data = data
         self._cseq = cseq
         self._schedule_retransmission(data, FIRST_INTERVAL)
 
     def acknowledge(self, cseq: int) -> bool:
-        """An ACK has come; returns whether it is for the one that awaits it."""
+        """Process an ACK; returns whether it acknowledges the 2xx, which is then no longer retransmitted."""
         if not self._data or cseq != self._cseq:
             return False
         self._data = b""
         return True
 
     def stop(self) -> None:
-        """The dialog is over, and the ACK not awaited any more.
+        """Stop the retransmission, because the dialog has ended or the ACK is no longer awaited.
 
-        Its owner is let go of: no reference cycle is left for the collector.
+        The reference to the owner is dropped, so that no reference cycle is left to the garbage collector.
         """
         self._data = b""
         self._owner = None
@@ -62,7 +62,7 @@
 
     def _retransmit(self, data: bytes, interval: RetransmissionInterval) -> None:
         if not data or self._data is not data or self._owner is None:
-            return  # it was acknowledged, or another awaits its ACK by now
+            return  # this 2xx was acknowledged, replaced by a later 2xx, or stopped
         if interval.timed_out():
             self._context.counters.add("acks_missing_2xx")
             self._data = b""
--- a/stairhatch/sip/user_agent.py
+++ b/stairhatch/sip/user_agent.py
@@ -1,4 +1,4 @@
-"""What the calls and dialogs of a frontend share: its context, transactions, flows and responder."""
+"""The user agent: the layers that the calls and dialogs of a frontend share."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class UserAgent:
-    """The layers below the transaction users (RFC 3261, section 5). One for a frontend."""
+    """The layers of one frontend below its transaction users (RFC 3261, section 5)."""
 
     context: SipContext
     flows: FlowRouter
