--- a/tests/support/sip_caller.py
+++ b/tests/support/sip_caller.py
@@ -1,4 +1,4 @@
-"""A caller that speaks SIP over a real TCP connection or UDP port."""
+"""A SIP caller on a real TCP connection or UDP port."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SipCaller:
-    """A caller's side of SIP; it records every message that comes."""
+    """A SIP caller that records every message it receives, with its time of receipt."""
 
     def __init__(self, address: tuple[str, int], udp: bool = False, ipv6: bool = False) -> None:
         self.udp = udp
@@ -47,7 +47,10 @@
         self.closed = True
 
     def _recv(self) -> bytes:
-        """What comes next. A UDP port stays open after an ICMP error, as when the program restarts."""
+        """Return the next datagram, or the next bytes of the TCP stream.
+
+        ICMP errors of a UDP port are ignored: they occur while the program restarts.
+        """
         while True:
             try:
                 return self.sock.recv(65536)
@@ -56,7 +59,7 @@
                     raise
 
     def send(self, method: str, uri: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-        """Send a request; returns its bytes, so that a test can retransmit it."""
+        """Send a request and return its bytes, so that a test can retransmit it."""
         data = sip.request(method, uri, list(headers.items()), body)
         self.sock.sendall(data)
         return data
@@ -69,7 +72,7 @@
         body: bytes = b"d",
         **headers: str,
     ) -> bytes:
-        """Send a set-up in the platform's form; returns its bytes."""
+        """Send an INVITE in the platform's format, with additional headers, and return its bytes."""
         fields = {
             "via": "SIP/2.0/TCP peer", "call-id": ident, "cseq": "1 INVITE", "call-kind": call_class,
             "answer-within": str(answer_within_ms), "routing-data": "dest:0;width:1;via:-1",
@@ -77,36 +80,36 @@
         fields.update({name.replace("_", "-"): value for name, value in headers.items()})
         return self.send("INVITE", PLATFORM_URI, fields, body)
 
-    def messages(self, ident: str, what: int | str) -> list[sip.SipMessage]:
-        """Responses with a status, or requests with a method, of one call."""
+    def messages(self, ident: str, status_or_method: int | str) -> list[sip.SipMessage]:
+        """Return the received messages of one call with this response status or request method."""
         return [
             message
             for _, message in list(self.received)
-            if message.get("call-id") == ident and what in (message.status, message.method)
+            if message.get("call-id") == ident and status_or_method in (message.status, message.method)
         ]
 
     def final_statuses(self, ident: str) -> list[int]:
-        """The statuses of the final answers to the INVITE of one call."""
+        """Return the statuses of the final responses to the INVITE of one call."""
         return [
             message.status
             for _, message in list(self.received)
             if message.get("call-id") == ident and message.status >= 200 and message.cseq()[1] == "INVITE"
         ]
 
-    def expect(self, ident: str, what: int | str) -> sip.SipMessage:
-        """Wait for a response or a request of one call, and return it."""
-        return wait_until(lambda: self.messages(ident, what), f"{what} of {ident}")[0]
+    def expect(self, ident: str, status_or_method: int | str) -> sip.SipMessage:
+        """Wait for a message of one call with this status or method, and return the first one."""
+        return wait_until(lambda: self.messages(ident, status_or_method), f"{status_or_method} of {ident}")[0]
 
     def respond(self, request: sip.SipMessage, status: int) -> None:
-        """Respond to a request of the program's."""
+        """Send a response to a request of the program."""
         self.sock.sendall(sip.response(status, sip.echoed(request)))
 
     def send_bytes(self, data: bytes) -> None:
-        """Send bytes as they are; does nothing on a connection that has been ended."""
+        """Send raw bytes; errors of an ended connection are ignored."""
         with contextlib.suppress(OSError):
             self.sock.sendall(data)
 
     def close(self) -> None:
-        """End the connection."""
+        """Shut down and close the socket."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
--- a/tests/support/sip_layers.py
+++ b/tests/support/sip_layers.py
@@ -1,4 +1,4 @@
-"""What tests of single SIP layers share: a clock set by hand, a flow that records, a request's head."""
+"""Helpers for tests of single SIP layers: a manual clock, a recording flow, requests and authentication."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ManualClock:
-    """A clock set by hand with its timers and counters; the `TransactionContext` of a test."""
+    """A manual clock with timers and counters; a `TransactionContext` for tests."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -35,22 +35,22 @@
         self.timers = self
 
     def schedule(self, due: float, callback: Callable[[], None]) -> None:
-        """Have a callback called once that time has come."""
+        """Call a callback when the clock reaches the time `due`."""
         self.pending.append((due, len(self.pending), callback))
 
     def run(self, seconds: float) -> None:
-        """Let time pass, timer by timer."""
+        """Advance the clock, and call the callbacks that become due at their own times."""
         end = self.now + seconds
         while self.pending and min(self.pending)[0] <= end:
-            first = min(self.pending)
-            self.pending.remove(first)
-            self.now = max(self.now, first[0])
-            first[2]()
+            timer = min(self.pending)
+            self.pending.remove(timer)
+            self.now = max(self.now, timer[0])
+            timer[2]()
         self.now = end
 
 
 class ByteRecordingFlow(Flow):
-    """A flow of no port that keeps the bytes sent on it."""
+    """A flow without a socket that records the bytes sent on it."""
 
     def __init__(self, host: str = "127.0.0.1", reliable: bool = False) -> None:
         self.peer = (host, 4000)
@@ -68,14 +68,14 @@
     call_id: str = "c1",
     peer: tuple[str, int] = ("127.0.0.1", 4000),
 ) -> RequestHead:
-    """The head of a plain request that came from a peer."""
+    """Return the head of a minimal request received from a peer."""
     headers = sip_headers(method, "1", branch, call_id)
     message = sip_parser.parse_datagram(sip.request(method, "sip:7@net", list(headers.items())))
     return RequestHead(message, peer)
 
 
 def digest_authenticator() -> tuple[digest_auth.DigestAuthenticator, ManualClock]:
-    """An authenticator with one user, and its clock."""
+    """Return an authenticator with one user (name office, password word), and its clock."""
     clock = ManualClock()
     lines = digest_auth.format_user_lines("office", "r", "word", ["SHA-256"])
     users = digest_auth.parse_users("\n".join(lines), "r", ["SHA-256"])
--- a/tests/test_shedding_at_sip_frontend.py
+++ b/tests/test_shedding_at_sip_frontend.py
@@ -1,4 +1,4 @@
-"""Calls shed by the SIP frontend: what they leave behind and what goes on beside them."""
+"""Shedding of new calls by the SIP frontend, and its effect on state and on established calls."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .support.in_process_node import InProcessNode
 from .support.sip_messages import sip_headers
 
-SPAN_S = 0.05
+OBSERVATION_INTERVAL_S = 0.05  # time between two observed delays
 
 
-def receive_request(node, method="INVITE", number=1, via_more="", to_tag=""):
-    """Have a datagram come to the frontend; returns the answers it led to."""
+def receive_request(node, method="INVITE", number=1, via_parameters="", to_tag=""):
+    """Pass a request to the frontend as a datagram; returns the messages that the frontend sent."""
     lines = sip_headers(method, "1", f"z9hG4bK{number}", f"c{number}", to_tag=to_tag)
-    lines["via"] += via_more
+    lines["via"] += via_parameters
     data = sip.request(method, "sip:1@net", list(lines.items()))
     port = node.front.flows.ports[0]
     port.receive(data, ("127.0.0.1", 4000))
@@ -27,28 +27,28 @@
     return sent
 
 
-def overloaded_node(delay, spans):
-    """A node whose SIP frontend has observed a delay for so many spans."""
+def overloaded_node(delay_s, intervals):
+    """Return a node whose SIP frontend has observed a delay in each of a number of intervals."""
     node = InProcessNode(
         admission=AdmissionPolicy(rate_limit=RateLimitPolicy(source_rate=1e6, source_burst=1e6))
     )
-    for _ in range(spans):
-        node.now += SPAN_S
+    for _ in range(intervals):
+        node.now += OBSERVATION_INTERVAL_S
         overload = node.front.admission.control.overload
-        for turn in range(10):
-            overload.count_call(turn >= 10 * overload.shed_fraction)
-        node.front.admission.observe_delay(delay)
+        for index in range(10):
+            overload.count_call(index >= 10 * overload.shed_fraction)
+        node.front.admission.observe_delay(delay_s)
     return node
 
 
-def test_a_shed_call_leaves_nothing_and_its_retransmissions_cost_no_more():
-    """No call is half made, and shed calls stay in no table."""
+def test_a_shed_call_and_its_retransmissions_leave_no_state():
+    """A shed call is in no table, and its retransmission is rejected with 503 like the call itself."""
     node = overloaded_node(1.0, 5)
     for number in range(50):
         for _ in range(2):
-            (answer,) = receive_request(node, number=number)
-            assert answer.status == 503
-            assert 1 <= int(answer.get("retry-after")) <= 5
+            (response,) = receive_request(node, number=number)
+            assert response.status == 503
+            assert 1 <= int(response.get("retry-after")) <= 5
     assert not node.written
     assert not node.front.server_transactions.open_transactions
     assert not node.core.calls.by_number
@@ -58,8 +58,8 @@
     assert "malformed_from_callers" not in counts
 
 
-def test_established_calls_go_on_while_all_new_ones_are_shed():
-    """An ACK, a BYE or a retransmission is not shed with the new calls."""
+def test_established_calls_continue_while_all_new_calls_are_shed():
+    """An ACK, a BYE or a retransmission of an established call is not shed."""
     node = overloaded_node(0.0, 1)
     receive_request(node, number=1)
     node.establish()
@@ -67,10 +67,10 @@
     tag = sip.parameters(sip_parser.parse_datagram(port.output[-1][0]).get("to"))["tag"]
     port.output.clear()
     for _ in range(5):
-        node.now += SPAN_S
+        node.now += OBSERVATION_INTERVAL_S
         node.front.admission.observe_delay(1.0)
     assert receive_request(node, number=2)[0].status == 503
-    assert receive_request(node, number=1) == []  # a copy of what stands is absorbed
+    assert receive_request(node, number=1) == []  # a retransmission is absorbed
     receive_request(node, "ACK", number=1, to_tag=tag)
     node.run(5.0)
     assert not port.output
@@ -79,25 +79,25 @@
     assert sip_parser.parse_datagram(port.output[-1][0]).status == 200
 
 
-def test_callers_that_know_overload_control_are_told_in_their_via():
-    """The figure stands in the caller's own Via, and only where it was asked for (RFC 7339, 5.1)."""
+def test_callers_with_overload_control_get_feedback_in_their_via():
+    """A caller gets overload feedback in its own Via, and only if that has `oc` (RFC 7339, 5.1)."""
     node = overloaded_node(0.08, 40)
-    told = receive_request(node, number=1, via_more=';oc;oc-algo="loss,rate"')[0].get("via")
-    assert ';oc-algo="loss"' in told
-    assert ";oc-validity=1000" in told
-    assert int(told.split("oc=")[1].split(";")[0]) > 0
+    via = receive_request(node, number=1, via_parameters=';oc;oc-algo="loss,rate"')[0].get("via")
+    assert ';oc-algo="loss"' in via
+    assert ";oc-validity=1000" in via
+    assert int(via.split("oc=")[1].split(";")[0]) > 0
     assert "oc" not in receive_request(node, number=2)[0].get("via")
-    assert "\x01" not in told
-    free = InProcessNode(admission=AdmissionPolicy())
-    assert ";oc=0;" in receive_request(free, number=3, via_more=";oc")[0].get("via")
+    assert "\x01" not in via
+    unloaded_node = InProcessNode(admission=AdmissionPolicy())
+    assert ";oc=0;" in receive_request(unloaded_node, number=3, via_parameters=";oc")[0].get("via")
 
 
 def test_a_change_of_the_overload_level_is_logged_once():
-    """The log does not repeat at every delay that the level is overloaded."""
-    told = []
+    """Only a change of the level is logged, not every delay observed while the level is overloaded."""
+    logged = []
     node = InProcessNode(admission=AdmissionPolicy())
-    node.log = lambda event, **fields: told.append((event, fields.get("level")))
-    for delay in [0.08] * 20 + [0.0] * 100:
-        node.now += SPAN_S
-        node.front.admission.observe_delay(delay)
-    assert told == [("load", "overloaded"), ("load", "normal")]
+    node.log = lambda event, **fields: logged.append((event, fields.get("level")))
+    for delay_s in [0.08] * 20 + [0.0] * 100:
+        node.now += OBSERVATION_INTERVAL_S
+        node.front.admission.observe_delay(delay_s)
+    assert logged == [("load", "overloaded"), ("load", "normal")]
--- a/tests/test_sip_session_timer.py
+++ b/tests/test_sip_session_timer.py
@@ -1,4 +1,4 @@
-"""Session timers (RFC 4028)."""
+"""Property tests of session timers (RFC 4028): expiration and negotiation."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 @BOUNDED
 @given(st.integers(90, 5000), st.sampled_from(list(Refresher)), st.lists(st.floats(0, 3000), max_size=8))
 def test_a_session_is_released_at_its_expiration_and_never_before(interval, refresher, waits):
-    """Released if nobody refreshes it, and never while it is refreshed in time (RFC 4028, section 10)."""
+    """A session is released if neither side refreshes it, and never before then (RFC 4028, section 10)."""
     expiration, now = SessionExpiration(), 0.0
     expiration.restart(SessionTimer(interval, refresher), now)
     for wait in waits:
-        refreshed = now
+        refreshed_at = now
         now += wait
-        due = expiration.due_action(now)
-        assert (due is SessionTimerAction.RELEASE) is (
-            now - refreshed >= SessionTimer(interval, refresher).release_after_s
+        action = expiration.due_action(now)
+        assert (action is SessionTimerAction.RELEASE) is (
+            now - refreshed_at >= SessionTimer(interval, refresher).release_after_s
         )
-        if due is SessionTimerAction.REFRESH:
+        if action is SessionTimerAction.REFRESH:
             assert refresher is Refresher.LOCAL
-            assert now - refreshed >= interval / 2
-            assert expiration.due_action(now) is SessionTimerAction.NONE  # asked for once
+            assert now - refreshed_at >= interval / 2
+            assert expiration.due_action(now) is SessionTimerAction.NONE  # REFRESH is returned once
         expiration.restart(SessionTimer(interval, refresher), now)
 
 
@@ -47,18 +47,23 @@
     st.booleans(),
     st.integers(90, 4000),
 )
-def test_no_session_interval_under_either_minimum_is_agreed(asked, least, who, knows, ours):
-    """The agreed interval is at least the Min-SE of both sides (RFC 4028, section 9)."""
-    message = sip.SipMessage("INVITE", headers=[("session-expires", f"{asked}{who}"), ("min-se", str(least))])
-    if knows:
+def test_no_session_interval_under_either_minimum_is_agreed(
+    requested_s, min_se_s, refresher_parameter, supports_timer, configured_min_s
+):
+    """The agreed interval is at min_se_s the Min-SE of both sides (RFC 4028, section 9)."""
+    message = sip.SipMessage(
+        "INVITE",
+        headers=[("session-expires", f"{requested_s}{refresher_parameter}"), ("min-se", str(min_se_s))],
+    )
+    if supports_timer:
         message.headers.append(("supported", "timer"))
-    got = session_timer.negotiate(message, SessionTimerPolicy(1800, ours))
-    if isinstance(got, RequestRejection):
-        assert got.status == 422
-        assert knows
-        assert asked < ours
+    result = session_timer.negotiate(message, SessionTimerPolicy(1800, configured_min_s))
+    if isinstance(result, RequestRejection):
+        assert result.status == 422
+        assert supports_timer
+        assert requested_s < configured_min_s
     else:
-        assert got is not None
-        assert got.interval_s >= min(ours, session_timer.MAX_SESSION_EXPIRES_S)
-        assert got.required is knows
-        assert knows or got.refresher is Refresher.LOCAL
+        assert result is not None
+        assert result.interval_s >= min(configured_min_s, session_timer.MAX_SESSION_EXPIRES_S)
+        assert result.required is supports_timer
+        assert supports_timer or result.refresher is Refresher.LOCAL
--- a/tests/test_site_calls.py
+++ b/tests/test_site_calls.py
@@ -1,4 +1,4 @@
-"""Calls and load reports under the settings of several sites."""
+"""Calls and load reports at the platform's frontend, with the settings of several sites."""
 
 from __future__ import annotations
 
@@ -22,68 +22,69 @@
 
 
 class InProcessSite:
-    """The platform's frontend on a call manager with a site's settings, and servers that answer at once."""
+    """The platform's frontend and a call manager with a site's settings; servers establish calls at once."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.now, self.sent, self.told = 1000.0, 0, []
-        settings = parse_settings_json(json.dumps(told)).settings
+    def __init__(self, site_settings: dict[str, Any]) -> None:
+        self.now, self.setups_sent, self.events = 1000.0, 0, []
+        settings = parse_settings_json(json.dumps(site_settings)).settings
         self.core = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters()
         )
         self.core.servers.pool = self
-        pools = told["family_info"]["allowed_pools"][0]
-        lines = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
-        self.core.update_servers(lines, True)
+        pools = site_settings["family_info"]["allowed_pools"][0]
+        records = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
+        self.core.update_servers(records, True)
         self.caller = PlatformFrontend(self.core).connect()
 
     def record_changed(self, server: object) -> None:
-        """The core's view of the roster side."""
+        """Ignore a changed server record (interface of the server pool)."""
 
     def send_release(self, server: object, ident: str, cause: int) -> None:
-        """A set-up is given up."""
+        """Ignore a cancelled set-up or a released call (interface of the server pool)."""
 
     def send_setup(self, attempt: Any) -> None:
-        """A set-up is written, and established."""
+        """Send a set-up and establish its call at once (interface of the server pool)."""
         if self.core.attempts.claim_transmission(attempt):
-            self.sent += 1
+            self.setups_sent += 1
             self.core.responses.call_established(attempt.server, attempt.call.request.ident, "d")
 
-    def ask(self, kind: str, **more: str) -> int:
-        """The final answer to a set-up."""
+    def offer_call(self, call_class: str, **extra_headers: str) -> int:
+        """Offer a call of a class with additional headers; returns the status of its only response."""
         ident = f"{random.getrandbits(64):016x}"
         headers = {
-            "via": "SIP/2.0/TCP peer", "call-id": ident, "cseq": "1 INVITE", "call-kind": kind,
+            "via": "SIP/2.0/TCP peer", "call-id": ident, "cseq": "1 INVITE", "call-kind": call_class,
             "answer-within": "3000", "routing-data": "dest:0;width:1;via:-1",
         }  # fmt: skip
-        headers.update({name.replace("_", "-"): value for name, value in more.items()})
+        headers.update({name.replace("_", "-"): value for name, value in extra_headers.items()})
         self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
-        for _ in range(200):  # pending calls are tried again
+        for _ in range(200):  # lets 4 s pass, so that pending calls are tried again
             self.now += 0.02
             self.core.timers.run_due()
         parser = sip_parser.StreamParser()
         parser.feed(self.caller.data_to_send())
-        found = []
+        statuses = []
         while (message := parser.next_message()) is not None:
-            found.append(message.status)
-        assert len(found) == 1, found
-        return found[0]
+            statuses.append(message.status)
+        assert len(statuses) == 1, statuses
+        return statuses[0]
 
 
 @KINDS
 def test_a_call_of_an_unknown_class_is_failed_and_one_of_an_unknown_tenant_served(told):
-    """A call of an unknown class or tenant is not lost, answered twice, or taken for another class. An
-    unknown class gets the answer of a failed set-up, and goes nowhere.
+    """A call of an unknown class or tenant gets one response and is not handled as another class.
+
+    A call of an unknown class gets the response to a failed set-up, and no set-up is sent.
     """
-    stage, kind = InProcessSite(told), told["classes"][0]["name"]
-    assert stage.ask("no-such-class") == 400
-    assert stage.ask("") == 400
-    assert stage.sent == 0
-    assert stage.ask(kind) == 200
-    assert stage.ask(kind, charged_party="region-nord") == 200
-    assert stage.ask(kind, charged_party="no-such-tenant") == 200
-    assert stage.ask(kind, charged_party="") == 200
-    assert stage.sent == 4
-    assert not stage.core.calls.by_number.keys() - {1, 2, 3, 4}
+    site, call_class = InProcessSite(told), told["classes"][0]["name"]
+    assert site.offer_call("no-such-class") == 400
+    assert site.offer_call("") == 400
+    assert site.setups_sent == 0
+    assert site.offer_call(call_class) == 200
+    assert site.offer_call(call_class, charged_party="region-nord") == 200
+    assert site.offer_call(call_class, charged_party="no-such-tenant") == 200
+    assert site.offer_call(call_class, charged_party="") == 200
+    assert site.setups_sent == 4
+    assert not site.core.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
@@ -105,12 +106,12 @@
         ),
     ],
 )
-def test_a_report_without_a_usable_field_is_no_report(text, report):
-    """No figure is taken for another, and an empty report not for a server at rest: where nothing can be used
-    the decisions are told nothing.
+def test_a_load_report_without_a_usable_field_causes_no_event(text, report):
+    """Each field is parsed into its own attribute. An empty report must not look like an idle server, so the
+    controller gets no event for a report without a usable field.
     """
     assert parse_load_report(text) == report
-    stage = InProcessSite(TENDERS)
-    stage.core.controller.handle = lambda _now, event: stage.told.append(event) or iter(())
-    stage.core.responses.load_reported(next(iter(stage.core.servers.by_id.values())), parse_load_report(text))
-    assert len(stage.told) == (report != LoadReport())
+    site = InProcessSite(TENDERS)
+    site.core.controller.handle = lambda _now, event: site.events.append(event) or iter(())
+    site.core.responses.load_reported(next(iter(site.core.servers.by_id.values())), parse_load_report(text))
+    assert len(site.events) == (report != LoadReport())
