--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -77,9 +77,7 @@
         self.dialog: Dialog | None = None
         self.descriptions = SessionDescriptions.from_offer(parameters.description)
         self.path = DialogPath(agent.flows, invite)
-        self.provisional: ProvisionalResponse | None = (
-            None  # None before the 180 and after the final response
-        )
+        self.provisional: ProvisionalResponse | None = None  # the 180, until the final response
         self.success = SuccessResponse(context, self.path, self)
         self.refresh = SessionRefresh(context, dialogs.requests, self, parameters.timer)
         # Q.850 cause of a BYE that is delayed until the ACK (RFC 3261, section 15); 0 if there is none.
--- a/stairhatch/sip/call_setup.py
+++ b/stairhatch/sip/call_setup.py
@@ -45,13 +45,12 @@
     def invite_received(self, transaction: ServerTransaction, head: RequestHead, user: str) -> None:
         """Process an INVITE outside any dialog; `user` is its authenticated sender, or "".
 
-        A merged request is answered 482, a call beyond the limit of dialogs 503 with Retry-After.
+        An INVITE that has arrived before on another path (a merged request) is answered 482, a call beyond
+        the limit of dialogs 503 with Retry-After.
         """
         context = self._agent.context
         ident = head.ident
-        if (
-            ident in context.core.calls.by_ident
-        ):  # merged request: another copy came first (RFC 3261, 8.2.2.2)
+        if ident in context.core.calls.by_ident:  # a merged request (RFC 3261, 8.2.2.2)
             self._agent.responder.reject(transaction, MERGED_REQUEST)
             return
         new_call = self._parse_invite(head, ident, user)
--- a/stairhatch/sip/dialog_path.py
+++ b/stairhatch/sip/dialog_path.py
@@ -36,7 +36,7 @@
         self._is_counted = True
 
     def follow(self, flow: Flow) -> None:
-        """Send our requests on the flow of the caller's latest request in the established dialog."""
+        """Switch an established dialog to the flow of the caller's latest request, also for our requests."""
         if flow is self.flow or not self._is_counted:
             return
         self.flow.count_dialogs(-1)
--- a/stairhatch/sip/dialog_requests.py
+++ b/stairhatch/sip/dialog_requests.py
@@ -27,7 +27,7 @@
     """The part of a frontend that answers requests within dialogs."""
 
     def __init__(self, agent: UserAgent, dialogs: DialogTable) -> None:
-        """Create a part that answers with the layers of `agent`."""
+        """Create the part for the dialogs of one frontend; `agent` sends its responses."""
         self._agent = agent
         self._responder = agent.responder
         self._client_requests = dialogs.requests
--- a/stairhatch/sip/request_dispatcher.py
+++ b/stairhatch/sip/request_dispatcher.py
@@ -21,12 +21,13 @@
 from stairhatch.sip.transport import Flow
 from stairhatch.sip.user_agent import UserAgent
 
+# The sender of these requests is authenticated if authentication is configured.
 AUTHENTICATED_METHODS = (
     "INVITE",
     "BYE",
     "UPDATE",
     "INFO",
-)  # the sender is authenticated if authentication is configured
+)
 UNKNOWN_DIALOG = RequestRejection(481)
 OUT_OF_ORDER = RequestRejection(500)
 FORBIDDEN = RequestRejection(403)
@@ -172,7 +173,7 @@
         return None
 
     def _ack_received(self, head: RequestHead, flow: Flow) -> None:
-        """Pass an ACK that matches no transaction, so is the ACK to a 2xx, to the leg of its dialog."""
+        """Pass an ACK that matches no transaction, as that to a 2xx does, to the leg of its dialog."""
         leg = self._dialogs.find(dialog_key(head))
         if leg is None:
             self._agent.context.counters.add("acks_unmatched")
--- a/tests/support/access_node.py
+++ b/tests/support/access_node.py
@@ -31,7 +31,7 @@
 
 @dataclass
 class Node:
-    """An access node whose test sets the time `now` and passes events to its controller."""
+    """An access node in a test, which sets its time `now` and passes events to its controller."""
 
     settings: Settings = SETTINGS
     seed: int = 1
--- a/tests/test_sip_frontend.py
+++ b/tests/test_sip_frontend.py
@@ -278,7 +278,7 @@
     ],
 )  # fmt: skip
 def test_malformed_datagrams_are_answered_or_counted(data, status):
-    """A malformed datagram causes no exception, and gets no response if its headers name no peer."""
+    """A malformed datagram causes no exception; one without the headers of a response gets no response."""
     node = InProcessNode()
     node.front.flows.ports[0].receive(data, ("127.0.0.1", 4000))
     sent = [sip_parser.parse_datagram(piece) for piece, _ in node.front.flows.ports[0].output]
