--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -43,12 +43,12 @@
         begin with "fail not yet".
         """
         if self.pool is None:
-            return "fail fleet.restarts is 0: restarts need no slot in this fleet"
+            return "fail fleet.restarts is 0: a restart needs no slot here"
         self.pool.request(now)
         slot = self.pool.held_position(now)
         lease = self.pool.current
         if slot is None:
-            return f"fail not yet: {lease.reason or 'a restart slot has been requested'}"
+            return f"fail not yet: {lease.reason or 'asking'}"
         slots = len(self.pool.lease_names)
         remaining_s = lease.expires_at - now
         return f"ok slot {slot + 1} of {slots}, held for {remaining_s:.1f} s more unless renewed"
@@ -56,9 +56,9 @@
     def release(self) -> SlotRelease:
         """Release the slot or withdraw the request; return the answer to the command `restart-give`."""
         if self.pool is None or not self.pool.is_requested:
-            return SlotRelease("ok no slot was held or requested")
+            return SlotRelease("ok no slot was held or asked for")
         was_held = self.pool.current.state is LeaseState.HELD
-        answer = f"ok {'slot released' if was_held else 'slot request withdrawn'}"
+        answer = f"ok {'given back' if was_held else 'no longer asked for'}"
         return SlotRelease(answer, self.pool.release())
 
     def tick(self, now: float) -> list[Effect]:
