--- a/stairhatch/fleet/admin_client.py
+++ b/stairhatch/fleet/admin_client.py
@@ -1,7 +1,7 @@
-"""The operators' questions to one member, over its admin endpoint, and the tables that people read.
+"""Client for the admin endpoint of one member, and the tables in which its reports are printed.
 
-One line each way: a command, and an answer that begins with `ok` or `fail`. `admin_commands` is the other
-side.
+The client sends a command as one line and receives one line, which begins with `ok` or `fail`.
+`admin_commands` is the server side.
 """
 
 from __future__ import annotations
@@ -21,68 +21,77 @@
 
 
 def execute(endpoint: tuple[str, int], command: str) -> str:
-    """Execute one command; return the text behind `ok`.
+    """Execute one command; return the text after `ok`.
 
-    AdminClientError: the text behind `fail`, or why nobody answered.
+    Raise AdminClientError with the text after `fail`, or if the endpoint is unreachable or sends no answer.
     """
     data = b""
     try:
         with socket.create_connection(endpoint, ANSWER_TIMEOUT_S) as sock:
             sock.sendall(command.encode() + b"\n")
-            while len(data) < MAX_ANSWER_BYTES and (piece := sock.recv(READ_BYTES)):
-                data += piece
+            while len(data) < MAX_ANSWER_BYTES and (chunk := sock.recv(READ_BYTES)):
+                data += chunk
     except OSError as error:
         host, port = endpoint
-        raise AdminClientError(f"nobody answers at the door {host}:{port}: {error}") from error
-    verdict, _, rest = data.decode("utf-8", "replace").strip().partition(" ")
-    if verdict != "ok":
-        raise AdminClientError(rest or "no answer")
-    return rest
+        raise AdminClientError(f"cannot reach the admin endpoint {host}:{port}: {error}") from error
+    status, _, text = data.decode("utf-8", "replace").strip().partition(" ")
+    if status != "ok":
+        raise AdminClientError(text or "the admin endpoint sent no answer")
+    return text
 
 
 def execute_until_ready(endpoint: tuple[str, int], command: str, seconds: float) -> str:
-    """The same until it says ok, for so many seconds at the most."""
-    end = time.monotonic() + seconds
+    """Execute a command as `execute` does, and repeat it while the answer is `fail not yet`.
+
+    Raise AdminClientError for any other failure, or if the answer is still `not yet` after `seconds`.
+    """
+    deadline = time.monotonic() + seconds
     while True:
         try:
             return execute(endpoint, command)
         except AdminClientError as error:
-            if time.monotonic() + RETRY_INTERVAL_S > end or not str(error).startswith("not yet"):
+            if time.monotonic() + RETRY_INTERVAL_S > deadline or not str(error).startswith("not yet"):
                 raise
         time.sleep(RETRY_INTERVAL_S)
 
 
 def lease_report(endpoint: tuple[str, int]) -> dict[str, Any]:
-    """What a member says of its leases and its vote. AdminClientError as with `execute`."""
+    """Return a member's report of its leases and its vote; `metrics.lease_report` creates it.
+
+    Raise AdminClientError as `execute` does, and if the answer is not valid JSON.
+    """
     try:
-        found = json.loads(execute(endpoint, "claims"))
+        report = json.loads(execute(endpoint, "claims"))
     except ValueError as error:
-        raise AdminClientError("an answer that can't be read") from error
-    assert isinstance(found, dict)
-    return found
+        raise AdminClientError("the answer to the command `claims` is not valid JSON") from error
+    assert isinstance(report, dict)
+    return report
 
 
 def observe_lease(endpoint: tuple[str, int], lease: str, seconds: float, show: Callable[[str], None]) -> None:
-    """Show who holds a lease, a line at each change, for so long. AdminClientError as with `execute`."""
-    end = time.monotonic() + seconds
-    last = None
-    while time.monotonic() < end:
-        seen = json.loads(execute(endpoint, f"watch {lease}"))
-        now = seen["holder"], seen["ticket"], seen["voters"]
-        if seen["voters"] and now != last:
-            last = now
-            left = f"{seen['holder']}, {seen['left_s']:.1f} s left" if seen["holder"] else "nobody"
-            show(f"{lease}: held by {left}, ticket {seen['ticket']}, by {seen['voters']} voters")
+    """Show the holder of a lease for `seconds`, with one line for each change.
+
+    Raise AdminClientError as `execute` does.
+    """
+    deadline = time.monotonic() + seconds
+    previous = None
+    while time.monotonic() < deadline:
+        status = json.loads(execute(endpoint, f"watch {lease}"))
+        current = status["holder"], status["ticket"], status["voters"]
+        if status["voters"] and current != previous:
+            previous = current
+            holder = f"{status['holder']}, {status['left_s']:.1f} s left" if status["holder"] else "nobody"
+            show(f"{lease}: held by {holder}, ticket {status['ticket']}, by {status['voters']} voters")
         time.sleep(RETRY_INTERVAL_S)
 
 
 def format_report(report: dict[str, Any]) -> str:
-    """The report of `lease_report` as a table for people."""
+    """Return the report of `lease_report` as a table for operators."""
     lines = [f"fleet {report['fleet']}, softswitch {report['name']}, voters {' '.join(report['voters'])}"]
     if "number" in report:
         index = report["number"]
-        shown = index if index >= 0 else "none: no turn in what is left over at a cold server"
-        lines.append(f"number        {shown}")
+        index_text = index if index >= 0 else "none: no turn in what is left over at a cold server"
+        lines.append(f"number        {index_text}")
     lines.append(f"{'claim':20} {'stage':8} {'ticket':>7} {'left':>7} holder")
     lines += [_lease_line(each) for each in report["claims"]]
     lines += _vote_lines(report["vote"])
@@ -90,11 +99,11 @@
 
 
 def _lease_line(lease: dict[str, Any]) -> str:
-    left = f"{lease['left_s']:.1f}s" if lease["stage"] == "held" else "-"
+    remaining = f"{lease['left_s']:.1f}s" if lease["stage"] == "held" else "-"
     token = lease["ticket"] or "-"
     holder = lease["holder"] or "-"
-    why = f"  ({lease['why']})" if lease["why"] else ""
-    return f"{lease['claim']:20} {lease['stage']:8} {token:>7} {left:>7} {holder}{why}"
+    reason = f"  ({lease['why']})" if lease["why"] else ""
+    return f"{lease['claim']:20} {lease['stage']:8} {token:>7} {remaining:>7} {holder}{reason}"
 
 
 def _vote_lines(vote: dict[str, Any] | None) -> list[str]:
@@ -106,7 +115,7 @@
         voter_set += f"; its file has {proposed}: not yet agreed to by a majority, or not heard of"
     lines = [f"votes         {'yes' if vote['votes'] else 'no: ' + vote['why']}", voter_set]
     for each in vote["promises"]:
-        left = f"{each['left_s']:.1f}s"
+        remaining = f"{each['left_s']:.1f}s"
         holder = each["holder"] or "-"
-        lines.append(f"  promised {each['claim']:18} {each['ticket']:>7} {left:>7} {holder}")
+        lines.append(f"  promised {each['claim']:18} {each['ticket']:>7} {remaining:>7} {holder}")
     return lines
--- a/stairhatch/fleet/admin_commands.py
+++ b/stairhatch/fleet/admin_commands.py
@@ -1,6 +1,7 @@
 """The fleet's commands at the admin endpoint: `claims`, `watch`, `hand-over`, `restart-ask`, `restart-give`.
 
-An answer begins with `ok` or `fail`; `admin_client` is the other side. Commands and answers stay as they are.
+An answer begins with `ok` or `fail`; `admin_client` is the client. Operators' scripts use the commands and
+the answers, so neither may change.
 """
 
 from __future__ import annotations
@@ -17,31 +18,31 @@
 
 
 class CommandDriver(Protocol):
-    """What the commands are joined to."""
+    """The interface that the commands need from the fleet runtime."""
 
     member: ClusterMember
     restart_slot: RestartSlotLease
 
     def lease_report(self) -> dict[str, Any]:
-        """What this member holds, requests and votes for, as operators are shown it."""
+        """Return the leases and votes of this member, as `claims` reports them."""
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Do what the decisions ask."""
+        """Carry out effects in their order."""
 
     def tick_soon(self) -> None:
-        """Have what is due done once the answer is given."""
+        """Schedule the periodic work for the time after the answer."""
 
 
 class AdminCommands:
-    """What operators may ask of one member's leases."""
+    """Handlers of the operators' commands for one member's leases; each returns the answer."""
 
     def __init__(self, driver: CommandDriver, clock: Callable[[], float]) -> None:
-        """`clock` is the one that leases go by."""
+        """`clock` is the clock of the leases."""
         self._driver = driver
         self._clock = clock
 
     def by_name(self) -> dict[str, Callable[..., str]]:
-        """The commands, by the words that operators use."""
+        """Return the handlers by command word."""
         return {
             "claims": self.show_leases,
             "restart-ask": self.request_restart_slot,
@@ -51,23 +52,26 @@
         }
 
     def show_leases(self) -> str:
-        """What this member holds, requests and votes for."""
+        """Return this member's leases and votes as JSON."""
         return "ok " + json.dumps(self._driver.lease_report())
 
     def request_restart_slot(self) -> str:
-        """Ask for a slot; to be repeated until it says ok."""
+        """Request a restart slot; the client repeats the command until the answer begins with `ok`."""
         answer = self._driver.restart_slot.request(self._clock())
         self._driver.tick_soon()
         return answer
 
     def release_restart_slot(self) -> str:
-        """The restart does not happen."""
+        """Release the restart slot or withdraw its request, because the restart is cancelled."""
         release = self._driver.restart_slot.release()
         self._driver.carry_out(release.effects)
         return release.answer
 
     def hand_over(self, name: str, successor: str = "") -> str:
-        """Release a lease, for a successor that is named or for whoever comes first."""
+        """Release a lease that this member holds, and request it again after one lease duration.
+
+        The named successor has priority for a moment; without one, the first member to request it gets it.
+        """
         now = self._clock()
         lease = self._driver.member.leases.get(name)
         if lease is None or not lease.may_act(now):
@@ -78,10 +82,14 @@
         return f"ok {name} given back" + (f", {successor} goes first for a moment" if successor else "")
 
     def observe(self, name: str) -> str:
-        """Who holds a lease, by the voters' answers; the first answer comes before any of theirs has."""
+        """Return the holder of a lease, according to the voters' replies, as JSON.
+
+        The first answer precedes all replies, so that its `voters` is 0. The command fails if the name is
+        empty or longer than `MAX_LEASE_NAME_BYTES`, or if too many leases are observed.
+        """
         now = self._clock()
-        is_name = 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES
-        observer = self._driver.member.observe(now, name) if is_name else None
+        is_valid_name = 0 < len(name.encode()) <= MAX_LEASE_NAME_BYTES
+        observer = self._driver.member.observe(now, name) if is_valid_name else None
         if observer is None:
             return "fail no claim can have that name, or too many are watched"
         self._driver.tick_soon()
--- a/stairhatch/fleet/endpoint_list_runtime.py
+++ b/stairhatch/fleet/endpoint_list_runtime.py
@@ -1,7 +1,8 @@
-"""The relayed endpoint list at work: `endpoint_relay` joined to service discovery and the other members.
+"""Driver of the endpoint list relay: connects `endpoint_relay` to service discovery and the other members.
 
-The holder of the lease `list` tells the voters its list with its fencing token, and once per poll interval
-that it is there. Nothing that a voter passes on was heard from another voter.
+The holder of the lease `list` sends its list with its fencing token to the voters, and a heartbeat once per
+poll interval. A voter relays the list only while it receives updates from the holder itself; updates from
+another voter alone are not relayed.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 ENDPOINT_LIST_LEASE = "list"
-PASSED_ON = "-"  # stands as the holder in what a voter passes on
+RELAYED_HOLDER = "-"  # the holder field of updates that a voter relays
 
 
 class RelayDriver(Protocol):
-    """What the relay is joined to."""
+    """The interface that the relay needs from the fleet runtime."""
 
     config: FleetConfig
     member: ClusterMember
@@ -38,14 +39,14 @@
     history: HistoryFile
 
     def send(self, destination: PeerAddress, message: FleetMessage) -> None:
-        """Send a message."""
+        """Send a message to another member."""
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Do what the decisions ask."""
+        """Carry out effects in their order."""
 
 
 class EndpointListRelay:
-    """The endpoint list as one member follows it, and hands it on where it holds the lease."""
+    """Relay of the endpoint list in one member, which follows the list and publishes it as lease holder."""
 
     def __init__(
         self,
@@ -53,8 +54,11 @@
         clock: Callable[[], float],
         between_check_and_write: Callable[[], None],
     ) -> None:
-        """`between_check_and_write` is called between the check of the lease and the first message."""
-        self.directory: ServiceDiscoveryClient | None = None  # None: this member follows no list
+        """Create an empty list; `clock` is the leases' clock.
+
+        `between_check_and_write` is called between the check of the lease and the first message.
+        """
+        self.directory: ServiceDiscoveryClient | None = None  # None: this member uses no endpoint list
         self.endpoint_list = EndpointList()
         self.follower = EndpointListFollower(list(driver.config.voters), RelayTimings(), clock())
         self._driver = driver
@@ -63,13 +67,13 @@
         self._clock = clock
         self._between_check_and_write = between_check_and_write
         self._assembler = EndpointListAssembler()
-        self._holder_heard_at = -math.inf
-        self._heartbeat_at = -math.inf
+        self._last_holder_update_at = -math.inf
+        self._last_heartbeat_at = -math.inf
         self._polls_coordinator = False
-        self._handed_on_index = 0
+        self._published_index = 0
 
     def start(self, now: float) -> None:
-        """Request the lease, where the list is relayed."""
+        """Request the lease `list` if the endpoint list is relayed."""
         if self._is_relayed:
             self._member.lease(ENDPOINT_LIST_LEASE).request(now)
 
@@ -78,26 +82,29 @@
         return self._config.relay_endpoint_list and self.directory is not None
 
     def may_poll_coordinator(self) -> bool:
-        """Whether the coordinator is to be polled by this member now."""
+        """Return whether this member should poll the coordinator now, rather than rely on relayed lists."""
         now = self._clock()
         is_holder = self._member.may_act(now, ENDPOINT_LIST_LEASE)
         return self.follower.polls_coordinator(now, is_holder, self.endpoint_list.index > 0)
 
     def coordinator_answered(self, answer: Any) -> None:
-        """The coordinator has answered this member."""
+        """Apply a coordinator's answer to the list; publish the list if this member holds the lease."""
         self.endpoint_list.apply(answer)
-        self._hand_on()
+        self._publish()
 
     def tick(self, now: float) -> None:
-        """What is due: the holder's heartbeat, a question to a voter, and whether to poll the coordinator."""
+        """Send the holder's heartbeat or poll a voter, if due.
+
+        When this member has to poll the coordinator from now on, service discovery connects at once.
+        """
         if self.directory is None or not self._config.relay_endpoint_list:
             return
         is_holder = self._member.may_act(self._clock(), ENDPOINT_LIST_LEASE)
-        if is_holder and now - self._heartbeat_at >= self.follower.timings.poll_interval_s:
-            self._heartbeat_at = now
+        if is_holder and now - self._last_heartbeat_at >= self.follower.timings.poll_interval_s:
+            self._last_heartbeat_at = now
             token = self._member.leases[ENDPOINT_LIST_LEASE].fencing_token
-            self._send_to_voters([self._nothing_new(self._config.member_name, token)])
-        voter = self.follower.voter_to_poll(now, is_holder, self._holder_heard_at)
+            self._send_to_voters([self._unchanged_update(self._config.member_name, token)])
+        voter = self.follower.voter_to_poll(now, is_holder, self._last_holder_update_at)
         if voter is not None and voter != self._config.member_name:
             self._driver.send(self._config.voters[voter], Subscribe(self.endpoint_list.index))
         polls_coordinator = self.may_poll_coordinator()
@@ -105,47 +112,57 @@
             self.directory.reconnect_now()
         self._polls_coordinator = polls_coordinator
 
-    def _nothing_new(self, holder: str, token: int) -> EndpointUpdate:
+    def _unchanged_update(self, holder: str, token: int) -> EndpointUpdate:
         return EndpointUpdate(holder, token, self.endpoint_list.index, 0, 1, b"")
 
     def _send_to_voters(self, updates: list[EndpointUpdate]) -> None:
-        for name, place in self._config.voters.items():
+        for name, address in self._config.voters.items():
             if name != self._config.member_name:
                 for each in updates:
-                    self._driver.send(place, each)
+                    self._driver.send(address, each)
+
+    def _publish(self) -> None:
+        """Send the list to the voters, once per index, if this member holds the lease.
 
-    def _hand_on(self) -> None:
-        """The holder tells the voters, once an index, with its token; the check stands right before."""
-        checked = self._clock()
-        if not self._member.may_act(checked, ENDPOINT_LIST_LEASE):
+        The lease is checked right before the messages are sent.
+        """
+        checked_at = self._clock()
+        if not self._member.may_act(checked_at, ENDPOINT_LIST_LEASE):
             return
-        if self.endpoint_list.index == self._handed_on_index:
+        if self.endpoint_list.index == self._published_index:
             return
-        self._handed_on_index = self.endpoint_list.index
+        self._published_index = self.endpoint_list.index
         token = self._member.leases[ENDPOINT_LIST_LEASE].fencing_token
         updates = to_updates(self.endpoint_list, self._config.member_name, token)
-        self._driver.history.write("acted", claim=ENDPOINT_LIST_LEASE, ticket=token, checked=checked)
+        self._driver.history.write("acted", claim=ENDPOINT_LIST_LEASE, ticket=token, checked=checked_at)
         self._between_check_and_write()
         self._send_to_voters(updates)
 
     def handle_subscribe(self, peer: PeerAddress, request: Subscribe) -> None:
-        """Somebody asks for updates: of the list that the holder handed on, under the holder's token."""
+        """Answer a member's poll with the list if it is newer, under the fencing token of the holder.
+
+        No answer is sent if this member is not the holder and has received nothing from the holder lately.
+        """
         now = self._clock()
         token = self._member.fencing_tokens.highest.get(ENDPOINT_LIST_LEASE, 0)
-        holder = PASSED_ON
+        holder = RELAYED_HOLDER
         if self._member.may_act(now, ENDPOINT_LIST_LEASE):
             token = self._member.leases[ENDPOINT_LIST_LEASE].fencing_token
             holder = self._config.member_name
-        elif not token or now - self._holder_heard_at > self.follower.timings.fallback_after_s:
-            return  # the holder is not heard here either; what another voter says is not passed on again
+        elif not token or now - self._last_holder_update_at > self.follower.timings.fallback_after_s:
+            return  # no recent update from the holder itself; updates from another voter are not relayed
         if request.after_index >= self.endpoint_list.index:
-            self._driver.send(peer, self._nothing_new(holder, token))
+            self._driver.send(peer, self._unchanged_update(holder, token))
             return
         for each in to_updates(self.endpoint_list, holder, token):
             self._driver.send(peer, each)
 
     def handle_update(self, now: float, peer: PeerAddress, update: EndpointUpdate) -> None:
-        """The list as its holder has it, or the word that nothing is new."""
+        """Handle a part of the list or a heartbeat; ignore it if its fencing token is rejected.
+
+        A complete list that is newer than this member's own goes to service discovery. If a heartbeat shows
+        a newer index, the sender is polled for the list.
+        """
         if self.directory is None:
             return
         check = self._member.fencing_tokens.check(ENDPOINT_LIST_LEASE, update.fencing_token, peer)
@@ -153,15 +170,15 @@
         if not check.is_accepted:
             return
         self.follower.handle_update(now)
-        if update.holder != PASSED_ON:
-            self._holder_heard_at = now
+        if update.holder != RELAYED_HOLDER:
+            self._last_holder_update_at = now
         if not update.data:
-            if update.index > self.endpoint_list.index:  # what was handed on has been lost
+            if update.index > self.endpoint_list.index:  # the update with that index was lost
                 self._driver.send(peer, Subscribe(self.endpoint_list.index))
             else:
                 self.directory.confirm_relayed()
             return
-        if not update.part_index:  # the token was accepted, whatever comes of the list
+        if not update.part_index:  # the token was accepted, even if the list is incomplete or outdated
             self._driver.history.write(
                 LeaseEventKind.TOKEN_ACCEPTED.value,
                 claim=ENDPOINT_LIST_LEASE,
--- a/stairhatch/fleet/endpoint_relay.py
+++ b/stairhatch/fleet/endpoint_relay.py
@@ -1,10 +1,11 @@
-"""The endpoint list of the roster servers, which one member follows for all and hands on.
-
-The holder of the lease `list` follows the coordinator and hands the whole list with its index and its fencing
-token to the voters; every other member asks one voter after the other what is newer than its own list. So a
-holder needs to be heard by one voter only, and who does not hear it at all finds the list at the next voter.
-What is handed on is the whole list, compressed, in parts: it may be lost, doubled and disordered without
-harm. An older list never replaces a newer one, and a member that hears nothing polls the coordinator itself.
+"""Relay of the roster servers' endpoint list, which one member fetches for the whole fleet; free of I/O.
+
+The holder of the lease `list` polls the coordinator and sends the whole list, with its index and the fencing
+token, to the voters. Every other member polls the voters for a list that is newer than its own, and changes
+to the next voter if one does not answer. It is therefore enough that the holder reaches one voter, and that a
+member reaches one such voter. A list is sent whole, compressed and in parts, so that lost, duplicated or
+reordered messages do no harm. An older list never replaces a newer one, and a member that receives no updates
+polls the coordinator itself.
 """
 
 from __future__ import annotations
@@ -17,22 +18,26 @@
 
 from stairhatch.fleet.messages import EndpointUpdate
 
-PART_BYTES = 1000  # of the compressed list in one datagram
+PART_BYTES = 1000  # maximum size of a part, which travels in one datagram
 MAX_PARTS = 256
 COMPRESSION_LEVEL = 6
-MAX_TERMINATED = 64  # that stay in the list, so that all members get them
+MAX_TERMINATED = 64  # terminated servers that remain listed, so that all members learn of the termination
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class EndpointList:
-    """The list as one member has it: the index of the last event, and a record for each server."""
+    """The endpoint list of one member: the index of the last event, and the record of each server."""
 
     index: int = 0
     instances: dict[str, Any] = field(default_factory=dict)
 
     def apply(self, answer: Any) -> None:
-        """Take in an answer of the coordinator's, or what was handed on, that has been found valid."""
+        """Apply the events of a valid answer, received from the coordinator or relayed by a member.
+
+        Events that are not newer than `index` are ignored. Of the terminated servers, the last
+        `MAX_TERMINATED` are kept.
+        """
         for event in answer["updates"]:
             endpoints = event.get("endpoints")
             index = int(event["index"])
@@ -50,31 +55,34 @@
             del self.instances[name]
 
     def to_answer(self) -> dict[str, Any]:
-        """The complete list in the form of a coordinator's answer."""
+        """Return the complete list in the form of a coordinator's answer."""
         endpoints = {"reset": True, "instances": list(self.instances.values())}
         return {"index": self.index, "updates": [{"index": self.index, "endpoints": endpoints}]}
 
 
 def to_updates(endpoints: EndpointList, holder: str, token: int) -> list[EndpointUpdate]:
-    """The list in messages, by whom it is handed on and under which fencing token."""
+    """Return the messages that carry the list, sent by `holder` under a fencing token."""
     data = zlib.compress(json.dumps(endpoints.to_answer()).encode(), COMPRESSION_LEVEL)
-    pieces = [data[at : at + PART_BYTES] for at in range(0, len(data), PART_BYTES)]
+    parts = [data[offset : offset + PART_BYTES] for offset in range(0, len(data), PART_BYTES)]
     return [
-        EndpointUpdate(holder, token, endpoints.index, part_index, len(pieces), piece)
-        for part_index, piece in enumerate(pieces)
+        EndpointUpdate(holder, token, endpoints.index, part_index, len(parts), part)
+        for part_index, part in enumerate(parts)
     ]
 
 
 class EndpointListAssembler:
-    """Collects the parts of one list after the other; a newer list replaces the parts of an older one."""
+    """Reassembly buffer for the parts of one list; a part of a newer list discards those of an older one."""
 
     def __init__(self) -> None:
-        """No part has come."""
-        self._version: tuple[int, int] = (0, 0)  # the fencing token and the index
+        """Start with an empty buffer."""
+        self._version: tuple[int, int] = (0, 0)  # fencing token and index of the newest list
         self._parts: dict[int, bytes] = {}
 
     def add(self, update: EndpointUpdate) -> Any:
-        """The complete answer once all parts are there; None before that, and for what is no list."""
+        """Add a part; return the list, as a coordinator's answer, once all of its parts have been added.
+
+        Return None before that, and for a list that is outdated, too large or not valid compressed JSON.
+        """
         version = (update.fencing_token, update.index)
         if version < self._version or update.part_count > MAX_PARTS or update.part_index >= update.part_count:
             return None
@@ -96,42 +104,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayTimings:
-    """When a member asks for updates, in seconds."""
+    """Intervals of a member's polls for updates, in seconds."""
 
-    poll_interval_s: float = 0.4  # of a voter
-    holder_silence_s: float = 0.6  # a message of the holder is so recent: no voter is polled
-    fallback_after_s: float = 2.0  # no message for so long: it polls the coordinator itself
+    poll_interval_s: float = 0.4  # between two polls of voters, and between two heartbeats of the holder
+    holder_silence_s: float = 0.6  # voters are polled only if the holder has been silent for this long
+    fallback_after_s: float = 2.0  # the coordinator is polled after this long without any update
 
 
 class EndpointListFollower:
-    """Whether this member polls the coordinator, and which voter it asks for updates."""
+    """Schedule by which one member polls the coordinator and the voters for updates."""
 
     def __init__(self, voters: list[str], timings: RelayTimings, now: float) -> None:
-        """The voters are asked in this order."""
+        """`voters` are polled in this order; the current time counts as the time of the last update."""
         self.voters = voters
         self.timings = timings
-        self.heard_at = now
-        self.polled_at = now - timings.poll_interval_s
-        self._position = 0
-        self._unanswered = 0
+        self.last_update_at = now
+        self.last_poll_at = now - timings.poll_interval_s
+        self._voter_position = 0
+        self._unanswered_polls = 0
 
     def handle_update(self, now: float) -> None:
-        """Something of the list's holder has come, be it that nothing is new."""
-        self.heard_at = now
-        self._unanswered = 0
-
-    def polls_coordinator(self, now: float, is_holder: bool, knows_list: bool) -> bool:
-        """Whether it follows the coordinator now: the holder does, and who knows no list or hears nothing."""
-        return is_holder or not knows_list or now - self.heard_at > self.timings.fallback_after_s
-
-    def voter_to_poll(self, now: float, is_holder: bool, holder_heard_at: float = -math.inf) -> str | None:
-        """The voter to be asked now, if any. Who hears the holder itself, as voters do, need not ask."""
-        polled_lately = now - self.polled_at < self.timings.poll_interval_s
-        hears_holder = now - holder_heard_at < self.timings.holder_silence_s
-        if is_holder or polled_lately or hears_holder:
+        """Record an update, which may also be a heartbeat without a list."""
+        self.last_update_at = now
+        self._unanswered_polls = 0
+
+    def polls_coordinator(self, now: float, is_holder: bool, has_list: bool) -> bool:
+        """Return whether the member should poll the coordinator.
+
+        It does so as the holder, without a list, and after `fallback_after_s` without an update.
+        """
+        return is_holder or not has_list or now - self.last_update_at > self.timings.fallback_after_s
+
+    def voter_to_poll(
+        self, now: float, is_holder: bool, last_holder_update_at: float = -math.inf
+    ) -> str | None:
+        """Return the voter to poll now; None if no poll is due.
+
+        A member that receives updates from the holder itself, as voters do, polls no voter.
+        """
+        has_polled_recently = now - self.last_poll_at < self.timings.poll_interval_s
+        is_updated_by_holder = now - last_holder_update_at < self.timings.holder_silence_s
+        if is_holder or has_polled_recently or is_updated_by_holder:
             return None
-        self.polled_at = now
-        if self._unanswered:  # the last one did not answer: try the next
-            self._position += 1
-        self._unanswered += 1
-        return self.voters[self._position % len(self.voters)]
+        self.last_poll_at = now
+        if self._unanswered_polls:  # the last voter did not answer: try the next one
+            self._voter_position += 1
+        self._unanswered_polls += 1
+        return self.voters[self._voter_position % len(self.voters)]
--- a/stairhatch/fleet/event_recorder.py
+++ b/stairhatch/fleet/event_recorder.py
@@ -1,7 +1,6 @@
-"""What a member writes down of its leases: the log's lines, the counters of events, and the history file.
+"""Recording of a member's lease events in the log, the counters and the history file.
 
-The history is for whoever checks a run from outside; its words are those of `LeaseEventKind` and stay as they
-are.
+External checkers of a run read the history. Its words are the values of `LeaseEventKind` and must not change.
 """
 
 from __future__ import annotations
@@ -24,22 +23,25 @@
     LeaseEventKind.NOT_VOTING,
     LeaseEventKind.VOTER_SET_ADVANCED,
 )
-REJECTION_LOG_INTERVAL_S = 1.0  # a rejected fencing token is logged so often at the most
+REJECTION_LOG_INTERVAL_S = 1.0  # minimum time between two log lines about rejected fencing tokens
 FILE_MODE = 0o644
 
 
 class HistoryFile:
-    """What this process did, one JSON object a line; nothing where no path is given."""
+    """History file with one JSON object per line for each event; without a path, nothing is written."""
 
     def __init__(self, path: Path | None, clock: Callable[[], float]) -> None:
-        """OSError: the file can't be opened. `clock` is the one that leases go by."""
+        """Open the file for appending; `clock` is the clock of the leases.
+
+        Raise OSError if the file cannot be opened.
+        """
         self._clock = clock
         self._descriptor: int | None = None
         if path is not None:
             self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, FILE_MODE)
 
     def write(self, what: str, **fields: object) -> None:
-        """A line. A file that takes none is written no further."""
+        """Append a line for the event `what`. After a failed write, nothing more is written to the file."""
         if self._descriptor is None:
             return
         line = {"at": time.monotonic(), "clock": self._clock(), "pid": os.getpid(), "what": what, **fields}
@@ -50,7 +52,7 @@
 
 
 class EventRecorder:
-    """Writes down the events of one member."""
+    """Recorder of one member's events in the history, the counters and the log."""
 
     def __init__(
         self,
@@ -59,7 +61,7 @@
         history: HistoryFile,
         clock: Callable[[], float],
     ) -> None:
-        """`log` takes an event's name and its fields."""
+        """`log` takes the name of an event and its fields; `clock` limits the rate of some log lines."""
         self.history = history
         self._log = log
         self._counters = counters
@@ -67,7 +69,10 @@
         self._rejection_logged_at = float("-inf")
 
     def record(self, event: LeaseEvent) -> None:
-        """Put an event into the history, the counters and, where it is one for operators, the log."""
+        """Record an event in the history and the counters, and in the log if it concerns operators.
+
+        `LOGGED_EVENTS` are logged, and rejected fencing tokens once per `REJECTION_LOG_INTERVAL_S`.
+        """
         self.history.write(
             event.kind.value,
             claim=event.lease,
@@ -76,7 +81,7 @@
             why=event.reason,
         )
         self._counters.add(f"fleet_{event.kind.name.lower()}")
-        if event.kind in LOGGED_EVENTS or self._is_rejection_due(event):
+        if event.kind in LOGGED_EVENTS or self._is_rejection_to_log(event):
             self._log(
                 "fleet",
                 what=event.kind.name.lower(),
@@ -85,7 +90,7 @@
                 reason=event.reason or "-",
             )
 
-    def _is_rejection_due(self, event: LeaseEvent) -> bool:
+    def _is_rejection_to_log(self, event: LeaseEvent) -> bool:
         if event.kind is not LeaseEventKind.TOKEN_REJECTED:
             return False
         if self._clock() - self._rejection_logged_at <= REJECTION_LOG_INTERVAL_S:
--- a/stairhatch/fleet/metrics.py
+++ b/stairhatch/fleet/metrics.py
@@ -1,6 +1,6 @@
-"""What a member shows of its leases: the gauges among the counters, and the report of `stairhatch claims`.
+"""Gauges of a member's leases, and the report of the command `stairhatch claims`.
 
-The report is an answer of the admin endpoint: its keys stay as they are.
+The report is an answer of the admin endpoint, so its keys must not change.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def update_gauges(counts: dict[str, int], member: ClusterMember, now: float) -> None:
-    """Put what is held and for how long, and whether this member votes, among the counters."""
+    """Set the gauges in `counts`: the held leases, their remaining times and the state of the voter."""
     counts["fleet_leases_held"] = sum(each.may_act(now) for each in member.leases.values())
     voter = member.voter
     if voter is not None:
@@ -33,7 +33,10 @@
 
 
 def lease_report(config: FleetConfig, member: ClusterMember, index: int | None, now: float) -> dict[str, Any]:
-    """What `stairhatch claims` shows; `index` is the instance index in use, None where none is leased."""
+    """Return the report of `stairhatch claims`.
+
+    `index` is the instance index in use, -1 if there is none; None if this member leases no index.
+    """
     report: dict[str, Any] = {
         "fleet": config.fleet_name,
         "name": config.member_name,
@@ -66,7 +69,7 @@
 
 
 def _voter_entry(voter: Voter, now: float) -> dict[str, Any]:
-    promises = [
+    votes = [
         {
             "claim": vote.lease,
             "ticket": vote.fencing_token,
@@ -78,7 +81,7 @@
     return {
         "votes": voter.is_voting,
         "why": "" if voter.is_voting else voter.eligibility.reason or voter.eligibility.state.value,
-        "promises": promises,
+        "promises": votes,
         "epoch": voter.voter_sets.current.epoch,
         "list": list(voter.voter_sets.current.voters),
         "wishes": voter.voter_sets.configured.voters if voter.voter_sets.is_proposing else [],
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -1,8 +1,8 @@
-"""The fleet's part of one softswitch at work: its member joined to sockets, disk, clock and calls.
+"""Driver of one softswitch's fleet member: connects the sans-I/O member to sockets, disk, clock and calls.
 
-It decides nothing of who holds what, and holds up neither the loop nor a call: a fault in here is logged and
-ends nothing else. `endpoint_list_runtime` has the relayed list, `admin_commands` what operators ask,
-`event_recorder` and `metrics` what is shown.
+The driver makes no decision about leases, and it blocks neither the event loop nor a call. It logs its own
+faults, and none of them stops another component. Related modules: `endpoint_list_runtime` relays the endpoint
+list, `admin_commands` has the operators' commands, `event_recorder` records events, `metrics` has the gauges.
 """
 
 from __future__ import annotations
@@ -46,37 +46,47 @@
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 from stairhatch.overload.settings import Settings
 
-MAX_TICK_S = 0.25  # between two looks at what is due
-MIN_TICK_S = 0.001
-SETTLE_WINDOWS = 1.25  # the span in which a slot at a cold server opens and lapses, in overload windows
+MAX_TICK_INTERVAL_S = 0.25
+MIN_TICK_INTERVAL_S = 0.001
+SETTLE_WINDOWS = 1.25  # overload windows in which a slow-start slot at a cold server opens and expires
 GAUGE_INTERVAL_S = 1.0
 SEED_BITS = 64
-INCARNATION_BITS = 62  # as the numbers of a datagram
+INCARNATION_BITS = 62  # fits the integers of a fleet datagram
 
 
 def clock() -> float:
-    """Seconds of a clock that only moves on, also while the machine is suspended (clock_gettime(2))."""
+    """Return seconds of a monotonic clock that also advances while the machine is suspended.
+
+    The clock is CLOCK_BOOTTIME (clock_gettime(2)).
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def between_check_and_write() -> None:
-    """Do nothing, where a stop does most harm: a fault-injection run stops the process here."""
+    """Do nothing. Fault injection replaces this hook to suspend the process between lease check and send.
+
+    A suspension does the most harm there, because the lease may expire before the messages are sent.
+    """
 
 
 class FleetRuntime:
-    """One softswitch's part in shared work."""
+    """Driver of one softswitch's fleet member, with its leases and, if it is a voter, its votes."""
 
     def __init__(self, core: CallManager, network: Network, config: FleetConfig, settings: Settings) -> None:
-        """StoreError: the data directory can't be used. OSError: the address or the history can't."""
+        """Open the data directory, the history file and the datagram port.
+
+        Raise StoreError if the data directory cannot be used, and OSError if the listening address or the
+        history file cannot be used.
+        """
         self.core = core
         self.network = network
         self.config = config
         self.log = core.log
         self.counters = core.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
-        self.notify_writable: Callable[[], None] = do_nothing  # set by the driver
+        self.notify_writable: Callable[[], None] = do_nothing  # set by the network, which sends `output`
         self.codec = FleetCodec(config.fleet_name, config.secret)
-        # The clock is looked up at each call: a run on another clock puts its own in place of it.
+        # The lambdas look up `clock` at each call, because a run on a virtual clock replaces the function.
         self.history = HistoryFile(config.history_path, lambda: clock())
         self.recorder = EventRecorder(self.log, self.counters, self.history, lambda: clock())
         self.random_source = random.Random(secrets.randbits(SEED_BITS))
@@ -85,7 +95,7 @@
         if config.data_directory is not None:
             self.store = VoterStore(config.data_directory, self._call_on_loop)
         self.member = self._open_member(now)
-        self.settings = settings  # as the file has them
+        self.settings = settings  # as configured, without the leased instance index
         self.instance_index_lease = self._lease_instance_index(settings)
         self.restart_slot = RestartSlotLease(self._restart_pool())
         self.relay = EndpointListRelay(self, lambda: clock(), lambda: between_check_and_write())
@@ -106,7 +116,7 @@
         )
 
     def _persisted_state(self) -> MemberState:
-        """What the data directory held; who is no voter keeps its fencing tokens alone."""
+        """Return the state in the data directory; a member that is no voter uses only the fencing tokens."""
         if self.store is None:
             return MemberState()
         stored = self.store.stored
@@ -131,15 +141,15 @@
         return LeasePool(names, self.member.lease, self.random_source.randrange(len(names)))
 
     def lease_report(self) -> dict[str, Any]:
-        """What this member holds, requests and votes for, as operators are shown it."""
-        leased = self.instance_index_lease
-        index = encode_index(leased.in_use) if leased is not None else None
+        """Return the leases and votes of this member, as the admin command `claims` reports them."""
+        index_lease = self.instance_index_lease
+        index = encode_index(index_lease.in_use) if index_lease is not None else None
         return lease_report(self.config, self.member, index, clock())
 
-    # ---- life ----
+    # ---- start, stop and settings ----
 
     def start(self) -> None:
-        """Begin to request leases."""
+        """Request the leases for the instance index and the endpoint list, and start the periodic work."""
         now = clock()
         if self.instance_index_lease is not None:
             self.core.attempts.check_instance_index = self._update_instance_index
@@ -149,7 +159,10 @@
         self._tick()
 
     def stop(self) -> None:
-        """The program ends: what is held is released, but a restart slot, which lasts over the restart."""
+        """Stop the periodic work, release all leases except a restart slot, and close the data directory.
+
+        A restart slot remains held, because it covers the time until the restarted process serves.
+        """
         self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -160,7 +173,11 @@
             self.store.close()
 
     def settings_in_use(self, settings: Settings) -> Settings:
-        """A file's settings, with the index that is held in place of the one that is configured."""
+        """Return `settings` with the leased instance index in place of the configured one.
+
+        If `settings` have another instance count, the held index is released and one of the new range is
+        requested.
+        """
         if settings.instance_count != self.settings.instance_count:
             if self.instance_index_lease is not None:
                 self.carry_out(self.instance_index_lease.pool.release())
@@ -172,14 +189,14 @@
             return settings
         return replace(settings, instance_index=encode_index(self.instance_index_lease.in_use))
 
-    def _call_on_loop(self, act: Callable[[], None]) -> object:
-        return self.network.loop.call_soon_threadsafe(act)
+    def _call_on_loop(self, callback: Callable[[], None]) -> object:
+        return self.network.loop.call_soon_threadsafe(callback)
 
     # ---- service discovery ----
 
     @property
     def directory(self) -> ServiceDiscoveryClient | None:
-        """Whose list is relayed; None where this member follows none. To be set before `start`."""
+        """The client whose endpoint list is relayed; None if this member uses none. Set before `start`."""
         return self.relay.directory
 
     @directory.setter
@@ -187,17 +204,17 @@
         self.relay.directory = directory
 
     def may_poll_coordinator(self) -> bool:
-        """Whether the coordinator is to be polled by this member now."""
+        """Return whether this member should poll the coordinator now, rather than rely on relayed lists."""
         return self.relay.may_poll_coordinator()
 
     def coordinator_answered(self, answer: Any) -> None:
-        """The coordinator has answered this member."""
+        """Apply a coordinator's answer to the endpoint list, and relay the list as the lease's holder."""
         self.relay.coordinator_answered(answer)
 
     # ---- messages and effects ----
 
     def receive(self, data: bytes, peer: PeerAddress) -> None:
-        """Take one datagram."""
+        """Handle one datagram; count and ignore it if it cannot be authenticated or decoded."""
         message = self.codec.decode(data)
         if message is None:
             self.counters.add("fleet_rejected_datagrams")
@@ -205,7 +222,7 @@
         self.counters.add("fleet_received")
         try:
             self._dispatch(clock(), peer, message)
-        except Exception as error:  # noqa: BLE001 - a message that upsets the decisions ends nothing else
+        except Exception as error:  # noqa: BLE001 - a fault in one message must not stop other components
             self._log_fault(error)
         self._tick()
 
@@ -223,7 +240,7 @@
         self.log("fault", why=f"{type(error).__name__}: {error}", component="Fleet")
 
     def send(self, destination: PeerAddress, message: FleetMessage) -> None:
-        """Send a message."""
+        """Encode a message, queue its datagram for `destination` and notify the network."""
         data = self.codec.encode(message)
         self.counters.add("fleet_sent")
         self.counters.add("fleet_sent_bytes", len(data))
@@ -231,7 +248,7 @@
         self.notify_writable()
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Do what the decisions ask, in their order."""
+        """Carry out effects in their order: send messages, write to disk, record events."""
         for effect in effects:
             match effect:
                 case SendMessage():
@@ -239,7 +256,7 @@
                 case PersistVotes() if self.store is not None:
                     self._persist_votes(self.store, effect)
                 case PersistFencingToken() if self.store is not None:
-                    self.store.persist(effect, self._fencing_token_written)
+                    self.store.persist(effect, self._count_failed_token_write)
                 case LeaseEvent():
                     self.recorder.record(effect)
 
@@ -253,33 +270,36 @@
 
         store.persist(write, completed)
 
-    def _fencing_token_written(self, fault: str) -> None:
+    def _count_failed_token_write(self, fault: str) -> None:
         if fault:
             self.counters.add("fleet_fencing_tokens_not_written")
 
-    # ---- what is due ----
+    # ---- periodic work ----
 
     def tick_soon(self) -> None:
-        """Have what is due done in the loop's next round."""
+        """Schedule a tick for the next iteration of the event loop."""
         self.network.loop.call_soon(self._tick)
 
     def _tick(self) -> None:
-        """Carry out what is due, and come again whatever comes of it. Called after each message too."""
+        """Do the work that is due, and schedule the next tick even if that raised an exception.
+
+        This is also called after each message.
+        """
         if self._is_stopped:
             return
         now = clock()
-        next_due_at = now + MAX_TICK_S
+        next_due_at = now + MAX_TICK_INTERVAL_S
         try:
-            next_due_at = self._do_what_is_due(now)
-        except Exception as error:  # noqa: BLE001 - without the next look no lease would be renewed any more
+            next_due_at = self._do_due_work(now)
+        except Exception as error:  # noqa: BLE001 - without the next tick no lease would be renewed any more
             self._log_fault(error)
         if self._timer is not None:
             self._timer.cancel()
-        wait_s = min(MAX_TICK_S, max(MIN_TICK_S, next_due_at - now))
+        wait_s = min(MAX_TICK_INTERVAL_S, max(MIN_TICK_INTERVAL_S, next_due_at - now))
         self._timer = self.network.loop.call_later(wait_s, self._tick)
 
-    def _do_what_is_due(self, now: float) -> float:
-        """The time at which something is due next."""
+    def _do_due_work(self, now: float) -> float:
+        """Do the work that is due at `now`; return the time at which the next work is due."""
         self.carry_out(self.member.tick(now))
         if self.instance_index_lease is not None:
             self.carry_out(self.instance_index_lease.tick(now))
@@ -295,20 +315,22 @@
         return next_due_at
 
     def _update_instance_index(self) -> None:
-        """Go by the index that may be used at this moment.
+        """Update the settings if the instance index that may be used now has changed.
 
-        Asked before each set-up at a cold server is written too: since the last look the process may have
-        been stopped.
+        The core also calls this before it writes a set-up to a cold server, because the process may have been
+        suspended since the last update.
         """
-        leased = self.instance_index_lease
-        if leased is None:
+        index_lease = self.instance_index_lease
+        if index_lease is None:
             return
-        previous = leased.in_use
-        if not leased.update(clock()):
+        previous = index_lease.in_use
+        if not index_lease.update(clock()):
             return
-        index = leased.in_use
-        named = previous if index is None else index
-        self.history.write("number", claim=f"{instance_index.PREFIX}{named}", number=encode_index(index))
+        index = index_lease.in_use
+        lease_index = previous if index is None else index
+        self.history.write(
+            "number", claim=f"{instance_index.PREFIX}{lease_index}", number=encode_index(index)
+        )
         self.log("fleet", what="instance_index", index="none" if index is None else index)
         self.core.update_settings(self.settings_in_use(self.settings))
 
