--- a/stairhatch/config/__init__.py
+++ b/stairhatch/config/__init__.py
@@ -1,6 +1,6 @@
-"""The configuration, in one form whatever it was read from.
+"""Configuration of the program, in one form for both of its sources.
 
-`model` has that form, the error and what both readers do. `platform` reads the platform's RELAY_ variables
-and JSON file, `appliance` the operators' TOML file, with a schema and a library of its own; neither imports
-the other.
+`model` defines this form, the error and the functions that both readers use. `platform` reads the platform's
+RELAY_ variables and JSON file. `appliance` reads the operators' TOML file, with its own schema and library.
+Neither reader imports the other.
 """
--- a/stairhatch/config/appliance/__init__.py
+++ b/stairhatch/config/appliance/__init__.py
@@ -1,6 +1,6 @@
-"""The appliance's configuration: the operators' TOML file.
+"""Configuration of the appliance from the operators' TOML file.
 
-`reader` turns the file into a `Config`. `schema` has every key, `validation` the complaints about unknown
-keys and wrong values; `sip`, `fleet` and `scope` convert and check a table each, `addresses` what is in
-several. Every complaint begins with the key's path.
+`reader` converts the file into a `Config`. `schema` declares every key, and `validation` rejects unknown keys
+and wrong values. `sip`, `fleet` and `scope` each convert and check the table of that name, and `addresses`
+has the checks of addresses for all tables. Every error message begins with the path of the key.
 """
--- a/stairhatch/config/appliance/addresses.py
+++ b/stairhatch/config/appliance/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses, listeners and networks of the TOML file. Names are not looked up where the program listens."""
+"""Addresses, listeners and networks in the TOML file. Host names of listeners are rejected, not resolved."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def address_at(path: str, text: str) -> TransportAddress:
-    """Return the address under a key. Raises ConfigError that names the key if it is none."""
+    """Return the address in a key's value. Raises ConfigError with the key's path if it is malformed."""
     try:
         return parse_address(text)
     except AddressError as error:
@@ -20,9 +20,10 @@
 
 
 def listeners_at(path: str, value: Listeners | None) -> tuple[SipListener, ...]:
-    """Return the listeners under a key: one or several, each given as an address or a table.
+    """Return the listeners in a key's value: none, one or a list, each as an address or a table.
 
-    Raises ConfigError for a name in place of an address, one that is given twice, or a malformed network.
+    Raises ConfigError for a malformed address, a host name, an address that is listed twice, or a malformed
+    network.
     """
     if value is None or value == "":
         return ()
@@ -33,7 +34,7 @@
         listener = _listener(f"{path}[{index}]", each)
         if any(listener.address == other.address for other in listeners):
             address = each.address if isinstance(each, ListenerTable) else each
-            raise ConfigError(f"{path}[{index}]: {address} stands twice")
+            raise ConfigError(f"{path}[{index}]: {address} is listed twice")
         listeners.append(listener)
     return tuple(listeners)
 
@@ -42,7 +43,7 @@
     table = value if isinstance(value, ListenerTable) else ListenerTable(value)
     address = address_at(path, table.address)
     if not is_ip_address(address[0]):
-        raise ConfigError(f"{path}: {address[0]!r} is a name; names are not looked up")
+        raise ConfigError(f"{path}: {address[0]!r} is a host name; an IP address is required")
     networks = (_network(f"{path}.allow[{order}]", text) for order, text in enumerate(table.allow))
     return SipListener(address, AllowedNetworks(tuple(networks)))
 
--- a/stairhatch/config/appliance/schema.py
+++ b/stairhatch/config/appliance/schema.py
@@ -1,7 +1,7 @@
 """The schema of the appliance's TOML file: a struct for each table, a field for each key.
 
-A key that no struct declares is refused, so every key that any part needs is declared here. What the
-keys mean: deploy/sip.toml, docs/sip.md, docs/overload.md, docs/fleet.md and docs/scope.md.
+A key that no struct declares is rejected, so this module declares the keys of all components. The meanings of
+the keys are documented in deploy/sip.toml, docs/sip.md, docs/overload.md, docs/fleet.md and docs/scope.md.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class _Table(Struct, forbid_unknown_fields=True, frozen=True):
-    """A table of the file."""
+    """Base class of the file's tables; it rejects unknown keys."""
 
 
 class ListenerTable(_Table, frozen=True):
-    """An address to listen on, and the networks that are accepted there."""
+    """A listener's address and the networks whose callers it accepts; an empty list allows all networks."""
 
     address: Text
     allow: list[Text] = []
@@ -36,7 +36,7 @@
 
 
 class NumberTable(_Table, frozen=True):
-    """The call class and the preferred server of a prefix of the called number."""
+    """The call class and the preferred server of called numbers with a certain prefix."""
 
     prefix: str
     class_: Text = msgspec.field(name="class")
@@ -44,7 +44,7 @@
 
 
 class AuthTable(_Table, frozen=True):
-    """Who may call."""
+    """Digest authentication of callers: the file of users, the realm and the lifetime of nonces."""
 
     users: Text
     realm: Text
@@ -60,7 +60,10 @@
 
 
 class AdmissionTable(_Table, frozen=True):
-    """Overload control for the appliance itself. Off by default: docs/overload.md says what it costs."""
+    """Admission control, which protects the appliance itself from overload.
+
+    It is off by default because of its cost, which docs/overload.md describes.
+    """
 
     on: bool = False
     onset_ms: Annotated[float, Meta(gt=0, le=1000)] = 50.0
@@ -77,7 +80,7 @@
 
 
 class SipTable(_Table, frozen=True):
-    """The SIP frontend."""
+    """The table `[sip]`: listeners, limits and call classes of the SIP frontend."""
 
     default_class: Text
     udp: Listeners | None = None
@@ -95,7 +98,7 @@
 
 
 class ServerTable(_Table, frozen=True):
-    """A roster server."""
+    """An entry of `[[servers]]`: the address, the number and the state of one roster server."""
 
     name: Text
     address: Text
@@ -104,7 +107,7 @@
 
 
 class ClassTable(_Table, frozen=True):
-    """A class of calls, under the platform's names."""
+    """A call class of the settings; the keys have the platform's names."""
 
     name: Text
     aim_s: PositiveSeconds = 1.0
@@ -115,7 +118,7 @@
 
 
 class FamilyTable(_Table, frozen=True):
-    """Figures of the deployment's family."""
+    """Parameters of the deployment family."""
 
     clear_wait_s: Seconds = 0.5
     retransmit_s: Seconds = 0.0
@@ -125,7 +128,7 @@
 
 
 class PermissionsTable(_Table, frozen=True):
-    """What the decisions may do."""
+    """Permissions and limits of the routing decisions."""
 
     send_cap: Annotated[int, Meta(ge=1, le=6)] = 3
     may_probe: bool = False
@@ -137,13 +140,13 @@
 
 
 class LoadTable(_Table, frozen=True):
-    """The names of the load report's figures."""
+    """The names of the values in a load report."""
 
     names: list[str] = []
 
 
 class SafetyTable(_Table, frozen=True):
-    """The safety limits (`SafetyLimits` of the overload control)."""
+    """The safety limits of the overload control (`SafetyLimits`)."""
 
     answer_slack_s: Seconds = 0.0
     drain_grace_s: Seconds = 0.0
@@ -154,11 +157,11 @@
 
 
 class SettingsTable(_Table, frozen=True):
-    """The settings of the overload control, under the platform's names."""
+    """The settings of the overload control; the keys have the platform's names."""
 
     classes: Annotated[list[ClassTable], Meta(min_length=1)]
     balancers: Count = 1
-    me: Annotated[int, Meta(ge=0, le=MAX_COUNT)] | None = None  # which of them this one is
+    me: Annotated[int, Meta(ge=0, le=MAX_COUNT)] | None = None  # this softswitch's instance index
     period_s: Seconds = 0.005
     family_info: FamilyTable = FamilyTable()
     permissions: PermissionsTable = PermissionsTable()
@@ -167,7 +170,7 @@
 
 
 class FleetTable(_Table, frozen=True):
-    """Work on behalf of the fleet. Off without this table: docs/fleet.md."""
+    """Membership in a fleet (docs/fleet.md); without this table the softswitch joins no fleet."""
 
     name: Annotated[str, Meta(min_length=1, max_length=48)]
     listen: Text
@@ -184,7 +187,10 @@
 
 
 class ServiceTable(_Table, frozen=True):
-    """What is configured for some classes: how many softswitches ever have calls of them."""
+    """A service: call classes, the number of softswitches that ever receive their calls, and the own index.
+
+    If `keep` is set, the servers of these classes are always in scope.
+    """
 
     classes: Annotated[list[Text], Meta(min_length=1)]
     softswitches: Count | None = None
@@ -193,7 +199,10 @@
 
 
 class ScopeTable(_Table, frozen=True):
-    """Connect only to servers of classes that callers ask for. Off without this table: docs/scope.md."""
+    """Connections only to servers of the classes that callers use (docs/scope.md).
+
+    Without this table, the softswitch connects to all servers.
+    """
 
     idle_s: Annotated[float, Meta(ge=1, le=MAX_SECONDS)] = 600.0
     services: list[ServiceTable] = []
--- a/stairhatch/config/appliance/scope.py
+++ b/stairhatch/config/appliance/scope.py
@@ -1,4 +1,4 @@
-"""The table `[scope]`: which classes' servers are connected to, and who shares them (docs/scope.md)."""
+"""The table `[scope]`: the call classes to whose servers a softswitch connects (docs/scope.md)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def scope_config(table: ScopeTable, settings: Settings) -> ScopeConfig:
-    """Convert the table. Raises ConfigError."""
+    """Return the scope's configuration. Raises ConfigError with the path of the key that cannot be used."""
     known = KnownClasses.of(settings)
-    assigned: set[str] = set()  # classes that an earlier service names
+    assigned: set[str] = set()  # the classes of earlier services
     services: list[ServiceConfig] = []
     for index, each in enumerate(table.services):
         path = f"scope.services[{index}]"
@@ -27,18 +27,21 @@
 
 
 def _assign_classes(path: str, table: ServiceTable, known: KnownClasses, assigned: set[str]) -> None:
-    """Raise ConfigError for a class that the settings lack, or that is named a second time."""
+    """Add the classes of a service to `assigned`.
+
+    Raises ConfigError for a class that the settings lack, or that is in `assigned` already.
+    """
     for order, name in enumerate(table.classes):
         known.require(f"{path}.classes[{order}]", name)
         if name in assigned:
-            raise ConfigError(f"{path}.classes[{order}]: {name!r} stands twice")
+            raise ConfigError(f"{path}.classes[{order}]: {name!r} is listed twice")
         assigned.add(name)
 
 
 def _service(path: str, table: ServiceTable, settings: Settings) -> ServiceConfig:
-    balancers = settings.instance_count
-    if table.softswitches is not None and table.softswitches > balancers:
-        raise ConfigError(f"{path}.softswitches: above settings.balancers, which is {balancers}")
+    instance_count = settings.instance_count
+    if table.softswitches is not None and table.softswitches > instance_count:
+        raise ConfigError(f"{path}.softswitches: above settings.balancers, which is {instance_count}")
     if table.me is not None and table.me >= (table.softswitches or 0):
         raise ConfigError(f"{path}.me: must be below softswitches")
     index = table.me if table.me is not None else UNKNOWN_INSTANCE
--- a/stairhatch/config/appliance/sip.py
+++ b/stairhatch/config/appliance/sip.py
@@ -1,4 +1,4 @@
-"""The table `[sip]`: where the SIP frontend listens, who may call, which class a number is of, admission."""
+"""The table `[sip]`: listeners, digest authentication, classes of called numbers and admission control."""
 
 from __future__ import annotations
 
@@ -17,36 +17,39 @@
 from stairhatch.sip.config import AuthConfig, NumberPrefix, SipConfig
 from stairhatch.sip.session_timer import SessionTimerPolicy
 
-ALGORITHM_SIMILARITY = 0.3  # names are short: a suggestion may be further off than that for a key
+ALGORITHM_SIMILARITY = 0.3  # lower than for keys, because the names of algorithms are short
 MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class KnownClasses:
-    """The names of the settings' classes, for the keys that name one."""
+    """The names of the settings' call classes, to check keys that refer to a class."""
 
     names: frozenset[str]
 
     @classmethod
     def of(cls, settings: Settings) -> KnownClasses:
-        """Return those of the settings."""
+        """Return the names of all classes in the settings."""
         return cls(frozenset(each.name for each in settings.classes))
 
     def require(self, path: str, name: str) -> str:
-        """Return a class's name. Raises ConfigError if there is no such class."""
+        """Return `name`. Raises ConfigError with the key's path if the settings have no such class."""
         if name not in self.names:
             hint = suggestion(name, self.names)
             raise ConfigError(f"{path}: the settings have no class {name!r}{hint}")
         return name
 
 
-def sip_config(table: SipTable, settings: Settings, folder: Path) -> SipConfig:
-    """Convert the table; files are named relative to `folder`. Raises ConfigError."""
+def sip_config(table: SipTable, settings: Settings, directory: Path) -> SipConfig:
+    """Return the SIP frontend's configuration; the paths in the table are relative to `directory`.
+
+    Raises ConfigError with the path of the key that cannot be used.
+    """
     classes = KnownClasses.of(settings)
     udp = listeners_at("sip.udp", table.udp)
     tcp = listeners_at("sip.tcp", table.tcp)
     if not udp and not tcp:
-        raise ConfigError("sip: names neither udp nor tcp to listen on")
+        raise ConfigError("sip: at least one listener is required, in udp or in tcp")
     if table.contact:
         address_at("sip.contact", table.contact)
     numbers = [
@@ -67,17 +70,17 @@
         dialogs=table.dialogs,
         restart_wait_s=table.restart_wait_s,
         timers=SessionTimerPolicy(table.timers.session_expires_s, table.timers.min_se_s),
-        auth=_auth_config(table.auth, folder) if table.auth is not None else None,
+        auth=_auth_config(table.auth, directory) if table.auth is not None else None,
         admission=_admission_policy(table.admission) if table.admission.on else None,
     )
 
 
-def _auth_config(table: AuthTable, folder: Path) -> AuthConfig:
+def _auth_config(table: AuthTable, directory: Path) -> AuthConfig:
     for index, name in enumerate(table.algorithms):
         if name not in digest_auth.ALGORITHMS:
             hint = suggestion(name, digest_auth.ALGORITHMS, ALGORITHM_SIMILARITY)
-            raise ConfigError(f"sip.auth.algorithms[{index}]: unknown {name!r}{hint}")
-    path = str(folder / table.users)
+            raise ConfigError(f"sip.auth.algorithms[{index}]: unknown algorithm {name!r}{hint}")
+    path = str(directory / table.users)
     try:
         users = digest_auth.parse_users(read_text(path), table.realm, table.algorithms)
     except digest_auth.UserFileError as error:
@@ -90,9 +93,9 @@
 
 def _admission_policy(table: AdmissionTable) -> AdmissionPolicy:
     if not table.abatement_ms < table.onset_ms < table.full_ms:
-        raise ConfigError("sip.admission: abatement_ms must lie under onset_ms, and that under full_ms")
+        raise ConfigError("sip.admission: abatement_ms must be below onset_ms, and onset_ms below full_ms")
     if table.return_s[0] > table.return_s[1]:
-        raise ConfigError("sip.admission.return_s: the first must not be above the second")
+        raise ConfigError("sip.admission.return_s: the first value must not exceed the second")
     return AdmissionPolicy(
         OverloadDetectorPolicy(
             onset_s=table.onset_ms / MS_PER_S,
--- a/stairhatch/config/appliance/validation.py
+++ b/stairhatch/config/appliance/validation.py
@@ -1,4 +1,4 @@
-"""Complaints about keys of the TOML file: unknown ones, with the nearest that is known, and wrong values."""
+"""Validation of the decoded TOML file: errors for unknown keys, with a suggestion, and for wrong values."""
 
 from __future__ import annotations
 
@@ -14,30 +14,33 @@
 from stairhatch.config.appliance.schema import ApplianceTable
 from stairhatch.config.model import ConfigError
 
-KEY_SIMILARITY = 0.5  # of difflib, from 0 to 1: how near a suggestion has to be
+KEY_SIMILARITY = 0.5  # minimum similarity of a suggestion, from 0 to 1 (difflib)
 MSGSPEC_PATH = re.compile(r" - at `\$\.?([^`]*)`\Z")
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownKey:
-    """A key that the schema lacks. `hint` names the nearest that it has, or is empty."""
+    """A key that the schema lacks, and the text of a suggestion, which may be empty."""
 
     path: str
     hint: str
 
 
 def suggestion(word: str, known: Iterable[str], similarity: float = KEY_SIMILARITY) -> str:
-    """Return "; did you mean WORD?" for the nearest known word, or nothing if none is near."""
+    """Return "; did you mean WORD?" for the most similar known word.
+
+    Return "" if no word reaches `similarity`, from 0 to 1 as difflib defines it.
+    """
     nearest = difflib.get_close_matches(word, list(known), 1, similarity)
     return f"; did you mean {nearest[0]}?" if nearest else ""
 
 
 def unknown_keys(raw: Any, kind: inspect.Type, path: str = "") -> Iterator[UnknownKey]:
-    """Find each key of the decoded text that the schema lacks, in the order of the text."""
+    """Yield each key of the decoded file that the schema lacks, in the order of the file."""
     match kind:
         case inspect.UnionType():
             for each in kind.types:
-                if _has_shape(raw, each):
+                if _matches_container_type(raw, each):
                     yield from unknown_keys(raw, each, path)
         case inspect.ListType() if isinstance(raw, list):
             for index, item in enumerate(raw):
@@ -54,8 +57,8 @@
             return
 
 
-def _has_shape(raw: Any, kind: inspect.Type) -> bool:
-    """Whether a value is a table where the schema has one, or a list."""
+def _matches_container_type(raw: Any, kind: inspect.Type) -> bool:
+    """Return whether `raw` and the type in the schema are both tables or both lists."""
     match kind:
         case inspect.StructType():
             return isinstance(raw, dict)
@@ -66,17 +69,17 @@
 
 
 def validate(raw: Any) -> ApplianceTable:
-    """Return the decoded file as the schema has it. Raises ConfigError for the first thing that is wrong."""
+    """Convert the decoded file into the schema's structs. Raises ConfigError for the first error."""
     for unknown in unknown_keys(raw, inspect.type_info(ApplianceTable)):
         raise ConfigError(f"{unknown.path}: unknown key{unknown.hint}")
     try:
         return msgspec.convert(raw, ApplianceTable)
     except msgspec.ValidationError as error:
-        raise ConfigError(_complaint(str(error))) from error
+        raise ConfigError(_error_text(str(error))) from error
 
 
-def _complaint(text: str) -> str:
-    """Put msgspec's complaint into the form of ours: the key's path first."""
+def _error_text(text: str) -> str:
+    """Return msgspec's error text in the form of this package, which begins with the key's path."""
     path = MSGSPEC_PATH.search(text)
     reason = MSGSPEC_PATH.sub("", text)
     reason = reason[:1].lower() + reason[1:].replace("`", "")
--- a/stairhatch/config/platform.py
+++ b/stairhatch/config/platform.py
@@ -1,7 +1,7 @@
-"""Reads the platform's configuration: its RELAY_ variables and the JSON file that RELAY_CONFIG names.
+"""Reader of the platform's configuration: the RELAY_ variables and the JSON file at the path RELAY_CONFIG.
 
-Keys that this program does not know are ignored, since the platform may tell more than it needs. A key that
-it needs has no default: one that is missing ends the start, as does one that cannot be used.
+Unknown keys are ignored, because the platform may pass more than the program needs. Required keys have no
+defaults: the start fails if a required key is missing or if a value cannot be used.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from stairhatch.settings.errors import SettingsError
 from stairhatch.settings.schema import MAX_COUNT, NumberShape, ObjectShape, TextShape, validate
 
-RESTART_DRAIN_S = 3.0  # the platform's SIGKILL follows SIGTERM in a planned restart
-UPGRADE_DRAIN_S = 5.0  # and where another process takes over the socket
+RESTART_DRAIN_S = 3.0  # in a planned restart, after which the platform sends SIGKILL
+UPGRADE_DRAIN_S = 5.0  # in an upgrade, where another process takes over the listening socket
 LIMIT = NumberShape(1, MAX_COUNT)
 FILE_SCHEMA = ObjectShape(
     {
         "name": TextShape(),
         "seed": TextShape(),
         "limits": ObjectShape({"sockets": LIMIT, "memory_mb": LIMIT}),
-        "settings": ObjectShape({}),  # checked by its own parser
+        "settings": ObjectShape({}),  # checked by the settings parser
         "known": ObjectShape({}),
     },
-    optional=frozenset(("name", "seed")),  # RELAY_NAME may give the name; without a seed chance decides
+    optional=frozenset(("name", "seed")),  # RELAY_NAME may set the name; without a seed, one is random
 )
 
 
 def read_platform(environ: Mapping[str, str]) -> Config:
-    """Read the platform's variables and the file they name. Raises ConfigError that names the key."""
+    """Read the platform's variables and its file. Raises ConfigError with the key or the variable."""
     path = environ.get("RELAY_CONFIG", "")
     if not path:
-        raise ConfigError("RELAY_CONFIG is not set: it names the configuration file")
+        raise ConfigError("RELAY_CONFIG is not set: it must be the path of the configuration file")
     try:
         return _config(json.loads(read_text(path)), environ)
     except json.JSONDecodeError as error:
@@ -48,7 +48,10 @@
 
 
 def _config(raw: Any, environ: Mapping[str, str]) -> Config:
-    """Return the configuration in the decoded file and the variables."""
+    """Return the configuration; the variables take precedence over the decoded file.
+
+    Raises ConfigError, SettingsError or another ValueError with the key that is missing or unusable.
+    """
     if not isinstance(raw, dict):
         raise ConfigError("the file holds no JSON object")
     validate(raw, FILE_SCHEMA, "", complete=True)
@@ -76,7 +79,7 @@
 
 
 def _address(key: str, source: Mapping[str, Any]) -> tuple[str, int]:
-    """Return the address under a key or a variable's name."""
+    """Return the address of a key or a variable. Raises ConfigError if it is missing or malformed."""
     if key not in source:
         raise ConfigError(f"{key}: is missing")
     try:
@@ -86,12 +89,12 @@
 
 
 def _optional_address(key: str, source: Mapping[str, Any]) -> tuple[str, int] | None:
-    """Return the same, or None where the key is missing or empty."""
+    """Return the address of a key or a variable, or None if it is missing or empty."""
     return _address(key, source) if source.get(key) else None
 
 
 def _descriptor(text: str | None) -> int | None:
-    """Return the number of the listening socket that the platform owns, if it owns one."""
+    """Return the descriptor of the listening socket that the platform owns; None if it owns none."""
     try:
         return int(text) if text else None
     except ValueError as error:
@@ -99,9 +102,10 @@
 
 
 def _check_known(known: Any) -> None:
-    """Raise ConfigError for events of the start that service discovery could not read.
+    """Raise ConfigError if the initial endpoint list is no valid answer of a coordinator.
 
-    Read there they would end the start in a traceback, as a number too large for any float did.
+    Without this check, service discovery would end the start with a traceback, for example for a number that
+    is too large for a float.
     """
     try:
         parse_answer(known, 0)
