--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -225,7 +225,7 @@
         except OSError as error:
             raise ConfigError(f"fleet.listen: {error.strerror}") from error
         if parts.discovery is not None and config.relay_endpoint_list:
-            parts.fleet.directory = parts.discovery
+            parts.fleet.discovery = parts.discovery
             parts.discovery.on_answer = parts.fleet.coordinator_answered
             parts.discovery.may_poll = parts.fleet.may_poll_coordinator
         parts.fleet.start()
--- a/stairhatch/fleet/endpoint_list_runtime.py
+++ b/stairhatch/fleet/endpoint_list_runtime.py
@@ -58,7 +58,7 @@
 
         `between_check_and_write` is called between the check of the lease and the first message.
         """
-        self.directory: ServiceDiscoveryClient | None = None  # None: this member uses no endpoint list
+        self.discovery: ServiceDiscoveryClient | None = None  # None: this member uses no endpoint list
         self.endpoint_list = EndpointList()
         self.follower = EndpointListFollower(list(driver.config.voters), RelayTimings(), clock())
         self._driver = driver
@@ -79,7 +79,7 @@
 
     @property
     def _is_relayed(self) -> bool:
-        return self._config.relay_endpoint_list and self.directory is not None
+        return self._config.relay_endpoint_list and self.discovery is not None
 
     def may_poll_coordinator(self) -> bool:
         """Return whether this member should poll the coordinator now, rather than rely on relayed lists."""
@@ -97,7 +97,7 @@
 
         When this member has to poll the coordinator from now on, service discovery connects at once.
         """
-        if self.directory is None or not self._config.relay_endpoint_list:
+        if self.discovery is None or not self._config.relay_endpoint_list:
             return
         is_holder = self._member.may_act(self._clock(), ENDPOINT_LIST_LEASE)
         if is_holder and now - self._last_heartbeat_at >= self.follower.timings.poll_interval_s:
@@ -109,7 +109,7 @@
             self._driver.send(self._config.voters[voter], Subscribe(self.endpoint_list.index))
         polls_coordinator = self.may_poll_coordinator()
         if polls_coordinator and not self._polls_coordinator:
-            self.directory.reconnect_now()
+            self.discovery.reconnect_now()
         self._polls_coordinator = polls_coordinator
 
     def _unchanged_update(self, holder: str, token: int) -> EndpointUpdate:
@@ -163,7 +163,7 @@
         A complete list that is newer than this member's own goes to service discovery. If a heartbeat shows
         a newer index, the sender is polled for the list.
         """
-        if self.directory is None:
+        if self.discovery is None:
             return
         check = self._member.fencing_tokens.check(ENDPOINT_LIST_LEASE, update.fencing_token, peer)
         self._driver.carry_out(check.effects)
@@ -176,7 +176,7 @@
             if update.index > self.endpoint_list.index:  # the update with that index was lost
                 self._driver.send(peer, Subscribe(self.endpoint_list.index))
             else:
-                self.directory.confirm_relayed()
+                self.discovery.confirm_relayed()
             return
         if not update.part_index:  # the token was accepted, even if the list is incomplete or outdated
             self._driver.history.write(
@@ -190,4 +190,4 @@
             return
         self._driver.counters.add("fleet_lists_accepted")
         self.endpoint_list.apply(answer)
-        self.directory.accept_relayed(self.endpoint_list.to_answer())
+        self.discovery.accept_relayed(self.endpoint_list.to_answer())
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -195,13 +195,13 @@
     # ---- service discovery ----
 
     @property
-    def directory(self) -> ServiceDiscoveryClient | None:
+    def discovery(self) -> ServiceDiscoveryClient | None:
         """The client whose endpoint list is relayed; None if this member uses none. Set before `start`."""
-        return self.relay.directory
+        return self.relay.discovery
 
-    @directory.setter
-    def directory(self, directory: ServiceDiscoveryClient) -> None:
-        self.relay.directory = directory
+    @discovery.setter
+    def discovery(self, discovery: ServiceDiscoveryClient) -> None:
+        self.relay.discovery = discovery
 
     def may_poll_coordinator(self) -> bool:
         """Return whether this member should poll the coordinator now, rather than rely on relayed lists."""
--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -128,8 +128,8 @@
             directory.mkdir(parents=True, exist_ok=True)
             self.stored = self._open()
         except (OSError, sqlite3.Error) as error:
-            text = "another process has it open" if "locked" in str(error) else str(error)
-            raise StoreError(f"{directory}: {text}") from error
+            reason = "another process has it open" if "locked" in str(error) else str(error)
+            raise StoreError(f"{directory}: {reason}") from error
         self._thread = threading.Thread(target=self._run, name="fleet-store", daemon=True)
         self._thread.start()
 
@@ -139,9 +139,9 @@
         except sqlite3.DatabaseError as error:
             if isinstance(error, sqlite3.OperationalError):
                 raise  # the file is locked or read-only, or the disk is full; the file may be intact
-            quarantine = self._quarantine()
+            quarantine_name = self._quarantine()
             stored = self._read()
-            return StoredState(stored.voter_state, stored.fencing_tokens, f"{quarantine}: {error}")
+            return StoredState(stored.voter_state, stored.fencing_tokens, f"{quarantine_name}: {error}")
 
     def _quarantine(self) -> str:
         """Rename the unreadable database file and return its new name."""
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -193,7 +193,7 @@
         network = cast(Network, self._fleet_network)  # a fleet uses only its loop and datagram port
         self._fleet = FleetRuntime(self.core, network, config, self.context.settings)
         if fleet.relay_endpoint_list:
-            self._fleet.directory = discovery
+            self._fleet.discovery = discovery
             discovery.on_answer = self._fleet.coordinator_answered
             discovery.may_poll = self._fleet.may_poll_coordinator
         self._fleet.start()
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -31,7 +31,10 @@
 
 
 class Program:
-    """A process of the program on free ports; it is started again if another process has taken a port."""
+    """A process of the program on free ports.
+
+    The class methods start the process again if another process has taken one of its ports.
+    """
 
     descriptor_limit = 0  # descriptor limit of the process (RLIMIT_NOFILE); 0: the limit of the tests
 
--- a/tests/test_lost_servers.py
+++ b/tests/test_lost_servers.py
@@ -315,7 +315,7 @@
         send=lambda *_: None,
     )
     relay = EndpointListRelay(driver, lambda: node.now, lambda: None)
-    relay.directory = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+    relay.discovery = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
     relay.endpoint_list.index = 4
     node.run(5.0)
     relay.handle_update(node.now, ("a", 1), EndpointUpdate("a", 7, index, 0, 1, b""))
