--- a/stairhatch/node/io/accepted_connection.py
+++ b/stairhatch/node/io/accepted_connection.py
@@ -1,4 +1,4 @@
-"""The record of one connection of a caller: accepted by a listener, or dialled to deliver a message."""
+"""State of one caller's connection, which a listener accepted or which was dialled to deliver a message."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 from stairhatch.node.protocol import ConnectionProtocol
 
-NOISE_TOLERATED_S = 1.0  # bytes that make no message for so long keep no connection
+NOISE_TOLERATED_S = 1.0  # a connection that receives only line ends for longer than this is idle
 
 
 def peek_unread(sock: socket.socket) -> bytes | None:
-    """The first byte that lies unread on a connection; b"" for its end or a fault, None for neither."""
+    """Return the first unread byte of a connection without consuming it.
+
+    Returns b"" if the peer has closed or the socket has failed, and None if there is nothing to read.
+    """
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -23,47 +26,52 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class AcceptedConnection:
-    """A connection of a caller. Times are the event loop's, in seconds."""
+    """State of a connection to one caller. Times are event loop times in seconds."""
 
     protocol: ConnectionProtocol
     sock: socket.socket
     accepted_at: float
-    received_at: float = 0.0  # when bytes last came
-    partial_since: float = 0.0  # since when the rest of a message is awaited; 0: it is not
-    peer_closed: bool = False  # its peer has closed, with bytes before that which may lie unread
-    reading_ended: asyncio.Future[bool] | None = None  # set once it is read; result: the peer may still send
-    loss_reported: bool = False  # the protocol was notified that the connection is lost
-    requests_seen: int = 0  # requests received on it when it was last checked
-    requests_seen_at: float = 0.0  # since when there were no more
+    received_at: float = 0.0  # when bytes were last received
+    partial_since: float = 0.0  # when the first part of an incomplete message was received; 0: none
+    peer_closed: bool = False  # the peer has closed; bytes sent before that may still be unread
+    reading_ended: asyncio.Future[bool] | None = None  # set by the reader; result: the peer may still send
+    loss_reported: bool = False  # the protocol has been notified of the loss of the connection
+    requests_seen: int = 0  # the protocol's request count at the last check
+    requests_seen_at: float = 0.0  # when that count was last seen to change
 
     def __post_init__(self) -> None:
-        """A new connection counts as one that has just received something."""
+        """Treat a new connection as one that has just received bytes."""
         self.received_at = self.requests_seen_at = self.accepted_at
 
     def note_requests(self, now: float) -> None:
-        """Note whether a whole request has come since the last check."""
+        """Record `now` as the time of the last request if the protocol's request count has changed."""
         if (requests := self.protocol.requests) != self.requests_seen:
             self.requests_seen = requests
             self.requests_seen_at = now
 
     def is_idle_since(self, since: float, now: float) -> bool:
-        """Whether nothing has come since then, or for long nothing but line ends between messages.
+        """Return whether no bytes were received after `since`, or only line ends between messages for 1 s.
 
-        The second because callers who ask once and then send a line end now and then would never be idle, and
-        would fill the limit for good.
+        The second rule holds for protocols that count their requests. Without it, callers that send one
+        request and then an occasional line end would never be idle, and would occupy the connection limit
+        permanently.
         """
         noise_s = now - self.requests_seen_at
         only_noise = self.protocol.counts_requests and not self.partial_since and noise_s > NOISE_TOLERATED_S
         return self.received_at <= since or only_noise
 
     def has_unread(self) -> bool:
-        """Whether bytes have come that have not been read. What is read is given to the protocol at once."""
+        """Return whether received bytes are unread; a close or a fault of the socket counts as none.
+
+        Bytes that have been read need no check: they are passed to the protocol in the same step.
+        """
         return bool(peek_unread(self.sock))
 
     def report_loss(self) -> None:
-        """Notify the protocol, once, that the connection is lost.
+        """Notify the protocol that the connection is lost; later calls do nothing.
 
-        What is open on it is given up where the reset is read, not when the connection's task comes to it.
+        The protocol abandons the calls of the connection as soon as the reset is read, rather than when the
+        connection's task runs next.
         """
         if not self.loss_reported:
             self.loss_reported = True
--- a/stairhatch/node/io/addresses.py
+++ b/stairhatch/node/io/addresses.py
@@ -1,4 +1,4 @@
-"""Socket addresses, as the other modules of this package write them."""
+"""The socket address type of this package, and the address family of a host."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def address_family(host: str) -> socket.AddressFamily:
-    """The family of the socket for a numeric host: IPv6 where it has a colon."""
+    """Return AF_INET6 for a numeric host that contains a colon, otherwise AF_INET."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/stairhatch/node/io/background.py
+++ b/stairhatch/node/io/background.py
@@ -1,4 +1,4 @@
-"""What runs on the event loop beside the connections: background tasks, timers, the monitor of delays."""
+"""Work on the event loop besides the connections: background tasks, timers and the load monitor."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 
 
 class BackgroundTasks:
-    """Tasks that run until they end by themselves or the loop is closed.
+    """Set of tasks that run until they return or the loop is closed.
 
-    This is no `asyncio.TaskGroup`: a group cancels all its tasks when one fails, while a fault in one
-    connection's task must leave all others running; and a group is awaited until its tasks have ended, while
-    those that keep connections up have no end before that of the process.
+    An `asyncio.TaskGroup` is unsuitable for two reasons. A group cancels all its tasks when one fails, while
+    a fault in one connection's task must leave all other tasks running. A group also waits for its tasks to
+    end, while the tasks that redial connections run as long as the process.
     """
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
-        """Run tasks on `loop`; faults go to the call manager's counters and log."""
-        self.running: set[asyncio.Task[None]] = set()  # the loop itself holds weak references only
+        """Run tasks on `loop`, and report their faults to the counters and the log of the call manager."""
+        self.running: set[asyncio.Task[None]] = set()  # strong references: the loop keeps only weak ones
         self._core = core
         self._loop = loop
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task and keep hold of it; a fault in it is counted and logged, not lost."""
+        """Start a task and return it.
+
+        An exception that ends the task is counted (`task_faults`) and logged (event `fault`).
+        """
         task = self._loop.create_task(work)
         self.running.add(task)
         task.add_done_callback(self._on_done)
@@ -42,16 +45,19 @@
 
 
 class TimerDriver:
-    """Runs the call manager's timers when they are due; `arm` is called when the earliest has changed."""
+    """Runs the timers of the call manager on the event loop.
+
+    `arm` has to be called whenever the due time of the earliest timer has changed.
+    """
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
-        """Arm nothing before `arm` is called."""
+        """Bind the timers of `core` to `loop`; none runs before the first call of `arm`."""
         self._core = core
         self._loop = loop
         self._handle: asyncio.TimerHandle | None = None
 
     def arm(self) -> None:
-        """Have the loop call when the earliest timer is due."""
+        """Schedule one call for the due time of the earliest timer; it replaces the call scheduled before."""
         due = self._core.timers.next_due()
         if self._handle is not None:
             self._handle.cancel()
@@ -68,15 +74,18 @@
 
 
 class LoadMonitor:
-    """Reports delays to an observer, if there is one (the admission control of the SIP frontend)."""
+    """Reports delays of the event loop and of datagrams to an observer.
+
+    The observer is the admission control of the SIP frontend; without that control there is none.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Report nothing until an observer is set."""
+        """Begin without an observer; nothing is reported until one is set."""
         self.observer: DelayObserver | None = None
         self._loop = loop
 
     async def report_loop_delay(self, observer: DelayObserver) -> None:
-        """Report every 50 ms how much later than asked for the loop came to this task."""
+        """Sleep 50 ms repeatedly, and report to `observer` by how many seconds each sleep was too long."""
         while True:
             due = self._loop.time() + LOOP_DELAY_PERIOD_S
             await asyncio.sleep(LOOP_DELAY_PERIOD_S)
--- a/stairhatch/node/io/connection_runner.py
+++ b/stairhatch/node/io/connection_runner.py
@@ -1,7 +1,7 @@
-"""Runs one connection: its reader and its writer, until either side ends, and its orderly close.
+"""Runs the reader and the writer of a connection until either side ends, then closes the connection.
 
-Faults that a protocol raises end its connection only; they are counted (`connection_faults`) and logged
-(event `fault`).
+An exception raised by a protocol ends only the connection of that protocol. It is counted
+(`connection_faults`) and logged (event `fault`).
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from stairhatch.node.io.writer import Writer
 from stairhatch.node.protocol import ConnectionProtocol, do_nothing
 
-FLUSH_TIMEOUT_S = 1.0  # so long the last words of a protocol that closes may take to be written
+FLUSH_TIMEOUT_S = 1.0  # limit for writing the last bytes of a protocol that closes
 
 
 class ConnectionRunner:
-    """What all connections of a softswitch share: loop, tasks, buffers, readers, writer."""
+    """Runs connections with the loop, tasks, buffers, readers and writer that all of them share."""
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop, tasks: BackgroundTasks) -> None:
-        """Make the readers, the writer and the buffers that the connections share."""
+        """Create the readers, the writer, the poller and the buffer pool that the connections share."""
         self.core = core
         self.loop = loop
         self.tasks = tasks
@@ -36,15 +36,19 @@
         self._writer = Writer(loop, self._log_fault)
 
     def start_reading(self, connection: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
-        """Read a caller's connection from now on, not only once its task has begun."""
+        """Start reading a caller's connection at once instead of when its task first runs.
+
+        `idle_order`, if given, is kept in the order of the last bytes received.
+        """
         self._caller_reader.start(connection, idle_order)
 
     async def run(
         self, sock: socket.socket, protocol: ConnectionProtocol, accepted: AcceptedConnection | None = None
     ) -> None:
-        """Carry bytes both ways until either side ends, then close the socket and notify the protocol.
+        """Transfer bytes in both directions until either side ends, then close the socket.
 
-        From a caller's connection, which `start_reading` reads, they are carried only to it.
+        The protocol is notified of the loss. If `start_reading` already reads the connection (`accepted`),
+        only the writing is done here. OSError and faults of the protocol are handled here and never raised.
         """
         sock.setblocking(False)
         with contextlib.suppress(OSError):
@@ -65,13 +69,13 @@
             else:
                 peer_may_send = await accepted.reading_ended
             lost = accepted is not None and accepted.loss_reported
-            if (protocol.closing or protocol.can_close()) and not lost:  # its last words
+            if (protocol.closing or protocol.can_close()) and not lost:  # the writer flushes
                 await asyncio.wait([writer], timeout=FLUSH_TIMEOUT_S)
             if peer_may_send:
                 await self._pooled_reader.linger(sock, protocol)
         except OSError:
             pass
-        except Exception as error:  # noqa: BLE001 - bytes that upset a protocol end its connection only
+        except Exception as error:  # noqa: BLE001 - a fault of a protocol ends only its own connection
             self._log_fault(error, protocol)
         finally:
             await self._close(sock, protocol, accepted, writer)
@@ -87,8 +91,8 @@
         protocol.abort = do_nothing
         writer.cancel()
         try:
-            # Awaited itself, the writer's cancellation would hide that this task was cancelled meanwhile: a
-            # server connection would then be dialled on for ever, and the program never end.
+            # Awaiting the writer directly would raise its CancelledError here, which hides a cancellation of
+            # this task: a server connection would then be redialled forever and the program never end.
             await asyncio.wait([writer])
         finally:
             if accepted is not None:
--- a/stairhatch/node/io/connector.py
+++ b/stairhatch/node/io/connector.py
@@ -1,7 +1,7 @@
-"""Dialling: one TCP connection, to a caller as well, and those that are kept up.
+"""Dials TCP connections to callers, servers and the coordinator.
 
-Kept up are one connection to each server, and the long poll of service discovery. Both are dialled again
-when they break, after a backoff that doubles up to a limit.
+The connection to each server and the long poll of service discovery are kept open: when one breaks, it is
+dialled again after a backoff that doubles up to a limit.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from stairhatch.node.server_connection import ServerConnection
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
-CONNECT_TIMEOUT_S = 0.5  # to a coordinator or a caller; to a server as the settings say
+CONNECT_TIMEOUT_S = 0.5  # to a coordinator or a caller; the limit for a server is in the settings
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
-MAX_POLL_BACKOFF_S = 0.5  # a change at the coordinator counts as notified 2 s after a break
-POLL_TURN_CHECK_S = 1.0  # where another member polls for all: how often it is checked whose turn it is
+MAX_POLL_BACKOFF_S = 0.5  # a change at the coordinator has to be known 2 s after a break at the latest
+POLL_TURN_CHECK_S = 1.0  # check period while another cluster member polls for all
 
 
 def is_connected(sock: socket.socket) -> bool:
-    """Whether a connection that was dialled has come up."""
+    """Return whether a dialled socket has a peer."""
     try:
         sock.getpeername()
     except OSError:
@@ -36,19 +36,20 @@
 
 
 class Connector:
-    """Opens connections within the descriptor budget."""
+    """Opens outgoing TCP connections within the descriptor budget."""
 
     def __init__(self, runner: ConnectionRunner, admission: CallerAdmission) -> None:
-        """Dial by the runner's loop, within the budget of `admission`."""
+        """Dial on the loop of `runner`, within the descriptor budget of `admission`."""
         self._runner = runner
         self._admission = admission
 
     async def connect(self, address: SocketAddress, within_s: float = CONNECT_TIMEOUT_S) -> socket.socket:
-        """A connection. Raises OSError where it fails and TimeoutError where it takes longer than `within_s`.
+        """Return a non-blocking socket connected to `address`.
 
-        One that came up while this process was stopped is a connection, though its time is over: the loop
-        runs timers that are due before it looks at a socket. Its server would count as unreachable, and so
-        for one that warms up.
+        Raises OSError if the connect fails and TimeoutError if it takes longer than `within_s` seconds. A
+        connect that succeeded while this process was stopped counts as a success although its time is over:
+        the loop runs due timers before it polls sockets. Otherwise the server would count as unreachable, and
+        would go through its slow start again once it is reached.
         """
         sock = await self._open_socket(address)
         sock.setblocking(False)
@@ -64,10 +65,10 @@
         return sock
 
     async def _open_socket(self, address: SocketAddress) -> socket.socket:
-        """A socket to dial with. Raises OSError where none is to be had.
+        """Return a new TCP socket for the family of `address`. Raises OSError if none can be created.
 
-        Where descriptors have run out an idle caller is evicted, if callers hold more than is guaranteed to
-        them.
+        If descriptors have run out and callers hold more than their guaranteed number, one idle caller is
+        evicted and the creation is repeated once.
         """
         try:
             return socket.socket(address_family(address[0]), socket.SOCK_STREAM)
@@ -78,7 +79,10 @@
         return socket.socket(address_family(address[0]), socket.SOCK_STREAM)
 
     async def run_to_caller(self, protocol: ConnectionProtocol, peer: SocketAddress) -> None:
-        """Dial a caller and run the connection until it ends."""
+        """Dial a caller and run the connection until it ends.
+
+        A failed dial is counted (`callers_unreached`) and reported to the protocol as a loss.
+        """
         try:
             sock = await self.connect(peer)
         except (OSError, TimeoutError):
@@ -91,17 +95,17 @@
 
 
 class ServerConnector:
-    """Keeps connections to servers up."""
+    """Dials the connections to servers and redials them until they are retired."""
 
     def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
-        """Dial by `connector`, each connection counted in the budget of `admission`."""
+        """Dial with `connector`, and count each connection in the descriptor budget of `admission`."""
         self._runner = runner
         self._connector = connector
         self._admission = admission
-        self._open: set[ServerConnection] = set()  # those that hold a descriptor
+        self._open: set[ServerConnection] = set()  # the connections that hold a descriptor
 
     async def keep_up(self, connection: ServerConnection) -> None:
-        """Dial and run a server connection until it is retired, then have its pool drop it."""
+        """Dial and run a server connection until it is retired, then remove it from its pool."""
         with self._admission.dialled_connection():
             await self._dial_until_retired(connection)
         connection.pool.remove(connection)
@@ -111,8 +115,8 @@
         while not connection.can_close():
             if connection.draining and not connection.has_queued:
                 break
-            wanted = asyncio.Event()
-            connection.notify_writable = wanted.set
+            send_requested = asyncio.Event()
+            connection.notify_writable = send_requested.set
             try:
                 sock = await self._connect(connection)
             except (OSError, TimeoutError) as error:
@@ -120,15 +124,15 @@
                 if connection.draining:
                     break
                 if not connection.has_queued:
-                    wanted.clear()
+                    send_requested.clear()
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(wanted.wait(), backoff_s)
+                    await asyncio.wait_for(send_requested.wait(), backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
                 continue
-            lasted_s = await self._run(connection, sock)
-            if lasted_s > MAX_BACKOFF_S:
+            uptime_s = await self._run(connection, sock)
+            if uptime_s > MAX_BACKOFF_S:
                 backoff_s = MIN_BACKOFF_S
-            elif not connection.draining:  # it broke as soon as it had come up
+            elif not connection.draining:  # the connection broke within MAX_BACKOFF_S of its establishment
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
@@ -146,54 +150,54 @@
         connection.connect_failed(refused=isinstance(error, ConnectionRefusedError))
 
     async def _run(self, connection: ServerConnection, sock: socket.socket) -> float:
-        """Run a connection that has come up until it ends; returns how long it was up, in seconds."""
-        up_at = self._runner.loop.time()
+        """Run an established connection until it ends; return its duration in seconds."""
+        connected_at = self._runner.loop.time()
         connection.connection_made()
         try:
             await self._runner.run(sock, connection)
         finally:
             self._open.discard(connection)
-        return self._runner.loop.time() - up_at
+        return self._runner.loop.time() - connected_at
 
 
 class ServiceDiscoveryPoller:
-    """Keeps the long poll of service discovery going, wherever the coordinator is by now."""
+    """Maintains the long poll of service discovery, also when the address of the coordinator changes."""
 
     def __init__(self, runner: ConnectionRunner, connector: Connector, admission: CallerAdmission) -> None:
-        """Dial by `connector`, the connection counted in the budget of `admission`."""
+        """Dial with `connector`, and count the connection in the descriptor budget of `admission`."""
         self._runner = runner
         self._connector = connector
         self._admission = admission
 
     async def keep_polling(self, client: ServiceDiscoveryClient) -> None:
-        """Dial and run the long poll; it has no end of its own."""
+        """Dial and run the long poll until this task is cancelled."""
         with self._admission.dialled_connection():
             await self._poll(client)
 
     async def _poll(self, client: ServiceDiscoveryClient) -> None:
         backoff_s = MIN_BACKOFF_S
-        hurry = asyncio.Event()
-        client.reconnect_now = hurry.set
+        reconnect_requested = asyncio.Event()
+        client.reconnect_now = reconnect_requested.set
         while True:
-            hurry.clear()
-            if client.is_paused():  # another polls for all
+            reconnect_requested.clear()
+            if client.is_paused():  # another cluster member polls for all
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(hurry.wait(), POLL_TURN_CHECK_S)
+                    await asyncio.wait_for(reconnect_requested.wait(), POLL_TURN_CHECK_S)
                 continue
-            answers = client.answers_received
+            answers_before = client.answers_received
             address = client.address
             try:
                 sock = await self._connector.connect(address)
             except (OSError, TimeoutError) as error:
                 client.connect_failed(error)
             else:
-                if client.address != address:  # it has moved in the meantime
+                if client.address != address:  # another coordinator was configured during the connect
                     sock.close()
                     continue
                 client.connected()
                 await self._runner.run(sock, client)
-            if hurry.is_set() or client.answers_received > answers:
+            if reconnect_requested.is_set() or client.answers_received > answers_before:
                 backoff_s = MIN_BACKOFF_S
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(hurry.wait(), backoff_s)
+                await asyncio.wait_for(reconnect_requested.wait(), backoff_s)
             backoff_s = min(MAX_POLL_BACKOFF_S, 2 * backoff_s)
--- a/stairhatch/node/io/datagrams.py
+++ b/stairhatch/node/io/datagrams.py
@@ -1,7 +1,8 @@
-"""UDP ports: datagrams in and out, and how long the first of each reading lay in the socket.
+"""UDP ports: receive and send datagrams, and measure how long they wait in the socket buffer.
 
-uvloop 0.23 has no sock_recvfrom_into and no sock_sendto (both raise NotImplementedError), so the sockets are
-watched and read here, each into one buffer of the pool.
+The delay is measured for the first datagram of each read. uvloop 0.23 implements neither sock_recvfrom_into
+nor sock_sendto (both raise NotImplementedError), so this module registers the sockets with the loop and
+reads them itself, each into one buffer of the pool.
 """
 
 from __future__ import annotations
@@ -18,25 +19,25 @@
 from stairhatch.node.io.background import LoadMonitor
 from stairhatch.node.io.connection_runner import ConnectionRunner
 
-SO_TIMESTAMPNS = 35  # Linux: the kernel notes when each datagram came; elsewhere no delay is reported
+SO_TIMESTAMPNS = 35  # Linux: the kernel timestamps each datagram; other systems report no delay
 TIMESPEC = struct.Struct("@qq")  # seconds and nanoseconds of Unix time
-ANCILLARY_BYTES = 64  # room for that note
-MAX_REPORTED_DELAY_S = 5.0  # a clock that was set makes no delay longer
-DATAGRAMS_PER_TURN = 64  # then others have their turn
+ANCILLARY_BYTES = 64  # space for the kernel's timestamp
+MAX_REPORTED_DELAY_S = 5.0  # limits the effect of a step of the system clock
+DATAGRAMS_PER_TURN = 64  # further ones wait one turn of the loop, so that others are served
 
 
 class DatagramProtocol(Protocol):
-    """The sans-I/O side of a UDP port: is fed datagrams, and queues those that are to be sent."""
+    """The sans-I/O protocol of a UDP port: receives datagrams and queues the datagrams to send."""
 
     output: deque[tuple[bytes, SocketAddress]]
-    notify_writable: Callable[[], None]  # there is output; set by the driver
+    notify_writable: Callable[[], None]  # set by the port; the protocol calls it after adding output
 
     def receive(self, data: bytes, peer: SocketAddress) -> None:
-        """Take one datagram."""
+        """Process one datagram received from `peer`."""
 
 
 class DatagramPort:
-    """One bound UDP socket and its protocol."""
+    """A bound UDP socket that transfers datagrams for one protocol."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         runner: ConnectionRunner,
         monitor: LoadMonitor,
     ) -> None:
-        """Bind a port and read it from now on. Raises OSError where it can't be bound."""
+        """Bind a UDP port and start reading it. Raises OSError if the address cannot be bound."""
         self._protocol = protocol
         self._core = runner.core
         self._loop = runner.loop
@@ -62,27 +63,27 @@
         protocol.notify_writable = self.send
 
     def read(self, _events: int = 0) -> int:
-        """Give the protocol the datagrams that have come; returns how many bytes they were."""
+        """Pass up to 64 received datagrams to the protocol; return their total size in bytes."""
         total = 0
         for turn in range(DATAGRAMS_PER_TURN):
             try:
                 if turn or self._monitor.observer is None:
                     size, peer = self.sock.recvfrom_into(self._buffer)
-                else:  # the first has waited longest
-                    size, notes, _, peer = self.sock.recvmsg_into([self._buffer], ANCILLARY_BYTES)
-                    self._report_delay(notes)
+                else:  # the first datagram has waited longest
+                    size, ancillary, _, peer = self.sock.recvmsg_into([self._buffer], ANCILLARY_BYTES)
+                    self._report_delay(ancillary)
             except BlockingIOError:
                 break
             except OSError:
-                continue  # an earlier datagram came back as unreachable
+                continue  # ICMP reported an earlier datagram as undeliverable
             total += size
             self._protocol.receive(bytes(memoryview(self._buffer)[:size]), (peer[0], peer[1]))
         return total
 
-    def _report_delay(self, notes: list[tuple[int, int, bytes]]) -> None:
-        """Report how long a datagram lay in the socket."""
+    def _report_delay(self, ancillary: list[tuple[int, int, bytes]]) -> None:
+        """Report how long a datagram waited in the socket buffer, according to its kernel timestamp."""
         observer = self._monitor.observer
-        for level, kind, data in notes:
+        for level, kind, data in ancillary:
             if (
                 level == socket.SOL_SOCKET
                 and kind == SO_TIMESTAMPNS
@@ -94,7 +95,11 @@
                 observer(min(MAX_REPORTED_DELAY_S, max(0.0, delay_s)))
 
     def send(self) -> None:
-        """Send the protocol's output, until it is empty or the socket takes no more for now."""
+        """Send the queued datagrams until the queue is empty or the socket buffer is full.
+
+        When the buffer is full, sending resumes once the socket is writable. A datagram that cannot be sent
+        is dropped and counted (`datagrams_unsent`).
+        """
         output = self._protocol.output
         while output:
             data, peer = output[0]
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -1,8 +1,8 @@
-"""Who may hold how many file descriptors: callers, servers, and what the process needs for itself.
+"""Divides the file descriptors of the process between callers, servers and its own needs.
 
-`DescriptorBudget` is the arithmetic. `CallerAdmission` applies it to all listeners that callers connect to,
-evicts idle callers where descriptors are wanted elsewhere, and logs that descriptors have run out (events
-`accept` and `descriptors`).
+`DescriptorBudget` computes the shares. `CallerAdmission` applies them to all listeners that callers connect
+to, evicts idle callers when other connections need descriptors, and logs the exhaustion of descriptors
+(events `accept` and `descriptors`).
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 from stairhatch.node.call_manager import CallManager
 
-SPARE_DESCRIPTORS = 16  # for evicted connections not closed yet, and for files that are open for a moment
-ASSUMED_OPEN_DESCRIPTORS = 24  # what a process has open before its connections, where the system does not say
-UNLIMITED = 1 << 30  # descriptors, where no limit is set
+SPARE_DESCRIPTORS = 16  # for evicted connections that are not closed yet, and for briefly opened files
+ASSUMED_OPEN_DESCRIPTORS = 24  # open before any connection, where /proc/self/fd does not exist
+UNLIMITED = 1 << 30  # descriptor limit of a process for which none is set
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
-EVICTION_DELAY_S = 0.01  # so long after an eviction the descriptor is free
-EXHAUSTION_LOG_PERIOD_S = 1.0  # what wants a descriptor comes again and again: logged no more often
+EVICTION_DELAY_S = 0.01  # time until the descriptor of an evicted connection is closed
+EXHAUSTION_LOG_PERIOD_S = 1.0  # minimum interval between log lines: failed attempts repeat rapidly
 
 
 def open_descriptor_count() -> int:
-    """How many descriptors this process holds."""
+    """Return the number of descriptors that this process has open, or 24 where the system has no /proc."""
     try:
         return len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -36,29 +36,29 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class DescriptorBudget:
-    """The descriptors that a process may hold, and who they are for.
+    """The descriptor limit of a process and its division between callers and servers.
 
     Callers are guaranteed a third of the limit, which is also the most that the platform's rules let them
-    count on. What is left goes first to the connections that are kept up to servers and to service discovery,
-    whether they are open or not: otherwise callers that hold on while all servers are away would leave none
-    to dial the servers with. The guarantee in turn keeps a server list that is longer than the limit from
-    taking the descriptors of callers and operators.
+    rely on. The rest goes first to the connections to servers and to service discovery, whether these are
+    open or not: otherwise callers that keep their connections while all servers are unreachable would leave
+    no descriptor for dialling the servers. The guarantee prevents a server list that is longer than the limit
+    from taking the descriptors of callers and operators.
     """
 
     limit: int = UNLIMITED
-    reserved: int = 0  # open, or reserved, for other things than callers and what is dialled
-    dialled: int = 0  # connections that are kept up, be they open or not
+    reserved: int = 0  # descriptors used by, or set aside for, anything but callers and dialled connections
+    dialled: int = 0  # connections to servers and service discovery, open or waiting for a redial
 
     def guaranteed_to_callers(self) -> int:
-        """How many connections callers may hold whatever else is wanted."""
+        """Return how many connections callers may hold regardless of the demand of servers."""
         return self.limit // 3
 
     def available_to_callers(self) -> int:
-        """How many connections callers may hold now."""
+        """Return how many connections callers may hold at present: the rest, but at least the guarantee."""
         return max(self.guaranteed_to_callers(), self._available() - self.dialled)
 
     def available_to_servers(self) -> int:
-        """How many connections to servers may be open at a time."""
+        """Return how many connections to servers may be open at a time, at least a quarter of the limit."""
         return max(self.limit // 4, self._available() - self.guaranteed_to_callers() - 1)
 
     def _available(self) -> int:
@@ -66,21 +66,21 @@
 
 
 class EvictingListener(Protocol):
-    """What the admission of callers needs of a listener."""
+    """The interface of a listener that `CallerAdmission` uses."""
 
     @property
     def connections(self) -> Sized:
-        """The connections accepted and not evicted."""
+        """The accepted connections that have neither ended nor been evicted."""
 
     def evict(self, count: int = 1) -> int:
-        """Close up to `count` idle connections; returns how many."""
+        """Close up to `count` idle connections; return how many were closed."""
 
 
 class CallerAdmission:
-    """The descriptor budget as it binds all listeners of callers together."""
+    """Applies one descriptor budget to all listeners that callers connect to."""
 
     def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
-        """Limit nothing until `share` names the listeners and the budget."""
+        """Begin with an unlimited budget and no listeners; `share` sets both."""
         self.budget = DescriptorBudget()
         self._listeners: Sequence[EvictingListener] = ()
         self._core = core
@@ -89,31 +89,34 @@
         self._eviction_scheduled = False
 
     def share(self, listeners: Sequence[EvictingListener], budget: DescriptorBudget) -> None:
-        """Have these listeners share a budget. Until then nothing is limited."""
+        """Apply `budget` to the connections of these listeners together."""
         self._listeners = listeners
         self.budget = budget
 
     def caller_count(self) -> int:
-        """How many connections callers hold at all listeners."""
+        """Return the number of connections that callers hold at all listeners together."""
         return sum(len(each.connections) for each in self._listeners)
 
     def is_full_for(self, listener: EvictingListener) -> bool:
-        """Whether callers hold all that is left to them, so that for a newcomer here another has to go."""
+        """Return whether callers have used up their share, so that a new connection requires an eviction.
+
+        Always False for a listener that does not share the budget.
+        """
         if listener not in self._listeners:
             return False
         return self.caller_count() >= self.budget.available_to_callers()
 
     def evict_one(self, first: EvictingListener | None = None) -> bool:
-        """Free a descriptor by evicting an idle caller, at the given listener if possible, else at any."""
-        every = [*([first] if first is not None else []), *self._listeners]
-        return any(each.evict() for each in every)
+        """Evict one idle caller, at listener `first` if possible, else at any; return whether one was."""
+        candidates = [*([first] if first is not None else []), *self._listeners]
+        return any(each.evict() for each in candidates)
 
     def evict_above_guarantee(self) -> bool:
-        """Free a descriptor if callers hold more than is guaranteed to them; whether one was freed."""
+        """Evict one idle caller if callers hold more than their guarantee; return whether one was evicted."""
         return self.caller_count() > self.budget.guaranteed_to_callers() and self.evict_one()
 
     def log_exhaustion(self, event: str, error: OSError) -> None:
-        """Log that a socket could not be had."""
+        """Log that no socket could be opened, at most once a second for each event."""
         now = self._loop.time()
         if now - self._logged_at.get(event, -math.inf) < EXHAUSTION_LOG_PERIOD_S:
             return
@@ -124,9 +127,9 @@
 
     @contextlib.contextmanager
     def dialled_connection(self) -> Iterator[None]:
-        """While a connection is kept up, open or not, its descriptor is not left to callers."""
+        """Reserve one descriptor for a dialled connection, open or not, while the context is active."""
         self.budget.dialled += 1
-        if not self._eviction_scheduled:  # once for all that are dialled in one turn of the loop
+        if not self._eviction_scheduled:  # one eviction serves all dials of one turn of the loop
             self._eviction_scheduled = True
             self._loop.call_soon(self._evict_excess)
         try:
@@ -135,7 +138,7 @@
             self.budget.dialled -= 1
 
     def _evict_excess(self) -> None:
-        """More is dialled than before: the callers beyond what is left to them go, the longest idle first."""
+        """Evict callers beyond their share, the longest idle first, after connections were dialled."""
         self._eviction_scheduled = False
         for each in self._listeners:
             excess = self.caller_count() - self.budget.available_to_callers()
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -1,9 +1,10 @@
-"""Accepting connections: how many there may be, how long they may be idle, and which is evicted.
+"""Accepts connections, limits their number and their idle time, and evicts idle ones.
 
-Three rules end a connection from this side. One that is idle is evicted where a newcomer needs its place
-(counter `connections_evicted`). One whose first request, or the rest of a message, does not come in time is
-timed out (`connections_expired`), and one that stays idle beyond its listener's limit is closed
-(`connections_idle_closed`). A drain closes all that are idle (`connections_drained`).
+Besides the end of its protocol, four rules close a connection from this side. An idle connection is evicted
+when a new connection needs its place (counter `connections_evicted`). A connection whose first request, or
+the rest of a message, does not arrive in time is timed out (`connections_expired`). A connection that stays
+idle beyond the limit of its listener is closed (`connections_idle_closed`). A drain closes all idle
+connections (`connections_drained`).
 """
 
 from __future__ import annotations
@@ -24,34 +25,34 @@
 from stairhatch.node.io.reader import IdleOrder
 from stairhatch.node.protocol import ConnectionProtocol
 
-FIRST_REQUEST_TIMEOUT_S = 2.5  # a caller's first request is owed an answer within 3 s
-MESSAGE_TIMEOUT_S = 5.0  # of a further message, from its first byte; some callers' bytes come in pieces
-TIMEOUT_CHECK_S = 0.25  # how often these two are checked
-EVICTION_GRACE_S = 0.25  # a connection is not evicted before it could have asked
-DRAIN_QUIET_S = 0.02  # so long after its last bytes one is idle: the ACK to its answer has come
-DRAIN_FIRST_REQUEST_S = 0.5  # a new connection is given so long to ask, in a drain too
-ACCEPTS_PER_TURN = 64  # then others have their turn
-MAX_EVICTIONS_PENDING = 8  # connections evicted whose descriptors are not free yet
-NOBODY_IDLE_PAUSE_S = 0.02  # accepting pauses so long where nobody can be evicted
-EXHAUSTED_PAUSE_S = 0.05  # and so long where the system has no descriptor left
+FIRST_REQUEST_TIMEOUT_S = 2.5  # a caller's first request has to be answered within 3 s
+MESSAGE_TIMEOUT_S = 5.0  # for a later message, from its first byte; some callers send in small pieces
+TIMEOUT_CHECK_S = 0.25  # check period of the two timeouts above and of the idle timeout
+EVICTION_GRACE_S = 0.25  # time for a new connection to send its request before it may be evicted
+DRAIN_QUIET_S = 0.02  # idle time before a drain closes a connection; the ACK arrives within it
+DRAIN_FIRST_REQUEST_S = 0.5  # time for a new connection to send its first request during a drain
+ACCEPTS_PER_TURN = 64  # further connections wait one turn of the loop, so that others are served
+MAX_EVICTIONS_PENDING = 8  # evicted connections that still hold their descriptors
+NO_IDLE_CONNECTION_PAUSE_S = 0.02  # pause of accepting when no connection can be evicted
+EXHAUSTED_PAUSE_S = 0.05  # pause of accepting when descriptors have run out
 
-ProtocolFactory = Callable[[SocketAddress], ConnectionProtocol]  # is given the peer's address
+ProtocolFactory = Callable[[SocketAddress], ConnectionProtocol]  # parameter: the peer's address
 
 
 class ListenerLimits(NamedTuple):
-    """What those who connect to one address are allowed."""
+    """Limits on the connections of one listener."""
 
     max_connections: int  # at a time
     first_request_timeout_s: float = FIRST_REQUEST_TIMEOUT_S
     eviction_grace_s: float = EVICTION_GRACE_S
-    idle_timeout_s: float = math.inf  # one on which nothing came for so long, and nothing is owed, is closed
+    idle_timeout_s: float = math.inf  # without received bytes and pending answers, before a close
 
 
 class Listener:
-    """A listening socket and the connections accepted on it.
+    """Accepts connections on one listening socket and closes them by the rules of this module.
 
-    It is watched rather than awaited: an accept that is cancelled may have accepted a connection, which would
-    be closed under its caller's request.
+    The socket is registered with `add_reader` instead of being awaited: a cancelled accept may already have
+    accepted a connection, which would then be closed although its caller has sent a request.
     """
 
     def __init__(
@@ -62,20 +63,20 @@
         protocol_factory: ProtocolFactory,
         limits: ListenerLimits,
     ) -> None:
-        """Take over a socket that listens; nothing is accepted before `open`."""
+        """Take ownership of a listening socket; no connection is accepted before `open`."""
         self.runner = runner
         self.admission = admission
         self.sock = sock
         self.protocol_factory = protocol_factory
         self.limits = limits
         self.connections: IdleOrder = OrderedDict()
-        self.evicted: set[AcceptedConnection] = set()  # their descriptors are not free yet
+        self.evicted: set[AcceptedConnection] = set()  # evicted connections that still hold their descriptors
         self.accepting = False
         self.closed = False
         self.paused_until = 0.0
 
     def open(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections and checking their timeouts. A second call does nothing."""
         if not self.closed and not self.accepting:
             self.accepting = True
             self.runner.loop.add_reader(self.sock, self._accept_ready)
@@ -83,7 +84,10 @@
             self.runner.tasks.spawn(self._check_timeouts())
 
     def close(self) -> None:
-        """Accept no more. Only this process's hold on the socket ends; what was accepted goes on."""
+        """Stop accepting and close this process's descriptor of the listening socket.
+
+        Accepted connections stay open, and so does the socket in other processes that share it.
+        """
         if self.accepting:
             self.runner.loop.remove_reader(self.sock)
             self.runner.poller.unregister(self.sock)
@@ -91,31 +95,39 @@
         self.sock.close()
 
     def close_after_accepting(self) -> None:
-        """Accept those who have connected so far, and no more: a close would reset whoever still waits."""
+        """Accept the connections that are pending in the backlog, then close the listening socket.
+
+        A close alone would reset the pending connections.
+        """
         while self.accepting and not self.closed and select.select([self.sock], [], [], 0)[0]:
             connected = len(self.connections)
             self._accept_ready()
-            if len(self.connections) <= connected:  # there is no room
+            if len(self.connections) <= connected:  # the connection limit was reached
                 break
         if not self.closed:
             self.close()
 
     def has_unread(self) -> bool:
-        """Whether a connection waits to be accepted, or bytes lie unread on one that was."""
-        waits = self.accepting and not self.closed and bool(select.select([self.sock], [], [], 0)[0])
-        return waits or any(each.has_unread() for each in self.connections if not each.protocol.closing)
+        """Return whether a connection is waiting to be accepted, or an accepted one has unread bytes."""
+        accept_pending = self.accepting and not self.closed and bool(select.select([self.sock], [], [], 0)[0])
+        return accept_pending or any(
+            each.has_unread() for each in self.connections if not each.protocol.closing
+        )
 
-    # ---- accepting ----
+    # ---- accepting connections ----
 
     def _on_polled(self, _events: int) -> int:
-        """Accept before set-ups are written, since who waits may bring a CANCEL. None is evicted for that."""
+        """Accept pending connections before set-ups are written, since one of them may carry a CANCEL.
+
+        No connection is evicted for this. Returns 0: no bytes are read.
+        """
         has_room = len(self.connections) < self.limits.max_connections
         if has_room and self.runner.loop.time() >= self.paused_until:
             self._accept_ready()
         return 0
 
     def _accept_ready(self) -> None:
-        """Accept those who wait, as far as there is room or can be made."""
+        """Accept up to 64 pending connections, as long as there is room or an eviction makes room."""
         for _ in range(ACCEPTS_PER_TURN):
             if not self._make_room():
                 return
@@ -135,7 +147,10 @@
             self.runner.tasks.spawn(self._run_connection(connection))
 
     def _make_room(self) -> bool:
-        """Whether one more may be accepted, after an eviction if need be. If not, accepting pauses."""
+        """Return whether one more connection may be accepted, after an eviction if necessary.
+
+        Accepting is paused if it returns False.
+        """
         has_room = len(self.connections) < self.limits.max_connections
         if has_room and not self.admission.is_full_for(self):
             return True
@@ -143,7 +158,7 @@
             self._pause(EVICTION_DELAY_S)
             return False
         if not self.evict():
-            self._pause(NOBODY_IDLE_PAUSE_S)
+            self._pause(NO_IDLE_CONNECTION_PAUSE_S)
             return False
         return True
 
@@ -164,16 +179,17 @@
             self.connections.pop(connection, None)
             self.evicted.discard(connection)
 
-    # ---- ending connections ----
+    # ---- closing connections ----
 
     def evict(self, count: int = 1) -> int:
-        """Evict the longest idle that are owed no answer, those without a request first; return how many.
-
-        Otherwise callers that connect and say nothing, or ask once and hold on, would keep all others out.
-        One that has sent a request is kept while one that has not can be evicted, and a message that comes in
-        pieces is cut off only where nobody is idle. One whose bytes lie unread is not idle but has not been
-        read yet: where the loop comes to a newcomer later than `eviction_grace_s`, it would be evicted for
-        silence with its set-up.
+        """Evict up to `count` idle connections without a pending answer; return how many were evicted.
+
+        Without evictions, callers that connect and send nothing, or that stay connected after one request,
+        would keep all other callers out. The longest idle connections go first. Connections that have sent a
+        request are kept as long as one without a request can be evicted, and a connection within an
+        incomplete message goes only when no other is idle. A connection with unread bytes is never evicted:
+        if the loop is more than `eviction_grace_s` late in reading a new connection, the connection would
+        otherwise be evicted as silent although it carries a set-up.
         """
         evicted = 0
         for connection in self._idle_connections():
@@ -186,7 +202,7 @@
         return evicted
 
     def _idle_connections(self) -> list[AcceptedConnection]:
-        """Those that may be evicted, in the order in which they should be."""
+        """Return the connections that may be evicted, in the order of eviction."""
         now = self.runner.loop.time()
         since = now - self.limits.eviction_grace_s
         for connection in self.connections:
@@ -196,7 +212,8 @@
             for connection in self.connections
             if connection.is_idle_since(since, now) and not connection.protocol.owes_response()
         ]
-        idle.sort(key=lambda each: (each.partial_since > 0, each.protocol.request_received))  # stable
+        # The sort is stable: within each group the longest idle connection stays first.
+        idle.sort(key=lambda each: (each.partial_since > 0, each.protocol.request_received))
         return idle
 
     def _evict_connection(self, connection: AcceptedConnection) -> None:
@@ -215,45 +232,54 @@
             self.close_overdue()
 
     def close_overdue(self) -> None:
-        """End the connections whose first request, or the rest of a message, has not come in time."""
+        """Close the connections that have exceeded a timeout.
+
+        The timeouts are those for the first request, for the rest of an incomplete message and for idle
+        connections.
+        """
         now = self.runner.loop.time()
         for connection in list(self.connections):
             protocol = connection.protocol
             connection.note_requests(now)
-            first_s = now - connection.accepted_at
-            first_overdue = not protocol.request_received and first_s > self.limits.first_request_timeout_s
+            age_s = now - connection.accepted_at
+            first_request_overdue = (
+                not protocol.request_received and age_s > self.limits.first_request_timeout_s
+            )
             if connection.has_unread():
-                continue  # it has come in time; the loop is late
+                continue  # the bytes arrived in time, but the loop has not read them yet
             idle_s = now - connection.received_at
             if idle_s > self.limits.idle_timeout_s and not protocol.closing and protocol.is_idle():
                 self.runner.core.counters.add("connections_idle_closed")
                 protocol.close_when_idle()
                 continue
-            partial_s = now - connection.partial_since if connection.partial_since else 0.0
-            rest_overdue = partial_s > MESSAGE_TIMEOUT_S
-            if protocol.closing or not (first_overdue or rest_overdue):
+            partial_age_s = now - connection.partial_since if connection.partial_since else 0.0
+            rest_overdue = partial_age_s > MESSAGE_TIMEOUT_S
+            if protocol.closing or not (first_request_overdue or rest_overdue):
                 continue
             self.runner.core.counters.add("connections_expired")
             protocol.read_timed_out()
 
     def close_idle(self) -> None:
-        """A drain: close what is idle, unless something has come on it that has not been read.
+        """Close the idle connections that have no unread bytes, as a step of a drain.
 
-        Once new set-ups are rejected the caller need not pause before that: one that never does would keep
-        its connection to the end of the process. A set-up that crosses the close is sent again elsewhere.
+        As long as new set-ups are accepted, a connection has to be quiet for `DRAIN_QUIET_S`. Once they are
+        rejected this is not required, since a caller that never pauses would keep its connection until the
+        process ends. The caller sends a set-up that crosses the close again, to another softswitch.
         """
         now = self.runner.loop.time()
-        rejects = self.runner.core.readiness.rejects_new_calls()
-        busiest_first = reversed(list(self.connections))  # what stays for releases is used least
+        rejecting = self.runner.core.readiness.rejects_new_calls()
+        # The least recently used connections are closed last: those that remain carry only releases.
+        busiest_first = reversed(list(self.connections))
         for connection in busiest_first:
             protocol = connection.protocol
             if protocol.request_received:
-                quiet = rejects or now - connection.received_at >= DRAIN_QUIET_S
+                quiet = rejecting or now - connection.received_at >= DRAIN_QUIET_S
             else:
                 quiet = now - connection.accepted_at >= DRAIN_FIRST_REQUEST_S
             if protocol.closing or not quiet or not protocol.is_idle() or connection.has_unread():
                 continue
             self.runner.core.counters.add("connections_drained")
             with contextlib.suppress(OSError):
-                connection.sock.shutdown(socket.SHUT_WR)  # at once, so that nothing can come in between
+                # The socket is shut down here, so that no request arrives between the check and the close.
+                connection.sock.shutdown(socket.SHUT_WR)
             protocol.close_when_idle()
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -1,9 +1,9 @@
-"""The sockets of one softswitch: the composition of this package, and the face that others use.
+"""The network I/O of one softswitch: composes the modules of this package and is their public interface.
 
-Starts listeners, UDP ports, server connections and the long poll; ties the call manager's timers, its reading
-of callers and its drain to the event loop; answers whether anything has come that nobody has read yet. Each
-connection has its own reader and writer, so that one slow peer holds up no other, and what callers may open
-is bounded in number and in time (`listener`, `descriptor_budget`).
+`Network` starts listeners, UDP ports, server connections and the long poll. It connects the timers of the
+call manager, its reading of callers and its drain to the event loop, and reports whether callers have sent
+bytes that are still unread. Each connection has its own reader and writer, so that a slow peer delays no
+other. The connections of callers are limited in number and in time (`listener`, `descriptor_budget`).
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from stairhatch.node.service_discovery import ServiceDiscoveryClient
 
 LISTEN_BACKLOG = 512
-DRAIN_CHECK_S = 0.02  # how often a drain looks for idle connections
+DRAIN_CHECK_S = 0.02  # period at which a drain closes idle connections
 
 
 class Network:
-    """All network I/O of one softswitch. To be made in a running event loop."""
+    """The network I/O of one softswitch. Must be created while an event loop is running."""
 
     def __init__(self, core: CallManager) -> None:
-        """Tie the call manager's timers, reading and drain to the running loop."""
+        """Connect the call manager's timers, reading of callers and drain to the running loop."""
         self.core = core
         self.loop = asyncio.get_running_loop()
         self.tasks = BackgroundTasks(core, self.loop)
@@ -52,72 +52,74 @@
         timers.arm()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a background task; see `BackgroundTasks`."""
+        """Start a background task and return it; its faults are counted and logged."""
         return self.tasks.spawn(work)
 
     # ---- callers and operators ----
 
     def listen(
         self,
-        at: SocketAddress | socket.socket,
+        address_or_socket: SocketAddress | socket.socket,
         protocol_factory: ProtocolFactory,
         limits: ListenerLimits,
-        now: bool = True,
+        open_now: bool = True,
     ) -> Listener:
-        """Accept connections at an address, or on a socket that somebody else has bound; later if not `now`.
+        """Create a listener for an address, or for a listening socket that another process has bound.
 
-        Raises OSError where the address can't be bound.
+        The listener accepts at once if `open_now` is true, otherwise after its `open` has been called. Raises
+        OSError if the address cannot be bound.
         """
-        if isinstance(at, socket.socket):
-            sock = at
+        if isinstance(address_or_socket, socket.socket):
+            sock = address_or_socket
         else:
-            sock = socket.socket(address_family(at[0]), socket.SOCK_STREAM)
+            sock = socket.socket(address_family(address_or_socket[0]), socket.SOCK_STREAM)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             if sock.family == socket.AF_INET6:
                 sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
-            sock.bind(at)
+            sock.bind(address_or_socket)
             sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
         listener = Listener(self.runner, self.admission, sock, protocol_factory, limits)
-        if now:
+        if open_now:
             listener.open()
         return listener
 
     def limit_callers(self, listeners: Sequence[Listener], budget: DescriptorBudget) -> None:
-        """Name the listeners that callers connect to: they share a budget, and are emptied in a drain."""
+        """Set the callers' listeners: they share the budget, and a drain closes their connections."""
         self._caller_listeners = listeners
         self.admission.share(listeners, budget)
 
     def dial_caller(self, protocol: ConnectionProtocol, peer: SocketAddress) -> None:
-        """Open a connection to a caller, for a message that is owed to it."""
+        """Open a connection to a caller and run it, in order to deliver a message to the caller."""
         self.spawn(self.connector.run_to_caller(protocol, peer))
 
     def open_datagram_port(
         self, address: SocketAddress, protocol: DatagramProtocol, callers: bool = False
     ) -> None:
-        """Receive and send datagrams; those of `callers` are read before set-ups are written, too.
+        """Open a UDP port that receives and sends datagrams for `protocol`.
 
-        Raises OSError where the address can't be bound.
+        With `callers`, pending datagrams are also read before set-ups are written to servers. Raises OSError
+        if the address cannot be bound.
         """
         port = DatagramPort(address, protocol, self.runner, self.load_monitor)
         if callers:
             self.runner.poller.register(port.sock, port.read)
 
     def monitor_load(self, observer: DelayObserver) -> None:
-        """Report the event loop's delay, and the time that datagrams waited, to an observer."""
+        """Report the delay of the event loop and the waiting time of datagrams to `observer`, in seconds."""
         self.load_monitor.observer = observer
         self.spawn(self.load_monitor.report_loop_delay(observer))
 
     def has_unread(self) -> bool:
-        """Whether a caller has connected, or has sent something, that nobody has read yet."""
+        """Return whether a caller's connection waits to be accepted or has unread bytes."""
         return any(each.has_unread() for each in self._caller_listeners)
 
     def has_no_callers(self) -> bool:
-        """Whether no caller is connected any more."""
+        """Return whether no listener of callers has an open connection."""
         return not any(each.connections for each in self._caller_listeners)
 
     def _begin_drain(self) -> None:
-        """A drain has begun: close what is idle until it is undone."""
+        """Start the task that closes idle connections for as long as the drain lasts."""
         if self._drain_task is None or self._drain_task.done():
             self._drain_task = self.spawn(self._drain())
 
@@ -130,9 +132,9 @@
     # ---- servers and service discovery ----
 
     def dial(self, connection: ServerConnection) -> None:
-        """Keep a connection to a server until it is retired."""
+        """Dial a server connection, and redial it until it is retired."""
         self.spawn(self._server_connector.keep_up(connection))
 
     async def poll_service_discovery(self, client: ServiceDiscoveryClient) -> None:
-        """Keep the long poll of service discovery going."""
+        """Maintain the long poll of service discovery until the task is cancelled."""
         await self._discovery_poller.keep_polling(client)
--- a/stairhatch/node/io/reader.py
+++ b/stairhatch/node/io/reader.py
@@ -1,8 +1,8 @@
-"""Reading from connections, and the pool of buffers they are read into.
+"""Reads connections, and manages the pool of receive buffers.
 
-Callers' connections are read by `CallerReader` as soon as the loop or the readiness poller finds bytes, and
-the bytes are used in the same step. Connections that this process dialled are read by `PooledReader`, which
-awaits the socket and needs a buffer of the pool only while it does.
+`CallerReader` reads the connections of callers as soon as the loop or the readiness poller reports bytes, and
+passes the bytes to the protocol in the same step. `PooledReader` reads the connections to servers and to the
+coordinator: it awaits the socket and holds a buffer of the pool meanwhile.
 """
 
 from __future__ import annotations
@@ -17,64 +17,73 @@
 from stairhatch.node.io.readiness_poller import FaultHandler, ReadinessPoller
 from stairhatch.node.protocol import ConnectionProtocol
 
-BUFFER_BYTES = 16 * 1024  # of each receive buffer
+BUFFER_BYTES = 16 * 1024  # size of each receive buffer
 MAX_FREE_BUFFERS = 64
-LINGER_S = 0.2  # so long is read on after the last answer, so that the answer arrives
+LINGER_S = 0.2  # reading continues for this time after the last answer, so that the answer arrives
 MAX_LINGER_BYTES = 256 * 1024
-PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # epoll's have the same values
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # select.EPOLL* have the same values
 
-IdleOrder = OrderedDict[AcceptedConnection, None]  # the longest idle comes first
+IdleOrder = OrderedDict[AcceptedConnection, None]  # by the time of the last bytes, longest idle first
 
 
 class BufferPool:
-    """Buffers of `BUFFER_BYTES`. Any number may be in use; at most `max_free` are kept unused."""
+    """Pool of receive buffers of `BUFFER_BYTES` each.
+
+    Any number of buffers may be in use; at most `max_free` unused ones are kept.
+    """
 
     def __init__(self, max_free: int = MAX_FREE_BUFFERS) -> None:
-        """Start without buffers: each is made when it is first needed."""
+        """Create an empty pool; buffers are allocated on demand."""
         self.free: list[bytearray] = []
         self.max_free = max_free
 
     def acquire(self) -> bytearray:
-        """A buffer of undefined content; the caller gives it back by `release`."""
+        """Return a buffer with undefined content, to be returned to the pool with `release`."""
         return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
-        """Take back a buffer that nobody reads any more."""
+        """Return to the pool a buffer that is no longer in use."""
         if len(self.free) < self.max_free:
             self.free.append(buffer)
 
 
 class CallerReader:
-    """Reads callers' connections in the loop's turns, and when the readiness poller is asked to."""
+    """Reads the connections of callers when the event loop or the readiness poller reports them readable."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, poller: ReadinessPoller, on_fault: FaultHandler
     ) -> None:
-        """Report the faults of protocols to `on_fault`."""
+        """Register connections with `loop` and `poller`; exceptions of protocols go to `on_fault`."""
         self._loop = loop
         self._poller = poller
         self._on_fault = on_fault
-        self._buffer = memoryview(bytearray(BUFFER_BYTES))  # one for all: what is read is used at once
+        # All connections share this buffer: its content is processed before the next read.
+        self._buffer = memoryview(bytearray(BUFFER_BYTES))
 
     def start(self, connection: AcceptedConnection, idle_order: IdleOrder | None = None) -> None:
-        """Read a connection from now on. It moves to the end of `idle_order` whenever bytes come."""
+        """Start reading a connection, and move it to the end of `idle_order` whenever bytes are received."""
         connection.sock.setblocking(False)
         connection.reading_ended = self._loop.create_future()
         self._loop.add_reader(connection.sock, self._read, connection, idle_order)
         self._poller.register(connection.sock, partial(self._read, connection, idle_order))
 
     def stop(self, connection: AcceptedConnection, peer_may_send: bool) -> None:
-        """Read no more from a connection, at least not for its protocol."""
+        """Stop reading a connection for its protocol and set the result of `reading_ended`.
+
+        Does nothing if reading never started or has already stopped.
+        """
         if connection.reading_ended is not None and not connection.reading_ended.done():
             connection.reading_ended.set_result(peer_may_send)
             self._loop.remove_reader(connection.sock)
             self._poller.unregister(connection.sock)
 
     def _read(self, connection: AcceptedConnection, idle_order: IdleOrder | None, events: int = 0) -> int:
-        """Give a protocol what has come from its caller, once; returns how many bytes that were.
+        """Read once from a caller and pass the bytes to the protocol; return the number of bytes read.
 
-        `events` show the end of a stream also where it lies behind more bytes than are read now. What is read
-        is used in the same step: a turn later it would come behind a timer, a set-up written or an eviction.
+        Returns 0 if there was nothing to read or the connection has ended. `events` is the event mask of the
+        poller: it reports a close by the peer even if more bytes precede the close than one read returns. The
+        bytes are processed in the same step, because in the next turn of the loop a timer, the write of a
+        set-up or an eviction could run before them.
         """
         protocol = connection.protocol
         try:
@@ -98,7 +107,7 @@
             return 0
         except OSError:
             pass
-        except Exception as error:  # noqa: BLE001 - bytes that upset a protocol end its connection only
+        except Exception as error:  # noqa: BLE001 - a fault of a protocol ends only its own connection
             self._on_fault(error, protocol)
         else:
             return size
@@ -109,17 +118,18 @@
 
 
 class PooledReader:
-    """Awaits what comes on one connection, into a buffer of the pool."""
+    """Reads dialled connections, each into a buffer of the pool that is held only while reading."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, pool: BufferPool) -> None:
-        """Read by the loop into buffers of the pool."""
+        """Read on `loop` into buffers of `pool`."""
         self._loop = loop
         self._pool = pool
 
     async def read(self, sock: socket.socket, protocol: ConnectionProtocol) -> bool:
-        """Give a protocol what comes until its peer ends (False) or it has had its last word (True).
+        """Pass received bytes to the protocol until either side ends.
 
-        Raises OSError where the connection breaks.
+        Returns False if the peer has closed its side, and True if the protocol can close while the peer may
+        still send. Raises OSError if the connection breaks.
         """
         buffer = self._pool.acquire()
         try:
@@ -133,15 +143,17 @@
         return False
 
     async def linger(self, sock: socket.socket, protocol: ConnectionProtocol) -> None:
-        """Read on for a moment: closed with bytes unread, the connection would be reset under our answer.
+        """Read for up to 0.2 s and 256 KiB more before the close.
 
-        Only a protocol that wants its peer's last words is given them.
+        A close with unread bytes would reset the connection and could destroy an answer that the peer has not
+        read yet. The bytes are discarded, unless the protocol reads until the end of the stream. Raises
+        OSError if the connection breaks.
         """
 
         async def discard() -> None:
-            left = MAX_LINGER_BYTES
-            while left > 0 and (size := await self._loop.sock_recv_into(sock, buffer)):
-                left -= size
+            remaining_bytes = MAX_LINGER_BYTES
+            while remaining_bytes > 0 and (size := await self._loop.sock_recv_into(sock, buffer)):
+                remaining_bytes -= size
                 if protocol.reads_until_eof:
                     protocol.receive_data(memoryview(buffer)[:size])
 
--- a/stairhatch/node/io/readiness_poller.py
+++ b/stairhatch/node/io/readiness_poller.py
@@ -1,8 +1,8 @@
-"""Reads what callers have sent at a given moment, outside of the event loop's turn.
+"""Reads the sockets of callers on demand, independently of the turns of the event loop.
 
-Before a set-up is written to a server, whatever its caller has sent until then must have been read, since it
-may be a CANCEL or the end of the connection. The loop reports readable sockets once a turn only, so the
-sockets of callers are registered with a second poll object as well.
+Before a set-up is written to a server, everything its caller has sent so far has to be read, since it may be
+a CANCEL or the end of the connection. The event loop reports readable sockets only once per turn, so the
+sockets of callers are also registered with a second poll object.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 import socket
 from collections.abc import Callable
 
-MAX_POLL_ROUNDS = 4  # each reads up to a buffer of each connection; timers wait meanwhile
-MAX_POLLED_BYTES = 512 * 1024  # of all sockets together: no further round is begun beyond so much
+MAX_POLL_ROUNDS = 4  # each round reads at most one buffer per connection; timers are delayed meanwhile
+MAX_POLLED_BYTES = 512 * 1024  # from all sockets together; no round starts once it is reached
 
-ReadyCallback = Callable[[int], int]  # is given the poll's event mask, returns how many bytes it has read
-FaultHandler = Callable[[Exception, object], None]  # an error and the object whose fault it is
+ReadyCallback = Callable[[int], int]  # parameter: the event mask; result: the number of bytes read
+FaultHandler = Callable[[Exception, object], None]  # parameters: the exception and the object that raised it
 
 
 class ReadinessPoller:
-    """The sockets of callers, and one system call that reports which of them can be read.
+    """Finds the readable sockets of callers with one system call and has them read.
 
-    Where the system offers no poll object nothing is registered, and the event loop alone reads.
+    If the system has no poll object, no socket is registered and only the event loop reads.
     """
 
     def __init__(self, on_fault: FaultHandler) -> None:
-        """Make the poll object; faults of what it calls go to `on_fault`."""
+        """Create the poll object; exceptions of the read callbacks go to `on_fault`."""
         self.on_fault = on_fault
         self.poll: select.epoll | select.poll | None = None
         with contextlib.suppress(OSError):
@@ -34,7 +34,10 @@
         self.readers: dict[int, ReadyCallback] = {}  # by descriptor
 
     def register(self, sock: socket.socket, read: ReadyCallback) -> None:
-        """Have `read` called by `read_ready` when the socket has something to be read or its peer is gone."""
+        """Register a socket: `read_ready` calls `read` when it is readable or its peer has closed.
+
+        Does nothing for a closed socket.
+        """
         descriptor = sock.fileno()
         if self.poll is None or descriptor < 0:
             return
@@ -45,13 +48,16 @@
                 return
 
     def unregister(self, sock: socket.socket) -> None:
-        """Forget a socket; to be called before it is closed."""
+        """Remove a socket if it is registered. Must be called before the socket is closed."""
         if self.poll is not None and self.readers.pop(sock.fileno(), None) is not None:
             with contextlib.suppress(OSError, ValueError, KeyError):
                 self.poll.unregister(sock.fileno())
 
     def read_ready(self) -> None:
-        """Have all sockets read what has come until now, within the limits above."""
+        """Read all registered sockets that are readable, up to MAX_POLL_ROUNDS and MAX_POLLED_BYTES.
+
+        An exception of a read callback goes to the fault handler and does not stop the others.
+        """
         size = 0
         for _ in range(MAX_POLL_ROUNDS):
             try:
@@ -64,5 +70,5 @@
                 read = self.readers.get(descriptor)
                 try:
                     size += read(events) if read is not None else 0
-                except Exception as error:  # noqa: BLE001 - the set-ups of others are to be written
+                except Exception as error:  # noqa: BLE001 - set-ups of other callers still have to be written
                     self.on_fault(error, read)
--- a/stairhatch/node/io/writer.py
+++ b/stairhatch/node/io/writer.py
@@ -1,4 +1,4 @@
-"""Writing to connections: what a protocol has to send, as fast as its peer takes it."""
+"""Writes the output of protocols to their connections, at the pace at which the peers read."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Writer:
-    """Writes for any number of connections; `run` is one connection's task."""
+    """Writes any number of connections; each runs `run` in a task of its own."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_fault: FaultHandler) -> None:
-        """Report the faults of protocols to `on_fault`."""
+        """Write on `loop`; exceptions of protocols go to `on_fault`."""
         self._loop = loop
         self._on_fault = on_fault
 
@@ -28,9 +28,12 @@
     ) -> None:
         """Write whenever `writable` is set, until the protocol can close or the connection breaks.
 
-        A connection that breaks, or whose protocol fails, is aborted here; its reader then ends it.
+        When the protocol can close, the sending side of the socket is shut down, and the connection is
+        aborted 0.2 s later. A connection that breaks, or whose protocol raises an exception, is aborted
+        immediately. The abort ends its reader.
         """
-        protocol.writing = False  # a server connection's last socket may have broken in the middle
+        # A server connection keeps its protocol when its previous socket breaks during a write.
+        protocol.writing = False
         try:
             while True:
                 await writable.wait()
@@ -45,12 +48,17 @@
                     return
         except OSError:
             pass
-        except Exception as error:  # noqa: BLE001 - a protocol's fault ends its connection only
+        except Exception as error:  # noqa: BLE001 - a fault of a protocol ends only its own connection
             self._on_fault(error, protocol)
         abort()
 
     async def _send(self, sock: socket.socket, protocol: ConnectionProtocol, data: bytes) -> None:
-        """Send what was just handed out; of what the peer does not take only what has to follow."""
+        """Send the bytes that the protocol has just returned, and wait until the socket is writable again.
+
+        Bytes that the socket does not accept are offered back to the protocol (`reclaim_unsent`); only the
+        part that the protocol cannot reclaim, such as the rest of a message, is sent afterwards. Raises
+        OSError if the connection breaks.
+        """
         try:
             size = sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -60,9 +68,9 @@
         if rest := protocol.reclaim_unsent(data[size:]):
             await self._loop.sock_sendall(sock, rest)
             return
-        room = self._loop.create_future()
-        self._loop.add_writer(sock, lambda: None if room.done() else room.set_result(None))
+        write_room = self._loop.create_future()
+        self._loop.add_writer(sock, lambda: None if write_room.done() else write_room.set_result(None))
         try:
-            await room
+            await write_room
         finally:
             self._loop.remove_writer(sock)
