--- a/stairhatch/__init__.py
+++ b/stairhatch/__init__.py
@@ -1,8 +1,8 @@
-"""A softswitch with hysteretic overload control, for nodes that set calls up at shared call servers.
+"""A softswitch with hysteretic overload control, for nodes that set up calls at shared call servers.
 
-`Controller` is the overload control and `Settings` what it is configured with; both can be used without the
-rest (README.md). The programs are `stairhatch.__main__` and, on the simulator's wire,
-`stairhatch.simulator.adapter`.
+`Controller` implements the overload control and `Settings` is its configuration; both can be used without the
+rest of the package (README.md). The entry points are `stairhatch.__main__` and
+`stairhatch.simulator.adapter`, which connects the controller to the protocol of the simulator.
 """
 
 from stairhatch.overload.controller import Controller
--- a/stairhatch/__main__.py
+++ b/stairhatch/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m stairhatch`: chooses between the two programs.
+"""Entry point of `python -m stairhatch`, which selects one of two programs.
 
-Without arguments it is the platform's softswitch, configured by the RELAY_ variables. With a command it is
-the appliance's command line (`stairhatch.cli`), of which the platform's program imports nothing.
+Without arguments it runs the softswitch of the platform, which is configured by the RELAY_ environment
+variables. With a command it runs the command line of the appliance (`stairhatch.cli`), which the platform's
+program does not import.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import signal
 import sys
 
-if len(sys.argv) == 1:  # a SIGHUP before the configuration is read ends nothing: it is read anyway
+if len(sys.argv) == 1:  # SIGHUP must not end the program before it has read its configuration
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from stairhatch.config.platform import read_platform
@@ -18,7 +19,7 @@
 
 
 def main() -> int:
-    """Run the platform's softswitch, or the command that is given; return the exit code."""
+    """Run the platform's softswitch, or the command in the arguments, and return the exit code."""
     if len(sys.argv) > 1:
         from stairhatch.cli.main import main as command_line
 
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -1,8 +1,9 @@
-"""Composition root: builds one softswitch from its configuration, connects its parts and runs it to its end.
+"""Composition root: builds one softswitch from its configuration, connects its components and runs it.
 
-`Application` starts each part. The end is in `stairhatch.shutdown`, a new configuration at SIGHUP in
-`stairhatch.reload`, the limits on connections in `stairhatch.connection_limits`. The parts of the appliance
-are imported only where the configuration asks for them: the platform's softswitch does not load them.
+`Application` starts each component. `stairhatch.shutdown` implements the graceful shutdown,
+`stairhatch.reload` the reload at SIGHUP, and `stairhatch.connection_limits` the limits on connections. The
+components of the appliance are imported only if the configuration enables them, so that the platform's
+softswitch does not load them.
 """
 
 from __future__ import annotations
@@ -44,15 +45,16 @@
     from stairhatch.sip.frontend import SipFrontend
 
 READY_POLL_S = 0.01
-SECRET_BYTES = 32  # of the SIP frontend's nonces and tags
-IDENT_BYTES = 8
-GC_THRESHOLDS = (20_000, 20, 50)  # of the garbage collector: rare, since a collection delays calls
+SECRET_BYTES = 32  # secret key for the nonces and tags of the SIP frontend
+IDENT_BYTES = 8  # random bytes of an identifier that the SIP frontend generates
+GC_THRESHOLDS = (20_000, 20, 50)  # of the garbage collector; high, since each collection delays calls
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """Return the listening socket that the platform owns. It is never bound, shut down or unlinked here.
+    """Return the platform's listening socket that this process has inherited as a descriptor.
 
-    Raises ConfigError if the descriptor is no listening socket.
+    The platform owns the socket: this process never binds, shuts down or unlinks it. Raises ConfigError if
+    the descriptor is not a listening socket.
     """
     try:
         sock = socket.socket(fileno=descriptor)
@@ -65,13 +67,17 @@
 
 
 class Application:
-    """One softswitch: its parts (`parts`), its configuration (`reloader`) and its terminal.
+    """One softswitch: its components (`parts`), its current configuration (`reloader`) and its terminal.
 
-    `open_listeners`, `start_discovery` and `serve_when_ready` bring it up in this order, `shut_down` ends it.
+    Call `open_listeners`, `start_discovery` and `serve_when_ready`, in this order, to start the softswitch,
+    and `shut_down` to end it.
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
-        """Build the parts that exist from the start. Needs a running event loop."""
+        """Build the components that do not need a socket. Requires a running event loop.
+
+        `read_config` reads the configuration again for a reload and raises ConfigError if it is unusable.
+        """
         rng = random.Random(config.seed or None)
         self.parts = self._build(config, rng)
         self.reloader = ConfigReloader(config, read_config, self.parts)
@@ -96,11 +102,14 @@
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """Return the configuration that is in effect."""
         return self.reloader.config
 
     def _scope_changed(self, numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
-        """Open connections to servers that come into scope; those of servers that leave it end when idle."""
+        """Connect to the servers that enter the scope; connections to servers that leave it close when idle.
+
+        `numbers` are the numbers of the servers concerned, None for all.
+        """
         parts = self.parts
         servers = [
             each
@@ -113,12 +122,12 @@
         for server in servers:
             parts.core.servers.pool.record_changed(server)
 
-    # ---- start ----
+    # ---- starting the softswitch ----
 
     def open_listeners(self) -> str:
-        """Open the frontends and the admin endpoint; return their addresses for the log.
+        """Open the frontends and the admin endpoint; return their addresses for the log, separated by commas.
 
-        Raises ConfigError if an address cannot be used.
+        Raises ConfigError if an address cannot be bound or the inherited descriptor is unusable.
         """
         config = self.config
         opened: list[str] = []
@@ -183,7 +192,11 @@
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
-        """Divide the descriptors between callers and servers, what is open now set aside."""
+        """Divide the descriptors between callers and servers.
+
+        The descriptors that are open now, and those of the admin endpoint, are reserved. A limit lower than
+        the configured one is logged.
+        """
         admin_connections = ADMIN_LIMITS.max_connections if config.console is not None else 0
         reserved = open_descriptor_count() + admin_connections
         limit = descriptor_limit(config)
@@ -193,9 +206,9 @@
             self.parts.log("descriptors", configured=config.sockets, limit=limit)
 
     def start_discovery(self) -> None:
-        """Apply the known endpoint list, and begin to poll the coordinator for changes.
+        """Apply the configured endpoint list, join the cluster and start polling the coordinator for changes.
 
-        Raises ConfigError if they, or the cluster member's files and address, cannot be used.
+        Raises ConfigError if the list, or the files or the address of the cluster member, are unusable.
         """
         parts = self.parts
         config = self.config
@@ -214,7 +227,10 @@
             parts.network.spawn(parts.network.poll_service_discovery(parts.discovery))
 
     def _join_cluster(self, config: FleetConfig) -> None:
-        """Join the fleet's cluster, and its endpoint relaying where that is configured."""
+        """Join the cluster of the fleet, and relay the endpoint list within it if that is configured.
+
+        Raises ConfigError if the files or the address of the cluster member are unusable.
+        """
         from stairhatch.fleet.runtime import FleetRuntime, StoreError
 
         parts = self.parts
@@ -231,9 +247,10 @@
         parts.fleet.start()
 
     async def serve_when_ready(self) -> None:
-        """Wait until the list is known and each server has been tried, then accept and log `serving`.
+        """Wait until the list is known and each server was tried, then open the listeners and log `serving`.
 
-        Only a socket that is shared with another process is not accepted on before.
+        An inherited socket, which this process may share with another, accepts connections only from then on.
+        All other listeners have been accepting since they were created.
         """
         core = self.parts.core
         while not core.readiness.startup_health().is_ready:
@@ -245,47 +262,50 @@
         core.readiness.listening = True
         self.parts.log("serving", servers=len(core.servers.by_id))
 
-    # ---- while it runs ----
+    # ---- running and ending the softswitch ----
 
     def status_text(self) -> str:
-        """Return what the console's `status` shows of the configuration and of service discovery."""
+        """Return the lines on reloads and service discovery for the console command `status`."""
         text = f"reload     {self.reloader.last_result or 'never'}\n"
-        directory = self.parts.discovery
-        if directory is not None:
-            host, port = directory.address
-            age_s = self.parts.clock() - directory.last_answer_at
-            text += f"directory  {host}:{port}, event {directory.last_index}, last heard {age_s:.1f} s ago\n"
+        discovery = self.parts.discovery
+        if discovery is not None:
+            host, port = discovery.address
+            age_s = self.parts.clock() - discovery.last_answer_at
+            text += f"directory  {host}:{port}, event {discovery.last_index}, last answer {age_s:.1f} s ago\n"
         return text
 
     async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
-        """Drain and return when nothing is owed; `skip_dialogs`, once set, ends the wait for dialogs."""
+        """Drain, and return when all answers and releases are delivered or cannot be delivered.
+
+        Setting `skip_dialogs` ends the wait for established dialogs.
+        """
         await GracefulShutdown(self.parts, self.config, self.terminal.write).run(skip_dialogs)
 
 
-async def run(config: Config, read_config: Callable[[], Config], hung_up: Callable[[], bool]) -> None:
-    """Serve until SIGTERM, SIGINT or `quit`, then shut down gracefully.
+async def run(config: Config, read_config: Callable[[], Config], hangup_received: Callable[[], bool]) -> None:
+    """Serve until SIGTERM, SIGINT or the command `quit`, then shut down gracefully.
 
-    `read_config` reads the configuration anew at SIGHUP; `hung_up` tells whether a SIGHUP has come since
-    `config` was read. Raises ConfigError if the configuration cannot be used.
+    `read_config` reads the configuration again at SIGHUP. `hangup_received` returns whether a SIGHUP was
+    received after `config` was read. Raises ConfigError if the configuration is unusable.
     """
     application = Application(config, read_config)
     try:
-        await _run(application, hung_up)
-    finally:  # also where it ends in a fault: the lines before it tell why
+        await _run(application, hangup_received)
+    finally:  # also after an exception, since the pending log lines explain it
         application.parts.log.close()
 
 
-async def _run(application: Application, hung_up: Callable[[], bool]) -> None:
+async def _run(application: Application, hangup_received: Callable[[], bool]) -> None:
     parts = application.parts
     loop = parts.network.loop
     stop = asyncio.Event()
-    for name in (signal.SIGTERM, signal.SIGINT):  # before anything can be accepted
+    for name in (signal.SIGTERM, signal.SIGINT):  # installed before any connection is accepted
         loop.add_signal_handler(name, stop.set)
     addresses = application.open_listeners()
     application.start_discovery()
     loop.add_signal_handler(signal.SIGHUP, application.reloader.reload)
     loop.add_signal_handler(signal.SIGUSR1, lambda: parts.log("counters", **parts.counters.counts))
-    if hung_up():
+    if hangup_received():
         application.reloader.reload()
     application.terminal.attach(AdminConsole(parts.core, stop.set, application.status_text))
     parts.log("ready", name=application.config.name, listen=addresses)
@@ -294,7 +314,7 @@
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     await stop.wait()
-    stop.clear()  # set once more it ends the wait for dialogs
+    stop.clear()  # a second signal ends the wait for dialogs
     await application.shut_down(stop)
     if parts.fleet is not None:
         parts.fleet.stop()
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -1,7 +1,8 @@
-"""The parts of one running softswitch, as the composition root (`stairhatch.application`) has built them.
+"""The record of the components that make up one running softswitch.
 
-Shutdown and reload work on the same parts and take them from here, so that neither has to know the root. A
-part that the configuration does not ask for is None.
+The composition root (`stairhatch.application`) fills the record. Shutdown and reload use the same components
+through it, so that neither depends on the composition root. A component that the configuration does not
+enable is None.
 """
 
 from __future__ import annotations
@@ -26,17 +27,21 @@
 
 
 def steady_unix_clock() -> Callable[[], float]:
-    """Return a clock of Unix time in seconds that never steps: set once, advanced by the monotonic clock."""
+    """Return a clock that returns Unix time in seconds and never steps.
+
+    It reads the system time once, at its creation, and then advances with the monotonic clock.
+    """
     offset = time.time() - time.monotonic()
     return lambda: offset + time.monotonic()
 
 
 @dataclass(slots=True, eq=False, repr=False, kw_only=True)
 class Components:
-    """The parts of one softswitch.
+    """The components of one softswitch.
 
-    The first five exist from the start. Frontends and listeners are added as listening sockets are opened,
-    service discovery and the cluster member as the endpoint list is first applied.
+    The first five fields are set at construction. Frontends and listeners are added when the listening
+    sockets are opened; service discovery and the cluster member are added when the initial endpoint list is
+    applied.
     """
 
     clock: Callable[[], float]
--- a/stairhatch/main.py
+++ b/stairhatch/main.py
@@ -1,8 +1,8 @@
-"""Runs one softswitch from the reading of its configuration to the exit code.
+"""Runs one softswitch: reads its configuration, serves, and returns the exit code.
 
-Both programs start here: the platform's (`stairhatch.__main__`) and the command line's `serve`. The exit code
-is 0 after a graceful shutdown, and 2 with one plain line on standard error where the configuration cannot be
-used.
+Both the platform's program (`stairhatch.__main__`) and the command `serve` of the command line call `serve`.
+The exit code is 0 after a graceful shutdown. It is 2 if the configuration is unusable, which is reported in
+one line on standard error.
 """
 
 from __future__ import annotations
@@ -23,8 +23,9 @@
 def serve(read_config: Callable[[], Config]) -> int:
     """Run the softswitch and return the exit code.
 
-    A SIGHUP that comes after the configuration has been read, and before the program is up, is kept and
-    honoured then. Ignored, it would leave the softswitch with a list and a coordinator that are out of date.
+    A SIGHUP received after the configuration has been read, but before the reload handler is installed, is
+    recorded and causes a reload at the end of the start. If it were ignored, the softswitch would keep an
+    outdated endpoint list and coordinator.
     """
     hang_ups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: hang_ups.append(number))
--- a/stairhatch/terminal.py
+++ b/stairhatch/terminal.py
@@ -1,7 +1,7 @@
-"""The operator's terminal: commands typed on standard input, answers on standard output.
+"""The operator's terminal: reads commands from standard input and prints answers on standard output.
 
-Where standard input is a file or /dev/null it cannot be watched, and the terminal stays silent. The end of
-the input ends nothing else.
+If standard input is a file or /dev/null, the event loop cannot watch it, and the terminal prints nothing. The
+end of the input does not end the program.
 """
 
 from __future__ import annotations
@@ -17,15 +17,18 @@
 
 
 class Terminal:
-    """Connects a console to standard input and output while the event loop runs."""
+    """Connects an admin console to standard input and output while the event loop runs."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """`loop` is the running event loop."""
+        """Create a terminal without a console; `loop` is the running event loop."""
         self._loop = loop
         self._console: AdminConsole | None = None
 
     def attach(self, console: AdminConsole) -> None:
-        """Read commands for a console from standard input, if that can be watched."""
+        """Pass commands from standard input to `console`; do nothing if the input cannot be watched.
+
+        A prompt is printed if standard input is an interactive terminal.
+        """
         try:
             self._loop.add_reader(STDIN_DESCRIPTOR, self._read)
         except (OSError, ValueError):
@@ -35,7 +38,10 @@
             self.write(f"stairhatch: type help for the commands\n{PROMPT}")
 
     def write(self, text: str) -> None:
-        """Print on the terminal. Does nothing where no console is attached or nobody reads it any more."""
+        """Print text on standard output, if a console is attached.
+
+        If the output is closed, the terminal stops reading commands.
+        """
         if self._console is None:
             return
         try:
--- a/stairhatch/users.py
+++ b/stairhatch/users.py
@@ -1,8 +1,9 @@
-"""Changes the file of SIP users by command (`stairhatch users add|remove|list`).
+"""Edits the file of SIP users (commands `stairhatch users add|remove|list`).
 
-A line of the file is `user:realm:algorithm:hash` (`stairhatch.sip.digest_auth` reads it). A change is
-written beside the file and renamed over it, so that a reader sees the old file or the new one whole. Only its
-owner may read it, and nothing here prints a password or a hash.
+Each line of the file is `user:realm:algorithm:hash`, which `stairhatch.sip.digest_auth` parses. A change is
+written to a temporary file in the same folder, which then replaces the file, so that a reader sees either the
+complete old file or the complete new one. Only the owner may read the file. No function prints a password or
+a hash.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from stairhatch.sip import digest_auth
 
-FIELDS = 4  # of a line
+FIELDS_PER_LINE = 4
 
 
 def _read_lines(file: Path) -> list[str]:
@@ -22,7 +23,7 @@
 
 
 def _replace_file(file: Path, lines: Iterable[str]) -> None:
-    """Write the lines beside the file and rename them over it; the temporary file never stays behind."""
+    """Replace the file atomically by one with these lines; the temporary file is removed on an error."""
     text = "".join(f"{line}\n" for line in lines)
     handle, name = tempfile.mkstemp(prefix=f".{file.name}.", dir=file.parent)
     try:
@@ -37,15 +38,16 @@
 
 
 def _is_entry_of(line: str, user: str, realm: str) -> bool:
-    """Whether a line is a user's; an empty realm matches any."""
+    """Return whether a line is an entry of the user in the realm; an empty realm matches any realm."""
     fields = line.strip().split(":")
-    return len(fields) == FIELDS and fields[0] == user and realm in ("", fields[1])
+    return len(fields) == FIELDS_PER_LINE and fields[0] == user and realm in ("", fields[1])
 
 
 def add(file: Path, user: str, realm: str, password: str, md5: bool) -> str:
-    """Add a user, or replace its hashes; return the line that says which.
+    """Add a user or replace the hashes of an existing one; return a message that states which was done.
 
-    Raises UsersError for a name or password that cannot be used, or a file that holds something else.
+    With `md5`, a hash for the algorithm MD5 is stored as well. Raises UserFileError if the name or the
+    password is unusable or the file is malformed.
     """
     if not password:
         raise digest_auth.UserFileError("the password is empty")
@@ -59,7 +61,10 @@
 
 
 def remove(file: Path, user: str, realm: str) -> str:
-    """Remove a user; return the line that says so. Raises UsersError where there is none of that name."""
+    """Remove the entries of a user and return a message that confirms it.
+
+    An empty realm removes the user from all realms. Raises UserFileError if the file has no such user.
+    """
     old = _read_lines(file)
     kept = [line for line in old if not _is_entry_of(line, user, realm)]
     if len(kept) == len(old):
@@ -69,11 +74,14 @@
 
 
 def list_users(file: Path) -> str:
-    """Return a line for each user and realm with its algorithms."""
+    """Return one line for each user and realm, with the hash algorithms; `no users` for an empty file.
+
+    Raises OSError if the file cannot be read.
+    """
     algorithms: dict[tuple[str, str], list[str]] = {}
     for line in file.read_text(encoding="utf-8").splitlines():
         fields = line.strip().split(":")
-        if len(fields) == FIELDS and not line.startswith("#"):
+        if len(fields) == FIELDS_PER_LINE and not line.startswith("#"):
             algorithms.setdefault((fields[0], fields[1]), []).append(fields[2])
     lines = [f"{user}  {realm}  {' '.join(names)}" for (user, realm), names in algorithms.items()]
     return "\n".join(lines) or "no users"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -60,7 +60,7 @@
     """No connection is reset with a request unread on it. The caller sends when the program has found for the
     second time that nothing is owed.
     """
-    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
     answers = []
 
     async def scenario():
@@ -102,7 +102,7 @@
     """A connection that was accepted by the machine is not reset with its request: a dense trial (seed 18)
     found one that came 8 ms before the end. The caller connects when nothing is owed and nothing lies unread.
     """
-    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
     answers = []
 
     async def scenario():
@@ -157,9 +157,9 @@
     drain_s = 5.0 if replaced else 3.0
     kill_s = min(longest_deadline_s, drain_s) + 0.7
     schedule = shutdown_module.ShutdownSchedule.for_platform(longest_deadline_s, drain_s, replaced)
-    assert schedule.stay_s <= kill_s - 0.3
-    assert schedule.stay_s >= min(0.6, kill_s) or replaced, "requests come for 0.6 s after SIGTERM"
-    assert schedule.reject_after_s < schedule.answer_by_s < schedule.leave_by_s < kill_s
+    assert schedule.serve_for_s <= kill_s - 0.3
+    assert schedule.serve_for_s >= min(0.6, kill_s) or replaced, "requests come for 0.6 s after SIGTERM"
+    assert schedule.reject_after_s < schedule.answer_by_s < schedule.exit_by_s < kill_s
     assert kill_s - schedule.answer_by_s >= 0.25, "answers have to be written, and the process to end"
 
 
@@ -297,7 +297,7 @@
     """The program ends though somebody takes no answer."""
     settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(shutdown_module, "MIN_STAY_S", 0.0)
+    monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
 
     async def scenario():
         known = {"index": 0, "updates": []}
