--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""The limit of descriptors: how callers, servers, coordinator and admin endpoint share it."""
+"""The descriptor limit: its division between callers, servers, coordinator and admin endpoint."""
 
 from __future__ import annotations
 
@@ -23,8 +23,10 @@
 
 
 class IdleCallers:
-    """Callers that hold connections and want nothing: silent, within a message, or after one health check.
-    One that is evicted connects again at once, or never; those that stay then have sent one request.
+    """Threads that each hold an idle connection.
+
+    With `reconnects`, a connection is silent, within a message or idle after one health check, and an evicted
+    caller connects again at once. Otherwise each caller sends one health check and connects only once.
     """
 
     FIRST_BYTES = (b"", PING[:30], PING)
@@ -62,12 +64,15 @@
 
 
 def open_descriptors(program):
-    """How many descriptors the process has open."""
+    """Return the number of descriptors that the process of the program has open."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
 def start_limited(folder, servers, system_limit, configured_limit):
-    """A program before these servers under a limit of descriptors; returns it and its coordinator."""
+    """Start a program for these servers under a system limit and a configured limit of descriptors.
+
+    Returns the program, which serves, and its coordinator.
+    """
 
     class LimitedProgram(Program):
         descriptor_limit = system_limit
@@ -80,11 +85,12 @@
 
 @pytest.mark.parametrize("reconnects", [True, False], ids=["evicted callers reconnect", "callers stay"])
 @pytest.mark.parametrize(("configured", "system"), [(64, 64), (1024, 64), (64, 1024)])
-def test_idle_callers_leave_descriptors_for_servers_and_coordinator_that_return(
+def test_idle_callers_leave_descriptors_for_returning_servers_and_coordinator(
     tmp_path, started_programs, configured, system, reconnects
 ):
-    """Idle callers that fill the descriptors while the coordinator and all servers are away leave some to
-    connect to them when they return. The limit is that of the settings, of the system, or both.
+    """Idle callers that use up the descriptors while the coordinator and all servers are unreachable leave
+    enough descriptors to connect to these when they return. The limit is that of the settings, of the system
+    or both.
     """
 
     servers = [ScriptedServer() for _ in range(6)]
@@ -92,73 +98,84 @@
     started_programs.append(program)
     for each in (coordinator.close, *(each.close for each in servers)):
         each()
-    wait_until(lambda: len(program.log_events("server_connection_lost")) == 6, "that all are away")
+    wait_until(
+        lambda: len(program.log_events("server_connection_lost")) == 6, "all server connections to be lost"
+    )
     before = program.counters()
     idle_callers = IdleCallers(program.address, 2 * min(configured, system), reconnects)
     wait_until(
         lambda: idle_callers.connected >= (4 if reconnects else 2) * min(configured, system),
-        "descriptors filled over",
+        "more connections than descriptors",
     )
-    missed = ("server_connections_failed", "discovery_unreachable")
+    failure_counters = ("server_connections_failed", "discovery_unreachable")
     wait_until(
-        lambda: all((program.counters() - before)[name] >= 12 for name in missed), "that all are missed"
+        lambda: all((program.counters() - before)[name] >= 12 for name in failure_counters),
+        "repeated failures to connect",
     )
-    assert program.counters()["connections_evicted"] > 0, "idle callers were in excess"
+    assert program.counters()["connections_evicted"] > 0, "idle callers exceeded the limit"
     polls = len(coordinator.polled_indices)
     coordinator.reopen()
     returned = [ScriptedServer(port=each.port) for each in servers]
-    wait_until(lambda: len(program.log_events("server_connected")) >= 12, "the roster servers, reached again")
-    wait_until(lambda: len(coordinator.polled_indices) > polls, "the coordinator, polled again")
+    wait_until(lambda: len(program.log_events("server_connected")) >= 12, "connections to all roster servers")
+    wait_until(lambda: len(coordinator.polled_indices) > polls, "a poll of the coordinator")
     coordinator.publish(endpoint_entry("s-0", returned[0].port, 0, "terminating"))
-    wait_until(lambda: program.log_events("server_listed")[-1]["state"] == "draining", "its change")
+    wait_until(
+        lambda: program.log_events("server_listed")[-1]["state"] == "draining",
+        "the change of the server state",
+    )
     assert program.admin_command("check").startswith("ok")
-    ident, newcomer = next_call_id(), program.caller()
-    newcomer.invite(ident, answer_within_ms=9000)
-    newcomer.expect(ident, 200)
+    ident, new_caller = next_call_id(), program.caller()
+    new_caller.invite(ident, answer_within_ms=9000)
+    new_caller.expect(ident, 200)
     assert open_descriptors(program) <= min(configured, system)
     idle_callers.stop()
     lines = Counter(line.split(".")[0] for line in program.log_text().splitlines() if " accept " in line)
-    assert max(lines.values(), default=0) <= 2, "one log line a second says that descriptors have run out"
+    assert (
+        max(lines.values(), default=0) <= 2
+    ), "at most one log line per second reports the exhaustion of descriptors"
 
 
-def test_a_list_longer_than_the_limit_leaves_callers_and_admin_endpoint_descriptors(
-    tmp_path, started_programs
-):
-    """Server connections do not take every descriptor where so many servers are listed, and all are there."""
+def test_list_longer_than_the_limit_leaves_descriptors_to_callers_and_admin(tmp_path, started_programs):
+    """Connections to 70 reachable servers under a limit of 64 do not use up the descriptors of callers and of
+    the admin endpoint.
+    """
 
     servers = [ScriptedServer() for _ in range(70)]
     program, _ = start_limited(tmp_path, servers, 64, 1024)
     started_programs.append(program)
-    wait_until(lambda: len(program.log_events("server_connect_failed")) >= 20, "servers without a descriptor")
-    assert program.log_events("server_connected"), "others are reached"
+    wait_until(
+        lambda: len(program.log_events("server_connect_failed")) >= 20,
+        "dials that fail for lack of a descriptor",
+    )
+    assert program.log_events("server_connected"), "other servers are connected"
     idle_callers = IdleCallers(program.address, 64, False)
     wait_until(
         lambda: idle_callers.connected == 64 and program.counters()["connections_evicted"] > 0,
-        "that some are evicted",
+        "some callers to be evicted",
     )
     assert program.admin_command("check").startswith("ok")
-    ident, newcomer = next_call_id(), program.caller()
-    newcomer.invite(ident, answer_within_ms=9000)
-    wait_until(lambda: newcomer.final_statuses(ident), "an answer")
+    ident, new_caller = next_call_id(), program.caller()
+    new_caller.invite(ident, answer_within_ms=9000)
+    wait_until(lambda: new_caller.final_statuses(ident), "an answer")
     assert open_descriptors(program) <= 64
     idle_callers.stop()
-    said = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
-    assert 0 < max(said.values()) <= 2, "said, and not in a spin"
+    lines_per_second = Counter(line["at"].split(".")[0] for line in program.log_events("descriptors")[1:])
+    assert 0 < max(lines_per_second.values()) <= 2, "the exhaustion is logged at a limited rate"
 
 
-def test_callers_keep_a_third_where_the_list_is_longer_than_the_limit():
-    """1,900 servers listed under a limit of 1,024 leave callers descriptors; a list that fits leaves them the
-    rest.
+def test_callers_keep_a_third_of_the_descriptors_if_the_list_exceeds_the_limit():
+    """1,900 listed servers under a limit of up to 1,024 descriptors leave callers a third of the limit; a
+    list that fits into the limit leaves them the rest.
     """
-    for most in (32, 64, 1024):
-        short = DescriptorBudget(most, 26, 1901)
-        assert short.available_to_callers() == most // 3
-        assert most // 4 <= short.available_to_servers() < most - most // 3
-    long = DescriptorBudget(4096, 26, 1901)
-    assert long.available_to_callers() > 4096 / 2
-    assert long.available_to_servers() > 1900
-    few = DescriptorBudget(1024, 26, 25)
-    assert few.available_to_callers() > 768, "three quarters, which the settings allow"
+    for limit in (32, 64, 1024):
+        small = DescriptorBudget(limit, 26, 1901)
+        assert small.available_to_callers() == limit // 3
+        assert limit // 4 <= small.available_to_servers() < limit - limit // 3
+    large = DescriptorBudget(4096, 26, 1901)
+    assert large.available_to_callers() > 4096 / 2
+    assert large.available_to_servers() > 1900
+    few_servers = DescriptorBudget(1024, 26, 25)
+    assert few_servers.available_to_callers() > 768, "the three quarters that the settings allow"
     unlimited = DescriptorBudget()
-    least = min(unlimited.available_to_callers(), unlimited.available_to_servers())
-    assert least > 10**6, "where no limit is set"
+    smaller_share = min(unlimited.available_to_callers(), unlimited.available_to_servers())
+    assert smaller_share > 10**6, "no limit is set"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloads of the configuration: applied whole or not at all, under open calls."""
+"""Reloads of the configuration during open calls: each is applied as a whole or not at all."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def with_value(raw, *path, value=None):
-    """A copy of a configuration with one value replaced, or taken out if no value is given."""
+    """Return a copy of a configuration with the value at `path` replaced, or removed if `value` is None."""
     copy = json.loads(json.dumps(raw))
     part = copy
     for step in path[:-1]:
@@ -52,7 +52,7 @@
 
 
 def class_settings(name, **more):
-    """The settings of one class."""
+    """Return the settings of one class."""
     return {
         "name": name, "aim_s": 1.5, "hard_limit_s": 9.0, "importance": 1.0, "late_worth": 0.25,
         "effect": "read_like", **more,
@@ -60,14 +60,14 @@
 
 
 def settings_with_classes(classes, cap=6):
-    """Settings with these classes, each of which may go to both servers."""
+    """Return settings with these classes, all of which may use both servers, and at most `cap` attempts."""
     raw = {**SETTINGS, "classes": classes, "permissions": {**SETTINGS["permissions"], "send_cap": cap}}
     lists = {"allowed_pools": [[0, 1] for _ in classes], "call_length_s": [10.0 for _ in classes]}
     return {**raw, "family_info": {**SETTINGS["family_info"], **lists}}
 
 
 def key_paths(raw, at=()):
-    """The paths of all keys of a configuration but those within the endpoint events."""
+    """Yield the paths of all keys of a configuration except those inside the endpoint events."""
     for name, value in raw.items():
         yield (*at, name)
         if isinstance(value, dict) and name != "known":
@@ -77,9 +77,9 @@
 NO_NUMBERS = ["NaN", "Infinity", "-Infinity", "1e999", "true", "false", '"3"', "0", "-5", "null", "[]", "{}"]
 
 
-def test_a_file_that_is_cut_short_or_lacks_a_key_or_a_number_is_rejected_whole(start_deployment):
-    """No settings are put together from half a file and defaults: each such file is rejected with one log
-    line and a count, and what was in force stays.
+def test_incomplete_or_malformed_file_is_rejected_as_a_whole(start_deployment):
+    """A file that is truncated, lacks a key or has an invalid number is not completed with defaults. It is
+    rejected with one log line and counted, and the previous configuration remains in effect.
     """
     program, _, _ = start_deployment(None, wait_until_serving=True)
     text = program.path.read_text()
@@ -89,7 +89,7 @@
     unusable += [
         json.dumps(with_value(raw, "settings", "classes", 1, key)) for key in raw["settings"]["classes"][1]
     ]
-    unusable.append(text.replace('"save-roster"', '"read-roster"'))  # two of one name
+    unusable.append(text.replace('"save-roster"', '"read-roster"'))  # two classes of the same name
     unusable.append(json.dumps(with_value(raw, "settings", "classes", value=[])))
     unusable.append(json.dumps(with_value(raw, "settings", "family_info", "allowed_pools", value=[[0, 1]])))
     for name, path in (("1.75", ("classes", 0, "hard_limit_s")), ("77", ("permissions", "send_cap"))):
@@ -97,7 +97,7 @@
         unusable += [marked.replace(name, number) for number in NO_NUMBERS]
     for index, each in enumerate(unusable):
         assert program.reload(each)["result"] == "rejected", each
-        assert len(program.log_events("reload")) == index + 1, "one line each"
+        assert len(program.log_events("reload")) == index + 1, "one log line for each file"
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, "save-roster", answer_within_ms=9000)
     caller.expect(ident, 200)
@@ -108,8 +108,8 @@
     assert (counted["reloads_rejected"], counted["settings_changes"]) == (str(len(unusable)), "1")
 
 
-def test_the_appliances_file_is_rejected_whole_as_well(start_deployment):
-    """A small site's file that was cut short by an editor, or mistyped, changes nothing."""
+def test_malformed_file_of_the_appliance_is_rejected_as_a_whole(start_deployment):
+    """A truncated or mistyped configuration file of the appliance changes nothing."""
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     text = program.path.read_text()
     limit, cap = "hard_limit_s = 9.0             #", "send_cap = 6"
@@ -137,14 +137,14 @@
     )
 
 
-def test_a_class_is_added_and_another_removed_under_open_calls(start_deployment):
-    """Classes are told apart by name: an open call keeps its class, callers may name a removed one for a
-    while, and then it is unknown.
+def test_class_is_added_and_another_removed_during_open_calls(start_deployment):
+    """Classes are identified by name. An open call keeps its class, and callers may use the name of a removed
+    class for a while before it is rejected as unknown.
     """
     program, _, (server, _) = start_deployment(SILENT, SILENT, wait_until_serving=True)
     raw = json.loads(program.path.read_text())
-    caller, open_one = program.caller(), next_call_id()
-    caller.invite(open_one, "save-roster", answer_within_ms=9000)
+    caller, open_ident = program.caller(), next_call_id()
+    caller.invite(open_ident, "save-roster", answer_within_ms=9000)
     wait_until(lambda: server.messages("START"))
     new = [class_settings("night-roster"), class_settings("read-roster", effect="keyed")]
     line = program.reload(json.dumps({**raw, "settings": settings_with_classes(new, cap=1)}))
@@ -154,30 +154,30 @@
         ident = next_call_id()
         caller.invite(ident, kind)
         caller.expect(ident, 200)
-    named = [m["opts"]["class"] for m in server.messages("START")]
-    assert named == ["save-roster", "night-roster", "read-roster", "save-roster"]
+    class_names = [m["opts"]["class"] for m in server.messages("START")]
+    assert class_names == ["save-roster", "night-roster", "read-roster", "save-roster"]
 
-    def unknown():
+    def is_unknown():
         ident = next_call_id()
         caller.invite(ident, "save-roster")
         return wait_until(lambda: caller.final_statuses(ident)) == [400]
 
-    wait_until(unknown, "the end of the old class")
-    server.send("FINISH", open_one, rc=41)
-    caller.expect(open_one, 200)
+    wait_until(is_unknown, "the old class to become unknown")
+    server.send("FINISH", open_ident, rc=41)
+    caller.expect(open_ident, 200)
     assert (
-        len([m for m in server.messages("START") if m["tag"] == open_one]) == 2
-    ), "it keeps its six attempts"
+        len([m for m in server.messages("START") if m["tag"] == open_ident]) == 2
+    ), "the open call may still make six attempts"
 
 
-def test_open_calls_keep_their_class_and_their_attempts():
-    """The rules of a call do not change, and it is not lost, while it is open."""
+def test_open_calls_keep_their_class_and_number_of_attempts():
+    """A reload does not end an open call and does not change its class or its maximum of attempts."""
     node = InProcessNode()
     connection = PlatformFrontend(node.core).connect()
     connection.receive_data(platform_invite(old := next_call_id(), "save-roster", "9000"))
     kept = node.core.calls.by_ident[old].request.call_class
-    lines = [class_settings("read-roster", effect="keyed", hard_limit_s=4.0)]
-    node.core.update_settings(settings_from_object(settings_with_classes(lines, cap=1)).settings)
+    classes = [class_settings("read-roster", effect="keyed", hard_limit_s=4.0)]
+    node.core.update_settings(settings_from_object(settings_with_classes(classes, cap=1)).settings)
     connection.receive_data(platform_invite(new := next_call_id()))
     call, other = node.core.calls.by_ident[old], node.core.calls.by_ident[new]
     assert node.core.controller.settings is node.core.settings
@@ -186,7 +186,7 @@
     assert (call.max_attempts, other.max_attempts) == (6, 1)
     assert not other.request.call_class.idempotent
     server = node.core.servers.by_id[1]
-    for _ in range(3):  # resets: what may not be repeated has failed, the old one goes on
+    for _ in range(3):  # resets: the new call fails, since it must not be repeated; the old call is retried
         for ident in (old, new):
             node.core.responses.call_released(server, ident, 41, "", node.empty_report())
         node.run(2.0)
@@ -196,8 +196,8 @@
     assert old in node.core.calls.by_ident
 
 
-def test_callers_may_name_a_former_class_or_its_deadline_for_a_while():
-    """Calls are not refused that left before their caller knew of the new settings."""
+def test_callers_may_use_a_former_class_or_its_deadline_for_a_while():
+    """Calls that callers sent before they knew the new settings are not rejected."""
     node = InProcessNode()
     connection = PlatformFrontend(node.core).connect()
     node.core.update_settings(
@@ -215,8 +215,8 @@
         assert take_statuses(connection, ident) == [400]
 
 
-def test_settings_are_swapped_in_one_step_and_what_was_learnt_stays(make_node):
-    """No figure derived from former settings stays, but what was learnt of servers and callers does."""
+def test_settings_are_replaced_in_one_step_and_learnt_state_is_kept(make_node):
+    """Values derived from former settings are replaced; what was learnt of servers and callers is kept."""
     node = make_node()
     controller = node.controller
     for _ in range(50):
@@ -236,30 +236,30 @@
     assert controller.parts.durations.expected.mean == length
     assert controller.parts.caller_retries.usual_timeout_s == {
         "vital": kept["vital"] / 2
-    }, "by its name, and in proportion"
+    }, "the timeout is kept by class name and scaled with the deadline"
 
 
-def test_a_reload_while_connecting_to_the_coordinator_switches_to_the_new_one():
-    """The softswitch does not stay with the old coordinator that it was just about to reach."""
+def test_reload_while_connecting_to_the_coordinator_switches_to_the_new_one():
+    """The softswitch drops a connection to the old coordinator if a reload changes it during the connect."""
 
     async def scenario():
-        node, asked, ends = InProcessNode(), [], []
-        network, directory = Network(node.core), ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+        node, dialled, peer_sockets = InProcessNode(), [], []
+        network, discovery = Network(node.core), ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
 
         async def connect(address):
-            asked.append(address)
-            if len(asked) == 1:
-                directory.switch_coordinator(("127.0.0.1", 2))
+            dialled.append(address)
+            if len(dialled) == 1:
+                discovery.switch_coordinator(("127.0.0.1", 2))
             ours, theirs = socket.socketpair()
-            ends.append(theirs)  # stays open, as the old coordinator's does
+            peer_sockets.append(theirs)  # remains open, like the connection of the old coordinator
             return ours
 
         network.connector.connect = connect
-        task = network.spawn(network.poll_service_discovery(directory))
+        task = network.spawn(network.poll_service_discovery(discovery))
         for _ in range(20):
             await asyncio.sleep(0)
         task.cancel()
-        assert asked[:2] == [("127.0.0.1", 1), ("127.0.0.1", 2)]
+        assert dialled[:2] == [("127.0.0.1", 1), ("127.0.0.1", 2)]
 
     asyncio.run(scenario())
 
@@ -267,32 +267,37 @@
 SILENT, RESET = ScriptedServer.never_answers, ScriptedServer.ends(41)
 
 
-@pytest.mark.parametrize("ignored", [False, True], ids=["as started by hand", "as the deploy file starts it"])
-def test_a_reload_that_comes_during_the_start_is_carried_out(tmp_path, ignored):
-    """A SIGHUP counts that comes when the first configuration has been read and the program's own handler is
-    not installed yet. The file is a pipe: the program is known to be reading it when the signal goes.
+@pytest.mark.parametrize(
+    "sighup_ignored", [False, True], ids=["started by hand", "started by the deploy file"]
+)
+def test_reload_requested_during_the_start_is_carried_out(tmp_path, sighup_ignored):
+    """A SIGHUP takes effect if it arrives after the configuration has been read and before the reload handler
+    is installed. The configuration file is a pipe, so that the test knows when the program reads it.
     """
     old, new = ScriptedCoordinator(), ScriptedCoordinator(endpoint_entry("s-31", ScriptedServer().port, 31))
-    while (program := start_and_reload(tmp_path, ignored, old, new)) is None:
-        pass  # something else has taken its port
+    while (program := start_and_reload(tmp_path, sighup_ignored, old, new)) is None:
+        pass  # another process has taken the port
     try:
         assert program.log_events("reload")[0]["coordinator"].endswith(f":{new.port}")
-        wait_until(lambda: new.polled_indices, "a question to the new coordinator")
+        wait_until(lambda: new.polled_indices, "a poll of the new coordinator")
     finally:
         program.kill()
 
 
-def start_and_reload(folder, ignored, old, new):
-    """A program that was sent SIGHUP as it read its configuration; None if its port was taken meanwhile."""
+def start_and_reload(folder, sighup_ignored, old, new):
+    """Start a program and send it SIGHUP while it reads its configuration.
+
+    Returns the program after its reload, or None if another process had taken its port.
+    """
     port, admin_port = free_port(), free_port()
     path, later = folder / "config.json", folder / "later.json"
     later.write_text(json.dumps(platform_config(new, port, admin_port, UNUSUAL_SETTINGS)))
     path.unlink(missing_ok=True)
     os.mkfifo(path)
-    before = signal.signal(signal.SIGHUP, signal.SIG_IGN) if ignored else None
+    former_handler = signal.signal(signal.SIGHUP, signal.SIG_IGN) if sighup_ignored else None
     program = Program(folder, RELAY_CONFIG=str(path))
-    if before is not None:
-        signal.signal(signal.SIGHUP, before)
+    if former_handler is not None:
+        signal.signal(signal.SIGHUP, former_handler)
     try:
         with path.open("w") as pipe:  # returns once the program has opened its end
             pipe.write(json.dumps(platform_config(old, port, admin_port, UNUSUAL_SETTINGS)))
@@ -306,16 +311,16 @@
     return None if "can't listen" in program.log_text() else program
 
 
-def test_no_former_setting_holds_after_a_reload(start_unusual):
-    """Other classes, another retry pause and another most attempts hold at once."""
+def test_no_former_setting_is_used_after_a_reload(start_unusual):
+    """Changed classes, a changed retry pause and a changed maximum of attempts take effect immediately."""
     program, _, (server,) = start_unusual(RESET)
     caller, ident = place_call(program, "platform")
     wait_until(lambda: caller.final_statuses(ident))
-    assert setup_ids(server).count(ident) == 3, "the old most attempts"
+    assert setup_ids(server).count(ident) == 3, "the former maximum of attempts"
     config = json.loads(program.path.read_text())
     settings = config["settings"]
-    slack = {"name": "slack", "aim_s": 6.0, "hard_limit_s": 31.0, "importance": 2.0, "late_worth": 0.9}
-    settings["classes"] = [{**slack, "effect": "read_like"}]
+    slack_class = {"name": "slack", "aim_s": 6.0, "hard_limit_s": 31.0, "importance": 2.0, "late_worth": 0.9}
+    settings["classes"] = [{**slack_class, "effect": "read_like"}]
     settings["family_info"] |= {"allowed_pools": [[31]], "call_length_s": [10.0], "clear_wait_s": 0.83}
     settings["permissions"] |= {"send_cap": 2}
     assert program.reload(json.dumps(config))["result"] == "applied"
@@ -327,8 +332,8 @@
     assert all(b - a >= 0.83 for a, b in pairwise(times))
 
 
-def test_a_reload_switches_to_the_new_coordinator_and_keeps_the_event_index(start_deployment):
-    """A softswitch neither ends on SIGHUP, stays with the old coordinator, nor begins its list anew."""
+def test_reload_switches_to_the_new_coordinator_and_keeps_the_event_index(start_deployment):
+    """SIGHUP neither ends the softswitch nor resets its endpoint list, and it switches the coordinator."""
     program, old, (server,) = start_deployment(None)
     other = ScriptedServer()
     new = ScriptedCoordinator()
@@ -338,18 +343,20 @@
     assert line["result"] == "applied"
     assert line["restart_required"] == "-"
     new.publish(endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1))
-    assert new.polled_indices[0] == 1, "the number of the last event was not kept"
+    assert new.polled_indices[0] == 1, "the first poll carries the index of the last event"
     establish_call(program)
     assert other.messages("START")
     assert not server.messages("START")
 
 
-ODD = {"index": 1, "updates": [{"index": 1}, 5]}
+MALFORMED_EVENTS = {"index": 1, "updates": [{"index": 1}, 5]}
 
 
-@pytest.mark.parametrize("change", ["{", {"coordinator": "nowhere"}, {"settings": {}}, {"known": ODD}])
-def test_an_unusable_configuration_changes_nothing(start_deployment, change):
-    """One mistyped file does not take down what serves."""
+@pytest.mark.parametrize(
+    "change", ["{", {"coordinator": "nowhere"}, {"settings": {}}, {"known": MALFORMED_EVENTS}]
+)
+def test_unusable_configuration_changes_nothing(start_deployment, change):
+    """A reload of an unusable configuration does not affect the running softswitch."""
     program, coordinator, (server,) = start_deployment(None)
     text = program.path.read_text()
     unusable = change if isinstance(change, str) else json.dumps({**json.loads(text), **change})
@@ -363,8 +370,8 @@
     assert program.reload(text)["result"] == "applied"
 
 
-def test_a_reload_reports_what_requires_a_restart(start_deployment):
-    """An operator is told which changes have not been applied."""
+def test_reload_reports_the_keys_that_require_a_restart(start_deployment):
+    """The log line of a reload names the changed keys that have not been applied."""
     program, _, _ = start_deployment(None)
     config = json.loads(program.path.read_text())
     line = program.reload(json.dumps({**config, "listen": "127.0.0.1:1", "console": "127.0.0.1:2"}))
@@ -372,12 +379,12 @@
     establish_call(program)
 
 
-def test_the_appliance_reloads_its_servers_and_numbers(tmp_path, start_deployment):
-    """A small site changes a prefix or a server without ending its calls."""
-    one, two = ScriptedServer(), ScriptedServer()
-    program = Program.as_appliance(tmp_path, one, one)
+def test_appliance_reloads_its_servers_and_number_prefixes(tmp_path, start_deployment):
+    """A reload applies a changed number prefix and a changed server while the appliance runs."""
+    old_server, new_server = ScriptedServer(), ScriptedServer()
+    program = Program.as_appliance(tmp_path, old_server, old_server)
     start_deployment.programs.append(program)
-    text = program.path.read_text().replace(f"127.0.0.1:{one.port}", f"127.0.0.1:{two.port}")
+    text = program.path.read_text().replace(f"127.0.0.1:{old_server.port}", f"127.0.0.1:{new_server.port}")
     text = text.replace('"roster-a"', '"roster-c"').replace('"roster-b"', '"roster-d"')
     assert program.reload(text.replace('prefix = "7"', 'prefix = "8"'))["result"] == "applied"
     caller = SipCaller(program.address, udp=True)
@@ -387,5 +394,5 @@
     }  # fmt: skip
     caller.send("INVITE", "sip:812@net", headers)
     caller.expect("r", 200)
-    assert two.messages("START")[0]["opts"]["class"] == "save-roster"
-    assert not one.messages("START")
+    assert new_server.messages("START")[0]["opts"]["class"] == "save-roster"
+    assert not old_server.messages("START")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the process: each call has its answer, each peer its bytes."""
+"""Graceful shutdown: each call is answered once, and each peer receives all its bytes."""
 
 from __future__ import annotations
 
@@ -36,29 +36,29 @@
 from .support.waiting import WAIT_LIMIT_S, wait_in_loop, wait_until
 
 
-@pytest.mark.parametrize("to", ["caller", "SIP caller", "roster server"])
-def test_a_shutdown_waits_for_what_is_being_written(to):
-    """An answer, or a release, to a peer that reads slowly is not cut in two."""
+@pytest.mark.parametrize("peer", ["caller", "SIP caller", "roster server"])
+def test_shutdown_waits_for_writes_in_progress(peer):
+    """An answer or a release to a peer that reads slowly is written completely before the process ends."""
     node, server_connections = InProcessNode(), []
-    if to == "caller":
-        side = PlatformFrontend(node.core)
-        connection = side.connect()
-    elif to == "SIP caller":
-        side = node.front
-        connection = side.flows.connector(side.config.tcp[0])(("127.0.0.1", 4000))
+    if peer == "caller":
+        component = PlatformFrontend(node.core)
+        connection = component.connect()
+    elif peer == "SIP caller":
+        component = node.front
+        connection = component.flows.connector(component.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        side = ServerConnectionPool(node.core, server_connections.append)
-        side.record_changed(node.core.servers.by_id[1])
+        component = ServerConnectionPool(node.core, server_connections.append)
+        component.record_changed(node.core.servers.by_id[1])
         connection = server_connections[0]
         connection.connection_made()
-    assert side.is_flushed()
+    assert component.is_flushed()
     connection.writing = True
-    assert not side.is_flushed()
+    assert not component.is_flushed()
 
 
-def test_a_request_that_comes_at_the_last_check_of_a_shutdown_is_answered(monkeypatch):
-    """No connection is reset with a request unread on it. The caller sends when the program has found for the
-    second time that nothing is owed.
+def test_request_that_arrives_at_the_last_check_of_a_shutdown_is_answered(monkeypatch):
+    """No connection is reset while a request on it is unread. The caller sends its request when the shutdown
+    has found for the second time that all calls are answered.
     """
     monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
     answers = []
@@ -76,17 +76,17 @@
         application.parts.core.readiness.reject_after_s = 0.0
         caller = socket.create_connection(application.parts.caller_listeners[0].sock.getsockname())
         await wait_in_loop(lambda: application.parts.caller_listeners[0].connections)
-        settled, found = application.parts.core.is_settled, []
+        is_settled, results = application.parts.core.is_settled, []
 
-        def watched():
-            found.append(settled())
-            if found.count(True) == 2:
+        def send_at_second_true():
+            results.append(is_settled())
+            if results.count(True) == 2:
                 caller.sendall(platform_invite(next_call_id(), "ebb", "4000"))
-            return found[-1]
+            return results[-1]
 
-        application.parts.core.is_settled = watched
+        application.parts.core.is_settled = send_at_second_true
         await asyncio.wait_for(application.shut_down(asyncio.Event()), WAIT_LIMIT_S)
-        assert found.count(True) > 2, "the crossing took place"
+        assert results.count(True) > 2, "the request arrived between two checks"
         caller.setblocking(False)
         answers.append(caller.recv(65536))
         caller.close()
@@ -94,13 +94,14 @@
 
     asyncio.run(scenario())
     assert answers[0].startswith(b"SIP/2.0 503")
-    assert b"come-back" not in answers[0].lower(), "these settings allow no advice"
+    assert b"come-back" not in answers[0].lower(), "these settings forbid the come-back header"
 
 
-@pytest.mark.parametrize("asks_at", ["once", "after the listener is closed"])
-def test_a_caller_that_connects_as_a_shutdown_ends_is_answered(monkeypatch, asks_at):
-    """A connection that was accepted by the machine is not reset with its request: a dense trial (seed 18)
-    found one that came 8 ms before the end. The caller connects when nothing is owed and nothing lies unread.
+@pytest.mark.parametrize("sends", ["at once", "after the listener is closed"])
+def test_caller_that_connects_as_a_shutdown_ends_is_answered(monkeypatch, sends):
+    """A connection that the kernel has accepted is not reset together with its request. A dense trial (seed
+    18) found a reset of a connection made 8 ms before the end. The caller connects when all calls are
+    answered and no bytes are unread.
     """
     monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
     answers = []
@@ -117,26 +118,26 @@
         address = listener.sock.getsockname()
         callers: list[socket.socket] = []
         has_unread = application.parts.network.has_unread
-        looks = []
+        results = []
 
-        def connects_after_the_last_look():
-            looks.append(has_unread())
-            if len(looks) == 2:
+        def connect_after_last_check():
+            results.append(has_unread())
+            if len(results) == 2:
                 callers.append(socket.create_connection(address))
-                if asks_at == "once":
+                if sends == "at once":
                     callers[0].sendall(platform_invite(next_call_id(), "ebb", "4000"))
-            return looks[-1]
+            return results[-1]
 
-        async def ask_when_closed():
+        async def send_when_closed():
             await wait_in_loop(lambda: listener.closed)
-            if asks_at != "once":
+            if sends != "at once":
                 callers[0].sendall(platform_invite(next_call_id(), "ebb", "4000"))
 
-        application.parts.network.has_unread = connects_after_the_last_look
-        asking = asyncio.ensure_future(ask_when_closed())
+        application.parts.network.has_unread = connect_after_last_check
+        sending = asyncio.ensure_future(send_when_closed())
         await asyncio.wait_for(application.shut_down(asyncio.Event()), WAIT_LIMIT_S)
-        await asking
-        assert looks[:2] == [False, False], "nothing lay unread when it was last looked at"
+        await sending
+        assert results[:2] == [False, False], "no bytes were unread at the last check"
         callers[0].settimeout(WAIT_LIMIT_S)
         answers.append(callers[0].recv(65536))
         callers[0].close()
@@ -150,21 +151,22 @@
 
 @pytest.mark.parametrize("longest_deadline_s", [0.4, 0.9, 1.5, 3.0, 9.0])
 @pytest.mark.parametrize("replaced", [False, True])
-def test_a_shutdown_is_over_before_the_platform_kills_the_process(longest_deadline_s, replaced):
-    """SIGKILL comes 0.7 s after the longest deadline: 1.1 s after SIGTERM where that is 0.4 s. The process
-    once stayed for 1 s whatever the deadlines were, and a call could wait until 0.3 s before the SIGKILL.
+def test_shutdown_ends_before_the_sigkill_of_the_platform(longest_deadline_s, replaced):
+    """The platform sends SIGKILL 0.7 s after the longest deadline, which is 1.1 s after SIGTERM for a
+    deadline of 0.4 s. The process once served for 1 s regardless of the deadlines, and a call could stay
+    pending until 0.3 s before the SIGKILL.
     """
     drain_s = 5.0 if replaced else 3.0
     kill_s = min(longest_deadline_s, drain_s) + 0.7
     schedule = shutdown_module.ShutdownSchedule.for_platform(longest_deadline_s, drain_s, replaced)
     assert schedule.serve_for_s <= kill_s - 0.3
-    assert schedule.serve_for_s >= min(0.6, kill_s) or replaced, "requests come for 0.6 s after SIGTERM"
+    assert schedule.serve_for_s >= min(0.6, kill_s) or replaced, "requests arrive for 0.6 s after SIGTERM"
     assert schedule.reject_after_s < schedule.answer_by_s < schedule.exit_by_s < kill_s
-    assert kill_s - schedule.answer_by_s >= 0.25, "answers have to be written, and the process to end"
+    assert kill_s - schedule.answer_by_s >= 0.25, "time to write the answers and to end the process"
 
 
-def test_a_shutdown_ends_though_nobody_reads_the_log(tmp_path):
-    """The program ends, and without a fault, though the pipe that its log goes to is full."""
+def test_shutdown_ends_although_the_log_is_not_read(tmp_path):
+    """The program ends with exit code 0 although the pipe that receives its log is full."""
     server, port, admin_port = ScriptedServer(), free_port(), free_port()
     config = platform_config(
         ScriptedCoordinator(endpoint_entry("s-31", server.port, 31)), port, admin_port, UNUSUAL_SETTINGS
@@ -182,9 +184,9 @@
         os.set_blocking(writer, False)
         with contextlib.suppress(BlockingIOError):
             while True:
-                os.write(writer, b"x" * 512)  # the pipe is full from here on ...
+                os.write(writer, b"x" * 512)  # fill the pipe
         os.set_blocking(writer, True)
-        for _ in range(5):  # ... and the program's own lines wait
+        for _ in range(5):  # the program's log lines now wait for space in the pipe
             ident = next_call_id()
             caller.invite(ident, "ebb")
             caller.expect(ident, 200)
@@ -196,14 +198,16 @@
 
 
 def can_connect(address):
-    """Whether somebody listens at an address."""
+    """Return whether a connection to the address succeeds."""
     with contextlib.suppress(OSError), socket.create_connection(address):
         return True
     return False
 
 
 def establish_first(count):
-    """A script that establishes the first few calls and answers no other; also the ids of those calls."""
+    """Return a server script that establishes the first `count` calls and answers no other, and a set to
+    which it adds the ids of these calls.
+    """
     established = set()
 
     def script(message, send):
@@ -215,10 +219,11 @@
 
 
 @pytest.mark.parametrize("frontend", ["platform", "appliance"])
-def test_a_shutdown_answers_each_call_once_wherever_it_is(start_unusual, frontend):
-    """No call is forgotten or answered twice, and no attempt starts after the drain's deadline. When the
-    signal comes some calls are established, some pending, some queued for a connection that can't come up (on
-    the platform), some attempts are out, one call waits for a retry, and the answer to one lies unread.
+def test_shutdown_answers_each_call_once_in_any_state(start_unusual, frontend):
+    """No call is left unanswered or answered twice, and no attempt starts after the deadline of the drain. At
+    SIGTERM some calls are established, some are pending, some are queued for a connection that cannot be
+    established (on the platform), some attempts are unanswered, one call waits for a retry, and the answer to
+    one attempt is unread.
     """
     script, established = establish_first(3)
     servers = [ScriptedServer(script), ScriptedServer(script)]
@@ -240,25 +245,27 @@
     wait_until(lambda: paused in [line["call"] for line in program.log_events("attempt_ended")])
     program.suspend()
     send[answered]("STARTED", answered, blob="late")
-    assert len(set(setup_ids(*servers))) < len(calls), "some wait"
+    assert len(set(setup_ids(*servers))) < len(calls), "some calls have not been sent to a server"
     program.process.send_signal(signal.SIGTERM)
     program.resume()
     assert program.process.wait(WAIT_LIMIT_S) == 0
-    finals = final_statuses(calls, frontend)
-    assert all(len(each) == 1 for each in finals), finals
-    assert finals.count([200]) == len(established) + 1
-    assert {each[0] for each in finals} <= {200, 408, 480, 500, 503}
+    statuses = final_statuses(calls, frontend)
+    assert all(len(each) == 1 for each in statuses), statuses
+    assert statuses.count([200]) == len(established) + 1
+    assert {each[0] for each in statuses} <= {200, 408, 480, 500, 503}
     assert_nothing_sent_after_drain_deadline(program, frontend)
     tags = [line["call"] for line in program.log_events("attempt_sent")]
     assert tags.count(answered) == 1
     assert all(tags.count(tag) == 1 for tag in established)
     ended = [m["tag"] for each in servers for m in each.messages("FINISH")]
-    assert established.isdisjoint(ended) == (frontend == "platform"), "there they live on"
+    assert established.isdisjoint(ended) == (
+        frontend == "platform"
+    ), "only the platform keeps established calls after the shutdown"
     full_listener.close()
 
 
 def place_calls(program, frontend, count):
-    """As many callers with a call each, every other one of which prefers the second server."""
+    """Return `count` callers with the id of one call each; every other call prefers the second server."""
     calls = [(SipCaller(program.address), next_call_id()) for _ in range(count)]
     for number, (caller, ident) in enumerate(calls):
         invite_preferring(caller, ident, frontend, UNUSUAL_CELLS[number % 2])
@@ -266,35 +273,37 @@
 
 
 def final_statuses(calls, frontend):
-    """The final statuses of each call, once its caller's connection has ended."""
+    """Return the final statuses of each call after its caller's connection has ended."""
     for caller, _ in calls:
         wait_until(lambda caller=caller: caller.closed, "the end of the connection")
     statuses = [caller.final_statuses(ident) for caller, ident in calls]
-    if frontend == "appliance":  # a 200 is retransmitted until its ACK, which is not sent here
+    if frontend == "appliance":  # 200 is retransmitted, since these callers send no ACK
         return [sorted(set(each)) for each in statuses]
     return statuses
 
 
 def assert_nothing_sent_after_drain_deadline(program, frontend):
-    """On the platform the deadline of the drain ends all at once; the appliance has none."""
+    """Assert that the platform sends no attempt after the deadline of the drain; the appliance has none."""
     event = " drain_deadline_reached "
     text = program.log_text()
     deadline = text.find(event)
     assert text.count(event) == (frontend == "platform")
-    assert " attempt_sent " not in text[deadline:] or frontend != "platform", "nothing new after it"
+    assert (
+        " attempt_sent " not in text[deadline:] or frontend != "platform"
+    ), "no attempt follows the deadline"
 
 
-def invite_preferring(caller, ident, frontend, first):
-    """A set-up that would go to the server of that number first."""
+def invite_preferring(caller, ident, frontend, number):
+    """Send a set-up for which the server with this number is the first choice."""
     if frontend == "platform":
-        caller.invite(ident, "ebb", 15_000, routing_data=f"dest:{first};width:1;via:-1")
+        caller.invite(ident, "ebb", 15_000, routing_data=f"dest:{number};width:1;via:-1")
     else:
         headers = sip_headers("INVITE", "1", f"z9hG4bK{ident}", ident, caller.host, "TCP")
         caller.send("INVITE", "sip:5@net", headers | {"expires": "3"}, b"d")
 
 
-def test_a_shutdown_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
-    """The program ends though somebody takes no answer."""
+def test_shutdown_does_not_wait_for_a_peer_that_does_not_read(monkeypatch):
+    """The shutdown ends although a peer never reads its answer."""
     settings = settings_from_object(SETTINGS).settings
     monkeypatch.setattr(shutdown_module, "FLUSH_TIMEOUT_S", 0.05)
     monkeypatch.setattr(shutdown_module, "MIN_SERVING_S", 0.0)
@@ -311,25 +320,25 @@
 
 
 def test_server_connections_closed_by_a_shutdown_are_not_opened_again():
-    """A process that ends does not connect again, where a server would send it releases."""
+    """A process that shuts down does not redial a server, which would send releases on the new connection."""
     node, server_connections = InProcessNode(), []
-    side = ServerConnectionPool(node.core, server_connections.append)
+    component = ServerConnectionPool(node.core, server_connections.append)
     node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     server_connections[0].connection_made()
-    side.send_release(server_connections[0].server, next_call_id(), 16)
-    assert not side.is_flushed()
+    component.send_release(server_connections[0].server, next_call_id(), 16)
+    assert not component.is_flushed()
     server_connections[0].data_to_send()
-    assert side.is_flushed()
-    side.shut_down()
+    assert component.is_flushed()
+    component.shut_down()
     server_connections[0].connection_lost()
     assert server_connections[0].can_close()
-    side.remove(server_connections[0])
+    component.remove(server_connections[0])
     assert len(server_connections) == 1
 
 
 @pytest.mark.parametrize("hangs_up", [True, False], ids=["the caller hangs up", "a second SIGTERM"])
-def test_the_appliance_waits_for_established_calls_before_a_restart(tmp_path, hangs_up):
-    """Dialogs are not forgotten with the process, and a second SIGTERM hurries the restart."""
+def test_appliance_waits_for_established_calls_before_a_restart(tmp_path, hangs_up):
+    """The shutdown waits until established dialogs have ended; a second SIGTERM ends the remaining ones."""
     server = ScriptedServer()
     first = Program.as_appliance(tmp_path, server, ScriptedServer())
     text = first.path.read_text().replace("restart_wait_s = 0.2", "restart_wait_s = 60")
@@ -341,7 +350,7 @@
     tag = sip.parameters(caller.expect("c1", 200).get("to"))["tag"]
     caller.send("ACK", "sip:71@net", sip_headers("ACK", "1", "z9hG4bKb", host=caller.host, to_tag=tag))
     program.process.send_signal(signal.SIGTERM)
-    wait_until(lambda: program.log_events("waiting_for_dialogs"), "the event that names what it waits for")
+    wait_until(lambda: program.log_events("waiting_for_dialogs"), "the log event that names the dialogs")
     assert program.log_events("waiting_for_dialogs")[0]["dialogs"] == "1"
     assert "waiting for 1 calls" in program.log_text()
     assert not server.messages("FINISH")
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of the process: what it waits for, and what ends it in one plain line."""
+"""The start of the process: its conditions for readiness, and the errors that end it with one log line."""
 
 from __future__ import annotations
 
@@ -24,57 +24,59 @@
 from .support.waiting import WAIT_LIMIT_S, wait_until
 
 
-@pytest.mark.parametrize("silent", [False, True], ids=["coordinator up", "coordinator silent"])
-def test_a_start_does_not_wait_for_a_server_that_never_answers_its_connect(
-    tmp_path, started_programs, silent
+@pytest.mark.parametrize(
+    "coordinator_silent", [False, True], ids=["coordinator answers", "coordinator silent"]
+)
+def test_start_does_not_wait_for_a_server_that_never_answers_the_connect(
+    tmp_path, started_programs, coordinator_silent
 ):
-    """One listed server that never answers does not hold up the start for as long as the settings allow a
-    connect to take, which is longer here than the test waits.
+    """The start does not wait for a listed server whose connect is never answered. The settings allow a
+    connect to take 600 s, which is longer than the test waits.
     """
     began = time.monotonic()
     full_listener, server = FullListener(), ScriptedServer()
-    assert len(full_listener.connections) >= 2, "its queue was filled until a connect got no answer"
+    assert len(full_listener.connections) >= 2, "the accept queue is filled until a connect gets no answer"
     coordinator = ScriptedCoordinator(
         endpoint_entry("s-0", server.port, 0), endpoint_entry("s-1", full_listener.port, 1)
     )
-    coordinator.withholds_answers = silent
+    coordinator.withholds_answers = coordinator_silent
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": 600.0}
     program = Program.on_platform(tmp_path, coordinator, {**SETTINGS, "permissions": permissions})
     started_programs.append(program)
-    wait_until(lambda: program.log_events("serving"), "that it serves")
-    assert not program.log_events("server_connect_failed"), "it was still being connected"
+    wait_until(lambda: program.log_events("serving"), "the softswitch to accept calls")
+    assert not program.log_events("server_connect_failed"), "the connect is still in progress"
     assert program.health_check_status() == 200
     assert program.admin_command("check").startswith("ok")
     ident, caller = next_call_id(), program.caller()
     caller.invite(ident)
     caller.expect(ident, 200)
-    full_listener.empty_queue()  # the connect that waits in the kernel succeeds late
-    syn_due_within_s = time.monotonic() - began + 1.0  # the kernel doubles the wait between two SYN, from 1 s
+    full_listener.empty_queue()  # the connect that is pending in the kernel now succeeds
+    syn_due_within_s = time.monotonic() - began + 1.0  # SYN retransmissions: 1 s at first, then doubling
     wait_until(
         lambda: any(line["server"] == "s-1" for line in program.log_events("server_connected")),
-        "the late one",
+        "the late connection",
         limit_s=syn_due_within_s + WAIT_LIMIT_S,
     )
     assert not program.log_events("server_connect_failed")
     full_listener.close()
 
 
-def test_a_start_waits_for_server_connections_and_not_for_good():
-    """A start waits for connections, but not anew for each server that is listed while it waits."""
+def test_start_waits_a_limited_time_for_server_connections():
+    """The start waits for server connections, but servers listed meanwhile do not extend the wait."""
     node = InProcessNode()
     ServerConnectionPool(node.core, lambda _connection: None)
     for number in range(20):
         name = f"s-{number}"
-        line = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
-        node.core.update_servers([line], False)
-        waits = node.core.readiness.startup_health().reason
-        assert (name in waits) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest has not been tried"
+        record = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
+        node.core.update_servers([record], False)
+        reason = node.core.readiness.startup_health().reason
+        assert (name in reason) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest is not connected yet"
         node.run(0.1)
     assert node.core.readiness.startup_health().is_ready
 
 
-def test_the_health_check_waits_for_list_and_connections_but_not_for_a_dead_server():
-    """The health check says yes only when calls can be served, and one dead server does not hold it at no."""
+def test_health_check_requires_list_and_connection_attempts_but_no_dead_server():
+    """The health check passes only when calls can be served, and one unreachable server does not fail it."""
     node, server_connections = InProcessNode(), []
     core = node.core
     pool = ServerConnectionPool(core, server_connections.append)
@@ -84,10 +86,10 @@
     assert "list" in core.readiness.health().reason
     core.readiness.list_known = True
     assert "no roster server" in core.readiness.health().reason
-    lines = [
+    records = [
         ServerRecord(name, ("127.0.0.1", 9), n, Availability.READY) for n, name in enumerate(("live", "dead"))
     ]
-    core.update_servers(lines, True)
+    core.update_servers(records, True)
     assert "live dead" in core.readiness.health().reason
     server_connections[0].connection_made()
     assert "tried yet: dead" in core.readiness.health().reason
@@ -97,41 +99,47 @@
     assert core.readiness.health().reason == ""
     core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     server_connections[0].connection_lost()
-    assert core.readiness.health().reason == "", "later changes are for the decisions"
+    assert (
+        core.readiness.health().reason == ""
+    ), "server changes after the start do not affect the health check"
     assert pool.active
 
 
 @pytest.mark.parametrize(
-    ("given", "complaint"), [("99", "descriptor 99"), ("x", "invalid literal"), ("1", "descriptor 1")]
+    ("descriptor", "error_text"), [("99", "descriptor 99"), ("x", "invalid literal"), ("1", "descriptor 1")]
 )
-def test_an_inherited_descriptor_that_is_no_socket_ends_the_start_in_one_plain_line(
-    tmp_path, given, complaint
+def test_inherited_descriptor_that_is_no_socket_ends_the_start_with_one_line(
+    tmp_path, descriptor, error_text
 ):
-    """There is no traceback, and no softswitch that listens nowhere."""
+    """An unusable descriptor ends the program with exit code 2 and one line, instead of a traceback or a
+    softswitch that does not listen.
+    """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
-    program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given)
+    program = Program(tmp_path, RELAY_CONFIG=str(path), RELAY_INHERITED_FD=descriptor)
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
-    assert complaint in program.log_text()
+    assert error_text in program.log_text()
 
 
-def test_an_inherited_socket_that_does_not_listen_is_named_once(tmp_path):
-    """The line named variable and descriptor twice, as the error was wrapped in one of its own kind."""
+def test_error_for_an_inherited_socket_that_does_not_listen_names_it_once(tmp_path):
+    """The error names the variable and the descriptor once. They appeared twice when the ConfigError was
+    wrapped in another ConfigError.
+    """
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_config(ScriptedCoordinator(), 1, 2)))
     with socket.socket() as sock:
-        given = str(sock.fileno())
+        descriptor = str(sock.fileno())
         program = Program(
-            tmp_path, inherited=(sock.fileno(),), RELAY_CONFIG=str(path), RELAY_INHERITED_FD=given
+            tmp_path, inherited=(sock.fileno(),), RELAY_CONFIG=str(path), RELAY_INHERITED_FD=descriptor
         )
         assert program.process.wait(20) == 2
     line = program.log_text()
-    assert line.strip() == f"stairhatch: RELAY_INHERITED_FD: descriptor {given} does not listen"
+    assert line.strip() == f"stairhatch: RELAY_INHERITED_FD: descriptor {descriptor} does not listen"
 
 
 @pytest.mark.parametrize(
-    ("change", "complaint"),
+    ("change", "error_text"),
     [
         (None, "RELAY_CONFIG"),
         ("{", "no JSON"),
@@ -142,8 +150,8 @@
         ({"coordinator": None}, "coordinator: None is no address"),
     ],
 )
-def test_an_unusable_configuration_ends_the_start_in_one_plain_line(tmp_path, change, complaint):
-    """There is no traceback where an operator mistyped something."""
+def test_unusable_configuration_ends_the_start_with_one_line(tmp_path, change, error_text):
+    """A mistake in the configuration ends the program with exit code 2 and one line without a traceback."""
     path = tmp_path / "config.json"
     config = {
         "name": "n0", "listen": f"127.0.0.1:{free_port()}", "coordinator": "127.0.0.1:1",
@@ -154,4 +162,4 @@
     program = Program(tmp_path, RELAY_CONFIG=str(path) if change else "")
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
-    assert complaint in program.log_text()
+    assert error_text in program.log_text()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: a second process takes over the callers' socket while the first ends."""
+"""Upgrades: a second process takes over the callers' listening socket while the first shuts down."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
 
 
 class SharedListener:
-    """The platform's part in an upgrade: it owns the callers' listener and starts programs on it."""
+    """The platform in an upgrade: owns the callers' listening socket and starts programs on it."""
 
     def __init__(self, folder, *scripts):
         self.folder, self.programs = folder, []
         self.servers = [ScriptedServer(script) for script in scripts]
-        lines = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(self.servers)]
-        self.coordinator = ScriptedCoordinator(*lines)
+        entries = [endpoint_entry(f"s-{cell}", each.port, cell) for cell, each in enumerate(self.servers)]
+        self.coordinator = ScriptedCoordinator(*entries)
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.address = self.sock.getsockname()
         self.known = self.coordinator.known_events()
         (folder / "left by another").write_text("{")
 
-    def start(self, waits=True):
-        """One more process, with a admin endpoint of its own and everything else unchanged."""
+    def start(self, until_serving=True):
+        """Start one more process with its own admin endpoint and an otherwise unchanged configuration.
+
+        Returns the program, after it has begun to serve unless `until_serving` is false.
+        """
         program = Program.on_socket(self.folder, self.sock, self.coordinator, self.known)
         self.programs.append(program)
-        return program.wait_until_serving() if waits else program
+        return program.wait_until_serving() if until_serving else program
 
 
 @pytest.fixture
 def shared_listener(tmp_path):
-    """A platform that starts programs on one listener; ends all of them with the test."""
+    """Factory of a `SharedListener`; ends all programs started on it and closes its socket after the test."""
     made = []
 
     def make(*scripts):
@@ -58,45 +61,47 @@
 
 
 def release_on_all_connections(server, ident):
-    """The server releases a call on each of its connections; those of a process that has ended are closed."""
+    """Release a call on each connection of a server, ignoring those that an ended process has closed."""
     for server_connection in server.connections:
         with contextlib.suppress(OSError):
             server.send("FINISH", ident, server_connection, rc=16)
 
 
-def test_an_upgrade_loses_no_call(shared_listener):
-    """A second process starts beside the first, no caller meets a refused or unread connection, each call is
-    answered and each release is told.
+def test_upgrade_loses_no_call(shared_listener):
+    """During an upgrade no connection of a caller is refused or left unread, each call is answered and each
+    release is delivered.
     """
     platform = shared_listener(SILENT)
     (server,) = platform.servers
     old = platform.start()
-    kept, waits, established, open_one = old.caller(), old.caller(), next_call_id(), next_call_id()
-    for caller, ident in ((kept, established), (waits, open_one)):
+    idle, waiting, established, pending = old.caller(), old.caller(), next_call_id(), next_call_id()
+    for caller, ident in ((idle, established), (waiting, pending)):
         caller.invite(ident, answer_within_ms=9000)
         wait_until(lambda ident=ident: ident in [m["tag"] for m in server.messages("START")])
     server.send("STARTED", established, blob="d")
-    kept.expect(established, 200)
+    idle.expect(established, 200)
     new = platform.start()
     old.process.terminate()
-    wait_until(lambda: kept.closed, "the end of a kept connection at an idle moment")
+    wait_until(lambda: idle.closed, "the old process to close the idle connection")
     assert old.process.poll() is None
-    assert not waits.closed
+    assert not waiting.closed
     server.script = ScriptedServer.establishes
     callers = [new.caller() for _ in range(8)]
     for caller in callers:
         caller.invite(ident := next_call_id())
         caller.expect(ident, 200)
     assert old.admin_command("check") == "fail draining"
-    server.send("STARTED", open_one, connection=server.connections[0], blob="d")
-    waits.expect(open_one, 200)
-    assert old.process.wait(20) == 0, "it leaves as soon as nothing is owed"
+    server.send("STARTED", pending, connection=server.connections[0], blob="d")
+    waiting.expect(pending, 200)
+    assert old.process.wait(20) == 0, "the old process ends once all calls are answered"
     counters = old.log_events("counters")[-1]
-    assert counters["calls_established"] == "2", "what came after SIGTERM is the new process's"
+    assert counters["calls_established"] == "2", "the new process serves the calls that arrive after SIGTERM"
     release_on_all_connections(server, established)
-    wait_until(lambda: any(each.messages(established, "BYE") for each in callers), "the server's release")
-    callers[0].send("BYE", "sip:x@net", {"call-id": open_one, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
-    wait_until(lambda: open_one in [m["tag"] for m in server.messages("FINISH")], "the caller's release")
+    wait_until(
+        lambda: any(each.messages(established, "BYE") for each in callers), "the release by the server"
+    )
+    callers[0].send("BYE", "sip:x@net", {"call-id": pending, "cseq": "2 BYE", "reason": "Q.850;cause=31"})
+    wait_until(lambda: pending in [m["tag"] for m in server.messages("FINISH")], "the release by the caller")
     platform.start().admin_command("check")
     new.process.terminate()
     assert new.process.wait(20) == 0
@@ -105,16 +110,16 @@
     newest.expect(ident, 200)
 
 
-def test_a_process_accepts_on_a_shared_listener_only_once_it_can_serve(shared_listener):
-    """Callers are not taken by a process that knows no server yet: they wait for the other one."""
+def test_process_accepts_on_a_shared_listener_only_once_it_can_serve(shared_listener):
+    """A process that knows no server yet accepts no caller, so that another process can accept it."""
     platform = shared_listener(None)
     platform.known = {"index": 0, "updates": []}
     platform.coordinator.withholds_answers = True
-    program = platform.start(waits=False)
+    program = platform.start(until_serving=False)
     assert program.admin_command("check").startswith("fail ")
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident)
-    for _ in range(20):  # each is one more round of its loop
+    for _ in range(20):  # each command takes one more turn of the event loop
         assert program.admin_command("check").startswith("fail ")
     assert not program.log_events("call_offered")
     platform.coordinator.resume_answers()
@@ -122,8 +127,8 @@
     assert program.admin_command("check").startswith("ok")
 
 
-def test_a_server_drained_before_the_upgrade_gets_nothing_from_the_new_process(shared_listener):
-    """A new process does not go by the endpoint list of the first start."""
+def test_new_process_sends_nothing_to_a_server_drained_before_the_upgrade(shared_listener):
+    """The new process uses the current endpoint list, not the list with which the first process started."""
     platform = shared_listener(None, None)
     first, second = platform.servers
     platform.start()
@@ -139,8 +144,10 @@
     assert not first.messages("START")
 
 
-def test_pending_calls_are_answered_before_an_upgrades_sigkill(shared_listener):
-    """No call is left unanswered: SIGKILL comes 0.7 s after the longest deadline, 5 s at most."""
+def test_pending_calls_are_answered_before_the_sigkill_of_an_upgrade(shared_listener):
+    """A pending call is answered before the SIGKILL, which follows 0.7 s after the longest deadline or after
+    5 s, whichever is shorter.
+    """
     platform = shared_listener(SILENT)
     old = platform.start()
     caller, ident = old.caller(), next_call_id()
@@ -156,14 +163,16 @@
     wait_until(has_ended, "the end of the process")
     assert old.process.wait(20) == 0
     assert caller.final_statuses(ident) == [503]
-    at = {name: float(old.log_events(name)[-1]["at"]) for name in ("stopping", "drain_deadline_reached")}
-    drain_s = at["drain_deadline_reached"] - at["stopping"]
-    assert 5.0 < drain_s < 5.7 + stopwatch.waited_s(), "by its own clock"
+    logged_at = {
+        name: float(old.log_events(name)[-1]["at"]) for name in ("stopping", "drain_deadline_reached")
+    }
+    drain_s = logged_at["drain_deadline_reached"] - logged_at["stopping"]
+    assert 5.0 < drain_s < 5.7 + stopwatch.waited_s(), "the times are those of the process's clock"
 
 
-def test_two_processes_together_keep_within_the_limits():
-    """In an upgrade neither process takes callers as if it were alone."""
+def test_two_processes_together_stay_within_the_connection_limits():
+    """In an upgrade each process limits its callers to half, since the platform counts both processes."""
     alone = Config("n", InProcessNode().settings, sockets=384, memory_mb=80)
-    beside = replace(alone, inherited=4)
-    assert 2 * caller_connection_limit(beside) <= caller_connection_limit(alone) <= 384 * 3 / 4
-    assert caller_connection_limit(beside) > 384 / 3, "callers hold up to a third"
+    during_upgrade = replace(alone, inherited=4)
+    assert 2 * caller_connection_limit(during_upgrade) <= caller_connection_limit(alone) <= 384 * 3 / 4
+    assert caller_connection_limit(during_upgrade) > 384 / 3, "callers may hold a third of the descriptors"
