--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -314,7 +314,7 @@
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     await stop.wait()
-    stop.clear()  # a second signal ends the wait for dialogs
+    stop.clear()  # a second signal or `quit` ends the wait for dialogs
     await application.shut_down(stop)
     if parts.fleet is not None:
         parts.fleet.stop()
--- a/stairhatch/main.py
+++ b/stairhatch/main.py
@@ -27,10 +27,10 @@
     recorded and causes a reload at the end of the start. If it were ignored, the softswitch would keep an
     outdated endpoint list and coordinator.
     """
-    hang_ups: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: hang_ups.append(number))
+    hangups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
     try:
-        uvloop.run(run(read_config(), read_config, lambda: bool(hang_ups)))
+        uvloop.run(run(read_config(), read_config, lambda: bool(hangups)))
     except ConfigError as error:
         print(f"stairhatch: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIG
--- a/stairhatch/node/io/accepted_connection.py
+++ b/stairhatch/node/io/accepted_connection.py
@@ -8,7 +8,7 @@
 
 from stairhatch.node.protocol import ConnectionProtocol
 
-NOISE_TOLERATED_S = 1.0  # a connection that receives only line ends for longer than this is idle
+LINE_ENDS_IDLE_S = 1.0  # a connection that receives only line ends for longer than this is idle
 
 
 def peek_unread(sock: socket.socket) -> bytes | None:
@@ -56,9 +56,11 @@
         request and then an occasional line end would never be idle, and would occupy the connection limit
         permanently.
         """
-        noise_s = now - self.requests_seen_at
-        only_noise = self.protocol.counts_requests and not self.partial_since and noise_s > NOISE_TOLERATED_S
-        return self.received_at <= since or only_noise
+        since_request_s = now - self.requests_seen_at
+        only_line_ends = (
+            self.protocol.counts_requests and not self.partial_since and since_request_s > LINE_ENDS_IDLE_S
+        )
+        return self.received_at <= since or only_line_ends
 
     def has_unread(self) -> bool:
         """Return whether received bytes are unread; a close or a fault of the socket counts as none.
--- a/stairhatch/node/io/connection_runner.py
+++ b/stairhatch/node/io/connection_runner.py
@@ -69,7 +69,7 @@
             else:
                 peer_may_send = await accepted.reading_ended
             lost = accepted is not None and accepted.loss_reported
-            if (protocol.closing or protocol.can_close()) and not lost:  # the writer flushes
+            if (protocol.closing or protocol.can_close()) and not lost:  # the writer sends the rest
                 await asyncio.wait([writer], timeout=FLUSH_TIMEOUT_S)
             if peer_may_send:
                 await self._pooled_reader.linger(sock, protocol)
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -54,7 +54,7 @@
         return self.limit // 3
 
     def available_to_callers(self) -> int:
-        """Return how many connections callers may hold at present: the rest, but at least the guarantee."""
+        """Return how many connections callers may hold now: all that others leave, at least the guarantee."""
         return max(self.guaranteed_to_callers(), self._available() - self.dialled)
 
     def available_to_servers(self) -> int:
--- a/stairhatch/users.py
+++ b/stairhatch/users.py
@@ -25,15 +25,15 @@
 def _replace_file(file: Path, lines: Iterable[str]) -> None:
     """Replace the file atomically by one with these lines; the temporary file is removed on an error."""
     text = "".join(f"{line}\n" for line in lines)
-    handle, name = tempfile.mkstemp(prefix=f".{file.name}.", dir=file.parent)
+    descriptor, temporary_name = tempfile.mkstemp(prefix=f".{file.name}.", dir=file.parent)
     try:
-        with os.fdopen(handle, "w", encoding="utf-8") as out:
-            out.write(text)
-            out.flush()
-            os.fsync(out.fileno())
-        os.replace(name, file)
+        with os.fdopen(descriptor, "w", encoding="utf-8") as stream:
+            stream.write(text)
+            stream.flush()
+            os.fsync(stream.fileno())
+        os.replace(temporary_name, file)
     except BaseException:
-        os.unlink(name)
+        os.unlink(temporary_name)
         raise
 
 
