--- a/stairhatch/conformance/mutations.py
+++ b/stairhatch/conformance/mutations.py
@@ -221,7 +221,7 @@
     "Require is passed over": [(request_validation, "validate_request", _without_status(420))],
     "Max-Forwards is passed over": [(request_validation, "validate_request", _without_status(483))],
     "any scheme is taken": [(request_validation, "validate_request", _without_status(416))],
-    "the received address is not noted": [(request_head, "_stamp_via", _unstamped)],
+    "the received address is not noted": [(request_head, "_add_source_to_via", _unstamped)],
     "commas in quotes part a list": [(sip, "split_list", _naive_list)],
     "a tag in quotes counts": [(grammar, "parse_address", _naive_tag)],
     "escapes in a user stay": [(grammar, "unescape", lambda text: text)],
