--- a/stairhatch/scope/__init__.py
+++ b/stairhatch/scope/__init__.py
@@ -1,12 +1,12 @@
-"""Overload control for the servers of services that callers ask for; off by default (docs/scope.md).
+"""Overload control limited to the servers of services that callers use; off by default (docs/scope.md).
 
-- `config`: what operators configure of services
-- `server_sets`: how classes fall into sets by the servers that they share
-- `set_index`: which set a class or a server's number belongs to
-- `listed_endpoints`: the complete endpoint list, in scope or not
+- `config`: the configuration of services
+- `server_sets`: groups call classes into sets by the servers that they share
+- `set_index`: finds the set of a call class or of a server's number
+- `listed_endpoints`: holds the complete endpoint list, in scope or not
 - `scoped_set`: a set in scope with its own controller
-- `sets_in_scope`: all of them
-- `timer_owners`: which sets a timer belongs to
-- `handover`: the state that sets hand on where they merge or split
-- `controller`: routes each event to the set that it concerns, behind the interface of one controller
+- `sets_in_scope`: all sets in scope
+- `timer_owners`: finds the sets that a timer belongs to
+- `handover`: transfers the state of sets that merge or split
+- `controller`: routes each event to its set, with the interface of a single controller
 """
--- a/stairhatch/scope/config.py
+++ b/stairhatch/scope/config.py
@@ -1,4 +1,4 @@
-"""What operators configure of services: `[scope]` of the appliance's file."""
+"""Configuration of the scope: the table `[scope]` of the appliance's configuration file."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """What is configured for some call classes: `[[scope.services]]`."""
+    """The configuration of one service, a group of call classes: an entry of `[[scope.services]]`."""
 
     classes: tuple[str, ...]
-    instance_count: int | None = None  # of softswitches that ever have such calls; None: the whole fleet
-    instance_index: int = UNKNOWN_INSTANCE  # which of those this one is
+    instance_count: int | None = (
+        None  # softswitches that ever get calls of these classes; None: all of the fleet
+    )
+    instance_index: int = UNKNOWN_INSTANCE  # index of this softswitch among those
     always_in_scope: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ScopeConfig:
-    """The table `[scope]`."""
+    """The values of the table `[scope]`, with the defaults of its keys."""
 
-    idle_s: float = 600.0  # a set without a call for so long leaves the scope
+    idle_s: float = 600.0  # a set leaves the scope after this time without a new call
     services: tuple[ServiceConfig, ...] = ()
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -1,8 +1,8 @@
-"""Overload control by sets of servers: a controller for each set in scope, behind the interface of one.
+"""Overload control by sets of servers: one controller for each set in scope, with a single interface.
 
-Takes each event to the set that it concerns. It never decides on a call itself and opens no connection. A set
-comes into scope with its first call and knows nothing of its servers then, as after a restart; it leaves once
-it has had no call for `idle_s`. Times are seconds.
+The scoped controller routes each event to its set. It makes no decision on a call itself and opens no
+connection. A set enters the scope with its first call and has no state of its servers then, as after a
+restart; it leaves the scope after `idle_s` without a new call. Times are seconds.
 """
 
 from __future__ import annotations
@@ -28,25 +28,29 @@
 )
 from stairhatch.overload.settings import Settings
 from stairhatch.scope.config import ScopeConfig
-from stairhatch.scope.handover import hand_over_call, inherit
+from stairhatch.scope.handover import hand_over_call, transfer_learned_state
 from stairhatch.scope.scoped_set import ScopedSet
 from stairhatch.scope.server_sets import ServerNumbers, ServerSet
 from stairhatch.scope.set_index import SetIndex
 from stairhatch.scope.sets_in_scope import EndpointsInScope, SetsInScope
 from stairhatch.scope.timer_owners import TimerOwners
 
-IDLE_TIMER_ID = 0  # of the timer for sets that may leave; those of the sets begin at PENDING_TIMER_ID
-IDLE_CHECKS = 4  # in `idle_s`
+IDLE_TIMER_ID = (
+    0  # of the timer that checks for idle sets; the ids of the sets' timers begin at PENDING_TIMER_ID
+)
+IDLE_CHECKS_PER_IDLE_TIME = 4  # checks for idle sets within `idle_s`
 
-ScopeChanged = Callable[[ServerNumbers, tuple[str, ...], bool], None]  # numbers, classes, whether it entered
+ScopeChanged = Callable[
+    [ServerNumbers, tuple[str, ...], bool], None
+]  # server numbers, class names, whether the set entered
 
 
 def ignore_change(numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
-    """Take the place of a callback where nobody is to be notified of sets that enter or leave."""
+    """Do nothing: the default callback for sets that enter or leave the scope."""
 
 
 class ScopedController:
-    """The overload control for the services that callers ask for; used in place of a `Controller`."""
+    """Overload controller with one `Controller` for each set in scope; a drop-in replacement for one."""
 
     def __init__(
         self,
@@ -55,43 +59,43 @@
         config: ScopeConfig,
         on_scope_changed: ScopeChanged = ignore_change,
     ) -> None:
-        """Begin with the sets that are always in scope; `on_scope_changed` is not called for them."""
+        """Bring the sets that are always in scope into it, without a call of `on_scope_changed`."""
         self.config = config
         self.on_scope_changed = on_scope_changed
         self.sets = SetsInScope(settings, rng, SetIndex(settings, config.services))
         self.endpoints: Mapping[int, Endpoint] = EndpointsInScope(self.sets)
         self.timers = TimerOwners()
-        self.owners: dict[int, ScopedSet] = {}  # call -> the set that owes its answer
-        self._class_used_at: dict[str, float] = {}  # class -> when its last call came
+        self.owners: dict[int, ScopedSet] = {}  # call id -> the set that has to answer the call
+        self._class_used_at: dict[str, float] = {}  # class name -> time of its last call
         self._idle_timer_set = False
-        self._now = 0.0  # of the last event
+        self._now = 0.0  # time of the last event
         for server_set in self.sets.index.sets.values():
             if server_set.always_in_scope:
                 self.sets.enter(server_set)
 
     @property
     def settings(self) -> Settings:
-        """The settings in use."""
+        """The settings that are in effect."""
         return self.sets.settings
 
     def in_scope(self, number: int) -> bool:
-        """Whether the servers of a number are connected to and known to a controller."""
+        """Return whether servers with this number are in scope: connected, and handled by a controller."""
         return self.sets.at_number(number) is not None
 
     def is_warming_up(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether an endpoint in scope may not be warm."""
+        """Return whether an endpoint may still be warming up; False if it is not in scope."""
         scoped_set = self.sets.at_number(endpoint.number)
         return scoped_set is not None and scoped_set.controller.is_warming_up(now, endpoint)
 
     def slow_start_slots(self, now: float, endpoint: Endpoint) -> float:
-        """This softswitch's slots in a span at an endpoint that is warming up."""
+        """Return this softswitch's slow-start slots at an endpoint that warms up; 0.0 if out of scope."""
         scoped_set = self.sets.at_number(endpoint.number)
         return scoped_set.controller.slow_start_slots(now, endpoint) if scoped_set is not None else 0.0
 
-    # ---- events ----
+    # ---- routing of events to sets ----
 
     def handle(self, now: float, event: Event) -> Iterator[Action]:
-        """Take one event to the set that it concerns; yield what is to be done."""
+        """Route one event to its set; yield the resulting actions."""
         self._now = now
         match event:
             case EndpointsUpdated():
@@ -114,10 +118,10 @@
                 yield from self._dispatch(now, None, event)
         if self.sets.some_may_leave and not self._idle_timer_set:
             self._idle_timer_set = True
-            yield SetTimer(self.config.idle_s / IDLE_CHECKS, IDLE_TIMER_ID)
+            yield SetTimer(self.config.idle_s / IDLE_CHECKS_PER_IDLE_TIME, IDLE_TIMER_ID)
 
     def _dispatch(self, now: float, scoped_set: ScopedSet | None, event: Event) -> Iterator[Action]:
-        """Have one set take an event; the only set takes what concerns none."""
+        """Pass an event to a set, or to the only set if none is given; yield the resulting actions."""
         scoped_set = scoped_set or self.sets.only_set()
         if scoped_set is None:
             return
@@ -132,12 +136,12 @@
                     yield action
         if not isinstance(event, CallOffered | CallEstablished | AttemptEnded | CallAbandoned):
             return
-        owes_answer = event.call_id in scoped_set.controller.calls
-        if not owes_answer and self.owners.get(event.call_id) is scoped_set:
+        is_open = event.call_id in scoped_set.controller.calls
+        if not is_open and self.owners.get(event.call_id) is scoped_set:
             del self.owners[event.call_id]
 
     def _offer_call(self, now: float, event: CallOffered) -> Iterator[Action]:
-        """Route a call to the set of its class, which it brings into scope; one without a class is failed."""
+        """Route a call to the set of its class and bring this set into scope; fail a call without a class."""
         call_class = event.call_class
         if call_class is None:
             if self.sets.only_set() is None:
@@ -155,36 +159,36 @@
         yield from self._dispatch(now, scoped_set, event)
 
     def _attempt_event(self, now: float, event: CallEstablished | AttemptEnded) -> Iterator[Action]:
-        """Route what became of an attempt to the set of the call.
+        """Route the progress or end of an attempt to the set that has to answer its call.
 
-        Where its server is in another set by now, that one learns from it, as from the end of a call that has
-        its answer.
+        If the server belongs to another set by now, that set also gets the event and updates the server's
+        state. An attempt's end is marked as answered for it, so that the call gets no second answer.
         """
         owner = self.owners.get(event.call_id)
-        home = self.sets.of_server(event.server_id)
-        if owner is not None and home is not None and owner is not home:
-            learnt = replace(event, answered=True) if isinstance(event, AttemptEnded) else event
-            yield from self._dispatch(now, home, learnt)
-        yield from self._dispatch(now, owner or home, event)
+        current_set = self.sets.of_server(event.server_id)
+        if owner is not None and current_set is not None and owner is not current_set:
+            answered_event = replace(event, answered=True) if isinstance(event, AttemptEnded) else event
+            yield from self._dispatch(now, current_set, answered_event)
+        yield from self._dispatch(now, owner or current_set, event)
 
     def _remove_idle_sets(self, now: float) -> None:
-        """Let go of sets that have not been used for long. Established calls are the call manager's alone."""
+        """Remove idle sets from the scope; established calls, which the call manager handles, keep none."""
         self.owners = {call: each for call, each in self.owners.items() if call in each.controller.calls}
         for scoped_set in list(self.sets.by_numbers.values()):
             is_idle = now - scoped_set.last_used_at >= self.config.idle_s
             if is_idle and not scoped_set.server_set.always_in_scope and not scoped_set.has_open_call(now):
                 self.owners = {call: each for call, each in self.owners.items() if each is not scoped_set}
                 self.sets.leave(scoped_set)
-                self._tell_change(scoped_set, entered=False)
+                self._notify_scope_changed(scoped_set, entered=False)
         self.sets.update_some_may_leave()
 
-    def _tell_change(self, scoped_set: ScopedSet, *, entered: bool) -> None:
+    def _notify_scope_changed(self, scoped_set: ScopedSet, *, entered: bool) -> None:
         self.on_scope_changed(scoped_set.server_set.numbers, scoped_set.class_names, entered)
 
-    # ---- the endpoint list ----
+    # ---- updates of the endpoint list ----
 
     def _update_endpoints(self, now: float, event: EndpointsUpdated) -> Iterator[Action]:
-        """Keep the complete list, and give each set in scope the records of its own servers."""
+        """Update the complete list and pass each set in scope the records of its own servers."""
         if event.complete:
             self.sets.listed.keep_only({record.server_id for record in event.endpoints})
         updates: dict[ServerNumbers, list[EndpointRecord]] = {}
@@ -200,10 +204,10 @@
                 if event.complete:
                     scoped_set.unsent_records = ()
                 yield from self._dispatch(now, scoped_set, update)
-        self._forget_gone()
+        self._remove_gone_endpoints()
 
     def _record_endpoint(self, record: EndpointRecord) -> None:
-        """Apply one record. A server whose number changes moves to its new set with what was learnt of it."""
+        """Apply one record. A server whose number changes moves to its new set with its learned state."""
         old = self.sets.listed.by_id.get(record.server_id)
         if old is not None and old.number != record.number:
             before = self.sets.at_number(old.number)
@@ -214,51 +218,51 @@
                     after.controller.endpoints[record.server_id] = endpoint
         self.sets.listed.put(record)
 
-    def _forget_gone(self) -> None:
-        """Forget endpoints that have gone, once their set has forgotten them."""
+    def _remove_gone_endpoints(self) -> None:
+        """Remove gone endpoints from the list once their set has dropped them."""
         for server_id in list(self.sets.listed.gone):
-            home = self.sets.of_server(server_id)
-            if home is None or server_id not in home.controller.endpoints:
+            current_set = self.sets.of_server(server_id)
+            if current_set is None or server_id not in current_set.controller.endpoints:
                 self.sets.listed.remove(server_id)
 
-    # ---- other settings ----
+    # ---- changes of the settings ----
 
     def update_settings(self, settings: Settings, config: ScopeConfig | None = None) -> None:
-        """Take other settings.
+        """Apply new settings, and a new scope configuration if one is given.
 
-        Sets whose numbers stay go on as they are; those that merge or split hand on their servers, their
-        open calls and what was learnt. An open call goes on in one set.
+        Sets with unchanged numbers are kept. Sets that merge or split are replaced: their servers, their open
+        calls and what they have learned go to their successors. An open call goes to exactly one set.
         """
         self.config = config or self.config
         before = self.sets.by_numbers
         self.sets.settings = settings
         self.sets.index.rebuild(settings, self.config.services)
         self.sets.by_numbers = {}
-        parting = self._keep_sets(before, settings)
-        self._hand_over_calls(parting)
-        self._enter_heirs(parting)
-        self.timers.hand_over(parting, self.sets.by_numbers.values())
-        self.owners = {call: each for call, each in self.owners.items() if each not in parting}
+        replaced_sets = self._keep_sets(before, settings)
+        self._hand_over_calls(replaced_sets)
+        self._enter_successors(replaced_sets)
+        self.timers.hand_over(replaced_sets, self.sets.by_numbers.values())
+        self.owners = {call: each for call, each in self.owners.items() if each not in replaced_sets}
         self.sets.update_some_may_leave()
         kept = set(before.values())
         for scoped_set in [each for each in self.sets.by_numbers.values() if each not in kept]:
-            self._tell_change(scoped_set, entered=True)
-        for scoped_set in parting:
-            self._tell_change(scoped_set, entered=False)
+            self._notify_scope_changed(scoped_set, entered=True)
+        for scoped_set in replaced_sets:
+            self._notify_scope_changed(scoped_set, entered=False)
 
     def _keep_sets(self, before: Mapping[ServerNumbers, ScopedSet], settings: Settings) -> list[ScopedSet]:
-        """Let sets whose numbers stay go on; returns those that merge or split."""
+        """Keep the sets with unchanged numbers; return the sets that merge or split."""
         index = self.sets.index
-        parting: list[ScopedSet] = []
+        replaced_sets: list[ScopedSet] = []
         for numbers, scoped_set in before.items():
             if numbers in index.sets:
                 scoped_set.server_set = index.sets[numbers]
             elif numbers is None or None in index.sets or index.has_any(numbers):
-                parting.append(scoped_set)
-                # The usual timeouts of all classes are kept, whatever set a class goes to.
+                replaced_sets.append(scoped_set)
+                # The usual caller timeouts of every class are kept, whichever set the class moves to.
                 scoped_set.controller.update_settings(settings)
                 continue
-            else:  # its classes are gone, or in other sets: it ends when its calls have
+            else:  # its classes are gone or in other sets: it stays until its calls have ended
                 scoped_set.server_set = replace(
                     scoped_set.server_set,
                     instance_count=settings.instance_count,
@@ -267,30 +271,32 @@
                 index.add_stray_numbers(numbers)
             scoped_set.controller.update_settings(scoped_set.server_set.settings_for(settings))
             self.sets.by_numbers[numbers] = scoped_set
-        return parting
+        return replaced_sets
 
-    def _hand_over_calls(self, parting: list[ScopedSet]) -> None:
-        """Find each open call of the sets that part its new set."""
-        for old in parting:
+    def _hand_over_calls(self, replaced_sets: list[ScopedSet]) -> None:
+        """Transfer each open call of the replaced sets to the set that serves it now."""
+        for old in replaced_sets:
             for call in list(old.controller.calls.values()):
                 server_set = self.sets.server_set_for(call.call_class, call.preferred_number, call.in_transit)
-                heir = self.sets.by_numbers.get(server_set.numbers) or self._enter_heir(server_set, parting)
-                hand_over_call(call, old, heir)
-                self.owners[call.id] = heir
+                successor = self.sets.by_numbers.get(server_set.numbers) or self._enter_successor(
+                    server_set, replaced_sets
+                )
+                hand_over_call(call, old, successor)
+                self.owners[call.id] = successor
 
-    def _enter_heirs(self, parting: list[ScopedSet]) -> None:
-        """Bring into scope what is always there, and heirs whose classes were used lately."""
+    def _enter_successors(self, replaced_sets: list[ScopedSet]) -> None:
+        """Bring the sets that are always in scope into it, and the successors with recently used classes."""
         for server_set in self.sets.index.sets.values():
             used_at = max(self._class_used_at.get(each.name, -math.inf) for each in server_set.classes)
-            lately = self._now - used_at < self.config.idle_s
-            is_heir = any(server_set.shares_servers_with(old.server_set) for old in parting)
-            returns = lately and (is_heir or server_set.numbers is None)
+            recently_used = self._now - used_at < self.config.idle_s
+            is_successor = any(server_set.shares_servers_with(old.server_set) for old in replaced_sets)
+            returns = recently_used and (is_successor or server_set.numbers is None)
             wanted = server_set.always_in_scope or returns
             if wanted and server_set.numbers not in self.sets.by_numbers:
-                self._enter_heir(server_set, parting)
+                self._enter_successor(server_set, replaced_sets)
 
-    def _enter_heir(self, server_set: ServerSet, parting: list[ScopedSet]) -> ScopedSet:
-        """A set made of others comes into scope, with what they had learnt of its servers."""
-        heir = self.sets.enter(server_set)
-        inherit(heir, parting)
-        return heir
+    def _enter_successor(self, server_set: ServerSet, replaced_sets: list[ScopedSet]) -> ScopedSet:
+        """Bring a successor into scope with what the replaced sets have learned; return it."""
+        successor = self.sets.enter(server_set)
+        transfer_learned_state(successor, replaced_sets)
+        return successor
--- a/stairhatch/scope/handover.py
+++ b/stairhatch/scope/handover.py
@@ -1,4 +1,4 @@
-"""What sets hand on when other settings merge or split them: open calls, and all that was learnt."""
+"""Transfer of state between sets that new settings merge or split: open calls and learned values."""
 
 from __future__ import annotations
 
@@ -9,53 +9,58 @@
 from stairhatch.scope.scoped_set import ScopedSet
 
 
-def hand_over_call(call: PendingCall, old: ScopedSet, heir: ScopedSet) -> None:
-    """Have the heir answer an open call of a set that parts."""
-    heir.controller.calls[call.id] = call
+def hand_over_call(call: PendingCall, old: ScopedSet, successor: ScopedSet) -> None:
+    """Transfer an open call of a replaced set to the successor, which answers it."""
+    successor.controller.calls[call.id] = call
     if call.id in old.controller.pending:
-        heir.controller.pending.add(call)
+        successor.controller.pending.add(call)
 
 
-def inherit(heir: ScopedSet, parting: Sequence[ScopedSet]) -> None:
-    """Give a new set what the sets that it came from had learnt of its classes and servers."""
-    for old in parting:  # a class may come from a set that shares no server with this one
-        _inherit_caller_timeouts(heir, old)
-    parents = [old for old in parting if heir.server_set.shares_servers_with(old.server_set)]
+def transfer_learned_state(successor: ScopedSet, replaced_sets: Sequence[ScopedSet]) -> None:
+    """Transfer what the replaced sets have learned of the successor's classes and servers."""
+    for old in replaced_sets:  # a class may come from a set that shares no server with the successor
+        _copy_caller_timeouts(successor, old)
+    parents = [old for old in replaced_sets if successor.server_set.shares_servers_with(old.server_set)]
     for old in parents:
-        heir.last_used_at = max(heir.last_used_at, old.last_used_at)
-        _inherit_endpoints(heir, old)
-        _inherit_backoffs(heir, old)
-    known = heir.controller.endpoints
-    heir.unsent_records = tuple(each for each in heir.unsent_records if each.server_id not in known)
+        successor.last_used_at = max(successor.last_used_at, old.last_used_at)
+        _transfer_endpoints(successor, old)
+        _copy_backoffs(successor, old)
+    transferred = successor.controller.endpoints
+    successor.unsent_records = tuple(
+        each for each in successor.unsent_records if each.server_id not in transferred
+    )
     if parents:
-        _inherit_averages(heir, parents)
+        _merge_averages(successor, parents)
 
 
-def _inherit_caller_timeouts(heir: ScopedSet, old: ScopedSet) -> None:
-    """The usual timeouts of the callers of its classes."""
-    learnt = old.controller.parts.caller_retries.usual_timeout_s
-    own = heir.controller.parts.caller_retries.usual_timeout_s
-    own.update((name, usual_s) for name, usual_s in learnt.items() if name in heir.class_names)
+def _copy_caller_timeouts(successor: ScopedSet, old: ScopedSet) -> None:
+    """Copy the usual caller timeouts of the successor's classes."""
+    learned = old.controller.parts.caller_retries.usual_timeout_s
+    own = successor.controller.parts.caller_retries.usual_timeout_s
+    own.update((name, usual_s) for name, usual_s in learned.items() if name in successor.class_names)
 
 
-def _inherit_endpoints(heir: ScopedSet, old: ScopedSet) -> None:
-    """The endpoints of its numbers, with the set-ups that are out there."""
+def _transfer_endpoints(successor: ScopedSet, old: ScopedSet) -> None:
+    """Add the endpoints with the successor's numbers, together with their pending set-ups."""
     for server_id, endpoint in old.controller.endpoints.items():
-        if heir.server_set.has_number(endpoint.number):
-            heir.controller.endpoints[server_id] = endpoint
+        if successor.server_set.has_number(endpoint.number):
+            successor.controller.endpoints[server_id] = endpoint
 
 
-def _inherit_backoffs(heir: ScopedSet, old: ScopedSet) -> None:
-    """The called numbers that were busy; both heirs of a set that splits have a copy."""
+def _copy_backoffs(successor: ScopedSet, old: ScopedSet) -> None:
+    """Copy the called numbers that were busy; after a split each successor has its own copy."""
     for called_number, backoff in old.controller.parts.backoffs.by_number.items():
-        heir.controller.parts.backoffs.by_number[called_number] = replace(backoff)
+        successor.controller.parts.backoffs.by_number[called_number] = replace(backoff)
 
 
-def _inherit_averages(heir: ScopedSet, parents: Sequence[ScopedSet]) -> None:
-    """What was learnt of calls. Of the use of lines the least counts: it bounds endpoints that warm up."""
-    parts = heir.controller.parts
-    learnt = [old.controller.parts for old in parents]
-    peaks = [each.slow_start.peak_utilization for each in learnt]
+def _merge_averages(successor: ScopedSet, parents: Sequence[ScopedSet]) -> None:
+    """Merge the learned call durations; of the peak utilizations take the lowest.
+
+    The peak utilization limits endpoints that warm up, so the lowest one is safe for all of them.
+    """
+    parts = successor.controller.parts
+    learned = [old.controller.parts for old in parents]
+    peaks = [each.slow_start.peak_utilization for each in learned]
     parts.slow_start.peak_utilization = replace(min(peaks, key=lambda peak: peak.value))
-    parts.durations.expected.merge(each.durations.expected for each in learnt)
-    parts.durations.observed.merge(each.durations.observed for each in learnt)
+    parts.durations.expected.merge(each.durations.expected for each in learned)
+    parts.durations.observed.merge(each.durations.observed for each in learned)
--- a/stairhatch/scope/server_sets.py
+++ b/stairhatch/scope/server_sets.py
@@ -1,7 +1,7 @@
-"""How call classes form sets by the servers that they share.
+"""Grouping of call classes into sets by the servers that they share.
 
-A set is a connected component: no class of one may use a server of another. Nothing here knows a call or the
-state of a server.
+A set is a connected component: no class of one set may use a server of another. The module uses the settings
+alone, neither calls nor the state of servers.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from stairhatch.overload.settings import UNKNOWN_INSTANCE, CallClass, Settings
 from stairhatch.scope.config import ServiceConfig
 
-ServerNumbers = frozenset[int] | None  # None: the numbers of all servers
+ServerNumbers = frozenset[int] | None  # None: all servers, whatever their number
 
 
 class ConflictingServicesError(ValueError):
-    """Classes that share servers are configured with different softswitches."""
+    """The configuration names different softswitches for call classes that share servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSet:
-    """Classes none of which shares a server with a class outside, and the numbers of their servers."""
+    """A group of call classes that shares no server with other classes, and the numbers of its servers."""
 
     numbers: ServerNumbers
     classes: tuple[CallClass, ...]
-    instance_count: int  # of softswitches that share the servers
-    instance_index: int
+    instance_count: int  # softswitches that share the servers
+    instance_index: int  # of this softswitch among them
     always_in_scope: bool = False
 
     def settings_for(self, settings: Settings) -> Settings:
-        """The settings for the decisions on this set."""
+        """Return `settings` with the call classes, instance count and instance index of this set."""
         return replace(
             settings,
             classes=self.classes,
@@ -39,40 +39,40 @@
         )
 
     def has_number(self, number: int) -> bool:
-        """Whether the servers of a number are of this set."""
+        """Return whether the servers with this number belong to this set."""
         return self.numbers is None or number in self.numbers
 
     def shares_servers_with(self, other: ServerSet) -> bool:
-        """Whether some server may be of both."""
+        """Return whether a server may belong to both sets."""
         if self.numbers is None or other.numbers is None:
             return True
         return not self.numbers.isdisjoint(other.numbers)
 
 
 class _DisjointNumbers:
-    """A union-find over the numbers of servers."""
+    """Union-find structure over server numbers."""
 
     def __init__(self) -> None:
         self.parents: dict[int, int] = {}
 
     def root(self, number: int) -> int:
-        """The representative of all numbers that were joined with this one."""
+        """Return the representative of the numbers joined with this one; KeyError if it was never joined."""
         parents = self.parents
         while parents[number] != number:
             parents[number] = number = parents[parents[number]]
         return number
 
     def join(self, numbers: Sequence[int]) -> None:
-        """Join these numbers, and all that were joined with any of them."""
+        """Join these numbers with each other and with all numbers that any of them is joined with."""
         for number in numbers:
             self.parents.setdefault(number, number)
             self.parents[self.root(number)] = self.root(numbers[0])
 
 
 def group_classes(classes: Iterable[CallClass]) -> list[tuple[ServerNumbers, list[CallClass]]]:
-    """The connected components of classes by the numbers they may use, in the order of their first class.
+    """Return the connected components of classes that share server numbers, with all numbers of each.
 
-    One class that may use any server makes one group of all.
+    They are in the order of their first class. If any class may use any server, all classes form one group.
     """
     all_classes = list(classes)
     if any(each.allowed_servers is None for each in all_classes):
@@ -90,37 +90,43 @@
 
 
 def check_services(settings: Settings, services: Iterable[ServiceConfig]) -> None:
-    """ConflictingServicesError where two classes share servers and name different softswitches.
+    """Raise ConflictingServicesError if classes that share servers are configured for different softswitches.
 
-    The figure divides what all may send together, so it is never guessed from one of them.
+    The instance count divides what all softswitches together may send to a warming server, so it is never
+    guessed from one of the classes.
     """
-    told = {name: (each.instance_count, each.instance_index) for each in services for name in each.classes}
+    instances_of = {
+        name: (each.instance_count, each.instance_index) for each in services for name in each.classes
+    }
     whole_fleet = (None, UNKNOWN_INSTANCE)
     for _, members in group_classes(settings.classes):
         first = members[0].name
         for each in members[1:]:
-            if told.get(each.name, whole_fleet) != told.get(first, whole_fleet):
+            if instances_of.get(each.name, whole_fleet) != instances_of.get(first, whole_fleet):
                 raise ConflictingServicesError(
-                    f"{first} and {each.name} share servers: tell the same softswitches and me for both"
+                    f"{first} and {each.name} share servers; their softswitches and me must be the same"
                 )
 
 
 def server_sets(settings: Settings, services: Iterable[ServiceConfig]) -> tuple[ServerSet, ...]:
-    """All sets. One whose classes name different softswitches counts as the whole fleet's."""
+    """Return all sets. A set whose classes name different softswitches counts as used by the whole fleet."""
     service_of = {name: each for each in services for name in each.classes}
     sets = []
     for numbers, members in group_classes(settings.classes):
-        told = [service_of.get(each.name, ServiceConfig(())) for each in members]
-        count, index = _instances(settings, told)
-        always = any(each.always_in_scope for each in told)
+        configured = [service_of.get(each.name, ServiceConfig(())) for each in members]
+        count, index = _instances(settings, configured)
+        always = any(each.always_in_scope for each in configured)
         sets.append(ServerSet(numbers, tuple(members), count, index, always))
     return tuple(sets)
 
 
-def _instances(settings: Settings, told: Iterable[ServiceConfig]) -> tuple[int, int]:
-    """How many softswitches share the servers of a set, and which of them this one is."""
-    figures = {(each.instance_count, each.instance_index) for each in told}
-    count, index = figures.pop() if len(figures) == 1 else (None, UNKNOWN_INSTANCE)
+def _instances(settings: Settings, configured: Iterable[ServiceConfig]) -> tuple[int, int]:
+    """Return how many softswitches share the servers of a set, and the index of this one among them.
+
+    The values are those of the whole fleet if the services disagree, give no count or exceed the fleet's.
+    """
+    configured_pairs = {(each.instance_count, each.instance_index) for each in configured}
+    count, index = configured_pairs.pop() if len(configured_pairs) == 1 else (None, UNKNOWN_INSTANCE)
     if count is None or count >= settings.instance_count:
         return settings.instance_count, settings.instance_index
     return count, index if index < count else UNKNOWN_INSTANCE
--- a/stairhatch/scope/sets_in_scope.py
+++ b/stairhatch/scope/sets_in_scope.py
@@ -1,4 +1,4 @@
-"""The sets in scope: which set a number, a server or a call belongs to, and how a set comes and leaves."""
+"""The sets in scope: lookup by number, server or call, and the entry and removal of sets."""
 
 from __future__ import annotations
 
@@ -16,38 +16,41 @@
 
 
 class SetsInScope:
-    """The sets in scope, by the numbers of their servers. All controllers draw from one random source."""
+    """The sets in scope, by the numbers of their servers. All controllers share one random source."""
 
     def __init__(self, settings: Settings, rng: random.Random, index: SetIndex) -> None:
-        """No set is in scope, and no endpoint is listed."""
+        """Start without a set in scope and without a listed endpoint."""
         self.settings = settings
         self.index = index
         self.listed = ListedEndpoints()
         self.by_numbers: dict[ServerNumbers, ScopedSet] = {}
-        self.some_may_leave = False  # whether any set is not to be in scope always
+        self.some_may_leave = False  # whether any set in scope may leave once it is idle
         self._rng = rng
         self._timer_ids = count(PENDING_TIMER_ID)
 
     def at_number(self, number: int) -> ScopedSet | None:
-        """The set in scope that holds the servers of a number."""
+        """Return the set in scope to which servers with this number belong; None if there is none."""
         if None in self.by_numbers:
             return self.by_numbers[None]
         numbers = self.index.set_of_number.get(number)
         return self.by_numbers.get(numbers) if numbers is not None else None
 
     def of_server(self, server_id: int) -> ScopedSet | None:
-        """The set in scope that holds a server."""
+        """Return the set in scope that a server belongs to; None if there is none or it is not listed."""
         record = self.listed.by_id.get(server_id)
         return self.at_number(record.number) if record is not None else None
 
     def only_set(self) -> ScopedSet | None:
-        """The set in scope, where there is no other: it takes what concerns none, as one controller does."""
+        """Return the set in scope if the settings define only one and no other is in scope, else None.
+
+        The only set gets the events that belong to no set, as a single controller does.
+        """
         if len(self.index.sets) != 1 or len(self.by_numbers) != 1:
             return None
         return next(iter(self.by_numbers.values()))
 
     def enter(self, server_set: ServerSet) -> ScopedSet:
-        """A set comes into scope; nothing is known of its servers but the list."""
+        """Bring a set into scope and return it; its controller gets the endpoint list but no other state."""
         controller = Controller(server_set.settings_for(self.settings), self._rng)
         scoped_set = ScopedSet(next(self._timer_ids), server_set, controller)
         scoped_set.unsent_records = self.listed.records_of(server_set.numbers)
@@ -56,20 +59,20 @@
         return scoped_set
 
     def leave(self, scoped_set: ScopedSet) -> None:
-        """A set leaves the scope, with all that was learnt of its servers."""
+        """Remove a set from the scope and discard all that was learned of its servers."""
         numbers = scoped_set.server_set.numbers
         del self.by_numbers[numbers]
         self.index.remove_stray_numbers(numbers)
 
     def update_some_may_leave(self) -> None:
-        """Look again whether any set may leave."""
+        """Recompute whether any set in scope may leave it."""
         self.some_may_leave = any(not each.server_set.always_in_scope for each in self.by_numbers.values())
 
     def server_set_for(self, call_class: CallClass, preferred_number: int, in_transit: bool) -> ServerSet:
-        """The set that serves a call, in scope or not.
+        """Return the set that serves a call, in scope or not.
 
-        A class as it was before a reload may reach into several sets now: the one with most of its servers
-        serves the call, so that each call has one set to answer for it.
+        The servers of a class from before a reload may belong to several sets now. The set with the most of
+        them serves the call, so that exactly one set answers each call.
         """
         if None in self.index.sets:
             return self.index.sets[None]
@@ -89,14 +92,14 @@
     def _candidate_numbers(
         self, call_class: CallClass, preferred_number: int, in_transit: bool
     ) -> Iterable[int]:
-        """The numbers that a call may be sent to."""
+        """Return the numbers of the servers that a call may be sent to."""
         allowed = call_class.allowed_servers
         if in_transit or (allowed is None and preferred_number in self.index.set_of_number):
             return (preferred_number,)
         return self.index.set_of_number if allowed is None else allowed
 
     def _server_set_of(self, numbers: frozenset[int], call_class: CallClass) -> ServerSet:
-        """The set with just these numbers: of the settings, in scope, or a stray one."""
+        """Return the set with exactly these numbers: of the settings, else in scope, else a new stray set."""
         if numbers in self.index.sets:
             return self.index.sets[numbers]
         if numbers in self.by_numbers:
@@ -105,24 +108,24 @@
 
 
 class EndpointsInScope(Mapping[int, Endpoint]):
-    """All endpoints in scope by id, as the controllers see them."""
+    """Read-only mapping of server ids in scope to the endpoints that the sets' controllers hold."""
 
     def __init__(self, sets: SetsInScope) -> None:
-        """A view of what is in scope at any time."""
+        """Create a view of `sets`, which follows later changes of the scope."""
         self._sets = sets
 
     def __getitem__(self, server_id: int) -> Endpoint:
-        """The endpoint; KeyError where it is not in scope."""
+        """Return the endpoint of a server; KeyError if the server is not in scope."""
         scoped_set = self._sets.of_server(server_id)
         if scoped_set is None:
             raise KeyError(server_id)
         return scoped_set.controller.endpoints[server_id]
 
     def __iter__(self) -> Iterator[int]:
-        """The ids, set by set."""
+        """Iterate over the server ids, one set after the other."""
         in_scope = self._sets.by_numbers.values()
         return (server_id for each in in_scope for server_id in each.controller.endpoints)
 
     def __len__(self) -> int:
-        """How many are in scope."""
+        """Return the number of endpoints in scope."""
         return sum(len(each.controller.endpoints) for each in self._sets.by_numbers.values())
