--- a/stairhatch/admission/admission_control.py
+++ b/stairhatch/admission/admission_control.py
@@ -1,8 +1,8 @@
-"""One decision for each request that is no retransmission: admit it, or shed it with a Retry-After.
+"""Admission decision for each request that is not a retransmission: admit it, or shed it with a Retry-After.
 
-The order in which requests give way while the processor is overloaded: what belongs to dialogs is always
-admitted, then calls by their class's priority weight. Nobody is shed while there is capacity. It is given
-names and numbers, never a message. Times are seconds.
+While the processor is overloaded, requests within dialogs are always admitted, and new calls are shed by the
+priority weight of their class, the least weight first. Nothing is shed while there is capacity. The module's
+arguments are names and numbers, never messages. Times are seconds.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from stairhatch.admission.overload_detector import OverloadDetector, OverloadDetectorPolicy, OverloadLevel
 from stairhatch.admission.rate_limits import RateLimitPolicy, SourceRateLimiter
 
-WEIGHT_MIX_DECAY = 0.995  # of the mix, for each call: a few hundred calls determine it
+WEIGHT_MIX_DECAY = 0.995  # of the mix per call, so that a few hundred calls determine the mix
 MAX_RETRY_AFTER_S = 60.0
-ROUND_UP = 0.999  # Retry-After is in whole seconds (RFC 3261, 20.33)
+ROUND_UP_S = 0.999  # added before truncation: Retry-After is in whole seconds (RFC 3261, 20.33)
 
 
 class AdmissionOutcome(Enum):
-    """What becomes of a request; the values of the two that shed it are counters."""
+    """Outcome of a request; the values of SHED_SOURCE and SHED_LOAD are names of counters."""
 
     ADMITTED = "serve"
-    SHED_SOURCE = "shed_source"  # its source sends more than its rate limit
+    SHED_SOURCE = "shed_source"  # the source sends more than its rate limit
     SHED_LOAD = "shed_load"  # the processor is overloaded
 
 
 class RequestKind(Enum):
-    """What a request is to the softswitch."""
+    """Kind of a request, as far as admission depends on it."""
 
-    IN_DIALOG = "within"  # of an established dialog or transaction: ACK, BYE, CANCEL, PRACK, a refresh
+    IN_DIALOG = "within"  # in an established dialog or transaction: ACK, BYE, CANCEL, PRACK, session refresh
     NEW_CALL = "call"
     OTHER = "other"
 
@@ -43,12 +43,12 @@
     overload: OverloadDetectorPolicy = field(default_factory=OverloadDetectorPolicy)
     rate_limit: RateLimitPolicy = field(default_factory=RateLimitPolicy)
     feedback: FeedbackPolicy = field(default_factory=FeedbackPolicy)
-    retry_after_range_s: tuple[int, int] = (1, 4)  # Retry-After is spread: callers don't return at once
+    retry_after_range_s: tuple[int, int] = (1, 4)  # random, so that shed callers don't all retry at once
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """What becomes of a request, and after how long a shed one may come back."""
+    """Outcome of a request, and the Retry-After of a shed one in whole seconds."""
 
     outcome: AdmissionOutcome
     retry_after_s: int = 0
@@ -58,41 +58,42 @@
 
 
 def shed_fractions_by_weight(weight_mix: Mapping[float, float], shed_fraction: float) -> dict[float, float]:
-    """For each weight the fraction of its calls to shed, least weight first, `shed_fraction` of all in sum.
+    """Return each weight's fraction of calls to shed, so that `shed_fraction` of all calls are shed.
 
-    `weight_mix` has the fraction of all calls that each weight has; their sum counts as all.
+    Calls of the least weight are shed first. `weight_mix` maps each weight to its fraction of the calls; the
+    sum of these fractions counts as all calls, so it need not be 1.
     """
     total = sum(weight_mix.values())
     to_shed = shed_fraction * total
     fractions = {}
     for weight in sorted(weight_mix):
-        part = weight_mix[weight]
-        fractions[weight] = min(1.0, to_shed / part) if part > 0 else float(to_shed > 0)
-        to_shed = max(0.0, to_shed - part)
+        mix_fraction = weight_mix[weight]
+        fractions[weight] = min(1.0, to_shed / mix_fraction) if mix_fraction > 0 else float(to_shed > 0)
+        to_shed = max(0.0, to_shed - mix_fraction)
     return fractions
 
 
 @dataclass(eq=False, slots=True)
 class AdmissionControl:
-    """The overload detector, the rate limits and the feedback as one."""
+    """Admission decisions from the overload detector, the rate limits and the caller feedback."""
 
-    draw_fraction: Callable[[], float]  # draws a number from 0 to 1 at random
+    draw_fraction: Callable[[], float]  # returns a random number from 0 to 1
     policy: AdmissionPolicy = field(default_factory=AdmissionPolicy)
     overload: OverloadDetector = field(init=False)
     rate_limiter: SourceRateLimiter = field(init=False)
     feedback: OverloadFeedback = field(init=False)
     weight_mix: dict[float, float] = field(default_factory=dict)  # weight -> its fraction of recent calls
-    _fractions: dict[float, float] = field(default_factory=dict)  # weight -> what of it is shed
-    _fractions_for: float = -1.0  # the shed fraction that these were computed for
+    _fractions: dict[float, float] = field(default_factory=dict)  # weight -> fraction of its calls to shed
+    _fractions_for: float = -1.0  # total shed fraction from which `_fractions` was computed
 
     def __post_init__(self) -> None:
-        """Build the parts from the policy."""
+        """Create the detector, the rate limiter and the feedback from the policy."""
         self.overload = OverloadDetector(self.policy.overload)
         self.rate_limiter = SourceRateLimiter(self.policy.rate_limit)
         self.feedback = OverloadFeedback(self.policy.feedback)
 
     def admit(self, kind: RequestKind, source: str, weight: float, now: float) -> AdmissionDecision:
-        """Decide on a request of a source; `weight` is the priority weight of a new call's class."""
+        """Return the decision on a request; `weight` is the priority weight of a new call's class."""
         match kind:
             case RequestKind.IN_DIALOG:
                 return ADMITTED
@@ -103,41 +104,44 @@
                 return self._shed(AdmissionOutcome.SHED_LOAD) if saturated else ADMITTED
 
     def shed_fraction_for(self, weight: float, shed_fraction: float) -> float:
-        """The fraction to shed of calls of a weight while so much of all calls is shed."""
+        """Return the fraction to shed of calls of a weight while `shed_fraction` of all calls is shed.
+
+        Raises KeyError for a weight of which no call was counted yet.
+        """
         if shed_fraction != self._fractions_for or weight not in self._fractions:
             self._fractions = shed_fractions_by_weight(self.weight_mix, shed_fraction)
             self._fractions_for = shed_fraction
         return self._fractions[weight]
 
     def track_feedback_caller(self, source: str, algorithm: FeedbackAlgorithm, now: float) -> CallerFeedback:
-        """A new request of a caller that knows overload control."""
+        """Count a request of a caller that supports overload control; return the caller's feedback state."""
         shed_fraction = self.overload.current_shed_fraction(now)
         return self.feedback.count_request(source, algorithm, shed_fraction, now)
 
     def _admit_call(self, source: str, weight: float, now: float) -> AdmissionDecision:
-        """A new call: first what its source may send, then its weight."""
+        """Return the decision on a new call: first by the source's rate limit, then by the call's weight."""
         shed_fraction = self.overload.current_shed_fraction(now)
         self._count_weight(weight)
-        raised = self.overload.level is not OverloadLevel.NORMAL
-        limited = raised or self.feedback.is_non_compliant(source)
+        is_overloaded = self.overload.level is not OverloadLevel.NORMAL
+        limited = is_overloaded or self.feedback.is_non_compliant(source)
         wait_s = self.rate_limiter.take(source, now, limited)
         if wait_s > 0.0:
             return self._shed(AdmissionOutcome.SHED_SOURCE, wait_s)
-        served = shed_fraction <= 0.0 or (
+        admitted = shed_fraction <= 0.0 or (
             self.draw_fraction() >= self.shed_fraction_for(weight, shed_fraction)
         )
-        self.overload.count_call(served)
-        return ADMITTED if served else self._shed(AdmissionOutcome.SHED_LOAD)
+        self.overload.count_call(admitted)
+        return ADMITTED if admitted else self._shed(AdmissionOutcome.SHED_LOAD)
 
     def _count_weight(self, weight: float) -> None:
-        """Take a call into the mix of weights."""
+        """Add a call to the mix of weights."""
         for each in self.weight_mix:
             self.weight_mix[each] *= WEIGHT_MIX_DECAY
         self.weight_mix[weight] = self.weight_mix.get(weight, 0.0) + (1.0 - WEIGHT_MIX_DECAY)
 
     def _shed(self, outcome: AdmissionOutcome, wait_s: float = 0.0) -> AdmissionDecision:
-        """Shed a request; it may come back after `wait_s` at the earliest, spread at random."""
+        """Return a decision to shed; its Retry-After is `wait_s` or more, capped and spread at random."""
         shortest, longest = self.policy.retry_after_range_s
         least_s = min(MAX_RETRY_AFTER_S, max(wait_s, shortest))
         spread_s = self.draw_fraction() * (longest - shortest)
-        return AdmissionDecision(outcome, int(least_s + spread_s + ROUND_UP))
+        return AdmissionDecision(outcome, int(least_s + spread_s + ROUND_UP_S))
--- a/stairhatch/admission/feedback.py
+++ b/stairhatch/admission/feedback.py
@@ -1,8 +1,8 @@
 """Feedback to callers that support SIP overload control: RFC 7339 (loss) and RFC 7415 (rate).
 
-Holds each such caller's rate, the values of the Via parameters with their sequence and validity, and which
-callers don't comply with their feedback. It is given the fraction that is shed and the time, and never
-sees a message. Times are seconds, rates are new requests a second.
+The module holds the rate of each such caller, the values of the Via parameters with their sequence and
+validity, and the callers that do not comply with their feedback. Its inputs are the shed fraction and the
+time, never a message. Times are seconds, rates are new requests per second.
 """
 
 from __future__ import annotations
@@ -13,30 +13,33 @@
 
 MAX_TRACKED_CALLERS = 4096
 COUNT_WINDOW_S = 1.0
-RATE_SMOOTHING = 0.5  # weight of a window in a caller's rate
+RATE_SMOOTHING = 0.5  # weight of a new window in the smoothed rate of a caller
 SEQUENCE_STEP = 0.001  # `oc-seq` has three decimals
 
 
 class FeedbackAlgorithm(Enum):
-    """What an `oc` value means; the values are the tokens of `oc-algo`."""
+    """Meaning of an `oc` value; the enum's values are the tokens of `oc-algo`."""
 
-    LOSS = "loss"  # per cent of its requests that a caller is not to send
-    RATE = "rate"  # requests a second that it may send
+    LOSS = "loss"  # percentage of its requests that a caller must not send
+    RATE = "rate"  # requests per second that a caller may send
 
 
 @dataclass(frozen=True, slots=True)
 class FeedbackPolicy:
-    """The parameters of the feedback, and when a caller counts as non-compliant."""
+    """Parameters of the feedback and of the check for non-compliant callers."""
 
-    validity_s: float = 1.0  # how long a value is valid; sent again in every answer
-    min_rate: float = 1.0  # no caller is asked to stop altogether (RFC 7415, 3.4)
-    violation_s: float = 5.0  # a caller that sends too much for so long is non-compliant
-    tolerance: float = 1.5  # times what it may send
-    compliance_s: float = 30.0  # after so long without excess it is compliant again
+    validity_s: float = 1.0  # validity of an `oc` value; every response carries a new one
+    min_rate: float = 1.0  # no caller is throttled to zero (RFC 7415, 3.4)
+    violation_s: float = 5.0  # a caller that exceeds its rate for this long is non-compliant
+    tolerance: float = 1.5  # multiple of the allowed rate that is not yet an excess
+    compliance_s: float = 30.0  # a caller without an excess for this long is compliant again
 
 
 def algorithm_for(oc_algo: str) -> FeedbackAlgorithm | None:
-    """The algorithm for a caller's `oc-algo`, loss where it knows both (RFC 7339, 5.2); None for others."""
+    """Return the algorithm for a caller's `oc-algo`; None if it names neither loss nor rate.
+
+    The algorithm is loss if the caller names both or has an empty `oc-algo` (RFC 7339, 5.2).
+    """
     names = [name.strip().lower() for name in oc_algo.strip('"').split(",")]
     if not oc_algo or "loss" in names:
         return FeedbackAlgorithm.LOSS
@@ -45,14 +48,14 @@
 
 @dataclass(eq=False, slots=True)
 class CallerFeedback:
-    """A caller that knows overload control, and how it complies."""
+    """State of a caller that supports overload control: its rates and its compliance."""
 
     algorithm: FeedbackAlgorithm
-    throttled_since: float  # since when it is asked to send less; 0: it is not
+    throttled_since: float  # time since when the feedback asks for less; 0: it does not
     window_started_at: float
-    count: int = 0  # requests in the window
+    count: int = 0  # requests in the current window
     rate: float = 0.0  # smoothed
-    unthrottled_rate: float = 0.0  # the same before it was asked to send less
+    unthrottled_rate: float = 0.0  # smoothed rate before the caller was throttled
     excess_since: float = 0.0
     is_non_compliant: bool = False
     last_excess_at: float = 0.0
@@ -60,17 +63,17 @@
 
 @dataclass(eq=False, slots=True)
 class OverloadFeedback:
-    """All callers that know overload control."""
+    """Feedback for all callers that support overload control, the least recently active first."""
 
     policy: FeedbackPolicy = field(default_factory=FeedbackPolicy)
     callers: OrderedDict[str, CallerFeedback] = field(default_factory=OrderedDict)
-    non_compliant_count: int = 0  # how often a caller was found to be so
+    non_compliant_count: int = 0  # how often a caller became non-compliant
     _last_sequence: float = 0.0
 
     def count_request(
         self, source: str, algorithm: FeedbackAlgorithm, shed_fraction: float, now: float
     ) -> CallerFeedback:
-        """A new request of such a caller came while so much was shed."""
+        """Count a new request of a caller that arrived at this shed fraction; return the caller's state."""
         caller = self.callers.get(source)
         if caller is None:
             caller = self.callers[source] = CallerFeedback(algorithm, 0.0, now)
@@ -85,21 +88,21 @@
         return caller
 
     def is_non_compliant(self, source: str) -> bool:
-        """Whether a caller was found not to comply with the feedback."""
+        """Return whether a caller does not comply with its feedback; False for an unknown caller."""
         caller = self.callers.get(source)
         return caller is not None and caller.is_non_compliant
 
     def oc_value(self, caller: CallerFeedback, shed_fraction: float) -> int:
-        """The `oc` value for a caller now."""
+        """Return the `oc` value for a caller: 0 to 100 per cent for loss, at least 1 per second for rate."""
         if caller.algorithm is FeedbackAlgorithm.LOSS:
             return min(100, max(0, round(100 * shed_fraction)))
         rate = max(caller.unthrottled_rate, caller.rate, self.policy.min_rate) * (1.0 - shed_fraction)
         return max(1, int(rate * self.policy.tolerance if shed_fraction <= 0.0 else rate))
 
     def via_parameters(self, caller: CallerFeedback, shed_fraction: float, now: float) -> str:
-        """The Via parameters of an answer (RFC 7339, 4 and 5).
+        """Return the Via parameters of a response (RFC 7339, 4 and 5).
 
-        The sequence never goes back, also where the clock does.
+        The sequence always increases, even if the clock steps back.
         """
         self._last_sequence = max(now, self._last_sequence + SEQUENCE_STEP)
         validity_ms = int(1000 * self.policy.validity_s) if shed_fraction > 0.0 else 0
@@ -109,10 +112,10 @@
         )
 
     def _end_window(self, caller: CallerFeedback, shed_fraction: float, now: float) -> None:
-        """Hold what was sent in the window against what might have been."""
+        """End the caller's window: update its rates and check its compliance."""
         rate = caller.count / (now - caller.window_started_at)
-        first = caller.rate == 0.0
-        caller.rate = rate if first else (1 - RATE_SMOOTHING) * caller.rate + RATE_SMOOTHING * rate
+        is_first_window = caller.rate == 0.0
+        caller.rate = rate if is_first_window else (1 - RATE_SMOOTHING) * caller.rate + RATE_SMOOTHING * rate
         caller.window_started_at = now
         caller.count = 0
         if shed_fraction <= 0.0:
@@ -127,11 +130,11 @@
     def _check_compliance(
         self, caller: CallerFeedback, rate: float, shed_fraction: float, now: float
     ) -> None:
-        """Check whether the caller sends more than the feedback allows, and since when."""
+        """Update the caller's compliance from its rate in the last window and the rate that is allowed."""
         policy = self.policy
         allowed = max(policy.min_rate, caller.unthrottled_rate * (1.0 - shed_fraction)) * policy.tolerance
-        was_told = caller.throttled_since and now - caller.throttled_since > policy.validity_s
-        if was_told and rate > allowed:
+        was_notified = caller.throttled_since and now - caller.throttled_since > policy.validity_s
+        if was_notified and rate > allowed:
             caller.excess_since = caller.excess_since or now
             if now - caller.excess_since >= policy.violation_s and not caller.is_non_compliant:
                 caller.is_non_compliant = True
--- a/stairhatch/admission/rate_limits.py
+++ b/stairhatch/admission/rate_limits.py
@@ -1,8 +1,9 @@
-"""What a source may send: a token bucket for each source and each network, in tables of bounded size.
+"""Rate limits: a token bucket for each source and for each network, in tables of bounded size.
 
-A source's bucket fills at its rate up to its burst size. While the processor is not overloaded a source may
-go beyond it; while it is, it may not, unless nobody else calls. So one source's storm is cut to its rate
-exactly when others would suffer from it. Rates are new calls a second, times are seconds.
+A bucket refills at its rate up to its burst size. The limits are enforced only while the processor is
+overloaded or the source is non-compliant, and only if other sources call as well: a call storm from one
+source is limited to its rate exactly when it would harm others. Rates are new calls per second, times are
+seconds.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-NEVER_S = 1e6  # the wait for a token of a bucket that is not filled
+NEVER_S = 1e6  # wait for a token of a bucket with a rate of 0
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimitPolicy:
-    """The rates and burst sizes, and the size of the tables."""
+    """Rates and burst sizes of the buckets, and the size of the tables."""
 
     source_rate: float = 50.0
     source_burst: float = 100.0
@@ -24,14 +25,14 @@
     network_burst: float = 400.0
     ipv4_network_bits: int = 24
     ipv6_network_bits: int = 64
-    max_buckets: int = 4096  # beyond these the least recently used is dropped, and begins anew
-    sole_source_s: float = 5.0  # a source beside which nobody has called for so long is not limited
-    initial_fill: float = 0.25  # of a newcomer's bucket: a forged address buys less than a known one
+    max_buckets: int = 4096  # per table; beyond it the least recently used bucket is dropped
+    sole_source_s: float = 5.0  # a source is not limited if no other has called for this long
+    initial_fill: float = 0.25  # of the burst, once a table is half full: a forged address gains less
 
 
 @dataclass(eq=False, slots=True)
 class TokenBucket:
-    """Tokens, as of a time."""
+    """Token bucket: the tokens at the time of the last refill, and how often it was empty."""
 
     rate: float
     burst: float
@@ -40,14 +41,14 @@
     rejections: int = 0
 
     def refill(self, now: float) -> float:
-        """The tokens now. A clock that stepped back fills nothing."""
+        """Refill the bucket; return its tokens. A clock that steps back adds none."""
         if now > self.refilled_at:
             self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
             self.refilled_at = now
         return self.tokens
 
     def take(self, now: float) -> bool:
-        """Take one token, if there is one."""
+        """Take one token; return False and count a rejection if there is none."""
         if self.refill(now) < 1.0:
             self.rejections += 1
             return False
@@ -55,16 +56,16 @@
         return True
 
     def put_back(self) -> None:
-        """Return a token that was taken for a call that is not admitted."""
+        """Put back a token that was taken for a call that is not admitted."""
         self.tokens += 1.0
 
     def wait_s(self, now: float) -> float:
-        """How long until there is a token."""
+        """Return the seconds until a token is available: 0.0 if there is one, NEVER_S at a rate of 0."""
         return max(0.0, (1.0 - self.refill(now)) / self.rate) if self.rate > 0 else NEVER_S
 
 
 def network_of(source: str, policy: RateLimitPolicy) -> str:
-    """The network that a source belongs to; a source that is no address is a network of its own."""
+    """Return the network prefix of a source address; any other source is a network of its own."""
     try:
         address = ipaddress.ip_address(source.partition("%")[0])
     except ValueError:
@@ -75,29 +76,38 @@
 
 @dataclass(eq=False, slots=True)
 class SourceRateLimiter:
-    """The buckets of all sources and networks, the one touched longest ago first."""
+    """Rate limiter with the buckets of all sources and networks, the least recently used first."""
 
     policy: RateLimitPolicy = field(default_factory=RateLimitPolicy)
     sources: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
     networks: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
-    _network_names: OrderedDict[str, str] = field(default_factory=OrderedDict)  # of each source
+    _network_names: OrderedDict[str, str] = field(
+        default_factory=OrderedDict
+    )  # source -> name of its network
 
     def take(self, source: str, now: float, overloaded: bool) -> float:
-        """Count a new call of a source; the seconds until it may come, 0.0 where it may come now."""
-        own = self._source_bucket(source, now)
-        shared = self._network_bucket(source, now)
-        own_taken = own.take(now)
-        shared_taken = shared.take(now)
-        if (own_taken and shared_taken) or not overloaded or self._is_sole_source(source, now):
+        """Count a new call of a source; return the seconds until it may be sent, 0.0 if it is admitted now.
+
+        Limits are enforced only if `overloaded` is set and other sources have called lately.
+        """
+        source_bucket = self._source_bucket(source, now)
+        network_bucket = self._network_bucket(source, now)
+        source_token_taken = source_bucket.take(now)
+        network_token_taken = network_bucket.take(now)
+        if (
+            (source_token_taken and network_token_taken)
+            or not overloaded
+            or self._is_sole_source(source, now)
+        ):
             return 0.0
-        if own_taken:
-            own.put_back()
-        if shared_taken:
-            shared.put_back()
-        return max(own.wait_s(now), shared.wait_s(now))
+        if source_token_taken:
+            source_bucket.put_back()
+        if network_token_taken:
+            network_bucket.put_back()
+        return max(source_bucket.wait_s(now), network_bucket.wait_s(now))
 
     def rejections_of(self, source: str) -> int:
-        """How often a source has found its bucket empty."""
+        """Return how often a call of a source met an empty bucket; 0 for an unknown source."""
         bucket = self.sources.get(source)
         return bucket.rejections if bucket is not None else 0
 
@@ -116,8 +126,8 @@
         if bucket is not None:
             table.move_to_end(name)
             return bucket
-        has_space = len(table) < self.policy.max_buckets // 2
-        tokens = burst if has_space else burst * self.policy.initial_fill
+        is_half_empty = len(table) < self.policy.max_buckets // 2
+        tokens = burst if is_half_empty else burst * self.policy.initial_fill
         bucket = table[name] = TokenBucket(rate, burst, tokens, now)
         while len(table) > self.policy.max_buckets:
             table.popitem(last=False)
@@ -132,6 +142,8 @@
         return name
 
     def _is_sole_source(self, source: str, now: float) -> bool:
-        """Whether nobody else calls, so that nobody suffers from this one: a site behind one proxy."""
-        other = next((bucket for name, bucket in reversed(self.sources.items()) if name != source), None)
-        return other is None or now - other.refilled_at > self.policy.sole_source_s
+        """Return whether no other source has called lately, as at a site behind one proxy."""
+        latest_other = next(
+            (bucket for name, bucket in reversed(self.sources.items()) if name != source), None
+        )
+        return latest_other is None or now - latest_other.refilled_at > self.policy.sole_source_s
