--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -35,14 +35,11 @@
 from stairhatch.scope.sets_in_scope import EndpointsInScope, SetsInScope
 from stairhatch.scope.timer_owners import TimerOwners
 
-IDLE_TIMER_ID = (
-    0  # of the timer that checks for idle sets; the ids of the sets' timers begin at PENDING_TIMER_ID
-)
+IDLE_TIMER_ID = 0  # of the check for idle sets; the ids of the sets' timers begin at PENDING_TIMER_ID
 IDLE_CHECKS_PER_IDLE_TIME = 4  # checks for idle sets within `idle_s`
 
-ScopeChanged = Callable[
-    [ServerNumbers, tuple[str, ...], bool], None
-]  # server numbers, class names, whether the set entered
+# Called with the server numbers and class names of a set, and whether it entered the scope.
+ScopeChanged = Callable[[ServerNumbers, tuple[str, ...], bool], None]
 
 
 def ignore_change(numbers: ServerNumbers, classes: tuple[str, ...], entered: bool) -> None:
--- a/stairhatch/scope/server_sets.py
+++ b/stairhatch/scope/server_sets.py
@@ -123,7 +123,8 @@
 def _instances(settings: Settings, configured: Iterable[ServiceConfig]) -> tuple[int, int]:
     """Return how many softswitches share the servers of a set, and the index of this one among them.
 
-    The values are those of the whole fleet if the services disagree, give no count or exceed the fleet's.
+    The values are the whole fleet's if the services disagree, or their count is missing or not below the
+    fleet's. The index is UNKNOWN_INSTANCE if it is not below the count.
     """
     configured_pairs = {(each.instance_count, each.instance_index) for each in configured}
     count, index = configured_pairs.pop() if len(configured_pairs) == 1 else (None, UNKNOWN_INSTANCE)
