--- a/stairhatch/settings/__init__.py
+++ b/stairhatch/settings/__init__.py
@@ -1,5 +1,5 @@
-"""The settings that a softswitch is started with, as the simulator and the platform give them.
+"""Parsing and validation of the settings that the simulator and the platform pass to a softswitch.
 
-`parser` turns them into `stairhatch.overload.settings`, `schema` says what each key may hold and refuses a
-reload that lacks a key in force, `load_reports` reads load reports, `errors` has the exceptions.
+`parser` converts them to `stairhatch.overload.settings`. `schema` defines the allowed values of each key and
+rejects a reload that lacks a key in force. `load_reports` converts load reports, `errors` has the exceptions.
 """
--- a/stairhatch/settings/errors.py
+++ b/stairhatch/settings/errors.py
@@ -1,45 +1,45 @@
-"""What can be wrong with settings: one exception for all of it, and one for each kind of fault."""
+"""Exceptions for unusable settings: a base class, and a subclass for each kind of fault."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-MAX_SHOWN_CHARACTERS = 40  # of a refused value, in a message of one line
+MAX_SHOWN_CHARACTERS = 40  # of a rejected value in an error message, which is one line
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used; the text begins with the key's path and says why."""
+    """The settings cannot be used; the message starts with the path of the key and gives the reason."""
 
 
 class InvalidValueError(SettingsError):
-    """A key has a value that is not allowed."""
+    """The value of a key is not allowed."""
 
     def __init__(self, path: str, rule: str, value: Any) -> None:
-        """`rule` says what must be, such as "must be text"."""
-        super().__init__(f"{path}: {rule}, not {_shown(value)}")
+        """Build the message from the key's path, the violated rule ("must be text") and the value."""
+        super().__init__(f"{path}: {rule}, not {_truncated_json(value)}")
         self.path = path
 
 
 class MissingKeyError(SettingsError):
-    """A key that has to be there is missing."""
+    """A required key is missing."""
 
     def __init__(self, path: str) -> None:
-        """`path` names the key."""
+        """Build the message for the required key at `path`."""
         super().__init__(f"{path}: is missing")
         self.path = path
 
 
 class LostKeyError(SettingsError):
-    """A key that is in force is missing in a new text."""
+    """A new configuration lacks a key that the configuration in force has."""
 
     def __init__(self, path: str) -> None:
-        """`path` names the key."""
-        super().__init__(f"{path} is missing, and is in force")
+        """Build the message for the key at `path`, which is in force."""
+        super().__init__(f"{path} is missing, but the configuration in force has it")
         self.path = path
 
 
-def _shown(value: Any) -> str:
-    """A value as JSON has it, cut short."""
+def _truncated_json(value: Any) -> str:
+    """Return a value as JSON, truncated to MAX_SHOWN_CHARACTERS."""
     text = json.dumps(value, default=str)
     return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
--- a/stairhatch/settings/load_reports.py
+++ b/stairhatch/settings/load_reports.py
@@ -1,4 +1,4 @@
-"""The values of a load report by the names that the settings and the servers use for them."""
+"""Conversion of a load report from the value names that the settings and the servers use."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from stairhatch.overload.events import LoadReport
 
-# Name of a value -> field of LoadReport, and the factor to the field's unit.
+# Name of a value -> field of LoadReport, and the factor that converts the value to the field's unit.
 LOAD_REPORT_FIELDS = {
     "free": ("free_lines", 1.0),
     "size": ("total_lines", 1.0),
@@ -21,11 +21,14 @@
 
 
 def load_report_from_values(values: Iterable[tuple[str, float]]) -> LoadReport:
-    """The report that these named values make; -1, unknown names and what is no number count as missing."""
-    found: dict[str, float] = {}
+    """Return the load report with these named values.
+
+    Unknown names are ignored. Negative values, such as -1, and non-finite values count as missing.
+    """
+    field_values: dict[str, float] = {}
     for name, value in values:
         field = LOAD_REPORT_FIELDS.get(name)
         if field is not None and math.isfinite(value) and value >= 0:
             field_name, factor = field
-            found[field_name] = value * factor
-    return LoadReport(**found)
+            field_values[field_name] = value * factor
+    return LoadReport(**field_values)
--- a/stairhatch/settings/parser.py
+++ b/stairhatch/settings/parser.py
@@ -1,7 +1,7 @@
-"""The parser of the settings: from JSON, or an object already decoded, to `stairhatch.overload.settings`.
+"""Parser of the settings: converts JSON, or a decoded object, to `stairhatch.overload.settings`.
 
-The simulator's adapter and the softswitch both read their settings here. The keys of the operators' pages are
-translated to the controller's terms here and nowhere else.
+The simulator's adapter and the softswitch both parse their settings with this module. Only this module
+translates the keys of the operators' pages to the controller's terms.
 """
 
 from __future__ import annotations
@@ -13,35 +13,36 @@
 from stairhatch.settings.errors import MissingKeyError, SettingsError
 from stairhatch.settings.schema import SETTINGS_SCHEMA, validate
 
-JSON_PATH = "boot_info"  # the wire's name for the text; it begins each key's path
+JSON_PATH = "boot_info"  # name of the settings on the wire; each key's path starts with it
 IDEMPOTENT_EFFECT = "read_like"
 POOLS_LAYOUT = "pools"
 
 
 class ParsedSettings(NamedTuple):
-    """The settings, and the names of a load report's values in the order in which they are sent."""
+    """Parsed settings, and the names of a load report's values in the order in which they are sent."""
 
     settings: Settings
     load_report_names: tuple[str, ...]
 
 
 def parse_settings_json(text: bytes | str) -> ParsedSettings:
-    """Parse the simulator's text. Unknown keys are ignored, and none that is read may be missing.
+    """Parse the simulator's settings. Unknown keys are ignored.
 
-    SettingsError where the text is no JSON, or a key is missing or cannot be used.
+    All known keys are required, but `allowed_pools` only with the layout `pools`.
+    Raises SettingsError if the text is not JSON, or if a key is missing or cannot be used.
     """
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise SettingsError(f"{JSON_PATH} is no JSON: {error}") from error
+        raise SettingsError(f"{JSON_PATH} is not JSON: {error}") from error
     return settings_from_object(raw, JSON_PATH, complete=True)
 
 
 def settings_from_object(raw: Any, path: str = "settings", *, complete: bool = False) -> ParsedSettings:
-    """Parse the decoded object; `path` begins each key's path in a message.
+    """Parse decoded settings; each key's path in an error message starts with `path`.
 
-    Where it need not be complete, as in an operator's file whose page says what holds otherwise, a missing
-    key takes the default of its field. SettingsError where a key cannot be used.
+    Without `complete`, a missing key takes the default of its field; the page of an operator's file documents
+    these defaults. Raises SettingsError if a key cannot be used, or with `complete` if one is missing.
     """
     validate(raw, SETTINGS_SCHEMA, path, complete=complete)
     _check_consistency(raw, path, complete)
@@ -53,7 +54,11 @@
 
 
 def _check_consistency(raw: dict[str, Any], path: str, complete: bool) -> None:
-    """Check across keys: each class has its entry in the lists, and `me` is one of the instances."""
+    """Check rules across keys: a list entry for each class, and `me` below `balancers`.
+
+    Raises SettingsError if a rule is violated or `classes` is missing; with `complete`, also if
+    `allowed_pools` is missing and the layout requires it.
+    """
     balancers = raw.get("balancers", 1)
     if raw.get("me", 0) >= balancers:
         raise SettingsError(f"{path}.me: must be below balancers, {balancers}, not {raw['me']}")
@@ -62,24 +67,26 @@
     family = raw.get("family_info", {})
     classes = len(raw["classes"])
     for name in ("allowed_pools", "call_length_s"):
-        if name in family and len(family[name]) != classes:  # it is not known which entry is whose
-            raise SettingsError(f"{path}.family_info.{name}: must have a line for each of {classes} classes")
-    pools_are_told = "allowed_pools" in family or family.get("layout", POOLS_LAYOUT) != POOLS_LAYOUT
-    if complete and not pools_are_told:
+        if name in family and len(family[name]) != classes:  # entries are matched by position
+            raise SettingsError(
+                f"{path}.family_info.{name}: must have an entry for each of {classes} classes"
+            )
+    meets_layout = "allowed_pools" in family or family.get("layout", POOLS_LAYOUT) != POOLS_LAYOUT
+    if complete and not meets_layout:
         raise MissingKeyError(f"{path}.family_info.allowed_pools")
 
 
 def _present(raw: dict[str, Any], **keys: str) -> dict[str, Any]:
-    """The values of those keys that the object holds, by the names of our fields: field=key."""
+    """Return the values of the keys that are present, by field name; arguments are `field="key"`."""
     return {field: raw[key] for field, key in keys.items() if key in raw}
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    """Build the settings from the decoded object. ValueError where they contradict each other."""
+    """Return the settings from the decoded object. Raises ValueError if they contradict each other."""
     family = raw.get("family_info", {})
     permissions = raw.get("permissions", {})
     return Settings(
-        classes=tuple(_call_class(line, index, family) for index, line in enumerate(raw["classes"])),
+        classes=tuple(_call_class(entry, index, family) for index, entry in enumerate(raw["classes"])),
         safety=_safety_limits(raw.get("safety", {}), family),
         instance_index=_instance_index(raw),
         **_present(raw, instance_count="balancers", event_period_s="period_s"),
@@ -98,7 +105,7 @@
 
 
 def _safety_limits(safety: dict[str, Any], family: dict[str, Any]) -> SafetyLimits:
-    """The safety limits; the pause before a retry is in `family_info`."""
+    """Return the safety limits. The retry pause is a key of `family_info`, the others are in `safety`."""
     return SafetyLimits(
         **_present(
             safety,
@@ -114,24 +121,24 @@
 
 
 def _instance_index(raw: dict[str, Any]) -> int:
-    """The instance index; UNKNOWN_INSTANCE where there are several and it is not given."""
+    """Return the instance index; if it is missing, 0 for a single instance, else UNKNOWN_INSTANCE."""
     is_only_one = raw.get("balancers", 1) == 1
     index: int = raw.get("me", 0 if is_only_one else UNKNOWN_INSTANCE)
     return index
 
 
-def _call_class(line: dict[str, Any], index: int, family: dict[str, Any]) -> CallClass:
-    """One class of calls, with what `family_info` adds to it by position."""
+def _call_class(entry: dict[str, Any], index: int, family: dict[str, Any]) -> CallClass:
+    """Return one call class, with its values in the lists of `family_info`, which are by position."""
     by_position: dict[str, Any] = {}
     if "allowed_pools" in family:
         by_position["allowed_servers"] = tuple(family["allowed_pools"][index])
     if "call_length_s" in family:
         by_position["mean_duration_s"] = family["call_length_s"][index]
     return CallClass(
-        name=line.get("name", str(index)),
-        idempotent=line.get("effect", IDEMPOTENT_EFFECT) == IDEMPOTENT_EFFECT,
+        name=entry.get("name", str(index)),
+        idempotent=entry.get("effect", IDEMPOTENT_EFFECT) == IDEMPOTENT_EFFECT,
         **_present(
-            line,
+            entry,
             priority_weight="importance",
             latency_objective_s="aim_s",
             deadline_s="hard_limit_s",
--- a/stairhatch/settings/schema.py
+++ b/stairhatch/settings/schema.py
@@ -1,8 +1,8 @@
-"""What each key of the settings may hold: the shapes of values, the schema made of them, and the validation.
+"""Schema of the settings: the shapes of values, the schema built from them, and the validation.
 
-The schema has the keys of the operators' pages; a key that it does not have is not looked at. Times are
-seconds. What is read anew in a reload must also have every key that is in force (`check_no_key_lost`): a text
-without was cut short or mistyped, and the parser would take the default for the key that is missing.
+The schema has the keys of the operators' pages; other keys are ignored. Times are seconds. A configuration
+that a reload reads must also have every key that is in force (`check_no_key_lost`): a text without such a key
+was truncated or mistyped, and the parser would use the default for the missing key.
 """
 
 from __future__ import annotations
@@ -11,55 +11,55 @@
 
 from stairhatch.settings.errors import InvalidValueError, LostKeyError, MissingKeyError
 
-MAX_SECONDS = 1e6  # of any time: a longer one was mistyped, and would overflow a timer
+MAX_SECONDS = 1e6  # of any time: a longer time is a typing error, and would overflow a timer
 MAX_COUNT = 10**7
-WHOLE_TEXT = "all of it"  # the path where the text as a whole is no object
+TOP_LEVEL_PATH = "the top-level object"  # path in the error if the new configuration is not an object
 
 
 class NumberShape(NamedTuple):
-    """A number within bounds. JSON's true is none, and neither are NaN and Infinity."""
+    """Shape of a number within bounds. JSON's true and false, NaN and Infinity are rejected."""
 
     minimum: float = 0.0
     maximum: float = MAX_SECONDS
-    exclusive_minimum: bool = False  # the minimum itself is refused
+    exclusive_minimum: bool = False  # the minimum itself is not allowed
     integer: bool = False
 
     def check(self, value: Any, path: str) -> None:
-        """InvalidValueError for a value that is no such number."""
+        """Raise InvalidValueError if the value is not a number of this shape."""
         if isinstance(value, bool) or not isinstance(value, int if self.integer else int | float):
             raise InvalidValueError(path, f"must be a {'whole ' if self.integer else ''}number", value)
-        within = self.minimum <= value <= self.maximum
-        if not within or (self.exclusive_minimum and value == self.minimum):
-            least = f"{'above' if self.exclusive_minimum else 'at least'} {self.minimum:g}"
-            raise InvalidValueError(path, f"must be {least} and at most {self.maximum:g}", value)
+        in_range = self.minimum <= value <= self.maximum
+        if not in_range or (self.exclusive_minimum and value == self.minimum):
+            lower_bound = f"{'above' if self.exclusive_minimum else 'at least'} {self.minimum:g}"
+            raise InvalidValueError(path, f"must be {lower_bound} and at most {self.maximum:g}", value)
 
 
 class BooleanShape:
-    """Either true or false. A word would count as true, "no" as well."""
+    """Shape of true or false. Text is rejected, because Python takes any, even "no", for true."""
 
     def check(self, value: Any, path: str) -> None:
-        """InvalidValueError for anything else."""
+        """Raise InvalidValueError if the value is neither true nor false."""
         if not isinstance(value, bool):
             raise InvalidValueError(path, "must be true or false", value)
 
 
 class TextShape:
-    """Text that is not empty."""
+    """Shape of text that is not empty."""
 
     def check(self, value: Any, path: str) -> None:
-        """InvalidValueError for a value that is no text, or empty."""
+        """Raise InvalidValueError if the value is not text or is empty."""
         if not isinstance(value, str) or not value:
             raise InvalidValueError(path, "must be text", value)
 
 
 class ListShape(NamedTuple):
-    """A list of values of one shape."""
+    """Shape of a list whose values all have one shape."""
 
     item: Shape
 
 
 class ObjectShape(NamedTuple):
-    """An object with these keys. Other keys are allowed and ignored."""
+    """Shape of an object with these keys. Other keys are allowed and ignored."""
 
     keys: dict[str, Shape]
     optional: frozenset[str] = frozenset()
@@ -74,7 +74,7 @@
         "aim_s": NumberShape(exclusive_minimum=True),
         "hard_limit_s": NumberShape(exclusive_minimum=True),
         "late_worth": NumberShape(maximum=1),
-        "effect": TextShape(),  # one that is not known counts as not idempotent
+        "effect": TextShape(),  # an unknown effect counts as not idempotent
     }
 )
 SETTINGS_SCHEMA = ObjectShape(
@@ -91,7 +91,7 @@
                 "retransmit_s": NumberShape(),
                 "self_no": NumberShape(-1, integer=True),
             },
-            optional=frozenset(("allowed_pools",)),  # given with the layout `pools` only
+            optional=frozenset(("allowed_pools",)),  # present only with the layout `pools`
         ),
         "load_report": ObjectShape({"names": ListShape(TextShape())}),
         "permissions": ObjectShape(
@@ -120,10 +120,10 @@
 
 
 def validate(value: Any, shape: Shape, path: str, *, complete: bool) -> None:
-    """Check a decoded value against its shape; `path` begins each key's path in a message.
+    """Check a decoded value against its shape; each key's path in an error message starts with `path`.
 
-    InvalidValueError for the first key that holds what it may not, then MissingKeyError for the first that is
-    missing, where the value has to be complete.
+    Raises InvalidValueError for the first key whose value is not allowed; with `complete`, then raises
+    MissingKeyError for the first required key that is missing.
     """
     _check_values(value, shape, path)
     if complete:
@@ -131,7 +131,7 @@
 
 
 def key_path(path: str, key: str) -> str:
-    """The path of a key below another's."""
+    """Return the path of a key of the object at `path`; the key alone if `path` is empty."""
     return f"{path}.{key}" if path else key
 
 
@@ -154,7 +154,7 @@
 
 
 def _check_complete(value: Any, shape: Shape, path: str) -> None:
-    """MissingKeyError for the first key that is missing."""
+    """Raise MissingKeyError for the first required key that is missing."""
     match shape:
         case ObjectShape(keys, optional):
             for key, inner in keys.items():
@@ -168,13 +168,14 @@
 
 
 def check_no_key_lost(in_force: Any, new: Any, path: str = "") -> None:
-    """LostKeyError for the first key of the decoded text in force that a new one lacks.
+    """Raise LostKeyError for the first key of the decoded configuration in force that the new one lacks.
 
-    Of a list of named objects each must have what all had so far, and a known one what it had itself.
+    In a list of named objects, each new object must have the keys that all objects in force have, and an
+    object whose name is in force must also have the keys of that object.
     """
     if isinstance(in_force, dict):
         if not isinstance(new, dict):
-            raise LostKeyError(path or WHOLE_TEXT)
+            raise LostKeyError(path or TOP_LEVEL_PATH)
         for key, value in in_force.items():
             if key not in new:
                 raise LostKeyError(key_path(path, str(key)))
@@ -184,16 +185,16 @@
 
 
 def _is_named(value: Any) -> bool:
-    """Whether a value is an object with a name."""
+    """Return whether a value is an object with the key `name`."""
     return isinstance(value, dict) and "name" in value
 
 
 def _check_named_objects(in_force: list[dict[str, Any]], new: Any, path: str) -> None:
-    """The rule for a list of named objects, which may come in another order and number."""
+    """Raise LostKeyError if a list of named objects lacks keys; order and number of objects may change."""
     if not isinstance(new, list) or not new:
         raise LostKeyError(path)
-    shared = dict.fromkeys(key for key in in_force[0] if all(key in each for each in in_force))
+    common_keys = dict.fromkeys(key for key in in_force[0] if all(key in each for each in in_force))
     by_name = {each["name"]: each for each in in_force}
     for index, each in enumerate(new):
         name = each.get("name") if isinstance(each, dict) else None
-        check_no_key_lost({**shared, **by_name.get(name, {})}, each, f"{path}[{index}]")
+        check_no_key_lost({**common_keys, **by_name.get(name, {})}, each, f"{path}[{index}]")
