--- a/stairhatch/simulator/__init__.py
+++ b/stairhatch/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""The controller under the simulator.
+"""Adapter that runs the overload controller in the simulator.
 
-`codec` turns the simulator's binary frames into typed `records` and back (`frame_reader` is its cursor);
-`adapter` is the program (`python -m stairhatch.simulator.adapter`) that runs a controller for each instance.
+`codec` decodes the simulator's binary frames into typed `records` and encodes them (`frame_reader` is its
+cursor). `adapter` is the program (`python -m stairhatch.simulator.adapter`) with a controller per instance.
 """
--- a/stairhatch/simulator/adapter.py
+++ b/stairhatch/simulator/adapter.py
@@ -1,8 +1,8 @@
-"""`python -m stairhatch.simulator.adapter`: runs the controllers of the simulator's instances.
+"""Program `python -m stairhatch.simulator.adapter`: runs the controllers of the simulator's instances.
 
-It reads batches of events from standard input and answers each on standard output. It only translates: the
-wire's records into the controller's events, and its actions into records. What the wire does not carry keeps
-the default of the event's field.
+The program reads batches of events from standard input and writes the reply to each to standard output. It
+translates the records of the wire into the controller's events, and the controller's actions into records. A
+field of an event that the wire does not carry keeps its default.
 """
 
 from __future__ import annotations
@@ -58,23 +58,23 @@
     WireRecord,
 )
 
-MAX_TEXT_BYTES = 65_535  # of a log line or an error: its count is a u16
-NO_SUCH_NUMBER = -1  # a destination that is no finite number
+MAX_TEXT_BYTES = 65_535  # of a log line or an error text, whose size is a u16
+NO_SUCH_NUMBER = -1  # the preferred number if the destination is not finite
 
 # Bits of an offered call's flags.
 FLAG_CALLER_RETRY = 2
 FLAG_IN_TRANSIT = 8
 
-# Causes of an attempt's end; a wait in milliseconds, times CAUSE_WAIT_UNIT, may be added to them.
+# Causes of an attempt's end; the wire adds a wait in milliseconds times CAUSE_WAIT_UNIT to the cause.
 CAUSE_NO_FREE_LINE = 1
 CAUSE_PROCESSOR_FULL = 3
 CAUSE_NUMBER_BUSY = 4
 CAUSE_WAIT_UNIT = 16
 
-# How much of the server list an update carries.
-EXTENT_DELTA = 0  # the entries that changed
-EXTENT_CACHED = 2  # the complete list, perhaps out of date; 1 is the complete list as it is
-EXTENT_FAILED = 3  # none: the list could not be had
+# Extents: the part of the server list that an update contains.
+EXTENT_DELTA = 0  # only the changed entries
+EXTENT_CACHED = 2  # the complete list, possibly outdated; extent 1 is the current complete list
+EXTENT_FAILED = 3  # no entries: the list could not be fetched
 
 AVAILABILITIES = {0: Availability.READY, 1: Availability.GONE, 2: Availability.DRAINING}
 OUTCOME_OK = 10
@@ -95,20 +95,20 @@
 
 
 class SimulatedInstance:
-    """One controller, and what is needed to translate for it."""
+    """A simulated softswitch: its controller, and the translation of actions and load reports."""
 
     def __init__(self, instance_id: int, parsed: ParsedSettings, seed: int) -> None:
-        """Start from nothing but the settings; `seed` is that of the instance's random numbers."""
+        """Create the controller from the settings; `seed` initializes its random numbers."""
         self.instance_id = instance_id
         self.load_report_names = parsed.load_report_names
         self.controller = Controller(parsed.settings, random.Random(seed))
 
     def load_report(self, values: tuple[float, ...]) -> LoadReport:
-        """Name a report's values; -1 and what is no number count as missing."""
+        """Return the load report for values in the order of the settings; -1 and NaN count as missing."""
         return load_report_from_values(zip(self.load_report_names, values, strict=False))
 
     def record_for(self, action: Action) -> WireRecord:
-        """The wire's record for one action."""
+        """Return the wire record for an action."""
         match action:
             case SendSetup(call_id, server_id, timeout_s):
                 return SendSetupRecord(self.instance_id, call_id, server_id, timeout_s)
@@ -123,17 +123,18 @@
 
 
 class SimulatorAdapter:
-    """All instances of one process, and the numbered server lists that they share on the wire."""
+    """Adapter between the wire and all instances of the process, which share inventories of servers."""
 
     def __init__(self) -> None:
-        """No instance has started, and no list is known."""
+        """Start without instances and inventories."""
         self.instances: dict[int, SimulatedInstance] = {}
         self.inventories: dict[int, tuple[InventoryEntry, ...]] = {}
 
     def answer(self, batch: EventBatch) -> ActionReply:
-        """Pass a batch to its instances; their actions, in order, are the reply.
+        """Pass the events of a batch to their instances; return the reply with the actions in order.
 
-        CodecError for a record that has no meaning, SettingsError for settings that cannot be used.
+        Raises CodecError for an unexpected record or an unknown value in a record, and SettingsError for
+        unusable settings.
         """
         reply = ActionReply(batch.number, [])
         for record in batch.records:
@@ -149,14 +150,17 @@
         return reply
 
     def _start_instance(self, record: InstanceStartedRecord) -> None:
-        """A new controller, which knows nothing yet."""
+        """Create the instance, with a new controller; it replaces an instance with the same id."""
         parsed = parse_settings_json(record.settings_json)
         self.instances[record.instance_id] = SimulatedInstance(record.instance_id, parsed, record.seed)
 
     def _handle(self, now: float, record: WireRecord) -> list[WireRecord]:
-        """One event for one instance; an exception in the decisions becomes a record with its text."""
+        """Pass one event to its instance; return the records of its actions.
+
+        An exception in the controller becomes one ControllerFailedRecord with its text.
+        """
         if not isinstance(record, InstanceRecord):
-            raise CodecError(f"no meaning for {type(record).__name__}")
+            raise CodecError(f"record is not an event for an instance: {type(record).__name__}")
         instance = self.instances.get(record.instance_id)
         if instance is None:
             raise CodecError(
@@ -167,12 +171,12 @@
             return []
         try:
             return [instance.record_for(action) for action in instance.controller.handle(now, event)]
-        except Exception as error:  # noqa: BLE001 - the wire has a record for just this
+        except Exception as error:  # noqa: BLE001 - the wire has a record for any exception
             text = f"{type(error).__name__}: {error}"
             return [ControllerFailedRecord(instance.instance_id, text.encode()[:MAX_TEXT_BYTES])]
 
     def _event(self, instance: SimulatedInstance, record: InstanceRecord) -> Event | None:
-        """The controller's event for a record; None where the server list could not be had."""
+        """Return the controller's event for a record; None if the record reports that no list was fetched."""
         event: Event | None
         match record:
             case CallOfferedRecord():
@@ -192,24 +196,27 @@
             case PeerMessageRecord():
                 event = PeerMessageReceived(record.peer_id, record.body)
             case _:
-                raise CodecError(f"no meaning for {type(record).__name__}")
+                raise CodecError(f"record is not an event for an instance: {type(record).__name__}")
         return event
 
     def _endpoints_updated(self, record: EndpointsUpdatedRecord) -> EndpointsUpdated | None:
-        """A change of the server list, looked up in the inventory that it points at."""
+        """Return the update of the server list from the inventory that it refers to.
+
+        Returns None if the list could not be fetched; raises CodecError for an unknown extent or inventory.
+        """
         if record.extent == EXTENT_FAILED:
             return None
         if record.extent > EXTENT_FAILED:
             raise CodecError(f"{type(record).__name__}: unknown extent {record.extent}")
         if record.inventory_id not in self.inventories:
-            raise CodecError(f"{type(record).__name__}: no inventory {record.inventory_id}")
+            raise CodecError(f"{type(record).__name__}: unknown inventory {record.inventory_id}")
         entries = self.inventories[record.inventory_id]
         endpoints = tuple(_endpoint_record(entry) for entry in entries)
         return EndpointsUpdated(endpoints, complete=record.extent != EXTENT_DELTA)
 
 
 def _endpoint_record(entry: InventoryEntry) -> EndpointRecord:
-    """One line of the server list."""
+    """Return the endpoint record of an inventory entry. Raises CodecError for an unknown availability."""
     if entry.availability not in AVAILABILITIES:
         raise CodecError(f"{type(entry).__name__}: unknown availability {entry.availability}")
     started_at = entry.started_at if math.isfinite(entry.started_at) else 0.0
@@ -217,7 +224,7 @@
 
 
 def _call_offered(instance: SimulatedInstance, record: CallOfferedRecord) -> CallOffered:
-    """An offered call, with its class looked up in the instance's settings."""
+    """Return an offered call with its class from the instance's settings; None for an unknown class."""
     classes = instance.controller.settings.classes
     return CallOffered(
         call_id=record.call_id,
@@ -231,13 +238,13 @@
 
 
 def _attempt_ended(instance: SimulatedInstance, record: AttemptEndedRecord) -> AttemptEnded:
-    """The end of an attempt, with its cause decoded."""
+    """Return the end of an attempt with its cause decoded. Raises CodecError for an unknown outcome."""
     if record.outcome not in OUTCOMES:
         raise CodecError(f"{type(record).__name__}: unknown outcome {record.outcome}")
     outcome = OUTCOMES[record.outcome]
     wait_ms, cause = divmod(record.cause, CAUSE_WAIT_UNIT)
-    waits = outcome is AttemptOutcome.REJECTED and cause == CAUSE_PROCESSOR_FULL and wait_ms > 0
-    never_ran = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
+    has_retry_after = outcome is AttemptOutcome.REJECTED and cause == CAUSE_PROCESSOR_FULL and wait_ms > 0
+    was_not_processed = outcome in (AttemptOutcome.REJECTED, AttemptOutcome.NOT_SENT)
     return AttemptEnded(
         call_id=record.call_id,
         server_id=record.server_id,
@@ -245,21 +252,21 @@
         answered=bool(record.answered),
         report=instance.load_report(record.load_report),
         elapsed_s=record.elapsed_s,
-        retry_after_s=wait_ms / 1000 if waits else None,
+        retry_after_s=wait_ms / 1000 if has_retry_after else None,
         destination_busy=outcome is AttemptOutcome.ERROR and cause == CAUSE_NUMBER_BUSY,
-        no_free_line=never_ran and cause == CAUSE_NO_FREE_LINE,
+        no_free_line=was_not_processed and cause == CAUSE_NO_FREE_LINE,
     )
 
 
 def _load_reported(instance: SimulatedInstance, record: LoadReportedRecord) -> LoadReported:
-    """A health check's result, or a report that came unsolicited."""
-    reached = record.outcome == OUTCOME_OK
-    report = instance.load_report(record.load_report) if reached else NO_LOAD
-    return LoadReported(record.server_id, report, reached, solicited=record.elapsed_s > 0)
+    """Return the result of a health check, or an unsolicited load report."""
+    is_reachable = record.outcome == OUTCOME_OK
+    report = instance.load_report(record.load_report) if is_reachable else NO_LOAD
+    return LoadReported(record.server_id, report, is_reachable, solicited=record.elapsed_s > 0)
 
 
 def serve(read: ReadBytes, out: BinaryIO) -> None:
-    """Answer batch after batch until the input ends. CodecError or SettingsError at malformed input."""
+    """Answer each batch until the input ends. Raises CodecError or SettingsError for malformed input."""
     adapter = SimulatorAdapter()
     while (batch := read_batch(read)) is not None:
         out.write(encode_reply(adapter.answer(batch)))
@@ -267,7 +274,7 @@
 
 
 def main() -> int:
-    """Run on standard input and output; the exit code, with one plain line on malformed input."""
+    """Run on standard input and output; return the exit code. Malformed input prints a one-line error."""
     try:
         serve(sys.stdin.buffer.read, sys.stdout.buffer)
     except (CodecError, SettingsError) as error:
--- a/stairhatch/simulator/codec.py
+++ b/stairhatch/simulator/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's binary frames: batches of events in, replies with actions out, without I/O of its own.
+"""Codec of the simulator's binary frames: batches of events and replies with actions. It does no I/O itself.
 
-A frame is a header and a counted sequence of `records`. A malformed frame raises `CodecError`, which says
-what is wrong and where.
+A frame consists of a header and a counted sequence of `records`. A malformed frame raises `CodecError` with
+the fault and its position.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from stairhatch.simulator.frame_reader import CodecError, FrameReader
 from stairhatch.simulator.records import ACTION_RECORDS, EVENT_RECORDS, RECORD_CODE, WireRecord
 
-BATCH_HEADER = struct.Struct("<IIdI")  # number, bytes that follow, clock, count of records
-REPLY_HEADER = struct.Struct("<III")  # number, bytes that follow, count of records
+BATCH_HEADER = struct.Struct("<IIdI")  # frame number, body size in bytes, clock, record count
+REPLY_HEADER = struct.Struct("<III")  # frame number, body size in bytes, record count
 
-ReadBytes = Callable[[int], bytes]  # up to so many bytes; b"" at the end of input
+ReadBytes = Callable[[int], bytes]  # returns up to the given number of bytes, b"" at the end of input
 
 
 @dataclass(slots=True)
 class EventBatch:
-    """One frame of events, all at the time `clock`."""
+    """A frame of events that all happen at the time `clock`, in seconds."""
 
     number: int
     clock: float
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True)
 class ActionReply:
-    """One frame of actions: the reply to the batch of the same number."""
+    """A frame of actions: the reply to the batch with the same number."""
 
     number: int
     records: list[WireRecord]
 
 
 def read_batch(read: ReadBytes) -> EventBatch | None:
-    """Read one batch; None at a clean end of input. CodecError where it is malformed or cut off."""
+    """Read one batch; None if the input ends before it. Raises CodecError if it is malformed or truncated."""
     header = _read_exactly(read, BATCH_HEADER.size, "batch header", may_end=True)
     if not header:
         return None
@@ -47,7 +47,7 @@
 
 
 def read_reply(read: ReadBytes) -> ActionReply | None:
-    """Read one reply, as the simulator does. None and CodecError as with `read_batch`."""
+    """Read one reply, as the simulator does; None and CodecError as in `read_batch`."""
     header = _read_exactly(read, REPLY_HEADER.size, "reply header", may_end=True)
     if not header:
         return None
@@ -57,13 +57,13 @@
 
 
 def encode_batch(batch: EventBatch) -> bytes:
-    """The bytes of a batch."""
+    """Return the frame of a batch: header and records."""
     body = b"".join([record.encode() for record in batch.records])
     return BATCH_HEADER.pack(batch.number, len(body), batch.clock, len(batch.records)) + body
 
 
 def encode_reply(reply: ActionReply) -> bytes:
-    """The bytes of a reply."""
+    """Return the frame of a reply: header and records."""
     body = b"".join([record.encode() for record in reply.records])
     return REPLY_HEADER.pack(reply.number, len(body), len(reply.records)) + body
 
@@ -71,7 +71,7 @@
 def _decode_frame(
     number: int, body: bytes, count: int, record_types: dict[int, type[WireRecord]]
 ) -> list[WireRecord]:
-    """The records of one frame; an error names the frame."""
+    """Return the records of a frame. Raises CodecError with the frame's number if the body is malformed."""
     try:
         return _decode_records(body, count, record_types)
     except CodecError as error:
@@ -79,7 +79,7 @@
 
 
 def _decode_records(body: bytes, count: int, record_types: dict[int, type[WireRecord]]) -> list[WireRecord]:
-    """Decode exactly `count` records that fill exactly `body`."""
+    """Return `count` records that fill the body exactly; CodecError if they do not."""
     reader = FrameReader(body)
     records = []
     for index in range(count):
@@ -95,7 +95,7 @@
 
 
 def _read_exactly(read: ReadBytes, size: int, what: str, may_end: bool = False) -> bytes:
-    """Read `size` bytes; b"" at a clean end where that is allowed. CodecError where the input ends inside."""
+    """Read `size` bytes; CodecError if the input ends early. With `may_end`, return b"" if none is left."""
     pieces: list[bytes] = []
     missing = size
     while missing:
@@ -103,7 +103,7 @@
         if not piece:
             if may_end and missing == size:
                 return b""
-            raise CodecError(f"input ended inside the {what}: {size - missing} of {size} bytes came")
+            raise CodecError(f"input ended inside the {what}: received {size - missing} of {size} bytes")
         pieces.append(piece)
         missing -= len(piece)
     return b"".join(pieces)
--- a/stairhatch/simulator/frame_reader.py
+++ b/stairhatch/simulator/frame_reader.py
@@ -1,4 +1,4 @@
-"""A cursor over the body of one of the simulator's frames, and the error for a malformed one."""
+"""Cursor over the body of a simulator frame, and the error for a malformed frame."""
 
 from __future__ import annotations
 
@@ -7,34 +7,36 @@
 
 
 class CodecError(ValueError):
-    """A frame that does not follow the wire's description."""
+    """A frame violates the description of the wire format."""
 
 
 class FrameReader:
-    """A cursor over one frame's body; errors name the byte from which it cannot be read."""
+    """Cursor over the body of a frame; its errors give the byte at which the body cannot be read."""
 
     def __init__(self, data: bytes) -> None:
-        """Begin at the body's first byte."""
+        """Place the cursor at the first byte of `data`, the body."""
         self.data = data
         self.position = 0
 
     def unpack(self, form: struct.Struct, what: str) -> tuple[Any, ...]:
-        """Unpack one fixed group of fields. CodecError, which names `what`, where the frame is too short."""
+        """Return the fields of `form` at the cursor; CodecError, naming `what`, if the frame is too short."""
         end = self.position + form.size
         if end > len(self.data):
             left = len(self.data) - self.position
-            raise CodecError(f"{what}: needs {form.size} bytes at byte {self.position}, {left} left")
+            raise CodecError(
+                f"{what}: needs {form.size} bytes at byte {self.position}, the frame has {left} left"
+            )
         values = form.unpack_from(self.data, self.position)
         self.position = end
         return values
 
     def read_bytes(self, size: int, what: str) -> bytes:
-        """Cut out counted content. CodecError, which names `what`, where the count overruns the frame."""
+        """Return the next `size` bytes. Raises CodecError, naming `what`, if the frame has fewer."""
         end = self.position + size
         if end > len(self.data):
             left = len(self.data) - self.position
             raise CodecError(
-                f"{what}: count of {size} at byte {self.position} overruns the frame, {left} left"
+                f"{what}: count of {size} bytes at byte {self.position} overruns the frame with {left} left"
             )
         content = self.data[self.position : end]
         self.position = end
--- a/stairhatch/simulator/records.py
+++ b/stairhatch/simulator/records.py
@@ -1,7 +1,8 @@
-"""The records of the simulator's wire: its events and actions, each with its code and its fields' layout.
+"""Records of the simulator's wire format: its events and actions, with their codes and field layouts.
 
-A record is a one-byte code, fixed fields and at most one counted tail, little-endian and unpadded. Each class
-gives the wire's own name of its event or action. Times are seconds.
+A record consists of a one-byte code, fixed fields and at most one counted tail, little-endian and unpadded.
+The docstring of each class gives the name that the wire description has for the event or action. Times are
+seconds.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 COUNT_U8 = struct.Struct("<B")
 COUNT_U16 = struct.Struct("<H")
 COUNT_U32 = struct.Struct("<I")
-FLOAT_BYTES = 4  # one value of a load report, an f32
+FLOAT_BYTES = 4  # size of a load report value, an f32
 
 
 @dataclass(slots=True)
 class WireRecord:
-    """A record: a code, fixed fields and perhaps one counted tail.
+    """Base class of all records: a code, fixed fields and an optional counted tail.
 
-    Subclasses list their fields in the wire's order, the tail last.
+    Subclasses declare their fields in the order of the wire, the tail last.
     """
 
     CODE: ClassVar[int]
-    FIXED: ClassVar[struct.Struct]  # the fixed fields
-    TAIL_COUNT: ClassVar[struct.Struct | None] = None  # of the tail's items; None: no tail
+    FIXED: ClassVar[struct.Struct]  # layout of the fixed fields
+    TAIL_COUNT: ClassVar[struct.Struct | None] = None  # layout of the tail's item count; None: no tail
     TAIL_ITEM_BYTES: ClassVar[int] = 1
 
     @classmethod
     def read(cls, reader: FrameReader) -> Self:
-        """Read the fields that follow the code. CodecError where the frame ends inside them."""
+        """Return the record from the fields after its code. CodecError if the frame ends within them."""
         build: Callable[..., Self] = cls
         values = reader.unpack(cls.FIXED, cls.__name__)
         if cls.TAIL_COUNT is None:
@@ -46,16 +47,16 @@
 
     @classmethod
     def decode_tail(cls, tail: bytes) -> Any:
-        """The value of the counted bytes; most records keep the bytes."""
+        """Return the tail field's value from the tail's bytes; this base method returns the bytes."""
         return tail
 
     @classmethod
     def encode_tail(cls, value: Any) -> bytes:
-        """The reverse of `decode_tail`."""
+        """Return the tail's bytes from the tail field's value."""
         return bytes(value)
 
     def encode(self) -> bytes:
-        """The record's bytes, code first."""
+        """Return the bytes of the record, starting with its code."""
         values = [getattr(self, each.name) for each in fields(self)]
         code = RECORD_CODE.pack(self.CODE)
         if self.TAIL_COUNT is None:
@@ -67,35 +68,38 @@
 
 @dataclass(slots=True)
 class InstanceRecord(WireRecord):
-    """A record that concerns one instance, which its first field names."""
+    """Base class of records for one instance, whose id is the first field."""
 
     instance_id: int
 
 
 @dataclass(slots=True)
 class LoadReportTailRecord(InstanceRecord):
-    """A record that ends in a load report: the values of the settings' `load_report.names`, in order."""
+    """Base class of records with a load report as tail.
+
+    The report has the values of the settings' `load_report.names`, in this order.
+    """
 
     TAIL_COUNT: ClassVar[struct.Struct | None] = COUNT_U8
     TAIL_ITEM_BYTES: ClassVar[int] = FLOAT_BYTES
 
     @classmethod
     def decode_tail(cls, tail: bytes) -> tuple[float, ...]:
-        """The values of the report."""
+        """Return the values of the report from their bytes."""
         return struct.unpack(f"<{len(tail) // FLOAT_BYTES}f", tail)
 
     @classmethod
     def encode_tail(cls, value: tuple[float, ...]) -> bytes:
-        """The bytes of the report's values."""
+        """Return the bytes of the report's values."""
         return struct.pack(f"<{len(value)}f", *value)
 
 
-# ---- events ----
+# ---- event records, from the simulator ----
 
 
 @dataclass(slots=True)
 class InstanceStartedRecord(InstanceRecord):
-    """Event `enlist`: an instance starts, with its settings as JSON and the seed of its random numbers."""
+    """Event `enlist`: an instance starts; the record has its settings as JSON and its random seed."""
 
     seed: int
     settings_json: bytes
@@ -106,7 +110,7 @@
 
 @dataclass(slots=True)
 class InstanceStoppedRecord(InstanceRecord):
-    """Event `shutdown`: an instance ended; its state is lost."""
+    """Event `shutdown`: an instance stopped and lost its state."""
 
     CODE: ClassVar[int] = 25
     FIXED: ClassVar[struct.Struct] = struct.Struct("<I")
@@ -114,7 +118,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdatedRecord(InstanceRecord):
-    """Event `roster_change`: the server list changed; `extent` says how much of it the inventory holds."""
+    """Event `roster_change`: the server list changed; `extent` is the part of it in the inventory."""
 
     extent: int
     version: int
@@ -155,7 +159,7 @@
 
 @dataclass(slots=True)
 class AttemptEndedRecord(LoadReportTailRecord):
-    """Event `outcome`: how an attempt ended. `answered` is set once the caller has had a final answer."""
+    """Event `outcome`: an attempt ended. `answered` is 1 if the caller has received a final answer."""
 
     call_id: int
     elapsed_s: float
@@ -171,7 +175,7 @@
 
 @dataclass(slots=True)
 class CallAbandonedRecord(InstanceRecord):
-    """Event `abandoned`: the caller left; no answer is owed any more."""
+    """Event `abandoned`: the caller gave up, so the call no longer needs an answer."""
 
     call_id: int
     CODE: ClassVar[int] = 21
@@ -180,7 +184,7 @@
 
 @dataclass(slots=True)
 class TimerExpiredRecord(InstanceRecord):
-    """Event `ring`: a timer that the instance set is due."""
+    """Event `ring`: a timer of the instance expired."""
 
     timer_id: int
     CODE: ClassVar[int] = 22
@@ -189,7 +193,7 @@
 
 @dataclass(slots=True)
 class LoadReportedRecord(LoadReportTailRecord):
-    """Event `probe_result`: the answer to a health check, or, with a time of 0, an unsolicited report."""
+    """Event `probe_result`: result of a health check, or an unsolicited report if `elapsed_s` is 0."""
 
     outcome: int
     elapsed_s: float
@@ -201,7 +205,7 @@
 
 @dataclass(slots=True)
 class PeerMessageRecord(InstanceRecord):
-    """Event `inbox`: a message from another instance."""
+    """Event `inbox`: a message from another instance arrived."""
 
     peer_id: int
     body: bytes
@@ -212,7 +216,7 @@
 
 @dataclass(slots=True)
 class InventoryEntry:
-    """One server of an inventory."""
+    """Entry of an inventory for one server."""
 
     server_id: int
     number: int
@@ -225,7 +229,7 @@
 
 @dataclass(slots=True)
 class InventoryRecord(WireRecord):
-    """Event `inventory`: a numbered server list, shared by all instances of the process."""
+    """Event `inventory`: a server list with an id, shared by all instances of the process."""
 
     inventory_id: int
     entries: tuple[InventoryEntry, ...]
@@ -236,21 +240,21 @@
 
     @classmethod
     def decode_tail(cls, tail: bytes) -> tuple[InventoryEntry, ...]:
-        """The entries."""
+        """Return the entries from their bytes."""
         return tuple(InventoryEntry(*values) for values in INVENTORY_ENTRY.iter_unpack(tail))
 
     @classmethod
     def encode_tail(cls, value: tuple[InventoryEntry, ...]) -> bytes:
-        """The bytes of the entries."""
+        """Return the bytes of the entries."""
         return b"".join(INVENTORY_ENTRY.pack(*astuple(entry)) for entry in value)
 
 
-# ---- actions ----
+# ---- action records, to the simulator ----
 
 
 @dataclass(slots=True)
 class SendSetupRecord(InstanceRecord):
-    """Action `assign`: send a set-up to a server. `timeout_s` 0: until the caller gives up."""
+    """Action `assign`: send a set-up to a server; with `timeout_s` 0 it lasts until the caller gives up."""
 
     call_id: int
     server_id: int
@@ -261,7 +265,7 @@
 
 @dataclass(slots=True)
 class SetTimerRecord(InstanceRecord):
-    """Action `after`: ask for a timer."""
+    """Action `after`: start a timer."""
 
     delay_s: float
     timer_id: int
@@ -271,7 +275,7 @@
 
 @dataclass(slots=True)
 class LogMessageRecord(InstanceRecord):
-    """Action `log`: a line for the simulator's report, as UTF-8."""
+    """Action `log`: add a line of UTF-8 text to the simulator's report."""
 
     text: bytes
     CODE: ClassVar[int] = 21
@@ -281,7 +285,7 @@
 
 @dataclass(slots=True)
 class FailCallRecord(InstanceRecord):
-    """Action `give_up`: the final answer is that the call failed."""
+    """Action `give_up`: answer the call as failed."""
 
     call_id: int
     CODE: ClassVar[int] = 23
@@ -290,7 +294,7 @@
 
 @dataclass(slots=True)
 class RejectCallRecord(InstanceRecord):
-    """Action `overload_reply`: the final answer is a rejection. `retry_after_s` 0: no advice."""
+    """Action `overload_reply`: reject the call; `retry_after_s` 0 gives no time for a retry."""
 
     call_id: int
     retry_after_s: float
@@ -300,7 +304,7 @@
 
 @dataclass(slots=True)
 class ControllerFailedRecord(InstanceRecord):
-    """Action `panic`: the decisions raised an exception, whose text this is, as UTF-8."""
+    """Action `panic`: the controller raised an exception; `text` describes it as UTF-8."""
 
     text: bytes
     CODE: ClassVar[int] = 27
@@ -308,7 +312,7 @@
     TAIL_COUNT: ClassVar[struct.Struct | None] = COUNT_U16
 
 
-# Events and actions are numbered separately: one code may be in both tables.
+# Events and actions have separate code ranges, so both tables may contain the same code.
 EVENT_RECORDS: dict[int, type[WireRecord]] = {
     record.CODE: record
     for record in (
