--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -1,4 +1,4 @@
-"""What the softswitch itself can take: the overload level, rate limits, and the order of weight."""
+"""Tests of admission control: the overload level, the rate limits, and shedding by weight."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 
 from .support.hypothesis_profile import BOUNDED
 
-SPAN_S = 0.05
+STEP_S = 0.05
 
 
 def observe_delays(detector, now, *delays, rate=100.0):
-    """Observe delays a span apart, with calls of which the current fraction is shed; returns the time after
-    them.
+    """Report delays one step apart, with calls of which the current fraction is shed.
+
+    Returns the time of the last delay.
     """
-    chance = random.Random(7)
+    rng = random.Random(7)
     for delay in delays:
-        now += SPAN_S
-        for _ in range(int(rate * SPAN_S)):
-            detector.count_call(chance.random() >= detector.current_shed_fraction(now))
+        now += STEP_S
+        for _ in range(int(rate * STEP_S)):
+            detector.count_call(rng.random() >= detector.current_shed_fraction(now))
         detector.observe_delay(now, delay)
     return now
 
 
 def test_the_level_rises_and_falls_at_different_delays():
-    """The level neither swings with every observation (hysteresis) nor stays for ever."""
+    """Guards against a level that oscillates with each delay (no hysteresis) or never falls."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[0.03] * 100)
     assert detector.level is OverloadLevel.NORMAL
@@ -54,8 +55,8 @@
     assert detector.level_changes == 2
 
 
-def test_a_full_processor_sheds_all_new_calls_and_recovers():
-    """After a stall calls that were given up are not served first, and the level falls again."""
+def test_a_saturated_processor_sheds_all_new_calls_and_recovers():
+    """Guards against serving abandoned calls first after a stall, and against a level that never falls."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[1.0] * 5)
     assert detector.level is OverloadLevel.SATURATED
@@ -68,47 +69,49 @@
 
 
 def goodput(offered, capacity=1000.0, shed_cost=0.08, seconds=12.0):
-    """A processor behind a bounded queue, as a socket's buffer is; returns calls served a second, over the
-    last two thirds, and the longest wait then.
+    """Simulate a processor behind a bounded queue, like a socket's buffer.
+
+    Returns the calls served per second and the longest wait, both over the last two thirds of the time.
     """
-    chance, admission = random.Random(11), AdmissionControl(random.Random(12).random)
-    now = waiting = served = worst = 0.0
+    rng, admission = random.Random(11), AdmissionControl(random.Random(12).random)
+    now = waiting = served = longest_wait_s = 0.0
     step = 0.01
     while now < seconds:
         now += step
-        for _ in range(int(offered(now) * step + chance.random())):
+        for _ in range(int(offered(now) * step + rng.random())):
             if waiting / capacity > 0.25:
-                continue  # the socket is full: the datagram is lost
+                continue  # the socket buffer is full, so the datagram is lost
             decision = admission.admit(RequestKind.NEW_CALL, "a", 1.0, now)
             waiting += 1.0 if decision.outcome is AdmissionOutcome.ADMITTED else shed_cost
             served += decision.outcome is AdmissionOutcome.ADMITTED and now > seconds / 3
         waiting = max(0.0, waiting - capacity * step)
         admission.overload.observe_delay(now, waiting / capacity)
-        worst = max(worst, waiting / capacity if now > seconds / 3 else 0.0)
-    return served / (seconds * 2 / 3), worst
+        longest_wait_s = max(longest_wait_s, waiting / capacity if now > seconds / 3 else 0.0)
+    return served / (seconds * 2 / 3), longest_wait_s
 
 
 @pytest.mark.parametrize("load", [0.8, 1.1, 1.5, 2.0, 3.0])
-def test_goodput_holds_past_capacity(load):
-    """There is no collapse past capacity, and nothing is shed that could be served: at least 0.9 of what the
-    shedding itself leaves, with a short queue.
+def test_goodput_holds_above_capacity(load):
+    """Guards against a collapse above capacity, and against shedding calls that could be served.
+
+    The goodput is at least 0.9 of the capacity that the cost of shedding leaves, with a short queue.
     """
-    served, worst = goodput(lambda _now: 1000.0 * load)
-    left = 1000.0 * (1 - 0.08 * load) / (1 - 0.08) if load > 1 else 1000.0 * load
-    assert served > 0.9 * left
-    assert worst < 0.25
+    served, longest_wait_s = goodput(lambda _now: 1000.0 * load)
+    available = 1000.0 * (1 - 0.08 * load) / (1 - 0.08) if load > 1 else 1000.0 * load
+    assert served > 0.9 * available
+    assert longest_wait_s < 0.25
 
 
-def test_after_a_surge_all_are_served_within_three_seconds():
-    """After three times the capacity for a while goodput is back in full."""
+def test_after_a_surge_all_calls_are_served_within_three_seconds():
+    """Guards against goodput that stays low after a surge of three times the capacity."""
     served, _ = goodput(lambda now: 3000.0 if now < 4.0 else 900.0, seconds=12.0 * 1.0)
-    late, _ = goodput(lambda now: 3000.0 if now < 5.0 else 900.0, seconds=24.0)
+    recovered, _ = goodput(lambda now: 3000.0 if now < 5.0 else 900.0, seconds=24.0)
     assert served > 0.75 * 900
-    assert late > 0.97 * 900
+    assert recovered > 0.97 * 900
 
 
-def test_without_an_observation_nothing_is_shed():
-    """Calls are not shed for ever on an old figure."""
+def test_with_stale_delays_nothing_is_shed():
+    """Guards against shedding for ever because of an old delay."""
     detector = OverloadDetector()
     now = observe_delays(detector, 0.0, *[1.0] * 5)
     assert detector.current_shed_fraction(now + detector.policy.stale_s + 0.1) == 0.0
@@ -116,8 +119,8 @@
 
 @BOUNDED
 @given(st.lists(st.floats(0, 2), max_size=200))
-def test_the_shed_fraction_is_a_fraction_whatever_is_measured(delays):
-    """The fraction can be drawn against, and is 0 while the level is normal."""
+def test_the_shed_fraction_is_in_range_for_any_delays(delays):
+    """Guards against a fraction outside its range, and against shedding at the level NORMAL."""
     detector = OverloadDetector()
     now = 0.0
     for delay in delays:
@@ -128,40 +131,45 @@
 
 @BOUNDED
 @given(st.dictionaries(st.floats(0, 10), st.floats(0.001, 1), min_size=1, max_size=5), st.floats(0, 1))
-def test_the_least_weight_is_shed_first_and_as_much_as_was_asked(mix, share):
-    """No call of greater weight is shed while calls of less weight are served."""
-    found = shed_fractions_by_weight(mix, share)
-    whole = sum(mix.values())
-    assert abs(sum(found[weight] * mix[weight] for weight in mix) - share * whole) < 1e-6 * whole + 1e-9
+def test_the_least_weight_is_shed_first_and_the_total_is_as_requested(mix, shed_fraction):
+    """Guards against shedding calls of a greater weight while calls of a lesser weight are served."""
+    shed_by_weight = shed_fractions_by_weight(mix, shed_fraction)
+    total = sum(mix.values())
+    assert (
+        abs(sum(shed_by_weight[weight] * mix[weight] for weight in mix) - shed_fraction * total)
+        < 1e-6 * total + 1e-9
+    )
     weights = sorted(mix)
     for less, more in itertools.pairwise(weights):
-        assert found[less] == pytest.approx(1.0) or found[more] == pytest.approx(0.0, abs=1e-9)
+        assert shed_by_weight[less] == pytest.approx(1.0) or shed_by_weight[more] == pytest.approx(
+            0.0, abs=1e-9
+        )
 
 
 def served_fractions(seconds, policy, overloaded, others=3):
-    """One source at twenty times the rate of the others; returns the fraction of each that was served."""
-    chance, limiter, now = random.Random(1), SourceRateLimiter(policy), 0.0
-    asked, served = {}, {}
+    """Simulate one source at twenty times the rate of each other; return each source's served fraction."""
+    rng, limiter, now = random.Random(1), SourceRateLimiter(policy), 0.0
+    offered_calls, served = {}, {}
     sources = ["10.0.0.66"] * 20 * others + [f"10.0.{n + 1}.7" for n in range(others)] * others
     while now < seconds:
-        now += chance.expovariate(400.0)
-        source = chance.choice(sources)
-        asked[source] = asked.get(source, 0) + 1
+        now += rng.expovariate(400.0)
+        source = rng.choice(sources)
+        offered_calls[source] = offered_calls.get(source, 0) + 1
         served[source] = served.get(source, 0) + (limiter.take(source, now, overloaded) == 0.0)
-    return {source: served[source] / asked[source] for source in asked}
+    return {source: served[source] / offered_calls[source] for source in offered_calls}
 
 
-def test_one_source_at_twenty_times_its_share_leaves_the_others_theirs():
-    """A source is cut to its share while we are overloaded, and not before."""
+def test_one_source_at_twenty_times_its_rate_does_not_harm_the_others():
+    """Guards against one source that crowds out others in overload, and against limits without overload."""
     policy = RateLimitPolicy(source_rate=20, source_burst=20)
-    shares = served_fractions(20.0, policy, overloaded=True)
-    assert shares.pop("10.0.0.66") < 0.2
-    assert min(shares.values()) > 0.95
+    fractions = served_fractions(20.0, policy, overloaded=True)
+    assert fractions.pop("10.0.0.66") < 0.2
+    assert min(fractions.values()) > 0.95
     assert min(served_fractions(20.0, policy, overloaded=False).values()) == 1.0
 
 
 def test_a_site_behind_one_proxy_is_not_limited():
-    """The only source is all the callers there are: a limit would protect nobody."""
+    """Guards against a limit that protects nobody: all callers come from the only source."""
     limiter = SourceRateLimiter(RateLimitPolicy(source_rate=1, source_burst=1))
     assert all(limiter.take("10.0.0.1", 0.01 * n, True) == 0.0 for n in range(200))
     assert limiter.take("10.0.0.2", 2.0, True) == 0.0
@@ -169,21 +177,21 @@
     assert limiter.take("10.0.0.1", 2.0, True) > 0.0
 
 
-def test_forged_sources_fill_no_memory_and_share_their_networks_bucket():
-    """The table does not grow with addresses, and a storm spread over a whole network is limited."""
+def test_forged_sources_use_bounded_memory_and_share_their_networks_bucket():
+    """Guards against tables that grow with addresses, and a call storm spread over a network."""
     policy = RateLimitPolicy(max_buckets=100, network_rate=10, network_burst=10)
     limiter, served = SourceRateLimiter(policy), 0
     limiter.take("192.168.1.1", 0.0, True)
     for number in range(5000):
         served += limiter.take(f"10.1.2.{number % 250}", number * 0.0001, True) == 0.0
         assert len(limiter.sources) <= 100
-        assert len(limiter._network_names) <= 100  # noqa: SLF001  # its size is not public
+        assert len(limiter._network_names) <= 100  # noqa: SLF001  # the table is private
     assert served <= 10 + 10 * 0.5 + 1
     assert limiter.take("192.168.1.1", 1.0, True) == 0.0
 
 
 def test_requests_in_dialogs_are_never_shed():
-    """Calls can end while the program is overloaded."""
+    """Guards against calls that cannot be released while the softswitch is overloaded."""
     admission = AdmissionControl(lambda: 0.0)
     now = observe_delays(admission.overload, 0.0, *[1.0] * 5)
     assert admission.admit(RequestKind.IN_DIALOG, "a", 0.0, now).outcome is AdmissionOutcome.ADMITTED
@@ -193,18 +201,18 @@
     assert admission.admit(RequestKind.OTHER, "a", 0.0, now).outcome is AdmissionOutcome.SHED_LOAD
 
 
-def test_calls_of_more_weight_are_served_while_others_are_shed():
-    """The order of weight holds as the mix of calls changes."""
-    chance = random.Random(3)
+def test_calls_of_greater_weight_are_served_while_others_are_shed():
+    """Guards against shedding calls of a greater weight while the mix of weights changes."""
+    rng = random.Random(3)
     admission = AdmissionControl(
-        chance.random,
+        rng.random,
         AdmissionPolicy(OverloadDetectorPolicy(), RateLimitPolicy(source_rate=1e6, source_burst=1e6)),
     )
     now = observe_delays(admission.overload, 0.0, *[0.08] * 5)
     admission.overload.shed_fraction = 0.4
     counts = {1.0: [0, 0], 3.0: [0, 0]}
     for _ in range(4000):
-        weight = 1.0 if chance.random() < 0.7 else 3.0
+        weight = 1.0 if rng.random() < 0.7 else 3.0
         counts[weight][0] += 1
         counts[weight][1] += (
             admission.admit(RequestKind.NEW_CALL, "a", weight, now).outcome is AdmissionOutcome.ADMITTED
--- a/tests/test_scope_connections.py
+++ b/tests/test_scope_connections.py
@@ -1,4 +1,4 @@
-"""Server connections under a scope: which are opened, kept for established calls and closed."""
+"""Tests of server connections with a scope: which are opened, kept for established calls and closed."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 
 
 class ScopedNode:
-    """A call manager with scoped decisions and its server connection pool, with a clock set by hand and
-    connections that only record.
+    """Call manager with a scoped controller and a server connection pool, on a clock that the test advances.
+
+    Opened connections are only recorded.
     """
 
     def __init__(self, *classes):
@@ -36,29 +37,29 @@
         self.pool = ServerConnectionPool(self.core, self.opened.append)
         self.core.readiness.list_known = self.core.readiness.listening = True
 
-    def scope_changed(self, _numbers, _classes, _came):
-        """The servers of a set came into scope or left it."""
+    def scope_changed(self, _numbers, _classes, _entered):
+        """Update the connections of all servers after a set entered or left the scope."""
         for server in list(self.core.servers.by_id.values()):
             self.pool.record_changed(server)
 
     def list_server(self, name, number, availability=Availability.READY):
-        """A server is listed, or its entry changes."""
+        """Add a server to the endpoint list, or change its entry."""
         self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, availability)], complete=False)
 
     def list_servers(self, **numbers):
-        """Servers are listed, by their names and numbers."""
+        """Add servers to the endpoint list, as name=number."""
         for name, number in numbers.items():
             self.list_server(name, number)
 
-    def offer(self, wanted):
-        """A call of a class; returns it and its caller's session."""
+    def offer(self, requested_class):
+        """Offer a call of a class; return the call and its caller's session."""
         self.calls += 1
         caller = RecordingSession()
-        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", wanted, "7", "d", 5.0), caller)
+        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", requested_class, "7", "d", 5.0), caller)
         return call, caller
 
     def run(self, seconds):
-        """Let time pass, timer by timer."""
+        """Advance the clock and run the timers that are due."""
         end = self.now + seconds
         while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
@@ -67,12 +68,12 @@
 
 
 def instances(server_connections):
-    """The servers that connections lead to."""
+    """Return the names of the servers that connections lead to."""
     return [each.server.record.instance for each in server_connections]
 
 
 def establish(node, call):
-    """The server establishes a call whose set-up is written; returns its connection."""
+    """Have the server establish a call whose set-up was sent; return the server's connection."""
     server_connection = node.pool.active[call.attempt.server.id]
     assert b'"START"' in server_connection.data_to_send()
     server_connection.receive_data(
@@ -82,14 +83,15 @@
 
 
 def test_a_connection_stays_until_the_call_established_there_is_released():
-    """A release finds a connection, and that of the server comes on one that is still there: the call's set
-    leaves while it is established, and its server moves to a service that nobody here asks for.
+    """Guards against a release without a connection, in either direction, for an established call.
+
+    The call's set leaves the scope during the call, and its server moves to a service out of scope.
     """
     a, b = call_class("a", 1, 2), call_class("b", 3)
     node = ScopedNode(a, b)
     node.list_servers(x=1, y=2, z=3)
     assert not node.opened
-    assert node.core.readiness.startup_health().is_ready, "it waits for what is out of scope"
+    assert node.core.readiness.startup_health().is_ready, "readiness waits for servers that are out of scope"
     call, caller = node.offer(a)
     assert instances(node.opened) == ["x", "y"]
     for server_connection in node.opened:
@@ -104,7 +106,7 @@
     assert not server_connection.draining
     assert not server_connection.can_close()
     (instance,) = instances([server_connection])
-    node.list_server(instance, 3)  # to another service, which is out of scope as well
+    node.list_server(instance, 3)  # the other service is out of scope as well
     node.run(30)
     assert not server_connection.draining
     assert not server_connection.can_close()
@@ -124,7 +126,7 @@
 
 
 def test_a_set_that_comes_back_while_its_connections_close_has_connections():
-    """A call does not wait for a connection that was given up a moment before."""
+    """Guards against a call that waits for a connection closed shortly before, when its set had left."""
     a, b = call_class("a", 1), call_class("b", 2)
     node = ScopedNode(a, b)
     node.list_server("x", 1)
@@ -133,22 +135,22 @@
     server_connection = node.opened[0]
     server_connection.connection_made()
 
-    def leaves(call):
+    def abandon_after_setup(call):
         assert b'"START"' in server_connection.data_to_send()
         node.core.abandon(call)
         assert b'"FINISH"' in server_connection.data_to_send()
         server_connection.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
-    leaves(call)
+    abandon_after_setup(call)
     node.run(20)
     assert server_connection.draining
     assert not node.scoped.sets.by_numbers
     call, _ = node.offer(a)
     assert not server_connection.draining
-    leaves(call)
+    abandon_after_setup(call)
     node.run(20)
     assert server_connection.draining
-    server_connection.pool.remove(server_connection)  # its connection has ended
+    server_connection.pool.remove(server_connection)  # the connection has closed
     assert len(node.opened) == 1
     call, _ = node.offer(a)
     assert len(node.opened) == 2
@@ -156,7 +158,7 @@
 
 
 def test_a_server_that_goes_without_ever_having_been_in_scope_is_forgotten():
-    """Lists of thousands that change daily leave no record of each server that ever was."""
+    """Guards against a memory leak: lists of thousands of servers change daily."""
     node = ScopedNode(call_class("a", 1), call_class("b", 2))
     node.list_server("x", 1)
     node.list_server("z", 2)
--- a/tests/test_scope_slow_start.py
+++ b/tests/test_scope_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start under a scope: servers that come into scope at many softswitches at once."""
+"""Tests of slow start with a scope: servers that enter the scope of many softswitches at once."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from .support.scope_simulation import ScopeSimulation, call_class, endpoint, scoped_controller, settings_with
 
 
-def most_in_a_window(times, width):
-    """The most of these times that lie within one window."""
+def max_window_count(times, width):
+    """Return the maximum number of these times within any window of this width."""
     return max((sum(t <= other < t + width for other in times) for t in times), default=0)
 
 
-SHARING = 30  # softswitches that ask for the service
-LINES = 100.0  # of a server
-WARM_RATE = 25.0  # set-ups a second that one warm server takes: its lines over their length
+SOFTSWITCHES = 30  # softswitches that call the service
+LINES_PER_SERVER = 100.0  # lines of a server
+WARM_RATE = 25.0  # set-ups per second of one warm server: its lines divided by the mean call duration of 4 s
 SAFETY = SafetyLimits(
     initial_capacity_fraction=0.25, warm_up_s=12.0, overload_multiple=2.0, overload_window_s=1.0
 )
@@ -29,30 +29,30 @@
 STEP_S = 0.02
 STEPS = 250
 BEGIN_S = 1000.0
-REPORT = LoadReport(free_lines=LINES * 0.6, total_lines=LINES, processor_wait_s=0.0)
+REPORT = LoadReport(free_lines=LINES_PER_SERVER * 0.6, total_lines=LINES_PER_SERVER, processor_wait_s=0.0)
 
 
-def simulations_of_fleet(divisor, own_divisor, cold):
-    """The softswitches of a fleet; the divisor is the service's own, or that of the fleet."""
+def simulations_of_fleet(divisor, own_divisor, cold_servers):
+    """Return simulations of a fleet; `divisor` is the instance count of the service or of the fleet."""
     fleet = 400 if own_divisor and divisor > 1 else divisor
     simulations = []
-    for number in range(SHARING):
+    for number in range(SOFTSWITCHES):
         settings = settings_with(
             call_class("a", *SERVERS), call_class("b", 9),
             instance_count=fleet, instance_index=min(number, fleet - 1), safety=SAFETY,
         )  # fmt: skip
         services = [ServiceConfig(("a",), divisor, min(number, divisor - 1))] if own_divisor else []
         decisions = scoped_controller(settings, number, services=services)
-        simulation = ScopeSimulation(decisions, number, slow_s=0.03)
-        up_since = 0.0 if cold == "one" else BEGIN_S - 1.0
-        others = [endpoint(server, up_since=up_since) for server in SERVERS[1:]]
-        simulation.update_endpoints(endpoint(1, up_since=BEGIN_S - 1.0), *others, endpoint(9))
+        simulation = ScopeSimulation(decisions, number, mean_delay_s=0.03)
+        started_at = 0.0 if cold_servers == "one" else BEGIN_S - 1.0
+        others = [endpoint(server, started_at=started_at) for server in SERVERS[1:]]
+        simulation.update_endpoints(endpoint(1, started_at=BEGIN_S - 1.0), *others, endpoint(9))
         simulations.append(simulation)
     return simulations
 
 
 def setups_by_server(simulations):
-    """When each server gets a set-up: all call in one step of time, then steadily for 5 s."""
+    """Return the times of each server's set-ups: all softswitches call at once, then steadily for 5 s."""
     for step in range(STEPS):
         for number, simulation in enumerate(simulations):
             simulation.run(BEGIN_S + step * STEP_S)
@@ -69,18 +69,22 @@
 
 
 @pytest.mark.parametrize("own_divisor", [False, True], ids=["the fleet's divisor", "the service's own"])
-@pytest.mark.parametrize("cold", ["all", "one"])
-def test_softswitches_that_bring_a_set_into_scope_at_once_overload_no_warming_server(own_divisor, cold):
-    """30 softswitches ask for a service in the same instant, each knowing nothing, while one or all of its
-    servers have just started. What they send to a warming one in any overload window stays within the budget.
-    With a divisor of 1 the same calls break it, so that the run shows something.
+@pytest.mark.parametrize("cold_servers", ["all", "one"])
+def test_softswitches_that_bring_a_set_into_scope_at_once_overload_no_warming_server(
+    own_divisor, cold_servers
+):
+    """Guards against overload of warming servers when 30 softswitches bring a set into scope at once.
+
+    No softswitch has state of the servers, and one or all servers have just started. The set-ups that a
+    warming server gets in any overload window must stay within the budget. With a divisor of 1 the same calls
+    exceed it, which shows that the load is sufficient.
     """
     window_s = SAFETY.overload_window_s
     budget = SAFETY.overload_multiple * SAFETY.initial_capacity_fraction * WARM_RATE * window_s
-    warming = (1,) if cold == "one" else SERVERS
-    found = {}
-    for divisor in (SHARING, 1):
-        times = setups_by_server(simulations_of_fleet(divisor, own_divisor, cold))
-        found[divisor] = max(most_in_a_window(times[server], window_s) for server in warming)
-        assert sum(map(len, times.values())) > 8, "nothing was sent at all"
-    assert 0 < found[SHARING] <= budget < found[1], (found, budget)
+    warming = (1,) if cold_servers == "one" else SERVERS
+    max_setups = {}
+    for divisor in (SOFTSWITCHES, 1):
+        times = setups_by_server(simulations_of_fleet(divisor, own_divisor, cold_servers))
+        max_setups[divisor] = max(max_window_count(times[server], window_s) for server in warming)
+        assert sum(map(len, times.values())) > 8, "hardly any set-up was sent"
+    assert 0 < max_setups[SOFTSWITCHES] <= budget < max_setups[1], (max_setups, budget)
--- a/tests/test_scoped_controller.py
+++ b/tests/test_scoped_controller.py
@@ -1,4 +1,4 @@
-"""Decisions kept apart by sets of servers: the same as one controller where there is one set."""
+"""Tests of the scoped controller: a controller for each set, equal to a plain one if there is one set."""
 
 from __future__ import annotations
 
@@ -30,14 +30,17 @@
 from .support.scope_simulation import ScopeSimulation, call_class, endpoint, scoped_controller, settings_with
 
 
-def test_classes_fall_into_sets_by_the_servers_they_share():
-    """No set is too small, so that its decisions would not see a server's other calls."""
+def test_classes_are_grouped_into_sets_by_shared_servers():
+    """Guards against a set that is too small: its decisions would miss other calls to its servers."""
     a, b, c, d = call_class("a", 1, 2), call_class("b", 3), call_class("c", 2, 4), call_class("d", 4, 3)
     assert [each.numbers for each in server_sets(settings_with(a, b, c), ())] == [{1, 2, 4}, {3}]
     assert [each.numbers for each in server_sets(settings_with(a, b, c, d), ())] == [{1, 2, 3, 4}]
     assert [each.numbers for each in server_sets(settings_with(a, b, call_class("any")), ())] == [None]
-    nowhere = CallClass("none", allowed_servers=())
-    assert [each.numbers for each in server_sets(settings_with(a, nowhere), ())] == [{1, 2}, set()]
+    class_without_servers = CallClass("none", allowed_servers=())
+    assert [each.numbers for each in server_sets(settings_with(a, class_without_servers), ())] == [
+        {1, 2},
+        set(),
+    ]
     sets = server_sets(
         settings_with(a, b, instance_count=50, instance_index=7),
         (ServiceConfig(("a",), 5, 2), ServiceConfig(("b",), always_in_scope=True)),
@@ -47,7 +50,9 @@
     mixed = server_sets(
         settings_with(a, c, instance_count=50, instance_index=7), (ServiceConfig(("a",), 5, 2),)
     )
-    assert [(each.instance_count, each.instance_index) for each in mixed] == [(50, 7)], "a figure was guessed"
+    assert [(each.instance_count, each.instance_index) for each in mixed] == [
+        (50, 7)
+    ], "the instance count was guessed from one service"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -60,8 +65,10 @@
     ids=["shared servers", "any server"],
 )
 def test_with_one_set_the_same_seeds_give_the_same_actions(seed, classes):
-    """Where there is one set the decisions are those of the plain controller, action for action, through a
-    server that starts, a drain, one that goes, other settings, an unknown class and a call in transit.
+    """Guards against decisions that differ from those of the plain controller while there is only one set.
+
+    All actions are compared, with a server that starts, one that drains, one that is removed, new settings,
+    an unknown class and a call in transit.
     """
     before = settings_with(*classes, instance_count=20, instance_index=3)
     after = replace(
@@ -74,10 +81,10 @@
         scoped_controller(before, seed, services=services),
     ):
         simulation = ScopeSimulation(decisions, seed)
-        simulation.update_endpoints(*(endpoint(n) for n in range(3)), endpoint(3, up_since=998.0))
+        simulation.update_endpoints(*(endpoint(n) for n in range(3)), endpoint(3, started_at=998.0))
         simulation.offer_at_random(8, 25, classes)
         simulation.update_endpoints(
-            endpoint(0, availability=Availability.DRAINING), endpoint(2, up_since=1007.5), complete=False
+            endpoint(0, availability=Availability.DRAINING), endpoint(2, started_at=1007.5), complete=False
         )
         simulation.offer(None)
         simulation.answers[simulation.calls] = 1  # failed at once
@@ -100,8 +107,8 @@
     assert kinds["SetTimer"], kinds
 
 
-def test_a_set_comes_with_its_first_call_and_knows_its_own_servers_alone():
-    """A call does not cost what the whole list costs, and no connection is opened to each listed server."""
+def test_a_set_enters_with_its_first_call_and_holds_only_its_own_servers():
+    """Guards against calls whose cost grows with the whole list, and connections to all listed servers."""
     a, b, changes = call_class("a", *range(10)), call_class("b", *range(10, 20)), []
     decisions = scoped_controller(settings_with(a, b), changes=changes)
     simulation = ScopeSimulation(decisions)
@@ -122,8 +129,9 @@
 
 
 def test_each_set_has_a_timer_of_its_own():
-    """Calls of one set do not wait while another's timer runs. There is no server here, so that all calls are
-    pending until their time is up, and answered then.
+    """Guards against calls of one set that wait for the timer of another set.
+
+    There are no servers, so all calls are pending until they are answered at their timeout.
     """
     kinds = [call_class(str(n), n) for n in range(5)]
     simulation = ScopeSimulation(scoped_controller(settings_with(*kinds)))
@@ -135,9 +143,10 @@
     assert all(isinstance(a, RejectCall) for _, a in simulation.actions if not isinstance(a, SetTimer))
 
 
-def test_a_set_leaves_when_unused_and_comes_back_as_after_a_restart():
-    """Connections are not kept for ever, no set leaves with a call unanswered, and one that comes back does
-    not take a server that has just started for warm.
+def test_an_idle_set_leaves_and_returns_as_after_a_restart():
+    """Guards against connections that are never closed, and a set that leaves with an unanswered call.
+
+    A set that returns must also not take a server that has just started for a warm one.
     """
     a, b, changes = call_class("a", 1), call_class("b", 2), []
     services = [ServiceConfig(("b",), always_in_scope=True)]
@@ -147,41 +156,41 @@
     assert decisions.in_scope(2)
     assert not changes
     call = simulation.offer(a, caller_timeout_s=30.0)
-    simulation.due = [
-        each for each in simulation.due if not isinstance(each[2], CallEstablished | AttemptEnded)
+    simulation.scheduled = [
+        each for each in simulation.scheduled if not isinstance(each[2], CallEstablished | AttemptEnded)
     ]
     simulation.run(simulation.now + 30.0 + ANSWER_OVERDUE_S)
-    assert decisions.in_scope(1), "it left with a call that had no answer"
+    assert decisions.in_scope(1), "the set left with an unanswered call"
     simulation.handle(CallAbandoned(call))
     simulation.answers[call] = 1
     simulation.run(simulation.now + 10.5)
     assert not decisions.in_scope(1)
     assert decisions.in_scope(2)
     assert not decisions.owners
-    assert [came for _, _, came in changes] == [True, False]
-    simulation.update_endpoints(endpoint(1, up_since=simulation.now - 1), complete=False)
+    assert [entered for _, _, entered in changes] == [True, False]
+    simulation.update_endpoints(endpoint(1, started_at=simulation.now - 1), complete=False)
     simulation.offer(a, 1)
-    seen, new = decisions.endpoints[1], scoped_controller(settings_with(a, b))
-    anew = ScopeSimulation(new)
-    anew.now = simulation.now
-    anew.update_endpoints(endpoint(1, up_since=simulation.now - 1))
-    anew.offer(a, 1)
-    pace = decisions.slow_start_slots(simulation.now, seen)
-    assert decisions.is_warming_up(simulation.now, seen)
-    assert 0 < pace == new.slow_start_slots(simulation.now, new.endpoints[1])
+    returned_endpoint, new_controller = decisions.endpoints[1], scoped_controller(settings_with(a, b))
+    new_simulation = ScopeSimulation(new_controller)
+    new_simulation.now = simulation.now
+    new_simulation.update_endpoints(endpoint(1, started_at=simulation.now - 1))
+    new_simulation.offer(a, 1)
+    slots = decisions.slow_start_slots(simulation.now, returned_endpoint)
+    assert decisions.is_warming_up(simulation.now, returned_endpoint)
+    assert 0 < slots == new_controller.slow_start_slots(simulation.now, new_controller.endpoints[1])
     own_timers = {each.timer_id for each in decisions.sets.by_numbers.values()}
     assert decisions.timers.by_id.keys() <= own_timers | {IDLE_TIMER_ID}
     simulation.finish()
 
 
 def test_the_end_of_a_call_that_outlived_its_set_changes_nothing():
-    """A long call may end after its set has left."""
+    """Guards against state from the end of a long call whose set has left."""
     a, b = call_class("a", 1), call_class("b", 2)
     decisions = scoped_controller(settings_with(a, b), idle_s=4.0)
     simulation = ScopeSimulation(decisions)
     simulation.update_endpoints(endpoint(1), endpoint(2))
     call = simulation.offer(a)
-    simulation.due = [each for each in simulation.due if not isinstance(each[2], AttemptEnded)]
+    simulation.scheduled = [each for each in simulation.scheduled if not isinstance(each[2], AttemptEnded)]
     simulation.run(simulation.now + 10)
     assert simulation.answers[call] == 1
     assert not decisions.sets.by_numbers
@@ -193,9 +202,11 @@
         decisions.endpoints[1]
 
 
-def test_a_server_that_moves_between_sets_takes_along_what_is_known_of_it():
-    """Where a server changes its number while a set-up is out, the call has its answer in the one set, the
-    server is learnt of in the other, and neither holds it as pending.
+def test_a_server_that_moves_between_sets_keeps_its_learned_state():
+    """Guards against a lost answer or a set-up that stays pending when a server changes its number.
+
+    The old set answers the call, the new set updates the server's state, and neither keeps the set-up as
+    pending.
     """
     a, b = call_class("a", 1, 2), call_class("b", 3)
     decisions = scoped_controller(settings_with(a, b))
@@ -204,35 +215,37 @@
     simulation.offer(b, 3)
     call = simulation.offer(a, 1)
     assert simulation.sent[-1][1:] == (call, 1)
-    seen = decisions.endpoints[1]
+    moved_endpoint = decisions.endpoints[1]
     simulation.update_endpoints(endpoint(1, 3), complete=False)
-    assert decisions.endpoints[1] is seen
-    assert seen.number == 3
-    assert call in seen.pending_setups
+    assert decisions.endpoints[1] is moved_endpoint
+    assert moved_endpoint.number == 3
+    assert call in moved_endpoint.pending_setups
     simulation.run(simulation.now + 3)
-    assert not seen.pending_setups
+    assert not moved_endpoint.pending_setups
     assert simulation.answers[call] == 1
-    assert seen.measured_at > -1e9
+    assert moved_endpoint.measured_at > -1e9
     before = len(simulation.sent)
     simulation.offer_at_random(4, 10, [a])
-    assert {server for _, _, server in simulation.sent[before:]} == {2}, "a's set has lost it"
+    assert {server for _, _, server in simulation.sent[before:]} == {
+        2
+    }, "the set of class a uses a server that moved"
     before = len(simulation.sent)
     simulation.offer_at_random(4, 10, [b])
     assert {server for _, call, server in simulation.sent[before:] if simulation.classes[call] is b} == {1, 3}
-    simulation.update_endpoints(endpoint(1, 77), complete=False)  # a number of no class
+    simulation.update_endpoints(endpoint(1, 77), complete=False)  # no class has this number
     assert 1 not in decisions.endpoints
     simulation.finish()
 
 
 @pytest.mark.parametrize("complete", [True, False], ids=["complete list", "changes"])
 def test_all_servers_of_a_set_may_be_replaced(complete):
-    """No set-up goes to a server that is gone, and no record stays of one that is not listed again."""
+    """Guards against set-ups to removed servers, and against records of servers no longer listed."""
     a, b = call_class("a", 0, 1), call_class("b", 2)
     decisions = scoped_controller(settings_with(a, b))
     simulation = ScopeSimulation(decisions)
     simulation.update_endpoints(endpoint(1, 0), endpoint(2, 1), endpoint(3, 2))
     simulation.offer_at_random(4, 20, [a, b])
-    fresh = [endpoint(11, 0, up_since=simulation.now), endpoint(12, 1, up_since=simulation.now)]
+    fresh = [endpoint(11, 0, started_at=simulation.now), endpoint(12, 1, started_at=simulation.now)]
     gone = [endpoint(1, 0, Availability.GONE), endpoint(2, 1, Availability.GONE)]
     simulation.update_endpoints(*fresh, *([endpoint(3, 2)] if complete else gone), complete=complete)
     before = len(simulation.sent)
@@ -247,8 +260,8 @@
     simulation.finish()
 
 
-def test_a_drain_holds_for_the_set_that_has_the_server_and_for_one_that_comes_later():
-    """A set that comes into scope after a drain was notified does not send there."""
+def test_a_drain_applies_to_sets_in_scope_and_to_sets_that_enter_later():
+    """Guards against set-ups to a draining server from a set that enters the scope after the drain began."""
     a, b = call_class("a", 1, 2), call_class("b", 3, 4)
     simulation = ScopeSimulation(scoped_controller(settings_with(a, b)))
     simulation.update_endpoints(*(endpoint(n) for n in range(1, 5)))
@@ -264,8 +277,8 @@
     simulation.finish()
 
 
-def test_events_of_unknown_classes_calls_and_servers_disturb_no_call():
-    """No odd event disturbs other calls, or leaves one without its answer."""
+def test_events_of_unknown_classes_calls_and_servers_affect_no_other_call():
+    """Guards against unexpected events that affect other calls or leave a call without an answer."""
     a, b = call_class("a", 1), call_class("b", 2)
     decisions = scoped_controller(settings_with(a, b))
     simulation = ScopeSimulation(decisions)
@@ -273,13 +286,13 @@
     call = simulation.offer(None)
     assert simulation.answers[call] == 1
     assert not decisions.sets.by_numbers
-    through = simulation.offer(a, 9, in_transit=True)
+    transit_call = simulation.offer(a, 9, in_transit=True)
     assert simulation.sent[-1][1:] == (
-        through,
+        transit_call,
         9,
-    ), "in transit to a server that its class may not use"
-    elsewhere = simulation.offer(a, 77, in_transit=True)
-    simulation.offer(call_class("a", 5, 6))  # a class as it was
+    ), "a call in transit was not sent to its server, which its class may not use"
+    unroutable_call = simulation.offer(a, 77, in_transit=True)
+    simulation.offer(call_class("a", 5, 6))  # a class from before a reload
     for event in (
         CallEstablished(99, 98, 1.0),
         AttemptEnded(99, 98, AttemptOutcome.COMPLETED, True, LoadReport()), CallAbandoned(99),
@@ -289,5 +302,5 @@
         simulation.handle(event)
     simulation.finish()
     assert isinstance(
-        next(a for _, a in simulation.actions if getattr(a, "call_id", 0) == elsewhere), RejectCall
+        next(a for _, a in simulation.actions if getattr(a, "call_id", 0) == unroutable_call), RejectCall
     )
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The codec, byte by byte, and the adapter as a process."""
+"""Tests of the simulator's codec, byte by byte, and of the adapter as a process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stairhatch.simulator import codec, records
 from stairhatch.simulator.adapter import SimulatorAdapter
 
-BOOT = {
+SETTINGS = {
     "balancers": 4,
     "me": 1,
     "period_s": 0.005,
@@ -39,7 +39,7 @@
     },
     "a_new_key": [],
 }  # fmt: skip
-DAY = [
+EVENTS = [
     records.InventoryRecord(
         0,
         (
@@ -47,17 +47,17 @@
             records.InventoryEntry(7, 1, 0, 0, 1.0, 0.0, 0),
         ),
     ),
-    records.InstanceStartedRecord(3, 99, json.dumps(BOOT).encode()),
+    records.InstanceStartedRecord(3, 99, json.dumps(SETTINGS).encode()),
     records.EndpointsUpdatedRecord(3, 2, 41, 0),
     records.CallOfferedRecord(3, 5, 0, 0, 0.0, -1.0, 0.0, 0, 3.0, 1.0, 0),
 ]
 
 
-def hexed(text):
+def bytes_of_hex(text):
     return bytes.fromhex(text.replace(" ", "").replace("\n", ""))
 
 
-PRINTED = {
+EXAMPLE_EVENTS = {
     "12 03000000 c4913a5d4bc60100 0000 0100 00006442 00008043 fa7e6abc7493883f 00000000 b81e85eb51b8ce3f"
     " 00009644 640ad2557c3bf091": records.CallOfferedRecord,
     "16 03000000 4d000000": records.TimerExpiredRecord,
@@ -70,22 +70,22 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("text", PRINTED)
-def test_printed_events_go_both_ways(text):
-    body = hexed(text)
+@pytest.mark.parametrize("text", EXAMPLE_EVENTS)
+def test_example_events_are_decoded_and_encoded_unchanged(text):
+    body = bytes_of_hex(text)
     frame = codec.BATCH_HEADER.pack(12, len(body), 76.5, 1) + body
     batch = codec.read_batch(io.BytesIO(frame).read)
-    assert isinstance(batch.records[0], PRINTED[text])
+    assert isinstance(batch.records[0], EXAMPLE_EVENTS[text])
     assert codec.encode_batch(batch) == frame
 
 
-def test_printed_values():
-    body = hexed(list(PRINTED)[3])
+def test_an_example_event_is_decoded_to_its_values():
+    body = bytes_of_hex(list(EXAMPLE_EVENTS)[3])
     frame = codec.BATCH_HEADER.pack(1, len(body), 0.0, 1) + body
-    outcome = codec.read_batch(io.BytesIO(frame).read).records[0]
-    assert (outcome.instance_id, outcome.answered) == (3, 1)
-    assert (outcome.server_id, outcome.outcome) == (0x03124A07, 10)
-    assert outcome.load_report == pytest.approx((0.4, 1.25, 14.5))
+    attempt_ended = codec.read_batch(io.BytesIO(frame).read).records[0]
+    assert (attempt_ended.instance_id, attempt_ended.answered) == (3, 1)
+    assert (attempt_ended.server_id, attempt_ended.outcome) == (0x03124A07, 10)
+    assert attempt_ended.load_report == pytest.approx((0.4, 1.25, 14.5))
 
 
 @pytest.mark.parametrize(
@@ -102,15 +102,15 @@
         ),
     ],
 )
-def test_printed_actions_go_both_ways(action, text):
-    assert action.encode().startswith(hexed(text))
+def test_example_actions_are_encoded_and_decoded_unchanged(action, text):
+    assert action.encode().startswith(bytes_of_hex(text))
     reply = codec.ActionReply(12, [action])
     assert codec.read_reply(io.BytesIO(codec.encode_reply(reply)).read) == reply
 
 
-def test_every_record_goes_both_ways():
+def test_every_record_is_encoded_and_decoded_unchanged():
     events = [
-        *DAY,
+        *EVENTS,
         records.CallEstablishedRecord(3, 5, 0, 7, 0.1),
         records.LoadReportedRecord(3, 10, 0.0, 7, (1.0, 2.0)),
         records.PeerMessageRecord(3, 1, b"hi"),
@@ -118,17 +118,17 @@
     ]
     batch = codec.EventBatch(9, 1.5, events)
     assert codec.read_batch(io.BytesIO(codec.encode_batch(batch)).read) == batch
-    acts = [
+    actions = [
         records.FailCallRecord(3, 5),
         records.RejectCallRecord(3, 5, 0.5),
         records.ControllerFailedRecord(3, b"x"),
     ]
-    reply = codec.ActionReply(9, acts)
+    reply = codec.ActionReply(9, actions)
     assert codec.read_reply(io.BytesIO(codec.encode_reply(reply)).read) == reply
 
 
 def test_settings_are_translated_and_unknown_keys_ignored():
-    parsed = parse_settings_json(json.dumps(BOOT).encode())
+    parsed = parse_settings_json(json.dumps(SETTINGS).encode())
     settings = parsed.settings
     assert settings.instance_count == 4
     assert settings.max_attempts == 5
@@ -138,18 +138,18 @@
     assert parsed.load_report_names[2] == "mean_ms"
 
 
-def test_adapter_sends_and_restarts_from_nothing():
+def test_the_adapter_sends_set_ups_and_restarts_an_instance_without_state():
     adapter = SimulatorAdapter()
-    reply = adapter.answer(codec.EventBatch(1, 10.0, list(DAY)))
+    reply = adapter.answer(codec.EventBatch(1, 10.0, list(EVENTS)))
     assert [type(r) for r in reply.records][:1] == [records.SendSetupRecord]
-    again = [records.InstanceStoppedRecord(3), *DAY[1:3]]
-    adapter.answer(codec.EventBatch(2, 10.1, again))
+    restart_events = [records.InstanceStoppedRecord(3), *EVENTS[1:3]]
+    adapter.answer(codec.EventBatch(2, 10.1, restart_events))
     assert not adapter.instances[3].controller.calls
 
 
-def test_reports_with_holes_count_as_missing():
+def test_invalid_and_absent_values_of_a_load_report_count_as_missing():
     adapter = SimulatorAdapter()
-    adapter.answer(codec.EventBatch(1, 10.0, list(DAY)))
+    adapter.answer(codec.EventBatch(1, 10.0, list(EVENTS)))
     instance = adapter.instances[3]
     assert instance.load_report((5.0, 9.0, -1.0)) == LoadReport(free_lines=5.0, total_lines=9.0)
     assert instance.load_report((float("nan"), 9.0, 250.0, 1.0)) == LoadReport(
@@ -158,14 +158,14 @@
     assert instance.load_report(()) == LoadReport()
 
 
-def test_an_exception_in_the_decisions_is_reported_as_such(monkeypatch):
+def test_an_exception_in_the_controller_is_reported_as_a_record(monkeypatch):
     adapter = SimulatorAdapter()
-    adapter.answer(codec.EventBatch(1, 10.0, list(DAY)))
+    adapter.answer(codec.EventBatch(1, 10.0, list(EVENTS)))
 
-    def broken(_now, _event):
+    def raise_error(_now, _event):
         raise RuntimeError("out of order")
 
-    monkeypatch.setattr(adapter.instances[3].controller, "handle", broken)
+    monkeypatch.setattr(adapter.instances[3].controller, "handle", raise_error)
     reply = adapter.answer(codec.EventBatch(2, 10.1, [records.TimerExpiredRecord(3, 1)]))
     assert reply.records == [records.ControllerFailedRecord(3, b"RuntimeError: out of order")]
 
@@ -175,45 +175,46 @@
     return subprocess.run(command, input=data, capture_output=True, check=False)
 
 
-def test_process_answers_and_ends_cleanly():
-    done = run_adapter(
-        codec.encode_batch(codec.EventBatch(1, 10.0, [])) + codec.encode_batch(codec.EventBatch(2, 10.0, DAY))
+def test_the_process_answers_all_batches_and_exits_with_code_0():
+    result = run_adapter(
+        codec.encode_batch(codec.EventBatch(1, 10.0, []))
+        + codec.encode_batch(codec.EventBatch(2, 10.0, EVENTS))
     )
-    assert done.returncode == 0
-    assert not done.stderr
-    read = io.BytesIO(done.stdout).read
+    assert result.returncode == 0
+    assert not result.stderr
+    read = io.BytesIO(result.stdout).read
     assert codec.read_reply(read) == codec.ActionReply(1, [])
     assert codec.read_reply(read).records[0].server_id == 302190087
     assert run_adapter(b"").returncode == 0
 
 
-def framed(record):
+def batch_of(record):
     return codec.encode_batch(codec.EventBatch(7, 0.0, [record]))
 
 
-FULL = codec.encode_batch(codec.EventBatch(7, 10.0, list(DAY)))
+VALID_BATCH = codec.encode_batch(codec.EventBatch(7, 10.0, list(EVENTS)))
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "expected_error"),
     [
-        (FULL[:10], "batch header"),
-        (FULL[:-3], "body of batch 7"),
+        (VALID_BATCH[:10], "batch header"),
+        (VALID_BATCH[:-3], "body of batch 7"),
         (codec.BATCH_HEADER.pack(7, 1, 0.0, 1) + b"\xff", "unknown code 255"),
         (codec.BATCH_HEADER.pack(7, 9, 0.0, 1) + b"\x1a\0\0\0\0\xff\0\0\0", "overruns"),
         (codec.BATCH_HEADER.pack(7, 3, 0.0, 1) + b"\x16\0\0", "TimerExpiredRecord"),
         (codec.BATCH_HEADER.pack(7, 1, 0.0, 0) + b"\0", "left over"),
-        (framed(records.InstanceStartedRecord(1, 1, b"{oops")), "boot_info"),
-        (framed(records.InstanceStartedRecord(1, 1, b'{"classes": 3}')), "boot_info"),
-        (framed(records.InstanceStartedRecord(1, 1, b'{"classes":[],"balancers":0}')), "balancers"),
-        (framed(records.TimerExpiredRecord(1, 1)), "not started"),
+        (batch_of(records.InstanceStartedRecord(1, 1, b"{oops")), "boot_info"),
+        (batch_of(records.InstanceStartedRecord(1, 1, b'{"classes": 3}')), "boot_info"),
+        (batch_of(records.InstanceStartedRecord(1, 1, b'{"classes":[],"balancers":0}')), "balancers"),
+        (batch_of(records.TimerExpiredRecord(1, 1)), "not started"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(data, says):
-    done = run_adapter(data)
-    assert done.returncode == 2
-    text = done.stderr.decode()
+def test_malformed_input_ends_the_process_with_a_one_line_error(data, expected_error):
+    result = run_adapter(data)
+    assert result.returncode == 2
+    text = result.stderr.decode()
     assert text.count("\n") == 1
-    assert says in text
+    assert expected_error in text
     assert "Traceback" not in text
-    assert not done.stdout
+    assert not result.stdout
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -1,4 +1,4 @@
-"""How settings are read: each key is taken as it is given, or refused by its name."""
+"""Tests of the parsing of settings: each key is used as given or rejected with its path."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from .support.scripted_coordinator import endpoint_entry
 from .support.site_settings import KINDS, MADE_UP, ROSTER, TENDERS
 
-GONE = object()
+REMOVED = object()
 
 
 def platform_file(told: Any, **more: Any) -> dict[str, Any]:
-    """The platform's file with these settings."""
+    """Return the content of the platform's configuration file with these settings."""
     return {
         "name": "n3", "listen": f"127.0.0.1:{free_port()}", "seed": "8c1f", "coordinator": "127.0.0.1:9",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -41,7 +41,7 @@
 
 
 def value_paths(raw: Any, shape: Any = SETTINGS_SCHEMA, at: tuple = ()) -> Iterator[tuple[tuple, Any]]:
-    """The path of each value of the settings that is read, with the shape it must have."""
+    """Yield the path and the required shape of each value of the settings that is used."""
     if isinstance(shape, ObjectShape):
         for key, inner in shape.keys.items():
             yield (*at, key), inner
@@ -53,12 +53,12 @@
 
 
 def with_value(raw: Any, at: tuple, value: Any) -> Any:
-    """A copy with one value changed, or taken out."""
+    """Return a copy with the value at a path replaced, or removed if `value` is REMOVED."""
     changed = json.loads(json.dumps(raw))
     part = changed
     for step in at[:-1]:
         part = part[step]
-    if value is GONE:
+    if value is REMOVED:
         del part[at[-1]]
     else:
         part[at[-1]] = value
@@ -66,37 +66,37 @@
 
 
 def path_text(at: tuple) -> str:
-    """A path as complaints have it."""
+    """Return a path as error messages show it."""
     return "".join(f"[{step}]" if isinstance(step, int) else f".{step}" for step in ("settings", *at))[1:]
 
 
 def unfit_values(shape: Any) -> list[Any]:
-    """Values that may not stand where a shape is expected."""
-    wrong = [
+    """Return values that a shape does not allow."""
+    invalid = [
         None,
         {} if not isinstance(shape, ObjectShape) else [],
         [] if not isinstance(shape, ListShape) else "depth",
     ]
     match shape:
-        case NumberShape(least, most, above):
-            wrong += [True, "3", float("nan"), float("inf"), 10**400, least - 1, most * 2 + 1]
-            wrong += [least] if above else []
-            wrong += [7.5] if shape.integer else []
+        case NumberShape(minimum, maximum, exclusive):
+            invalid += [True, "3", float("nan"), float("inf"), 10**400, minimum - 1, maximum * 2 + 1]
+            invalid += [minimum] if exclusive else []
+            invalid += [7.5] if shape.integer else []
         case BooleanShape():
-            wrong += [0, 1, "no", "true"]
+            invalid += [0, 1, "no", "true"]
         case TextShape():
-            wrong += ["", 3, True]
-    return wrong
+            invalid += ["", 3, True]
+    return invalid
 
 
 class ConfigurationReader:
-    """Reads a configuration as the platform's program does."""
+    """Reader of a configuration file that fails unless the platform's program rejects the file."""
 
     def __init__(self, folder) -> None:
         self.path = folder / "config.json"
 
-    def refuses(self, raw: Any) -> str:
-        """What is wrong with it, in one line."""
+    def error_for(self, raw: Any) -> str:
+        """Read a configuration that must be rejected; return the one-line error without the file's path."""
         self.path.write_text(json.dumps(raw))
         with pytest.raises(ConfigError) as error:
             read_platform({"RELAY_CONFIG": str(self.path)})
@@ -108,9 +108,10 @@
 
 
 @KINDS
-def test_a_missing_setting_is_named_and_no_default_takes_its_place(tmp_path, told):
-    """No other site's figure holds in the place of one that was left out, such as a retry pause, a most
-    attempts, the servers of a class, or whether it may be retried.
+def test_a_missing_setting_is_rejected_and_not_replaced_by_a_default(tmp_path, told):
+    """Guards against another site's value in place of a missing one.
+
+    Examples: the retry pause, the maximum of attempts, the servers of a class, whether it is idempotent.
     """
     reader, keys = (
         ConfigurationReader(tmp_path),
@@ -118,66 +119,68 @@
     )
     assert len(keys) == 27 + 6 * len(told["classes"])
     for at in keys:
-        assert reader.refuses(platform_file(with_value(told, at, GONE))) == f"{path_text(at)}: is missing"
+        assert (
+            reader.error_for(platform_file(with_value(told, at, REMOVED))) == f"{path_text(at)}: is missing"
+        )
         with pytest.raises(SettingsError) as error:
-            parse_settings_json(json.dumps(with_value(told, at, GONE)))
+            parse_settings_json(json.dumps(with_value(told, at, REMOVED)))
         assert str(error.value) == f"{path_text(at)}: is missing".replace("settings", "boot_info", 1)
 
 
 @KINDS
-def test_a_setting_of_the_wrong_type_or_size_is_named(tmp_path, told):
-    """Text such as "no" does not count as yes, a server's number is no text, a class has a name that callers
-    can give, and a number that no float holds leads to no traceback.
+def test_a_setting_of_the_wrong_type_or_size_is_rejected(tmp_path, told):
+    """Guards against text such as "no" read as true, a server number that is text, a class without a usable
+    name, and a traceback for a number that is too large for a float.
     """
-    reader, tried = ConfigurationReader(tmp_path), 0
+    reader, value_count = ConfigurationReader(tmp_path), 0
     for at, shape in value_paths(told):
         for value in unfit_values(shape):
-            text = reader.refuses(platform_file(with_value(told, at, value)))
+            text = reader.error_for(platform_file(with_value(told, at, value)))
             assert text.startswith(f"{path_text(at)}: must be "), (at, value, text)
-            tried += 1
-    assert tried > 200
+            value_count += 1
+    assert value_count > 200
 
 
 @KINDS
-def test_settings_that_contradict_each_other_are_refused(tmp_path, told):
-    """No class is given another's servers or call length, and no instance an index that none has."""
+def test_contradictory_settings_are_rejected(tmp_path, told):
+    """Guards against a class with another's servers or call duration, and an index beyond the instances."""
     reader = ConfigurationReader(tmp_path)
     for key in ("allowed_pools", "call_length_s"):
-        lines = told["family_info"][key]
-        for wrong in (lines[:-1], [*lines, lines[0]]):
-            text = reader.refuses(platform_file(with_value(told, ("family_info", key), wrong)))
+        entries = told["family_info"][key]
+        for invalid in (entries[:-1], [*entries, entries[0]]):
+            text = reader.error_for(platform_file(with_value(told, ("family_info", key), invalid)))
             assert text.startswith(f"settings.family_info.{key}: must have an entry for each of")
-    text = reader.refuses(platform_file(with_value(told, ("me",), told["balancers"])))
+    text = reader.error_for(platform_file(with_value(told, ("me",), told["balancers"])))
     assert text.startswith("settings.me: must be below balancers")
-    text = reader.refuses(platform_file(with_value(told, ("classes",), [])))
+    text = reader.error_for(platform_file(with_value(told, ("classes",), [])))
     assert text.startswith("settings.classes: the list is empty") or "an entry for each" in text
     twice = [told["classes"][0]] * len(told["classes"])
     if len(twice) > 1:
-        assert reader.refuses(platform_file(with_value(told, ("classes",), twice))).startswith(
+        assert reader.error_for(platform_file(with_value(told, ("classes",), twice))).startswith(
             "settings.classes: two"
         )
 
 
 def assert_class_holds(call_class, told, index):
-    """A class is as its entries in the settings say."""
-    line, family = told["classes"][index], told["family_info"]
-    assert call_class.priority_weight == line["importance"]
-    assert call_class.latency_objective_s == line["aim_s"]
-    assert call_class.deadline_s == line["hard_limit_s"]
-    assert call_class.late_weight == line["late_worth"]
-    assert call_class.idempotent == (line["effect"] == "read_like")
+    """Assert that a call class has the values of its entries in the settings."""
+    entry, family = told["classes"][index], told["family_info"]
+    assert call_class.priority_weight == entry["importance"]
+    assert call_class.latency_objective_s == entry["aim_s"]
+    assert call_class.deadline_s == entry["hard_limit_s"]
+    assert call_class.late_weight == entry["late_worth"]
+    assert call_class.idempotent == (entry["effect"] == "read_like")
     assert call_class.mean_duration_s == family["call_length_s"][index]
     assert call_class.allowed_servers == tuple(family["allowed_pools"][index])
 
 
 @KINDS
-def test_settings_hold_as_they_are_given(tmp_path, told):
-    """Each setting that is read is passed on, under any site's settings."""
+def test_settings_are_used_as_given(tmp_path, told):
+    """Guards against settings that are read but not used, with the settings of each site."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platform_file(told)))
     settings = read_platform({"RELAY_CONFIG": str(path)}).settings
     family, permissions, safety = told["family_info"], told["permissions"], told["safety"]
-    assert [kind.name for kind in settings.classes] == [line["name"] for line in told["classes"]]
+    assert [kind.name for kind in settings.classes] == [entry["name"] for entry in told["classes"]]
     for index, call_class in enumerate(settings.classes):
         assert_class_holds(call_class, told, index)
     assert settings.safety == SafetyLimits(
@@ -206,52 +209,55 @@
     )
 
 
-def test_no_default_is_left_where_every_setting_is_given():
-    """A setting that is new in the program and read from no text would hold its default at every site. In the
-    made-up settings no figure is the default.
+def test_no_field_keeps_its_default_if_every_setting_is_given():
+    """Guards against a new field that no key sets, which would keep its default at every site.
+
+    No value of the made-up settings is the default.
     """
     parsed = parse_settings_json(json.dumps(MADE_UP))
     settings = parsed.settings
     assert parsed.load_report_names == ("load_share", "unheard_of")
-    seen = 0
+    field_count = 0
     for part in (settings, settings.safety, settings.classes[0]):
         for each in fields(part):
             if each.default is not MISSING:
                 assert getattr(part, each.name) != each.default, each.name
-                seen += 1
-    assert seen >= 26
+                field_count += 1
+    assert field_count >= 26
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected_error"),
     [
-        ({"limits": GONE}, "limits: is missing"),
+        ({"limits": REMOVED}, "limits: is missing"),
         ({"limits": {"sockets": 1024}}, "limits.memory_mb: is missing"),
         ({"limits": {"sockets": "many", "memory_mb": 192}}, "limits.sockets: must be a number"),
         ({"limits": {"sockets": 1024, "memory_mb": float("inf")}}, "limits.memory_mb: must be at least 1"),
         ({"name": None}, "name: must be text, not null"),
-        ({"name": GONE}, "name: is missing"),
+        ({"name": REMOVED}, "name: is missing"),
         ({"seed": None}, "seed: must be text, not null"),
-        ({"listen": GONE}, "listen: is missing"),
+        ({"listen": REMOVED}, "listen: is missing"),
         ({"listen": 5}, "listen: 5 is no address"),
-        ({"coordinator": GONE}, "coordinator: is missing"),
+        ({"coordinator": REMOVED}, "coordinator: is missing"),
         ({"console": 7}, "console: 7 is no address"),
-        ({"known": GONE}, "known: is missing"),
+        ({"known": REMOVED}, "known: is missing"),
         ({"known": []}, "known: must be an object"),
-        ({"settings": GONE}, "settings: is missing"),
+        ({"settings": REMOVED}, "settings: is missing"),
         ({"settings": [1]}, "settings: must be an object, not [1]"),
     ],
 )
-def test_every_other_key_of_the_platforms_file_is_checked_as_well(tmp_path, change, says):
-    """No limit is guessed, and no seed is the text "None"."""
-    raw = {name: value for name, value in {**platform_file(TENDERS), **change}.items() if value is not GONE}
-    assert ConfigurationReader(tmp_path).refuses(raw).startswith(says)
+def test_every_other_key_of_the_platforms_file_is_checked(tmp_path, change, expected_error):
+    """Guards against a guessed limit, and a seed that is the text "None"."""
+    raw = {
+        name: value for name, value in {**platform_file(TENDERS), **change}.items() if value is not REMOVED
+    }
+    assert ConfigurationReader(tmp_path).error_for(raw).startswith(expected_error)
 
 
-def test_a_file_that_is_no_object_or_nested_too_deep_is_refused(tmp_path):
-    """There is no traceback for a file that no editor would write."""
+def test_a_file_that_is_not_an_object_or_is_nested_too_deeply_is_rejected(tmp_path):
+    """Guards against a traceback for a file that no editor would write."""
     reader = ConfigurationReader(tmp_path)
-    assert reader.refuses([]).startswith("the file holds no JSON object")
+    assert reader.error_for([]).startswith("the file holds no JSON object")
     reader.path.write_text("[" * 200_000)
     with pytest.raises(ConfigError, match="no JSON: nested too deep"):
         read_platform({"RELAY_CONFIG": str(reader.path)})
@@ -264,24 +270,24 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "edit", "says"),
+    ("told", "edit", "expected_error"),
     [
         (ROSTER, ('"period_s": 0.005', f'"period_s": 1{"0" * 400}'), "settings.period_s: must be at least 0"),
         (TENDERS, ('"cell": 1000000000', '"cell": 1e999'), "known: "),
         (MADE_UP, ('"memory_mb": 192', '"memory_mb": 1e999'), "limits.memory_mb: must be at least 1"),
         (TENDERS, ('"clear_wait_s": 0.3, ', ""), "settings.family_info.clear_wait_s: is missing"),
     ],
-    ids=["a number no float holds", "a server's number", "memory", "a pause left out"],
+    ids=["number too large for a float", "server number", "memory", "missing pause"],
 )
 def test_an_unusable_setting_ends_the_start_with_one_line_and_exit_code_2(
-    tmp_path, started_programs, told, edit, says
+    tmp_path, started_programs, told, edit, expected_error
 ):
-    """A start ends in no traceback and exit code 1, and does not go on with another site's pause."""
-    path, whole = tmp_path / "config.json", json.dumps(platform_file(told, known=TOO_LARGE))
-    assert whole.count(edit[0]) == 1
-    path.write_text(whole.replace(*edit))
+    """Guards against a traceback and exit code 1, and against a start with another site's retry pause."""
+    path, config_text = tmp_path / "config.json", json.dumps(platform_file(told, known=TOO_LARGE))
+    assert config_text.count(edit[0]) == 1
+    path.write_text(config_text.replace(*edit))
     program = Program(tmp_path, RELAY_CONFIG=str(path))
     started_programs.append(program)
     assert program.process.wait(20) == 2
     assert program.log_text().count("\n") == 1
-    assert f"{path}: {says}" in program.log_text()
+    assert f"{path}: {expected_error}" in program.log_text()
