--- a/stairhatch/admission/feedback.py
+++ b/stairhatch/admission/feedback.py
@@ -14,7 +14,7 @@
 MAX_TRACKED_CALLERS = 4096
 COUNT_WINDOW_S = 1.0
 RATE_SMOOTHING = 0.5  # weight of a new window in the smoothed rate of a caller
-SEQUENCE_STEP = 0.001  # `oc-seq` has three decimals
+SEQUENCE_STEP = 0.001  # the last digit of `oc-seq`, which has three decimals
 
 
 class FeedbackAlgorithm(Enum):
@@ -51,10 +51,10 @@
     """State of a caller that supports overload control: its rates and its compliance."""
 
     algorithm: FeedbackAlgorithm
-    throttled_since: float  # time since when the feedback asks for less; 0: it does not
+    throttled_since: float  # time at which throttling by the feedback began; 0: not throttled
     window_started_at: float
     count: int = 0  # requests in the current window
-    rate: float = 0.0  # smoothed
+    rate: float = 0.0  # smoothed, in requests per second
     unthrottled_rate: float = 0.0  # smoothed rate before the caller was throttled
     excess_since: float = 0.0
     is_non_compliant: bool = False
--- a/stairhatch/admission/overload_detector.py
+++ b/stairhatch/admission/overload_detector.py
@@ -60,9 +60,9 @@
     level: OverloadLevel = OverloadLevel.NORMAL
     shed_fraction: float = 0.0  # fraction of new calls to shed while OVERLOADED
     rate_limit: float = 0.0  # calls per second to admit while the level is raised
-    offered_rate: float = 0.0  # smoothed
-    served_rate: float = 0.0  # smoothed
-    delay_s: float = 0.0  # smoothed
+    offered_rate: float = 0.0  # smoothed, in calls per second
+    served_rate: float = 0.0  # smoothed, in calls per second
+    delay_s: float = 0.0  # smoothed maximum delay of the steps
     raised_at: float = 0.0
     level_changes: int = 0
     _observed_at: float = LONG_AGO_S
--- a/stairhatch/admission/rate_limits.py
+++ b/stairhatch/admission/rate_limits.py
@@ -25,9 +25,9 @@
     network_burst: float = 400.0
     ipv4_network_bits: int = 24
     ipv6_network_bits: int = 64
-    max_buckets: int = 4096  # per table; beyond it the least recently used bucket is dropped
+    max_buckets: int = 4096  # beyond these, the least recently used bucket is dropped and starts anew
     sole_source_s: float = 5.0  # a source is not limited if no other has called for this long
-    initial_fill: float = 0.25  # of the burst, once a table is half full: a forged address gains less
+    initial_fill: float = 0.25  # of a new bucket, once the table is half full: forged addresses gain less
 
 
 @dataclass(eq=False, slots=True)
@@ -81,14 +81,12 @@
     policy: RateLimitPolicy = field(default_factory=RateLimitPolicy)
     sources: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
     networks: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
-    _network_names: OrderedDict[str, str] = field(
-        default_factory=OrderedDict
-    )  # source -> name of its network
+    _network_names: OrderedDict[str, str] = field(default_factory=OrderedDict)  # by source
 
     def take(self, source: str, now: float, overloaded: bool) -> float:
         """Count a new call of a source; return the seconds until it may be sent, 0.0 if it is admitted now.
 
-        Limits are enforced only if `overloaded` is set and other sources have called lately.
+        The limits are enforced only if `overloaded` is set and another source called within `sole_source_s`.
         """
         source_bucket = self._source_bucket(source, now)
         network_bucket = self._network_bucket(source, now)
@@ -142,7 +140,7 @@
         return name
 
     def _is_sole_source(self, source: str, now: float) -> bool:
-        """Return whether no other source has called lately, as at a site behind one proxy."""
+        """Return whether no other source called within `sole_source_s`, as at a site behind one proxy."""
         latest_other = next(
             (bucket for name, bucket in reversed(self.sources.items()) if name != source), None
         )
--- a/stairhatch/scope/config.py
+++ b/stairhatch/scope/config.py
@@ -12,7 +12,7 @@
     """The configuration of one service, a group of call classes: an entry of `[[scope.services]]`."""
 
     classes: tuple[str, ...]
-    instance_count: int | None = None  # softswitches that ever get such calls; None: the whole fleet
+    instance_count: int | None = None  # softswitches that ever get these calls; None: the whole fleet
     instance_index: int = UNKNOWN_INSTANCE  # index of this softswitch among those
     always_in_scope: bool = False
 
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -241,8 +241,8 @@
         self.timers.hand_over(replaced_sets, self.sets.by_numbers.values())
         self.owners = {call: each for call, each in self.owners.items() if each not in replaced_sets}
         self.sets.update_some_may_leave()
-        kept = set(before.values())
-        for scoped_set in [each for each in self.sets.by_numbers.values() if each not in kept]:
+        kept_sets = set(before.values())
+        for scoped_set in [each for each in self.sets.by_numbers.values() if each not in kept_sets]:
             self._notify_scope_changed(scoped_set, entered=True)
         for scoped_set in replaced_sets:
             self._notify_scope_changed(scoped_set, entered=False)
@@ -288,8 +288,8 @@
             recently_used = self._now - used_at < self.config.idle_s
             is_successor = any(server_set.shares_servers_with(old.server_set) for old in replaced_sets)
             returns = recently_used and (is_successor or server_set.numbers is None)
-            wanted = server_set.always_in_scope or returns
-            if wanted and server_set.numbers not in self.sets.by_numbers:
+            should_enter = server_set.always_in_scope or returns
+            if should_enter and server_set.numbers not in self.sets.by_numbers:
                 self._enter_successor(server_set, replaced_sets)
 
     def _enter_successor(self, server_set: ServerSet, replaced_sets: list[ScopedSet]) -> ScopedSet:
--- a/stairhatch/scope/scoped_set.py
+++ b/stairhatch/scope/scoped_set.py
@@ -21,7 +21,7 @@
         self.timer_id = timer_id
         self.server_set = server_set
         self.controller = controller
-        self.last_used_at = -math.inf  # when the last call of its classes came
+        self.last_used_at = -math.inf  # time of the last call of its classes
         self.unsent_records: tuple[EndpointRecord, ...] = ()  # passed to the controller before the next event
 
     @property
--- a/tests/support/scope_simulation.py
+++ b/tests/support/scope_simulation.py
@@ -142,12 +142,12 @@
 
     def _attempt(self, call: int, server: int, timeout_s: float) -> None:
         """Schedule the random end of an attempt, at its timeout or just before its caller's at the latest."""
-        chance = random.Random(f"{self.seed}/{call}/{server}")
-        outcome_draw, response_s = chance.random(), chance.expovariate(1 / self.mean_delay_s)
+        rng = random.Random(f"{self.seed}/{call}/{server}")
+        outcome_draw, response_s = rng.random(), rng.expovariate(1 / self.mean_delay_s)
         report = LoadReport(
-            free_lines=chance.randrange(100),
+            free_lines=rng.randrange(100),
             total_lines=100,
-            processor_wait_s=chance.expovariate(1 / self.mean_delay_s),
+            processor_wait_s=rng.expovariate(1 / self.mean_delay_s),
         )
         due_s = min(timeout_s or NEVER_S, self.answer_due[call] - ANSWER_EARLY_S - self.now)
         if (TIMEOUT_AFTER_S if outcome_draw < 0.1 else response_s) > due_s:
@@ -162,7 +162,7 @@
         else:
             self.schedule(response_s, CallEstablished(call, server, response_s))
             ended = AttemptEnded(call, server, AttemptOutcome.COMPLETED, True, report, 4.0)
-            self.schedule(response_s + chance.expovariate(1 / 4), ended)
+            self.schedule(response_s + rng.expovariate(1 / 4), ended)
 
     def run(self, until: float) -> None:
         """Process all events that are due until a time, then set the clock to it."""
@@ -177,11 +177,11 @@
         self, seconds: float, rate: float, classes: Sequence[CallClass], seed: object = 0
     ) -> None:
         """Offer calls of random classes at random times for `seconds`; `rate` is in calls per second."""
-        chance, end = random.Random(f"{self.seed}/{seed}/calls"), self.now + seconds
-        while (at := self.now + chance.expovariate(rate)) < end:
+        rng, end = random.Random(f"{self.seed}/{seed}/calls"), self.now + seconds
+        while (at := self.now + rng.expovariate(rate)) < end:
             self.run(at)
-            chosen_class = chance.choice(classes)
-            self.offer(chosen_class, chance.choice(chosen_class.allowed_servers or (0, 1, 2)))
+            chosen_class = rng.choice(classes)
+            self.offer(chosen_class, rng.choice(chosen_class.allowed_servers or (0, 1, 2)))
         self.run(end)
 
     def finish(self) -> ScopeSimulation:
--- a/tests/test_scope_slow_start.py
+++ b/tests/test_scope_slow_start.py
@@ -20,7 +20,7 @@
 
 
 SOFTSWITCHES = 30  # softswitches that call the service
-LINES_PER_SERVER = 100.0  # lines of a server
+LINES_PER_SERVER = 100.0
 WARM_RATE = 25.0  # set-ups per second of one warm server: its lines divided by the mean call duration of 4 s
 SAFETY = SafetyLimits(
     initial_capacity_fraction=0.25, warm_up_s=12.0, overload_multiple=2.0, overload_window_s=1.0
