--- a/tests/support/site_settings.py
+++ b/tests/support/site_settings.py
@@ -52,4 +52,6 @@
     (5, True, True, True, False, 7.0), (0.04, 0.8, 0.6, 21.0, 3.0, 2.5), balancers=9, period_s=0.01,
 )  # fmt: skip
 MADE_UP["permissions"]["connect_timeout_s"] = 0.9
-KINDS = pytest.mark.parametrize("told", [ROSTER, TENDERS, MADE_UP], ids=["roster", "tenders", "made-up"])
+EVERY_SITE = pytest.mark.parametrize(
+    "raw_settings", [ROSTER, TENDERS, MADE_UP], ids=["roster", "tenders", "made-up"]
+)
--- a/tests/test_site_calls.py
+++ b/tests/test_site_calls.py
@@ -18,7 +18,7 @@
 from stairhatch.overload.events import Availability, LoadReport
 from stairhatch.settings.parser import parse_settings_json
 
-from .support.site_settings import KINDS, TENDERS
+from .support.site_settings import EVERY_SITE, TENDERS
 
 
 class InProcessSite:
@@ -69,13 +69,13 @@
         return statuses[0]
 
 
-@KINDS
-def test_a_call_of_an_unknown_class_is_failed_and_one_of_an_unknown_tenant_served(told):
+@EVERY_SITE
+def test_a_call_of_an_unknown_class_is_failed_and_one_of_an_unknown_tenant_served(raw_settings):
     """A call of an unknown class or tenant gets one response and is not handled as another class.
 
     A call of an unknown class gets the response to a failed set-up, and no set-up is sent.
     """
-    site, call_class = InProcessSite(told), told["classes"][0]["name"]
+    site, call_class = InProcessSite(raw_settings), raw_settings["classes"][0]["name"]
     assert site.offer_call("no-such-class") == 400
     assert site.offer_call("") == 400
     assert site.setups_sent == 0
--- a/tests/test_site_settings.py
+++ b/tests/test_site_settings.py
@@ -26,17 +26,17 @@
 
 from .support.program import Program
 from .support.scripted_coordinator import endpoint_entry
-from .support.site_settings import KINDS, MADE_UP, ROSTER, TENDERS
+from .support.site_settings import EVERY_SITE, MADE_UP, ROSTER, TENDERS
 
 REMOVED = object()
 
 
-def platform_file(told: Any, **more: Any) -> dict[str, Any]:
+def platform_file(raw_settings: Any, **more: Any) -> dict[str, Any]:
     """Return the content of the platform's configuration file with these settings."""
     return {
         "name": "n3", "listen": f"127.0.0.1:{free_port()}", "seed": "8c1f", "coordinator": "127.0.0.1:9",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"index": 0, "updates": []}, "settings": told, **more,
+        "known": {"index": 0, "updates": []}, "settings": raw_settings, **more,
     }  # fmt: skip
 
 
@@ -107,63 +107,64 @@
         return text.removeprefix(f"{self.path}: ")
 
 
-@KINDS
-def test_a_missing_setting_is_rejected_and_not_replaced_by_a_default(tmp_path, told):
+@EVERY_SITE
+def test_a_missing_setting_is_rejected_and_not_replaced_by_a_default(tmp_path, raw_settings):
     """Guards against another site's value in place of a missing one.
 
     Examples: the retry pause, the maximum of attempts, the servers of a class, whether it is idempotent.
     """
     reader, keys = (
         ConfigurationReader(tmp_path),
-        [at for at, _ in value_paths(told) if isinstance(at[-1], str)],
+        [at for at, _ in value_paths(raw_settings) if isinstance(at[-1], str)],
     )
-    assert len(keys) == 27 + 6 * len(told["classes"])
+    assert len(keys) == 27 + 6 * len(raw_settings["classes"])
     for at in keys:
         assert (
-            reader.error_for(platform_file(with_value(told, at, REMOVED))) == f"{path_text(at)}: is missing"
+            reader.error_for(platform_file(with_value(raw_settings, at, REMOVED)))
+            == f"{path_text(at)}: is missing"
         )
         with pytest.raises(SettingsError) as error:
-            parse_settings_json(json.dumps(with_value(told, at, REMOVED)))
+            parse_settings_json(json.dumps(with_value(raw_settings, at, REMOVED)))
         assert str(error.value) == f"{path_text(at)}: is missing".replace("settings", "boot_info", 1)
 
 
-@KINDS
-def test_a_setting_of_the_wrong_type_or_size_is_rejected(tmp_path, told):
+@EVERY_SITE
+def test_a_setting_of_the_wrong_type_or_size_is_rejected(tmp_path, raw_settings):
     """Guards against text such as "no" read as true, a server number that is text, a class without a usable
     name, and a traceback for a number that is too large for a float.
     """
     reader, value_count = ConfigurationReader(tmp_path), 0
-    for at, shape in value_paths(told):
+    for at, shape in value_paths(raw_settings):
         for value in unfit_values(shape):
-            text = reader.error_for(platform_file(with_value(told, at, value)))
+            text = reader.error_for(platform_file(with_value(raw_settings, at, value)))
             assert text.startswith(f"{path_text(at)}: must be "), (at, value, text)
             value_count += 1
     assert value_count > 200
 
 
-@KINDS
-def test_contradictory_settings_are_rejected(tmp_path, told):
+@EVERY_SITE
+def test_contradictory_settings_are_rejected(tmp_path, raw_settings):
     """Guards against a class with another's servers or call duration, and an index beyond the instances."""
     reader = ConfigurationReader(tmp_path)
     for key in ("allowed_pools", "call_length_s"):
-        entries = told["family_info"][key]
+        entries = raw_settings["family_info"][key]
         for invalid in (entries[:-1], [*entries, entries[0]]):
-            text = reader.error_for(platform_file(with_value(told, ("family_info", key), invalid)))
+            text = reader.error_for(platform_file(with_value(raw_settings, ("family_info", key), invalid)))
             assert text.startswith(f"settings.family_info.{key}: must have an entry for each of")
-    text = reader.error_for(platform_file(with_value(told, ("me",), told["balancers"])))
+    text = reader.error_for(platform_file(with_value(raw_settings, ("me",), raw_settings["balancers"])))
     assert text.startswith("settings.me: must be below balancers")
-    text = reader.error_for(platform_file(with_value(told, ("classes",), [])))
+    text = reader.error_for(platform_file(with_value(raw_settings, ("classes",), [])))
     assert text.startswith("settings.classes: the list is empty") or "an entry for each" in text
-    twice = [told["classes"][0]] * len(told["classes"])
+    twice = [raw_settings["classes"][0]] * len(raw_settings["classes"])
     if len(twice) > 1:
-        assert reader.error_for(platform_file(with_value(told, ("classes",), twice))).startswith(
+        assert reader.error_for(platform_file(with_value(raw_settings, ("classes",), twice))).startswith(
             "settings.classes: two"
         )
 
 
-def assert_class_holds(call_class, told, index):
+def assert_class_holds(call_class, raw_settings, index):
     """Assert that a call class has the values of its entries in the settings."""
-    entry, family = told["classes"][index], told["family_info"]
+    entry, family = raw_settings["classes"][index], raw_settings["family_info"]
     assert call_class.priority_weight == entry["importance"]
     assert call_class.latency_objective_s == entry["aim_s"]
     assert call_class.deadline_s == entry["hard_limit_s"]
@@ -173,16 +174,20 @@
     assert call_class.allowed_servers == tuple(family["allowed_pools"][index])
 
 
-@KINDS
-def test_settings_are_used_as_given(tmp_path, told):
+@EVERY_SITE
+def test_settings_are_used_as_given(tmp_path, raw_settings):
     """Guards against settings that are read but not used, with the settings of each site."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(platform_file(told)))
+    path.write_text(json.dumps(platform_file(raw_settings)))
     settings = read_platform({"RELAY_CONFIG": str(path)}).settings
-    family, permissions, safety = told["family_info"], told["permissions"], told["safety"]
-    assert [kind.name for kind in settings.classes] == [entry["name"] for entry in told["classes"]]
+    family, permissions, safety = (
+        raw_settings["family_info"],
+        raw_settings["permissions"],
+        raw_settings["safety"],
+    )
+    assert [kind.name for kind in settings.classes] == [entry["name"] for entry in raw_settings["classes"]]
     for index, call_class in enumerate(settings.classes):
-        assert_class_holds(call_class, told, index)
+        assert_class_holds(call_class, raw_settings, index)
     assert settings.safety == SafetyLimits(
         answer_slack_s=safety["answer_slack_s"],
         drain_grace_s=safety["drain_grace_s"],
@@ -197,7 +202,7 @@
         settings.instance_index,
         settings.event_period_s,
         settings.own_server_number,
-    ) == (told["balancers"], told["me"], told["period_s"], family["self_no"])
+    ) == (raw_settings["balancers"], raw_settings["me"], raw_settings["period_s"], family["self_no"])
     assert (
         settings.max_attempts,
         settings.may_probe,
@@ -270,7 +275,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "edit", "expected_error"),
+    ("raw_settings", "edit", "expected_error"),
     [
         (ROSTER, ('"period_s": 0.005', f'"period_s": 1{"0" * 400}'), "settings.period_s: must be at least 0"),
         (TENDERS, ('"cell": 1000000000', '"cell": 1e999'), "known: "),
@@ -280,10 +285,10 @@
     ids=["number too large for a float", "server number", "memory", "missing pause"],
 )
 def test_an_unusable_setting_ends_the_start_with_one_line_and_exit_code_2(
-    tmp_path, started_programs, told, edit, expected_error
+    tmp_path, started_programs, raw_settings, edit, expected_error
 ):
     """Guards against a traceback and exit code 1, and against a start with another site's retry pause."""
-    path, config_text = tmp_path / "config.json", json.dumps(platform_file(told, known=TOO_LARGE))
+    path, config_text = tmp_path / "config.json", json.dumps(platform_file(raw_settings, known=TOO_LARGE))
     assert config_text.count(edit[0]) == 1
     path.write_text(config_text.replace(*edit))
     program = Program(tmp_path, RELAY_CONFIG=str(path))
