--- a/stairhatch/admission/rate_limits.py
+++ b/stairhatch/admission/rate_limits.py
@@ -124,8 +124,8 @@
         if bucket is not None:
             table.move_to_end(name)
             return bucket
-        is_half_empty = len(table) < self.policy.max_buckets // 2
-        tokens = burst if is_half_empty else burst * self.policy.initial_fill
+        is_below_half = len(table) < self.policy.max_buckets // 2
+        tokens = burst if is_below_half else burst * self.policy.initial_fill
         bucket = table[name] = TokenBucket(rate, burst, tokens, now)
         while len(table) > self.policy.max_buckets:
             table.popitem(last=False)
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -47,7 +47,7 @@
 
 
 class ScopedController:
-    """Overload controller with one `Controller` for each set in scope; a drop-in replacement for one."""
+    """Overload controller with a `Controller` for each set in scope and the interface of a single one."""
 
     def __init__(
         self,
