--- a/stairhatch/node/connection_liveness.py
+++ b/stairhatch/node/connection_liveness.py
@@ -1,8 +1,8 @@
-"""Whether a connection to a roster server still works, judged from what was written and received on it.
+"""The liveness state of a connection to a roster server, from the times of its messages and set-ups.
 
-A connection may be cut off without a word and stay open: what is written on it then reaches nobody. Silence
-alone proves nothing, as a server may merely be slow, so a suspicion only leads to a second connection. Times
-are those of the core's clock, in seconds.
+A connection may be cut off silently and stay open: data written to it then reaches no process. Silence alone
+proves nothing, as a server may merely be slow, so a suspicion only leads to a second connection. Times are
+those of the core's clock, in seconds.
 """
 
 from __future__ import annotations
@@ -10,74 +10,74 @@
 import math
 from dataclasses import dataclass
 
-RESPONSE_TIMEOUT_S = 0.35  # a set-up pending so long on a connection that says nothing makes it suspect
-LONGEST_SILENCE_S = 1.5  # where calls are established: silence of so long at least,
-LONGEST_SILENCE_GAPS = 3.0  # and of so many gaps between load reports
-LEAST_LOAD_REPORTS = 2  # with more than these the gap between them is known
-FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 1.0, 16.0  # between two suspicions of the same server's connections
+RESPONSE_TIMEOUT_S = 0.35  # a connection silent for longer with a pending set-up is suspect
+LONGEST_SILENCE_S = 1.5  # with established calls, longer silence is suspect if it also exceeds
+LONGEST_SILENCE_GAPS = 3.0  # this number of mean gaps between load reports
+LEAST_LOAD_REPORTS = 2  # the mean gap is computed only from more reports than this
+FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 1.0, 16.0  # between two suspicions of connections to one server
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ConnectionLiveness:
-    """When a connection was opened, written to and read from, and when it may be suspected next."""
+    """The times at which a connection was opened, written to and read from, with its suspicion backoff."""
 
-    connected_at: float = math.inf  # inf: it is not connected
+    connected_at: float = math.inf  # inf: not connected
     last_received_at: float = -math.inf
-    response_due_since: float = -math.inf  # when the first set-up was written after that, pending or not
-    load_reports: int = 0  # that came unasked, on this connection
+    response_due_since: float = -math.inf  # first set-up written after the last activity, pending or not
+    load_reports: int = 0  # number of unsolicited load reports on this connection
     backoff_s: float = FIRST_BACKOFF_S
     suspect_from: float = -math.inf
 
     @property
     def is_connected(self) -> bool:
-        """Whether a connection is up."""
+        """Whether the connection is up."""
         return self.connected_at < math.inf
 
     @property
     def last_activity_at(self) -> float:
-        """When something last came, or the connection came up."""
+        """The time of the last message, or of the opening of the connection if it is later."""
         return max(self.last_received_at, self.connected_at)
 
     def connection_made(self, now: float) -> None:
-        """A connection has come up; nothing has been received on it."""
+        """Reset the state for a connection that has come up at `now`."""
         self.connected_at = now
         self.last_received_at, self.load_reports = -math.inf, 0
 
     def connection_lost(self) -> None:
-        """The connection has ended."""
+        """Mark the connection as down."""
         self.connected_at = math.inf
 
     def message_received(self, now: float, is_load_report: bool) -> None:
-        """A line has come."""
+        """Note a received message."""
         self.last_received_at = now
         if is_load_report:
             self.load_reports += 1
 
     def is_response_overdue(self, now: float) -> bool:
-        """Whether a set-up was written long ago and nothing came since, though it may be given up by now."""
+        """Return whether no message has followed a set-up, cancelled by now or not, for over 0.35 s."""
         due_since = self.response_due_since
         return due_since > self.last_activity_at and now - due_since > RESPONSE_TIMEOUT_S
 
     def is_silent_since(self, now: float, written_at: float) -> bool:
-        """Whether nothing came for too long after a set-up that is still pending."""
+        """Return whether no message came for over 0.35 s after a pending set-up was written."""
         return now - max(self.last_activity_at, written_at) > RESPONSE_TIMEOUT_S
 
     def is_load_report_overdue(self, now: float) -> bool:
-        """Whether nothing came for much longer than the usual gap between load reports."""
+        """Return whether no message came for over 1.5 s and over three mean gaps between load reports."""
         gap_s = math.inf
         if self.load_reports > LEAST_LOAD_REPORTS:
             gap_s = (self.last_activity_at - self.connected_at) / self.load_reports
         return now - self.last_activity_at > max(LONGEST_SILENCE_S, LONGEST_SILENCE_GAPS * gap_s)
 
     def back_off(self, now: float) -> None:
-        """It has been suspected: the next suspicion has to wait, each time twice as long."""
+        """Delay the next suspicion after one at `now`: the backoff doubles each time, up to 16 s."""
         self.backoff_s = min(LONGEST_BACKOFF_S, 2 * self.backoff_s)
         self.suspect_from = now + self.backoff_s
 
     def reset_backoff(self) -> None:
-        """The suspicion proved right: the next one need not wait."""
+        """Allow the next suspicion at once, since the last one was confirmed."""
         self.backoff_s, self.suspect_from = FIRST_BACKOFF_S, -math.inf
 
     def inherit_backoff(self, predecessor: ConnectionLiveness) -> None:
-        """Take over the backoff of the connection that this one replaces."""
+        """Copy the backoff of the connection that this one is to replace."""
         self.backoff_s, self.suspect_from = predecessor.backoff_s, predecessor.suspect_from
--- a/stairhatch/node/failure_monitor.py
+++ b/stairhatch/node/failure_monitor.py
@@ -1,9 +1,10 @@
-"""Ends the calls at roster servers that have failed without a word.
+"""Ends the calls at roster servers that have failed silently.
 
-Where a machine vanishes, is cut off or hangs, nobody reports the ends of the calls there, and the coordinator
-may be down just then. The monitor runs a failure detector for each server. While one is suspected, and calls
-are established there, it has further connections opened; once the server counts as lost it releases these
-calls on both sides and has the connections that led to it ended. It knows no wire and no socket.
+If a server's machine vanishes, is cut off or hangs, no process reports the releases of its calls, and the
+coordinator may be down at the same time. The monitor runs a failure detector for each server. While a server
+with established calls is suspected, the monitor has additional connections opened. Once the server counts as
+lost, it releases these calls on both sides and ends the connections that led to the server. It uses no
+socket.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class MonitoredPool(Protocol):
-    """What the monitor asks of the connections to the servers."""
+    """The interface of the connection pool that the monitor uses."""
 
     core: CallManager
     active: dict[int, ServerConnection]
@@ -33,49 +34,49 @@
     handed_over: bool
 
     def connections_to(self, server: RosterServer) -> list[ServerConnection]:
-        """Every connection to a server."""
+        """Return the active, standby and superseded connections to a server."""
 
     def dial_standby(self, connection: ServerConnection) -> None:
-        """Dial once more to the server of the connection in use."""
+        """Dial a standby to the server of an active connection."""
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
-        """Have a server release a call."""
+        """Release a call at a server, with a Q.850 cause."""
 
 
 class FailureMonitor:
-    """Watches all roster servers to which a connection is kept."""
+    """The monitor of all roster servers from which messages have been received."""
 
     def __init__(self, pool: MonitoredPool) -> None:
-        """Begin to watch; the pool reports what comes on its connections."""
+        """Schedule the first check; the pool notifies the monitor of messages and lost connections."""
         self._pool = pool
         self._core = pool.core
-        self._detectors: dict[int, FailureDetector] = {}  # by the server's id
+        self._detectors: dict[int, FailureDetector] = {}  # by server id
         self._schedule_check()
 
-    # ---- what the pool reports ----
+    # ---- notifications by the pool ----
 
     def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
-        """Something came on a connection."""
+        """Note a message on a connection in the detector of its server."""
         server = connection.server
         detector = self._detectors.get(server.id)
         if detector is None:
             detector = self._detectors[server.id] = FailureDetector()
         connected_at = connection.liveness.connected_at
         detector.message_received(connection, connected_at, self._core.clock(), is_load_report)
-        if detector.successor_heard_at is not None:
+        if detector.successor_received_at is not None:
             self._judge_successor(server, detector)
 
     def connection_lost(self, connection: ServerConnection) -> None:
-        """A connection has ended."""
+        """Note the loss of a connection in the detector of its server."""
         if (detector := self._detectors.get(connection.server.id)) is not None:
             detector.connection_lost(connection)
 
     def probe_failed(self, server: RosterServer) -> None:
-        """A further connection to a server did not come up."""
+        """Note in a server's detector that an additional connection did not come up."""
         if (detector := self._detectors.get(server.id)) is not None:
             detector.probe_failed()
 
-    # ---- regularly ----
+    # ---- periodic check ----
 
     def _schedule_check(self) -> None:
         self._core.timers.schedule(self._core.clock() + CHECK_INTERVAL_S, self._check_all)
@@ -91,7 +92,7 @@
             self._check(servers[server_id], detector)
 
     def _check(self, server: RosterServer, detector: FailureDetector) -> None:
-        if detector.successor_heard_at is not None:
+        if detector.successor_received_at is not None:
             self._judge_successor(server, detector)
         verdict = detector.check(self._core.clock())
         if verdict is ServerVerdict.CONFIRMED:
@@ -105,14 +106,14 @@
             self._end_calls(server, detector, verdict)
 
     def _judge_successor(self, server: RosterServer, detector: FailureDetector) -> None:
-        """Trust what may be another process where no call is at stake, or the coordinator vouches for it."""
+        """Trust a possible other process if no call is at risk, or if the coordinator confirms the server."""
         if not self._has_calls(server, detector):
             detector.trust_successor()
         elif not self._shares_address(server):
             detector.confirm_by_list(self._core.servers.list_confirmed_at)
 
     def _shares_address(self, server: RosterServer) -> bool:
-        """Whether another server is listed at its address: what answers there is that one."""
+        """Return whether another server, from which messages may come instead, is listed at the address."""
         return any(
             other is not server
             and other.record.address == server.record.address
@@ -121,14 +122,14 @@
         )
 
     def _has_calls(self, server: RosterServer, detector: FailureDetector) -> bool:
-        """Whether calls are established that are lost if the process which is not confirmed has gone."""
+        """Return whether established calls would be lost with the unconfirmed process."""
         return self._core.calls.has_established_at(server, detector.lost_before())
 
     def _probe(self, server: RosterServer, detector: FailureDetector) -> None:
-        """Open a further connection beside the one in use, on which the server would report its load."""
+        """Dial a standby if a probe is due; a server that is alive reports its load on the new connection."""
         connection = self._pool.active.get(server.id)
         if connection is None or not connection.liveness.is_connected:
-            return  # it is being dialled
+            return  # the active connection is being dialled already
         now = self._core.clock()
         if server.id not in self._pool.standby and detector.is_probe_due(now):
             detector.probe_started(now)
@@ -136,29 +137,29 @@
             self._pool.dial_standby(connection)
 
     def _end_calls(self, server: RosterServer, detector: FailureDetector, verdict: ServerVerdict) -> None:
-        """The calls are lost: release them on both sides, and end the connections that led to them."""
+        """Release the lost calls on both sides, and end the connections that led to the lost process."""
         core = self._core
         lost_before = detector.lost_before()
-        unheard_s = round(core.clock() - detector.heard_at, 2)
+        silent_s = round(core.clock() - detector.last_received_at, 2)
         unconfirmed_s = round(core.clock() - detector.confirmed_at, 2)
-        trusted = detector.calls_ended()
-        lost = core.responses.terminate_established_at(server, lost_before, LOSS_REASONS[verdict])
+        led_to_lost = detector.reset_after_loss()
+        lost_ids = core.responses.terminate_established_at(server, lost_before, LOSS_REASONS[verdict])
         core.counters.add("servers_lost")
         core.log(
             "server_lost",
             server=server.record.instance,
             why=verdict.value,
-            calls=len(lost),
-            unheard_s=unheard_s,
+            calls=len(lost_ids),
+            unheard_s=silent_s,
             unconfirmed_s=unconfirmed_s,
         )
-        for ident in lost:
+        for ident in lost_ids:
             self._pool.send_release(server, ident, ReleaseCause.TEMPORARY_FAILURE)
         for connection in self._pool.connections_to(server):
-            if connection in trusted or verdict is ServerVerdict.SILENT:
+            if connection in led_to_lost or verdict is ServerVerdict.SILENT:
                 connection.abort_as_dead()
 
-    # ---- the log ----
+    # ---- logging of suspicions ----
 
     def _note_suspected(self, server: RosterServer, detector: FailureDetector) -> None:
         if detector.is_suspected:
@@ -169,7 +170,7 @@
         self._core.log(
             "server_suspected",
             server=server.record.instance,
-            unheard_s=round(now - detector.heard_at, 2),
+            unheard_s=round(now - detector.last_received_at, 2),
             unconfirmed_s=round(now - detector.confirmed_at, 2),
             connections=sum(each.liveness.is_connected for each in self._pool.connections_to(server)),
         )
--- a/stairhatch/node/liveness_checker.py
+++ b/stairhatch/node/liveness_checker.py
@@ -1,8 +1,8 @@
-"""Finds connections to roster servers that are unresponsive though something is due on them.
+"""Finds unresponsive connections to roster servers: those on which an expected message is overdue.
 
-A connection may be cut off without a word and stay open: all set-ups would go there and none come back.
-Nothing is given up for the suspicion alone, since a server may merely be slow: a standby is dialled, and what
-comes on both is compared (`ServerConnectionPool`).
+A connection may be cut off silently and stay open: all set-ups would be written to it and none answered. A
+suspicion alone ends no connection and no set-up, since a server may merely be slow. Instead a standby is
+dialled, and the messages on both connections are compared (`ServerConnectionPool`).
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from typing import Protocol
 
 from stairhatch.node.call_manager import CallManager
-from stairhatch.node.server_connection import SUPERSEDED_S, ServerConnection
+from stairhatch.node.server_connection import MIN_SUPERSEDED_READ_S, ServerConnection
 
-LIVENESS_CHECK_S = 0.1  # between two looks for unresponsive connections
-MAX_SUPERSEDED = 3  # beside the one in use: a server reports its load on four
+LIVENESS_CHECK_INTERVAL_S = 0.1
+MAX_SUPERSEDED = 3  # per server, beside the active one: a server reports its load on four connections
 
 
 class CheckedPool(Protocol):
-    """What the checker asks of the connections to the servers."""
+    """The interface of the connection pool that the checker uses."""
 
     core: CallManager
     active: dict[int, ServerConnection]
@@ -25,22 +25,22 @@
     superseded: list[ServerConnection]
 
     def dial_standby(self, connection: ServerConnection) -> None:
-        """Dial once more to the server of the connection in use."""
+        """Dial a standby to the server of an active connection."""
 
 
 class LivenessChecker:
-    """Looks through the connections in use, regularly."""
+    """The periodic check of all active connections."""
 
     def __init__(self, pool: CheckedPool) -> None:
-        """Begin to look."""
+        """Schedule the first check of the pool's connections."""
         self._pool = pool
         self._core = pool.core
-        self._core.timers.schedule(self._core.clock() + LIVENESS_CHECK_S, self._check)
+        self._core.timers.schedule(self._core.clock() + LIVENESS_CHECK_INTERVAL_S, self._check)
 
     def _check(self) -> None:
-        """Dial a standby where a connection is unresponsive though something is due on it."""
+        """Dial a standby for each unresponsive active connection that may be suspected."""
         now = self._core.clock()
-        self._core.timers.schedule(now + LIVENESS_CHECK_S, self._check)
+        self._core.timers.schedule(now + LIVENESS_CHECK_INTERVAL_S, self._check)
         unresponsive: list[ServerConnection] = []
         for server_id, connection in self._pool.active.items():
             has_standby = server_id in self._pool.standby
@@ -53,18 +53,18 @@
             self._pool.dial_standby(connection)
 
     def _may_suspect(self, connection: ServerConnection, now: float) -> bool:
-        """Whether a standby may be dialled by now.
+        """Return whether an unresponsive connection may be suspected at `now`, which dials a standby.
 
-        On each new connection a load report comes first: where nothing came at all the server is not merely
-        slow, and no backoff is kept.
+        A server sends a load report first on each new connection. If nothing was received on the connection,
+        the server is not merely slow, and the backoff does not apply.
         """
         liveness = connection.liveness
-        beside = sum(
-            each.server is connection.server and each.superseded_at > now - SUPERSEDED_S
+        recently_superseded = sum(
+            each.server is connection.server and each.superseded_at > now - MIN_SUPERSEDED_READ_S
             for each in self._pool.superseded
         )
         never_received = liveness.last_received_at < liveness.connected_at
-        return now >= liveness.suspect_from or (never_received and beside < MAX_SUPERSEDED)
+        return now >= liveness.suspect_from or (never_received and recently_superseded < MAX_SUPERSEDED)
 
     def _suspect(self, connection: ServerConnection, now: float) -> None:
         liveness = connection.liveness
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -1,8 +1,8 @@
-"""What waits to be written to a roster server, and what has been written and is pending there.
+"""The queue of lines to one roster server, with the set-ups that are written and unanswered.
 
-A set-up becomes bytes only when it is about to be written: one whose caller has left meanwhile, or whose time
-is up, is not sent. What the socket does not take comes back here. Releases that were written are kept for a
-while, to be written once more should their connection prove dead.
+A set-up is rendered only when it can be written, so that a set-up whose caller has left or whose deadline has
+passed is not sent. Lines that the socket does not take return to the queue. Written releases are kept for a
+while, to be written again if their connection proves dead.
 """
 
 from __future__ import annotations
@@ -17,98 +17,98 @@
 from stairhatch.node.connection_liveness import ConnectionLiveness
 from stairhatch.node.server_messages import render_setup
 
-MAX_QUEUED_SETUPS = 512  # that one connection holds back; what comes beyond is not sent
+MAX_QUEUED_SETUPS = 512  # per connection; set-ups beyond this are not sent
 MAX_QUEUED_RELEASES = 8192
-MAX_RELEASES_KEPT = 512  # of those written last
-MAX_RELEASE_WRITES = 3  # a release is written so often at most, should each connection break under it
-RELEASES_KEPT_S = 10.0  # releases written on a connection that turns out dead are written again on the next
-SIMULTANEOUS_S = 0.2  # what comes on two connections for the same cause may lie so far apart
-MAX_SEND_BYTES = 64 * 1024  # handed out at a time
-CALLERS_READ_S = 0.05  # reading what callers have sent counts no longer for what is about to be written
+MAX_RETAINED_RELEASES = 512  # the most recently written releases
+MAX_RELEASE_WRITES = 3  # limit for a release whose connections break one after the other
+RELEASE_RETENTION_S = 10.0  # releases written this recently are repeated if their connection proves dead
+MAX_ARRIVAL_SKEW_S = 0.2  # between messages that a server sends on two connections at the same time
+MAX_SEND_BYTES = 64 * 1024  # returned by one call of `data_to_send`, plus at most one line
+CALLERS_READ_VALID_S = 0.05  # after it, callers are read again before rendered set-ups are written
 MAX_CALLER_READS = 3
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class PendingRelease:
-    """A release, or the giving up of a set-up, as it is written."""
+    """The rendered line of a release or of a set-up's cancellation, and how often it was written."""
 
     line: bytes
     writes: int = 0
 
 
-QueuedItem = Attempt | PendingRelease | bytes  # bytes: a rendered line that is sent whatever happens
+QueuedItem = Attempt | PendingRelease | bytes  # bytes: a rendered line that is sent unconditionally
 
 
 class SendQueue:
-    """The lines to be written to one roster server, on the active connection."""
+    """The queue of lines that one connection writes to its roster server."""
 
     def __init__(self, core: CallManager, liveness: ConnectionLiveness) -> None:
-        """Begin with an empty queue; `liveness` is updated when a set-up is written."""
-        self.pending_setups: dict[str, Attempt] = {}  # written, not yet answered; by the call's id
+        """Create an empty queue; `liveness` is updated when a set-up is written."""
+        self.pending_setups: dict[str, Attempt] = {}  # written and unanswered, by call id
         self._core, self._liveness = core, liveness
         self._items: deque[QueuedItem] = deque()
-        self._written_releases: deque[tuple[float, PendingRelease]] = deque(maxlen=MAX_RELEASES_KEPT)
-        self._callers_read_at = math.inf  # last, for the set-ups that are handed out; inf: there is none
-        self._unsent: list[tuple[QueuedItem, int]] = []  # handed out last, with their lengths
+        self._written_releases: deque[tuple[float, PendingRelease]] = deque(maxlen=MAX_RETAINED_RELEASES)
+        self._callers_read_at = math.inf  # time of the last read for rendered set-ups; inf: none
+        self._unsent: list[tuple[QueuedItem, int]] = []  # items rendered last, with their lengths in bytes
 
     def __len__(self) -> int:
-        """How many items wait."""
+        """Return the number of queued items."""
         return len(self._items)
 
     @property
     def has_room_for_release(self) -> bool:
-        """Whether one more release is queued here."""
+        """Whether the queue has room for one more release."""
         return len(self._items) < MAX_QUEUED_RELEASES
 
     def append_setup(self, attempt: Attempt) -> bool:
-        """Add a set-up that is written last. False: there is no room."""
+        """Add a set-up at the end of the queue; return False if the queue is full."""
         if len(self._items) >= MAX_QUEUED_SETUPS:
             return False
         self._items.append(attempt)
         return True
 
     def append(self, item: QueuedItem) -> None:
-        """Add what is written last."""
+        """Add an item at the end of the queue, whatever its length."""
         self._items.append(item)
 
     def prepend(self, releases: list[PendingRelease]) -> None:
-        """Add what is written first, in this order."""
+        """Add releases at the front of the queue, in the given order."""
         self._items.extendleft(reversed(releases))
 
     def extend(self, items: Iterable[QueuedItem]) -> None:
-        """Add what is written last, in this order."""
+        """Add items at the end of the queue, in the given order."""
         self._items.extend(items)
 
     def clear(self) -> None:
-        """Drop what waits."""
+        """Drop all queued items; pending set-ups and written releases stay."""
         self._items.clear()
 
-    def forget_written(self) -> None:
-        """Nothing that was written is written again."""
+    def discard_written_releases(self) -> None:
+        """Drop the kept releases, so that none is written again."""
         self._written_releases.clear()
 
     def take_all(self) -> list[QueuedItem]:
-        """Everything that waits, in order, which then waits here no more."""
+        """Remove and return all queued items, in order."""
         items = list(self._items)
         self._items.clear()
         return items
 
     def take_setups(self) -> list[Attempt]:
-        """The set-ups that wait, which then wait here no more."""
+        """Remove and return the queued set-ups, in order."""
         setups = [item for item in self._items if isinstance(item, Attempt)]
         self._items = deque(item for item in self._items if not isinstance(item, Attempt))
         return setups
 
     def take_pending(self) -> list[Attempt]:
-        """The set-ups that were written and are unanswered, which are pending here no more."""
+        """Remove and return the set-ups that are written and unanswered."""
         pending = list(self.pending_setups.values())
         self.pending_setups.clear()
         return pending
 
     def take_unconfirmed_releases(self) -> list[PendingRelease]:
-        """Releases that were written, perhaps to nobody."""
+        """Remove the kept releases; return those that may not have reached the server and may be repeated."""
         now = self._core.clock()
-        since = max(self._liveness.last_received_at - SIMULTANEOUS_S, now - RELEASES_KEPT_S)
+        since = max(self._liveness.last_received_at - MAX_ARRIVAL_SKEW_S, now - RELEASE_RETENTION_S)
         found = [
             release
             for written_at, release in self._written_releases
@@ -118,20 +118,24 @@
         return found
 
     def data_to_send(self) -> bytes:
-        """What is to be written now. Where this process was stopped meanwhile, callers are read once more."""
+        """Return the bytes to be written now.
+
+        If this process was stopped after it read the callers' data, the callers are read and the lines
+        rendered once more, up to `MAX_CALLER_READS` times.
+        """
         clock, data = self._core.clock, self._render()
         for _ in range(MAX_CALLER_READS):
-            if clock() - self._callers_read_at < CALLERS_READ_S:
+            if clock() - self._callers_read_at < CALLERS_READ_VALID_S:
                 break
             self.reclaim_unsent(data)
             data = self._render()
         return data
 
     def reclaim_unsent(self, rest: bytes) -> bytes:
-        """The peer is slow: set-ups and releases wait here again, but for the line that was begun.
+        """Queue the items again that the socket did not take at all; `rest` is the unwritten part.
 
-        So none is sent whose caller left, or whose time was up, while it lay before the socket. Returns the
-        part of `rest` that has to be written.
+        A set-up is then not sent if its caller leaves or its deadline passes before the socket takes more.
+        Returns the part of `rest` that must still be written: the rest of a partly written line.
         """
         size = len(rest)
         while self._unsent and self._unsent[-1][1] <= size:
@@ -147,9 +151,10 @@
         return rest[:size]
 
     def _render(self) -> bytes:
-        """What callers have sent until now is read before the first set-up.
+        """Return the rendered lines of queued items, about `MAX_SEND_BYTES` at most.
 
-        Some of them may have left while this process was stopped, or while the set-up waited here.
+        Data that callers have sent is read before the first set-up is rendered: a caller may have left while
+        this process was stopped or while the set-up was queued.
         """
         core, lines, size = self._core, [], 0
         self._unsent.clear()
@@ -175,7 +180,7 @@
         return b"".join(lines)
 
     def _render_setup(self, attempt: Attempt) -> bytes | None:
-        """A set-up that is about to be written; None: it must not be sent any more."""
+        """Return the line of a set-up and mark it as pending, or None if it must not be sent any more."""
         core, liveness = self._core, self._liveness
         if not core.attempts.claim_transmission(attempt):
             return None
--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -1,10 +1,10 @@
-"""One connection to a roster server, as a sans-I/O protocol: it is fed bytes and hands bytes out.
+"""One connection to a roster server, as a sans-I/O protocol: it receives bytes and returns bytes to send.
 
-It says when the connection may be closed, and what its beginning, its end and each line that comes mean for
-the calls. A connection with pending set-ups is never given up, unless something came on it that can't be
-read, or another connection shows that it is dead: no answer is to be had on it from there on. What waits to
-be written is in its `SendQueue`; which connection is in use is the `ServerConnectionPool`'s to say; the lines
-themselves are `server_messages`'.
+The protocol decides when the connection may be closed, and applies its opening, its loss and each received
+line to the calls. A connection with pending set-ups is closed only if it brought a line that cannot be
+parsed, or if another connection shows that it is dead: in both cases no further response can be received on
+it. The `SendQueue` keeps the lines to be written, the `ServerConnectionPool` decides which connection is in
+use, and `server_messages` renders and parses the lines.
 """
 
 from __future__ import annotations
@@ -29,135 +29,136 @@
 from stairhatch.node.server_responses import LossReason
 from stairhatch.overload.events import Availability
 
-DRAIN_TIMEOUT_S = 10.0  # one to a server that is gone is not kept longer, whatever is still pending on it
-SUPERSEDED_S = 10.0  # a superseded one is read so long at least, and while its calls are established
+DRAIN_TIMEOUT_S = 10.0  # after it a connection to a server that is gone is closed, even with pending set-ups
+MIN_SUPERSEDED_READ_S = 10.0  # a superseded connection is read longer while its calls are established
 RECEIVED_COUNTERS = {str(verb): f"got_{verb}" for verb in Verb if verb is not Verb.START}
 
 
 class FailureObserver(Protocol):
-    """Who judges whether servers have failed."""
+    """The observer of connections that decides whether a server has failed."""
 
     def connection_lost(self, connection: ServerConnection) -> None:
-        """A connection that was up has ended."""
+        """Handle the loss of a connection that was up."""
 
     def probe_failed(self, server: RosterServer) -> None:
-        """A further connection to a server did not come up."""
+        """Handle the failure to open an additional connection to a server."""
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its pool."""
+    """The interface of the pool that a connection uses."""
 
     core: CallManager
-    active: dict[int, ServerConnection]  # the connection in use, or about to come up, by the server's id
+    active: dict[int, ServerConnection]  # the connection in use, up or being dialled, by server id
 
     def is_standby(self, connection: ServerConnection) -> bool:
-        """Whether it has not come up yet beside the one in use."""
+        """Return whether a connection is a standby: dialled beside the active one and not yet up."""
 
     def is_superseded(self, connection: ServerConnection) -> bool:
-        """Whether another has taken its place."""
+        """Return whether another connection has replaced this one as the active connection."""
 
-    def reads_superseded(self, server: RosterServer) -> bool:
-        """Whether a superseded connection to a server is still up."""
+    def has_connected_superseded(self, server: RosterServer) -> bool:
+        """Return whether a superseded connection to a server is still up."""
 
     def connections_to(self, server: RosterServer) -> list[ServerConnection]:
-        """Every connection to a server."""
+        """Return the active, standby and superseded connections to a server."""
 
     def promote(self, connection: ServerConnection) -> None:
-        """A standby has come up."""
+        """Make a standby connection that has come up the active one."""
 
     def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
-        """Something came: where a superseded connection should have brought it too, that one is dead."""
+        """Handle a received message; a superseded connection that should have brought it too may be dead."""
 
     @property
     def failures(self) -> FailureObserver:
-        """Who is told of what happens to connections."""
+        """The observer that is notified of lost connections and failed probes."""
 
-    def dial_again_later(self, server: RosterServer) -> None:
-        """A connection has ended on which ends of calls may have been lost."""
+    def schedule_redial(self, server: RosterServer) -> None:
+        """Schedule another connection to a server, since releases may have been lost with an ended one."""
 
     def remove(self, connection: ServerConnection) -> None:
-        """A connection has ended for good."""
+        """Remove a connection that has ended and is not dialled again."""
 
 
 class ServerConnection(ConnectionProtocol):
-    """One roster server and a connection to it, if there is one. The driver dials again when it breaks."""
+    """The protocol of a connection to one roster server; the driver redials when the connection breaks."""
 
     def __init__(self, pool: ConnectionOwner, server: RosterServer) -> None:
-        """Take care of a server; nothing is connected yet."""
+        """Create the protocol for a server; the connection is not open yet."""
         super().__init__()
         self.reads_until_eof = True
         self.pool, self.server = pool, server
         self.liveness = ConnectionLiveness()
-        self.draining = False  # it is not dialled again, and closed once nothing is due on it
+        self.draining = False  # not redialled, and closed once nothing more is expected on the connection
         self.failure_logged = False
-        self.malformed = False  # something came that can't be read
+        self.malformed = False  # a line that cannot be parsed was received
         self.superseded_at = -math.inf
-        self.dead_check_pending = False  # it is about to be found dead, unless something comes
-        self.established_calls: set[str] = set()  # that were set up on it: their ends are sent here
+        self.dead_check_pending = False  # a check is scheduled that ends this connection if it stays silent
+        self.established_calls: set[str] = set()  # ids of calls set up here, where they are released
         self.send_queue = SendQueue(pool.core, self.liveness)
-        self.pending_setups = self.send_queue.pending_setups  # written, not yet answered; by the call's id
+        self.pending_setups = self.send_queue.pending_setups  # written and unanswered, by call id
         self._receive_buffer = bytearray()
 
-    # ---- its use ----
+    # ---- sending set-ups and releases ----
 
     def send_setup(self, attempt: Attempt) -> bool:
-        """Queue a set-up; it is rendered when it can be written. False: there is no room."""
+        """Queue a set-up, which is rendered when it can be written; return False if the queue is full."""
         if not self.send_queue.append_setup(attempt):
             return False
         self.notify_writable()
         return True
 
     def send_release(self, call_id: str, cause: int) -> None:
-        """Queue a release, or the giving up of a set-up."""
+        """Queue the release of a call, or the cancellation of a set-up, with a Q.850 cause."""
         self.send_queue.append(PendingRelease(render_release(call_id, cause)))
         self.notify_writable()
 
     def forget_call(self, call_id: str) -> None:
-        """A call is released from this side: nothing is awaited for it any more."""
+        """Stop expecting responses for a call that the softswitch releases."""
         self.pending_setups.pop(call_id, None)
         self.established_calls.discard(call_id)
         if self.draining:
-            self.notify_writable()  # it may be done now
+            self.notify_writable()  # this call may have been the last reason to stay open
 
     @property
     def has_queued(self) -> bool:
-        """Whether something waits for a connection."""
+        """Whether items wait in the send queue."""
         return len(self.send_queue) > 0
 
     def is_flushed(self) -> bool:
-        """Whether all that can be written has been written."""
+        """Return whether nothing is left to write, or the connection is down and nothing can be written."""
         return not (self.has_queued or self.writing) or not self.liveness.is_connected
 
     def is_unresponsive(self, now: float) -> bool:
-        """Whether nothing comes though an answer is due, or load reports are while calls are established."""
+        """Return whether a response to a set-up, or a load report while calls are established, is overdue."""
         liveness = self.liveness
         if not liveness.is_connected:
             return False
         if liveness.is_response_overdue(now):
             return True
-        for attempt in self.pending_setups.values():  # the first is the one written first
+        for attempt in self.pending_setups.values():  # the first attempt is the one written first
             return liveness.is_silent_since(now, attempt.written_at)
         return liveness.is_load_report_overdue(now) and self.pool.core.calls.has_established_at(self.server)
 
-    # ---- its end ----
+    # ---- closing ----
 
     def can_close(self) -> bool:
-        """Whether the connection may be closed.
+        """Return whether the connection may be closed.
 
-        Never while a set-up is pending on it, nor, once superseded, while a call is established through
-        it. A server sends the end of a call on the connection of its set-up, and again on the next that is
-        opened. Were the first closed, with its successor open already, the end would come on neither.
+        It stays open while a set-up is pending on it and, if it is superseded, while a call that was set up
+        on it is established. A server sends the release of a call on the connection of its set-up, and again
+        on the next connection that is opened. If a superseded connection were closed after its successor has
+        been opened, the release would arrive on neither.
         """
         if not self.draining or self.pending_setups or self.has_queued:
             return False
-        if self.pool.core.clock() - self.superseded_at <= SUPERSEDED_S:
+        if self.pool.core.clock() - self.superseded_at <= MIN_SUPERSEDED_READ_S:
             return False
         if self.superseded_at > -math.inf:
             self.established_calls = set(filter(self.pool.core.calls.is_established, self.established_calls))
         return not self.established_calls or self.superseded_at == -math.inf
 
     def drain(self) -> None:
-        """The server is gone, or out of scope: set-ups that have not been written to it are not sent."""
+        """Begin to close the connection to a server that is gone or out of scope; fail its unsent set-ups."""
         self.draining, self.superseded_at = True, -math.inf
         core = self.pool.core
         for attempt in self.send_queue.take_setups():
@@ -166,48 +167,48 @@
         self.notify_writable()
 
     def _drain_timed_out(self) -> None:
-        """Drop what is to be written to a server that is gone: it can never be delivered."""
+        """End a draining connection to a server that is gone; its queued lines can never be delivered."""
         if self.draining and self.server.record.availability is Availability.GONE:
             self.send_queue.clear()
             self.abort()
             self.notify_writable()
 
     def discard(self) -> None:
-        """End it at once; nothing more is written."""
+        """End the connection at once; drop the queued lines and the written releases."""
         self.drain()
         self.send_queue.clear()
-        self.send_queue.forget_written()
+        self.send_queue.discard_written_releases()
         self.abort()
 
     def abort_as_dead(self) -> None:
-        """Another connection shows that nothing comes on this one.
+        """End a connection that another connection has shown to be dead.
 
-        The ends of its calls come again on the connection that is opened next.
+        The server sends the releases of its calls again on the next connection that is opened.
         """
         self.established_calls.clear()
         self.abort()
 
-    # ---- another takes its place ----
+    # ---- replacement by another connection ----
 
     def mark_superseded(self) -> None:
-        """Another connection is used from now on; this one is kept for what may still come on it."""
+        """Stop using the connection for new lines; keep reading responses and releases from it."""
         self.draining, self.superseded_at = True, self.pool.core.clock()
 
     def end_superseded_period(self) -> None:
-        """It need not be read any longer than until nothing is due on it."""
+        """End the minimum reading time: the connection closes as soon as nothing more is expected on it."""
         self.superseded_at = -math.inf
         self.notify_writable()
 
     def hand_queue_to(self, successor: ServerConnection) -> None:
-        """Hand the queue, and releases that may have been lost, to the connection that replaces this one."""
+        """Move the queued lines, and written releases that may be lost, to the replacing connection."""
         successor.send_queue.extend(self.send_queue.take_all())
         successor.send_queue.extend(self.send_queue.take_unconfirmed_releases())
         self.notify_writable()
 
-    # ---- the driver's side ----
+    # ---- calls from the driver ----
 
     def connection_made(self) -> None:
-        """A connection has come up."""
+        """Reset the state of the connection that has come up, and promote it if it is a standby."""
         core = self.pool.core
         self._receive_buffer.clear()
         self.malformed = False
@@ -221,17 +222,20 @@
         core.log("server_connected", server=self.server.record.instance)
 
     def connect_failed(self, refused: bool) -> None:
-        """A connection did not come up. A refused one proves that the process is gone, with its calls."""
+        """Handle a failed dial: fail the queued set-ups, unless another connection is active.
+
+        A refused connection proves that the server's process, and with it its established calls, is gone.
+        """
         core = self.pool.core
         core.counters.add("server_connections_failed")
         self.server.dial_attempted = True
         if self.pool.is_standby(self) or self.pool.is_superseded(self):
-            self.draining = True  # the one in use goes on; that one more is refused proves nothing
+            self.draining = True  # the active connection continues; a refused additional one proves nothing
             core.counters.add("server_standbys_failed")
             core.log("server_standby_failed", server=self.server.record.instance, refused=refused)
             self.pool.failures.probe_failed(self.server)
             return
-        if not self.failure_logged:  # once: it is tried again every second
+        if not self.failure_logged:  # logged once, since the dial is repeated every second
             core.log("server_connect_failed", server=self.server.record.instance, refused=refused)
             self.failure_logged = True
         setups = self.send_queue.take_setups()
@@ -239,53 +243,53 @@
             self.send_queue.clear()
         for attempt in setups:
             core.attempts.transmission_failed(attempt, reached=False)
-        if refused and not self.pool.reads_superseded(self.server):
+        if refused and not self.pool.has_connected_superseded(self.server):
             core.responses.terminate_established_at(
                 self.server, core.clock() + 1, LossReason.CONNECTION_REFUSED
             )
 
     def connection_lost(self) -> None:
-        """The connection broke: the set-ups pending on it are reset.
+        """Handle the loss of the connection: reset the set-ups that are pending on it.
 
-        Another is opened where this one was superseded and its calls are established: a release that
-        was under way when it broke comes again on the next connection that is opened; the active one is
-        open already.
+        If the connection was superseded and calls set up on it are established, another connection is opened:
+        the server repeats a release that was in flight only on a connection opened later, and the active one
+        is already open.
         """
         core = self.pool.core
         self.liveness.connection_lost()
         self.pool.failures.connection_lost(self)
         active = self.pool.active.get(self.server.id)
         self.server.connected = active is not None and active.liveness.is_connected
-        unconfirmed = self.send_queue.take_unconfirmed_releases()
+        unconfirmed_releases = self.send_queue.take_unconfirmed_releases()
         if active is not None and self.server.record.availability is not Availability.GONE:
-            active.send_queue.prepend(unconfirmed)
+            active.send_queue.prepend(unconfirmed_releases)
             active.notify_writable()
-        if self.pool.is_superseded(self) and not self.can_close() and self._has_established():
-            self.pool.dial_again_later(self.server)
-        broken = self.send_queue.take_pending()
+        if self.pool.is_superseded(self) and not self.can_close() and self._has_established_call():
+            self.pool.schedule_redial(self.server)
+        reset_attempts = self.send_queue.take_pending()
         core.log(
             "server_connection_lost",
             server=self.server.record.instance,
-            open=len(broken),
+            open=len(reset_attempts),
             established=len(self.established_calls),
             superseded=self.pool.is_superseded(self),
         )
-        for attempt in broken:
+        for attempt in reset_attempts:
             core.attempts.connection_lost(attempt)
 
-    def _has_established(self) -> bool:
+    def _has_established_call(self) -> bool:
         return any(map(self.pool.core.calls.is_established, self.established_calls))
 
     def data_to_send(self) -> bytes:
-        """What is to be written now; nothing once something came that can't be read."""
+        """Return the bytes to be written now; none once a line that cannot be parsed was received."""
         return b"" if self.malformed else self.send_queue.data_to_send()
 
     def reclaim_unsent(self, rest: bytes) -> bytes:
-        """The peer is slow: what it has no room for waits again, but for the line that was begun."""
+        """Queue lines again that the socket did not take; return the rest of a partly written line."""
         return self.send_queue.reclaim_unsent(rest)
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the roster server."""
+        """Handle the complete lines in bytes from the server; end the connection on a malformed line."""
         if self.malformed:
             return
         buffer = self._receive_buffer
@@ -303,19 +307,19 @@
                 self._message_received(message)
         del buffer[:start]
         if len(buffer) > MAX_LINE_BYTES:
-            self._close_malformed("a line without end")
+            self._close_malformed("the line exceeds 16 KiB and has no end")
 
-    def _close_malformed(self, why: str) -> None:
-        """What came can't be read: end the connection, so that all set-ups pending on it get their outcome.
+    def _close_malformed(self, reason: str) -> None:
+        """End a connection that brought a malformed message, so that its pending set-ups get an outcome.
 
-        Behind a message that is malformed the answers to the others are not to be had either.
+        Responses that follow a malformed message cannot be read reliably.
         """
         core = self.pool.core
         self.malformed = True
         self._receive_buffer.clear()
         core.counters.add("malformed_from_servers")
         instance = self.server.record.instance
-        core.log("malformed", side="server", server=instance, why=why, open=len(self.pending_setups))
+        core.log("malformed", side="server", server=instance, why=reason, open=len(self.pending_setups))
         self.abort()
 
     def _message_received(self, message: ServerMessage) -> None:
--- a/stairhatch/node/server_messages.py
+++ b/stairhatch/node/server_messages.py
@@ -1,7 +1,7 @@
-"""The JSON lines that are exchanged with the roster servers.
+"""Rendering and parsing of the JSON lines that are exchanged with roster servers.
 
-Renders set-ups, releases and echo replies, and reads what the servers send: one JSON object a line, 16 KiB at
-most. Nothing here knows a connection, a call's state or a clock; what can't be read is reported as
+The module renders set-ups, releases and echo replies, and parses the servers' messages: one JSON object per
+line, 16 KiB at most. It depends on no connection, call state or clock; a line that cannot be parsed raises
 `MalformedMessageError`.
 """
 
@@ -17,67 +17,67 @@
 from stairhatch.settings.load_reports import load_report_from_values
 
 MAX_LINE_BYTES = 16 * 1024
-LINE_OVERHEAD_BYTES = 512  # of a set-up's line, beside its id, number and description
-MAX_ESCAPED_CHARACTER = 6  # bytes that JSON takes for one character, `\u1234`
-LONGEST_TIME_LEFT_MS = 10**8
+LINE_OVERHEAD_BYTES = 512  # upper bound for a set-up's line without its id, number and description
+MAX_ESCAPED_BYTES = 6  # bytes of one character escaped in JSON, `\u1234`
+MAX_TIME_LEFT_MS = 10**8  # the widest value that a set-up's line is measured with
 SHOWN_ERROR_CHARACTERS = 80
 CALL_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
 
 
 class Verb(StrEnum):
-    """What a line asks or reports."""
+    """The verb of a line, which names its request or report."""
 
-    START = "START"  # to a server: set a call up
-    PENDING = "PENDING"  # from a server: it is at work on the set-up
+    START = "START"  # to a server: request to set up a call
+    PENDING = "PENDING"  # from a server: the set-up is in progress
     STARTED = "STARTED"  # from a server: the call is established
-    FINISH = "FINISH"  # in both directions: the set-up is rejected or given up, or the call released
-    FINISHED = "FINISHED"  # from a server: a release was received
-    ECHO = "ECHO"  # a health check
-    ECHOED = "ECHOED"  # its answer
-    LOAD = "LOAD"  # from a server: a load report, unasked
+    FINISH = "FINISH"  # in both directions: the set-up is rejected or cancelled, or the call is released
+    FINISHED = "FINISHED"  # from a server: confirmation of a release
+    ECHO = "ECHO"  # from a server: a health check
+    ECHOED = "ECHOED"  # to a server: the reply to a health check
+    LOAD = "LOAD"  # from a server: an unsolicited load report
 
 
-CALL_VERBS = frozenset((str(Verb.STARTED), str(Verb.FINISH)))  # they name a call
+CALL_VERBS = frozenset((str(Verb.STARTED), str(Verb.FINISH)))  # verbs of messages whose tag must be a call id
 
 
 class MalformedMessageError(ValueError):
-    """A line that can't be read. Its text says why, for the log."""
+    """Raised for a line that cannot be parsed; its text is the reason, for the log."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class ServerMessage:
-    """One line from a roster server."""
+    """The parsed content of one line from a roster server."""
 
-    verb: str  # also one that is not known here
-    call_id: Any  # as it was sent; 16 hex digits where the verb names a call
+    verb: str  # any text, in `Verb` or not
+    call_id: Any  # the tag as received; 16 hex digits if the verb is in CALL_VERBS
     load_report: LoadReport
-    cause: int  # Q.850 cause of a release; 0: none was sent
+    cause: int  # Q.850 cause of a release; 0 if the line has none
     note: str
-    description: str  # the answer's, of STARTED alone
+    description: str  # session description of a STARTED message; empty for other verbs
 
 
 def render_setup(call_id: str, call_class: str, key: str, description: str, time_left_ms: int) -> bytes:
-    """Return the line of a set-up to a roster server."""
+    """Return the START line of a set-up; `key` is the called URI, `time_left_ms` the time to the deadline."""
     opts = {"class": call_class, "key": key, "left": str(time_left_ms)}
     return _render({"verb": Verb.START, "tag": call_id, "opts": opts, "blob": description})
 
 
 def render_release(call_id: str, cause: int) -> bytes:
-    """The release of a call, or the giving up of a set-up."""
+    """Return the FINISH line that releases a call or cancels a set-up; `cause` is a Q.850 cause."""
     return _render({"verb": Verb.FINISH, "tag": call_id, "opts": {}, "rc": cause})
 
 
 def render_echo_reply(tag: Any) -> bytes:
-    """The answer to a health check, with the tag of its request."""
+    """Return the ECHOED line that replies to a health check, with the tag of the request."""
     return _render({"verb": Verb.ECHOED, "tag": tag, "opts": {}, "rc": 1})
 
 
 def exceeds_line_limit(call_id: str, call_class: str, key: str, description: str) -> bool:
-    """Whether a set-up would not fit into a line."""
+    """Return whether the line of a set-up would exceed 16 KiB."""
     characters = len(call_id) + len(key) + len(description)
-    if MAX_ESCAPED_CHARACTER * characters + LINE_OVERHEAD_BYTES < MAX_LINE_BYTES:
+    if MAX_ESCAPED_BYTES * characters + LINE_OVERHEAD_BYTES < MAX_LINE_BYTES:
         return False
-    return len(render_setup(call_id, call_class, key, description, LONGEST_TIME_LEFT_MS)) > MAX_LINE_BYTES
+    return len(render_setup(call_id, call_class, key, description, MAX_TIME_LEFT_MS)) > MAX_LINE_BYTES
 
 
 def _render(value: dict[str, Any]) -> bytes:
@@ -85,36 +85,36 @@
 
 
 def parse_load_report(text: str) -> LoadReport:
-    """A load report such as `x0:12;x1:40`. Fields that the settings don't name count as missing."""
+    """Return the load report of a text such as `x0:12;x1:40`; ignore fields that the settings do not name."""
     if not text:
         return NO_LOAD
     values = []
-    for piece in text.split(";"):
-        name, _, figure = piece.partition(":")
+    for field in text.split(";"):
+        name, _, value = field.partition(":")
         try:
-            values.append((name.strip(), float(figure)))
+            values.append((name.strip(), float(value)))
         except ValueError:
             continue
     return load_report_from_values(values)
 
 
 def parse_message(line: bytes) -> ServerMessage:
-    """One line from a roster server, without its end.
+    """Return the message of one line from a roster server, given without its line end.
 
     Raises:
-        MalformedMessageError: it is too long, no JSON object, or has a field of the wrong form.
+        MalformedMessageError: the line is too long, is not a JSON object, or has a field of the wrong form.
     """
     try:
         return _read_message(line)
     except (ValueError, AttributeError, TypeError, OverflowError, RecursionError) as error:
-        why = f"{type(error).__name__}: {str(error)[:SHOWN_ERROR_CHARACTERS]}"
-        raise MalformedMessageError(why) from error
+        reason = f"{type(error).__name__}: {str(error)[:SHOWN_ERROR_CHARACTERS]}"
+        raise MalformedMessageError(reason) from error
 
 
 def _read_message(line: bytes) -> ServerMessage:
-    """As `parse_message`, which lists what it raises for a line of the wrong form."""
+    """Return the message of a line; raise any of the errors that `parse_message` converts."""
     if len(line) > MAX_LINE_BYTES:
-        raise ValueError("longer than 16 KiB")
+        raise ValueError("the line is longer than 16 KiB")
     message = json.loads(line.decode())
     verb, call_id = message.get("verb"), message.get("tag", "")
     opts = message.get("opts") or {}
@@ -124,8 +124,8 @@
     description = message.get("blob") if verb == "STARTED" else ""
     are_texts = isinstance(verb, str) and isinstance(description, str)
     if not are_texts:
-        raise ValueError("verb or blob")
-    description.encode()  # half a pair of surrogates can't be passed on
+        raise ValueError("verb or blob is not a text")
+    description.encode()  # raises for an unpaired surrogate, which cannot be forwarded
     if verb in CALL_VERBS and not (isinstance(call_id, str) and CALL_ID.match(call_id)):
-        raise ValueError("tag")
+        raise ValueError("tag is not a call id of 16 hex digits")
     return ServerMessage(verb, call_id, load_report, cause, note, description)
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -1,9 +1,10 @@
-"""The connections to all roster servers of the endpoint list: which one to each is in use.
+"""The pool of connections to all roster servers of the endpoint list.
 
-Also what becomes of one that is unresponsive, or whose server is gone or out of scope. One connection
-to each server is active. Where it is unresponsive for no reason that shows, a standby is dialled; once that
-is up it is promoted, and the other is superseded: it is read until nothing is due on it, and ended when the
-new one shows that it is dead. The pool never chooses a server and knows no socket: what dials is passed in.
+The pool decides which connection to each server is active, and handles connections that are unresponsive or
+whose server is gone or out of scope. If the active connection is unresponsive without a known reason, a
+standby is dialled. Once the standby is up it is promoted, and the previous connection is superseded: it is
+read until nothing more is expected on it, and ended if the new connection shows that it is dead. The pool
+does not choose servers for calls and opens no sockets: the function that dials is passed in.
 """
 
 from __future__ import annotations
@@ -16,41 +17,41 @@
 from stairhatch.node.calls import Attempt, RosterServer
 from stairhatch.node.failure_monitor import FailureMonitor
 from stairhatch.node.liveness_checker import MAX_SUPERSEDED, LivenessChecker
-from stairhatch.node.send_queue import SIMULTANEOUS_S
-from stairhatch.node.server_connection import SUPERSEDED_S, ServerConnection
+from stairhatch.node.send_queue import MAX_ARRIVAL_SKEW_S
+from stairhatch.node.server_connection import MIN_SUPERSEDED_READ_S, ServerConnection
 from stairhatch.node.server_responses import LossReason
 from stairhatch.overload.events import Availability
 
-START_MARGIN_S = 1.0  # a connection so much older than a server's start is to the process before
-CLOSE_CHECK_S = 1.0  # between two looks whether a superseded connection, or a server's, may end
-CLOSE_CHECK_MARGIN_S = 0.01  # the first of them is so much later than the time it is read at least
-REDIAL_DELAY_S = 0.1  # after a dead connection has been ended
+START_MARGIN_S = 1.0  # a connection older than the server's start by more leads to the previous process
+CLOSE_CHECK_S = 1.0  # between two checks whether a superseded or out-of-scope connection may close
+CLOSE_CHECK_MARGIN_S = 0.01  # added to the minimum reading time before the first check
+REDIAL_DELAY_S = 0.1  # between the end of a dead connection and the next dial
 
 
 class ServerConnectionPool:
-    """The connections to all roster servers that the endpoint list has named (`ServerPool`)."""
+    """The pool of connections to all roster servers of the endpoint list; implements `ServerPool`."""
 
     def __init__(self, core: CallManager, dial: Callable[[ServerConnection], None]) -> None:
-        """Watch the connections of a call manager; `dial` keeps each connected until it may be closed."""
+        """Attach the pool to a call manager; `dial` keeps a connection open until it may be closed."""
         self.core, self.dial = core, dial
-        self.active: dict[int, ServerConnection] = {}  # the one in use, by the server's id
-        self.standby: dict[int, ServerConnection] = {}  # dialled because that one is unresponsive
-        self.superseded: list[ServerConnection] = []  # what is pending there may still be answered
-        self.draining: set[int] = set()  # servers out of scope, looked at until their connections may end
-        self.handed_over = False  # another process goes on
+        self.active: dict[int, ServerConnection] = {}  # the connection in use, by server id
+        self.standby: dict[int, ServerConnection] = {}  # dialled beside an unresponsive one, by server id
+        self.superseded: list[ServerConnection] = []  # still read for pending responses and releases
+        self.draining: set[int] = set()  # out-of-scope servers whose connections cannot close yet
+        self.handed_over = False  # another process has taken over
         core.servers.pool = self
         self.failures = FailureMonitor(self)
         self.liveness_checker = LivenessChecker(self)
 
-    # ---- the endpoint list ----
+    # ---- changes of the endpoint list ----
 
     def record_changed(self, server: RosterServer) -> None:
-        """A server's record is new or has changed: a connection is kept while it is of use."""
+        """Open, keep or close the connections to a server whose record is new or has changed."""
         connection = self.active.get(server.id)
         if server.record.availability is Availability.GONE:
             for each in self.connections_to(server):
                 each.drain()
-            if connection is None:  # never in scope; not at once, since the list is being gone through
+            if connection is None:  # never in scope; deferred, since the caller iterates over the list
                 self.core.timers.schedule(self.core.clock(), partial(self._forget, server))
             return
         if self.handed_over:
@@ -64,13 +65,13 @@
         connection.draining = False
         for each in self.connections_to(server):
             if each.liveness.connected_at < server.record.started_at - START_MARGIN_S:
-                each.abort()  # the process that it was opened to is no more
+                each.abort()  # the process to which it was opened has ended
         connection.notify_writable()
 
     def _drain_server(self, server: RosterServer) -> None:
-        """Close the connections to a server that is out of scope, once no call is open there.
+        """Close the connections to an out-of-scope server once it has no open call.
 
-        Until then the ends of calls come on them, and releases go on them.
+        Until then the server sends releases on these connections, and the softswitch sends its own.
         """
         if server.id in self.draining or not self.connections_to(server):
             return
@@ -89,16 +90,16 @@
         if server.record.availability is not Availability.GONE:
             self.record_changed(server)
 
-    # ---- set-ups and releases ----
+    # ---- sending set-ups and releases ----
 
     def send_setup(self, attempt: Attempt) -> None:
-        """Queue a set-up; it is rendered when it can be written."""
+        """Queue a set-up on the active connection; fail it if there is none or the queue is full."""
         connection = self.active.get(attempt.server.id)
         if connection is None or not connection.send_setup(attempt):
             self.core.attempts.transmission_failed(attempt, reached=True)
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
-        """Give a set-up up, or release an established call."""
+        """Cancel a set-up or release an established call, with a Q.850 cause."""
         connection = self._connection_for_release(server, ident)
         if connection is None or not connection.send_queue.has_room_for_release:
             return
@@ -107,54 +108,55 @@
         connection.send_release(ident, cause)
 
     def _connection_for_release(self, server: RosterServer, ident: str) -> ServerConnection | None:
-        """The connection in use; while that is not up, one that is, the set-up's own first.
+        """Return the active connection, or if it is down another that is up, the set-up's own first.
 
-        A server that is gone keeps the connections on which a set-up is pending, and the one in use may have
-        ended: a set-up that could not be given up would be out beside the next attempt.
+        A server that is gone keeps the connections on which a set-up is pending, although its active
+        connection may have ended. Without a connection for its cancellation, the set-up would stay open at
+        the server beside the next attempt.
         """
         active = self.active.get(server.id)
         if active is not None and active.liveness.is_connected:
             return active
         connected = [each for each in self.connections_to(server) if each.liveness.is_connected]
-        own = (each for each in connected if ident in each.pending_setups)
-        return next(own, None) or next(iter(connected), active)
+        with_setup = (each for each in connected if ident in each.pending_setups)
+        return next(with_setup, None) or next(iter(connected), active)
 
-    # ---- the end of this process ----
+    # ---- shutdown ----
 
     def shut_down(self) -> None:
-        """Another process goes on: what the servers report from now on comes on its connections.
+        """End all connections after another process has taken over, so that servers report to that process.
 
-        Releases that came here would find no caller, once the last connection of a caller has gone.
+        Releases received here could not be delivered once the callers' last connections have closed.
         """
         self.handed_over = True
-        for connection in self._all():
+        for connection in self._all_connections():
             connection.discard()
 
     def is_flushed(self) -> bool:
-        """Whether all that can be written has been written."""
-        return all(connection.is_flushed() for connection in self._all())
+        """Return whether all connections that are up have written everything."""
+        return all(connection.is_flushed() for connection in self._all_connections())
 
-    # ---- what connections ask ----
+    # ---- queries and notifications of connections ----
 
     def connections_to(self, server: RosterServer) -> list[ServerConnection]:
-        """Every connection to a server."""
+        """Return the active, standby and superseded connections to a server."""
         found = [each[server.id] for each in (self.active, self.standby) if server.id in each]
         return found + [each for each in self.superseded if each.server is server]
 
     def is_standby(self, connection: ServerConnection) -> bool:
-        """Whether it has not come up yet beside the one in use."""
+        """Return whether a connection is a standby: dialled beside the active one and not yet up."""
         return self.standby.get(connection.server.id) is connection
 
     def is_superseded(self, connection: ServerConnection) -> bool:
-        """Whether another has taken its place."""
+        """Return whether another connection has replaced this one as the active connection."""
         return connection in self.superseded
 
-    def reads_superseded(self, server: RosterServer) -> bool:
-        """Whether a superseded connection to a server is still up."""
+    def has_connected_superseded(self, server: RosterServer) -> bool:
+        """Return whether a superseded connection to a server is still up."""
         return any(each.server is server and each.liveness.is_connected for each in self.superseded)
 
     def remove(self, connection: ServerConnection) -> None:
-        """A connection has ended for good."""
+        """Remove an ended connection; drop its server if that is gone, or reconnect if it is listed again."""
         server = connection.server
         if connection in self.superseded:
             self.superseded.remove(connection)
@@ -163,20 +165,20 @@
         if self.active.get(server.id) is connection:
             del self.active[server.id]
             if server.record.availability is not Availability.GONE:
-                self.record_changed(server)  # it was listed again in the meantime
+                self.record_changed(server)  # the server was listed again while the connection closed
             else:
                 self._forget(server)
 
     def _forget(self, server: RosterServer) -> None:
-        """Drop a server that is gone. No call may be left there: nothing would ever end it."""
+        """Drop a server that is gone, ending its established calls, which nothing else would ever end."""
         if server.record.availability is Availability.GONE:
             self.core.responses.terminate_established_at(server, math.inf, LossReason.LISTED_GONE)
             self.core.servers.forget(server)
 
-    # ---- standbys ----
+    # ---- standby connections ----
 
     def dial_standby(self, connection: ServerConnection) -> None:
-        """Dial once more to the server of the connection in use."""
+        """Dial a standby to the server of an active connection, unless it has a standby or is draining."""
         server = connection.server
         is_active = self.active.get(server.id) is connection
         if is_active and server.id not in self.standby and not connection.draining:
@@ -186,7 +188,7 @@
             self.dial(standby)
 
     def promote(self, connection: ServerConnection) -> None:
-        """A standby has come up: it is used from now on. The other is kept for what may still come on it."""
+        """Make a standby that has come up the active connection, and keep reading the superseded one."""
         server_id = connection.server.id
         del self.standby[server_id]
         old = self.active.get(server_id)
@@ -195,52 +197,54 @@
             return
         self.superseded.append(old)
         old.mark_superseded()
-        first_check_at = old.superseded_at + SUPERSEDED_S + CLOSE_CHECK_MARGIN_S
+        first_check_at = old.superseded_at + MIN_SUPERSEDED_READ_S + CLOSE_CHECK_MARGIN_S
         self.core.timers.schedule(first_check_at, partial(self._check_superseded, old))
         old.hand_queue_to(connection)
 
     # ---- superseded connections ----
 
     def _check_superseded(self, old: ServerConnection) -> None:
-        """A superseded connection ends once nothing is due on it; it is looked at until then."""
+        """Let a superseded connection close if nothing more is expected on it, or else check again later."""
         if old in self.superseded:
             old.notify_writable()
             self.core.timers.schedule(self.core.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old))
 
     def _close_oldest_superseded(self, server: RosterServer) -> None:
-        """Before one more is dialled: of those superseded the oldest ends that has nothing pending.
+        """Make room for one more connection: let the oldest superseded one without pending set-ups close.
 
-        A server reports its load on four connections. What it may have sent on the one that ends comes on the
-        one that is opened next.
+        A server reports its load on four connections. It repeats releases sent on the closed connection on
+        the one that is opened next.
         """
-        kept = [each for each in self.superseded if each.server is server]
-        if len(kept) >= MAX_SUPERSEDED and (old := next((e for e in kept if not e.pending_setups), None)):
+        oldest_first = [each for each in self.superseded if each.server is server]
+        if len(oldest_first) >= MAX_SUPERSEDED and (
+            old := next((e for e in oldest_first if not e.pending_setups), None)
+        ):
             old.end_superseded_period()
 
     def message_received(self, connection: ServerConnection, is_load_report: bool) -> None:
-        """Something came. Where a superseded connection should have brought it too, that one is dead."""
+        """Handle a received message, and check superseded connections that should have brought it too."""
         self.failures.message_received(connection, is_load_report)
         if not self.superseded or connection in self.superseded:
             return
-        if is_load_report and connection.liveness.load_reports < 2:  # the first comes on each by itself
+        if is_load_report and connection.liveness.load_reports < 2:  # sent first on each new connection
             return
         now = self.core.clock()
         for old in self.superseded:
             if old.server is not connection.server or old.dead_check_pending:
                 continue
             both_up_at = max(connection.liveness.connected_at, old.liveness.connected_at)
-            if max(old.liveness.last_received_at, both_up_at) < now - SIMULTANEOUS_S:
+            if max(old.liveness.last_received_at, both_up_at) < now - MAX_ARRIVAL_SKEW_S:
                 old.dead_check_pending = True
-                self.core.timers.schedule(now + SIMULTANEOUS_S, partial(self._close_dead, old, now))
+                self.core.timers.schedule(now + MAX_ARRIVAL_SKEW_S, partial(self._close_dead, old, now))
 
     def _close_dead(self, old: ServerConnection, since: float) -> None:
-        """End a superseded connection on which nothing came: the suspicion was right.
+        """End a superseded connection that received nothing around `since`, which confirms the suspicion.
 
-        Its successor is suspected without a backoff, and another is dialled for what was released on the dead
-        one.
+        The backoff of its successor is reset, and another connection is dialled to receive the releases that
+        were sent on the dead one.
         """
         old.dead_check_pending = False
-        if old in self.superseded and old.liveness.last_received_at < since - SIMULTANEOUS_S:
+        if old in self.superseded and old.liveness.last_received_at < since - MAX_ARRIVAL_SKEW_S:
             instance = old.server.record.instance
             self.core.counters.add("server_connections_dead")
             self.core.log("server_connection_dead", server=instance, open=len(old.pending_setups))
@@ -248,23 +252,23 @@
             active = self.active.get(old.server.id)
             if active is not None:
                 active.liveness.reset_backoff()
-            self.dial_again_later(old.server)
+            self.schedule_redial(old.server)
 
-    def dial_again_later(self, server: RosterServer) -> None:
-        """A connection has ended on which ends of calls may have been lost: they come on the next opened."""
-        self.core.timers.schedule(self.core.clock() + REDIAL_DELAY_S, partial(self._dial_again, server))
+    def schedule_redial(self, server: RosterServer) -> None:
+        """Schedule another connection, on which the server repeats releases that were lost with one."""
+        self.core.timers.schedule(self.core.clock() + REDIAL_DELAY_S, partial(self._redial, server))
 
-    def _dial_again(self, server: RosterServer) -> None:
-        """Dial once more, for ends of calls that were sent on a dead connection.
+    def _redial(self, server: RosterServer) -> None:
+        """Dial a standby to receive the releases that were sent on a dead connection.
 
-        Calls may have ended after the standby had come up and before the dead connection was closed: the
-        server sends their ends once more, on the connection that is opened after that.
+        Calls may have ended after the previous standby came up and before the dead connection was closed. The
+        server repeats their releases on the connection that is opened after that.
         """
         connection = self.active.get(server.id)
-        if server.id in self.standby:  # dialled before: it may have been opened before the end was sent
-            self.dial_again_later(server)
+        if server.id in self.standby:  # dialled earlier: it may open before the release is sent
+            self.schedule_redial(server)
         elif connection is not None and connection.liveness.is_connected:
             self.dial_standby(connection)
 
-    def _all(self) -> list[ServerConnection]:
+    def _all_connections(self) -> list[ServerConnection]:
         return [*self.active.values(), *self.standby.values(), *self.superseded]
--- a/stairhatch/node/server_registry.py
+++ b/stairhatch/node/server_registry.py
@@ -1,4 +1,4 @@
-"""The roster servers that the service discovery lists, and which of them are in scope."""
+"""The registry of the roster servers that the service discovery lists, with the scope of this softswitch."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 
 
 class ServerChange(NamedTuple):
-    """What an update has changed at one server."""
+    """The change that an update has made to one server."""
 
     server: RosterServer
-    lost_before: float = 0.0  # calls that were established there before this time are lost
-    has_restarted: bool = False  # the list names a later start; else calls are lost as it is gone
-    is_listed: bool = True  # the update names it
+    lost_before: float = 0.0  # calls established at the server before this time are lost; 0: none
+    has_restarted: bool = False  # the record has a later start; else a loss means that the server is gone
+    is_listed: bool = True  # the update contains a record of the server
 
 
 class ServerRegistry:
-    """Roster servers by the id given to them here and by the coordinator's instance id."""
+    """The registry of roster servers, by the id assigned here and by the coordinator's instance id."""
 
     def __init__(self) -> None:
-        """Begin with no server, all numbers being in scope."""
+        """Create an empty registry with all server numbers in scope."""
         self.by_id: dict[int, RosterServer] = {}
         self.by_instance: dict[str, RosterServer] = {}
-        self.in_scope: Callable[[int], bool] | None = None  # whether a number is connected to; None: all are
-        self.list_confirmed_at = -math.inf  # the last complete answer of the coordinator; inf: a fixed list
-        self.pool: ServerPool  # the connections to them; it attaches itself
+        self.in_scope: Callable[[int], bool] | None = None  # whether a server number is in scope; None: all
+        self.list_confirmed_at = -math.inf  # time of the last complete answer; inf: a fixed list
+        self.pool: ServerPool  # the pool of connections, which sets this attribute itself
         self._ids = count(1)
 
     def is_in_scope(self, server: RosterServer) -> bool:
-        """Whether a connection to a server is wanted."""
+        """Return whether this softswitch connects to a server."""
         return self.in_scope is None or self.in_scope(server.record.number)
 
     def update(self, records: Iterable[ServerRecord], complete: bool) -> Iterator[ServerChange]:
-        """Apply records of the endpoint list, and yield each change as it is made.
+        """Apply records of the endpoint list, and yield each change as soon as it is made.
 
-        A `complete` list makes those servers GONE that it does not name.
+        If the list is `complete`, servers that it does not contain become GONE.
         """
-        named = set()
+        listed = set()
         for record in records:
-            named.add(record.instance)
+            listed.add(record.instance)
             server = self.by_instance.get(record.instance)
             if server is None and record.availability is Availability.GONE:
-                continue  # it has been forgotten
+                continue  # already removed from the registry
             if server is None:
                 server = RosterServer(next(self._ids), record)
                 self.by_id[server.id] = server
@@ -61,17 +61,17 @@
                 lost_before = math.inf
             yield ServerChange(server, lost_before, restarted)
         if complete:
-            yield from self._remove_unnamed(named)
+            yield from self._remove_unlisted(listed)
 
-    def _remove_unnamed(self, named: set[str]) -> Iterator[ServerChange]:
+    def _remove_unlisted(self, listed: set[str]) -> Iterator[ServerChange]:
         for server in self.by_id.values():
             record = server.record
-            if record.instance not in named and record.availability is not Availability.GONE:
+            if record.instance not in listed and record.availability is not Availability.GONE:
                 server.record = record._replace(availability=Availability.GONE)
                 yield ServerChange(server, math.inf, is_listed=False)
 
     def forget(self, server: RosterServer) -> None:
-        """Drop a server that is GONE and to which no connection is left."""
+        """Remove a server that is GONE; the caller makes sure that no connection to it is left."""
         if server.record.availability is Availability.GONE:
             self.by_id.pop(server.id, None)
             if self.by_instance.get(server.record.instance) is server:
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -1,6 +1,6 @@
-"""Responses of roster servers: progress, an established call, a rejection, a release, a load report.
+"""Handling of roster servers' responses: progress, established calls, rejections, releases, load reports.
 
-Late and duplicate responses, and those of the wrong server, are recognized here.
+Late and duplicate responses, and responses from the wrong server, are detected here.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class LossReason(StrEnum):
-    """Why an established call counts as lost with its server; the values stand in the log."""
+    """The reason why an established call counts as lost with its server; the log has the values."""
 
     LISTED_GONE = "listed gone"
     RESTARTED = "listed as restarted"
@@ -36,7 +36,7 @@
     REPLACED = "perhaps another process at its address"
 
 
-OUTCOMES: dict[int, AttemptOutcome] = {  # of an attempt, by its rejection's cause; RESET for all others
+OUTCOMES: dict[int, AttemptOutcome] = {  # of an attempt, by its rejection's cause; RESET for other causes
     ReleaseCause.NO_CIRCUIT_AVAILABLE: AttemptOutcome.REJECTED,
     ReleaseCause.RECOVERY_ON_TIMER_EXPIRY: AttemptOutcome.NOT_SENT,
     ReleaseCause.USER_BUSY: AttemptOutcome.ERROR,
@@ -46,7 +46,7 @@
 
 @dataclass(eq=False, repr=False, kw_only=True)
 class ServerResponses:
-    """Takes what roster servers say. `cause` is a Q.850 cause, also one that `ReleaseCause` does not name."""
+    """The handler of roster servers' responses. A `cause` is any Q.850 cause, in `ReleaseCause` or not."""
 
     context: NodeContext
     calls: CallRegistry
@@ -57,7 +57,7 @@
     unknown_release_listeners: list[Callable[[str, int], None]] = field(default_factory=list)
 
     def setup_progressing(self, server: RosterServer, ident: str) -> None:
-        """A roster server is at work on a set-up."""
+        """Report progress of a pending set-up to the caller, if the caller requested progress reports."""
         call = self.calls.by_ident.get(ident)
         attempt = call.attempt if call is not None and call.state is CallState.OFFERED else None
         if call is None or attempt is None or not call.request.reports_progress:
@@ -66,12 +66,15 @@
             call.caller_session.progressing()
 
     def call_established(self, server: RosterServer, ident: str, description: str) -> None:
-        """A roster server says that the call is established."""
+        """Establish a call that a roster server has accepted.
+
+        A call that is no longer pending at this server, or whose server is gone, is released there instead.
+        """
         context = self.context
         call = self.calls.by_ident.get(ident)
         attempt = call.attempt if call is not None else None
         if call is None and not self.calls.was_terminated(ident):
-            context.counters.add("answers_of_unknown_calls")  # none of ours: nothing to release
+            context.counters.add("answers_of_unknown_calls")  # not set up here: nothing to release
             return
         if call is None or attempt is None or attempt.server is not server or not attempt.written:
             context.counters.add("late_answers")
@@ -84,7 +87,7 @@
         if server.record.availability is Availability.GONE:
             context.counters.add("answers_of_gone_servers")
             self.servers.pool.send_release(server, ident, ReleaseCause.NORMAL_CLEARING)
-            self.attempts.end(attempt, AttemptOutcome.RESET, NO_LOAD)  # nobody would report the call's end
+            self.attempts.end(attempt, AttemptOutcome.RESET, NO_LOAD)  # its release would not be reported
             return
         now = context.clock()
         self.calls.establish(call, now)
@@ -97,9 +100,10 @@
     def call_released(
         self, server: RosterServer, ident: str, cause: int, note: str, report: LoadReport
     ) -> None:
-        """A roster server rejects a set-up or releases a call.
+        """Handle a server's rejection of a set-up or its release of a call.
 
-        It may do so by the connection of another id that is listed at its address: that is one process.
+        The message may arrive on the connection of another instance id that is listed at the same address:
+        both ids denote one process.
         """
         call = self.calls.by_ident.get(ident)
         attempt = call.attempt if call is not None else None
@@ -117,14 +121,14 @@
             self.attempts.end(attempt, outcome, report, note)
 
     def load_reported(self, server: RosterServer, report: LoadReport) -> None:
-        """A roster server's load, unasked."""
+        """Dispatch a roster server's load report, unless it is empty."""
         if report != NO_LOAD:
             self.dispatcher.dispatch(LoadReported(server.id, report))
 
     def terminate_established_at(self, server: RosterServer, before: float, reason: LossReason) -> list[str]:
-        """A server's process has gone, and with it the calls that were established there before that time.
+        """End the calls that were established at a server before a time, since its process has ended.
 
-        Returns the ids of these calls.
+        `before` is a time of the node's clock in seconds. Returns the ids of the ended calls.
         """
         context = self.context
         lost = self.calls.established_at(server, before)
@@ -142,7 +146,7 @@
         return [call.request.ident for call in lost]
 
     def _unknown_released(self, ident: str, cause: int) -> None:
-        """A server releases a call that is not open here: passed on unless the call ended here lately."""
+        """Pass the release of a call unknown here to the listeners, unless the call ended here recently."""
         if self.calls.was_terminated(ident):
             return
         self.context.counters.add("releases_of_unknown_calls")
@@ -153,10 +157,10 @@
             listener(ident, cause)
 
     def _terminate_unanswered(self, call: Call, attempt: Attempt, report: LoadReport) -> None:
-        """The call was established and has ended, but its answer was not received.
+        """Fail a call that was established and has ended at the server before its answer was received.
 
-        It is not set up a second time: it has run its course, and its end is owed to the caller
-        (rate+silent+leave, where answers come late).
+        The call is not set up a second time, since it has already taken place; the caller gets a final
+        response (found in rate+silent+leave, in which answers arrive late).
         """
         self.context.counters.add("calls_ended_unanswered")
         if self.context.tracing:
@@ -167,7 +171,7 @@
         self.attempts.end(attempt, AttemptOutcome.RESET, report)
 
     def _terminate(self, call: Call, attempt: Attempt, cause: int, report: LoadReport) -> None:
-        """A roster server has ended an established call: release it at the caller."""
+        """Release an established call at its caller after the roster server has ended it."""
         is_normal = cause == ReleaseCause.NORMAL_CLEARING
         self.context.counters.add("calls_completed" if is_normal else "calls_lost")
         if self.context.tracing:
@@ -179,5 +183,5 @@
 
 
 def _is_same(one: RosterServer, other: RosterServer) -> bool:
-    """Whether two records are of one process: one that was replaced at its address has two for a while."""
+    """Return whether two records denote one process: a replaced instance shares its address for a while."""
     return one is other or one.record.address == other.record.address
