--- a/stairhatch/node/admin_console.py
+++ b/stairhatch/node/admin_console.py
@@ -1,8 +1,8 @@
-"""The operator's terminal: its commands and the text they print.
+"""The operator's terminal console: its commands and the text that they print.
 
-It is fed what was typed and returns what is to be printed. The commands of the admin endpoint are among its
-own and go to `admin_endpoint.execute`. Nothing here answers a call or changes a decision, but for `quit`,
-which ends the program, and what the endpoint's commands do.
+The console receives typed bytes and returns the text to print. It also accepts the commands of the admin
+endpoint, which `admin_endpoint.execute` carries out. Its own commands neither answer calls nor change
+decisions, except `quit`, which ends the program.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 
 
 class AdminConsole:
-    """One terminal, fed what was typed; what it returns is printed."""
+    """The console of one terminal: it takes the typed bytes and returns the text to print."""
 
     def __init__(
         self, core: CallManager, end: Callable[[], None], service: Callable[[], str] = lambda: ""
     ) -> None:
-        """`end` ends the program; `service` adds to the text of `status`."""
+        """Create a console; `end` ends the program, and `service` returns text to append to `status`."""
         self._core, self._end, self._service = core, end, service
         self._started_at = core.clock()
-        self._typed = b""  # of a line whose end has not come
+        self._typed = b""  # the incomplete last line
         self._commands: dict[str, Callable[[], str]] = {
             "help": self._help,
             "?": self._help,
@@ -57,13 +57,13 @@
         }
 
     def feed(self, data: bytes) -> str:
-        """What was typed; returns what is to be printed."""
+        """Execute the complete lines in typed bytes; return the text to print."""
         *lines, self._typed = (self._typed + data).split(b"\n")
         self._typed = self._typed[:MAX_LINE_BYTES]
         return "".join(self.command(line.decode("utf-8", "replace")) + PROMPT for line in lines)
 
     def command(self, line: str) -> str:
-        """Execute one line; returns what it prints."""
+        """Execute one line; return its output, empty for an empty line."""
         words = line.lower().split()
         if not words:
             return ""
@@ -96,23 +96,23 @@
 
     def _status(self) -> str:
         core = self._core
-        stages = [call.state for call in core.calls.by_number.values()]
-        setting_up, standing = stages.count(CallState.OFFERED), stages.count(CallState.ESTABLISHED)
+        states = [call.state for call in core.calls.by_number.values()]
+        setting_up, established = states.count(CallState.OFFERED), states.count(CallState.ESTABLISHED)
         ready = sum(s.record.availability is Availability.READY for s in core.servers.by_id.values())
         connected = sum(server.connected for server in core.servers.by_id.values())
         counts = core.counters.counts
-        named = ("calls_established", "calls_rejected", "calls_failed", "calls_abandoned")
+        counter_names = ("calls_established", "calls_rejected", "calls_failed", "calls_abandoned")
         unusable = counts.get("requests_unusable", 0) + counts.get("malformed_from_callers", 0)
-        stood, refused, failed, given_up = (counts.get(name, 0) for name in named)
-        why = core.readiness.health().reason or "serving"
+        stood, refused, failed, given_up = (counts.get(name, 0) for name in counter_names)
+        state = core.readiness.health().reason or "serving"
         if core.readiness.drain_since is not None:
             drained_s = core.clock() - core.readiness.drain_since
-            why += f" for {drained_s:.1f} s, {core.calls.unanswered} calls to be answered"
-            why += ", then the program ends" if core.readiness.shutting_down else ""
+            state += f" for {drained_s:.1f} s, {core.calls.unanswered} calls to be answered"
+            state += ", then the program ends" if core.readiness.shutting_down else ""
         return (
             f"up {int(core.clock() - self._started_at)} s\n"
-            f"state      {why}\n"
-            f"calls      {setting_up} being set up, {standing} standing\n"
+            f"state      {state}\n"
+            f"calls      {setting_up} being set up, {established} standing\n"
             f"answered   {stood} stood, {refused} refused, {failed} failed, {given_up} given up by callers\n"
             f"servers    {ready} of {len(core.servers.by_id)} in service, {connected} connected\n"
             f"callers    {counts.get('connections_evicted', 0)} connections put out for others, "
@@ -133,26 +133,33 @@
             " wait   age marks\n"
         )
         for server in core.servers.by_id.values():
-            line = server.record
-            here = [
+            record = server.record
+            states = [
                 call.state
                 for call in core.calls.by_number.values()
                 if call.attempt is not None and call.attempt.server is server
             ]
-            address = f"{line.address[0]}:{line.address[1]}"
+            address = f"{record.address[0]}:{record.address[1]}"
             link = "up" if server.connected else "down" if core.servers.is_in_scope(server) else "-"
-            seen = core.controller.endpoints.get(server.id)  # what the decisions go by
+            endpoint = core.controller.endpoints.get(server.id)  # the state that decisions use
             held, wait, age, marks = 0, "-", "-", []
-            if seen is not None:
-                held = len(seen.pending_setups)
-                if seen.reported_at > 0:
-                    wait, age = f"{seen.reported_delay_s * 1000:.0f}ms", f"{now - seen.reported_at:.1f}s"
-                marks = [word for word, true in (("flagged", seen.flagged), ("down", seen.ejected)) if true]
-                marks += ["cold"] if core.controller.is_warming_up(now, seen) else []
+            if endpoint is not None:
+                held = len(endpoint.pending_setups)
+                if endpoint.reported_at > 0:
+                    wait, age = (
+                        f"{endpoint.reported_delay_s * 1000:.0f}ms",
+                        f"{now - endpoint.reported_at:.1f}s",
+                    )
+                marks = [
+                    word
+                    for word, is_set in (("flagged", endpoint.flagged), ("down", endpoint.ejected))
+                    if is_set
+                ]
+                marks += ["cold"] if core.controller.is_warming_up(now, endpoint) else []
             text += (
-                f"{line.instance:20} {address:22} {line.number:6} {line.availability.value:9} "
-                f"{link:4} {here.count(CallState.OFFERED):4} "
-                f"{held:4} {here.count(CallState.ESTABLISHED):8} {wait:>6} {age:>5} "
+                f"{record.instance:20} {address:22} {record.number:6} {record.availability.value:9} "
+                f"{link:4} {states.count(CallState.OFFERED):4} "
+                f"{held:4} {states.count(CallState.ESTABLISHED):8} {wait:>6} {age:>5} "
                 f"{' '.join(marks) or '-'}\n"
             )
         return text
@@ -161,19 +168,25 @@
         core = self._core
         text = f"{'class':16} {'worth':>6} {'aim':>7} {'limit':>7} {'again':5} {'attempts':>8} {'open':>5}"
         text += "\n" if core.servers.in_scope is None else "  scope\n"
-        near = {s.record.number for s in core.servers.by_id.values() if core.servers.is_in_scope(s)}
-        open_ones = [call.request.call_class for call in core.calls.by_number.values()]
-        going = [kind for kind in dict.fromkeys(open_ones) if kind not in core.settings.classes]
-        for kind in [*core.settings.classes, *going]:
+        in_scope_numbers = {
+            s.record.number for s in core.servers.by_id.values() if core.servers.is_in_scope(s)
+        }
+        open_classes = [call.request.call_class for call in core.calls.by_number.values()]
+        replaced = [kind for kind in dict.fromkeys(open_classes) if kind not in core.settings.classes]
+        for kind in [*core.settings.classes, *replaced]:
             text += (
                 f"{kind.name:16} {kind.priority_weight:6g} {kind.latency_objective_s:6g}s "
                 f"{kind.deadline_s:6g}s {'yes' if kind.idempotent else 'no':5} "
-                f"{core.settings.max_attempts:8} {open_ones.count(kind):5}"
-                f"{' as it was before a reload' if kind in going else ''}"
+                f"{core.settings.max_attempts:8} {open_classes.count(kind):5}"
+                f"{' as it was before a reload' if kind in replaced else ''}"
             )
             if core.servers.in_scope is not None:
-                known = near if kind.allowed_servers is None else near.intersection(kind.allowed_servers)
-                text += "  in" if known else "  out"
+                reachable = (
+                    in_scope_numbers
+                    if kind.allowed_servers is None
+                    else in_scope_numbers.intersection(kind.allowed_servers)
+                )
+                text += "  in" if reachable else "  out"
             text += "\n"
         return text
 
--- a/stairhatch/node/admin_endpoint.py
+++ b/stairhatch/node/admin_endpoint.py
@@ -1,8 +1,8 @@
-"""The admin endpoint: one command line a connection, answered by one line, `ok` or `fail` and why.
+"""The admin endpoint: each connection carries one command line and its answer, `ok` or `fail` with a reason.
 
-The commands here are `check` (whether new callers are served), `drain-on` and `drain-off`; others are added
-to the call manager's `admin_commands` by what they belong to. Results are typed; they become text where they
-are written (`CommandResult.line`).
+This module implements `check` (whether new callers are served), `drain-on` and `drain-off`; other modules add
+their commands to the call manager's `admin_commands`. Results are typed, and `CommandResult.line` converts
+them to text when they are written.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from stairhatch.overload.events import Availability
 
 MAX_COMMAND_BYTES = 128
-MAX_LOGGED_CHARACTERS = 200  # of an answer
-MAX_SHOWN_CHARACTERS = 40  # of a command that is not known
-SUCCEEDED, FAILED = "ok", "fail"  # the first word of an answer
+MAX_LOGGED_CHARACTERS = 200  # of an answer line
+MAX_SHOWN_CHARACTERS = 40  # of a command, in the log and in the answer to an unknown one
+SUCCEEDED, FAILED = "ok", "fail"  # the first word of an answer line
 
 
 class CommandResult(NamedTuple):
-    """What became of a command."""
+    """The result of a command."""
 
     succeeded: bool
-    text: str  # what was done, or why not
+    text: str  # the effect, or the reason for the failure
 
     @property
     def line(self) -> str:
-        """The line that answers the command, without its end."""
+        """The answer line, without its line end."""
         return f"{SUCCEEDED if self.succeeded else FAILED} {self.text}"
 
     @classmethod
     def from_line(cls, line: str) -> CommandResult:
-        """Parse an answer line; the functions in `admin_commands` return such lines."""
+        """Parse an answer line, as the functions in `admin_commands` return it."""
         verdict, _, text = line.partition(" ")
         return cls(verdict == SUCCEEDED, text)
 
 
 def execute(core: CallManager, line: str) -> CommandResult:
-    """Execute one of the operators' commands."""
+    """Execute an operator's command line; an unknown or malformed one gives a failed result."""
     match line.split():
         case ["check"]:
             return _check(core)
@@ -57,7 +57,7 @@
 
 
 def _drain(core: CallManager, on: bool) -> CommandResult:
-    """Begin to send callers away, or take them again."""
+    """Start or end draining; ending it returns the result of `check`. Fails while the program shuts down."""
     if core.readiness.shutting_down:
         return CommandResult(False, "the program is ending")
     core.readiness.drain(on)
@@ -67,7 +67,7 @@
 
 
 def _check(core: CallManager) -> CommandResult:
-    """Whether new callers are served now."""
+    """Return whether new callers are served, with the reason or the number of connected servers."""
     health = core.readiness.health()
     if not health.is_ready:
         return CommandResult(False, health.reason)
@@ -81,21 +81,21 @@
 
 
 class AdminConnection(ConnectionProtocol):
-    """One operator's connection, as a sans-I/O protocol: one line, one answer, and the end."""
+    """The sans-I/O protocol of an operator's connection, which is closed after one command and its answer."""
 
     def __init__(self, core: CallManager) -> None:
-        """Begin with nothing received."""
+        """Create the protocol of a new connection."""
         super().__init__()
         self._core = core
         self._received = b""
         self._answer = b""
 
     def has_pending_response(self) -> bool:
-        """Whether the answer waits to be written."""
+        """Return whether the answer has not been written yet."""
         return bool(self._answer)
 
     def receive_data(self, data: bytes | memoryview) -> None:
-        """Bytes from the operator; what comes after the line is not read."""
+        """Execute the command once its line is complete; ignore any bytes after the line."""
         if self.closing:
             return
         self._received += bytes(data)
@@ -106,25 +106,25 @@
             self._respond(execute(self._core, line.decode("utf-8", "replace").strip()))
 
     def eof_received(self) -> None:
-        """The operator will send no more."""
+        """Answer `fail` if the operator ends the input before the line is complete."""
         if not self.closing:
             self._respond(CommandResult(False, "an unfinished line"))
 
     def read_timed_out(self) -> None:
-        """No whole line has come in time."""
+        """Answer `fail` if no complete line arrived within the time limit."""
         self._respond(CommandResult(False, "no whole line came in time"))
 
     def eviction_response(self) -> bytes:
-        """The answer to one who has to go for a newcomer."""
+        """Return the answer to an operator whose connection is evicted in favour of a new one."""
         return CommandResult(False, "too many are connected here").line.encode() + b"\n"
 
     def data_to_send(self) -> bytes:
-        """What is to be written."""
+        """Return the answer if it has not been written yet, else nothing."""
         data, self._answer = self._answer, b""
         return data
 
     def connection_lost(self) -> None:
-        """The connection has ended."""
+        """Do nothing when the connection ends: it keeps no state."""
 
     def _respond(self, result: CommandResult) -> None:
         self._core.counters.add("admin_commands_succeeded" if result.succeeded else "admin_commands_failed")
@@ -135,7 +135,7 @@
         self.notify_writable()
 
     def _log(self, command: str, result: CommandResult) -> None:
-        """Log a command; `check` only where its result has changed, since it may come ten times a second."""
+        """Log a command; log `check`, which may come ten times a second, only if its outcome has changed."""
         outcome = SUCCEEDED if result.succeeded else result.line
         if command != "check" or outcome != self._core.last_health_answer:
             self._core.log("admin_command", line=command, answer=result.line[:MAX_LOGGED_CHARACTERS])
--- a/stairhatch/node/event_log.py
+++ b/stairhatch/node/event_log.py
@@ -1,8 +1,9 @@
-"""The event log: events with fields, on standard error and to a syslog receiver.
+"""The event log, which writes events with fields to standard error and to a syslog receiver.
 
-It never delays a call: events go through a bounded queue to a thread of their own, and what does not fit is
-counted and left out. `WARNINGS` are the events that on-call looks for; of each kind only some a second are
-written, since hostile peers could make the log the most costly part of the work.
+Logging never delays a call: events pass through a bounded queue to a thread of their own, and events that do
+not fit are counted and dropped. `WARNINGS` are the events that on-call staff look for. The number of warnings
+of each kind per second is limited, since hostile peers could otherwise make logging the most expensive part
+of the work.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 from stairhatch.node.syslog import Origin, Severity, format_message
 
 MAX_QUEUED = 10_000  # events
-MAX_WARNINGS = 20  # of a kind in a second
+MAX_WARNINGS = 20  # of one kind per second
 STDERR_DESCRIPTOR = 2
-CLOSE_TIMEOUT_S = 1.0  # so long the end waits for lines to be written
-RETRY_S = 0.01  # between two attempts to end while the queue is full
+CLOSE_TIMEOUT_S = 1.0  # for writing the queued lines when the log is closed
+STOP_RETRY_INTERVAL_S = 0.01  # while the full queue does not take the listener's end mark
 WARNINGS = (
     "fault",
     "rule_violated",
@@ -43,62 +44,62 @@
 
 
 class EventRecord(logging.LogRecord):
-    """A log record that keeps an event's fields apart."""
+    """A log record that keeps the fields of an event separate from its name."""
 
     def __init__(self, name: str, at: float, event: str, fields: Mapping[str, object]) -> None:
-        """An event `at` a Unix time in seconds; it is a warning if it is one of `WARNINGS`."""
+        """Create the record of an event `at` a Unix time in seconds, a warning if it is one of `WARNINGS`."""
         level = logging.WARNING if event in WARNINGS else logging.INFO
         super().__init__(name, level, "", 0, event, None, None)
         self.created, self.event, self.fields = at, event, fields
 
 
 class _SyslogFormatter(logging.Formatter):
-    """Formats a record's event for the syslog receiver."""
+    """The formatter of event records for the syslog receiver."""
 
     def __init__(self, origin: Origin) -> None:
         super().__init__()
         self._origin = origin
 
     def format(self, record: logging.LogRecord) -> str:
-        """A whole message (RFC 5424)."""
+        """Return the complete syslog message of a record (RFC 5424)."""
         assert isinstance(record, EventRecord)
         severity = Severity.WARNING if record.levelno >= logging.WARNING else Severity.INFORMATIONAL
         return format_message(self._origin, record.created, severity, record.event, record.fields)
 
 
 class _UnlockedHandler(logging.Handler):
-    """A handler for one thread alone, without a lock.
+    """A handler without a lock, used by a single thread.
 
-    A lock that is held by a write that waits would hold up the process's end, when the library flushes each
-    handler that there is.
+    The library flushes each handler when the process exits. A lock that is held by a blocked write would
+    block the exit.
     """
 
     def createLock(self) -> None:  # noqa: N802 - the library's name
-        """Have none."""
+        """Set no lock; `logging.Handler` calls this on creation."""
         self.lock = None
 
 
 class _SyslogHandler(_UnlockedHandler, logging.handlers.SysLogHandler):
-    """The standard handler and its socket; the message is ours, so it adds no priority or end mark."""
+    """The standard syslog handler, sending complete messages without adding a priority or end mark."""
 
     socket: socket.socket
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Send a datagram."""
+        """Send a record's message as a datagram; a failure to send is ignored."""
         data = self.format(record).encode("utf-8", "replace")
-        with contextlib.suppress(OSError):  # a receiver that is away loses lines; calls go on
+        with contextlib.suppress(OSError):  # lines for an unreachable receiver are lost; calls continue
             self.socket.sendto(data, self.address)
 
 
 class _StderrHandler(_UnlockedHandler):
-    """Plain lines on standard error, past Python's own buffer.
+    """The handler that writes plain lines to standard error without Python's own buffer.
 
-    That has a lock which, held by a write that nobody reads, would end the whole process in a fault of the
-    interpreter.
+    That buffer has a lock. If a blocked write, whose output is not read, holds the lock at exit, the
+    interpreter ends the process with a fatal error.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line."""
+        """Write a record's line; a failure to write is ignored."""
         assert isinstance(record, EventRecord)
         words = " ".join(f"{key}={_without_controls(value)}" for key, value in record.fields.items())
         data = f"{record.created:.6f} {record.event} {words}\n".encode("utf-8", "replace")
@@ -108,23 +109,23 @@
 
 
 def _without_controls(value: object) -> str:
-    """A value without what would break its line."""
+    """Return the text of a value with each control character replaced by a space, to fit on one line."""
     return re.sub(r"[\x00-\x1f\x7f]", " ", str(value).encode("utf-8", "replace").decode())
 
 
 class EventLog:
-    """Takes events from the event loop's thread; never waits."""
+    """The event log: it takes events from the event loop's thread without ever blocking it."""
 
     def __init__(
         self, name: str, host: str, clock: Callable[[], float], syslog: tuple[str, int] | str | None = None
     ) -> None:
-        """Begin to write.
+        """Start the thread that writes the log.
 
-        `clock` tells Unix time in seconds; `syslog` is a receiver's address, or the path of its socket.
+        `clock` returns Unix time in seconds; `syslog` is a receiver's address, or the path of its socket.
         """
         self.name, self.clock = name, clock
-        self.suppressed = 0  # events that were counted and not written
-        self._warnings: dict[str, tuple[float, int]] = {}  # event -> begin of its second, lines in it
+        self.suppressed = 0  # number of events that were dropped
+        self._warnings: dict[str, tuple[float, int]] = {}  # event -> start of its second, warnings in it
         self._queue: queue.Queue[logging.LogRecord] = queue.Queue(MAX_QUEUED)
         handlers: list[logging.Handler] = [_StderrHandler()]
         if syslog is not None:
@@ -135,7 +136,7 @@
         self._listener.start()
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Log an event, unless the queue is full or too many warnings of its kind came within a second."""
+        """Log an event; drop and count it if the queue is full or its kind's warning limit is reached."""
         now = self.clock()
         if event in WARNINGS and not self._admit_warning(now, event, fields):
             self.suppressed += 1
@@ -146,20 +147,20 @@
             self.suppressed += 1
 
     def _admit_warning(self, now: float, event: str, fields: dict[str, object]) -> bool:
-        """Whether a warning is written; the first after others that were not says how many these were."""
-        since, lines = self._warnings.get(event, (now, 0))
+        """Return whether to write a warning; the first after dropped ones gets their number as a field."""
+        since, warnings = self._warnings.get(event, (now, 0))
         if now - since >= 1:
-            if lines > MAX_WARNINGS:
-                fields["suppressed_before"] = lines - MAX_WARNINGS
-            since, lines = now, 0
-        self._warnings[event] = since, lines + 1
-        return lines < MAX_WARNINGS
+            if warnings > MAX_WARNINGS:
+                fields["suppressed_before"] = warnings - MAX_WARNINGS
+            since, warnings = now, 0
+        self._warnings[event] = since, warnings + 1
+        return warnings < MAX_WARNINGS
 
     def close(self) -> None:
-        """Write what waits, then stop, within `CLOSE_TIMEOUT_S`.
+        """Write the queued events and stop the thread, within `CLOSE_TIMEOUT_S`.
 
-        Where nobody reads the lines the queue is full, so that the listener's own mark of the end finds no
-        room, and its thread waits in a write. The process must end all the same.
+        If the output is not read, the thread blocks in a write and the queue is full, so that the listener
+        cannot add its end mark. The process must end even then.
         """
         closer = threading.Thread(target=self._stop, daemon=True)
         closer.start()
@@ -170,6 +171,6 @@
             try:
                 self._listener.stop()
             except queue.Full:
-                time.sleep(RETRY_S)
+                time.sleep(STOP_RETRY_INTERVAL_S)
             else:
                 return
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -1,4 +1,4 @@
-"""The form of a syslog message with structured data (RFC 5424). Pure functions; `event_log` sends them."""
+"""Pure functions that format syslog messages with structured data (RFC 5424); `event_log` sends them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 FACILITY = 16  # local0 (RFC 5424, 6.2.1)
-SD_ID = "stairhatch@32473"  # the number that RFC 5612 sets aside for documentation; ours is not assigned yet
-BOM = "\ufeff"  # the message behind it is UTF-8 (RFC 5424, 6.4)
+SD_ID = "stairhatch@32473"  # RFC 5612's number for documentation; the project has no number yet
+BOM = "\ufeff"  # marks the message after it as UTF-8 (RFC 5424, 6.4)
 NIL = "-"
 MAX_HOST, MAX_APP, MAX_MESSAGE_ID, MAX_SD_NAME = 255, 48, 32, 32  # characters (RFC 5424, section 6)
 NOT_PRINTABLE = re.compile(r"[^\x21-\x7e]")
@@ -19,21 +19,21 @@
 
 
 class Severity(IntEnum):
-    """How grave an event is (RFC 5424, 6.2.1); the two that are used."""
+    """The severity of an event (RFC 5424, 6.2.1): the two values in use."""
 
     WARNING = 4
     INFORMATIONAL = 6
 
 
 class Origin(NamedTuple):
-    """Who sends a message."""
+    """The host and application that send a message."""
 
     host: str
     app: str
 
 
 def structured_data(name: str, fields: Mapping[str, object]) -> str:
-    """One structured-data element (RFC 5424, 6.3): values are escaped, names limited to what is allowed."""
+    """Return a structured-data element (RFC 5424, 6.3), escaped and with valid names; `-` without fields."""
     text = ""
     for key, value in fields.items():
         shown = str(value).encode("utf-8", "replace").decode()
@@ -46,13 +46,13 @@
 def format_message(
     origin: Origin, at: float, severity: Severity, event: str, fields: Mapping[str, object]
 ) -> str:
-    """A whole message about an event, `at` in seconds of Unix time.
+    """Return the syslog message of an event at a Unix time in seconds.
 
-    Header fields are limited to printable ASCII and to their maximum lengths.
+    Header fields are reduced to printable ASCII and cut to their maximum lengths.
     """
     priority = FACILITY * 8 + severity
-    whole = int(at)
-    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole)) + f".{int((at - whole) * 1e6):06d}Z"
+    whole_s = int(at)
+    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole_s)) + f".{int((at - whole_s) * 1e6):06d}Z"
     host, app = _header_field(origin.host, MAX_HOST), _header_field(origin.app, MAX_APP)
     head = f"<{priority}>1 {stamp} {host} {app} {os.getpid()} {_header_field(event, MAX_MESSAGE_ID)}"
     words = " ".join(f"{key}={value}" for key, value in fields.items())
