--- a/tests/support/failing_server.py
+++ b/tests/support/failing_server.py
@@ -1,4 +1,4 @@
-"""A roster server that reports its load as the platform's do, and whose machine or process can fail."""
+"""A roster server that reports its load as the platform's servers do, and that can fail."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from .scripted_server import Script, ScriptedServer
 
 LOAD_REPORT_INTERVAL_S = 0.4
-CONNECT_TIMEOUT_S = 0.3  # of the connects that fill the listener's queue
+CONNECT_TIMEOUT_S = 0.3  # for the connects that fill the listener's queue
 LOAD = {"load": "free:50;size:90;mean_ms:1.0;can_take:500"}
 
 
 class FailingServer(ScriptedServer):
-    """A scripted server that reports its load first of all on each connection and regularly after that.
+    """A scripted server that reports its load first on each connection and every 0.4 s after that.
 
-    `vanish` is a machine that is lost or cut off: what is open stays open and silent, and no new connection
-    comes up. `hang` is a process that stands still: the system goes on accepting for it. Both end with
-    `recover`, after which what was received in the meantime is handled.
+    `vanish` simulates a machine that is lost or cut off: open connections stay open and silent, and no new
+    one comes up. `hang` simulates a stalled process: the operating system still accepts connections for it.
+    `recover` ends both failures; messages received in the meantime are handled after it.
     """
 
     def __init__(self, script: Script | None = None, port: int = 0) -> None:
@@ -27,26 +27,26 @@
         self._responsive.set()
         self._reachable = threading.Event()
         self._reachable.set()
-        self._accepting_stopped = threading.Event()  # the thread that accepts stands still
+        self._accepting_stopped = threading.Event()  # set once the accepting thread has stopped
         self._fillers: list[socket.socket] = []  # connects that fill the listener's queue
         super().__init__(script, port)
         threading.Thread(target=self._report_load, daemon=True).start()
 
-    # ---- its failures ----
+    # ---- simulated failures ----
 
     def hang(self) -> None:
-        """Stand still: nothing is handled and nothing sent, though connections come up."""
+        """Stop handling and sending messages; new connections still come up."""
         self._responsive.clear()
 
     def vanish(self) -> None:
-        """Be gone without a word: no new connection comes up either."""
+        """Stop handling and sending messages without closing connections; no new connection comes up."""
         self._responsive.clear()
         self._reachable.clear()
         self._stop_accepting()
         self._fill_queue()
 
     def recover(self) -> None:
-        """Be there again, with all calls."""
+        """Resume with all calls, and handle the messages received since the failure."""
         for each in self._fillers:
             each.close()
         self._fillers.clear()
@@ -55,12 +55,12 @@
         self._responsive.set()
 
     def _stop_accepting(self) -> None:
-        """Connect once, since the thread that accepts may be waiting for a connection."""
+        """Stop the accepting thread, with a connect that wakes it if it waits for one."""
         self._fillers.append(socket.create_connection(("127.0.0.1", self.port)))
         self._accepting_stopped.wait()
 
     def _fill_queue(self) -> None:
-        """Fill the listener's queue, so that the system leaves the next connect unanswered."""
+        """Fill the listener's queue, so that the operating system leaves the next connect unanswered."""
         self.listener.listen(0)
         while True:
             filler = socket.socket()
@@ -72,7 +72,7 @@
                 return
             self._fillers.append(filler)
 
-    # ---- its threads ----
+    # ---- threads for accepting, serving and load reports ----
 
     def _accept(self) -> None:
         while True:
@@ -93,7 +93,7 @@
         super()._serve(connection)
 
     def message_received(self, message: dict[str, Any], connection: socket.socket) -> None:
-        """Handle a message, once it is responsive."""
+        """Handle a message, after waiting for the end of a simulated failure."""
         self._responsive.wait()
         super().message_received(message, connection)
 
--- a/tests/support/scripted_coordinator.py
+++ b/tests/support/scripted_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator that publishes the endpoint events of a test, on a real socket."""
+"""A coordinator on a real socket that publishes the endpoint events of a test."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .waiting import wait_until
 
 WITHHELD_ANSWER_S = 30  # longer than any test runs
-CUT_OFF_BYTES = 20  # of an answer that is cut short
+CUT_OFF_BYTES = 20  # missing at the end of a truncated answer
 
 Entry = dict[str, Any]
 
 
 def endpoint_entry(name: str, port: int, cell: int = 0, state: str = "in_service", started: int = 0) -> Entry:
-    """One server's entry in an endpoint event."""
+    """Return a server's entry for an endpoint event."""
     return {
         "instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": "oslo", "machineType": "std",
         "cell": cell, "lifecycle": state, "weight": 1, "startedAtMs": started,
@@ -31,18 +31,18 @@
         first = {"index": 1, "endpoints": {"generation": 1, "reset": True, "instances": list(entries)}}
         self.events = [first]
         self.polled_indices: list[int] = []
-        self.answer_faults: list[str] = []  # "break" or "stop" within the next answers that carry events
-        self.withholds_answers = False  # takes connections and answers nothing
+        self.answer_faults: list[str] = []  # faults of the next answers with events: "break" or "stop"
+        self.withholds_answers = False  # accepts connections but answers no poll
         self.changed = threading.Condition()
         self.connections: list[socket.socket] = []
         self._listen(0)
 
     def known_events(self) -> Entry:
-        """All events, as the platform's configuration holds them."""
+        """Return all events in the form in which the platform's configuration holds them."""
         return {"index": len(self.events), "updates": list(self.events)}
 
     def publish(self, *entries: Entry) -> None:
-        """Publish a change; returns once a softswitch has taken it and polls for the next."""
+        """Publish a change; return once a softswitch has received it and polls for the next event."""
         with self.changed:
             index = len(self.events) + 1
             change = {"generation": index, "reset": False, "instances": list(entries)}
@@ -51,14 +51,14 @@
         wait_until(lambda: index in self.polled_indices, "the next poll")
 
     def resume_answers(self) -> None:
-        """Answer the polls that were withheld, and those that come."""
+        """Answer the withheld polls and all later ones."""
         with self.changed:
             self.withholds_answers = False
             self.changed.notify_all()
 
     def close(self) -> None:
-        """End as a process that dies: its connections are closed."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
+        """Close the listener and all connections, as the end of the process would."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
         self.listener.close()
         for connection in self.connections:
             connection.shutdown(socket.SHUT_RDWR)
@@ -83,13 +83,13 @@
 
     def _serve(self, connection: socket.socket) -> None:
         file = connection.makefile("rb")
-        with contextlib.suppress(ConnectionResetError):  # a softswitch that was killed
+        with contextlib.suppress(ConnectionResetError):  # the softswitch was killed
             while line := file.readline():
                 if line.startswith(b"GET ") and not self._answer(connection, line):
                     return
 
     def _answer(self, connection: socket.socket, request: bytes) -> bool:
-        """Answer one poll; returns whether the connection is still there."""
+        """Answer one poll, perhaps with a fault; return whether the connection is still open."""
         after = int(request.split(b"follow=")[1].split(b"&")[0])
         wait_s = int(request.split(b"wait_ms=")[1].split(b" ")[0]) / 1000
         if self.withholds_answers:
--- a/tests/support/scripted_server.py
+++ b/tests/support/scripted_server.py
@@ -1,4 +1,4 @@
-"""A server whose answers a test scripts, on a real socket."""
+"""A roster server on a real socket, whose answers a test scripts."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ScriptedServer:
-    """A server that records each message and answers as its script says.
+    """A server that records each message and passes it to its script, which answers it.
 
-    The script is called with the message and a function that sends on the connection it came on.
+    The script is called with the message and a function that sends on the message's connection.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
 
     @staticmethod
     def never_answers(_message: Message, _send: Send) -> None:
-        """A script that accepts set-ups and answers none."""
+        """A script that answers no message."""
 
     @staticmethod
     def ends(cause: int, note: str = "") -> Script:
-        """A script that ends each set-up with a cause."""
+        """Return a script that rejects each set-up with a Q.850 cause and an optional note."""
 
         def script(message: Message, send: Send) -> None:
             if message["verb"] == "START":
@@ -57,7 +57,7 @@
         return script
 
     def start_accepting(self) -> None:
-        """Accept connections in a thread; a listener that was passed in waits for this call."""
+        """Accept connections in a thread; called by the test if it passed a listener in."""
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
@@ -81,22 +81,22 @@
             return
 
     def message_received(self, message: Message, connection: socket.socket) -> None:
-        """Record a message and let the script answer it."""
+        """Record a message and run the script on it."""
         self.received.append((time.monotonic(), message))
         self.script(message, partial(self.send, connection=connection))
 
     def send(self, verb: str, tag: str, connection: socket.socket | None = None, **fields: Any) -> None:
-        """Send a message, on the newest connection unless one is given."""
+        """Send a message on the given connection, or else on the newest one."""
         text = json.dumps({"verb": verb, "tag": tag, "opts": {}, **fields})
         (connection or self.connections[-1]).sendall(text.encode() + b"\n")
 
     def messages(self, verb: str) -> list[Message]:
-        """The messages received of one type."""
+        """Return the received messages with a verb, in order."""
         return [message for _, message in self.received if message["verb"] == verb]
 
     def close(self) -> None:
-        """End as a process that dies: its connections are reset."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
+        """Close the listener and all connections, as the end of the process would."""
+        self.listener.shutdown(socket.SHUT_RDWR)  # wakes the accepting thread
         self.listener.close()
         for connection in self.connections:
             connection.shutdown(socket.SHUT_RDWR)
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint and the terminal console."""
+"""Tests of the admin endpoint and the terminal console."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 @pytest.mark.parametrize("frontend", ["platform", "appliance"])
 def test_each_line_is_answered_with_ok_or_fail_and_a_reason(start_deployment, frontend):
-    """Operators get one line of answer, whatever is sent."""
+    """Operators get one answer line to any input, valid or not."""
     program, _, _ = start_deployment(None, frontend=frontend, wait_until_serving=True)
     assert program.admin_command("check").startswith("ok serving")
-    for line, ends, says in [
+    for line, half_closes, expected in [
         ("restart", False, "unknown order restart"),
         ("", False, "empty line"),
         (b"\xff\xfe\x00\x1b[2J\n", False, "unknown order ????"),
@@ -37,9 +37,9 @@
         (b"", True, "unfinished"),
         (b"drain-", False, "no whole line came in time"),
     ]:
-        answer = program.admin_command(line, ends)
+        answer = program.admin_command(line, half_closes)
         assert answer.startswith("fail ")
-        assert says in answer
+        assert expected in answer
     assert program.admin_command(b"check\r\nand more").startswith("ok serving")
     assert program.admin_command("drain-on").startswith("ok draining")
     assert program.admin_command("check") == "fail draining"
@@ -48,22 +48,22 @@
 
 
 def test_neither_callers_nor_silent_operators_block_the_admin_endpoint(start_deployment):
-    """The admin endpoint does not share its descriptors with callers, and silent operators do not fill it."""
+    """The endpoint does not share its descriptors with callers, and silent operators do not fill it."""
     program, _, (server,) = start_deployment(SILENT, sockets=40, wait_until_serving=True)
     callers = [program.caller() for _ in range(30)]
     for caller in callers:
         caller.invite(next_call_id(), answer_within_ms=9000)
     wait_until(lambda: len(server.messages("START")) >= 8)
-    silent = [socket.create_connection(program.admin_address) for _ in range(60)]
+    silent_operators = [socket.create_connection(program.admin_address) for _ in range(60)]
     assert program.admin_command("check").startswith("ok")
-    for each in silent:
+    for each in silent_operators:
         each.settimeout(20)
-        assert each.recv(100).startswith(b"fail "), "a silent operator gets the reason as well"
+        assert each.recv(100).startswith(b"fail "), "a silent operator gets a reason too"
         each.close()
 
 
 def test_a_full_admin_endpoint_evicts_a_silent_operator_at_once():
-    """An operator does not wait until the silent ones' time is over: an answer is due in 1 s."""
+    """An answer is due within 1 s, so a new operator cannot wait for the silent ones' timeout."""
     node = InProcessNode()
     runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
@@ -74,8 +74,8 @@
         assert listener.evict()
 
 
-def test_the_admin_endpoint_answers_during_shutdown(start_deployment):
-    """A drain is not undone when the process is about to end."""
+def test_the_admin_endpoint_answers_and_refuses_drain_off_during_shutdown(start_deployment):
+    """A drain cannot be ended while the process shuts down."""
     program, _, (server,) = start_deployment(SILENT, wait_until_serving=True)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=3000)
@@ -89,11 +89,11 @@
     assert program.process.wait(20) == 0
 
 
-def test_the_terminal_console_takes_the_admin_commands(start_deployment):
-    """There is one set of names for both: the terminal's former `drain` is unknown."""
+def test_the_terminal_console_accepts_the_admin_commands(start_deployment):
+    """The console and the endpoint have the same command names; the console's former `drain` is unknown."""
     program, _, _ = start_deployment(None, frontend="appliance", wait_until_serving=True)
     stdin = program.process.stdin
-    for command, shows in [
+    for command, expected in [
         ("check", "ok serving, 2 of 2"), ("drain-on", "ok draining, 0 calls"),
         ("status", "state      draining for"), ("drain-off", "ok serving, 2 of 2"),
         ("status", "state      serving"), ("drain", "unknown command 'drain'"),
@@ -101,26 +101,26 @@
         before = len(program.log_text())
         stdin.write(command.encode() + b"\n")
         stdin.flush()
-        wait_until(lambda shows=shows, before=before: shows in program.log_text()[before:], shows)
+        wait_until(lambda expected=expected, before=before: expected in program.log_text()[before:], expected)
     stdin.write(b"quit\n")
     stdin.flush()
     assert program.process.wait(20) == 0
 
 
-def test_a_check_is_logged_when_its_answer_changes():
-    """The log is not filled by health checks, which come ten times a second for as long as a drain lasts."""
-    node, lines = InProcessNode(), []
-    node.log = lambda _event, **fields: lines.append(fields.get("answer"))
+def test_a_check_is_logged_only_when_its_answer_changes():
+    """Health checks, which may come ten times a second during a drain, do not fill the log."""
+    node, answers = InProcessNode(), []
+    node.log = lambda _event, **fields: answers.append(fields.get("answer"))
     for on in (False, True, False):
         node.core.readiness.drain(on)
-        lines.clear()
+        answers.clear()
         for _ in range(10):
             AdminConnection(node.core).receive_data(b"check\n")
-        assert len(lines) == 1
+        assert len(answers) == 1
 
 
-def test_one_command_is_read_from_a_connection_and_no_more():
-    """No command is executed that follows a first one, or comes in pieces without an end."""
+def test_only_one_command_is_executed_per_connection():
+    """A command may arrive in pieces and runs once its line is complete; later lines are not executed."""
     node = InProcessNode()
     admin = AdminConnection(node.core)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log, its syslog messages and the load report's text."""
+"""Tests of the event log, its syslog messages, and the parsing of load reports."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .support.waiting import wait_until
 
 
-def test_a_load_report_is_read_by_the_settings_names():
-    """No figure is taken for another; what is unknown or no number counts as missing."""
+def test_a_load_report_is_parsed_with_the_field_names_of_the_settings():
+    """Each value goes to its own field; unknown fields and values that are not numbers count as missing."""
     report = parse_load_report("free:5;size:9;mean_ms:250;can_take:-1;other:3;depth:x")
     assert (
         report.free_lines,
@@ -27,14 +27,14 @@
 
 
 def test_structured_data_is_escaped():
-    """No value ends its element early (RFC 5424, 6.3.3)."""
+    """No value can end its element early (RFC 5424, 6.3.3)."""
     text = structured_data("a@1", {"b=]c": 'x"y]z\\', "é": "é"})
     assert text == '[a@1 b__c="x\\"y\\]z\\\\" _="é"]'
     assert structured_data("a@1", {}) == "-"
 
 
 def test_a_message_has_the_form_of_rfc_5424():
-    """Receivers can read the messages."""
+    """A message has the header, structured data and text that a syslog receiver expects."""
     text = format_message(
         Origin("ho st", "stairhatch"), 1.5, Severity.WARNING, "link lost", {"server": "s-1"}
     )
@@ -42,8 +42,8 @@
     assert re.fullmatch(head + r'\[stairhatch@32473 server="s-1"\] ' + "\ufefflink lost server=s-1", text)
 
 
-def test_a_log_that_nobody_reads_delays_nothing(monkeypatch):
-    """Calls do not wait for a terminal or a receiver: what does not fit is counted."""
+def test_a_log_whose_queue_is_full_drops_events_without_blocking(monkeypatch):
+    """Calls do not wait for a terminal or a receiver: events that do not fit are counted and dropped."""
     monkeypatch.setattr("stairhatch.node.event_log.MAX_QUEUED", 5)
     log = EventLog("stairhatch", "host", lambda: 1.0)
     log.close()
@@ -53,22 +53,23 @@
 
 
 def test_the_program_sends_its_events_to_the_syslog_receiver(tmp_path):
-    """A configured receiver gets the events."""
+    """A configured receiver gets each event as a syslog datagram."""
     with socket.socket(type=socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(20)
         address = f"127.0.0.1:{receiver.getsockname()[1]}"
         program = Program.as_appliance(tmp_path, ScriptedServer(), ScriptedServer(), syslog=address)
-        got = []
+        messages = []
         wait_until(
-            lambda: got.append(receiver.recv(9999).decode()) or any(" ready [" in each for each in got)
+            lambda: messages.append(receiver.recv(9999).decode())
+            or any(" ready [" in each for each in messages)
         )
-        assert all(re.match(r"<13[24]>1 \d{4}-", each) for each in got)
+        assert all(re.match(r"<13[24]>1 \d{4}-", each) for each in messages)
         assert program.stop() == 0
 
 
 def test_a_flood_of_one_event_is_suppressed_and_counted(capfd):
-    """The log does not take more of the processor than the calls at a hostile peer's will."""
+    """A hostile peer cannot make the log use more processor time than the calls."""
     now = [1.0]
     log = EventLog("stairhatch", "host", lambda: now[0])
     for _ in range(500):
--- a/tests/test_lost_servers.py
+++ b/tests/test_lost_servers.py
@@ -1,4 +1,4 @@
-"""Roster servers that vanish or hang: their calls are ended though nobody reports the ends."""
+"""Tests of roster servers that vanish or hang: their calls are ended although no release arrives."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from .support.sip_messages import platform_invite
 from .support.waiting import wait_until
 
-TOLD_WITHIN_S = 8.0  # of the end of a call that nobody could report (the platform's protocol page)
+RELEASE_LIMIT_S = 8.0  # from the unreported end of a call to its release (the platform's protocol page)
 LOAD_LINE = b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n'
 
 
 @pytest.mark.parametrize("failure", ["vanish", "hang"])
-def test_callers_are_told_when_their_server_falls_silent_while_discovery_is_down(
+def test_calls_are_released_when_their_server_falls_silent_while_discovery_is_down(
     start_deployment: Deployments, failure: str
 ) -> None:
-    """The incident of 2 December 2026: a server that says nothing any more, with calls established there, and
-    no service discovery that would list it as gone. Guards `ServerConnectionPool`'s failure detection.
+    """Guards the failure detection of `ServerConnectionPool` (incident of 2 December 2026): a server with
+    established calls falls silent, and service discovery is down and cannot list the server as gone.
     """
     server = FailingServer()
     program, coordinator, _ = start_deployment(servers=[server], wait_until_serving=True)
@@ -43,15 +43,15 @@
 
 
 def released(caller) -> bool:
-    """Whether a caller was told that its call is over."""
+    """Return whether a caller has received the release of its call."""
     return any(message.method == "BYE" for _, message in caller.received)
 
 
 class ServerOnClock:
-    """One roster server before a node whose clock is set by hand, with the connections that were dialled."""
+    """A node on a manual clock with one roster server, and the connections that the node has dialled."""
 
     def __init__(self, list_answers: bool = False) -> None:
-        """`list_answers`: the coordinator answers, and lists the server as it was."""
+        """Connect the server; `list_answers`: the coordinator keeps listing the server without changes."""
         self.node = InProcessNode()
         self.list_answers = list_answers
         self.started_at = self.node.now
@@ -69,22 +69,22 @@
 
     @staticmethod
     def connect(connection: ServerConnection) -> None:
-        """It comes up, and the server reports its load on it."""
+        """Bring a connection up and receive the server's first load report on it."""
         connection.connection_made()
         connection.receive_data(LOAD_LINE)
 
     def run(self, seconds: float) -> None:
-        """Let time pass; the coordinator's answer, if there is one, is the last thing that comes."""
+        """Advance the clock; at the end the coordinator confirms its list, if it answers."""
         self.node.run(seconds)
         if self.list_answers:
             self.node.core.servers.list_confirmed_at = self.node.now
 
     def has_call(self, ident: str) -> bool:
-        """Whether a call is established."""
+        """Return whether a call is established."""
         return self.node.core.calls.is_established(ident)
 
     def establish_call(self) -> str:
-        """A call that is established on the connection in use; returns its id."""
+        """Establish a call on the active connection, and return its id."""
         ident = next_call_id()
         self.caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
         self.node.run(0.05)
@@ -96,28 +96,28 @@
 
 
 def test_a_call_at_a_silent_server_is_released_within_the_limit() -> None:
-    """What is over is told within 8 s of its end, and a server that vanishes does so at any time after it was
-    last heard.
+    """A call is released within 8 s of its end. The server may have vanished at any time after its last
+    message, so the limit counts from that message.
     """
     server = ServerOnClock()
     ident = server.establish_call()
-    server.node.run(TOLD_WITHIN_S - 0.5)
+    server.node.run(RELEASE_LIMIT_S - 0.5)
     assert take_statuses(server.caller, ident) == ["BYE"]
 
 
-def test_a_server_that_reports_keeps_its_calls() -> None:
-    """A call may last long, and its server be heard by its load reports alone."""
+def test_calls_continue_while_their_server_sends_load_reports() -> None:
+    """During a long call the load reports alone confirm that the server is alive."""
     server = ServerOnClock()
     ident = server.establish_call()
     for _ in range(150):
         server.node.run(0.4)
         server.connection.receive_data(LOAD_LINE)
     assert server.has_call(ident)
-    assert len(server.dialled) == 1, "nothing is probed"
+    assert len(server.dialled) == 1, "no probe is opened"
 
 
-def test_a_quiet_server_that_answers_on_new_connections_keeps_its_calls() -> None:
-    """A server whose load does not change reports nothing on the connections that are open."""
+def test_calls_continue_at_a_quiet_server_that_reports_on_new_connections() -> None:
+    """A server with a constant load sends no reports on open connections, only first ones on new ones."""
     server = ServerOnClock(list_answers=True)
     ident = server.establish_call()
     for _ in range(300):
@@ -128,9 +128,10 @@
 
 
 @pytest.mark.parametrize("list_answers", [True, False])
-def test_calls_outlive_a_cut_only_if_somebody_vouches_for_them(list_answers: bool) -> None:
+def test_calls_outlive_a_cut_only_if_the_coordinator_confirms_their_server(list_answers: bool) -> None:
     """After a cut the old connections stay silent, and the process that answers on a new one may be another
-    at the same address. The coordinator's answers tell; without any the calls are ended in time.
+    process at the same address. The coordinator's answers confirm it; without them the calls are ended in
+    time.
     """
     server = ServerOnClock(list_answers)
     ident = server.establish_call()
@@ -141,31 +142,31 @@
         server.run(0.2)
         successor.receive_data(LOAD_LINE)
     assert server.has_call(ident) is list_answers
-    later = server.establish_call()
+    later_ident = server.establish_call()
     for _ in range(50):
         server.run(0.4)
         successor.receive_data(LOAD_LINE)
-    assert server.has_call(later), "the process that answers has it"
+    assert server.has_call(later_ident), "the process that answers holds this call"
 
 
-def test_calls_at_a_server_that_resets_and_is_replaced_at_its_address_are_ended_in_time() -> None:
+def test_calls_are_ended_if_another_process_replaces_their_server_at_its_address() -> None:
     """A process that dies and is replaced before the next dial refuses no connection. The coordinator, which
-    would list the restart, is away.
+    would list the restart, does not answer.
     """
     server = ServerOnClock()
     ident = server.establish_call()
     server.run(0.1)
     server.connection.connection_lost()
-    server.connect(server.connection)  # as the driver does
-    for _ in range(int(TOLD_WITHIN_S / 0.4)):
+    server.connect(server.connection)  # the driver redials
+    for _ in range(int(RELEASE_LIMIT_S / 0.4)):
         server.run(0.4)
         server.connection.receive_data(LOAD_LINE)
-    assert set(take_statuses(server.caller, ident)) == {"BYE"}, "again and again until it is acknowledged"
+    assert set(take_statuses(server.caller, ident)) == {"BYE"}, "repeated until it is acknowledged"
 
 
-def test_an_answer_of_a_server_that_is_gone_establishes_nothing() -> None:
-    """A set-up may be answered after the list has said that its server is gone, by whatever has its address
-    now: nothing would ever end that call. A dense trial (seed 6) found one.
+def test_an_answer_from_a_gone_server_establishes_no_call() -> None:
+    """A set-up may be answered after its server was listed as gone, by a process that has taken over the
+    address. Nothing would ever end such a call (found by a dense trial, seed 6).
     """
     server = ServerOnClock()
     server.caller.receive_data(platform_invite(ident := next_call_id(), answer_within_ms="4000"))
@@ -181,23 +182,23 @@
     assert status >= 300
 
 
-def test_the_list_vouches_for_no_server_whose_address_another_has() -> None:
-    """A machine that vanished may be replaced at its address long before the list says that it is gone."""
+def test_the_list_does_not_confirm_a_server_that_shares_its_address() -> None:
+    """A vanished machine may be replaced at its address long before the list marks it as gone."""
     server = ServerOnClock(list_answers=True)
     ident = server.establish_call()
     server.run(5.0)
     successor = ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)
     server.node.core.update_servers([successor], False)
     server.connect(server.pool.standby[1])
-    for _ in range(int((TOLD_WITHIN_S - 5.0) / 0.4)):
+    for _ in range(int((RELEASE_LIMIT_S - 5.0) / 0.4)):
         server.run(0.4)
         server.pool.active[1].receive_data(LOAD_LINE)
     assert set(take_statuses(server.caller, ident)) == {"BYE"}
 
 
-def test_a_release_counts_whichever_id_of_its_process_it_comes_by() -> None:
-    """A server that was replaced at its address is listed by two ids for a while, each with a connection; it
-    releases a call on any that is open.
+def test_a_release_is_accepted_on_the_connection_of_any_instance_id_of_its_process() -> None:
+    """A server that was replaced at its address is listed under two instance ids for a while, each with a
+    connection. It releases a call on either one.
     """
     server = ServerOnClock()
     ident = server.establish_call()
@@ -208,8 +209,8 @@
     assert take_statuses(server.caller, ident) == ["BYE"]
 
 
-def test_a_release_of_another_server_ends_no_call() -> None:
-    """The late end of an attempt elsewhere is not the end of the call that was established here."""
+def test_a_release_from_another_server_ends_no_call() -> None:
+    """The late release of an attempt at one server does not end the call established at another."""
     server = ServerOnClock()
     ident = server.establish_call()
     other = ServerRecord("t", ("127.0.0.1", 10), 0, Availability.READY)
@@ -219,9 +220,9 @@
     assert server.has_call(ident)
 
 
-def test_a_setup_is_given_up_on_its_connection_where_no_other_is_left() -> None:
-    """A server that is gone keeps a connection for the set-up that is pending on it, while the one in use
-    has ended. A dense trial (443) found the set-up out at one server and again at another.
+def test_a_setup_is_cancelled_on_its_own_connection_if_no_other_is_left() -> None:
+    """A gone server keeps the connection on which a set-up is pending, while its active connection has ended.
+    If the set-up is not cancelled there, it is open at two servers at once (found by dense trial 443).
     """
     server = ServerOnClock()
     server.caller.receive_data(platform_invite(ident := next_call_id(), answer_within_ms="2000"))
@@ -233,14 +234,14 @@
     gone = ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)
     server.node.core.update_servers([gone], False)
     assert active.can_close()
-    active.connection_lost()  # as the driver does
+    active.connection_lost()  # the driver's calls when a connection has ended
     server.pool.remove(active)
     server.run(2.0)
     assert b'"FINISH","tag":"%s"' % ident.encode() in server.connection.data_to_send()
 
 
-def test_no_call_outlives_the_record_of_its_server() -> None:
-    """A server is forgotten once its last connection has ended: a call that is left there would never end."""
+def test_calls_are_ended_when_the_record_of_their_server_is_dropped() -> None:
+    """A gone server is dropped once its last connection has ended; a remaining call would never end."""
     server = ServerOnClock()
     ident = server.establish_call()
     roster_server = server.connection.server
@@ -250,13 +251,13 @@
     assert take_statuses(server.caller, ident) == ["BYE"]
 
 
-def test_a_connection_that_breaks_costs_no_call_while_the_coordinator_answers() -> None:
-    """Servers close and reset connections that are idle; the calls there go on."""
+def test_no_call_ends_with_a_broken_connection_while_the_coordinator_answers() -> None:
+    """Servers close and reset idle connections; the calls established on them continue."""
     server = ServerOnClock(list_answers=True)
     ident = server.establish_call()
     for _ in range(20):
         server.connection.connection_lost()
-        server.connect(server.connection)  # as the driver does
+        server.connect(server.connection)  # the driver redials
         for _ in range(5):
             server.run(0.4)
             server.connection.receive_data(LOAD_LINE)
@@ -264,46 +265,46 @@
 
 
 def test_refused_standbys_do_not_keep_calls_at_a_silent_server() -> None:
-    """That a second connection is refused proves nothing, as a server may take no more; its silence does."""
+    """A refused second connection proves nothing, as a server may be full; the calls end by its silence."""
     server = ServerOnClock()
     ident = server.establish_call()
-    while server.node.now < server.started_at + TOLD_WITHIN_S - 0.5:
+    while server.node.now < server.started_at + RELEASE_LIMIT_S - 0.5:
         server.run(0.1)
         if (standby := server.pool.standby.get(1)) is not None:
             standby.connect_failed(refused=True)
-            server.pool.remove(standby)  # as the driver does
+            server.pool.remove(standby)  # the driver does this after a failed dial
     assert take_statuses(server.caller, ident) == ["BYE"]
 
 
-def test_what_came_while_the_process_stood_still_is_read_before_calls_are_ended() -> None:
-    """A process that was stopped for 20 s takes no server for lost whose reports lie unread."""
+def test_messages_received_during_a_stall_are_read_before_calls_are_ended() -> None:
+    """After a stall of 20 s a server does not count as lost while its reports are still unread."""
     server = ServerOnClock()
     ident = server.establish_call()
     server.node.now += 20.0
-    server.node.core.timers.run_due()  # the loop carries out timers before it looks at a socket
+    server.node.core.timers.run_due()  # the loop runs timers before it polls sockets
     server.connection.receive_data(LOAD_LINE)
     server.run(1.0)
     assert server.has_call(ident)
 
 
-def test_a_lost_call_is_released_at_its_server_too_once_that_is_reached() -> None:
-    """A server that was only cut off still holds the call."""
+def test_a_lost_call_is_released_at_its_server_once_that_is_reachable() -> None:
+    """A server that was only cut off still holds the call, and must release it."""
     server = ServerOnClock()
     ident = server.establish_call()
-    server.run(TOLD_WITHIN_S - 0.5)
+    server.run(RELEASE_LIMIT_S - 0.5)
     assert server.connection in server.aborted
-    server.connection.data_to_send()  # into nothing
+    server.connection.data_to_send()  # lost: the connection is cut
     server.connection.connection_lost()
     server.connect(server.connection)
     assert b'"FINISH","tag":"%s"' % ident.encode() in server.connection.data_to_send()
 
 
-@pytest.mark.parametrize(("index", "vouches"), [(4, True), (5, False)])
-def test_the_member_that_polls_for_a_fleet_vouches_for_the_list_of_the_others(
-    index: int, vouches: bool
+@pytest.mark.parametrize(("index", "confirms"), [(4, True), (5, False)])
+def test_an_update_of_the_polling_member_confirms_the_list_of_the_other_members(
+    index: int, confirms: bool
 ) -> None:
-    """Members that do not poll hear no answer of the coordinator: the heartbeat of the one that does stands
-    for them, unless it has something that they lack.
+    """Members that do not poll get no answer from the coordinator. An update of the polling member confirms
+    their list, unless it has a later event index than theirs.
     """
     node = InProcessNode()
     check = SimpleNamespace(is_accepted=True, effects=[])
@@ -319,4 +320,4 @@
     relay.endpoint_list.index = 4
     node.run(5.0)
     relay.handle_update(node.now, ("a", 1), EndpointUpdate("a", 7, index, 0, 1, b""))
-    assert (node.core.servers.list_confirmed_at == node.now) is vouches
+    assert (node.core.servers.list_confirmed_at == node.now) is confirms
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers: malformed answers, unresponsive connections, and those that are superseded."""
+"""Tests of connections to servers: malformed answers, unresponsive and superseded connections."""
 
 from __future__ import annotations
 
@@ -44,60 +44,60 @@
     ids=["bytes", "without end", "tag", "no blob", "surrogate", "figure", "deep"],
 )
 def test_a_malformed_answer_closes_its_connection_and_all_its_setups_are_retried(start_deployment, malformed):
-    """No set-up waits for an answer on a connection that can't be read any more."""
+    """No set-up keeps waiting for an answer on a connection that has brought an unreadable message."""
     program, _, (server,) = start_deployment(SILENT)
 
-    def spoil(_message, _send):
-        """At the second set-up, at once: later another connection would be opened for a silent one."""
+    def send_malformed(_message, _send):
+        """Send the malformed bytes at the second set-up; after a delay a standby would be opened."""
         if len(server.messages("START")) == 2:
             server.script = ScriptedServer.establishes
             server.connections[0].sendall(malformed)
 
-    server.script = spoil
+    server.script = send_malformed
     caller, idents = program.caller(), [next_call_id(), next_call_id()]
     for ident in idents:
         caller.invite(ident)
     for ident in idents:
         caller.expect(ident, 200)
-    assert len(server.connections) == 2, "a new connection, and only one"
+    assert len(server.connections) == 2, "one new connection is opened"
 
 
-def test_a_silently_cut_connection_is_found_out_and_its_setups_are_retried(start_deployment):
-    """A connection that stays open and silent does not take set-ups for good, and what was released on it is
-    released again.
+def test_a_silently_cut_connection_is_detected_and_its_setups_are_retried(start_deployment):
+    """A connection that stays open but silent does not keep its set-ups, and releases written to it are
+    written again on the next connection.
     """
     program, _, (server,) = start_deployment(None)
-    caller, standing, waiting = program.caller(), next_call_id(), next_call_id()
-    caller.invite(standing)
-    caller.expect(standing, 200)
+    caller, established, pending = program.caller(), next_call_id(), next_call_id()
+    caller.invite(established)
+    caller.expect(established, 200)
     server.script = SILENT
-    caller.invite(waiting, answer_within_ms=9000)
+    caller.invite(pending, answer_within_ms=9000)
     wait_until(lambda: len(server.messages("START")) == 2)
-    caller.send("BYE", "sip:x@net", {"call-id": standing, "cseq": "2 BYE"})
+    caller.send("BYE", "sip:x@net", {"call-id": established, "cseq": "2 BYE"})
     wait_until(lambda: len(server.connections) >= 2, "a second connection")
-    wait_until(lambda: len(server.messages("FINISH")) >= 2, "the release, written again")
+    wait_until(lambda: len(server.messages("FINISH")) >= 2, "the repeated release")
     server.script = ScriptedServer.establishes
 
     def established_after_report():
         server.send("LOAD", "", opts={"load": "free:50;size:90"})
         time.sleep(0.1)
-        return caller.final_statuses(waiting)
+        return caller.final_statuses(pending)
 
     wait_until(established_after_report)
-    assert caller.final_statuses(waiting) == [200]
+    assert caller.final_statuses(pending) == [200]
     assert program.log_events("server_connection_dead")
-    assert {m["tag"] for m in server.messages("FINISH")} == {standing}
-    wait_until(lambda: len(server.connections) >= 3, "a connection for what was released on the dead one")
+    assert {m["tag"] for m in server.messages("FINISH")} == {established}
+    wait_until(lambda: len(server.connections) >= 3, "a connection on which the server repeats releases")
 
 
-def test_a_connection_that_is_merely_slow_keeps_its_setups(start_deployment):
-    """Set-ups are not given up at a server that takes its time but is heard on the same connection."""
+def test_a_slow_connection_keeps_its_setups(start_deployment):
+    """Set-ups stay pending at a slow server that keeps sending messages on their connection."""
     program, _, (server,) = start_deployment(SILENT)
     caller, ident = program.caller(), next_call_id()
     caller.invite(ident, answer_within_ms=9000)
     wait_until(lambda: len(server.connections) >= 2, "a second connection")
     for _ in range(5):
-        program.suspend()  # so that the reports come at the same time, however slow this process is
+        program.suspend()  # so that the reports arrive together, even if this process is slow
         for server_connection in list(server.connections):
             server.send("LOAD", "", server_connection, opts={"load": "free:50;size:90"})
         program.resume()
@@ -109,8 +109,8 @@
 
 
 def connected_server(now):
-    """A call manager with one connected server, its pool, the connection, and when the network was asked to
-    abort it.
+    """Return a call manager with one connected server, the pool, the connection, and a list that records the
+    times at which the connection is aborted.
     """
     core = CallManager(
         settings_from_object(SETTINGS).settings,
@@ -127,16 +127,16 @@
     return core, pool, server_connections[0], aborted
 
 
-def test_a_connection_that_falls_silent_again_is_suspected_as_soon_as_the_first():
-    """A suspicion that was right does not delay the next one: a server whose connections were cut one after
-    the other was once left without set-ups for 3 s.
+def test_after_a_confirmed_suspicion_the_next_one_is_not_delayed():
+    """A confirmed suspicion does not delay the next one. Otherwise a server whose connections are cut one
+    after the other gets no set-ups for 3 s.
     """
     now = [1000.0]
     core, pool, _, _ = connected_server(now)
     caller = PlatformFrontend(core).connect()
 
     def silent_until_doubted():
-        """A set-up is written and nothing comes back; returns how long until the connection is suspected."""
+        """Write a set-up without an answer; return the seconds until the connection is suspected."""
         server_connection = pool.active[1]
         caller.receive_data(platform_invite(next_call_id(), answer_within_ms="9000"))
         while not server_connection.data_to_send():
@@ -146,14 +146,14 @@
         while not pool.standby:
             now[0] += 0.01
             core.timers.run_due()
-            assert now[0] < since + 5, "it was not doubted"
+            assert now[0] < since + 5, "the connection was not suspected"
         standby = pool.standby[1]
         standby.connection_made()
         for _ in range(3):
             now[0] += 0.3
             standby.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
             core.timers.run_due()
-        for each in list(pool.superseded):  # as the driver does
+        for each in list(pool.superseded):  # the driver's calls when a connection has ended
             each.connection_lost()
             pool.remove(each)
         return now[0] - since
@@ -168,7 +168,7 @@
 
 
 def offer_written_call(core, pool, now, within="9000"):
-    """A call whose set-up has been written on the connection in use; returns its id."""
+    """Offer a call, wait until its set-up is written on the active connection, and return its id."""
     caller, ident = PlatformFrontend(core).connect(), next_call_id()
     caller.receive_data(platform_invite(ident, answer_within_ms=within))
     for _ in range(100):
@@ -176,11 +176,11 @@
             return ident
         now[0] += 0.01
         core.timers.run_due()
-    raise AssertionError("no set-up")
+    raise AssertionError("no set-up was written")
 
 
 def pass_time(core, now, seconds):
-    """Let time pass, timer by timer."""
+    """Advance the clock in steps of 10 ms, and run the due timers after each step."""
     end = now[0] + seconds
     while now[0] < end:
         now[0] += 0.01
@@ -189,7 +189,7 @@
 
 @pytest.mark.parametrize("ends", ["by the server", "by the caller"])
 def test_a_superseded_connection_is_read_while_calls_set_up_on_it_are_established(ends):
-    """A release is not lost with a connection that was superseded before it came."""
+    """A release is not lost if its connection was superseded before the release arrives."""
     now = [1000.0]
     core, pool, old, _ = connected_server(now)
     ident = offer_written_call(core, pool, now, within="13000")
@@ -210,8 +210,8 @@
     assert old.can_close()
 
 
-def test_a_superseded_connection_that_breaks_under_calls_is_followed_by_another():
-    """A release that was under way on it comes again on the next connection, so that one has to be opened."""
+def test_another_connection_is_opened_if_a_superseded_one_breaks_with_calls_established():
+    """The server repeats a release that was in flight only on the next connection, so one must be opened."""
     now = [1000.0]
     core, pool, old, _ = connected_server(now)
     ident = offer_written_call(core, pool, now, within="13000")
@@ -221,15 +221,15 @@
     assert core.calls.is_established(ident)
     assert pool.superseded == [old]
     assert not pool.standby
-    old.connection_lost()  # as the driver does
+    old.connection_lost()  # the driver's calls when a connection has ended
     pool.remove(old)
     pass_time(core, now, 0.2)
-    assert pool.standby, "another is opened"
+    assert pool.standby, "another connection is opened"
 
 
-def test_of_connections_kept_for_calls_the_oldest_closes_before_another_opens():
-    """Connections to a server that falls silent again and again are bounded, and one closes before the next
-    opens, so that what was sent on it comes there.
+def test_the_oldest_superseded_connection_closes_before_another_is_opened():
+    """The number of connections to a server that repeatedly falls silent is bounded. The oldest one closes
+    before the next opens, so that the server repeats the releases sent on it there.
     """
     now = [1000.0]
     core, pool, _, _ = connected_server(now)
@@ -243,7 +243,7 @@
         pool.dial_standby(server_connection)
         for each in [
             each for each in pool.superseded if each.can_close()
-        ]:  # as the driver does, before the next is up
+        ]:  # the driver ends them before the next one is up
             each.connection_lost()
             pool.remove(each)
         pool.standby[1].connection_made()
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize(("started", "ends"), [(999.9, False), (1004.0, True)])
 def test_a_connection_from_before_its_servers_start_is_aborted(started, ends):
-    """A machine that vanished and came back leaves the old connection silent for good."""
+    """Connections to the old process of a machine that vanished and restarted would stay silent forever."""
     now = [1000.0]
     core, _, _, aborted = connected_server(now)
     now[0] = 1010.0
@@ -260,8 +260,8 @@
     assert bool(aborted) is ends
 
 
-def test_a_connection_to_a_server_that_is_gone_is_not_kept_for_what_it_cannot_write():
-    """No connection and its releases are kept for good for a machine that is gone."""
+def test_a_connection_to_a_gone_server_is_not_kept_for_undeliverable_releases():
+    """A connection with queued releases for a machine that is gone is ended after the drain timeout."""
     now = [1000.0]
     core, pool, server_connection, aborted = connected_server(now)
     pool.send_release(server_connection.server, "00000000005e0001", 16)
@@ -273,9 +273,9 @@
     assert server_connection.can_close()
 
 
-def test_a_silent_connection_is_suspected_though_its_setups_are_given_up_early():
-    """A silently cut connection is not used on because each set-up on it is given up before it is old enough
-    to make it suspect; one was once used for 4.7 s.
+def test_a_silent_connection_is_suspected_although_its_setups_are_cancelled_early():
+    """A silently cut connection is suspected even if each set-up on it is cancelled before the response
+    timeout. Otherwise it stays in use, in one case for 4.7 s.
     """
     node, server_connections = InProcessNode(), []
     pool = ServerConnectionPool(node.core, server_connections.append)
@@ -294,9 +294,9 @@
     assert not server_connections[0].pending_setups
 
 
-def test_a_second_connection_that_says_nothing_at_all_is_suspected_at_once():
-    """Connections that are cut one after the other as they come up are not each used for twice as long as the
-    one before.
+def test_a_new_connection_without_any_message_is_suspected_without_backoff():
+    """If connections are cut one after the other as they come up, the backoff does not double the time for
+    which each is used.
     """
     node, server_connections = InProcessNode(), []
     pool = ServerConnectionPool(node.core, server_connections.append)
@@ -311,13 +311,13 @@
             server_connections[-1].data_to_send()
             headers = [("call-id", ident), ("cseq", "1 CANCEL")]
             connection.receive_data(sip.request("CANCEL", "sip:x@net", headers, b""))
-            assert node.now < began + 3, "a wait that doubles"
+            assert node.now < began + 3, "the backoff doubled"
 
 
-@pytest.mark.parametrize("answers", [True, False], ids=["it came up", "it did not"])
-def test_a_connect_that_succeeded_while_the_process_stood_still_has_not_failed(answers):
-    """The loop carries out the connect's timeout, due by then, before it looks at the socket: the connect
-    counts all the same. One that did not succeed fails.
+@pytest.mark.parametrize("answers", [True, False], ids=["connected", "not connected"])
+def test_a_connect_that_succeeded_while_the_process_was_stalled_counts_as_a_success(answers):
+    """After a stall the loop runs the overdue timeout of the connect before it polls the socket. The connect
+    succeeds nevertheless if the socket is connected, and fails if it is not.
     """
     full_listener = None if answers else FullListener()
     server = ScriptedServer() if answers else full_listener
@@ -327,9 +327,9 @@
         node.follow_loop(asyncio.get_running_loop())
         network = Network(node.core)
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
-        for _ in range(3):  # the connect begins
+        for _ in range(3):  # lets the connect begin
             await asyncio.sleep(0)
-        time.sleep(0.5)  # noqa: ASYNC251  # the loop stands still beyond the limit
+        time.sleep(0.5)  # noqa: ASYNC251  # stalls the loop beyond the connect timeout
         if answers:
             (await dial).close()
         else:
--- a/tests/test_service_discovery.py
+++ b/tests/test_service_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list: long polls, answers cut short, entries that cannot be read, drains of servers."""
+"""Tests of the endpoint list: long polls, truncated answers, unreadable entries, drains of servers."""
 
 from __future__ import annotations
 
@@ -25,78 +25,78 @@
 from .support.waiting import wait_until
 
 
-@pytest.mark.parametrize("spoil", ["break", "stop"])
-def test_an_answer_that_is_cut_short_is_polled_again(start_deployment, spoil):
-    """Changes are not missed where a coordinator breaks off within an event, or stops there and leaves the
-    connection open.
+@pytest.mark.parametrize("fault", ["break", "stop"])
+def test_a_truncated_answer_is_polled_again(start_deployment, fault):
+    """No change is missed if a coordinator closes the connection within an event, or stops sending there and
+    leaves the connection open.
     """
     program, coordinator, (server,) = start_deployment(None)
     other = ScriptedServer()
-    coordinator.answer_faults = [spoil, spoil]
+    coordinator.answer_faults = [fault, fault]
     coordinator.publish(
         endpoint_entry("s-0", server.port, 0, "terminating"), endpoint_entry("s-1", other.port, 1)
     )
-    assert coordinator.polled_indices.count(1) >= 3, "the number moved on before the event was whole"
+    assert coordinator.polled_indices.count(1) >= 3, "the polled index advanced before the event was complete"
     establish_call(program)
     assert other.messages("START")
 
 
 def test_an_unresponsive_coordinator_is_disconnected_within_2_s():
-    """Nobody waits longer than 2 s after the end of the poll's own wait, when changes count as notified."""
+    """A poll ends less than 2 s after its requested wait, by when changes count as notified."""
     node = InProcessNode()
-    directory, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
-    directory.abort = lambda: aborted.append(node.now)
-    directory.connected()
-    assert b"follow=4" in directory.data_to_send()
+    client, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    client.abort = lambda: aborted.append(node.now)
+    client.connected()
+    assert b"follow=4" in client.data_to_send()
     body = b'{"index":4,"updates":[]}'
     node.run(ANSWER_TIMEOUT_S - 0.1)
-    directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     node.run(ANSWER_TIMEOUT_S - 0.1)
-    assert not aborted, "a whole answer begins the wait anew"
+    assert not aborted, "a complete answer restarts the timeout"
     node.run(0.2)
     assert aborted
 
 
-def test_a_coordinator_that_answers_late_is_heard_by_every_second_poll():
-    """A slow coordinator whose answers take longer than a poll is awaited would never be heard; nor may a
-    silent one be awaited for long each time.
+def test_every_second_poll_waits_longer_for_a_slow_coordinator():
+    """With a short timeout for every poll, the answers of a slow coordinator would never be received; with a
+    long one, a silent coordinator would be detected late each time.
     """
     node = InProcessNode()
-    directory, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
-    directory.abort = lambda: aborted.append(node.now)
+    client, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    client.abort = lambda: aborted.append(node.now)
     waits = []
     for _ in range(4):
         began = node.now
-        directory.connected()
-        asked_s = int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) / 1000
+        client.connected()
+        requested_wait_s = int(client.data_to_send().split(b"wait_ms=")[1].split()[0]) / 1000
         while len(aborted) <= len(waits):
             node.run(0.1)
-        directory.connection_lost()
+        client.connection_lost()
         waits.append(node.now - began)
-        assert waits[-1] < asked_s + 2.0, "its changes count as notified by then"
+        assert waits[-1] < requested_wait_s + 2.0, "changes count as notified by then"
     assert waits[0] < 3.0 < 4.0 < waits[1] < 5.0
     assert waits[2] < 3.0 < 4.0 < waits[3]
-    directory.connected()
+    client.connected()
     body = b'{"index":4,"updates":[]}'
-    directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert b"wait_ms=2000" in directory.data_to_send()
+    client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    assert b"wait_ms=2000" in client.data_to_send()
 
 
 def test_the_first_poll_does_not_wait_for_changes():
-    """A new process is ready before a whole poll for changes is over."""
+    """A new process is ready without waiting for the full time of a poll."""
     node = InProcessNode()
     node.core.readiness.list_known = False
-    directory = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
-    directory.connected()
-    assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
+    client = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+    client.connected()
+    assert int(client.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
-    directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+    client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     assert node.core.readiness.list_known
-    assert int(directory.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
+    assert int(client.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
-def test_an_unresponsive_coordinator_does_not_keep_a_known_list_from_serving():
-    """A softswitch that was given a list at its start serves without waiting for changes."""
+def test_a_softswitch_with_a_known_list_serves_despite_an_unresponsive_coordinator():
+    """A softswitch that has a list at its start does not wait for the coordinator's changes."""
     node = InProcessNode()
     node.core.readiness.list_known = False
     ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4).connected()
@@ -106,33 +106,35 @@
 
 
 def test_an_older_event_index_is_logged_and_changes_nothing():
-    """A coordinator that has lost its memory is noticed, no event is applied twice, and one that answers at
-    once with nothing new is not polled without a pause.
+    """A coordinator that has lost its state is logged once and no event is applied twice. A coordinator that
+    answers at once without new events is polled with a pause in between.
     """
     node, logged = InProcessNode(), []
     node.log = lambda event, **fields: logged.append((event, fields))
-    directory = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 9)
+    client = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 9)
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
-        directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
-    directory.connected()
-    assert b"follow=9" in directory.data_to_send()
+    client.connected()
+    assert b"follow=9" in client.data_to_send()
     answer(9)
-    directory.data_to_send()
+    client.data_to_send()
     answer(4)
-    assert directory.last_index == 9
+    assert client.last_index == 9
     assert [fields["why"] for event, fields in logged if event == "service_discovery"]
-    assert not directory.data_to_send(), "it answered at once: the next question waits"
+    assert not client.data_to_send(), "the answer came at once, so the next request is delayed"
     node.run(EMPTY_ANSWER_PAUSE_S + 0.01)
-    assert b"follow=9" in directory.data_to_send()
+    assert b"follow=9" in client.data_to_send()
     answer(4)
     assert len([event for event, _ in logged if event == "service_discovery"]) == 1, "logged once"
 
 
-def test_an_unreadable_entry_holds_up_no_other_and_its_server_gets_no_new_calls(tmp_path, started_programs):
-    """The list does not stand still for one entry: the drain of another server beside it is applied."""
+def test_an_unreadable_entry_does_not_block_others_and_its_server_gets_no_new_calls(
+    tmp_path, started_programs
+):
+    """The drain of another server in the same event is applied despite the unreadable entry."""
     servers = [ScriptedServer() for _ in range(3)]
     coordinator = ScriptedCoordinator(
         *(endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers))
@@ -143,18 +145,16 @@
     caller.invite(established, routing_data="dest:0;width:1;via:-1")
     caller.expect(established, 200)
     (busy_server,) = [each for each in servers if each.messages("START")]
-    lines = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
-    at = servers.index(busy_server)
-    drained, available = [n for n in range(3) if n != at]
-    lines[at]["lifecycle"] = "napping"
-    lines[drained]["lifecycle"] = "terminating"
-    coordinator.publish(
-        lines[at], {"cell": "no name"}, lines[drained]
-    )  # returns once the next index is polled
-    expected = {f"s-{at}": "draining", f"s-{drained}": "draining", f"s-{available}": "ready"}
-    wait_until(  # the log has a thread of its own
+    entries = [endpoint_entry(f"s-{n}", each.port, n % 2) for n, each in enumerate(servers)]
+    busy = servers.index(busy_server)
+    drained, available = [n for n in range(3) if n != busy]
+    entries[busy]["lifecycle"] = "napping"
+    entries[drained]["lifecycle"] = "terminating"
+    coordinator.publish(entries[busy], {"cell": "no name"}, entries[drained])  # waits for the next poll
+    expected = {f"s-{busy}": "draining", f"s-{drained}": "draining", f"s-{available}": "ready"}
+    wait_until(  # the log is written by a thread of its own
         lambda: {line["server"]: line["state"] for line in program.log_events("server_listed")} == expected,
-        "the states in the log",
+        "the logged states",
     )
     skipped = [
         line for line in program.log_events("service_discovery") if line["why"].startswith("unreadable")
@@ -171,8 +171,9 @@
 
 
 def discover(*events, names="abc"):
-    """A service discovery client that knows some servers and gets these events, each on a connection of its
-    own; returns it, the servers' availability, and the answers that were handed on.
+    """Give a service discovery client with known servers these events, each on a connection of its own.
+
+    Returns the client, the servers' availability by instance id, and the answers passed to `on_answer`.
     """
     node = InProcessNode()
     ServerConnectionPool(node.core, lambda _connection: None)
@@ -180,20 +181,20 @@
     node.core.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
     node.core.update_servers(listed, True)
-    directory, logged = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
-    directory.on_answer = logged.append
+    client, relayed = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    client.on_answer = relayed.append
     for event in events:
-        directory.connected()
+        client.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
-        directory.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     availabilities = {
         s.record.instance: s.record.availability.value for s in node.core.servers.by_instance.values()
     }
-    return directory, availabilities, logged
+    return client, availabilities, relayed
 
 
 def test_a_corrupted_list_is_polled_again_before_its_other_entries_are_applied():
-    """A server is not left without calls for an entry that was corrupted once."""
+    """A server does not lose new calls because its entry was corrupted once."""
     good = {
         "reset": False,
         "instances": [endpoint_entry("a", 9, state="terminating"), endpoint_entry("b", 9)],
@@ -202,23 +203,23 @@
         "reset": False,
         "instances": [good["instances"][0], {**endpoint_entry("b", 9), "hostPort": "?"}],
     }
-    directory, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1))
-    assert directory.last_index == 4
+    client, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1))
+    assert client.last_index == 4
     assert set(availabilities.values()) == {"ready"}
-    directory, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1), good)
-    assert directory.last_index == 5
+    client, availabilities, _ = discover(*[corrupted] * (MAX_REQUESTS - 1), good)
+    assert client.last_index == 5
     assert availabilities == {"a": "draining", "b": "ready", "c": "ready"}
-    directory, availabilities, logged = discover(*[corrupted] * MAX_REQUESTS)
-    assert directory.last_index == 5
+    client, availabilities, relayed = discover(*[corrupted] * MAX_REQUESTS)
+    assert client.last_index == 5
     assert availabilities == {"a": "draining", "b": "draining", "c": "ready"}
     states = {
-        raw["instanceId"]: raw["lifecycle"] for raw in logged[0]["updates"][0]["endpoints"]["instances"]
+        raw["instanceId"]: raw["lifecycle"] for raw in relayed[0]["updates"][0]["endpoints"]["instances"]
     }
-    assert states == {"a": "terminating", "b": "terminating"}, "whoever is handed the list gets the same"
+    assert states == {"a": "terminating", "b": "terminating"}, "the relayed list has the same states"
 
 
 @pytest.mark.parametrize(
-    ("line", "left"),
+    ("entry", "expected"),
     [
         ({**endpoint_entry("b", 9), "hostPort": "?"}, {"a": "ready", "b": "draining"}),
         ({**endpoint_entry("b", 9, state="terminated"), "cell": []}, {"a": "ready"}),
@@ -228,16 +229,16 @@
     ],
     ids=["no address", "gone", "new", "no name", "no object"],
 )
-def test_a_complete_list_with_an_unreadable_entry_cuts_no_calls_for_it(line, left):
-    """A server is not taken for gone, and its calls cut, for a corrupted entry in a complete list."""
-    corrupted = {"reset": True, "instances": [endpoint_entry("a", 9), line]}
-    directory, availabilities, _ = discover(*[corrupted] * MAX_REQUESTS)
-    assert directory.last_index == 5
-    assert {name: state for name, state in availabilities.items() if state != "gone"} == left
+def test_an_unreadable_entry_in_a_complete_list_marks_no_server_as_gone(entry, expected):
+    """A corrupted entry in a complete list does not mark its server as gone, which would end its calls."""
+    corrupted = {"reset": True, "instances": [endpoint_entry("a", 9), entry]}
+    client, availabilities, _ = discover(*[corrupted] * MAX_REQUESTS)
+    assert client.last_index == 5
+    assert {name: state for name, state in availabilities.items() if state != "gone"} == expected
 
 
-def test_a_drained_server_gets_no_calls_and_its_address_may_be_used_again(start_deployment):
-    """Servers are not known by address: a new one may have that of one that drains."""
+def test_a_drained_server_gets_no_calls_and_its_address_can_be_reused(start_deployment):
+    """Servers are identified by instance id: a new one may have the address of a terminated one."""
     program, coordinator, (server, other) = start_deployment(None, None)
     caller = program.caller()
     coordinator.publish(endpoint_entry("s-0", server.port, 0, "terminating"))
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -1,4 +1,4 @@
-"""The last check of callers before a set-up is written to its server's connection."""
+"""Tests of the last check of callers before a set-up is written to its server's connection."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         self.callers = []
 
     async def place_calls(self, count, body=b"d"):
-        """Have as many callers place a call each; returns once all have been read."""
+        """Let `count` callers place one call each; return once the node has read all calls."""
         self.idents = [next_call_id() for _ in range(count)]
         self.callers = [socket.create_connection(self.listener.getsockname()) for _ in self.idents]
         for ident, caller in zip(self.idents, self.callers, strict=True):
@@ -51,12 +51,12 @@
         await wait_in_loop(lambda: self.core.calls.unanswered == count)
 
     def disconnect_callers(self, ways):
-        """Have the first callers leave, each in its way."""
+        """Disconnect the first callers, each in the given way."""
         for ident, caller, way in zip(self.idents, self.callers, ways, strict=False):
             disconnect_at_once(caller, ident, way)
 
     def disconnect_when_connected(self, ways):
-        """Have them leave when the server connection has come up."""
+        """Disconnect the first callers when the server connection has come up."""
         connection_made = self.server_connection.connection_made
 
         def connected():
@@ -66,13 +66,13 @@
         self.server_connection.connection_made = connected
 
     def disconnect_when_queued(self, ways):
-        """Have them leave when the first set-up has been queued for its connection."""
-        send_setup, left = self.pool.send_setup, []
+        """Disconnect the first callers when the first set-up has been queued for its connection."""
+        send_setup, disconnected = self.pool.send_setup, []
 
         def queued(attempt):
             send_setup(attempt)
-            if not left:
-                left.append(True)
+            if not disconnected:
+                disconnected.append(True)
                 self.disconnect_callers(ways)
 
         self.pool.send_setup = queued
@@ -87,9 +87,9 @@
 
 
 @pytest.mark.parametrize("when", ["the connection comes up", "the pause is over"])
-def test_callers_that_leave_in_the_turn_in_which_their_setups_are_written_get_no_attempt(when):
-    """Callers are looked at between the loop's look at its sockets and the write: they leave when the server
-    connection has come up, or the timer has queued their set-ups, and before the queue is written.
+def test_callers_that_leave_in_the_loop_iteration_of_the_write_get_no_attempt(when):
+    """Callers are read between the loop's poll of its sockets and the write. They leave after the server
+    connection has come up, or after the timer has queued their set-ups, and before the queue is written.
     """
     ways = [*["close"] * 3, *["reset"] * 3, *["cancel"] * 2, "another's cancel"]
 
@@ -100,7 +100,7 @@
         def sent(idents):
             return [m["tag"] for m in server.messages("START") if m["tag"] in idents]
 
-        await node.place_calls(len(ways) + 1)  # as many as may be open there at a time
+        await node.place_calls(len(ways) + 1)  # the maximum of set-ups open at the server
         leaving, staying = set(node.idents[:-1]), node.idents[-1]
         if when == "the connection comes up":
             node.disconnect_when_connected(ways)
@@ -127,7 +127,7 @@
 
 
 def disconnect_at_once(caller, ident, way):
-    """Leave without waiting for anything: the loop's own thread does it."""
+    """Disconnect or cancel without waiting, since this runs in the thread of the event loop."""
     cancel = sip.request("CANCEL", "sip:x@net", [("call-id", ident), ("cseq", "1 CANCEL")])
     if way == "another's cancel":
         other = socket.create_connection(caller.getpeername())
@@ -143,7 +143,7 @@
 
 
 def listen_slowly():
-    """A server's listener whose connections take few bytes at a time."""
+    """Return a server's listener whose connections have small receive buffers."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.bind(("127.0.0.1", 0))
@@ -152,19 +152,19 @@
 
 
 def connect_with_small_buffers(network):
-    """Have the network's connections to servers hold few unsent bytes."""
+    """Give the network's connections to servers small send buffers."""
     connect = network.connector.connect
 
-    async def connect_narrowly(address, within_s):
-        sock = await connect(address, within_s)
+    async def connect_with_small_buffer(address, timeout_s):
+        sock = await connect(address, timeout_s)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    network.connector.connect = connect_narrowly
+    network.connector.connect = connect_with_small_buffer
 
 
 async def read_messages(loop, server, is_complete):
-    """What comes on a server's connection, until it is complete."""
+    """Read messages from a server's connection until they are complete, and return them."""
     messages, data = [], b""
     while not is_complete(messages):
         data += await loop.sock_recv(server, 65536)
@@ -173,9 +173,9 @@
     return messages
 
 
-def test_callers_that_leave_while_their_setups_wait_for_a_slow_connection_get_no_attempt():
-    """Set-ups that have left the queue and wait for room at the socket are taken back. The server reads
-    nothing until their callers have left; what was begun by then is sent to its end and released.
+def test_callers_that_leave_while_their_setups_wait_at_a_slow_connection_get_no_attempt():
+    """Set-ups that have left the queue and wait for the socket return to the queue. The server reads nothing
+    until their callers have left; set-ups that are partly written by then are completed and released.
     """
 
     async def scenario():
@@ -186,41 +186,41 @@
         staying, counts = node.idents[-1], node.core.counters.counts
         node.network.dial(node.server_connection)
         await wait_in_loop(lambda: node.server_connection.writing)
-        await wait_in_loop(lambda: counts["attempts_retracted"] >= 5, "that most have left the queue")
-        for _ in range(20):  # the kernel has taken what it can
+        await wait_in_loop(lambda: counts["attempts_retracted"] >= 5, "five set-ups that have left the queue")
+        for _ in range(20):  # until the kernel's buffers are full
             await asyncio.sleep(0.001)
-        begun = set(node.server_connection.pending_setups)
-        assert len(begun) <= 3, "the connection is slow"
-        assert counts["attempts_retracted"] >= 5, "they had left its queue"
+        partly_written = set(node.server_connection.pending_setups)
+        assert len(partly_written) <= 3, "the connection is slow"
+        assert counts["attempts_retracted"] >= 5, "the set-ups had left the queue"
         node.disconnect_callers([*["close"] * 3, *["reset"] * 3, *["cancel"] * 3])
         await wait_in_loop(lambda: node.core.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
 
         def is_complete(messages):
-            return len(released_ids(messages)) >= len(begun) and staying in setup_ids(messages)
+            return len(released_ids(messages)) >= len(partly_written) and staying in setup_ids(messages)
 
         messages = await read_messages(node.network.loop, server, is_complete)
-        assert setup_ids(messages) - {staying} == begun
-        assert set(released_ids(messages)) == begun
+        assert setup_ids(messages) - {staying} == partly_written
+        assert set(released_ids(messages)) == partly_written
         await node.close(listener, server)
 
     uvloop.run(scenario())
 
 
 def released_ids(messages):
-    """The ids that messages release, each as often as it is released."""
+    """Return the call ids of the releases among messages, with duplicates."""
     return [each["tag"] for each in messages if each["verb"] == "FINISH"]
 
 
 def setup_ids(messages):
-    """The ids of the set-ups among messages."""
+    """Return the call ids of the set-ups among messages."""
     return {each["tag"] for each in messages if each["verb"] == "START"}
 
 
 def test_callers_are_read_again_before_a_write_that_was_delayed():
-    """A process that stands still between reading its callers and the write reads them again: the clock has
-    moved on.
+    """If the process stalls between reading the callers and writing the set-ups, it notices by the clock and
+    reads the callers again.
     """
     node, server_connections = InProcessNode(), []
     pool, frontend = ServerConnectionPool(node.core, server_connections.append), PlatformFrontend(node.core)
@@ -230,7 +230,7 @@
     callers, reads = [frontend.connect() for _ in range(3)], []
 
     def read_callers():
-        """The first caller leaves, unnoticed, after the first read."""
+        """Record a read; the first caller leaves unnoticed after the first one."""
         if reads:
             callers[0].eof_received()
         reads.append(node.now)
@@ -239,13 +239,13 @@
     idents = [next_call_id() for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
-    may_write, stops = node.core.attempts.claim_transmission, [0.3]
+    claim_transmission, stalls_s = node.core.attempts.claim_transmission, [0.3]
 
-    def slow(attempt):
-        node.now += stops.pop() if stops else 0.0
-        return may_write(attempt)
+    def claim_after_stall(attempt):
+        node.now += stalls_s.pop() if stalls_s else 0.0
+        return claim_transmission(attempt)
 
-    node.core.attempts.claim_transmission = slow
+    node.core.attempts.claim_transmission = claim_after_stall
     started = [json.loads(line)["tag"] for line in server_connection.data_to_send().splitlines()]
     assert len(reads) == 2
     assert started == idents[1:]
