--- a/stairhatch/node/connection_liveness.py
+++ b/stairhatch/node/connection_liveness.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 
 RESPONSE_TIMEOUT_S = 0.35  # a connection silent for longer with a pending set-up is suspect
-LONGEST_SILENCE_S = 1.5  # with established calls, longer silence is suspect if it also exceeds
-LONGEST_SILENCE_GAPS = 3.0  # this number of mean gaps between load reports
+LONGEST_SILENCE_S = 1.5  # minimum silence that makes a connection with established calls suspect
+LONGEST_SILENCE_GAPS = 3.0  # the silence must also exceed this many mean gaps between load reports
 LEAST_LOAD_REPORTS = 2  # the mean gap is computed only from more reports than this
 FIRST_BACKOFF_S, LONGEST_BACKOFF_S = 1.0, 16.0  # between two suspicions of connections to one server
 
@@ -54,23 +54,26 @@
             self.load_reports += 1
 
     def is_response_overdue(self, now: float) -> bool:
-        """Return whether no message has followed a set-up, cancelled by now or not, for over 0.35 s."""
+        """Return whether a set-up, cancelled or not, has had no message after it for `RESPONSE_TIMEOUT_S`."""
         due_since = self.response_due_since
         return due_since > self.last_activity_at and now - due_since > RESPONSE_TIMEOUT_S
 
     def is_silent_since(self, now: float, written_at: float) -> bool:
-        """Return whether no message came for over 0.35 s after a pending set-up was written."""
+        """Return whether a pending set-up has had no message after it for `RESPONSE_TIMEOUT_S`."""
         return now - max(self.last_activity_at, written_at) > RESPONSE_TIMEOUT_S
 
     def is_load_report_overdue(self, now: float) -> bool:
-        """Return whether no message came for over 1.5 s and over three mean gaps between load reports."""
+        """Return whether the silence exceeds both `LONGEST_SILENCE_S` and the allowed number of report gaps.
+
+        False while too few load reports have arrived to compute their mean gap.
+        """
         gap_s = math.inf
         if self.load_reports > LEAST_LOAD_REPORTS:
             gap_s = (self.last_activity_at - self.connected_at) / self.load_reports
         return now - self.last_activity_at > max(LONGEST_SILENCE_S, LONGEST_SILENCE_GAPS * gap_s)
 
     def back_off(self, now: float) -> None:
-        """Delay the next suspicion after one at `now`: the backoff doubles each time, up to 16 s."""
+        """Delay the next suspicion after one at `now`: the backoff doubles up to `LONGEST_BACKOFF_S`."""
         self.backoff_s = min(LONGEST_BACKOFF_S, 2 * self.backoff_s)
         self.suspect_from = now + self.backoff_s
 
--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -206,7 +206,7 @@
             self.notify_writable()
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body (httptools callback); raise ServiceDiscoveryError above 4 MiB."""
+        """Collect a part of the body (httptools callback); raise ServiceDiscoveryError if it is too long."""
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
             raise ServiceDiscoveryError("the answer is longer than 4 MiB")
--- a/tests/test_lost_servers.py
+++ b/tests/test_lost_servers.py
@@ -265,7 +265,7 @@
 
 
 def test_refused_standbys_do_not_keep_calls_at_a_silent_server() -> None:
-    """A refused second connection proves nothing, as a server may be full; the calls end by its silence."""
+    """A refused standby proves nothing, as the server may be full; its silence still ends the calls."""
     server = ServerOnClock()
     ident = server.establish_call()
     while server.node.now < server.started_at + RELEASE_LIMIT_S - 0.5:
