--- a/stairhatch/emulators/__init__.py
+++ b/stairhatch/emulators/__init__.py
@@ -1,11 +1,11 @@
-"""Emulators of what a softswitch meets outside, for tests, load, conformance and the demonstration.
+"""Emulators of the softswitch's peers, for tests, load runs, conformance runs and the demonstration.
 
-- `server_emulator`: a roster server on a socket or on anything that writes; it answers by a script
-  (`scripted_replies`) or as its processor can (`processor`).
+- `server_emulator`: a roster server on a socket or on any object with a transport's `write`; it replies by a
+  script (`scripted_replies`) or as fast as a modelled processor allows (`processor`).
 - `coordinator_emulator`: a coordinator that answers long polls for the endpoint list.
 - `caller_emulator`: SIP callers over UDP or TCP.
-- `observations`: what servers and callers observe of each call, for whoever checks it.
-- `ports`: free ports of this machine.
+- `observations`: the kinds of events that emulated servers and callers report about a call, for checkers.
+- `ports`: the address type, and free ports of the local machine.
 
-`processor` and `scripted_replies` are free of I/O. The softswitch itself must never import this package.
+`processor` and `scripted_replies` do no I/O. The softswitch itself must never import this package.
 """
--- a/stairhatch/emulators/caller_emulator.py
+++ b/stairhatch/emulators/caller_emulator.py
@@ -1,7 +1,8 @@
-"""An emulated SIP caller over UDP or TCP (RFC 3261), for the demonstration and for load.
+"""An emulated SIP caller over UDP or TCP (RFC 3261), for the demonstration and for load runs.
 
-It places calls, acknowledges, holds and hangs up, and reports when each call's final response came and when a
-rejected one may come again (Retry-After). It keeps no more than its calls that are open.
+It places calls, acknowledges final responses, and hangs up after each call's hold time. For each call it
+reports the result, the time until the final response, and the Retry-After of a rejection. It keeps the state
+of open calls only.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from stairhatch.node import sip_parser
 
 T1_S, T2_S = 0.5, 4.0  # RFC 3261, 17.1.1.1
-TIMEOUT_S = 64 * T1_S  # of a transaction
+TIMEOUT_S = 64 * T1_S  # of a transaction (timers B and F, RFC 3261, 17.1)
 MAX_RETRANSMISSIONS = 7
 MAX_RECONNECT_ATTEMPTS, RECONNECT_DELAY_S = 50, 0.1
 MAX_RETRY_AFTER_DIGITS = 9
@@ -30,78 +31,81 @@
 
 
 class CallResult(Enum):
-    """What came of a call. The values stand in reports."""
+    """Result of a call. The values are written into reports."""
 
     ESTABLISHED = "stood"
-    REJECTED = "refused"  # 503, perhaps with a Retry-After
-    FAILED = "failed"
-    UNANSWERED = "unheard"  # no final response at all
+    REJECTED = "refused"  # by a 503, with or without a Retry-After
+    FAILED = "failed"  # by any other final response from 300 on
+    UNANSWERED = "unheard"  # no final response was received
 
 
 @dataclass(slots=True)
 class PlacedCall:
-    """One call of a caller."""
+    """State of one call that a caller placed."""
 
     call_id: str
-    number: str
-    hold_s: float
-    due_at: float  # when it was to be placed, by the loop's clock
+    number: str  # called
+    hold_s: float  # time from the 2xx response until the caller hangs up
+    due_at: float  # time at which the call was scheduled, by the event loop's clock
     on_ended: OnCallEnded
     branch: str = ""
-    invite: bytes = b""  # while it may have to be retransmitted
-    bye: bytes = b""  # the same
-    retransmissions: int = 0
-    is_proceeding: bool = False  # a provisional response has come
+    invite: bytes = b""  # kept for retransmission until the result is known
+    bye: bytes = b""  # kept for retransmission until its response is received
+    retransmissions: int = 0  # of the INVITE
+    is_proceeding: bool = False  # a provisional response was received
     result: CallResult | None = None
-    retry_after_s: float | None = None
-    to: str = ""  # the header of the final response
-    remote_target: str = ""
-    has_vanished: bool = False  # its caller is gone without a word
-    has_ended: bool = False  # no more than what is under way comes of it
+    retry_after_s: float | None = None  # from the rejection; None: it has no Retry-After
+    to: str = ""  # To header of the final response; empty before
+    remote_target: str = ""  # URI of the 2xx response's Contact; empty before
+    has_vanished: bool = False  # its caller stopped sending and answering, without CANCEL or BYE
+    has_ended: bool = False  # the call is over; only messages already under way may follow
 
 
-# The call, its result, seconds since it was due, and the status of its final response (0: there was none).
+# Arguments: the call, its result, the seconds since its due time, and the final response's status (0: none).
 OnCallEnded = Callable[[PlacedCall, CallResult, float, int], None]
-# What was observed of a call, a final response's status, and what tells two of them apart.
+# Arguments: event, call, final response's status, and a text that differs if two final responses differ.
 CallerObserver = Callable[[ObservationKind, PlacedCall, int, str], None]
 
 
 @dataclass(slots=True)
 class CallerCounters:
-    """What one caller sent and received."""
+    """Counts of what one caller sent and received."""
 
     retransmissions: int = 0  # of INVITEs
     byes_received: int = 0
     byes_sent: int = 0
-    ringing: int = 0  # provisional responses above 100
+    ringing: int = 0  # provisional responses above 100 that were received
 
 
 def parse_retry_after(text: str) -> float | None:
-    """Return the seconds of a Retry-After (RFC 3261, 20.33); None where it names none."""
+    """Return the seconds of a Retry-After header (RFC 3261, 20.33); None if it is empty or malformed."""
     digits = text.partition(";")[0].partition("(")[0].strip()
     return float(digits) if digits.isdecimal() and len(digits) <= MAX_RETRY_AFTER_DIGITS else None
 
 
 def _discard(data: bytes) -> None:
-    """Send nothing: there is no connection. A closed transport of uvloop's raises RuntimeError on a write."""
+    """Drop a message while there is no connection.
+
+    It replaces the transport's method, since writing to a closed uvloop transport raises RuntimeError.
+    """
 
 
 class CallerEmulator(asyncio.DatagramProtocol, asyncio.Protocol):
-    """One source of calls: a UDP port or a TCP connection, with any number of calls."""
+    """Emulated caller: one source of calls with a UDP port or a TCP connection, for any number of calls."""
 
     def __init__(self, name: str, seed: int, call_class: str, udp: bool) -> None:
-        """Create a caller whose port or connection is about to be there."""
+        """Create a caller without a transport; `over_udp` and `over_tcp` also open the port or connection."""
         self.name = name
-        self.call_class = call_class  # sent as Call-Kind where it is not empty
+        self.call_class = call_class  # sent as the Call-Kind header unless it is empty
         self.udp = udp
         self.rng = random.Random(seed)
         self.calls: dict[str, PlacedCall] = {}  # by Call-ID
         self.counters = CallerCounters()
         self.loop = asyncio.get_running_loop()
-        self.via_parameters = ""  # beside branch and rport
-        self.on_final_response: Callable[[sip.SipMessage], None] = lambda _: None  # to an INVITE
+        self.via_parameters = ""  # appended to the Via after branch and rport
+        self.on_final_response: Callable[[sip.SipMessage], None] = lambda _: None  # of an INVITE
         self.observer: CallerObserver = lambda *_: None
-        self._local = ""  # its own address as SIP has it
+        self._local = ""  # local host:port as written in SIP headers
         self._is_lost = asyncio.Event()
         self._parser = sip_parser.StreamParser()
         self._last_serial = 0
@@ -109,7 +113,7 @@
 
     @classmethod
     async def over_udp(cls, target: Address, name: str, seed: int, call_class: str = "") -> CallerEmulator:
-        """Return a caller on a port of its own."""
+        """Return a caller that sends to `target` from a UDP port of its own."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_datagram_endpoint(
             lambda: cls(name, seed, call_class, True), remote_addr=target
@@ -118,48 +122,48 @@
 
     @classmethod
     async def over_tcp(cls, target: Address, name: str, seed: int, call_class: str = "") -> CallerEmulator:
-        """Return a caller on a connection of its own."""
+        """Return a caller on a TCP connection of its own to `target`. Raises OSError if it cannot connect."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_connection(lambda: cls(name, seed, call_class, False), *target)
         return caller
 
-    # ---- the transports ----
+    # ---- transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Use a port or connection that is there."""
+        """Start sending on the opened port or connection."""
         host, port = transport.get_extra_info("sockname")[:2]
         self._local = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self.transport: Any = transport  # uvloop's are of no class that asyncio has
+        self.transport: Any = transport  # uvloop's transports derive from no asyncio class
         self._send = self.transport.sendto if self.udp else self.transport.write
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Note that the connection has ended. What would go on it is lost."""
+        """Drop every message from now on, since the connection has ended."""
         self._send = _discard
         self._is_lost.set()
 
     def datagram_received(self, data: bytes, _addr: object) -> None:
-        """Handle a datagram."""
+        """Handle the SIP message of a datagram; a datagram of white space alone is a keep-alive."""
         if data.strip():
             self._message_received(sip_parser.parse_datagram(data))
 
     def error_received(self, exc: Exception) -> None:
-        """Do nothing where nobody listens: the call times out."""
+        """Ignore an ICMP error, for example of a closed port: the transaction times out."""
 
     def data_received(self, data: bytes) -> None:
-        """Handle the messages that are complete."""
+        """Handle each complete SIP message of the stream."""
         self._parser.feed(data)
         while (message := self._parser.next_message()) is not None:
             self._message_received(message)
 
     def close(self) -> None:
-        """Give up the port or connection."""
+        """Close the port or connection."""
         self.transport.close()
 
     async def reconnect(self, target: Address) -> None:
-        """Lose the connection without a word and open another.
+        """Abort the TCP connection and open another one to `target`.
 
-        Calls that were being set up are given up; established ones go on by the new connection. What is sent
-        in between is lost.
+        Calls in set-up vanish; established calls continue on the new connection. Messages sent in between are
+        lost. After MAX_RECONNECT_ATTEMPTS failed attempts the caller stays without a connection.
         """
         for call in [each for each in self.calls.values() if each.result is None]:
             self.vanish(call)
@@ -179,7 +183,7 @@
     # ---- calls ----
 
     def place(self, number: str, hold_s: float, due_at: float, on_ended: OnCallEnded) -> PlacedCall:
-        """Place a call now; `on_ended` is called once, with what came of it."""
+        """Send the INVITE of a new call and return the call; `on_ended` is called once, with its result."""
         self._last_serial += 1
         call_id = f"{self.name}.{self._last_serial}@{self._local}"
         call = PlacedCall(call_id, number, hold_s, due_at, on_ended)
@@ -194,13 +198,13 @@
         return call
 
     def cancel(self, call: PlacedCall) -> None:
-        """Cancel a call before its final response."""
+        """Send a CANCEL for a call that has no final response yet; no effect on any other call."""
         if call.result is None and not call.has_vanished:
             self.observer(ObservationKind.CALLER_HUNG_UP, call, 0, "")
             self._send(self._request(call, "CANCEL", 1, call.branch))
 
     def vanish(self, call: PlacedCall) -> None:
-        """Be gone before the final response: nothing more is sent, and what comes is not answered."""
+        """Abandon a call before its final response: send nothing more for it and answer no message of it."""
         if call.result is None:
             self.observer(ObservationKind.CALLER_VANISHED, call, 0, "")
             call.has_vanished = call.has_ended = True
@@ -208,7 +212,7 @@
             self.calls.pop(call.call_id, None)
 
     def hang_up(self, call: PlacedCall) -> None:
-        """End an established call."""
+        """Send a BYE for an established call; no effect on any other call."""
         if call.result is CallResult.ESTABLISHED and not call.has_ended:
             call.has_ended = True
             self.observer(ObservationKind.CALLER_HUNG_UP, call, 0, "")
@@ -266,7 +270,7 @@
             self._end(call, CallResult.UNANSWERED, 0)
             self.calls.pop(call.call_id, None)
 
-    # ---- what comes ----
+    # ---- received messages ----
 
     def _message_received(self, message: sip.SipMessage) -> None:
         call = self.calls.get(message.get("call-id"))
--- a/stairhatch/emulators/coordinator_emulator.py
+++ b/stairhatch/emulators/coordinator_emulator.py
@@ -1,6 +1,6 @@
-"""An emulated coordinator: it answers long polls for the list of roster servers, by the platform's protocol.
+"""An emulated coordinator, which answers long polls for the endpoint list in the platform's protocol.
 
-Whoever asks is answered.
+It answers every client, without authentication.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class PollRequest(NamedTuple):
-    """A question for all that came after an event."""
+    """A long poll for all events after a given one."""
 
-    after: int  # the number of the last event that is known
-    wait_s: float  # how long to wait for a later one
+    after: int  # index of the last event that the client has; 0: none
+    wait_s: float  # longest time to wait for a later event
 
 
 def endpoint_line(
     name: str, address: Address, number: int, state: str = "in_service", started_ms: int = 0
 ) -> dict[str, Any]:
-    """Return one server's line of the list; `started_ms` is in Unix time."""
+    """Return one roster server's entry of the endpoint list; `started_ms` is Unix time in milliseconds."""
     return {
         "instanceId": name, "hostPort": f"{address[0]}:{address[1]}", "cell": number, "lifecycle": state,
         "startedAtMs": started_ms, "zone": "a", "machineType": "std", "weight": 1,
@@ -34,34 +34,41 @@
 
 
 def parse_poll_request(line: bytes) -> PollRequest:
-    """Return what a request line asks for. Raises ValueError or IndexError where it is no question."""
+    """Return the poll of an HTTP request line, its wait limited to LONGEST_WAIT_S.
+
+    Raises ValueError or IndexError if the line has no valid `follow` or `wait_ms` parameter.
+    """
     after = int(line.split(b"follow=")[1].split(b"&")[0])
     wait_ms = int(line.split(b"wait_ms=")[1].split(b" ")[0])
     return PollRequest(after, min(LONGEST_WAIT_S, wait_ms / 1000))
 
 
 class EndpointEventLog:
-    """The list as a coordinator keeps it: each change is an event with the next number. Free of I/O."""
+    """The endpoint list as a log of events, each change with the next index (from 1). Does no I/O."""
 
     def __init__(self) -> None:
-        """Begin with no event."""
+        """Create an empty log."""
         self.events: list[dict[str, Any]] = []
         self.poll_count = 0
         self.poll_bytes = 0
-        self.answer_bytes = 0  # with their headers
-        self._cached_answers: dict[
-            int, tuple[int, bytes]
-        ] = {}  # by `after`: up to which number, and the bytes
+        self.answer_bytes = 0  # including HTTP headers
+        self._cached_answers: dict[int, tuple[int, bytes]] = {}  # by `after`: last index and answer
 
     def publish(self, lines: list[dict[str, Any]], reset: bool = False) -> int:
-        """Add a change of the list and return its number."""
+        """Append a change of the endpoint list and return its index.
+
+        With `reset`, and always at index 1, `lines` is the whole list instead of a change.
+        """
         index = len(self.events) + 1
         endpoints = {"generation": index, "reset": reset or index == 1, "instances": lines}
         self.events.append({"index": index, "endpoints": endpoints})
         return index
 
     def answer(self, after: int) -> bytes:
-        """Return the answer to who knows all up to a number. Many ask after the same one: it is made once."""
+        """Return the encoded HTTP answer with all events after index `after`.
+
+        The answer is cached, because many softswitches poll after the same event.
+        """
         last, data = self._cached_answers.get(after, (-1, b""))
         if last != len(self.events):
             later = self.events[after:]
@@ -75,31 +82,31 @@
 
 
 class CoordinatorEmulator(EndpointEventLog):
-    """Such a list on a socket."""
+    """Coordinator emulator: an endpoint event log that is served on a TCP socket."""
 
     def __init__(self) -> None:
-        """Begin with no event and no socket."""
+        """Create a coordinator with an empty log that does not listen yet."""
         super().__init__()
         self.address: Address = ("127.0.0.1", 0)
-        self._changed = asyncio.Event()  # a new one at each change
+        self._changed = asyncio.Event()  # replaced by a new event at each change
         self._server: asyncio.Server | None = None
-        self._tasks: set[asyncio.Task[None]] = set()  # one a connection
+        self._tasks: set[asyncio.Task[None]] = set()  # one per connection
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> CoordinatorEmulator:
-        """Begin to serve."""
+        """Listen at an address (port 0: one that the system chooses), and return itself."""
         self._server = await asyncio.start_server(self._serve_connection, host, port)
         self.address = self._server.sockets[0].getsockname()[:2]
         return self
 
     def close(self) -> None:
-        """End at once."""
+        """Stop listening and cancel the tasks of all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
 
     def publish(self, lines: list[dict[str, Any]], reset: bool = False) -> int:
-        """Add a change of the list, answer all who wait for one, and return its number."""
+        """Append a change of the endpoint list, answer all waiting polls, and return its index."""
         index = super().publish(lines, reset)
         self._changed.set()
         self._changed = asyncio.Event()
--- a/stairhatch/emulators/observations.py
+++ b/stairhatch/emulators/observations.py
@@ -1,6 +1,7 @@
-"""What the emulators of both sides observe of a call.
+"""The kinds of call events that emulated callers and roster servers report.
 
-An emulator calls its observer as things happen; the values are what records of a load are written with.
+An emulator calls its observer at each event. The values of `ObservationKind` are written into the records of
+a load run.
 """
 
 from __future__ import annotations
@@ -9,17 +10,17 @@
 
 
 class ObservationKind(StrEnum):
-    """What was observed, and by whom."""
+    """Kind of an observed event; each comment names the observing party."""
 
-    CALL_PLACED = "asked"  # a caller sent its INVITE; retransmissions do not count
+    CALL_PLACED = "asked"  # a caller sent its INVITE; retransmissions are not observed
     FINAL_RESPONSE = "final"  # a caller received a final response
     CALLER_HUNG_UP = "hung up"  # a caller cancelled a call or ended an established one
-    CALLER_VANISHED = "vanished"  # a caller is gone without a word
-    BYE_RECEIVED = "told end"  # a caller was notified that its call has ended
+    CALLER_VANISHED = "vanished"  # a caller stopped sending and answering, without CANCEL or BYE
+    BYE_RECEIVED = "told end"  # a caller received a BYE
     SETUP_RECEIVED = "set-up"  # a server received a set-up
     ESTABLISHED = "stood"  # a server established the call
-    REJECTED = "refused"  # a server rejected the set-up: it never ran
-    RELEASE_RECEIVED = "given up"  # a server was notified that a set-up is abandoned, or a call released
-    RELEASED_BY_SERVER = "ended"  # a server ended the call
-    CONNECTION_LOST = "broke"  # the connection ended under a set-up, or the server's process under a call
-    DRAIN_NOTIFIED = "told drain"  # a softswitch was notified that the server drains or is gone
+    REJECTED = "refused"  # a server rejected the set-up, so the call did not run there
+    RELEASE_RECEIVED = "given up"  # a server received a release of a pending set-up or established call
+    RELEASED_BY_SERVER = "ended"  # a server released the call
+    CONNECTION_LOST = "broke"  # a connection ended with a set-up pending, or a server died with a call open
+    DRAIN_NOTIFIED = "told drain"  # a softswitch was notified that the server drains or has left the list
--- a/stairhatch/emulators/processor.py
+++ b/stairhatch/emulators/processor.py
@@ -1,9 +1,9 @@
-"""How an emulated roster server bears its work: one processor with one queue.
+"""Model of an emulated roster server's processor: one processor with one queue, as the operators describe it.
 
-Such is the processor that the operators describe. This module owns what is queued, what is rejected, and what
-warming up and an overload in that time mean. It is free of I/O, with the clock passed in, so that it runs on
-a socket and on a virtual clock, and never decides what a softswitch does. Times are in seconds, by the clock
-of whoever calls.
+The model decides which set-ups are queued and which are rejected, how capacity grows during the warm-up after
+a cold start, and when an overload during the warm-up crashes the server. It makes no decision of a
+softswitch. It does no I/O and takes the time as an argument, so that it runs on a socket and on a virtual
+clock. Times are in seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-LEAST_DIVISOR = 1e-9  # in place of 0
+LEAST_DIVISOR = 1e-9  # replaces a divisor of 0
 
 
 class WorkKind(Enum):
-    """What costs the processor time."""
+    """Kind of work that takes processor time."""
 
     SETUP = "set-up"
     ANSWER = "answer"
@@ -29,7 +29,7 @@
     REJECTION = "rejection"
 
 
-WORK_COSTS = {  # in set-ups
+WORK_COSTS = {  # in units of one set-up's work
     WorkKind.SETUP: 1.0, WorkKind.ANSWER: 0.35, WorkKind.RELEASE: 0.35,
     WorkKind.RETRANSMISSION: 0.2, WorkKind.REJECTION: 0.2,
 }  # fmt: skip
@@ -37,12 +37,12 @@
 
 
 class ProcessorState(Enum):
-    """What a server is like now. The values stand in reports."""
+    """State of a server's processor. The values are written into reports."""
 
     SERVING = "serving"
     DRAINING = "draining"  # rejects new set-ups
-    HUNG = "hung"  # takes set-ups and answers none
-    CRASHED = "fallen"  # overloaded while it was warming up: down for good
+    HUNG = "hung"  # accepts set-ups and answers none
+    CRASHED = "fallen"  # overloaded during its warm-up; down until it is started again
     GONE = "gone"
 
 
@@ -51,19 +51,19 @@
 
 
 class SetupAdmission(Enum):
-    """What becomes of a set-up as it comes."""
+    """Decision on a set-up at its arrival."""
 
     QUEUED = "queued"
     REJECTED = "rejected"
-    IGNORED = "ignored"  # nothing will be heard of it
-    DOWN = "down"
+    IGNORED = "ignored"  # the processor hangs and will send no reply
+    DOWN = "down"  # the processor has crashed or is gone
 
 
 class ProcessorLoad(NamedTuple):
-    """What a processor reports of its load."""
+    """Load figures that a processor reports."""
 
     queue_delay_s: float
-    calls_per_s: float  # that it can set up, answer and release
+    calls_per_s: float  # that it has capacity to set up, answer and release
 
 
 NO_LOAD = ProcessorLoad(0.0, 0.0)
@@ -71,22 +71,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessorProfile:
-    """What a server can do."""
+    """Parameters of a server's processor."""
 
-    setup_s: float = 0.01  # work of one set-up on a warm server
+    setup_s: float = 0.01  # processor time of one set-up on a warm server
     max_queue_delay_s: float = 3.0  # a set-up that would wait longer is rejected
-    initial_capacity_fraction: float = 0.3  # of its capacity, at a cold start
+    initial_capacity_fraction: float = 0.3  # fraction of the full capacity that is available at a cold start
     warm_up_s: float = 14.0
-    overload_multiple: float = 2.5  # work above this multiple of what it can do while it warms up ...
-    overload_window_s: float = 1.5  # ... over this long makes it crash
-    retransmission_interval_s: float = 0.8  # a set-up that waits so long is sent again, then at doubled gaps
-    load_report_interval_s: float = 0.4  # its figures are refreshed so often
-    load_report_error: float = 0.1  # and wrong by up to this fraction
+    overload_multiple: float = 2.5  # during the warm-up, work above this multiple of the capacity ...
+    overload_window_s: float = 1.5  # ... within a window of this length crashes the server
+    retransmission_interval_s: float = 0.8  # of a waiting set-up, doubled each time; 0: none
+    load_report_interval_s: float = 0.4  # how often the reported figures are refreshed
+    load_report_error: float = 0.1  # largest relative error of the reported figures
 
 
 @dataclass(order=True, slots=True)
 class QueuedWork:
-    """A piece of work in the queue."""
+    """A queued item of work, ordered by the time it will be done and then by arrival."""
 
     done_at: float
     order: int
@@ -96,45 +96,49 @@
 
 @dataclass(slots=True)
 class Processor:
-    """One server's processor and its queue."""
+    """Processor of one server, with its queue and its counts of work."""
 
     profile: ProcessorProfile
     rng: random.Random
-    started_cold_at: float | None = None  # None: it has long been warm
+    started_cold_at: float | None = None  # None: fully warm
     state: ProcessorState = ProcessorState.SERVING
-    slowdown: float = 1.0  # so many times slower
-    busy_until: float = 0.0  # when all that is queued will be done
+    slowdown: float = 1.0  # factor on the time of all work
+    busy_until: float = 0.0  # when all queued work will be done
     queue: list[QueuedWork] = field(default_factory=list)
-    abandoned: set[str] = field(default_factory=set)  # calls that are queued and wanted no more
+    abandoned: set[str] = field(default_factory=set)  # calls that were released before their answer
     rejected_count: int = 0
     work_s: float = 0.0
-    wasted_work_s: float = 0.0  # on rejections, retransmissions and what was abandoned
-    _cold_setups: deque[float] = field(default_factory=deque)  # when those of the overload window came
-    _load: ProcessorLoad = NO_LOAD  # as reported last
+    wasted_work_s: float = 0.0  # spent on rejections, retransmissions and abandoned set-ups
+    _cold_setups: deque[float] = field(default_factory=deque)  # arrival times in the overload window
+    _load: ProcessorLoad = NO_LOAD  # most recently reported
     _load_reported_at: float = -math.inf
     _order: int = 0
 
-    # ---- what it can do ----
+    # ---- capacity and load ----
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the fraction of its capacity that it has now, 0 to 1; it grows evenly while it warms up."""
+        """Return the available fraction of the full capacity, 0 to 1, which grows linearly in the warm-up."""
         if self.started_cold_at is None:
             return 1.0
         profile = self.profile
-        warmed = (now - self.started_cold_at) / max(profile.warm_up_s, LEAST_DIVISOR)
-        part = min(1.0, max(0.0, warmed))
-        return profile.initial_capacity_fraction + (1 - profile.initial_capacity_fraction) * part
+        warm_up_progress = (now - self.started_cold_at) / max(profile.warm_up_s, LEAST_DIVISOR)
+        clamped_progress = min(1.0, max(0.0, warm_up_progress))
+        return profile.initial_capacity_fraction + (1 - profile.initial_capacity_fraction) * clamped_progress
 
     def capacity(self, now: float) -> float:
-        """Return how many set-ups a second it can work off now."""
+        """Return the capacity now, in set-ups a second."""
         return self.capacity_fraction(now) / (self.profile.setup_s * max(self.slowdown, LEAST_DIVISOR))
 
     def queue_delay_s(self, now: float) -> float:
-        """Return how long a set-up that comes now waits before it is worked on."""
+        """Return how many seconds a set-up that arrives now waits in the queue."""
         return max(0.0, self.busy_until - now)
 
     def report_load(self, now: float) -> ProcessorLoad:
-        """Return its load as it reports it: refreshed now and then, and a little wrong."""
+        """Return the load as the server reports it.
+
+        The figures are refreshed every `load_report_interval_s` and have a random error of up to
+        `load_report_error`.
+        """
         if now - self._load_reported_at >= self.profile.load_report_interval_s:
             self._load_reported_at = now
             error = 1 + self.profile.load_report_error * (2 * self.rng.random() - 1)
@@ -142,10 +146,10 @@
             self._load = ProcessorLoad(self.queue_delay_s(now) * error, calls_per_s * error)
         return self._load
 
-    # ---- what comes ----
+    # ---- arrival and completion of work ----
 
     def offer(self, now: float, call: str) -> SetupAdmission:
-        """Take, reject or ignore a set-up that comes."""
+        """Queue, reject or ignore an arriving set-up, and return which; it may crash a server in warm-up."""
         if self.state in DOWN_STATES:
             return SetupAdmission.DOWN
         self._count_cold_setup(now)
@@ -158,14 +162,14 @@
             self.rejected_count += 1
             self._enqueue(now, call, WorkKind.REJECTION)
             return SetupAdmission.REJECTED
-        for _ in range(self._count_retransmissions(queue_delay_s)):  # each is work, and says nothing new
+        for _ in range(self._count_retransmissions(queue_delay_s)):  # each costs work and has no other effect
             self._enqueue(now, call, WorkKind.RETRANSMISSION)
         self._enqueue(now, call, WorkKind.SETUP)
         self._enqueue(now, call, WorkKind.ANSWER)
         return SetupAdmission.QUEUED
 
     def release(self, now: float, call: str) -> None:
-        """Release a call, or abandon a set-up. What was abandoned is worked on all the same."""
+        """Release an established call, or abandon a queued set-up, whose work stays in the queue."""
         if self.state in DOWN_STATES:
             return
         if any(item.call == call and item.kind is WorkKind.ANSWER for item in self.queue):
@@ -174,7 +178,10 @@
             self._enqueue(now, call, WorkKind.RELEASE)
 
     def take_completed(self, now: float) -> list[str]:
-        """Take what is done by now from the queue; return the calls that are answered, in order."""
+        """Remove the work done by now from the queue and return the calls to answer, in order of completion.
+
+        The list is empty if the processor hangs or is down.
+        """
         answered = []
         while self.queue and self.queue[0].done_at <= now:
             item = heapq.heappop(self.queue)
@@ -188,13 +195,13 @@
         return answered if self.state not in SILENT_STATES else []
 
     def next_completion_at(self) -> float | None:
-        """Return when something will next be done; None: nothing will."""
+        """Return when the next queued work will be done; None if the queue is empty or the server hangs."""
         return self.queue[0].done_at if self.queue and self.state is not ProcessorState.HUNG else None
 
     # ---- faults ----
 
     def start_cold(self, now: float) -> None:
-        """Begin as another process, which knows nothing of what was queued."""
+        """Restart as a new, cold process; the queue of the old process is lost."""
         self.started_cold_at = now
         self.state = ProcessorState.SERVING
         self.slowdown = 1.0
@@ -205,21 +212,21 @@
         self._load_reported_at = -math.inf
 
     def hang(self) -> None:
-        """Take set-ups and answer none from now on."""
+        """Accept set-ups and answer none from now on; no effect on a server that is down."""
         if self.state in (ProcessorState.SERVING, ProcessorState.DRAINING):
             self.state = ProcessorState.HUNG
 
     def recover(self, now: float) -> None:
-        """Serve again after it hung. What it took meanwhile is lost."""
+        """Serve again after a hang, with an empty queue; no effect in any other state."""
         if self.state is ProcessorState.HUNG:
             self.state = ProcessorState.SERVING
             self.busy_until = now
             self.queue.clear()
 
-    # ---- inside ----
+    # ---- cost of work ----
 
     def _count_retransmissions(self, queue_delay_s: float) -> int:
-        """Return how often a set-up that waits so long is sent again."""
+        """Return how often a softswitch retransmits a set-up that waits `queue_delay_s` in the queue."""
         interval_s = elapsed_s = self.profile.retransmission_interval_s
         count = 0
         while interval_s > 0 and elapsed_s < queue_delay_s:
@@ -238,7 +245,10 @@
         heapq.heappush(self.queue, QueuedWork(self.busy_until, self._order, call, kind))
 
     def _count_cold_setup(self, now: float) -> None:
-        """Count a set-up that comes while it warms up, also one that it rejects: too many make it crash."""
+        """Count a set-up that arrives during the warm-up, and crash if the overload window holds too many.
+
+        Set-ups that are then rejected count, too.
+        """
         profile = self.profile
         if self.started_cold_at is None or now - self.started_cold_at >= profile.warm_up_s:
             return
--- a/stairhatch/emulators/server_emulator.py
+++ b/stairhatch/emulators/server_emulator.py
@@ -1,8 +1,8 @@
-"""An emulated roster server on a socket: it speaks the JSON lines of its side.
+"""An emulated roster server on a socket, which exchanges JSON lines with the softswitch.
 
-It replies to each set-up as its script says (`scripted_replies`), or as its processor can where it has one.
-Its timers may be those of a virtual clock, and the transport of a connection anything that writes: then it
-serves without a socket. It never outlives `close`, and notifies an observer of what happens to each call.
+It replies to each set-up by its script (`scripted_replies`), or, if it has one, as its processor completes
+the work. With the timers of a virtual clock and any object with a transport's `write` it also serves without
+a socket. It notifies an observer of each call's events and sends nothing after `close`.
 """
 
 from __future__ import annotations
@@ -26,64 +26,64 @@
 from stairhatch.node.calls import ReleaseCause
 
 LOAD_REPORT_INTERVAL_S = 0.4
-DEFAULT_LINES = 64  # calls at a time, as it reports
-UNMODELLED_LOAD = ProcessorLoad(queue_delay_s=0.001, calls_per_s=500.0)  # of a server without a processor
+DEFAULT_LINES = 64  # simultaneous calls, as reported
+UNMODELLED_LOAD = ProcessorLoad(queue_delay_s=0.001, calls_per_s=500.0)  # reported without a processor
 
 Message = dict[str, Any]  # a decoded JSON line
-ServerObserver = Callable[[ObservationKind, str], None]  # the second: the number called
+ServerObserver = Callable[[ObservationKind, str], None]  # arguments: the event and the called number
 
 
 def render_processor_load(load: ProcessorLoad) -> str:
-    """Return a processor's part of a load report."""
+    """Return the processor's fields of a load report: queue delay in milliseconds, and calls a second."""
     return f"mean_ms:{1000 * load.queue_delay_s:.1f};can_take:{load.calls_per_s:.2f}"
 
 
 class Timers(Protocol):
-    """What a server needs of an event loop."""
+    """Interface of the event loop's timers, as far as a server uses them."""
 
     def time(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Any:
-        """Call back after so many seconds; the result can be cancelled."""
+        """Call `callback` after `delay` seconds; return a handle that can be cancelled."""
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Any:
-        """Call back at a time; the result can be cancelled."""
+        """Call `callback` at the time `when`; return a handle that can be cancelled."""
 
 
 class ServerEmulatorConnection(asyncio.Protocol):
-    """One connection of a softswitch."""
+    """Server side of one connection from a softswitch."""
 
     def __init__(self, server: ServerEmulator) -> None:
-        """Serve a connection that is about to come up."""
+        """Create the protocol of a connection that is not open yet."""
         self.server = server
         self.closed = False
         self._receive_buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report the load at once, and regularly from then on."""
+        """Send a load report now, and then one per load report interval."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.connections[self] = None
         self._report_load()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Note that the connection has ended, whoever closed it."""
+        """Mark the connection as closed, whichever side closed it, and notify the server."""
         self.closed = True
         self.server.connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handle the lines that are complete."""
+        """Handle each complete line. Raises json.JSONDecodeError if a line is not JSON."""
         *lines, self._receive_buffer = (self._receive_buffer + data).split(b"\n")
         for line in lines:
             self.server.message_received(self, json.loads(line))
 
     def send(self, message: Message) -> None:
-        """Write a line, unless the connection has ended."""
+        """Write a message as a JSON line, unless the connection is closed."""
         if not self.closed:
             self.transport.write(json.dumps(message).encode() + b"\n")
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self.closed = True
         self.transport.abort()
 
@@ -95,15 +95,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class ServerCall:
-    """A set-up that was received, or a call that is established, on the connection it came by."""
+    """A received set-up or an established call, with the connection that its set-up was received on."""
 
     number: str  # called
     connection: ServerEmulatorConnection
-    is_pending: bool = True  # neither established nor ended, and its connection is up
+    is_pending: bool = True  # neither established nor rejected, and its connection is open
 
 
 class ServerEmulator:
-    """One roster server, its connections and its calls."""
+    """Emulated roster server with its connections and calls."""
 
     def __init__(
         self,
@@ -113,7 +113,11 @@
         timers: Timers | None = None,
         load_report_interval_s: float = LOAD_REPORT_INTERVAL_S,
     ) -> None:
-        """Reply to set-ups as a script says, by the number called, or as a processor can, if there is one."""
+        """Create a server that does not listen yet.
+
+        `script` returns the replies to a set-up by its called number; it is not used if there is a
+        `processor`. Without `timers` the server uses the running event loop's.
+        """
         self.script = script
         self.lines = lines
         self.processor = processor
@@ -121,7 +125,7 @@
         self.observer: ServerObserver = lambda *_: None
         self.address: Address = ("127.0.0.1", 0)
         self.calls: dict[str, ServerCall] = {}  # by tag
-        self.connections: dict[ServerEmulatorConnection, None] = {}  # in the order in which they came
+        self.connections: dict[ServerEmulatorConnection, None] = {}  # in order of arrival, without values
         self.setup_count = 0
         self.established_count = 0
         self.released_count = 0
@@ -131,31 +135,31 @@
 
     @property
     def timers(self) -> Timers:
-        """The clock it serves by: the running loop's, unless another was given."""
+        """The timers passed to the constructor, or else those of the running event loop."""
         return self._timers if self._timers is not None else asyncio.get_running_loop()
 
-    # ---- its life ----
+    # ---- listening and closing ----
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> ServerEmulator:
-        """Begin to serve, at a port of the system's choice unless one is named."""
+        """Listen at an address (port 0: one that the system chooses), and return itself."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerEmulatorConnection(self), host, port)
         self.address = self._server.sockets[0].getsockname()[:2]
         return self
 
     def stop_listening(self) -> None:
-        """Accept no new connections."""
+        """Accept no new connections; open ones stay."""
         if self._server is not None:
             self._server.close()
 
     async def close(self) -> None:
-        """End at once."""
+        """Stop listening, stop answering and abort all connections."""
         self.stop_listening()
         self._cancel_completion_timer()
         self.abort_connections()
 
     def abort_connections(self) -> None:
-        """End every connection, as where the server's process dies; its calls are lost."""
+        """Abort every connection and forget all calls, as when the server's process dies."""
         lost = list(self.calls.values())
         self.calls.clear()
         for connection in list(self.connections):
@@ -164,10 +168,10 @@
             self.observer(ObservationKind.CONNECTION_LOST, call.number)
 
     def connection_lost(self, connection: ServerEmulatorConnection) -> None:
-        """Notify the observer of each set-up that was pending on a connection that has ended.
+        """Remove an ended connection and notify the observer of each set-up that was pending on it.
 
-        Nothing else changes: what is established stays so, since its release may come on another connection,
-        and a set-up that is being worked on may still come to be established here.
+        The calls stay: an established call may still be released on another connection, and a queued set-up
+        may still be established here.
         """
         self.connections.pop(connection, None)
         for call in self.calls.values():
@@ -175,10 +179,10 @@
                 call.is_pending = False
                 self.observer(ObservationKind.CONNECTION_LOST, call.number)
 
-    # ---- its load ----
+    # ---- load reports ----
 
     def processor_load(self) -> ProcessorLoad:
-        """Return the processor's load as it reports it."""
+        """Return the load that the processor reports, or UNMODELLED_LOAD without a processor."""
         if self.processor is None:
             return UNMODELLED_LOAD
         return self.processor.report_load(self.timers.time())
@@ -188,10 +192,10 @@
         free_lines = max(0, self.lines - len(self.calls))
         return f"free:{free_lines};size:{self.lines};{render_processor_load(self.processor_load())}"
 
-    # ---- what comes ----
+    # ---- received messages ----
 
     def message_received(self, connection: ServerEmulatorConnection, message: Message) -> None:
-        """Handle a line of the softswitch."""
+        """Handle a decoded line from a softswitch; verbs other than START and FINISH are ignored."""
         match message["verb"]:
             case "START":
                 self._setup_received(connection, message["tag"], message["opts"].get("key", ""))
@@ -220,7 +224,7 @@
             self.processor.release(self.timers.time(), tag)
             self._answer_completed()
 
-    # ---- its processor ----
+    # ---- replies of the processor ----
 
     def _offer_to_processor(self, tag: str, processor: Processor) -> None:
         match processor.offer(self.timers.time(), tag):
@@ -231,7 +235,7 @@
         self._answer_completed()
 
     def _answer_completed(self) -> None:
-        """Answer what the processor has done, and come again when something will next be done."""
+        """Establish the calls whose work is done, and set the timer for the next completion."""
         if self.processor is None:
             return
         for tag in self.processor.take_completed(self.timers.time()):
@@ -245,12 +249,12 @@
             self._completion_timer.cancel()
             self._completion_timer = None
 
-    # ---- what it says ----
+    # ---- sent replies ----
 
     def _reply(self, tag: str, reply: ScriptedReply) -> None:
         call = self.calls.get(tag)
         if call is None:
-            return  # it was abandoned
+            return  # the softswitch has released the call
         message: Message = {"verb": reply.verb, "tag": tag, "opts": dict(reply.options)}
         match reply.verb:
             case ReplyVerb.STARTED:
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""Emulated servers and callers: what a server's processor can bear, and what is recorded of connections."""
+"""Emulated roster servers and callers: the processor model, lost connections and reconnecting callers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from stairhatch.emulators.server_emulator import ServerEmulator, ServerEmulatorConnection
 
-# Numbers, by what an emulated server does with them (stairhatch.emulators.scripted_replies).
+# Called numbers, named after the emulated server's reply (stairhatch.emulators.scripted_replies).
 NEVER_ANSWERED, PROGRESS_ONLY, ESTABLISHED, REJECTED = "1201", "1602", "1003", "1704"
 SETUP_S = 0.1
 
@@ -30,11 +30,11 @@
     return Processor(ProcessorProfile(setup_s=SETUP_S, **profile), random.Random(1))
 
 
-# ---- a server's processor ----
+# ---- the processor of a server ----
 
 
-def test_a_processor_answers_in_turn_rejects_beyond_its_queue_and_reports_both():
-    """An emulated server does not bear any load at once: overload shows."""
+def test_a_processor_answers_in_order_rejects_setups_beyond_its_queue_and_reports_its_load():
+    """An overloaded emulated server shows its overload by queue delay and rejections."""
     busy = processor(max_queue_delay_s=1.0, load_report_error=0.0, retransmission_interval_s=0)
 
     admissions = [busy.offer(100.0, f"c{serial}") for serial in range(20)]
@@ -51,12 +51,12 @@
     load = busy.report_load(100.0)
     assert load.queue_delay_s > 1.0
     assert load.calls_per_s == pytest.approx(10 / COST_PER_CALL)
-    assert busy.report_load(100.1) == load, "reports are refreshed now and then"
+    assert busy.report_load(100.1) == load, "the report is refreshed only after its interval"
     assert busy.report_load(200.0).queue_delay_s == 0.0
 
 
-def test_an_abandoned_setup_is_worked_on_and_not_answered():
-    """A CANCEL is not free to a server."""
+def test_an_abandoned_setup_costs_work_and_is_not_answered():
+    """A server spends its work on a set-up even if the caller cancels the call."""
     server = processor(retransmission_interval_s=0)
     server.offer(100.0, "a")
     server.offer(100.0, "b")
@@ -68,8 +68,11 @@
 
 
 @pytest.mark.parametrize(("rate", "crashes"), [(2.0, False), (12.0, True)])
-def test_a_cold_server_that_gets_too_much_crashes_and_stays_down(rate, crashes):
-    """What the fourth safety rule forbids is not forgiven; set-ups that are rejected count."""
+def test_an_overloaded_cold_server_crashes_and_stays_down(rate, crashes):
+    """Too much load in the warm-up, which the fourth safety rule forbids, crashes the server for good.
+
+    Rejected set-ups count towards that load.
+    """
     cold = processor(initial_capacity_fraction=0.3, warm_up_s=14.0)
     cold.start_cold(100.0)
 
@@ -81,8 +84,8 @@
     assert (cold.offer(200.0, "x") is SetupAdmission.DOWN) is crashes
 
 
-def test_a_hung_server_takes_setups_answers_none_and_forgets_them():
-    """Silence does not end in a burst of answers to calls that were given up long ago."""
+def test_a_hung_server_accepts_setups_answers_none_and_forgets_them():
+    """A server that recovers from a hang does not answer set-ups that were released long ago."""
     server = processor()
     server.hang()
 
@@ -95,11 +98,11 @@
     assert server.take_completed(106.0) == ["b"]
 
 
-# ---- a server's record ----
+# ---- the observations of a server ----
 
 
 class StoppedClock:
-    """Timers of a server whose delayed replies and load reports never come."""
+    """Timers that never fire, so that a server sends no delayed reply and no periodic load report."""
 
     def time(self) -> float:
         return 0.0
@@ -111,7 +114,7 @@
 
 
 class DiscardingTransport(asyncio.Transport):
-    """What a server writes is read by nobody."""
+    """Transport that drops everything written."""
 
     def write(self, data: Any) -> None:
         pass
@@ -128,10 +131,11 @@
 
 
 @pytest.mark.parametrize("error", [None, ConnectionResetError()], ids=["closed", "reset"])
-def test_a_setup_is_broken_where_the_softswitch_ends_its_connection_and_an_established_call_is_not(error):
-    """No attempt stays open in the record though the softswitch has ended its connection.
+def test_the_end_of_a_connection_ends_its_pending_setups_and_no_established_call(error):
+    """The server reports the loss of each set-up that was pending on the ended connection.
 
-    The next attempt of that call would break the rule of one attempt out.
+    Without that report the attempt would stay open in the record, and the next attempt of the call would be a
+    violation of the rule that allows one open attempt at a time.
     """
     server = ServerEmulator(timers=StoppedClock())
     observed: list[tuple[ObservationKind, str]] = []
@@ -152,13 +156,13 @@
     ]
 
 
-# ---- a caller's connection ----
+# ---- the connection of a caller ----
 
 
 def test_a_caller_that_is_reconnecting_may_place_calls():
-    """A call that is due between two connections does not end the process that places it.
+    """A call placed between two connections raises no error.
 
-    On uvloop, whose closed transports raise where asyncio's do not.
+    The test runs on uvloop, whose closed transports raise on a write, unlike asyncio's.
     """
 
     async def place_while_reconnecting() -> int:
