--- a/stairhatch/demo/__init__.py
+++ b/stairhatch/demo/__init__.py
@@ -1,5 +1,5 @@
-"""The demonstration: a new user sees calls on a fresh clone.
+"""The demonstration, which shows a new user calls on a fresh clone.
 
-The appliance, on an embedded configuration (`config`), two emulated roster servers and a few callers
-(`callers`) run in one process (`demonstration`). No installation runs this.
+The appliance with an embedded configuration (`config`), two emulated roster servers and one or two callers
+(`callers`) run in one process (`demonstration`). It is not used in an installation.
 """
--- a/stairhatch/demo/callers.py
+++ b/stairhatch/demo/callers.py
@@ -1,4 +1,4 @@
-"""The callers of the demonstration, and the lines that tell what came of their calls."""
+"""The callers of the demonstration, and the printed lines about the results of their calls."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from stairhatch.node.address import parse_address
 from stairhatch.node.call_manager import CallManager
 
-# What the emulated servers do with a number: `stairhatch.emulators.scripted_replies`.
+# Called numbers, repeated by frequency; the replies are in `stairhatch.emulators.scripted_replies`.
 NUMBERS = ("1000",) * 8 + ("1100",) * 4 + ("7000",) * 4 + ("1400",) * 2 + ("1500",) * 2 + ("1700",)
-HOLD_S = (1.0, 4.0)  # the shortest and the longest call
+HOLD_S = (1.0, 4.0)  # shortest and longest hold time
 SUMMARY_INTERVAL_S = 5.0
 
 
 class DemoCallers:
-    """A caller on each transport, and what came of their calls."""
+    """Callers of the demonstration, one per transport, with the counts of their calls' results."""
 
     def __init__(self, options: DemoOptions, core: CallManager, print_line: Callable[[str], None]) -> None:
-        """Call the softswitch of a call manager once `place_calls` runs."""
+        """Create the callers without opening them; the summary reads the open calls of `core`."""
         self.options = options
         self.core = core
         self.print_line = print_line
@@ -30,7 +30,7 @@
         self.placed_count = 0
 
     async def place_calls(self) -> None:
-        """Place calls at random times and by random callers, until cancelled."""
+        """Place calls as a Poisson process, each by a random caller, until cancelled; none at a rate of 0."""
         if not self.options.calls_per_s:
             return
         rng, loop = random.Random(self.options.seed), asyncio.get_running_loop()
@@ -55,14 +55,14 @@
             callers.append(await CallerEmulator.over_tcp(address, "office2", options.seed + 1))
         return callers
 
-    def _call_ended(self, call: PlacedCall, result: CallResult, took_s: float, status: int) -> None:
+    def _call_ended(self, call: PlacedCall, result: CallResult, elapsed_s: float, status: int) -> None:
         self.results[result] += 1
-        self.print_line(f"  call to {call.number}: {result.value} ({status}) after {took_s * 1000:.0f} ms")
+        self.print_line(f"  call to {call.number}: {result.value} ({status}) after {elapsed_s * 1000:.0f} ms")
 
     def summary(self) -> str:
-        """Return the state of things in a line."""
+        """Return a line with the counts of placed, ended, established and pending calls."""
         counts = sorted((result.value, count) for result, count in self.results.items())
         ended = ", ".join(f"{count} {name}" for name, count in counts) or "no call ended yet"
         unanswered = self.core.calls.unanswered
         established = len(self.core.calls.by_number) - unanswered
-        return f"{self.placed_count} placed: {ended}; {established} stand now, {unanswered} being set up"
+        return f"{self.placed_count} placed: {ended}; {established} established, {unanswered} being set up"
--- a/stairhatch/demo/config.py
+++ b/stairhatch/demo/config.py
@@ -49,16 +49,16 @@
 class DemoOptions:
     """The options of the demonstration's command line."""
 
-    udp: str = DEFAULT_LISTEN  # host:port; empty: it does not listen there
-    tcp: str = DEFAULT_LISTEN  # the same
-    calls_per_s: float = 3.0  # 0: none are placed
-    seconds: float = 0.0  # 0: until it is interrupted
-    users_file: str = ""  # where it is named, only its users may call
+    udp: str = DEFAULT_LISTEN  # host:port of the softswitch; empty: no UDP
+    tcp: str = DEFAULT_LISTEN  # the same for TCP
+    calls_per_s: float = 3.0  # mean call rate; 0: no calls are placed
+    seconds: float = 0.0  # duration; 0: until a signal
+    users_file: str = ""  # file of the users who may call; empty: no authentication
     seed: int = 1
 
 
 def demo_config(options: DemoOptions, server_addresses: list[Address]) -> Config:
-    """Return the embedded configuration, read as any file is. Raises ConfigError."""
+    """Return the embedded configuration, parsed like any file. Raises ConfigError if it is invalid."""
     listeners = [f'{name} = "{at}"' for name, at in (("udp", options.udp), ("tcp", options.tcp)) if at]
     servers = [_server_entry(index, address) for index, address in enumerate(server_addresses)]
     text = TEMPLATE.format(listeners="\n".join(listeners), servers="\n".join(servers))
--- a/stairhatch/demo/demonstration.py
+++ b/stairhatch/demo/demonstration.py
@@ -1,4 +1,4 @@
-"""Runs the demonstration. It uses the softswitch as it is, and reads no more of it than its calls."""
+"""Runs the demonstration with an unmodified softswitch, of which it reads only the counts of calls."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 async def run_demonstration(options: DemoOptions, print_line: Callable[[str], None]) -> int:
-    """Run it to its end, and return the exit code: 0 if a call was established or none was placed, else 1.
+    """Run the demonstration to its end and return the exit code.
 
-    Raises ConfigError where the options make no usable configuration.
+    The code is 0 if a call was established or the call rate is 0, and 1 otherwise. Raises ConfigError if the
+    options result in an invalid configuration.
     """
     servers = [await ServerEmulator().listen() for _ in range(SERVER_COUNT)]
     config = demo_config(options, [server.address for server in servers])
@@ -43,7 +44,7 @@
 
 
 def _stop_event(application: Application) -> asyncio.Event:
-    """Return an event that SIGTERM and SIGINT set."""
+    """Return an event that is set by SIGTERM and SIGINT."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         application.parts.network.loop.add_signal_handler(number, stop.set)
@@ -51,9 +52,9 @@
 
 
 async def _place_calls_until(stop: asyncio.Event, seconds: float, callers: DemoCallers) -> None:
-    """Place calls until they are to stop, or the seconds are over (0: they never are)."""
+    """Place calls until `stop` is set or the seconds are over (0: no time limit)."""
     placing = asyncio.create_task(callers.place_calls())
     with contextlib.suppress(TimeoutError):
         await asyncio.wait_for(stop.wait(), seconds or None)
     placing.cancel()
-    await asyncio.gather(placing, return_exceptions=True)  # a caller's fault ends the calls, not the rest
+    await asyncio.gather(placing, return_exceptions=True)  # an error of a caller does not stop the shutdown
--- a/stairhatch/load_test/experiment.py
+++ b/stairhatch/load_test/experiment.py
@@ -45,7 +45,7 @@
     name: Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
     load: LoadPlan
     sides: Annotated[tuple[ExperimentSide, ...], Meta(min_length=1)] = field(name="side")
-    rates: tuple[Annotated[float, Meta(gt=0, le=20_000)], ...] = ()  # empty: the load's own phases
+    rates: tuple[Annotated[float, Meta(gt=0, le=20_000)], ...] = ()  # calls a second; empty: its phases
     seconds: Annotated[float, Meta(gt=0, le=3600)] = 30.0  # length of a run at a constant rate
     repeats: Annotated[int, Meta(ge=1, le=100)] = 3  # of each rate and side
     workers: Annotated[int, Meta(ge=1, le=64)] = 4
--- a/stairhatch/load_test/experiment_results.py
+++ b/stairhatch/load_test/experiment_results.py
@@ -1,4 +1,4 @@
-"""What is kept of an experiment: every run as JSON, a table of medians and a chart."""
+"""The result files of an experiment: every run as JSON, a table of medians and a chart."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class Column(NamedTuple):
-    """A figure as the table shows it."""
+    """A column of the table, which shows one figure of the runs."""
 
-    figure: str
+    figure: str  # key of the figure in a run's results
     heading: str
-    form: str
+    form: str  # format string of a value
 
 
 COLUMNS = (
@@ -43,7 +43,10 @@
 
 
 def current_commit() -> str:
-    """Return this tree's commit, with a plus where it was changed since; "unknown" for a mere copy."""
+    """Return the abbreviated hash of the current commit, with a "+" if the package has uncommitted changes.
+
+    Return "unknown" if the tree is no git work tree.
+    """
     try:
         mark = CHANGED_MARK if run_git("status", "--porcelain", "stairhatch") else ""
         return run_git("rev-parse", "--short", "HEAD") + mark
@@ -52,7 +55,7 @@
 
 
 def medians(runs: list[ExperimentRun]) -> Medians:
-    """Return for each side and rate the median of each figure over the runs that prove something."""
+    """Return the median of each numeric figure for each side and rate, over the runs that are not void."""
     return {point: _medians_at(point, runs) for point in dict.fromkeys(map(_point_of, runs))}
 
 
@@ -67,7 +70,7 @@
 
 
 def render_table(experiment: Experiment, runs: list[ExperimentRun], commit: str) -> str:
-    """Return the medians as Markdown, and what was void or broken."""
+    """Return a Markdown page with the table of medians, the void runs and the first rule violations."""
     headings = ["offered", "side", *(column.heading for column in COLUMNS)]
     lines = [
         f"# {experiment.name}",
@@ -111,7 +114,10 @@
 
 
 def keep_results(experiment: Experiment, runs: list[ExperimentRun], folder: Path, command: str) -> Path:
-    """Write JSON, table and chart into a folder of the experiment's name, and return that."""
+    """Write JSON, table and chart into a subfolder named after the experiment, and return its path.
+
+    `command` is the command line of the experiment, which is kept with the results.
+    """
     results = folder / experiment.name
     results.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
--- a/stairhatch/load_test/experiment_run.py
+++ b/stairhatch/load_test/experiment_run.py
@@ -1,4 +1,4 @@
-"""Carries an experiment out, run by run. None is dropped: those that prove nothing are kept as void."""
+"""Executes the runs of an experiment. Every run is kept; one without valid measurements is marked as void."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentRun:
-    """One run of an experiment and what came of it. The names of its fields are those of kept results."""
+    """Result of one run of an experiment. The field names are the keys of the result file."""
 
-    side: str
-    rate: float
-    repeat: int
+    side: str  # name of the side
+    rate: float  # calls a second, or RATE_OF_PLAN
+    repeat: int  # from 0
     figures: dict[str, Any]
-    broken: tuple[str, ...]  # a line for each violation of a rule
-    seconds_in_time: tuple[int, ...]  # calls established in time, by the second they were due in
+    broken: tuple[str, ...]  # one line per violation of a call rule
+    seconds_in_time: tuple[int, ...]  # calls established in time, by the second of their due time
 
     @property
     def void_reason(self) -> str:
-        """Why it proves nothing; "" if it does."""
+        """The reason why the measurements are invalid; "" for a valid run."""
         return str(self.figures["void"])
 
 
-# A run that is over, how many are, and of how many.
+# Arguments: the finished run, the number of finished runs, and the number of planned runs.
 OnRunEnded = Callable[[ExperimentRun, int, int], None]
 
 
@@ -39,7 +39,7 @@
     on_run_ended: OnRunEnded = lambda *_: None,
     run_one: Callable[[LoadSetup], LoadRunResult] = run_load,
 ) -> list[ExperimentRun]:
-    """Carry out every run in order. Raises LoadTestError where one cannot be."""
+    """Execute all runs in order and return their results. Raises LoadTestError if a run cannot be done."""
     planned, runs = list(planned_runs(experiment)), []
     with worktrees(side.revision for side in experiment.sides) as trees:
         for each in planned:
--- a/stairhatch/load_test/load_plan.py
+++ b/stairhatch/load_test/load_plan.py
@@ -1,7 +1,7 @@
-"""The file of a load: how many calls of which classes come when, from which sources, and what callers do.
+"""The file of a load: call rates over time, classes of calls, call sources, and the behaviour of callers.
 
-Fields are named after what they hold, the keys of the file after what operators have always written. Free of
-I/O beyond reading the file.
+A field that is named differently from its key in the file has the key as `name`; the keys stay compatible
+with existing files. The module does no I/O apart from reading the file. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class Transport(Enum):
-    """How a source of calls reaches the softswitch."""
+    """SIP transport of a source of calls."""
 
     UDP = "udp"
     TCP = "tcp"
 
 
 class LoadPhase(Struct, forbid_unknown_fields=True, frozen=True):
-    """A stretch of the load.
+    """A phase of the load with a constant or a varying rate.
 
-    The rate goes evenly from `rate` to `final_rate` where that is given, or follows half a sine up to it and
-    back.
+    With `final_rate` the rate changes linearly from `rate` to `final_rate`, or with `half_sine` follows half
+    a sine wave from `rate` up to `final_rate` and back.
     """
 
     seconds: Seconds
@@ -44,7 +44,7 @@
     half_sine: bool = field(name="day", default=False)
 
     def rate_after(self, elapsed_s: float) -> float:
-        """Return the calls a second, so many seconds into the phase."""
+        """Return the rate in calls a second, `elapsed_s` after the beginning of the phase."""
         if self.final_rate is None or self.seconds <= 0:
             return self.rate
         part = elapsed_s / self.seconds
@@ -53,49 +53,56 @@
 
 
 class Burst(Struct, forbid_unknown_fields=True, frozen=True):
-    """For a while there are so many times the calls."""
+    """A burst, which multiplies the call rate by `factor` for `seconds`."""
 
-    at_s: Seconds = field(name="at")
+    at_s: Seconds = field(name="at")  # after the beginning of the load
     seconds: Seconds
     factor: Annotated[float, Meta(ge=0, le=100)] = field(name="times", default=2.0)
 
     def covers(self, at_s: float) -> bool:
-        """Whether it is on at a time after the beginning."""
+        """Return whether the burst is in force `at_s` after the beginning of the load."""
         return self.at_s <= at_s < self.at_s + self.seconds
 
 
 class LoadClass(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of calls."""
+    """A class of calls, with its fraction of the load, its value, its latency objective and its limits.
+
+    A call established within `latency_objective_s` counts `weight`, a later one `late_weight` times that.
+    """
 
     name: str
     fraction: Fraction = field(name="share")  # of all calls
-    number: str  # called; its prefix may mean a class or a first choice to the softswitch
-    weight: Annotated[float, Meta(ge=0)] = field(name="worth", default=1.0)
-    late_weight: Fraction = field(name="late_worth", default=0.0)  # of the weight, past the objective
+    number: str  # prefix of the called numbers; may select a class or a first choice in the softswitch
+    weight: Annotated[float, Meta(ge=0)] = field(name="worth", default=1.0)  # value of a call in time
+    late_weight: Fraction = field(name="late_worth", default=0.0)  # of `weight`
     latency_objective_s: Seconds = field(name="aim_s", default=1.5)
-    time_limit_s: Seconds = field(name="limit_s", default=9.0)  # a caller goes on trying so long
-    attempt_timeout_s: Seconds = field(name="try_s", default=3.0)  # and cancels one attempt after this
-    hold_s: Seconds = 8.0  # mean
+    time_limit_s: Seconds = field(name="limit_s", default=9.0)  # for all attempts of a call
+    attempt_timeout_s: Seconds = field(name="try_s", default=3.0)  # then the caller cancels
+    hold_s: Seconds = 8.0  # mean hold time
 
 
 class CallerBehaviour(Struct, forbid_unknown_fields=True, frozen=True):
-    """What callers do. Fractions are of the sources, or of the calls where that is said."""
+    """Behaviour of callers. Fractions are of the sources, or of the calls if the comment says so.
+
+    Sources of `overload_control_fraction` announce overload control (RFC 7339) and obey it; those of
+    `false_overload_control_fraction` announce it and do not obey.
+    """
 
     max_retries: Annotated[int, Meta(ge=0, le=10)] = field(name="redials", default=2)
-    mean_retry_delay_s: Seconds = field(name="redial_s", default=0.5)  # where the response names no time
-    retry_after_fraction: Fraction = field(name="obeys", default=1.0)  # wait as long as Retry-After says
-    vanish_fraction: Fraction = field(name="vanish", default=0.0)  # of the calls: gone without a word
-    cancel_fraction: Fraction = field(name="cancels", default=0.0)  # of the calls: cancelled after `cancel_s`
-    cancel_s: Seconds = 1.0
-    overload_control_fraction: Fraction = field(name="oc", default=0.0)  # know it (RFC 7339) and obey
-    false_overload_control_fraction: Fraction = field(name="oc_lies", default=0.0)  # say so and send on
+    mean_retry_delay_s: Seconds = field(name="redial_s", default=0.5)  # after a response without Retry-After
+    retry_after_fraction: Fraction = field(name="obeys", default=1.0)  # sources that obey Retry-After
+    vanish_fraction: Fraction = field(name="vanish", default=0.0)  # of the calls: no CANCEL, no BYE
+    cancel_fraction: Fraction = field(name="cancels", default=0.0)  # of the calls: CANCEL after `cancel_s`
+    cancel_s: Seconds = 1.0  # after the attempt's INVITE
+    overload_control_fraction: Fraction = field(name="oc", default=0.0)
+    false_overload_control_fraction: Fraction = field(name="oc_lies", default=0.0)
 
 
 DEFAULT_CLASS = LoadClass("read-roster", 1.0, "1000")
 
 
 class LoadPlan(Struct, forbid_unknown_fields=True, frozen=True):
-    """A load."""
+    """The decoded file of a load."""
 
     phases: Annotated[tuple[LoadPhase, ...], Meta(min_length=1)] = field(name="phase")
     classes: Annotated[tuple[LoadClass, ...], Meta(min_length=1)] = field(
@@ -104,26 +111,26 @@
     bursts: tuple[Burst, ...] = field(name="burst", default=())
     behaviour: CallerBehaviour = field(name="habits", default=CallerBehaviour())
     source_count: Annotated[int, Meta(ge=1, le=4096)] = field(name="offices", default=16)
-    tcp_fraction: Fraction = field(name="tcp", default=0.0)  # of the sources
+    tcp_fraction: Fraction = field(name="tcp", default=0.0)  # fraction of the sources that use TCP
     heavy_source_factor: Annotated[float, Meta(ge=0, le=1000)] = field(
         name="heavy", default=0.0
-    )  # one source has so many times the calls of another; 0: none has
+    )  # calls of source 0 relative to those of any other source; 0: all equal
     reconnects_at_s: tuple[Seconds, ...] = field(
         name="cuts", default=()
-    )  # then every TCP source loses its connection and comes back at once
+    )  # when every TCP source aborts its connection and reconnects at once
 
     @property
     def seconds(self) -> float:
-        """How long new calls come."""
+        """The length of the load: the time during which new calls arrive."""
         return sum(phase.seconds for phase in self.phases)
 
     @property
     def longest_time_limit_s(self) -> float:
-        """How long any caller goes on trying."""
+        """The longest time for which any caller retries."""
         return max(each.time_limit_s for each in self.classes)
 
     def rate(self, at_s: float) -> float:
-        """Return the calls a second at a time after the beginning."""
+        """Return the rate in calls a second, `at_s` after the beginning; 0 after the last phase."""
         elapsed_s = at_s
         for phase in self.phases:
             if elapsed_s < phase.seconds:
@@ -133,13 +140,13 @@
         return 0.0
 
     def rate_bound(self) -> float:
-        """Return a rate that `rate` never exceeds."""
+        """Return an upper bound of `rate` over the whole load, in calls a second."""
         factor = math.prod(max(1.0, burst.factor) for burst in self.bursts)
         return factor * max(max(phase.rate, phase.final_rate or 0.0) for phase in self.phases)
 
 
 def read_load_plan(path: Path) -> LoadPlan:
-    """Return the load of a TOML file. Raises LoadPlanError."""
+    """Return the plan of a TOML file. Raises LoadPlanError if the file is unreadable or invalid."""
     try:
         return parse_load_plan(tomllib.loads(path.read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, LoadPlanError) as error:
@@ -147,7 +154,7 @@
 
 
 def parse_load_plan(raw: object) -> LoadPlan:
-    """Return the load of decoded TOML. Raises LoadPlanError."""
+    """Return the plan of a decoded TOML table. Raises LoadPlanError if it is invalid."""
     try:
         plan = msgspec.convert(raw, LoadPlan)
     except msgspec.ValidationError as error:
@@ -157,11 +164,11 @@
 
 
 def check_load_plan(plan: LoadPlan) -> None:
-    """Check that the parts of a load fit together. Raises LoadPlanError."""
+    """Check the constraints between fields. Raises LoadPlanError if the fractions or the names do not fit."""
     if abs(sum(each.fraction for each in plan.classes) - 1.0) > FRACTION_TOLERANCE:
-        raise LoadPlanError("kind: the shares come to other than 1")
+        raise LoadPlanError("kind: the sum of the shares is not 1")
     if len({each.name for each in plan.classes}) < len(plan.classes):
-        raise LoadPlanError("kind: a name stands twice")
+        raise LoadPlanError("kind: duplicate name")
     behaviour = plan.behaviour
     if behaviour.overload_control_fraction + behaviour.false_overload_control_fraction > 1:
-        raise LoadPlanError("habits: oc and oc_lies come to more than 1")
+        raise LoadPlanError("habits: the sum of oc and oc_lies is above 1")
--- a/stairhatch/load_test/load_run.py
+++ b/stairhatch/load_test/load_run.py
@@ -1,8 +1,8 @@
-"""One run of a load: the processes that make it up, and what came of it.
+"""One run of a load: its processes and its result.
 
-Against an address it brings callers alone. By itself it also brings roster servers and the softswitch of a
-tree, and then the rules of calls are checked over what both sides observed. It never talks to another
-machine.
+With the address of a running softswitch, the run starts callers only. Without one, it also starts roster
+servers and a softswitch, and checks the call rules over the observations of callers and servers. A run never
+sends to another machine.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 )
 from stairhatch.load_test.worker_process import WorkerProcess
 
-LEAD_S = 0.3  # from when all are ready until the load begins
+LEAD_S = 0.3  # from the readiness of all processes until the beginning of the load
 PROGRESS_INTERVAL_S = 0.1
 END_MESSAGE = "end"
 LOOPBACK = "127.0.0.1"
@@ -53,47 +53,48 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSignal:
-    """A signal to the softswitch during the load."""
+    """A signal that is sent to the softswitch during the load."""
 
-    at_s: float  # after the beginning
-    signal: int
+    at_s: float  # after the beginning of the load
+    signal: int  # its number
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSetup:
-    """What a run is made of. Without `addresses` the softswitch is started from `tree`.
+    """Parameters of a run.
 
-    `conditions` are those between callers and softswitch.
+    Without `addresses` the run starts a softswitch from `tree`, and the roster servers. `conditions` apply to
+    datagrams between callers and softswitch.
     """
 
     plan: LoadPlan
     seed: int = 1
-    workers: int = 2
+    workers: int = 2  # processes of callers
     addresses: dict[Transport, Address] = field(default_factory=dict)
     servers: ServerPlan = field(default_factory=ServerPlan)
     conditions: DatagramConditions = field(default_factory=DatagramConditions)
     tree: Path = ROOT
-    sip_lines: str = ""  # more lines of [sip]
+    sip_lines: str = ""  # additional lines of [sip] in the softswitch's configuration
     signals: tuple[OperatorSignal, ...] = ()
 
 
 @dataclass(slots=True, kw_only=True)
 class LoadRunResult:
-    """What came of a run."""
+    """Result of a run."""
 
     tally: LoadTally
-    seconds: float
+    seconds: float  # length of the load, without the calls' hold times
     violations: list[CallRuleViolation] = field(default_factory=list)
     servers: list[ServerSummary] = field(default_factory=list)
-    usage: ProcessUsage | None = None  # None: the softswitch was not ours
-    is_checked: bool = False  # both sides were observed, so that the rules could be checked
+    usage: ProcessUsage | None = None  # None: the run did not start the softswitch
+    is_checked: bool = False  # the run started the servers, too, and checked the call rules
 
     def void_reason(self) -> str:
-        """Return why it proves nothing; "" if it does."""
+        """Return the reason why the measurements are invalid; "" for a valid run."""
         return self.tally.void_reason()
 
     def figures(self) -> dict[str, Any]:
-        """Return all figures of the run, by the names they are kept under."""
+        """Return all figures of the run by the keys of the result file."""
         figures = self.tally.figures(self.seconds)
         if self.usage is not None:
             established = max(1, self.tally.counts[CallOutcome.ESTABLISHED])
@@ -103,19 +104,20 @@
 
 
 def check_loopback(address: Address) -> None:
-    """Check that an address is this machine's loopback. Raises LoadRunError for any other."""
+    """Check that an address is a loopback address. Raises LoadRunError for any other, or a host name."""
     try:
         is_loopback = ipaddress.ip_address(address[0]).is_loopback
     except ValueError:
         is_loopback = False
     if not is_loopback:
-        raise LoadRunError(
-            f"{address[0]} is not an address of this machine's loopback: no load goes elsewhere"
-        )
+        raise LoadRunError(f"{address[0]} is not a loopback address: a load is not sent to another machine")
 
 
 def run_load(setup: LoadSetup, on_progress: Callable[[float], None] = lambda _: None) -> LoadRunResult:
-    """Carry one load out; `on_progress` is called with the seconds that have passed. Raises LoadRunError."""
+    """Execute one run and return its result. Raises LoadRunError if the run cannot start or finish.
+
+    `on_progress` is called repeatedly with the seconds since the beginning of the load.
+    """
     for address in setup.addresses.values():
         check_loopback(address)
     with contextlib.ExitStack() as processes, tempfile.TemporaryDirectory() as folder:
@@ -127,21 +129,21 @@
 
 
 class _LoadRun:
-    """The processes of one run, in the order in which they are started."""
+    """The processes of one run: roster servers, softswitch, relay and callers, started in this order."""
 
     def __init__(self, setup: LoadSetup, processes: contextlib.ExitStack, folder: Path) -> None:
         self.setup = setup
-        self.processes = processes  # ends them
+        self.processes = processes  # ends the processes at its exit
         self.folder = folder
-        self.addresses = dict(setup.addresses)  # that callers call
+        self.addresses = dict(setup.addresses)  # of the softswitch or the relay, as used by callers
         self.servers: WorkerProcess | None = None
         self.softswitch: SoftswitchProcess | None = None
         self.callers: list[WorkerProcess] = []
 
-    # ---- starting ----
+    # ---- start of the processes ----
 
     def start(self) -> None:
-        """Start every process, and wait until all are ready."""
+        """Start every process and wait until all are ready. Raises LoadRunError if one fails."""
         if not self.addresses:
             self._start_servers_and_softswitch()
         if not self.setup.conditions.is_perfect and Transport.UDP in self.addresses:
@@ -174,7 +176,7 @@
         used = {source.transport for source in call_sources(self.setup.plan)}
         if missing := used - set(self.addresses):
             names = ", ".join(sorted(each.value for each in missing))
-            raise LoadRunError(f"the load has offices over {names}, and no address is given for that")
+            raise LoadRunError(f"the load has offices over {names}, but no address is given")
 
     def _start_callers(self) -> None:
         setup = self.setup
@@ -184,65 +186,74 @@
         for each in self.callers:
             each.receive(CallersReady)
 
-    # ---- running ----
+    # ---- the load ----
 
     def begin(self) -> float:
-        """Tell all when the load begins, and return that in monotonic seconds."""
+        """Send the beginning of the load, in monotonic seconds, to all workers, and return it."""
         begin_at = time.monotonic() + LEAD_S
         for each in [*self.callers, *([self.servers] if self.servers else [])]:
             each.send(begin_at)
         return begin_at
 
     def signal_softswitch(self, begin_at: float, on_progress: Callable[[float], None]) -> None:
-        """Send the softswitch each signal at its time, until no more calls come."""
+        """Send each signal to the softswitch at its time; return at the end of the load."""
         seconds = self.setup.plan.seconds
         signals = sorted(self.setup.signals, key=lambda each: each.at_s)
         while (elapsed_s := time.monotonic() - begin_at) < seconds:
             while signals and signals[0].at_s <= elapsed_s:
-                due = signals.pop(0)
+                due_signal = signals.pop(0)
                 if self.softswitch is not None:
-                    self.softswitch.send_signal(due.signal)
+                    self.softswitch.send_signal(due_signal.signal)
             on_progress(max(0.0, elapsed_s))
             time.sleep(min(PROGRESS_INTERVAL_S, max(0.0, seconds - elapsed_s)))
 
-    # ---- what came of it ----
+    # ---- the result ----
 
     def collect(self) -> LoadRunResult:
-        """Wait until all calls are over, and return what came of them."""
-        by_callers = [each.receive(CallersResult) for each in self.callers]
+        """Wait until all calls are over and return the result. Raises LoadRunError if a process failed."""
+        caller_results = [each.receive(CallersResult) for each in self.callers]
         tally = LoadTally()
-        for each in by_callers:
+        for each in caller_results:
             tally.add(each.tally)
         result = LoadRunResult(tally=tally, seconds=self.setup.plan.seconds)
         if self.softswitch is not None:
             result.usage = self.softswitch.usage()
         if self.servers is not None:
             self.servers.send(END_MESSAGE)
-            by_servers = self.servers.receive(ServersResult)
-            result.servers = by_servers.servers
-            result.violations = self._check_rules(by_callers, by_servers)
+            servers_result = self.servers.receive(ServersResult)
+            result.servers = servers_result.servers
+            result.violations = self._check_rules(caller_results, servers_result)
             result.is_checked = True
         return result
 
     def _check_rules(
-        self, by_callers: list[CallersResult], by_servers: ServersResult
+        self, caller_results: list[CallersResult], servers_result: ServersResult
     ) -> list[CallRuleViolation]:
-        stalled_s = max(by_servers.stalled_s, *(each.stalled_s for each in by_callers))
+        stalled_s = max(servers_result.stalled_s, *(each.stalled_s for each in caller_results))
         checker = CallRuleChecker(
             ends_at=time.monotonic(),
             slack_s=CLOCK_SLACK_S + stalled_s,
             answer_limit_s=self.setup.plan.longest_time_limit_s,
         )
-        return checker.check(list(_observations(by_callers, by_servers)))
+        return checker.check(list(_observations(caller_results, servers_result)))
 
 
 def _observations(
-    by_callers: Iterable[CallersResult], by_servers: ServersResult
+    caller_results: Iterable[CallersResult], servers_result: ServersResult
 ) -> Iterator[CallObservation]:
-    for result in by_callers:
-        for seen in result.record:
+    for result in caller_results:
+        for observation in result.record:
             yield CallObservation(
-                seen.at, seen.kind, seen.number, status=seen.status, told_apart_by=seen.told_apart_by
+                observation.at,
+                observation.kind,
+                observation.number,
+                status=observation.status,
+                told_apart_by=observation.told_apart_by,
             )
-    for record in by_servers.record:
-        yield CallObservation(record.at, record.kind, record.number, server=record.server)
+    for server_observation in servers_result.record:
+        yield CallObservation(
+            server_observation.at,
+            server_observation.kind,
+            server_observation.number,
+            server=server_observation.server,
+        )
--- a/stairhatch/load_test/load_tally.py
+++ b/stairhatch/load_test/load_tally.py
@@ -1,7 +1,7 @@
-"""What came of a load: counts and times of calls, and whether the tool itself was late.
+"""The tally of a load: counts and times of calls, and the lateness of the load generator.
 
-Times count from when each call was due, not from when it was sent. Tallies of several processes add up to
-one. Free of I/O.
+The times of a call are measured from its due time, not from its sending time. The tallies of several
+processes can be added up. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,42 +16,42 @@
 from stairhatch.load_test.load_plan import LoadClass
 from stairhatch.load_test.tally_snapshot import TallySnapshot
 
-LEAST_US, MOST_US = 1, 120_000_000
+LEAST_US, MOST_US = 1, 120_000_000  # range of the histograms
 SIGNIFICANT_DIGITS = 2
 LATENESS_PERCENTILE = 99.0
-MAX_LATENESS_MS = 50.0  # a run in which one call in a hundred went out later than this is void
+MAX_LATENESS_MS = 50.0  # a run is void if 1 % of its calls were sent later than this
 REPORTED_PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
-Histogram = Any  # hdrhistogram has no types
+Histogram = Any  # hdrhistogram has no type annotations
 
 
 class CallOutcome(StrEnum):
-    """How a call ended for its caller, over all its attempts."""
+    """Outcome of a call for its caller, over all attempts."""
 
     ESTABLISHED = "stood"
     REJECTED = "refused"
     FAILED = "failed"
     UNANSWERED = "unheard"
     ABANDONED = "left"  # by a caller that vanished or cancelled
-    WITHHELD = "held"  # by overload control
+    WITHHELD = "held"  # not sent because of overload control
 
 
 class TallyCount(StrEnum):
-    """What is counted beside the outcomes."""
+    """Further counts of a tally, beside those by outcome."""
 
-    OFFERED = "asked"  # calls whose first attempt went out, or was withheld
-    RETRIES = "redials"
-    RETRANSMISSIONS = "copies"
+    OFFERED = "asked"  # calls whose first attempt was sent or withheld
+    RETRIES = "redials"  # attempts after the first one of a call
+    RETRANSMISSIONS = "copies"  # of INVITEs
     IN_TIME = "in time"  # established within the latency objective
-    LATE = "late"  # established after it
+    LATE = "late"  # established after the latency objective
 
     def of_class(self, name: str) -> str:
-        """Return the name of the same count for one class of calls."""
+        """Return the key of this count for one class of calls."""
         return f"{self} {name}"
 
 
 def new_histogram() -> Histogram:
-    """Return an empty histogram of microseconds, two digits exact."""
+    """Return an empty histogram of microseconds with two significant digits."""
     return HdrHistogram(LEAST_US, MOST_US, SIGNIFICANT_DIGITS)
 
 
@@ -67,20 +67,20 @@
 
 @dataclass(slots=True)
 class LoadTally:
-    """One process's count of a run, or the sum of several."""
+    """Tally of one process in a run, or the sum of several tallies."""
 
-    counts: Counter[str] = field(default_factory=Counter)  # by outcome, TallyCount, and the latter by class
-    by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by the second a call was due in
-    weight_offered: float = 0.0
-    weight_earned: float = 0.0
+    counts: Counter[str] = field(default_factory=Counter)  # by outcome, TallyCount and class
+    by_second: dict[int, Counter[str]] = field(default_factory=dict)  # by the second of a call's due time
+    weight_offered: float = 0.0  # sum of the weights of all calls
+    weight_earned: float = 0.0  # the same for established calls, reduced if late
     setup_times: dict[str, Histogram] = field(default_factory=dict)  # by class, until established
-    response_times: Histogram = field(default_factory=new_histogram)  # until any final response
-    lateness: Histogram = field(default_factory=new_histogram)  # of the tool: from due until sent
+    response_times: Histogram = field(default_factory=new_histogram)  # until the final response
+    lateness: Histogram = field(default_factory=new_histogram)  # of sending, by the load generator
 
-    # ---- counting ----
+    # ---- counts of calls ----
 
     def call_offered(self, load_class: LoadClass, due_s: float, late_s: float) -> None:
-        """Count a call whose first attempt was due at a second of the run, and went out so much later."""
+        """Count a call whose first attempt was due at `due_s` of the load and sent `late_s` later."""
         self.counts[TallyCount.OFFERED] += 1
         self.counts[TallyCount.OFFERED.of_class(load_class.name)] += 1
         self.weight_offered += load_class.weight
@@ -88,15 +88,16 @@
         _record(self.lateness, late_s)
 
     def call_retried(self) -> None:
-        """Count a further attempt."""
+        """Count an attempt after the first one of a call."""
         self.counts[TallyCount.RETRIES] += 1
 
     def call_ended(
         self, load_class: LoadClass, due_s: float, outcome: CallOutcome, elapsed_s: float | None
     ) -> None:
-        """Count a call that is over for its caller.
+        """Count the outcome of a call.
 
-        `elapsed_s` counts from when its first attempt was due; None where no response came.
+        `elapsed_s` is the time from the due time of the first attempt to the outcome; None if there was no
+        final response.
         """
         self.counts[outcome] += 1
         if elapsed_s is not None:
@@ -123,10 +124,10 @@
             self.setup_times[class_name] = new_histogram()
         return self.setup_times[class_name]
 
-    # ---- several into one ----
+    # ---- sums of tallies ----
 
     def snapshot(self) -> TallySnapshot:
-        """Return what a process hands to another."""
+        """Return the tally in a form that can be sent to another process."""
         return TallySnapshot(
             counts=dict(self.counts),
             weight_offered=self.weight_offered,
@@ -138,7 +139,7 @@
         )
 
     def add(self, other: TallySnapshot) -> None:
-        """Add what another process has counted."""
+        """Add the tally of another process to this one."""
         self.counts.update(other.counts)
         self.weight_offered += other.weight_offered
         self.weight_earned += other.weight_earned
@@ -149,22 +150,22 @@
         self.response_times.decode_and_add(other.response_times)
         self.lateness.decode_and_add(other.lateness)
 
-    # ---- what it says ----
+    # ---- figures ----
 
     def lateness_ms(self) -> float:
-        """Return how late the tool was, 99th percentile, in milliseconds."""
+        """Return the 99th percentile of the load generator's lateness, in milliseconds."""
         return float(self.lateness.get_value_at_percentile(LATENESS_PERCENTILE)) / 1000
 
     def void_reason(self) -> str:
-        """Return why the run proves nothing; "" if it does."""
+        """Return the reason why the measurements are invalid; "" for a valid run."""
         if not self.counts[TallyCount.OFFERED]:
             return "no call was placed"
         if (lateness_ms := self.lateness_ms()) > MAX_LATENESS_MS:
-            return f"the tool itself was late: 1 % of its calls by over {lateness_ms:.0f} ms"
+            return f"the load generator was late: it sent 1 % of the calls over {lateness_ms:.0f} ms late"
         return ""
 
     def figures(self, seconds: float) -> dict[str, Any]:
-        """Return the figures of a run in which calls came for so long, by the names they are kept under."""
+        """Return the figures of a load that lasted `seconds`, by the keys of the result file."""
         counts = self.counts
         offered = max(1, counts[TallyCount.OFFERED])
         failed = counts[CallOutcome.FAILED] + counts[CallOutcome.UNANSWERED]
--- a/stairhatch/load_test/revisions.py
+++ b/stairhatch/load_test/revisions.py
@@ -1,4 +1,4 @@
-"""The tree that this program runs from, and the trees of earlier commits beside it."""
+"""The source tree of the running program, and temporary git worktrees of earlier commits."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @contextlib.contextmanager
 def worktrees(revisions: Iterable[str]) -> Iterator[dict[str, Path]]:
-    """Lay out each revision's tree for as long as the context lasts; "" is this tree.
+    """Yield a source tree for each revision; "" stands for the running program's tree.
 
-    Raises RevisionError where git knows no such revision.
+    The worktrees are removed when the context ends. Raises RevisionError if git does not know a revision.
     """
     with tempfile.TemporaryDirectory() as folder:
         trees = {"": ROOT}
@@ -34,9 +34,9 @@
 
 
 def run_git(*arguments: str) -> str:
-    """Return what git says in this tree. Raises RevisionError where it fails."""
-    done = subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
-    if done.returncode:
-        reason = done.stderr.strip().splitlines()[-1] if done.stderr else "failed"
+    """Run a git command in the program's tree and return its output. Raises RevisionError if it fails."""
+    completed = subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
+    if completed.returncode:
+        reason = completed.stderr.strip().splitlines()[-1] if completed.stderr else "failed"
         raise RevisionError(f"git {arguments[0]}: {reason}")
-    return done.stdout.strip()
+    return completed.stdout.strip()
--- a/stairhatch/load_test/roster_servers.py
+++ b/stairhatch/load_test/roster_servers.py
@@ -1,4 +1,4 @@
-"""The emulated roster servers of a load: what happens to them, and the record of what they observed."""
+"""The emulated roster servers of a load, with the injection of their faults and their observations."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from stairhatch.load_test.server_plan import ServerFault, ServerFaultKind, ServerPlan
 from stairhatch.load_test.worker_messages import ServerObservation, ServersResult, ServerSummary
 
-LINES = 100_000  # of each server: never the limit
-SEED_FACTOR = 31  # so that seeds of runs and servers do not meet
+LINES = 100_000  # of each server; high enough never to limit the calls
+SEED_FACTOR = 31  # keeps the seeds of servers apart between runs
 
 
 class RosterServers:
-    """The servers at work."""
+    """Group of the roster servers of a run, with their faults and the record of their observations."""
 
     def __init__(self, plan: ServerPlan, seed: int) -> None:
-        """Prepare the servers; none listens yet."""
+        """Create the servers of a plan, without listening; `seed` is the run's."""
         self.plan = plan
         self.record: list[ServerObservation] = []
         self.stall = EventLoopStall()
@@ -40,13 +40,13 @@
         return observe
 
     async def open(self) -> list[int]:
-        """Listen, and return the ports."""
+        """Start listening on every server, and return their ports in order of the servers."""
         return [(await server.listen()).address[1] for server in self.servers]
 
     async def run(self, begin_at: float) -> None:
-        """Inject the faults, and watch how late this process notes what comes. It never returns.
+        """Inject the faults at their times and measure the event loop's stalls, until cancelled.
 
-        `begin_at` is in the machine's monotonic seconds.
+        `begin_at` is the beginning of the load in seconds of the machine's monotonic clock.
         """
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.stall.watch())
@@ -79,7 +79,7 @@
                 await server.listen(*server.address)
 
     def result(self) -> ServersResult:
-        """Return what came of the servers."""
+        """Return the observations, the longest event loop stall, and a summary of each server."""
         summaries = [
             ServerSummary(each.state.value, each.rejected_count, each.wasted_work_s)
             for each in self.processors
--- a/stairhatch/load_test/run_summary.py
+++ b/stairhatch/load_test/run_summary.py
@@ -1,4 +1,4 @@
-"""What is printed of a run, for people."""
+"""Text reports of a run for the terminal."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def render_summary(result: LoadRunResult) -> str:
-    """Return a run in a few lines."""
+    """Return the report of a run, a line per topic, with the first rule violations."""
     figures, offered = result.figures(), result.tally.counts[TallyCount.OFFERED]
     lines = [
         f"calls      {offered} asked, {figures['asked_a_second']:.1f} a second",
         f"in time    {figures['in_time']:.1%}, {figures['in_time_a_second']:.1f} a second",
-        f"worth      {figures['worth']:.1%} of what was asked for",
+        f"worth      {figures['worth']:.1%} of the offered weight",
         f"others     late {figures['late']:.1%}, refused {figures['refused']:.1%}, "
         f"failed {figures['failed']:.1%}",
         f"to stand   p50 {figures['stood_p50_ms']:.0f} ms, p99 {figures['stood_p99_ms']:.0f} ms",
@@ -29,14 +29,14 @@
         lines.append(f"rules      {len(result.violations)} broken")
         lines += [f"           {each.line()}" for each in result.violations[:MAX_VIOLATIONS_SHOWN]]
     else:
-        lines.append("rules      not read: only one side was seen")
+        lines.append("rules      not checked: the roster servers were not observed")
     if reason := result.void_reason():
         lines.append(f"VOID       {reason}")
     return "\n".join(lines) + "\n"
 
 
 def render_run_line(run: ExperimentRun, done: int, total: int) -> str:
-    """Return one run of an experiment in a line."""
+    """Return one line for a run of an experiment, the `done`-th of `total` runs."""
     figures = run.figures
     verdict = f"VOID: {run.void_reason}" if run.void_reason else f"{len(run.broken)} rules broken"
     return (
--- a/stairhatch/load_test/softswitch_config.py
+++ b/stairhatch/load_test/softswitch_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of the softswitch under load, from the load's own classes of calls."""
+"""The configuration file of the softswitch under load, rendered with the load's classes of calls."""
 
 from __future__ import annotations
 
@@ -43,7 +43,11 @@
 
 
 def render_config(plan: LoadPlan, sip_lines: str, address: Address, server_ports: list[int]) -> str:
-    """Return the file of a softswitch that listens at an address; `sip_lines` are more lines of `[sip]`."""
+    """Return the text of a TOML configuration file.
+
+    The softswitch listens at `address` over UDP and TCP, `sip_lines` are additional lines of `[sip]`, and
+    `server_ports` are the roster servers' ports on the loopback address.
+    """
     return TEMPLATE.format(
         address=format_address(address),
         default_class=plan.classes[0].name,
--- a/stairhatch/load_test/softswitch_process.py
+++ b/stairhatch/load_test/softswitch_process.py
@@ -1,4 +1,4 @@
-"""The softswitch under load: a process of some tree, started for the run and ended with it."""
+"""The softswitch under load, a process that is started from a source tree for one run."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 READY_TIMEOUT_S = 30.0
 CHECK_INTERVAL_S = 0.02
 LOOPBACK = "127.0.0.1"
-USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # of /proc/PID/stat, behind the name (proc(5))
+USER_TIME_FIELD, SYSTEM_TIME_FIELD = 11, 12  # indexes in /proc/PID/stat, counted after the name (proc(5))
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What the softswitch used over the run, and what it counted."""
+    """Resource usage and counters of the softswitch in a run."""
 
-    cpu_s: float = 0.0
-    memory_mb: float = 0.0
-    counters: dict[str, int] = field(default_factory=dict)
-    exit_code: int | None = None  # of one that has ended
+    cpu_s: float = 0.0  # processor time since the softswitch began to serve
+    memory_mb: float = 0.0  # peak resident memory, in MiB
+    counters: dict[str, int] = field(default_factory=dict)  # of its log event "counters"
+    exit_code: int | None = None  # None: the process was still running
 
     def figures(self) -> dict[str, Any]:
-        """Return it by the names it is kept under."""
+        """Return the usage by the keys of the result file; without counters if the process has ended."""
         used = {"cpu_s": self.cpu_s, "memory_mb": self.memory_mb}
         if self.exit_code is not None:
             return {**used, "ended": self.exit_code}
@@ -40,12 +40,15 @@
 
 
 class SoftswitchProcess:
-    """The appliance of a tree, as a process. As a context it ends when that is left."""
+    """Appliance process of a source tree; as a context manager it kills the process at the end."""
 
     def __init__(self, tree: Path, folder: Path, render_config: Callable[[Address], str]) -> None:
-        """Start it and wait until it serves. Raises LoadRunError where it does not.
+        """Start the process and wait until it serves.
 
-        Its file, rendered for its address, and its log lie in a folder.
+        Raises LoadRunError if the process exits or does not serve within READY_TIMEOUT_S.
+
+        `render_config` returns the configuration for an address. Configuration and log are written to
+        `folder`.
         """
         self.address = (LOOPBACK, free_port())
         self._log_file = folder / "log"
@@ -60,7 +63,7 @@
                 stderr=log,
             )
         try:
-            self._wait_until(lambda: " serving " in self._log_text(), "it does not serve")
+            self._wait_until(lambda: " serving " in self._log_text(), "it did not start to serve")
         except LoadRunError:
             self.end()
             raise
@@ -75,11 +78,11 @@
         self.end()
 
     def send_signal(self, number: int) -> None:
-        """Send a signal, as an operator does."""
+        """Send a signal to the process, by its number."""
         self.process.send_signal(number)
 
     def usage(self) -> ProcessUsage:
-        """Return what it has used and counted. Raises LoadRunError where it logs no counters."""
+        """Return the usage so far, or the exit code. Raises LoadRunError if no counters are logged."""
         if self.process.poll() is not None:
             return ProcessUsage(exit_code=self.process.returncode)
         status = Path(f"/proc/{self.process.pid}/status").read_text()
@@ -88,27 +91,27 @@
         return ProcessUsage(cpu_s, memory_mb, self._request_counters())
 
     def end(self) -> None:
-        """End it at once: its calls are over."""
+        """Kill the process, which ends its calls, and wait for its end."""
         self.process.kill()
         self.process.wait()
 
     def _request_counters(self) -> dict[str, int]:
-        known = len(self._log_lines("counters"))
+        previous_count = len(self._log_lines("counters"))
         self.process.send_signal(signal.SIGUSR1)
-        self._wait_until(lambda: len(self._log_lines("counters")) > known, "no counters")
+        self._wait_until(lambda: len(self._log_lines("counters")) > previous_count, "it logged no counters")
         pairs = (word.partition("=") for word in self._log_lines("counters")[-1].split()[2:])
         return {name: int(value) for name, _, value in pairs}
 
-    def _wait_until(self, is_done: Callable[[], bool], complaint: str) -> None:
+    def _wait_until(self, is_done: Callable[[], bool], failure: str) -> None:
         deadline = time.monotonic() + READY_TIMEOUT_S
         while not is_done():
             if self.process.poll() is not None or time.monotonic() > deadline:
                 last_line = " ".join(self._log_text().splitlines()[-1:])
-                raise LoadRunError(f"the program: {complaint}: {last_line}")
+                raise LoadRunError(f"the softswitch process: {failure}: {last_line}")
             time.sleep(CHECK_INTERVAL_S)
 
     def _cpu_s(self) -> float:
-        """Return the processor time used so far."""
+        """Return the user and system time of the process so far, in seconds."""
         words = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(words[USER_TIME_FIELD]) + int(words[SYSTEM_TIME_FIELD])
         return ticks / os.sysconf("SC_CLK_TCK")
--- a/stairhatch/load_test/worker.py
+++ b/stairhatch/load_test/worker.py
@@ -1,7 +1,8 @@
 """The main module of a worker process of a load.
 
-It reads its job as a line, says when it is ready, begins at the time that it is sent, and writes what came of
-it as its last line (`worker_messages`). It ends with its input, so that none outlives its parent.
+A worker reads its job from the first line of its input, writes a line when it is ready, begins at the time of
+the second input line, and writes its result as its last line (`worker_messages`). It exits at the end of its
+input, so that no worker outlives its parent.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 async def run_job() -> None:
-    """Be what the first line asks for."""
+    """Run the job of the first input line. Raises msgspec.DecodeError if that line is no job."""
     lines = await _open_input()
     match decode_job(await lines.readline()):
         case CallersJob() as job:
@@ -56,7 +57,7 @@
     _write(ServersReady(await servers.open()))
     if begin_line := await lines.readline():
         running = asyncio.create_task(servers.run(decode_line(begin_line, float)))
-        await lines.readline()  # until it is to end, or its parent has gone
+        await lines.readline()  # the end message, or end of file if the parent has exited
         running.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await running
--- a/stairhatch/load_test/worker_messages.py
+++ b/stairhatch/load_test/worker_messages.py
@@ -1,7 +1,7 @@
-"""The lines of JSON between a load and its worker processes, each typed.
+"""The typed messages between a load run and its worker processes, each a line of JSON.
 
-A worker's first line is its job, and it says that it is ready. Callers and servers begin at the time that is
-sent to them; their last line is what came of it.
+The first line to a worker is its job, which it answers when it is ready. Workers of callers and of servers
+then get the time at which the load begins, and their last line is their result.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class CallersJob(Struct, tag_field="role", tag="offices", frozen=True):
-    """Be the callers of every `workers`-th source, beginning with number `worker`."""
+    """Job to run the callers of the sources whose index modulo `workers` equals `worker`."""
 
     plan: LoadPlan
     seed: int
@@ -32,14 +32,14 @@
 
 
 class ServersJob(Struct, tag_field="role", tag="rosters", frozen=True):
-    """Be the roster servers."""
+    """Job to run the roster servers."""
 
     plan: ServerPlan
     seed: int
 
 
 class RelayJob(Struct, tag_field="role", tag="relay", frozen=True):
-    """Relay datagrams to a softswitch."""
+    """Job to relay datagrams to a softswitch, under the conditions of a link."""
 
     conditions: DatagramConditions = field(name="weather")
     target: Address
@@ -50,44 +50,44 @@
 
 
 class CallersReady(Struct, frozen=True):
-    """All ports and connections are open."""
+    """Readiness of a worker of callers: all its ports and connections are open."""
 
     ready: bool = True
 
 
 class ServersReady(Struct, frozen=True):
-    """The servers listen."""
+    """Readiness of the worker of servers: all servers listen."""
 
-    ports: list[int]
+    ports: list[int]  # in order of the servers
 
 
 class RelayReady(Struct, frozen=True):
-    """The relay carries datagrams."""
+    """Readiness of the relay: its port for callers is open."""
 
     port: int
 
 
 class CallerRecord(Struct, array_like=True, frozen=True):
-    """What a caller observed of a call."""
+    """An event of a call that a caller observed."""
 
     at: float  # monotonic seconds
     kind: ObservationKind
     number: str  # called
     status: int  # of a final response
-    told_apart_by: str  # two final responses differ where this does
+    told_apart_by: str  # differs between two final responses, except a retransmission
 
 
 class ServerObservation(Struct, array_like=True, frozen=True):
-    """What a server observed of a call."""
+    """An event of a call that a server observed."""
 
     at: float  # monotonic seconds
     kind: ObservationKind
     number: str  # called
-    server: str
+    server: str  # its name
 
 
 class CallersResult(Struct, frozen=True):
-    """What came of the calls of one worker."""
+    """Result of a worker of callers."""
 
     tally: TallySnapshot
     record: list[CallerRecord]
@@ -95,15 +95,15 @@
 
 
 class ServerSummary(Struct, frozen=True):
-    """What one server did."""
+    """Summary of one server in a run."""
 
-    state: str  # at the end
+    state: str  # ProcessorState at the end of the run
     rejected_count: int = field(name="turned_away")
     wasted_work_s: float = field(name="wasted_s")
 
 
 class ServersResult(Struct, frozen=True):
-    """What came of the servers."""
+    """Result of the worker of servers."""
 
     record: list[ServerObservation]
     stalled_s: float  # the longest stall of their event loop
@@ -111,16 +111,16 @@
 
 
 def encode_line(message: object) -> bytes:
-    """Return a message as a line."""
+    """Return a message as a line of JSON."""
     return msgspec.json.encode(message) + b"\n"
 
 
 def decode_job(line: bytes) -> WorkerJob:
-    """Return the job of a worker's first line. Raises msgspec.DecodeError where it is none."""
+    """Return the job of a worker's first line. Raises msgspec.DecodeError if it is no job."""
     job: WorkerJob = msgspec.json.decode(line, type=WorkerJob)
     return job
 
 
 def decode_line(line: bytes, message_type: type[Message]) -> Message:
-    """Return the message of a line. Raises msgspec.DecodeError where it is no such message."""
+    """Return the message of a line. Raises msgspec.DecodeError if it has another type."""
     return msgspec.json.decode(line, type=message_type)
--- a/stairhatch/load_test/worker_process.py
+++ b/stairhatch/load_test/worker_process.py
@@ -1,4 +1,4 @@
-"""A worker process of a load, as its parent sees it."""
+"""The parent's side of a worker process of a load."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class WorkerProcess:
-    """A process that speaks in lines of JSON (`worker_messages`). As a context it ends when that is left."""
+    """Worker process that exchanges JSON lines (`worker_messages`); a context manager, which ends it."""
 
     def __init__(self, job: WorkerJob) -> None:
-        """Start the process and send it its job."""
+        """Start the process and send its job."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", WORKER_MODULE], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
@@ -43,22 +43,25 @@
         self.end()
 
     def send(self, message: object) -> None:
-        """Send a line."""
+        """Send a message as a line of JSON."""
         self._input.write(encode_line(message))
         self._input.flush()
 
     def receive(self, message_type: type[Message]) -> Message:
-        """Wait for the next line. Raises LoadRunError where the process has ended, or the line is another."""
+        """Wait for the next line and return its message.
+
+        Raises LoadRunError if the process has ended or the line is not of `message_type`.
+        """
         line = self._output.readline()
         if not line:
-            raise LoadRunError(f"a process of the load ended early, with {self.process.wait()}")
+            raise LoadRunError(f"a worker process ended early with exit code {self.process.wait()}")
         try:
             return decode_line(line, message_type)
         except msgspec.DecodeError as error:
-            raise LoadRunError(f"a process of the load said what was not expected: {error}") from error
+            raise LoadRunError(f"a worker process sent an unexpected message: {error}") from error
 
     def end(self) -> None:
-        """Let the process end with its input; kill it where it does not."""
+        """Close the input, which ends the process, and kill it if it runs on after END_TIMEOUT_S."""
         with contextlib.suppress(OSError):
             self._input.close()
         try:
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -1,4 +1,4 @@
-"""Loads and experiments: what is counted, short runs against the real program, and their commands."""
+"""Loads and experiments: tallies, a short run against the real softswitch, and the commands."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
     return subprocess.run([*COMMAND, *arguments], cwd=ROOT, capture_output=True, text=True)
 
 
-# ---- what is counted ----
+# ---- tallies ----
 
 
 def tally_of(count: int, late_s: float) -> LoadTally:
-    """Return the tally of so many calls, of which every second was established in time."""
+    """Return the tally of `count` calls, of which every second one was established in time."""
     tally = LoadTally()
     for number in range(count):
         tally.call_offered(LOAD_CLASS, number / 10, late_s)
@@ -53,15 +53,15 @@
     return tally
 
 
-def test_a_tool_that_was_late_or_placed_no_call_proves_nothing():
-    """No figures come of a load that was never brought."""
+def test_a_run_with_a_late_load_generator_or_without_calls_is_void():
+    """The measurements are invalid if the planned load was not offered."""
     assert not tally_of(300, late_s=0.001).void_reason()
     assert "late" in tally_of(10, late_s=0.4).void_reason()
     assert LoadTally().void_reason()
 
 
-def test_tallies_of_several_processes_add_up_to_one():
-    """Figures are of the whole load, and as late as its latest process."""
+def test_tallies_of_several_processes_are_added_up():
+    """The figures cover the whole load, and the lateness of one process makes the sum void."""
     whole = LoadTally()
     for part in (tally_of(300, late_s=0.001), tally_of(10, late_s=0.4)):
         encoded = msgspec.json.encode(part.snapshot())
@@ -76,13 +76,13 @@
     assert figures["stood_p99_ms"] == pytest.approx(2000, rel=0.02)
 
 
-# ---- on sockets ----
+# ---- a run on sockets ----
 
 
-def test_a_load_over_a_bad_network_with_a_hanging_server_breaks_no_rule():
-    """The rules hold under loss, duplicates, a hung server, lost connections and a reload at once.
+def test_a_load_over_a_bad_network_with_a_hung_server_violates_no_call_rule():
+    """The call rules hold under loss, duplicates, a hung server, lost connections and a reload at once.
 
-    What the machine can bear is not judged here: only the rules are, and that calls are established.
+    The test requires that calls are established, but no rate, since that depends on the machine.
     """
     plan = two_class_plan(
         phase=[{"seconds": 6.0, "rate": 40.0}],
@@ -120,17 +120,17 @@
 
 
 def test_the_command_rejects_a_load_on_another_machine(plan_file):
-    """No load is sent elsewhere, and the exit code does not hide it."""
+    """The command sends no load to another machine and reports this by its exit code."""
     done = run_command("load", str(plan_file), "--udp", "192.0.2.1:5060")
 
     assert done.returncode == 2
-    assert "no load goes elsewhere" in done.stderr
+    assert "a load is not sent to another machine" in done.stderr
     with pytest.raises(LoadRunError):
         check_loopback(("example.org", 5060))
 
 
-def test_the_command_names_the_transport_that_has_no_address(plan_file):
-    """A load that cannot be placed is no load of which all calls fail."""
+def test_the_command_names_the_transport_without_an_address(plan_file):
+    """A missing address is an error, and not a load of which all calls fail."""
     done = run_command("load", str(plan_file), "--tcp", "127.0.0.1:9")
 
     assert done.returncode == 2
@@ -138,8 +138,8 @@
 
 
 @pytest.mark.parametrize("command", ["load", "experiment", "scale"])
-def test_a_command_without_its_libraries_says_what_to_install(command):
-    """Who set up the appliance alone, as README's first command does, gets no traceback."""
+def test_a_command_without_its_libraries_names_the_requirements_file(command):
+    """With the appliance's requirements alone, as README's first command installs, there is no traceback."""
     blocked = "import sys; sys.modules['hdrh'] = None; sys.modules['hdrh.histogram'] = None; "
     start = "sys.argv[0] = 'stairhatch'; from stairhatch.__main__ import main; sys.exit(main())"
 
@@ -157,7 +157,7 @@
 
 @pytest.fixture
 def experiment(tmp_path) -> Experiment:
-    """Two sides at two rates, each twice."""
+    """Return an experiment with two sides, two rates and two repeats."""
     path = tmp_path / "e.toml"
     path.write_text(
         'name = "two"\nrates = [10, 20]\nseconds = 2\nrepeats = 2\n'
@@ -168,7 +168,7 @@
 
 
 class CountingRunner:
-    """In place of runs: every call is established at once; the tool is late in the first run alone."""
+    """Replaces runs: every call is established at once, and the load generator is late in the first run."""
 
     def __init__(self) -> None:
         self.runs: list[tuple[int, float]] = []  # seed and rate
@@ -183,15 +183,15 @@
         return LoadRunResult(tally=tally, seconds=setup.plan.seconds, is_checked=True)
 
 
-def test_an_experiment_takes_its_sides_in_turn(experiment):
-    """A machine that slows down slows all sides."""
+def test_an_experiment_alternates_the_order_of_its_sides(experiment):
+    """A slowdown of the machine during an experiment affects all sides."""
     first = [(each.rate, each.repeat, each.side.name) for each in planned_runs(experiment)][:4]
 
     assert first == [(10, 0, "a"), (10, 0, "b"), (10, 1, "b"), (10, 1, "a")]
 
 
-def test_the_sides_of_an_experiment_meet_the_same_calls_and_every_run_is_kept(experiment, tmp_path):
-    """Void runs do not vanish from the table."""
+def test_the_sides_of_an_experiment_get_the_same_calls_and_every_run_is_kept(experiment, tmp_path):
+    """A void run is kept in the results and counted in the table."""
     runner = CountingRunner()
 
     runs = run_experiment(experiment, run_one=runner.run)
