--- a/stairhatch/emulators/caller_emulator.py
+++ b/stairhatch/emulators/caller_emulator.py
@@ -228,7 +228,7 @@
         call.invite = b""
         call.on_ended(call, result, self.loop.time() - call.due_at, status)
 
-    # ---- requests ----
+    # ---- sent requests ----
 
     def _request(self, call: PlacedCall, method: str, cseq: int, branch: str, body: bytes = b"") -> bytes:
         transport = "UDP" if self.udp else "TCP"
