--- a/stairhatch/load_test/roster_servers.py
+++ b/stairhatch/load_test/roster_servers.py
@@ -14,7 +14,7 @@
 from stairhatch.load_test.worker_messages import ServerObservation, ServersResult, ServerSummary
 
 LINES = 100_000  # of each server; high enough never to limit the calls
-SEED_FACTOR = 31  # keeps the seeds of servers apart between runs
+SEED_FACTOR = 31  # keeps the seeds of up to 31 servers apart between runs
 
 
 class RosterServers:
