--- a/stairhatch/fleet/store.py
+++ b/stairhatch/fleet/store.py
@@ -243,7 +243,9 @@
                 fault = self._commit([write for write, _ in work])
                 for _, callback in work:
                     try:
-                        self._call_on_loop(lambda callback=callback, fault=fault: callback(fault))  # type: ignore[misc]
+                        self._call_on_loop(
+                            lambda callback=callback, fault=fault: callback(fault)  # type: ignore[misc]
+                        )
                     except RuntimeError:
                         return  # the event loop is closed
             if len(work) < len(batch):
--- a/stairhatch/load_test/datagram_relay.py
+++ b/stairhatch/load_test/datagram_relay.py
@@ -24,7 +24,7 @@
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]  # uvloop's transports derive from no asyncio class
+        self.transport = transport  # type: ignore[assignment]  # uvloop has own classes
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         self.on_received(data, addr)
