--- a/stairhatch/soak/batch.py
+++ b/stairhatch/soak/batch.py
@@ -1,4 +1,4 @@
-"""Many trials, each in a process of its own, and what is kept of those that broke a rule."""
+"""Runs many trials, each in its own process, and writes the files of the trials that broke a rule."""
 
 from __future__ import annotations
 
@@ -19,45 +19,45 @@
 from stairhatch.soak.schedule import draw_schedule
 from stairhatch.soak.trial import Trial, TrialResult
 
-MAX_TIMELINES = 20  # of broken cases that are kept of a trial
+MAX_TIMELINES = 20  # violations of one trial for which a timeline is written
 
 
 @dataclass(frozen=True, slots=True)
 class TrialRequest:
-    """One trial to be played; `keep_in` gets a folder for it."""
+    """Request to run one trial; its files are written to a subfolder of `keep_in`, if that is set."""
 
     seed: int
     keep_in: Path | None = None
-    keep_good: bool = False  # else only a trial that broke a rule is kept
+    keep_good: bool = False  # also write the files of a trial that broke no rule
 
 
 @dataclass
 class TrialSummary:
-    """What one trial showed, in a form that can be sent between processes."""
+    """Result of one trial, in a form that can be pickled and sent between processes."""
 
     seed: int
-    error: str = ""  # why it was not played; empty where it was
+    error: str = ""  # why the trial could not be run; empty if it was run
     violations: list[str] = field(default_factory=list)
     cases: dict[str, int] = field(default_factory=dict)  # how often each rule could have been broken
     activations: dict[str, int] = field(default_factory=dict)  # how often each fault took effect
-    idle_faults: list[str] = field(default_factory=list)  # scheduled, and took no effect
-    stalled_s: float = 0.0
-    starved_s: float = 0.0
-    kept_in: str = ""
+    ineffective_faults: list[str] = field(default_factory=list)  # scheduled kinds that never took effect
+    stalled_s: float = 0.0  # the longest stall of the harness' event loop
+    starved_s: float = 0.0  # the longest total time for which one softswitch process waited for a processor
+    kept_in: str = ""  # the folder with the trial's files; empty if none were written
 
     def line(self) -> str:
-        """Return it in a line for people."""
+        """Return one line of text: verdict, delays of the machine, ineffective faults and folder."""
         if self.error:
             return f"seed {self.seed}: NOT RUN: {self.error}"
         verdict = f"BROKEN {len(self.violations)}" if self.violations else "good"
-        idle = f", without effect: {' '.join(self.idle_faults)}" if self.idle_faults else ""
-        waits = f"harness late {self.stalled_s:.3f} s, starved {self.starved_s:.2f} s"
-        return f"seed {self.seed}: {verdict}, {waits}{idle} {self.kept_in}".rstrip()
+        unused = f", without effect: {' '.join(self.ineffective_faults)}" if self.ineffective_faults else ""
+        delays = f"harness late {self.stalled_s:.3f} s, starved {self.starved_s:.2f} s"
+        return f"seed {self.seed}: {verdict}, {delays}{unused} {self.kept_in}".rstrip()
 
 
 @dataclass
 class BatchSummary:
-    """The sum of many trials."""
+    """Results of many trials, with the total counts of cases and faults."""
 
     trials: list[TrialSummary] = field(default_factory=list)
     cases: Counter[str] = field(default_factory=Counter)
@@ -65,25 +65,28 @@
     duration_s: float = 0.0
 
     def add(self, trial: TrialSummary) -> None:
-        """Add one more trial."""
+        """Append a trial's result and add its counts to the totals."""
         self.trials.append(trial)
         self.cases.update(trial.cases)
         self.activations.update(trial.activations)
 
     def broken(self) -> list[TrialSummary]:
-        """Return the trials that broke a rule."""
+        """Return the results of the trials that broke at least one rule."""
         return [each for each in self.trials if each.violations]
 
     def not_run(self) -> list[TrialSummary]:
-        """Return the trials that could not be played."""
+        """Return the results of the trials that could not be run."""
         return [each for each in self.trials if each.error]
 
 
-def play(request: TrialRequest) -> TrialSummary:
-    """Play one trial in this process. One that cannot be played gives a summary with its error."""
+def run_trial(request: TrialRequest) -> TrialSummary:
+    """Run one trial in this process and return its summary.
+
+    A trial that cannot be run returns a summary with `error` set instead of raising.
+    """
     folder = Path(tempfile.mkdtemp(prefix="stairhatch-trial-"))
     try:
-        result = uvloop.run(Trial(draw_schedule(request.seed), folder).play())
+        result = uvloop.run(Trial(draw_schedule(request.seed), folder).run())
     except (TrialError, OSError, asyncio.CancelledError) as error:
         shutil.rmtree(folder, ignore_errors=True)
         return TrialSummary(request.seed, error=str(error) or type(error).__name__)
@@ -95,13 +98,13 @@
         write_files(result, kept)
         kept_in = str(kept)
     shutil.rmtree(folder, ignore_errors=True)
-    since = result.record.started_at
+    started_at = result.record.started_at
     return TrialSummary(
         request.seed,
-        violations=[each.line(since) for each in result.violations],
+        violations=[each.line(started_at) for each in result.violations],
         cases={str(rule): count for rule, count in result.cases.items()},
         activations=dict(result.record.activations),
-        idle_faults=result.idle_faults(),
+        ineffective_faults=result.ineffective_faults(),
         stalled_s=result.record.stalled_s,
         starved_s=result.record.starved_s,
         kept_in=kept_in,
@@ -109,32 +112,38 @@
 
 
 def write_files(result: TrialResult, folder: Path) -> None:
-    """Keep a trial: its schedule, what was observed, and a timeline of each broken case."""
-    since = result.record.started_at
+    """Write the trial's schedule, its observations and its violations to files in `folder`.
+
+    The violations' file ends with a timeline for each of the first MAX_TIMELINES violations.
+    """
+    started_at = result.record.started_at
     (folder / "schedule.json").write_text(json.dumps(result.schedule.to_json_dict(), indent=1))
-    lines = [f"{each.call or '-'} {each.line(since)}" for each in result.record.observations]
+    lines = [f"{each.call or '-'} {each.line(started_at)}" for each in result.record.observations]
     (folder / "record.txt").write_text("\n".join(lines) + "\n")
     text = [timeline(result, each.call) for each in result.violations[:MAX_TIMELINES]]
-    broken = [each.line(since) for each in result.violations]
+    broken = [each.line(started_at) for each in result.violations]
     (folder / "broken.txt").write_text("\n".join([*broken, "", *text]))
 
 
 def timeline(result: TrialResult, call: str) -> str:
-    """Return what the caller, each softswitch and each server saw of a call, one line each."""
-    seen = [each.line(result.record.started_at) for each in result.record.of_call(call)]
-    return "\n".join([f"{call}:", *(f"  {line}" for line in seen)])
+    """Return a call's id and, one per line, everything that the emulators observed of that call."""
+    timeline_lines = [each.line(result.record.started_at) for each in result.record.of_call(call)]
+    return "\n".join([f"{call}:", *(f"  {line}" for line in timeline_lines)])
 
 
-def play_many(
+def run_trials(
     seeds: Iterable[int], jobs: int, keep_in: Path | None, on_result: Callable[[TrialSummary], None]
 ) -> BatchSummary:
-    """Play the trials of many seeds, so many beside each other; `on_result` is called after each."""
+    """Run a trial for each seed, at most `jobs` at a time, and return the summary of all trials.
+
+    `on_result` is called with each trial's result as soon as that trial ends, in no fixed order.
+    """
     summary = BatchSummary()
     started_at = time.monotonic()
     requests = [TrialRequest(seed, keep_in) for seed in seeds]
     context = multiprocessing.get_context("spawn")
     with context.Pool(max(1, min(jobs, len(requests)))) as pool:
-        for trial in pool.imap_unordered(play, requests, chunksize=1):
+        for trial in pool.imap_unordered(run_trial, requests, chunksize=1):
             summary.add(trial)
             on_result(trial)
     summary.duration_s = time.monotonic() - started_at
--- a/stairhatch/soak/capacity_meter.py
+++ b/stairhatch/soak/capacity_meter.py
@@ -1,4 +1,4 @@
-"""What an emulated roster server can take, and what it has taken of that lately. Times are the loop's."""
+"""Capacity of an emulated roster server and its recent use. Times are seconds by the event loop's clock."""
 
 from __future__ import annotations
 
@@ -8,38 +8,43 @@
 from stairhatch.emulators.processor import ProcessorLoad
 from stairhatch.soak.deployment import Deployment
 
-FULL_AT = 1.5  # a multiple of the capacity: set-ups beyond it are rejected
-ALLOWANCE = 2  # set-ups beyond that, for chance
-WINDOW_S = 1.0
-SERVICE_S = 0.01  # the wait at a half-used processor
-MAX_USE = 0.95
+REJECTION_MULTIPLE = 1.5  # set-ups above this multiple of the capacity are rejected
+BURST_ALLOWANCE = 2  # set-ups admitted above that limit, for random bursts
+WINDOW_S = 1.0  # set-ups are counted over this time
+HALF_USE_DELAY_S = 0.01  # the queue delay at a utilization of one half
+MAX_UTILIZATION = 0.95  # keeps the reported queue delay finite
 
 
 class CapacityMeter:
-    """The capacity of one server, which grows after its start, and the set-ups of the last second."""
+    """Meter of one server's capacity, which grows after its start, and of the set-ups in the last second."""
 
     def __init__(self, deployment: Deployment) -> None:
-        """Begin as a server that started long ago."""
+        """Create the meter of a server that is warm: it starts with the full capacity."""
         self.started_at = -math.inf
         self._deployment = deployment
-        self._setups: deque[float] = deque()  # when each came
+        self._arrivals: deque[float] = deque()  # the arrival times within WINDOW_S
 
     def present_capacity_per_s(self, now: float) -> float:
-        """Return how many set-ups a second it can take."""
+        """Return the server's capacity at a time, in set-ups per second."""
         return self._deployment.present_capacity_per_s(now - self.started_at)
 
     def load(self, now: float) -> ProcessorLoad:
-        """Return what it reports: what it can take, and a wait that grows with its use."""
+        """Return the load that the server reports: its capacity and a queue delay that grows with use."""
         capacity_per_s = self.present_capacity_per_s(now)
-        use = min(MAX_USE, self._recent(now) / capacity_per_s)
-        return ProcessorLoad(queue_delay_s=SERVICE_S * use / (1 - use), calls_per_s=capacity_per_s)
+        utilization = min(MAX_UTILIZATION, self._recent_setups(now) / capacity_per_s)
+        return ProcessorLoad(
+            queue_delay_s=HALF_USE_DELAY_S * utilization / (1 - utilization), calls_per_s=capacity_per_s
+        )
 
     def admit(self, now: float) -> bool:
-        """Count a set-up, and return whether it is taken."""
-        self._setups.append(now)
-        return self._recent(now) <= FULL_AT * self.present_capacity_per_s(now) + ALLOWANCE
-
-    def _recent(self, now: float) -> int:
-        while self._setups and self._setups[0] < now - WINDOW_S:
-            self._setups.popleft()
-        return len(self._setups)
+        """Count a set-up and return whether the server admits it; a rejected one counts as well."""
+        self._arrivals.append(now)
+        return (
+            self._recent_setups(now)
+            <= REJECTION_MULTIPLE * self.present_capacity_per_s(now) + BURST_ALLOWANCE
+        )
+
+    def _recent_setups(self, now: float) -> int:
+        while self._arrivals and self._arrivals[0] < now - WINDOW_S:
+            self._arrivals.popleft()
+        return len(self._arrivals)
--- a/stairhatch/soak/coordinator.py
+++ b/stairhatch/soak/coordinator.py
@@ -1,4 +1,4 @@
-"""An emulated coordinator of a trial, as one softswitch reaches it: it can be down, silent, slow, cut off."""
+"""Emulated coordinator for one softswitch of a trial; it can be made to fail in several ways."""
 
 from __future__ import annotations
 
@@ -10,39 +10,44 @@
 from stairhatch.emulators.ports import Address
 from stairhatch.soak.record import Kind, Record
 
-FOREVER_S = 3600.0
-OLD_CLOSES_AFTER_S = 1.5  # connections to an address that was left
-SLOW_ANSWER_S = (0.3, 2.5)
+FOREVER_S = 3600.0  # longer than any trial
+RETIRED_CLOSE_DELAY_S = 1.5  # after a move, until connections to the former address are closed
+SLOW_ANSWER_RANGE_S = (0.3, 2.5)  # the range of the additional delay of an answer under the failure "slow"
 
 
 class TrialCoordinator(CoordinatorEmulator):
-    """The endpoint list for one softswitch, which reaches the servers at ports of its own."""
+    """Coordinator with the endpoint list of one softswitch.
+
+    Each softswitch has its own list because it reaches the roster servers at its own set of ports.
+    """
 
     def __init__(self, softswitch: str, record: Record, rng: random.Random) -> None:
-        """Begin with no event, and as it should be."""
+        """Create a coordinator that works, with no events and no socket; `softswitch` is a name as `n0`."""
         super().__init__()
         self.softswitch = softswitch
-        self.failure = ""  # one of `DISCOVERY_KINDS`
+        self.failure = ""  # one of `DISCOVERY_KINDS` in schedule.py; empty while it works
         self._record, self._rng = record, rng
-        self._generation = 0  # of failures: a poll that came in one is not answered after it
-        self._writers: set[asyncio.StreamWriter] = set()
-        self._retired: set[asyncio.StreamWriter] = set()  # at an address that was left
+        # Incremented when a failure begins and when it ends. A poll during which it changed counts
+        # as unanswered if the coordinator is silent or down at the end of the poll.
+        self._generation = 0
+        self._writers: set[asyncio.StreamWriter] = set()  # of all open connections
+        self._retired: set[asyncio.StreamWriter] = set()  # of connections to a former address
 
     async def listen_at_any_port(self) -> TrialCoordinator:
-        """Begin to serve at a port of the system's choice."""
+        """Start to listen at a port that the system chooses; return this coordinator."""
         await self.listen()
         return self
 
-    def begin_anew(self, lines: list[dict[str, Any]]) -> None:
-        """Number events from 1 again, for a softswitch that starts: the first holds the whole list."""
+    def restart_numbering(self, lines: list[dict[str, Any]]) -> None:
+        """Restart the event numbers at 1 for a softswitch that starts; event 1 holds the whole list."""
         self.events.clear()
         self._cached_answers.clear()
         CoordinatorEmulator.publish(self, lines, reset=True)
 
-    # ---- its failures ----
+    # ---- failures of the coordinator ----
 
     def fail(self, kind: str) -> None:
-        """Fail from now on."""
+        """Start a failure of a kind in `DISCOVERY_KINDS`; "down" also closes all connections."""
         self.failure = kind
         self._generation += 1
         self._record.note(Kind.DISCOVERY_FAILED, softswitch=self.softswitch, detail=kind)
@@ -52,7 +57,7 @@
                 writer.transport.abort()
 
     async def recover(self) -> None:
-        """Answer again; a poll that came in a silence gets no answer."""
+        """End the failure. A poll that arrived during the failure "silent" stays unanswered."""
         was_down = self.failure == "down"
         self.failure = ""
         self._generation += 1
@@ -61,23 +66,23 @@
         self._record.note(Kind.DISCOVERY_RETURNED, softswitch=self.softswitch)
 
     async def move(self) -> Address:
-        """Serve at another address from now on; the old one tells nothing more. Returns the new one."""
+        """Listen at another address and return it; connections to the old address get no further answers."""
         old_server, old_writers = self._server, list(self._writers)
         await self.listen()
         if old_server is not None:
             old_server.close()
         self._retired.update(old_writers)
-        asyncio.get_running_loop().call_later(OLD_CLOSES_AFTER_S, self._end_retired, old_writers)
+        asyncio.get_running_loop().call_later(RETIRED_CLOSE_DELAY_S, self._abort_connections, old_writers)
         return self.address
 
-    def _end_retired(self, writers: list[asyncio.StreamWriter]) -> None:
+    def _abort_connections(self, writers: list[asyncio.StreamWriter]) -> None:
         for writer in writers:
             writer.transport.abort()
 
-    # ---- its list ----
+    # ---- the endpoint list ----
 
     def publish(self, lines: list[dict[str, Any]], reset: bool = False) -> int:
-        """Add a change of the list and answer all who wait for one."""
+        """Add a change of the list, answer all pending polls, and return the number of the event."""
         for line in lines:
             self._note(Kind.LIST_CHANGED, line)
         return super().publish(lines, reset)
@@ -94,7 +99,7 @@
         if self.failure == "silent" or writer in self._retired:
             await asyncio.sleep(FOREVER_S)
         if self.failure == "slow":
-            await asyncio.sleep(self._rng.uniform(*SLOW_ANSWER_S))
+            await asyncio.sleep(self._rng.uniform(*SLOW_ANSWER_RANGE_S))
         after = parse_poll_request(line).after
         if self.failure == "cut" and len(self.events) > after:
             answer = self.answer(after)
@@ -110,7 +115,7 @@
         self._note_notified(after)
 
     def answer(self, after: int) -> bytes:
-        """Return the answer to a poll; none in a silence that has begun since the poll came."""
+        """Return the answer to a poll; empty if the failure "silent" has begun since the poll arrived."""
         return b"" if self.failure == "silent" else super().answer(after)
 
     def _note_notified(self, after: int) -> None:
--- a/stairhatch/soak/deployment.py
+++ b/stairhatch/soak/deployment.py
@@ -1,7 +1,7 @@
-"""Draws a deployment from a seed: its classes, limits and servers, as the platform's settings have them.
+"""Draws the deployment of a trial: its call classes, limits and servers, and the softswitches' settings.
 
-Nothing is fitted to one site: deadlines, effects, lengths of calls, retry pauses and limits are drawn from
-ranges that the platform's pages allow.
+Deadlines, effects, call lengths, retry pauses and limits are drawn from the ranges that the platform's pages
+allow, so that trials are not fitted to the values of one site.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 from dataclasses import dataclass
 from typing import Any
 
-SIGKILL_DELAY_S = 0.7  # after the longest deadline
-LONGEST_KILL_DEADLINE_S = 3.0  # a longer deadline counts as this
+SIGKILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM by the longest deadline and this
+MAX_KILL_DEADLINE_S = 3.0  # longer deadlines count as this in the time between SIGTERM and SIGKILL
 EFFECTS = ("read_like", "idempotency_key", "non_idempotent")
-COLD_FROM, WARM_AFTER_S = 0.3, 10.0  # a server starts at this fraction of its capacity, and is warm then
-FALL_MULTIPLE, FALL_S = 2.5, 1.5  # more than this multiple of it in this time pushes a cold one over
+COLD_FRACTION, WARM_AFTER_S = 0.3, 10.0  # a server's capacity grows from this fraction to 1 in this time
+FALL_MULTIPLE, FALL_S = 2.5, 1.5  # a cold server fails above this multiple of its capacity in this time
 
 
 @dataclass(frozen=True, slots=True)
 class DrawnClass:
-    """One class of calls."""
+    """Call class of a deployment: its effect, times and servers."""
 
     name: str
-    effect: str
-    deadline_s: float
-    objective_s: float
-    call_length_s: float  # mean
-    pools: tuple[int, ...]  # numbers of the servers that it may go to
+    effect: str  # one of EFFECTS: whether a repeated set-up is harmless
+    deadline_s: float  # the longest caller timeout
+    objective_s: float  # the latency objective
+    call_length_s: float  # the mean length of an established call
+    pools: tuple[int, ...]  # numbers of the servers to which its calls may be sent
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the softswitches of one trial are configured with."""
+    """Deployment of one trial: the configuration of its softswitches and the capacity of its servers."""
 
     softswitches: int
     servers: int
@@ -47,31 +47,31 @@
     parallel_tries: bool
     zones: tuple[str, ...]
     tenants: int
-    calls_per_s: float  # to each softswitch
-    spare: float  # what all servers can take, as a multiple of the calls
+    calls_per_s: float  # the rate of calls to each softswitch
+    spare: float  # the capacity of all servers together, as a multiple of the rate of all calls
 
     @property
     def server_capacity_per_s(self) -> float:
-        """How many set-ups a second a warm server can take."""
+        """The capacity of one warm server, in set-ups per second."""
         return self.spare * self.calls_per_s * self.softswitches / self.servers
 
     def present_capacity_per_s(self, age_s: float) -> float:
-        """How many set-ups a second a server can take that started so long ago."""
-        warm = min(1.0, COLD_FROM + (1 - COLD_FROM) * age_s / WARM_AFTER_S)
-        return warm * self.server_capacity_per_s
+        """Return the capacity of a server `age_s` seconds after its start, in set-ups per second."""
+        capacity_fraction = min(1.0, COLD_FRACTION + (1 - COLD_FRACTION) * age_s / WARM_AFTER_S)
+        return capacity_fraction * self.server_capacity_per_s
 
     @property
     def kill_after_s(self) -> float:
-        """How long after SIGTERM the platform may send SIGKILL."""
+        """The time after SIGTERM at which the platform may send SIGKILL at the earliest."""
         longest_s = max(each.deadline_s for each in self.classes)
-        return min(longest_s, LONGEST_KILL_DEADLINE_S) + SIGKILL_DELAY_S
+        return min(longest_s, MAX_KILL_DEADLINE_S) + SIGKILL_DELAY_S
 
     def call_class(self, name: str) -> DrawnClass:
-        """Return the class of that name."""
+        """Return the call class of a name. Raises StopIteration if the deployment has none of that name."""
         return next(each for each in self.classes if each.name == name)
 
     def settings(self, index: int) -> dict[str, Any]:
-        """Return the settings of one softswitch, by its index."""
+        """Return the `settings` object in the configuration of the softswitch with an index."""
         return {
             "balancers": self.softswitches,
             "me": index,
@@ -103,17 +103,17 @@
                 "connect_timeout_s": self.connect_timeout_s,
             },
             "safety": {
-                "answer_slack_s": 0.02, "drain_grace_s": self.drain_grace_s, "cold_from": COLD_FROM,
+                "answer_slack_s": 0.02, "drain_grace_s": self.drain_grace_s, "cold_from": COLD_FRACTION,
                 "warm_after_s": WARM_AFTER_S, "fall_multiple": FALL_MULTIPLE, "fall_s": FALL_S,
             },
         }  # fmt: skip
 
 
 def draw_deployment(rng: random.Random) -> Deployment:
-    """Draw a deployment; the same state of the random source gives the same one."""
-    short = rng.random() < 0.3  # deadlines so short that SIGKILL comes soon after SIGTERM
+    """Draw a deployment; the same state of the random generator gives the same deployment."""
+    short_deadlines = rng.random() < 0.3  # with short deadlines SIGKILL follows SIGTERM soon
     servers = rng.randint(3, 6)
-    classes = tuple(_draw_class(rng, index, short, servers) for index in range(rng.randint(1, 3)))
+    classes = tuple(_draw_class(rng, index, short_deadlines, servers) for index in range(rng.randint(1, 3)))
     return Deployment(
         softswitches=rng.randint(3, 4),
         servers=servers,
@@ -134,8 +134,8 @@
     )
 
 
-def _draw_class(rng: random.Random, index: int, short: bool, servers: int) -> DrawnClass:
-    deadline_s = round(rng.uniform(0.4, 1.0) if short else rng.uniform(1.0, 9.0), 2)
+def _draw_class(rng: random.Random, index: int, short_deadlines: bool, servers: int) -> DrawnClass:
+    deadline_s = round(rng.uniform(0.4, 1.0) if short_deadlines else rng.uniform(1.0, 9.0), 2)
     return DrawnClass(
         name=f"class-{index}",
         effect=rng.choice(EFFECTS),
--- a/stairhatch/soak/errors.py
+++ b/stairhatch/soak/errors.py
@@ -1,7 +1,7 @@
-"""The errors of dense trials."""
+"""Exceptions of the dense trials."""
 
 from __future__ import annotations
 
 
 class TrialError(Exception):
-    """A trial that cannot be played: its seed, its schedule, a port or a process."""
+    """A trial cannot be run: the seed is out of range, or a port, a process or the harness itself failed."""
--- a/stairhatch/soak/injector.py
+++ b/stairhatch/soak/injector.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a trial's schedule, and counts how often each took effect."""
+"""Injects the faults of a trial's schedule and counts how often each kind of fault took effect."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from stairhatch.soak.softswitch import Softswitch
 from stairhatch.soak.world import TERMINATED, TERMINATING, Place, World
 
-BAD_CALLER_STAYS_S = 4.0
-RELOADS_WITHIN_S = 1.0
-SPOILT_LINE = b'{"verb":"LOAD","tag":"","opts":{"lo'
+BAD_CALLER_DURATION_S = 4.0  # a connection of a bad caller is closed after this time
+RELOAD_WINDOW_S = 1.0  # the reloads of one SettingsChange all happen within this time
+TRUNCATED_LINE = b'{"verb":"LOAD","tag":"","opts":{"lo'  # the beginning of a load report
 
 
 class InjectedTrial(Protocol):
-    """What the injector needs of a trial."""
+    """Protocol of the parts of a trial that the injector uses."""
 
     schedule: schedule.Schedule
     world: World
@@ -31,28 +31,32 @@
     record: Record
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a task of the trial."""
+        """Run a coroutine as a task that is cancelled when the trial ends."""
 
 
 class TrialInjector:
-    """Carries out actions, each by the method for its type."""
+    """Injector of the faults of one trial; each type of action has its own method.
+
+    A method returns whether its fault took effect. It returns False if, for example, the server to fail has
+    already failed.
+    """
 
     def __init__(self, trial: InjectedTrial) -> None:
-        """Inject into the parts of one trial."""
+        """Create the injector of a trial; its random choices depend only on the seed of the schedule."""
         self._trial = trial
         self._world = trial.world
         self._rng = random.Random(f"inject {trial.schedule.seed}")
 
     def inject(self, action: schedule.Action) -> None:
-        """Carry out an action. One that cannot take effect now is not counted."""
+        """Inject the fault of an action and count it in the record if it took effect."""
         handlers: dict[type[schedule.Action], Callable[[Any], bool]] = {
-            schedule.ServerVanishes: self._vanish,
-            schedule.ServerDies: self._die,
-            schedule.ServerHangs: self._hang,
-            schedule.LinkCut: self._cut,
+            schedule.ServerVanishes: self._lose_server,
+            schedule.ServerDies: self._kill_server,
+            schedule.ServerHangs: self._hang_server,
+            schedule.LinkCut: self._cut_link,
             schedule.DialsLate: self._delay_dials,
-            schedule.ConnectionsReset: self._reset,
-            schedule.AnswersSpoilt: self._spoil,
+            schedule.ConnectionsReset: self._reset_connections,
+            schedule.AnswersSpoilt: self._spoil_answers,
             schedule.ServerDrains: self._drain_server,
             schedule.DiscoveryFails: self._fail_discovery,
         }
@@ -73,24 +77,24 @@
                     self._trial.callers.place(action.softswitch, softswitch.takes_connections)
             case schedule.BadCallers():
                 for _ in range(action.connections):
-                    self._trial.spawn(self._bad_caller(action.softswitch))
+                    self._trial.spawn(self._run_bad_caller(action.softswitch))
         return True
 
     def _later(self, delay_s: float, step: Callable[..., object], *arguments: object) -> None:
         asyncio.get_running_loop().call_later(delay_s, step, *arguments)
 
-    # ---- roster servers ----
+    # ---- faults of roster servers ----
 
-    def _place(self, number: int) -> Place | None:
-        """Return the place of a number if its server may fail now; it is busy from now on."""
+    def _reserve_place(self, number: int) -> Place | None:
+        """Mark a place as busy with a failure and return it; return None if it may not fail now."""
         place = self._world.places[number]
         if not self._world.may_fail(place):
             return None
         place.is_busy = True
         return place
 
-    def _vanish(self, action: schedule.ServerVanishes) -> bool:
-        place = self._place(action.server)
+    def _lose_server(self, action: schedule.ServerVanishes) -> bool:
+        place = self._reserve_place(action.server)
         if place is None:
             return False
         instance = place.server.instance
@@ -106,80 +110,80 @@
         self._world.replace(place, same_address)
         self._later(0.05, self._world.publish_start, place)
 
-    def _die(self, action: schedule.ServerDies) -> bool:
-        place = self._place(action.server)
+    def _kill_server(self, action: schedule.ServerDies) -> bool:
+        place = self._reserve_place(action.server)
         if place is None:
             return False
         for port in place.ports:
             port.refuse()
         place.server.die()
         self._later(action.restarts_after_s, self._world.restart, place)
-        listed_s = max(action.listed_after_s, action.restarts_after_s + 0.05)
-        self._later(listed_s, self._world.publish_start, place)
+        publish_after_s = max(action.listed_after_s, action.restarts_after_s + 0.05)
+        self._later(publish_after_s, self._world.publish_start, place)
         return True
 
-    def _hang(self, action: schedule.ServerHangs) -> bool:
-        place = self._place(action.server)
+    def _hang_server(self, action: schedule.ServerHangs) -> bool:
+        place = self._reserve_place(action.server)
         if place is None:
             return False
         place.server.hang()
-        self._later(action.for_s, self._run_again, place)
+        self._later(action.for_s, self._resume_server, place)
         return True
 
     @staticmethod
-    def _run_again(place: Place) -> None:
-        place.server.run_again()
+    def _resume_server(place: Place) -> None:
+        place.server.resume()
         place.is_busy = False
 
-    def _cut(self, action: schedule.LinkCut) -> bool:
-        place = self._place(action.server)
+    def _cut_link(self, action: schedule.LinkCut) -> bool:
+        place = self._reserve_place(action.server)
         if place is None:
             return False
-        every = range(self._trial.schedule.deployment.softswitches)
-        indices = every if action.softswitch is None else (action.softswitch,)
+        all_indices = range(self._trial.schedule.deployment.softswitches)
+        indices = all_indices if action.softswitch is None else (action.softswitch,)
         for index in indices:
             for link in place.server.links(index):
-                link.is_deaf = link.is_deaf or action.to_server
-                link.is_mute = link.is_mute or action.to_softswitch
+                link.loses_input = link.loses_input or action.to_server
+                link.loses_output = link.loses_output or action.to_softswitch
             place.ports[index].leave_unanswered()
-        self._later(action.for_s, self._heal, place, list(indices))
+        self._later(action.for_s, self._restore_ports, place, list(indices))
         return True
 
     @staticmethod
-    def _heal(place: Place, indices: list[int]) -> None:
+    def _restore_ports(place: Place, indices: list[int]) -> None:
         for index in indices:
             place.ports[index].accept()
         place.is_busy = False
 
     def _delay_dials(self, action: schedule.DialsLate) -> bool:
-        place = self._place(action.server)
+        place = self._reserve_place(action.server)
         if place is None:
             return False
         for port in place.ports:
             port.leave_unanswered()
-        self._later(action.for_s, self._heal, place, list(range(len(place.ports))))
+        self._later(action.for_s, self._restore_ports, place, list(range(len(place.ports))))
         return True
 
-    def _reset(self, action: schedule.ConnectionsReset) -> bool:
+    def _reset_connections(self, action: schedule.ConnectionsReset) -> bool:
         links: list[LinkConnection] = self._world.places[action.server].server.links()
-        working = [each for each in links if each.works()]
-        for link in working:
+        delivering_links = [each for each in links if each.delivers()]
+        for link in delivering_links:
             if action.how == "reset in a line":
-                link.write(SPOILT_LINE)
+                link.write(TRUNCATED_LINE)
             if action.how == "close":
                 link.transport.close()
             else:
                 link.reset()
-        return bool(working)
+        return bool(delivering_links)
 
-    def _spoil(self, action: schedule.AnswersSpoilt) -> bool:
+    def _spoil_answers(self, action: schedule.AnswersSpoilt) -> bool:
         server = self._world.places[action.server].server
         server.spoils = action.kind
         self._later(action.for_s, setattr, server, "spoils", "")
         return server.is_alive
 
     def _drain_server(self, action: schedule.ServerDrains) -> bool:
-        place = self._place(action.server)
+        place = self._reserve_place(action.server)
         if place is None:
             return False
         self._world.publish(place, TERMINATING)
@@ -187,7 +191,7 @@
         return True
 
     def _end_drained(self, place: Place) -> None:
-        """A server that was drained stops, with the calls that are left, and another starts."""
+        """Stop a drained server, which ends its remaining calls, and start another at a new address."""
         instance = place.server.instance
         for port in place.ports:
             port.refuse()
@@ -196,7 +200,7 @@
         self._world.replace(place, same_address=False)
         self._world.publish_start(place)
 
-    # ---- discovery ----
+    # ---- faults of the coordinators ----
 
     def _fail_discovery(self, action: schedule.DiscoveryFails) -> bool:
         coordinators = self._world.coordinators
@@ -204,15 +208,15 @@
             return False
         for coordinator in coordinators:
             coordinator.fail(action.kind)
-        self._trial.spawn(self._return_discovery(action.for_s))
+        self._trial.spawn(self._recover_discovery(action.for_s))
         return True
 
-    async def _return_discovery(self, after_s: float) -> None:
+    async def _recover_discovery(self, after_s: float) -> None:
         await asyncio.sleep(after_s)
         for coordinator in self._world.coordinators:
             await coordinator.recover()
 
-    # ---- softswitches ----
+    # ---- disturbances of softswitches ----
 
     def _restart(self, action: schedule.SoftswitchRestarts | schedule.SoftswitchKilled) -> bool:
         softswitch = self._trial.softswitches[action.softswitch]
@@ -220,14 +224,14 @@
             return False
         softswitch.is_serving = False
         if isinstance(action, schedule.SoftswitchKilled):
-            self._trial.spawn(softswitch.restart_after_kill(self._known(softswitch)))
+            self._trial.spawn(softswitch.restart_after_kill(self._known_events(softswitch)))
         else:
             kill_after_s = self._trial.schedule.deployment.kill_after_s
-            self._trial.spawn(softswitch.restart(self._known(softswitch), kill_after_s))
+            self._trial.spawn(softswitch.restart(self._known_events(softswitch), kill_after_s))
         return True
 
-    def _known(self, softswitch: Softswitch) -> Callable[[], dict[str, Any]]:
-        return lambda: self._world.known(softswitch.index)
+    def _known_events(self, softswitch: Softswitch) -> Callable[[], dict[str, Any]]:
+        return lambda: self._world.known_events(softswitch.index)
 
     async def _reload(self, action: schedule.SettingsChange) -> None:
         softswitch = self._trial.softswitches[action.softswitch]
@@ -236,7 +240,7 @@
                 each["importance"] = round(self._rng.uniform(0.5, 3.0), 2)
             if softswitch.is_serving:
                 softswitch.reload()
-            await asyncio.sleep(self._rng.uniform(0.0, RELOADS_WITHIN_S / action.times))
+            await asyncio.sleep(self._rng.uniform(0.0, RELOAD_WINDOW_S / action.times))
         coordinator = self._world.coordinators[action.softswitch]
         if action.moves_coordinator and softswitch.is_serving and not coordinator.failure:
             softswitch.coordinator = await coordinator.move()
@@ -261,17 +265,22 @@
         if (await softswitch.command("drain-off")).startswith("ok"):
             softswitch.is_serving = softswitch.takes_connections = True
 
-    # ---- bad callers ----
+    # ---- callers that break the protocol ----
+
+    async def _run_bad_caller(self, index: int) -> None:
+        """Connect to a softswitch, send noise, half a request, an oversized line or nothing, and wait.
 
-    async def _bad_caller(self, index: int) -> None:
-        """Connect, send what is no request, or nothing, and stay for a while."""
+        The connection ends when the softswitch closes it, or after BAD_CALLER_DURATION_S.
+        """
         softswitch = self._trial.softswitches[index]
         if not softswitch.takes_connections:
             return
-        half = sip.request("INVITE", "sip:x@net", [("call-id", "00"), ("cseq", "1 INVITE")])[:40]
-        data = self._rng.choice((b"", b"\x00\x01\x02 noise\r\n\r\n", half, b"INVITE " + b"x" * 20_000))
+        half_request = sip.request("INVITE", "sip:x@net", [("call-id", "00"), ("cseq", "1 INVITE")])[:40]
+        data = self._rng.choice(
+            (b"", b"\x00\x01\x02 noise\r\n\r\n", half_request, b"INVITE " + b"x" * 20_000)
+        )
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(BAD_CALLER_STAYS_S):
+            async with asyncio.timeout(BAD_CALLER_DURATION_S):
                 reader, writer = await asyncio.open_connection(*softswitch.address)
                 writer.write(data)
                 while await reader.read(4096):
--- a/stairhatch/soak/port.py
+++ b/stairhatch/soak/port.py
@@ -1,7 +1,7 @@
-"""A listening socket whose connections can be kept from coming up, as with a machine that is cut off.
+"""Listening TCP port that can leave connection attempts unanswered, as a machine without network does.
 
-Each softswitch reaches each emulated roster server at a port of its own, so that one way can be cut and the
-others not. A port outlives the server behind it: another may take its address.
+Each softswitch reaches each emulated roster server at a separate port, so that one link can be cut and
+the others not. A port outlives its server: a replacement server may take over the address.
 """
 
 from __future__ import annotations
@@ -13,13 +13,14 @@
 
 BACKLOG = 128
 HOST = "127.0.0.1"
-FILLERS = 3  # connects that fill a listener's queue of length 0, and one that proves it
+FILLER_COUNT = 3  # attempts that fill an accept queue of length 0, and one that proves it full
 
 
 def reserve_port(number: int = 0) -> socket.socket:
-    """Return a socket that is bound to a port and does not listen; without a number the system chooses.
+    """Return a socket that is bound to a port and does not listen; the system chooses the port for number 0.
 
-    While it is open nobody else gets the port, but for those who set SO_REUSEADDR and name it.
+    While the socket is open, only a socket with SO_REUSEADDR that names the port can bind to it. Raises
+    OSError if the port cannot be bound.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -28,17 +29,20 @@
 
 
 class Port:
-    """A port that accepts, refuses, or leaves connects unanswered."""
+    """TCP port that accepts connection attempts, refuses them, or leaves them unanswered."""
 
     def __init__(self, on_accept: Callable[[socket.socket], None]) -> None:
-        """Bind a port of the system's choice; `on_accept` is given each connection."""
+        """Bind and listen at a port that the system chooses; `on_accept` receives each accepted socket.
+
+        A running event loop is required. Connections are accepted only after `accept` is called.
+        """
         self.on_accept = on_accept
-        self._reservation = reserve_port()  # so that nobody else gets the port while it refuses
+        self._reservation = reserve_port()  # keeps the port from other processes while it refuses
         self.number: int = self._reservation.getsockname()[1]
         self.sock = self._listen(self.number)
         self._fillers: list[socket.socket] = []
         self._is_accepting = False
-        self._is_open = True
+        self._is_listening = True
         self._loop = asyncio.get_running_loop()
 
     @staticmethod
@@ -49,48 +53,48 @@
         return sock
 
     def accept(self) -> None:
-        """Accept connections from now on."""
-        if not self._is_open:
+        """Accept connections from now on, including attempts that were left unanswered so far."""
+        if not self._is_listening:
             self.sock = self._listen(self.number)
-            self._is_open = True
-        self._empty_queue()
+            self._is_listening = True
+        self._drain_accept_queue()
         if not self._is_accepting:
             self._loop.add_reader(self.sock, self._accept_ready)
             self._is_accepting = True
 
     def leave_unanswered(self) -> None:
-        """Let no connection come up from now on: the queue is full, and nobody takes from it."""
-        if not self._is_open:
+        """Leave connection attempts unanswered from now on: the accept queue is full and is not emptied."""
+        if not self._is_listening:
             self.sock = self._listen(self.number)
-            self._is_open = True
+            self._is_listening = True
         if self._fillers:
             return
         self._accept_ready()
         self._stop_accepting()
         self.sock.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(FILLER_COUNT):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((HOST, self.number))
             self._fillers.append(filler)
 
     def refuse(self) -> None:
-        """Refuse connections from now on."""
-        self._empty_queue()
+        """Refuse connections from now on; the port stays reserved."""
+        self._drain_accept_queue()
         self._stop_accepting()
-        if self._is_open:
+        if self._is_listening:
             self.sock.close()
-            self._is_open = False
+            self._is_listening = False
 
     def close(self) -> None:
-        """Give the port up."""
+        """Stop listening and release the port."""
         self.refuse()
         self._reservation.close()
 
-    def _empty_queue(self) -> None:
+    def _drain_accept_queue(self) -> None:
         if not self._fillers:
             return
-        ours = {each.getsockname() for each in self._fillers}
+        filler_addresses = {each.getsockname() for each in self._fillers}
         for each in self._fillers:
             each.close()
         self._fillers.clear()
@@ -98,7 +102,7 @@
         with contextlib.suppress(OSError):
             while True:
                 sock, peer = self.sock.accept()
-                if peer in ours:
+                if peer in filler_addresses:
                     sock.close()
                 else:
                     self.on_accept(sock)
--- a/stairhatch/soak/record.py
+++ b/stairhatch/soak/record.py
@@ -1,7 +1,7 @@
-"""What the emulators of a trial observed at their sockets, in the order in which it happened.
+"""Record of what the emulators of a trial observed at their sockets, in order of time.
 
-A record's times are seconds by the machine's monotonic clock. Names: `n0`, `n1`, ... are softswitches, a
-softswitch's process is named with its start, `n0#2`; servers go by their instance ids.
+Times are seconds by the machine's monotonic clock. Softswitches are named `n0`, `n1`, ...; a process of a
+softswitch is named with the number of its start, as `n0#2`; roster servers are named by their instance ids.
 """
 
 from __future__ import annotations
@@ -13,76 +13,77 @@
 
 
 class Kind(StrEnum):
-    """What was observed."""
+    """Kind of an observation; the values are written to the record's file."""
 
-    # at callers
-    SETUP_SENT = "set-up sent"  # whole, on a connection that was accepted
-    FINAL_ANSWER = "final answer"  # its status; `detail` is the description
-    CALLER_LEFT = "caller left"  # cancelled the set-up, or closed its connection
-    CALLER_HUNG_UP = "caller hung up"  # released an established call
-    CALLER_RELEASED = "caller was released"  # was told that its call is over
-    CONNECTION_ENDED = "connection ended"  # with this set-up unanswered; `detail`: who ended it
-    # at roster servers
+    # observed at the callers
+    SETUP_SENT = "set-up sent"  # the whole INVITE was written, on a connection that the softswitch accepted
+    FINAL_ANSWER = "final answer"  # `status`: of the final response; `detail`: its body if the status is 200
+    CALLER_LEFT = "caller left"  # the caller cancelled the set-up or closed its connection
+    CALLER_HUNG_UP = "caller hung up"  # the caller released an established call
+    CALLER_RELEASED = "caller was released"  # the softswitch released the call towards the caller
+    CONNECTION_ENDED = "connection ended"  # with an unanswered set-up; `detail`: "crossed" or its age in s
+    # observed at the roster servers
     SETUP_RECEIVED = "set-up received"
-    ESTABLISHED = "established"  # `detail` is the description
-    REJECTED = "rejected"  # the set-up never ran
-    FAILED = "failed"  # the server answered with an error
-    SETUP_LOST = "set-up lost"  # its connection or its server's process ended
-    LINK_ENDED = "link ended"  # the connection that its set-up came by, the call being established
-    GIVEN_UP = "given up"  # the softswitch gave the set-up up, or released the call
-    CALL_OVER = "call over"  # at the server; `detail`: why
-    RELEASE_SENT = "release sent"  # by the server, on a connection that works
-    STARTED_COLD = "started cold"  # a server's process has started, in service before or not
-    # of the endpoint list, by softswitch
-    LIST_CHANGED = "list changed"  # the coordinator holds it; `detail` is the lifecycle
-    LIST_NOTIFIED = "list notified"  # its answer was written whole
-    DISCOVERY_FAILED = "discovery failed"  # from now on its answers do not come, or not as they should
+    ESTABLISHED = "established"  # `detail`: the session description
+    REJECTED = "rejected"  # the server rejected the set-up without executing it
+    FAILED = "failed"  # the server answered the set-up with an error
+    SETUP_LOST = "set-up lost"  # the set-up's connection or the server's process ended before the answer
+    LINK_ENDED = "link ended"  # the connection on which the set-up of an established call arrived has ended
+    GIVEN_UP = "given up"  # the softswitch abandoned the set-up or released the call
+    CALL_OVER = "call over"  # an established call ended at the server; `detail`: the cause
+    RELEASE_SENT = "release sent"  # the server sent the release on a connection that delivers it
+    STARTED_COLD = "started cold"  # a server's process has started, whether it is listed as in service or not
+    # changes and failures of the endpoint list, one observation for each softswitch
+    LIST_CHANGED = "list changed"  # the coordinator holds the event; `detail`: the server's new lifecycle
+    LIST_NOTIFIED = "list notified"  # the answer with the event was written completely
+    DISCOVERY_FAILED = "discovery failed"  # answers are missing, late or incomplete from now on
     DISCOVERY_RETURNED = "discovery returned"
-    # of processes
+    # observed at the softswitch processes
     PROCESS_STARTED = "process started"
     PROCESS_READY = "process ready"
     TERMINATE_SENT = "SIGTERM sent"
     KILL_SENT = "SIGKILL sent"
-    PROCESS_ENDED = "process ended"  # its exit code
+    PROCESS_ENDED = "process ended"  # `status`: the exit code
     DRAIN_ON = "drain on"
     DRAIN_OFF = "drain off"
     LIMIT_EXCEEDED = "limit exceeded"
-    LOG_LINE = "log line"  # a line that says that the program is at fault
+    LOG_LINE = "log line"  # `detail`: a line of the log that reports a fault of the program
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """One thing that was observed."""
+    """Observation of one event, with the call, softswitch and server that it concerns."""
 
     at: float
     kind: Kind
     call: str = ""
-    softswitch: str = ""  # the process, as `n0#1`
+    softswitch: str = ""  # its process, as `n0#1`; for events of the endpoint list its name, as `n0`
     server: str = ""
     status: int = 0
     detail: str = ""
 
-    def line(self, since: float) -> str:
-        """Return it in a line for people, with its time since the trial's start."""
+    def line(self, started_at: float) -> str:
+        """Return the observation as one line of text, with the seconds since the trial's start."""
         parts = (self.softswitch, self.server, str(self.status or ""), self.detail[:60])
-        return f"{self.at - since:8.3f} {self.kind}: {' '.join(filter(None, parts))}"
+        return f"{self.at - started_at:8.3f} {self.kind}: {' '.join(filter(None, parts))}"
 
 
 @dataclass
 class Record:
-    """All observations of one trial, how often each fault took effect, and how late the harness was."""
+    """Record of one trial: its observations, its counts of faults, and how long the machine delayed it."""
 
     started_at: float = 0.0
     observations: list[Observation] = field(default_factory=list)
     activations: Counter[str] = field(default_factory=Counter)
-    stalled_s: float = 0.0  # the longest time for which the harness did not run
-    starved_s: float = 0.0  # for which the softswitch that waited most was ready to run, in all; no slack
+    stalled_s: float = 0.0  # the longest stall of the harness' event loop; extends the limits of the rules
+    starved_s: float = 0.0  # the longest total time for which one softswitch process waited for a processor
+    # `starved_s` is reported only: it does not extend the limits of the rules.
 
     def note(self, kind: Kind, call: str = "", **fields: str | int) -> None:
-        """Note what happens now."""
-        seen = Observation(time.monotonic(), kind, call, **fields)  # type: ignore[arg-type]
-        self.observations.append(seen)
+        """Append an observation with the present time; `fields` are the other fields of `Observation`."""
+        observation = Observation(time.monotonic(), kind, call, **fields)  # type: ignore[arg-type]
+        self.observations.append(observation)
 
     def of_call(self, call: str) -> list[Observation]:
-        """Return what was observed of one call."""
+        """Return the observations of one call, in order of time."""
         return [each for each in self.observations if each.call == call]
--- a/stairhatch/soak/roster_server.py
+++ b/stairhatch/soak/roster_server.py
@@ -1,7 +1,8 @@
-"""An emulated roster server of a trial: it holds calls, reports their ends, and fails as it is told to.
+"""Emulated roster server of a trial: it establishes calls, reports their ends, and fails on command.
 
-It serves each softswitch at a port of its own. What comes is recorded as it arrives at the socket, also where
-the server's process stands still; what is sent counts only on a connection that leads to the softswitch.
+The server has a separate port for each softswitch. A received line is recorded when it arrives at the socket,
+even while the server's process hangs. A release counts as sent only on a connection that delivers it to the
+softswitch.
 """
 
 from __future__ import annotations
@@ -25,70 +26,75 @@
 from stairhatch.soak.record import Kind, Record
 from stairhatch.soak.spoilt_answers import spoil
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets the connection
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 LOAD_REPORT_INTERVAL_S = 0.4
-RESENT_RELEASES_S = 30.0  # ends of calls are sent again on the next connection for so long
-NEVER_ANSWERED, REJECTED, FAILED, SLOW = 0.02, 0.05, 0.02, 0.08  # fractions of the set-ups
+RELEASE_RESEND_S = 30.0  # the releases of this last time are sent again on each new connection
+# Fractions of the set-ups; the others are established within 20 ms.
+UNANSWERED_FRACTION, REJECTED_FRACTION, FAILED_FRACTION, SLOW_FRACTION = 0.02, 0.05, 0.02, 0.08
 
 
 @dataclass(slots=True)
-class HeldCall:
-    """A set-up that came, or a call that is established."""
+class ServerCallState:
+    """State of a set-up that a server has received, or of the call established by it."""
 
     tag: str
     softswitch: int
-    connection: LinkConnection
+    connection: LinkConnection  # the connection on which the set-up arrived
     call_class: str
     is_established: bool = False
-    is_given_up: bool = False  # the softswitch has released it, though the server may not know yet
-    is_noted: bool = False  # that is in the record
+    is_released: bool = False  # the call is over: released by the softswitch, or ended by the server itself
+    is_release_noted: bool = False  # the release by the softswitch is in the record
 
 
 class LinkConnection(ServerEmulatorConnection):
-    """One softswitch's connection, which may be dead in one direction or both and stay open."""
+    """Connection of one softswitch; it can lose all data in one direction or both while it stays open."""
 
     server: RosterServer
 
     def __init__(self, server: RosterServer, softswitch: int) -> None:
-        """Serve a connection that is about to come up."""
+        """Create the protocol of a connection that is being established; `softswitch` is an index."""
         super().__init__(server)
         self.softswitch = softswitch
-        self.is_deaf = False  # what comes is lost
-        self.is_mute = False  # what is sent is lost
+        self.loses_input = False  # data from the softswitch is lost
+        self.loses_output = False  # data to the softswitch is lost
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report the load, and the ends of calls that may have been lost with connections before."""
+        """Report the load, and send the releases again that may have been lost with earlier connections."""
         self.process = self.server.identify(self.softswitch)
         super().connection_made(transport)
         self.server.resend_releases(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handle complete lines. What is lost on the way ends an attempt all the same, once it is written."""
-        if not self.is_deaf:
+        """Handle complete lines.
+
+        Data that is lost on the link is only searched for releases: for the rules, an attempt ends when the
+        softswitch has written its release, even if the server never receives it.
+        """
+        if not self.loses_input:
             super().data_received(data)
             return
         for line in data.split(b"\n"):
             with contextlib.suppress(ValueError):
-                self.server.release_lost_on_the_way(json.loads(line))
+                self.server.note_lost_release(json.loads(line))
 
     def send(self, message: Message) -> None:
-        """Send a line, unless it is lost on the way or the server's process stands still."""
+        """Send a line, unless the link loses it; while the server's process hangs, the line is deferred."""
         if self.server.is_hung:
             self.server.when_running(partial(self.send, message))
-        elif not (self.closed or self.is_mute):
+        elif not (self.closed or self.loses_output):
             super().send(message)
 
-    def works(self) -> bool:
-        """Whether what is sent here reaches the softswitch."""
-        return not (self.closed or self.is_mute or self.server.is_hung)
+    def delivers(self) -> bool:
+        """Return whether data sent on this connection now reaches the softswitch."""
+        return not (self.closed or self.loses_output or self.server.is_hung)
 
     def write(self, data: bytes) -> None:
-        """Write bytes that may be no complete line."""
-        if self.works():
+        """Write raw bytes, which need not be a complete line, if the connection delivers them."""
+        if self.delivers():
             self.transport.write(data)
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """End the connection with a TCP reset."""
         sock = self.transport.get_extra_info("socket")
         if sock is not None and not self.closed:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -97,36 +103,36 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialContext:
-    """What the servers of one trial share."""
+    """Context that all roster servers of one trial share."""
 
     deployment: Deployment
     record: Record
     rng: random.Random
-    identify: Callable[[int], str]  # names the process of a softswitch
+    identify: Callable[[int], str]  # maps a softswitch's index to the name of its current process
 
 
 class RosterServer(ServerEmulator):
-    """One roster server."""
+    """Roster server of a trial, with its connections, its calls and its present failure."""
 
     def __init__(self, instance: str, number: int, context: TrialContext) -> None:
-        """Begin without connections."""
+        """Create a server without connections; `instance` is its instance id, `number` that of its place."""
         super().__init__(load_report_interval_s=LOAD_REPORT_INTERVAL_S, lines=10_000)
         self.instance, self.number = instance, number
         self.identify = context.identify
         self.is_hung = False
         self.is_alive = True
-        self.spoils = ""  # how answers are spoilt just now
+        self.spoils = ""  # how answers are spoilt at present, one of `SPOILT_KINDS`; empty: not at all
         self.capacity = CapacityMeter(context.deployment)
-        self.held: dict[str, HeldCall] = {}
+        self.trial_calls: dict[str, ServerCallState] = {}  # by tag
         self._tasks: set[asyncio.Task[Any]] = set()
         self._deployment, self._record, self._rng = context.deployment, context.record, context.rng
-        self._ended: list[tuple[float, HeldCall]] = []  # when each call ended here
-        self._deferred: list[Callable[[], None]] = []  # while the process stands still
+        self._released_calls: list[tuple[float, ServerCallState]] = []  # with the time of release
+        self._deferred: list[Callable[[], None]] = []  # steps to be executed when the process no longer hangs
 
     # ---- connections ----
 
     def accept(self, softswitch: int, sock: socket.socket) -> None:
-        """Serve a connection of a softswitch."""
+        """Serve an accepted connection of the softswitch with an index."""
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
         self._tasks.add(
@@ -137,7 +143,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def links(self, softswitch: int | None = None) -> list[LinkConnection]:
-        """Return the open connections, of one softswitch or of all; the last that came comes last."""
+        """Return the open connections of one softswitch, or of all (None), the oldest first."""
         return [
             each
             for each in self.connections
@@ -145,170 +151,173 @@
         ]
 
     def connection_lost(self, connection: ServerEmulatorConnection) -> None:
-        """Give up the set-ups that were pending on it. What is established belongs to no connection."""
+        """Drop the set-ups that were pending on a connection; established calls outlive their connection."""
         self.connections.pop(connection, None)
-        for call in [each for each in self.held.values() if each.connection is connection]:
+        for call in [each for each in self.trial_calls.values() if each.connection is connection]:
             if call.is_established:
                 self._note(Kind.LINK_ENDED, call)
             else:
-                del self.held[call.tag]
+                del self.trial_calls[call.tag]
                 self._note(Kind.SETUP_LOST, call, detail="its connection ended")
 
     def start_cold(self) -> None:
-        """Its process has started just now: it takes less at first."""
+        """Record that the server's process has just started and restart the growth of its capacity."""
         self.capacity.started_at = self.timers.time()
         self._record.note(Kind.STARTED_COLD, server=self.instance)
 
     def processor_load(self) -> ProcessorLoad:
-        """Return what it reports: what it can take now, and a wait that grows with its use."""
+        """Return the load that the server reports: its present capacity and the queue delay at its use."""
         return self.capacity.load(self.timers.time())
 
-    # ---- what comes ----
+    # ---- receiving lines ----
 
     def message_received(self, connection: ServerEmulatorConnection, message: Message) -> None:
-        """Record a line as it arrives, and handle it once the process runs."""
+        """Record a set-up or a release on arrival, and handle it as soon as the process does not hang."""
         assert isinstance(connection, LinkConnection)
         tag = str(message.get("tag", ""))
         if message["verb"] == "START":
             call_class = str(message["opts"].get("class", ""))
-            call = self.held[tag] = HeldCall(tag, connection.softswitch, connection, call_class)
+            call = self.trial_calls[tag] = ServerCallState(tag, connection.softswitch, connection, call_class)
             self._note(Kind.SETUP_RECEIVED, call)
             self.when_running(partial(self._setup_received_while_running, call, message))
         elif message["verb"] == "FINISH":
-            if (held := self.held.get(tag)) is not None:
-                held.is_given_up = True
-                self._note_given_up(held)
-            self.when_running(partial(self.held.pop, tag, None))
-
-    def release_lost_on_the_way(self, message: Message) -> None:
-        """A line was written that does not arrive: the server goes on with the call."""
-        if message.get("verb") == "FINISH" and (held := self.held.get(message.get("tag", ""))) is not None:
-            self._note_given_up(held)
-
-    def _note_given_up(self, call: HeldCall) -> None:
-        if not call.is_noted:
-            call.is_noted = True
+            if (released := self.trial_calls.get(tag)) is not None:
+                released.is_released = True
+                self._note_released(released)
+            self.when_running(partial(self.trial_calls.pop, tag, None))
+
+    def note_lost_release(self, message: Message) -> None:
+        """Record a release that the softswitch wrote and the link lost; the server continues the call."""
+        if (
+            message.get("verb") == "FINISH"
+            and (call := self.trial_calls.get(message.get("tag", ""))) is not None
+        ):
+            self._note_released(call)
+
+    def _note_released(self, call: ServerCallState) -> None:
+        if not call.is_release_noted:
+            call.is_release_noted = True
             self._note(Kind.GIVEN_UP, call)
 
     def when_running(self, step: Callable[[], Any]) -> None:
-        """Do something now, or once the process runs again."""
+        """Execute a step now, or when the process no longer hangs; a process that has ended drops it."""
         if self.is_hung:
             self._deferred.append(step)
         elif self.is_alive:
             step()
 
-    def _setup_received_while_running(self, call: HeldCall, message: Message) -> None:
-        """Choose what becomes of a set-up."""
-        if self.held.get(call.tag) is not call or call.is_given_up:
+    def _setup_received_while_running(self, call: ServerCallState, message: Message) -> None:
+        """Draw the outcome of a set-up: rejected, failed, never answered, or established early or late."""
+        if self.trial_calls.get(call.tag) is not call or call.is_released:
             return
         if not self.capacity.admit(self.timers.time()):
             self._refuse(call, ReleaseCause.NO_CIRCUIT_AVAILABLE)
             return
-        chance = self._rng.random()
+        draw = self._rng.random()
         delay_s = self._rng.uniform(0.001, 0.02)
-        if chance < NEVER_ANSWERED:
+        if draw < UNANSWERED_FRACTION:
             return
-        if chance < NEVER_ANSWERED + REJECTED:
+        if draw < UNANSWERED_FRACTION + REJECTED_FRACTION:
             self._later(delay_s, self._refuse, call, ReleaseCause.NO_CIRCUIT_AVAILABLE)
             return
-        if chance < NEVER_ANSWERED + REJECTED + FAILED:
+        if draw < UNANSWERED_FRACTION + REJECTED_FRACTION + FAILED_FRACTION:
             self._later(delay_s, self._refuse, call, ReleaseCause.RESOURCE_UNAVAILABLE)
             return
-        if chance < NEVER_ANSWERED + REJECTED + FAILED + SLOW:
+        if draw < UNANSWERED_FRACTION + REJECTED_FRACTION + FAILED_FRACTION + SLOW_FRACTION:
             delay_s = self._rng.uniform(0.1, 1.2)
         self._later(delay_s, self._establish, call, f"v=0 {self.instance} {message.get('blob', '')}")
 
     def _later(self, delay_s: float, step: Callable[..., None], *arguments: Any) -> None:
         self.timers.call_later(delay_s, self.when_running, partial(step, *arguments))
 
-    # ---- what it says ----
+    # ---- sending answers and releases ----
 
-    def _refuse(self, call: HeldCall, cause: ReleaseCause) -> None:
-        if self.held.get(call.tag) is not call or call.is_given_up:
+    def _refuse(self, call: ServerCallState, cause: ReleaseCause) -> None:
+        if self.trial_calls.get(call.tag) is not call or call.is_released:
             return
-        del self.held[call.tag]
+        del self.trial_calls[call.tag]
         is_rejected = cause is ReleaseCause.NO_CIRCUIT_AVAILABLE
         self._note(Kind.REJECTED if is_rejected else Kind.FAILED, call)
-        note = {"note": "overload"} if is_rejected else {}
-        call.connection.send({"verb": "FINISH", "tag": call.tag, "opts": note, "rc": int(cause)})
+        options = {"note": "overload"} if is_rejected else {}
+        call.connection.send({"verb": "FINISH", "tag": call.tag, "opts": options, "rc": int(cause)})
 
-    def _establish(self, call: HeldCall, description: str) -> None:
-        if self.held.get(call.tag) is not call or call.is_given_up:
+    def _establish(self, call: ServerCallState, session_description: str) -> None:
+        if self.trial_calls.get(call.tag) is not call or call.is_released:
             return
         call.is_established = True
-        self._note(Kind.ESTABLISHED, call, detail=description)
+        self._note(Kind.ESTABLISHED, call, detail=session_description)
         length_s = self._rng.expovariate(1 / self._deployment.call_class(call.call_class).call_length_s)
         self.timers.call_later(length_s, self._end_call, call)
-        answer = {"verb": "STARTED", "tag": call.tag, "opts": {}, "blob": description}
+        answer = {"verb": "STARTED", "tag": call.tag, "opts": {}, "blob": session_description}
         if self.spoils and self._rng.random() < 0.5:
             self._record.activations["spoilt answer"] += 1
             spoil(self.spoils, call.connection, answer, self._later)
         else:
             call.connection.send(answer)
 
-    def _end_call(self, call: HeldCall) -> None:
-        """A call has run its course, whether its server's process runs or not."""
-        if self.held.get(call.tag) is not call or call.is_given_up or not self.is_alive:
+    def _end_call(self, call: ServerCallState) -> None:
+        """End an established call; the release is deferred while the server's process hangs."""
+        if self.trial_calls.get(call.tag) is not call or call.is_released or not self.is_alive:
             return
         self._note(Kind.CALL_OVER, call, detail="ended")
-        call.is_given_up = True
+        call.is_released = True
         self.when_running(partial(self._send_release, call))
 
-    def _send_release(self, call: HeldCall) -> None:
-        self.held.pop(call.tag, None)
-        self._ended.append((self.timers.time(), call))
+    def _send_release(self, call: ServerCallState) -> None:
+        self.trial_calls.pop(call.tag, None)
+        self._released_calls.append((self.timers.time(), call))
         links = self.links(call.softswitch)
-        own = [each for each in links if each is call.connection]
-        if link := next(iter(own or links[::-1]), None):
+        own_links = [each for each in links if each is call.connection]
+        if link := next(iter(own_links or links[::-1]), None):
             self._release_on(link, call)
 
-    def _release_on(self, link: LinkConnection, call: HeldCall) -> None:
+    def _release_on(self, link: LinkConnection, call: ServerCallState) -> None:
         link.send({"verb": "FINISH", "tag": call.tag, "opts": {}, "rc": int(ReleaseCause.NORMAL_CLEARING)})
-        if link.works():
+        if link.delivers():
             self._note(Kind.RELEASE_SENT, call)
 
     def resend_releases(self, link: LinkConnection) -> None:
-        """A connection was opened: the ends of calls are sent on it as well."""
-        since = self.timers.time() - RESENT_RELEASES_S
-        self._ended = [each for each in self._ended if each[0] >= since]
-        for _, call in self._ended:
+        """Send the releases of the last RELEASE_RESEND_S again on a connection that was just opened."""
+        oldest = self.timers.time() - RELEASE_RESEND_S
+        self._released_calls = [each for each in self._released_calls if each[0] >= oldest]
+        for _, call in self._released_calls:
             if call.softswitch == link.softswitch:
                 self.when_running(partial(self._release_on, link, call))
 
-    # ---- its failures ----
+    # ---- failures of the server ----
 
     def vanish(self) -> None:
-        """The machine is lost with its calls, and nobody is told."""
+        """Lose the machine with its calls; open connections stay silent, so no peer can notice."""
         self._lose_calls("vanished")
         for link in self.links():
-            link.is_deaf = link.is_mute = True
+            link.loses_input = link.loses_output = True
 
     def die(self) -> None:
-        """The process dies with its calls, and resets its connections."""
+        """End the process with its calls and reset its connections."""
         self._lose_calls("died")
         for link in self.links():
             link.reset()
 
     def hang(self) -> None:
-        """The process stands still."""
+        """Suspend the process: it keeps its connections and calls, and defers all work."""
         self.is_hung = True
 
-    def run_again(self) -> None:
-        """It goes on, with what has come in the meantime first."""
+    def resume(self) -> None:
+        """Resume the process; it first executes the deferred steps in their order."""
         self.is_hung = False
         deferred, self._deferred = self._deferred, []
         for step in deferred:
             self.when_running(step)
 
-    def _lose_calls(self, why: str) -> None:
+    def _lose_calls(self, cause: str) -> None:
         self.is_alive = False
-        lost, self.held = list(self.held.values()), {}
+        lost, self.trial_calls = list(self.trial_calls.values()), {}
         for call in lost:
             if not call.is_established:
-                self._note(Kind.SETUP_LOST, call, detail=why)
-            elif not call.is_given_up:
-                self._note(Kind.CALL_OVER, call, detail=why)
+                self._note(Kind.SETUP_LOST, call, detail=cause)
+            elif not call.is_released:
+                self._note(Kind.CALL_OVER, call, detail=cause)
 
-    def _note(self, kind: Kind, call: HeldCall, detail: str = "") -> None:
+    def _note(self, kind: Kind, call: ServerCallState, detail: str = "") -> None:
         process = call.connection.process
         self._record.note(kind, call.tag, softswitch=process, server=self.instance, detail=detail)
--- a/stairhatch/soak/softswitch.py
+++ b/stairhatch/soak/softswitch.py
@@ -1,4 +1,4 @@
-"""One softswitch of a trial as a process: started as the platform starts it, and sent its signals."""
+"""Runs the processes of one softswitch of a trial: starts and signals them as the platform does."""
 
 from __future__ import annotations
 
@@ -27,61 +27,64 @@
 ADMIN_TIMEOUT_S = 1.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MB = 1024 * 1024
-WAIT_FIELD = 1  # of schedstat, in nanoseconds
-FAULT_EVENTS = ("fault", "rule_violated")
+PROCESSOR_WAIT_FIELD = 1  # of /proc/PID/schedstat: the time spent waiting for a processor, in nanoseconds
+FAULT_EVENTS = ("fault", "rule_violated")  # log events that report a fault of the program
 TRACEBACK = "Traceback"
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 
 
-def _end_with_parent() -> None:
-    """Have the system kill this process when the one that started it ends, however that happens."""
+def _die_with_parent() -> None:
+    """Make the kernel kill this process when its parent ends, in whatever way the parent ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Softswitch:
-    """A softswitch's processes, one after the other, under one name and address."""
+    """Softswitch of a trial: its successive processes, which share one name, address and configuration."""
 
     def __init__(
         self, index: int, deployment: Deployment, record: Record, folder: Path, coordinator: Address
     ) -> None:
-        """Start nothing yet; `folder` gets its configuration and its log."""
+        """Reserve the ports of the softswitch and create `folder`, which gets its configuration and logs.
+
+        No process is started. Raises OSError if a port or the folder cannot be had.
+        """
         self.index = index
         self.name = f"n{index}"
         self.deployment = deployment
         self.record = record
         self.folder = folder
         self.coordinator = coordinator
-        self.known: dict[str, Any] = {}
+        self.known_events: dict[str, Any] = {}
         self.settings = deployment.settings(index)
-        self._reserved = [reserve_port() for _ in range(2)]  # so that nobody else gets them between starts
-        self.address: Address = self._reserved[0].getsockname()
-        self.admin: Address = self._reserved[1].getsockname()
-        self.starts = 0
+        self._reserved_ports = [reserve_port() for _ in range(2)]  # keeps the ports between two processes
+        self.address: Address = self._reserved_ports[0].getsockname()
+        self.admin: Address = self._reserved_ports[1].getsockname()
+        self.start_count = 0
         self.process: subprocess.Popen[bytes] | None = None
-        self.is_serving = False  # the front sends new connections here
-        self.takes_connections = False  # new connections still come
-        self.is_ending = False  # SIGTERM was sent
-        self.exit_code: int | None = None
+        self.is_serving = False  # the process is ready and neither drained nor being ended
+        self.takes_connections = False  # callers still open connections to it
+        self.is_ending = False  # SIGTERM or SIGKILL was sent to the process
+        self.exit_code: int | None = None  # of the process that has ended; None while it runs
         folder.mkdir(parents=True, exist_ok=True)
 
     @property
     def process_name(self) -> str:
-        """What its current process is called in the record."""
-        return f"{self.name}#{self.starts}"
+        """The name of the current process in the record, as `n0#2`."""
+        return f"{self.name}#{self.start_count}"
 
     @property
     def log_path(self) -> Path:
-        """The log of its current process."""
-        return self.folder / f"log-{self.starts}.txt"
+        """The path of the current process' log."""
+        return self.folder / f"log-{self.start_count}.txt"
 
-    # ---- its life ----
+    # ---- starting and ending processes ----
 
-    async def start(self, known: Callable[[], dict[str, Any]]) -> None:
-        """Start a process, which knows the events of the list by then, and wait until it serves.
+    async def start(self, known_events: Callable[[], dict[str, Any]]) -> None:
+        """Start a process and wait until it serves; `known` returns the list events for its configuration.
 
-        Raises TrialError where it ends before.
+        Raises TrialError if the process ends, or READY_TIMEOUT_S passes, before it serves.
         """
-        self.known = known()
+        self.known_events = known_events()
         self._launch()
         if await self._wait_until_serving():
             self.record.note(Kind.PROCESS_READY, softswitch=self.process_name)
@@ -90,7 +93,7 @@
         raise TrialError(f"{self.process_name} does not serve: {self.log_path.read_text()[-300:]}")
 
     def _launch(self) -> None:
-        self.starts += 1
+        self.start_count += 1
         self.is_ending = False
         self.exit_code = None
         self.write_config()
@@ -102,7 +105,7 @@
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "stairhatch"],
                 cwd=ROOT, env=environment, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                preexec_fn=_end_with_parent,
+                preexec_fn=_die_with_parent,
             )  # fmt: skip
         self.record.note(Kind.PROCESS_STARTED, softswitch=self.process_name)
 
@@ -114,20 +117,26 @@
             await asyncio.sleep(POLL_S)
         return False
 
-    async def restart(self, known: Callable[[], dict[str, Any]], kill_after_s: float) -> None:
-        """A planned restart: SIGTERM, SIGKILL `kill_after_s` later, and a new process."""
+    async def restart(self, known_events: Callable[[], dict[str, Any]], kill_after_s: float) -> None:
+        """Restart as planned: SIGTERM, SIGKILL if the process runs `kill_after_s` later, and a new process.
+
+        Raises TrialError if the new process does not serve.
+        """
         await self.terminate(kill_after_s)
-        await self.start(known)
+        await self.start(known_events)
 
     async def terminate(self, kill_after_s: float) -> None:
-        """Send SIGTERM, and SIGKILL if it still runs `kill_after_s` later."""
+        """End the process with SIGTERM, and with SIGKILL if it still runs `kill_after_s` seconds later.
+
+        Callers open no connections to it from 0.3 s after SIGTERM on.
+        """
         process = self.process
         assert process is not None
         self.is_serving = False
         self.is_ending = True
         self.record.note(Kind.TERMINATE_SENT, softswitch=self.process_name)
         process.send_signal(signal.SIGTERM)
-        asyncio.get_running_loop().call_later(0.3, self._close_door, process)
+        asyncio.get_running_loop().call_later(0.3, self._stop_connections, process)
         deadline = time.monotonic() + kill_after_s
         while process.poll() is None and time.monotonic() < deadline:
             await asyncio.sleep(POLL_S / 4)
@@ -135,12 +144,12 @@
             self.kill()
         self.note_end()
 
-    def _close_door(self, process: subprocess.Popen[bytes]) -> None:
+    def _stop_connections(self, process: subprocess.Popen[bytes]) -> None:
         if self.process is process:
             self.takes_connections = False
 
     def kill(self) -> None:
-        """Send SIGKILL."""
+        """Send SIGKILL and wait until the process has ended."""
         assert self.process is not None
         self.is_serving = self.takes_connections = False
         self.is_ending = True
@@ -148,15 +157,18 @@
         self.process.kill()
         self.process.wait()
 
-    async def restart_after_kill(self, known: Callable[[], dict[str, Any]]) -> None:
-        """Kill it without a warning, and start it again."""
+    async def restart_after_kill(self, known_events: Callable[[], dict[str, Any]]) -> None:
+        """Kill the process without SIGTERM and start a new one.
+
+        Raises TrialError if the new process does not serve.
+        """
         self.kill()
         assert self.process is not None
         self.note_end()
-        await self.start(known)
+        await self.start(known_events)
 
     def note_end(self) -> None:
-        """Record that its process has ended."""
+        """Wait for the end of the process and record its exit code and the faults in its log."""
         assert self.process is not None
         self.is_serving = self.takes_connections = False
         self.exit_code = self.process.wait()
@@ -164,30 +176,30 @@
         self.note_faults()
 
     def note_faults(self) -> None:
-        """Record what its log says of faults of the program itself."""
+        """Record each line of the process' log that reports a fault of the program, or a traceback."""
         for line in self.log_path.read_text(errors="replace").splitlines():
             words = line.split(" ", 2)
             if (len(words) > 1 and words[1] in FAULT_EVENTS) or line.startswith(TRACEBACK):
                 self.record.note(Kind.LOG_LINE, softswitch=self.process_name, detail=line)
 
-    # ---- while it runs ----
+    # ---- configuring and observing the running process ----
 
     @property
     def config_path(self) -> Path:
-        """Its configuration."""
+        """The path of the configuration file."""
         return self.folder / "config.json"
 
     def write_config(self) -> None:
-        """Replace its configuration."""
+        """Replace the configuration file atomically with the present settings."""
         text = json.dumps(
             {
                 "name": self.name, "listen": f"{self.address[0]}:{self.address[1]}",
-                "console": f"{self.admin[0]}:{self.admin[1]}", "seed": f"{self.index}{self.starts}",
+                "console": f"{self.admin[0]}:{self.admin[1]}", "seed": f"{self.index}{self.start_count}",
                 "limits": {
                     "cores": 1.0, "memory_mb": self.deployment.memory_mb, "sockets": self.deployment.sockets,
                 },
                 "coordinator": f"{self.coordinator[0]}:{self.coordinator[1]}",
-                "known": self.known, "settings": self.settings,
+                "known": self.known_events, "settings": self.settings,
             }
         )  # fmt: skip
         new = self.config_path.with_suffix(".new")
@@ -195,13 +207,13 @@
         new.replace(self.config_path)
 
     def reload(self) -> None:
-        """Replace its configuration and send SIGHUP."""
+        """Replace the configuration file and send SIGHUP; without a running process, do nothing."""
         if self.process is not None and self.process.poll() is None:
             self.write_config()
             self.process.send_signal(signal.SIGHUP)
 
     async def command(self, line: str) -> str:
-        """Return what the admin endpoint answers; "" where it does not."""
+        """Send a command to the admin endpoint and return the answer; "" if none comes in ADMIN_TIMEOUT_S."""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(ADMIN_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.admin)
@@ -212,7 +224,10 @@
         return ""
 
     def check_limits(self) -> None:
-        """Record where it holds more descriptors or memory than it may."""
+        """Record if the process has more open descriptors or resident memory than its limits allow.
+
+        The time that the process has waited for a processor is updated in the record as well.
+        """
         if self.process is None or self.process.poll() is not None:
             return
         folder = Path(f"/proc/{self.process.pid}")
@@ -226,17 +241,17 @@
                 self._note_limit(f"{resident_mb:.0f} MB of {self.deployment.memory_mb}")
 
     def _note_processor_wait(self, folder: Path) -> None:
-        """Note for how long its process was ready to run and did not, by the kernel's count."""
-        waited_ns = int((folder / "schedstat").read_text().split()[WAIT_FIELD])
+        """Update the record with the time for which the process was runnable without running (schedstat)."""
+        waited_ns = int((folder / "schedstat").read_text().split()[PROCESSOR_WAIT_FIELD])
         self.record.starved_s = max(self.record.starved_s, waited_ns / 1e9)
 
     def _note_limit(self, what: str) -> None:
         self.record.note(Kind.LIMIT_EXCEEDED, softswitch=self.process_name, detail=what)
 
     def end(self) -> None:
-        """End whatever still runs."""
+        """Kill the process if it still runs, and release the reserved ports."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
-        for sock in self._reserved:
+        for sock in self._reserved_ports:
             sock.close()
--- a/stairhatch/soak/trial.py
+++ b/stairhatch/soak/trial.py
@@ -1,7 +1,7 @@
-"""Plays one trial: starts everything, injects the faults of its schedule, and checks the rules at the end.
+"""Runs one trial: starts its processes and emulators, injects its faults, and checks the rules at the end.
 
-What it starts ends with it, whatever happens. A trial that cannot be played raises TrialError: it is never
-taken for a good one.
+All processes and sockets of a trial are closed when it ends, also after an error. A trial that cannot be run
+raises TrialError, so that it never counts as one that kept every rule.
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
 from stairhatch.soak.softswitch import Softswitch
 from stairhatch.soak.world import World
 
-LIMIT_CHECK_S = 0.25
-STEP_S = 0.01
+PROCESS_CHECK_INTERVAL_S = 0.25  # the interval between two checks of the processes
+INJECTION_INTERVAL_S = 0.01  # the interval between two checks for faults that are due
 
 
 @dataclass
 class TrialResult:
-    """What a trial showed."""
+    """Result of a trial: its record, the violations, and how often each rule could have been broken."""
 
     schedule: Schedule
     record: Record
     violations: list[Violation]
     cases: Counter[str] = field(default_factory=Counter)
 
-    def idle_faults(self) -> list[str]:
-        """Return the kinds of faults that were scheduled and never took effect."""
+    def ineffective_faults(self) -> list[str]:
+        """Return the sorted names of the kinds of faults that were scheduled and never took effect."""
         scheduled = {type(each.action).__name__ for each in self.schedule.actions}
         return sorted(scheduled - set(self.record.activations))
 
 
 class Trial:
-    """One trial; `folder` gets the configurations and logs of its processes."""
+    """Trial that can be run once; `folder` gets the configurations and logs of its processes."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
-        """Prepare; nothing is started yet."""
+        """Create the trial's record and emulated environment; no socket is opened and no process started."""
         self.schedule = schedule
         self.folder = folder
         self.record = Record()
@@ -65,18 +65,18 @@
     def _process_name(self, index: int) -> str:
         return self.softswitches[index].process_name
 
-    async def play(self) -> TrialResult:
-        """Play it to its end.
+    async def run(self) -> TrialResult:
+        """Run the trial to its end and return its result.
 
-        Raises TrialError where a process or a port cannot be had, or the harness itself fails.
+        Raises TrialError if a process or a port cannot be had, or if the harness itself fails.
         """
         stall = EventLoopStall()
         try:
             await self._open()
             self.spawn(stall.watch())
             self.spawn(self._watch_processes())
-            await self._run()
-            await asyncio.gather(*(self._end(each) for each in self.softswitches))
+            await self._run_schedule()
+            await asyncio.gather(*(self._terminate(each) for each in self.softswitches))
         except OSError as error:
             raise TrialError(f"seed {self.schedule.seed}: {error}") from error
         finally:
@@ -98,10 +98,10 @@
         self.callers = Callers(
             deployment, self.record, self._rng, self._process_name, lambda n: self.softswitches[n].address
         )
-        starts = [each.start(partial(self.world.known, each.index)) for each in self.softswitches]
+        starts = [each.start(partial(self.world.known_events, each.index)) for each in self.softswitches]
         await asyncio.gather(*starts)
 
-    async def _run(self) -> None:
+    async def _run_schedule(self) -> None:
         self.record.started_at = started_at = time.monotonic()
         injector = TrialInjector(self)
         upcoming = list(self.schedule.actions)
@@ -110,12 +110,15 @@
         while (elapsed_s := time.monotonic() - started_at) < self.schedule.duration_s:
             while upcoming and upcoming[0].at_s <= elapsed_s:
                 injector.inject(upcoming.pop(0).action)
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(INJECTION_INTERVAL_S)
         await asyncio.sleep(SETTLE_S)
 
-    async def _place_calls(self, softswitch: Softswitch, until: float) -> None:
-        """Place calls at random times; the front sends new connections only where they are taken."""
-        while time.monotonic() < until:
+    async def _place_calls(self, softswitch: Softswitch, end_at: float) -> None:
+        """Place calls to a softswitch at random (Poisson) times until a time of the monotonic clock.
+
+        New connections are opened only while the softswitch takes them, as the platform's frontend does it.
+        """
+        while time.monotonic() < end_at:
             await asyncio.sleep(self._rng.expovariate(self.schedule.deployment.calls_per_s))
             self.callers.place(softswitch.index, may_connect=softswitch.takes_connections)
 
@@ -127,14 +130,14 @@
                 crashed = process is not None and process.poll() is not None and not softswitch.is_ending
                 if crashed and softswitch.exit_code is None:
                     softswitch.note_end()
-            await asyncio.sleep(LIMIT_CHECK_S)
+            await asyncio.sleep(PROCESS_CHECK_INTERVAL_S)
 
-    async def _end(self, softswitch: Softswitch) -> None:
+    async def _terminate(self, softswitch: Softswitch) -> None:
         if softswitch.process is not None and softswitch.process.poll() is None and not softswitch.is_ending:
             await softswitch.terminate(self.schedule.deployment.kill_after_s)
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a task; a failure of it makes the trial one that was not played."""
+        """Run a coroutine as a task; if the task fails, the trial raises TrialError at its end."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._task_done)
--- a/stairhatch/soak/world.py
+++ b/stairhatch/soak/world.py
@@ -1,7 +1,7 @@
-"""The roster servers of a trial and what the coordinators list of them.
+"""Emulated environment of a trial: the roster servers, and the endpoint lists of the coordinators.
 
-A place is one of the servers' numbers. The server that has it may fail, be replaced, or come back; each
-softswitch reaches it at a port of its own and learns of it from a coordinator of its own.
+A server's number identifies its place. The server at a place can fail, restart, or be replaced by another
+one. Each softswitch reaches the place at a separate port and has a separate coordinator.
 """
 
 from __future__ import annotations
@@ -21,50 +21,54 @@
 
 @dataclass
 class Place:
-    """The server that has a number just now, and its port for each softswitch."""
+    """Place of a roster server: its number, the present server, and one port for each softswitch."""
 
     number: int
     server: RosterServer
     ports: list[Port]
-    generation: int = 1
-    is_busy: bool = False  # a failure is under way
-    started_ms: int = 0
+    generation: int = 1  # incremented with each replacement server
+    is_busy: bool = False  # a failure is in progress
+    started_ms: int = 0  # the start of the server's process in Unix time; 0 for the first one
 
 
 @dataclass
 class World:
-    """All places, and the coordinators by the index of their softswitch."""
+    """Environment of a trial: all places, and a coordinator for each softswitch, by its index."""
 
     context: TrialContext
     coordinators: list[TrialCoordinator] = field(default_factory=list)
     places: list[Place] = field(default_factory=list)
-    left_ports: list[Port] = field(default_factory=list)  # nobody listens there any more
-    listed: list[dict[str, dict[str, Any]]] = field(default_factory=list)  # lines, by softswitch and id
+    former_ports: list[Port] = field(default_factory=list)  # ports of former addresses, which refuse
+    # The lines of the endpoint list of each softswitch, by instance id.
+    listed_lines: list[dict[str, dict[str, Any]]] = field(default_factory=list)
 
     async def open(self) -> None:
-        """Open all ports and coordinators, and list all servers."""
+        """Start the coordinators and servers and put all servers on the endpoint lists.
+
+        Raises OSError if a port cannot be had.
+        """
         context = self.context
         for index in range(context.deployment.softswitches):
             coordinator = TrialCoordinator(f"n{index}", context.record, context.rng)
             self.coordinators.append(await coordinator.listen_at_any_port())
-            self.listed.append({})
+            self.listed_lines.append({})
         for number in range(context.deployment.servers):
             server = self._new_server(f"s-{number}", number)
             self.places.append(Place(number, server, self._new_ports(server)))
         for place in self.places:
-            self._note_line(place, IN_SERVICE)
+            self._update_lines(place, IN_SERVICE)
 
     def close(self) -> None:
-        """End everything."""
+        """Close all coordinators, connections and ports."""
         for coordinator in self.coordinators:
             coordinator.close()
         for place in self.places:
             place.server.is_alive = False
             place.server.abort_connections()
-        for port in [*self.left_ports, *(each for place in self.places for each in place.ports)]:
+        for port in [*self.former_ports, *(each for place in self.places for each in place.ports)]:
             port.close()
 
-    # ---- servers ----
+    # ---- starting and replacing servers ----
 
     def _new_server(self, instance: str, number: int) -> RosterServer:
         return RosterServer(instance, number, self.context)
@@ -76,23 +80,26 @@
         return ports
 
     def may_fail(self, place: Place) -> bool:
-        """Whether a server may fail now: it has not failed already, and others are left."""
+        """Return whether the server at a place may fail now.
+
+        It may if it is alive without a failure in progress, and at least one other place has none either.
+        """
         others = [each for each in self.places if each is not place and not each.is_busy]
         return not place.is_busy and place.server.is_alive and len(others) >= 1
 
     def restart(self, place: Place) -> None:
-        """Start the server's process again, under its id and at its address."""
-        self._occupy(place, place.server.instance)
+        """Start a new process of the server at a place, with the same instance id and address."""
+        self._start_at_same_address(place, place.server.instance)
 
     def replace(self, place: Place, same_address: bool) -> None:
-        """Start another machine, by a new id, at the same address or at another."""
+        """Start a replacement server with a new instance id, at the same address or at a new one."""
         place.generation += 1
         instance = f"s-{place.number}-{place.generation}"
         if same_address:
-            self._occupy(place, instance)
+            self._start_at_same_address(place, instance)
             return
         old_ports = place.ports
-        self.left_ports += old_ports
+        self.former_ports += old_ports
         place.server = self._new_server(instance, place.number)
         place.server.start_cold()
         place.ports = self._new_ports(place.server)
@@ -101,7 +108,7 @@
         for port in old_ports:
             port.refuse()
 
-    def _occupy(self, place: Place, instance: str) -> None:
+    def _start_at_same_address(self, place: Place, instance: str) -> None:
         place.server = self._new_server(instance, place.number)
         place.server.start_cold()
         place.started_ms = _now_ms()
@@ -113,33 +120,39 @@
     # ---- the endpoint list ----
 
     def publish(self, place: Place, lifecycle: str, instance: str = "") -> None:
-        """Publish what has become of the server of a place, or of one that had it before."""
-        for index, line in enumerate(self._note_line(place, lifecycle, instance)):
+        """Publish a lifecycle for the server at a place, or for the `instance` that was there before."""
+        for index, line in enumerate(self._update_lines(place, lifecycle, instance)):
             self.coordinators[index].publish([line])
 
     def publish_start(self, place: Place) -> None:
-        """Publish that the server of a place is in service, with its start."""
+        """Publish that the server at a place is in service, with the time of its start."""
         self.publish(place, IN_SERVICE)
 
-    def known(self, softswitch: int) -> dict[str, Any]:
-        """Begin the numbering of events anew for a process that starts; returns its known events."""
+    def known_events(self, softswitch: int) -> dict[str, Any]:
+        """Restart the event numbering of a softswitch's coordinator and return the `known` object.
+
+        That object is part of the configuration of a softswitch process that is about to start.
+        """
         coordinator = self.coordinators[softswitch]
-        coordinator.begin_anew(list(self.listed[softswitch].values()))
+        coordinator.restart_numbering(list(self.listed_lines[softswitch].values()))
         return {"index": len(coordinator.events), "updates": list(coordinator.events)}
 
-    def _note_line(self, place: Place, lifecycle: str, instance: str = "") -> list[dict[str, Any]]:
-        """Return the line of a server for each softswitch, which its list has from now on."""
-        name = instance or place.server.instance
+    def _update_lines(self, place: Place, lifecycle: str, instance: str = "") -> list[dict[str, Any]]:
+        """Update a server's line on every softswitch's list and return the lines, by softswitch index.
+
+        A terminated server's line is removed from the lists and still returned.
+        """
+        listed_name = instance or place.server.instance
         lines = []
-        for index, listed in enumerate(self.listed):
+        for index, listed_lines in enumerate(self.listed_lines):
             address = (HOST, place.ports[index].number)
-            line = {**endpoint_line(name, address, place.number, lifecycle, place.started_ms)}
-            if instance:  # it is known already: the list says only what has become of it
-                line = {**listed.get(name, line), "lifecycle": lifecycle}
+            line = {**endpoint_line(listed_name, address, place.number, lifecycle, place.started_ms)}
+            if instance:  # a listed server keeps its line, only the lifecycle changes
+                line = {**listed_lines.get(listed_name, line), "lifecycle": lifecycle}
             lines.append(line)
-            listed[name] = line
+            listed_lines[listed_name] = line
             if lifecycle == TERMINATED:
-                del listed[name]
+                del listed_lines[listed_name]
         return lines
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Dense trials: schedules from seeds, ports that do not answer, and one short trial from end to end."""
+"""Dense trials: the drawing of schedules, the ports that can fail, and one short trial from end to end."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from stairhatch.soak.batch import TrialRequest, play
+from stairhatch.soak.batch import TrialRequest, run_trial
 from stairhatch.soak.errors import TrialError
 from stairhatch.soak.port import Port
 from stairhatch.soak.rules import RuleChecker
@@ -21,35 +21,35 @@
 from .support.paths import ROOT
 
 
-def test_a_seed_draws_the_same_schedule_again_and_others_another():
-    """A trial that broke a rule can be played again."""
+def test_the_same_seed_draws_the_same_schedule_and_another_seed_a_different_one():
+    """A trial that broke a rule must be repeatable from its seed."""
     assert draw_schedule(7).to_json_dict() == draw_schedule(7).to_json_dict()
     assert draw_schedule(7).to_json_dict() != draw_schedule(8).to_json_dict()
 
 
-def test_schedules_of_many_seeds_hold_every_fault_and_both_short_and_long_deadlines():
-    """What is never drawn is never tried."""
+def test_schedules_of_many_seeds_contain_every_fault_effect_and_kind_of_deadline():
+    """A kind of fault that no seed draws would never be tested."""
     schedules = [draw_schedule(seed) for seed in range(60)]
-    kinds = {type(each.action).__name__ for schedule in schedules for each in schedule.actions}
-    assert len(kinds) == 15
+    fault_kinds = {type(each.action).__name__ for schedule in schedules for each in schedule.actions}
+    assert len(fault_kinds) == 15
     assert {each.deployment.kill_after_s - 0.6 < 1.1 for each in schedules} == {True, False}
     effects = {each.effect for schedule in schedules for each in schedule.deployment.classes}
     assert len(effects) == 3
 
 
 @pytest.mark.parametrize("words", [["trial", "-1"], ["batch", "9-3"], ["trial", "x"]])
-def test_a_seed_that_cannot_be_played_ends_with_a_message_and_code_2(words):
-    """Bad input is told, and no trial."""
+def test_an_unusable_seed_ends_the_command_with_an_error_and_exit_code_2(words):
+    """An unusable seed is an error of the command line, not a failed trial."""
     command = [sys.executable, "-m", "stairhatch", "soak", *words]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    assert ended.returncode == 2
-    assert ended.stderr.strip()
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    assert completed.returncode == 2
+    assert completed.stderr.strip()
 
 
 def test_a_port_leaves_connects_unanswered_refuses_them_and_accepts_again():
-    """The faults of trials rest on it: a vanished machine, a dead process, and their return."""
+    """Trials emulate a lost machine, a crashed process and their return with these states of a port."""
 
-    async def connects(port: Port, within_s: float) -> str:
+    async def connect_result(port: Port, within_s: float) -> str:
         try:
             _, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", port.number), within_s)
         except TimeoutError:
@@ -63,26 +63,28 @@
         accepted: list[socket.socket] = []
         port = Port(accepted.append)
         port.accept()
-        found = [await connects(port, 5.0)]
+        results = [await connect_result(port, 5.0)]
         port.leave_unanswered()
-        found.append(await connects(port, 0.3))
+        results.append(await connect_result(port, 0.3))
         port.accept()
-        found.append(await connects(port, 5.0))
+        results.append(await connect_result(port, 5.0))
         port.refuse()
-        found.append(await connects(port, 5.0))
+        results.append(await connect_result(port, 5.0))
         port.accept()
-        found.append(await connects(port, 5.0))
+        results.append(await connect_result(port, 5.0))
         port.close()
         for each in accepted:
             each.close()
-        return found
+        return results
 
     assert uvloop.run(scenario()) == ["up", "unanswered", "up", "refused", "up"]
 
 
-def test_nobody_else_gets_a_port_while_it_refuses():
-    """Another trial's server once got a dead server's port. Nobody has connected to this one: a connection
-    that has just ended would keep the port from others by itself.
+def test_no_other_socket_can_bind_a_port_while_it_refuses():
+    """Guards against a port that another trial's server takes while its own server is down, which happened.
+
+    The test connects to the port at no time: a connection that has just ended would itself keep the port from
+    other sockets and hide the fault.
     """
 
     async def scenario() -> None:
@@ -95,21 +97,23 @@
     uvloop.run(scenario())
 
 
-def test_a_trial_without_a_process_that_serves_is_not_run(monkeypatch):
-    """What could not be played is never taken for good."""
-    monkeypatch.setattr("stairhatch.soak.softswitch.Softswitch._wait_until_serving", never)
-    summary = play(TrialRequest(3))
+def test_a_trial_whose_softswitches_do_not_start_counts_as_not_run(monkeypatch):
+    """A trial that could not be run must not count as one that kept every rule."""
+    monkeypatch.setattr("stairhatch.soak.softswitch.Softswitch._wait_until_serving", never_serves)
+    summary = run_trial(TrialRequest(3))
     assert "does not serve" in summary.error
     assert summary.line().startswith("seed 3: NOT RUN")
 
 
-async def never(_softswitch) -> bool:
+async def never_serves(_softswitch) -> bool:
     return False
 
 
 def test_a_short_trial_with_a_vanished_server_keeps_every_rule(tmp_path):
-    """The harness, the program and the rules from end to end: a server vanishes for good, is listed as gone
-    far too late, and every caller is told. The fault took effect.
+    """Runs harness, softswitches and rule checks from end to end.
+
+    A server's machine is lost for good and leaves the endpoint list far too late; the softswitches must still
+    release all its calls towards their callers. The fault must have taken effect on established calls.
     """
     drawn = draw_schedule(5)
     deployment = replace(
@@ -121,17 +125,18 @@
     )
     vanish = TimedAction(2.0, ServerVanishes(0, None, same_address=False, listed_after_s=12.0))
     schedule = replace(drawn, deployment=deployment, duration_s=5.0, actions=(vanish,))
-    result = uvloop.run(Trial(schedule, tmp_path).play())
+    result = uvloop.run(Trial(schedule, tmp_path).run())
     assert not violations_of(result)
     assert result.record.activations["ServerVanishes"] == 1
-    assert not result.idle_faults()
-    over = [each for each in result.record.observations if each.detail == "vanished"]
-    assert over, "calls were established at the server"
+    assert not result.ineffective_faults()
+    lost_calls = [each for each in result.record.observations if each.detail == "vanished"]
+    assert lost_calls, "calls were established at the server"
 
 
 def violations_of(result: TrialResult) -> list[str]:
-    """The violations that are not explained by the time for which a softswitch waited for a processor: a busy
-    machine must not change a verdict.
+    """Return the violations with the limits extended by the time a softswitch waited for a processor.
+
+    A busy machine must not change the verdict.
     """
     record = result.record
     record.stalled_s += record.starved_s
@@ -139,6 +144,6 @@
 
 
 def test_a_trial_error_names_the_seed():
-    """Whoever plays many seeds is told which could not be drawn."""
+    """The error must identify the seed when many seeds are run."""
     with pytest.raises(TrialError, match="seed -3"):
         draw_schedule(-3)
