--- a/stairhatch/cli/__init__.py
+++ b/stairhatch/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The appliance's command line, on click: a module for each command, `main` for the group and the start.
+"""Command line of the appliance, on click: a module for each command; `main` has the group and entry point.
 
-No command has logic of its own: each calls the package that does the work, imported only when the command
-runs. Exit codes: 0 done, 1 something was found wrong, 2 the command line or the configuration cannot be used,
-130 ended by Ctrl-C.
+The commands contain no logic: each calls the package that does the work, and imports it only when it runs.
+Exit codes: 0 success, 1 the command found a fault, 2 the command line or the configuration cannot be used,
+130 the command was ended by Ctrl-C.
 """
--- a/stairhatch/cli/check_config.py
+++ b/stairhatch/cli/check_config.py
@@ -1,4 +1,4 @@
-"""`stairhatch check-config`: print what a configuration holds, or what is wrong with it."""
+"""`stairhatch check-config`: validate a configuration file and print a summary of it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @click.command("check-config")
 @click.argument("file", type=click.Path())
 def check_config(file: str) -> None:
-    """Read FILE as `serve` would, and print what is in it or what is wrong with it."""
+    """Validate FILE as `serve` does, and print a summary of the configuration or its first error."""
     config = read_config(file)
     assert config.sip is not None
     listeners = [f"udp {format_address(each.address)}" for each in config.sip.udp]
@@ -30,7 +30,7 @@
 
 
 def _server_names(config: Config) -> list[str]:
-    """Return the instance ids of the roster servers that the configuration itself lists."""
+    """Return the instance ids of the roster servers that the configuration lists, without a coordinator's."""
     return [
         line["instanceId"] for event in config.known["updates"] for line in event["endpoints"]["instances"]
     ]
--- a/stairhatch/cli/claims.py
+++ b/stairhatch/cli/claims.py
@@ -12,11 +12,12 @@
 @click.command()
 @click.argument("file", type=click.Path())
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
-@click.option("--watch", default="", metavar="CLAIM", help="print its holder, a line at each change")
-@click.option("--seconds", default=3600.0, show_default=True, help="watch for so long")
+@click.option("--watch", default="", metavar="CLAIM", help="print the lease's holder, a line at each change")
+@click.option("--seconds", default=3600.0, show_default=True, help="the duration of --watch")
 def claims(file: str, as_json: bool, watch: str, seconds: float) -> None:
-    """Ask the softswitch that FILE describes, at its admin endpoint, for its leases (claims): names, holders,
-    fencing tokens (tickets), time left, whether it votes, and why there is no majority.
+    """Print the leases (claims) that the admin endpoint of the softswitch configured in FILE reports: names,
+    holders, fencing tokens (tickets), remaining times, whether the softswitch is a voter, and the reason if
+    there is no majority. Exit code 1: the admin endpoint could not be used.
     """
     from stairhatch.fleet import admin_client
 
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -1,4 +1,4 @@
-"""`stairhatch conform`: run the SIP conformance suite, in process or against a program on this machine."""
+"""`stairhatch conform`: run the SIP conformance suite in process or against a program on this machine."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 @click.command()
 @click.option("--udp", default="", help="host:port of a program to test over UDP")
 @click.option("--tcp", default="", help="host:port of a program to test over TCP")
-@click.option("--only", default="", help="only cases whose name, or whose section, begins so")
-@click.option("--slow", is_flag=True, help="over sockets, also run the cases with long waits")
-@click.option("--users", is_flag=True, help="the program authenticates users: run the cases about that")
-@click.option("--faults", is_flag=True, help="apply each known mutation and show which case finds it")
+@click.option("--only", default="", help="run only cases whose name or section begins with this")
+@click.option("--slow", is_flag=True, help="also run the cases with long waits (with --udp or --tcp)")
+@click.option("--users", is_flag=True, help="test a program with authentication: only the cases on that")
+@click.option("--faults", is_flag=True, help="apply each known mutation and print the case that detects it")
 @click.option("--junit", type=click.Path(path_type=Path), help="write the results as JUnit XML")
 def conform(udp: str, tcp: str, only: str, slow: bool, users: bool, faults: bool, junit: Path | None) -> None:
-    """Run the conformance suite, in process or against a program on this machine. Exit code 1: a case failed,
-    or a mutation was not found.
+    """Run the conformance suite in process or, with --udp or --tcp, against a program on this machine. Exit
+    code 1: a case failed, or a mutation was not detected.
     """
     from stairhatch.conformance import suite
     from stairhatch.conformance.cases import read_cases
@@ -35,7 +35,7 @@
     with failing_with(EXIT_UNUSABLE, CaseError, ValueError):
         cases = [each for each in read_cases() if each.name.startswith(only) or each.section.startswith(only)]
         if not cases:
-            raise CaseError(f"--only {only}: no case's name or section begins so")
+            raise CaseError(f"--only {only}: no case has a name or section that begins with this")
         if faults:
             _show_mutations(cases)
         if udp or tcp:
@@ -49,7 +49,7 @@
 
 
 def _show_mutations(cases: list[Case]) -> NoReturn:
-    """Print which case finds each mutation, and end the command."""
+    """Print for each mutation the case that detects it; end the command with exit code 1 if one has none."""
     from stairhatch.conformance import suite
 
     finders = {mutation: suite.find_mutation(cases, mutation) for mutation in suite.MUTATIONS}
@@ -60,7 +60,10 @@
 
 
 def _show_results(results: list[CaseResult], junit: Path | None) -> NoReturn:
-    """Print the results, write them as JUnit XML if a file is given, and end the command."""
+    """Print the results, write them as JUnit XML if a file is given, and end the command.
+
+    The exit code is 1 if a case failed.
+    """
     from stairhatch.conformance import report
 
     click.echo(report.failure_report(results), nl=False)
--- a/stairhatch/cli/demo.py
+++ b/stairhatch/cli/demo.py
@@ -1,4 +1,4 @@
-"""`stairhatch demo`: the appliance between emulated roster servers and callers."""
+"""`stairhatch demo`: run the appliance with emulated roster servers and callers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 @click.command()
-@click.option("--udp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
-@click.option("--tcp", default="127.0.0.1:5060", show_default=True, help='where it listens; "" for nowhere')
-@click.option("--rate", default=3.0, show_default=True, help="calls a second from emulated callers")
-@click.option("--seconds", default=0.0, help="end after so long; 0: run until Ctrl-C")
-@click.option("--users", "auth", default="", help="a file of users: only those may call (realm stairhatch)")
-@click.option("--quiet", is_flag=True, help="place no calls, where something else does, such as `conform`")
+@click.option("--udp", default="127.0.0.1:5060", show_default=True, help='UDP address to listen at; "": none')
+@click.option("--tcp", default="127.0.0.1:5060", show_default=True, help='TCP address to listen at; "": none')
+@click.option("--rate", default=3.0, show_default=True, help="calls per second from emulated callers")
+@click.option("--seconds", default=0.0, help="duration in seconds; 0: run until Ctrl-C")
+@click.option("--users", "auth", default="", help="file of the users that may call (realm stairhatch)")
+@click.option("--quiet", is_flag=True, help="place no calls, for use with other callers such as `conform`")
 def demo(udp: str, tcp: str, rate: float, seconds: float, auth: str, quiet: bool) -> None:
-    """Run the appliance with two emulated roster servers and a few calls a second, and print what happens."""
+    """Run the appliance with two emulated roster servers and a few calls per second, and print its events."""
     import uvloop
 
     from stairhatch.demo.config import DemoOptions
--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`stairhatch experiment`: run a load test at several rates, against several programs, and keep the runs."""
+"""`stairhatch experiment`: run a load test at several rates against several programs, and store the runs."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
 @click.option(
-    "--short", type=click.FloatRange(0.01, 1.0), help="this fraction of each run's time, and one repeat"
+    "--short",
+    type=click.FloatRange(0.01, 1.0),
+    help="this fraction of each run's time, and each run only once",
 )
 def experiment(file: Path, out: Path, short: float | None) -> None:
-    """Run the experiment that FILE describes; keep every run as JSON, a table and a chart under --out. Exit
-    code 1: a rule was broken, or a run is void.
+    """Run the experiment that FILE describes, and write every run as JSON, a table and a chart under --out.
+    Exit code 1: a rule was broken, or a run is void.
     """
     from stairhatch.load_test.errors import LoadTestError
     from stairhatch.load_test.experiment import read_experiment, shortened
--- a/stairhatch/cli/lab.py
+++ b/stairhatch/cli/lab.py
@@ -1,4 +1,4 @@
-"""`stairhatch lab`: fault-injection runs of several softswitches, on real processes or on a virtual clock."""
+"""`stairhatch lab`: fault-injection tests of a fleet of softswitches, as processes or on a virtual clock."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 if TYPE_CHECKING:
     from stairhatch.fault_injection.run_batch import RunResult, RunSummary
 
-MAX_VIOLATIONS = 3  # of a run that are printed
-MAX_FAILED_SEEDS = 20  # of a trial that are printed
+MAX_VIOLATIONS = 3  # violations printed for each run
+MAX_FAILED_SEEDS = 20  # failed seeds printed by `lab trial`
 
 
 @click.group()
 def lab() -> None:
-    """Run several softswitches with faults between them, and check the rules of their shared work."""
+    """Run a fleet of softswitches with injected faults, and check the rules on leases and calls."""
 
 
-def _activations(runs_by_activation: Mapping[str, int]) -> str:
-    """Return the line that says in how many runs each fault took effect."""
+def _activation_line(runs_by_activation: Mapping[str, int]) -> str:
+    """Return the result line with the number of runs in which each fault took effect."""
     counts = ", ".join(f"{name} {runs}" for name, runs in sorted(runs_by_activation.items()))
     return f"runs in which each fault bit: {counts}"
 
 
 def _show_summary(summary: RunSummary, as_json: bool) -> NoReturn:
-    """Print the summary of the runs, and end the command: exit code 1 unless all were good."""
+    """Print the summary of the runs and end the command, with exit code 1 unless all runs were good."""
     if as_json:
         click.echo(json.dumps(summary.to_json_dict()))
     else:
@@ -48,11 +48,11 @@
         for run in summary.not_carried_out:
             click.echo(f"seed {run.seed}: not carried out: {run.error}")
         calls = ", ".join(f"{count} {name}" for name, count in summary.calls.items())
-        click.echo(_activations(summary.runs_by_activation))
+        click.echo(_activation_line(summary.runs_by_activation))
         click.echo(f"calls: {calls}; claims were held {summary.holds} times")
-        good = summary.runs - len(summary.failed) - len(summary.not_carried_out)
+        good_runs = summary.runs - len(summary.failed) - len(summary.not_carried_out)
         click.echo(
-            f"{good} of {summary.runs} runs good, "
+            f"{good_runs} of {summary.runs} runs good, "
             f"{summary.beyond_drift_bound} beyond the drift bound, {summary.duration_s:.0f} s"
         )
     sys.exit(EXIT_FOUND_WRONG if summary.failed or summary.not_carried_out else EXIT_OK)
@@ -60,13 +60,13 @@
 
 @lab.command("run")
 @click.argument("file", required=False, type=click.Path(path_type=Path))
-@click.option("--seeds", default="", help="A-B: schedules drawn from these seeds, in place of FILE")
+@click.option("--seeds", default="", help="A-B: draw the schedules from these seeds instead of FILE")
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="runs at a time")
 @click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9), help="softswitches")
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
-@click.option("--keep", type=click.Path(path_type=Path), help="keep histories and timelines there")
+@click.option("--keep", type=click.Path(path_type=Path), help="write histories and timelines to this folder")
 @click.option("--json", "as_json", is_flag=True, help="print the summary as one JSON object")
-@click.option("--progress", is_flag=True, help="show how far it is")
+@click.option("--progress", is_flag=True, help="show the progress on standard error")
 def lab_run(
     file: Path | None,
     seeds: str,
@@ -77,7 +77,7 @@
     as_json: bool,
     progress: bool,
 ) -> None:
-    """Start real softswitches with emulators around them and run the timeline of FILE, or timelines drawn
+    """Start softswitch processes with emulated peers and run the fault schedule in FILE, or schedules drawn
     from seeds. Exit code 1: a rule was broken, or a run could not be carried out.
     """
     from stairhatch.fault_injection import run_batch
@@ -85,7 +85,7 @@
     from stairhatch.fault_injection.schedule import read_schedule
 
     if (file is None) is (not seeds):
-        raise click.UsageError("give either FILE or --seeds A-B")
+        raise click.UsageError("either FILE or --seeds A-B is required, but not both")
     try:
         with failing_with(EXIT_UNUSABLE, ScheduleError):
             if file is not None:
@@ -97,18 +97,18 @@
                 on_result = _show_progress if progress else _show_nothing
                 summary = run_batch.run_many(seed_range(seeds), jobs, options, on_result)
     except KeyboardInterrupt:
-        fail(EXIT_INTERRUPTED, "broken off; what was started has been ended")
+        fail(EXIT_INTERRUPTED, "interrupted by Ctrl-C; all started processes have been ended")
     _show_summary(summary, as_json)
 
 
 def _show_progress(summary: RunSummary, run: RunResult) -> None:
-    """Overwrite one line of standard error with how far the runs are."""
+    """Overwrite one line of standard error with the counts of completed and of not good runs."""
     not_good = len(summary.failed) + len(summary.not_carried_out)
     click.echo(f"\r{summary.runs} runs, {not_good} not good, seed {run.seed} last ", nl=False, err=True)
 
 
 def _show_nothing(summary: RunSummary, run: RunResult) -> None:
-    """Take the place of `_show_progress` where no progress is wanted."""
+    """Do nothing; used instead of `_show_progress` without --progress."""
 
 
 @lab.command("replay")
@@ -117,14 +117,14 @@
 @click.option("--scale", default=0.2, show_default=True, type=click.FloatRange(0.05, 2), help="of all times")
 @click.option("--keep", default="lab", show_default=True, type=click.Path(path_type=Path))
 def lab_replay(seed: int, members: int, scale: float, keep: Path) -> None:
-    """Repeat the run of SEED, keep all of it and show who held which lease."""
+    """Repeat the run of SEED, write all its files, and print which softswitch held which lease when."""
     from stairhatch.fault_injection import run_batch
     from stairhatch.fault_injection.schedule_generator import draw_schedule
 
     request = run_batch.RunRequest(draw_schedule(seed, members=members, scale=scale), seed, keep, True)
     for event in request.schedule.faults:
-        where = " ".join(each for each in (event.member, event.peer, *event.members) if each)
-        click.echo(f"{event.at_s:7.2f} s {event.kind.value} {where} for {event.duration_s:.2f} s")
+        targets = " ".join(each for each in (event.member, event.peer, *event.members) if each)
+        click.echo(f"{event.at_s:7.2f} s {event.kind.value} {targets} for {event.duration_s:.2f} s")
     summary = run_batch.RunSummary()
     summary.add(run_batch.carry_out(request))
     folder = keep / f"run-{seed}"
@@ -137,44 +137,46 @@
 @lab.command("check")
 @click.argument("folder", type=click.Path(path_type=Path))
 def lab_check(folder: Path) -> None:
-    """Check again the rules on what a run has kept in FOLDER, and show who held which lease."""
+    """Check the rules again on the files of a run in FOLDER, and print which softswitch held which lease."""
     from stairhatch.fault_injection.errors import RunError
     from stairhatch.fault_injection.run_files import check_kept_run
 
     with failing_with(EXIT_UNUSABLE, RunError):
-        broken, shown = check_kept_run(folder)
-    click.echo(shown, nl=False)
-    for each in broken:
+        violations, timeline = check_kept_run(folder)
+    click.echo(timeline, nl=False)
+    for each in violations:
         click.echo(f"BROKEN {each.rule} at {each.at_s:.3f}: {each.explanation}")
-    click.echo(f"{len(broken)} broken")
-    sys.exit(EXIT_FOUND_WRONG if broken else EXIT_OK)
+    click.echo(f"{len(violations)} broken")
+    sys.exit(EXIT_FOUND_WRONG if violations else EXIT_OK)
 
 
 @lab.command("trial")
-@click.option("--seeds", default="0-199", show_default=True, help="A-B: runs from these seeds")
+@click.option("--seeds", default="0-199", show_default=True, help="A-B: draw the runs from these seeds")
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64), help="processes")
 @click.option("--members", default=5, show_default=True, type=click.IntRange(3, 9), help="softswitches")
-@click.option("--planted", default="", help="apply this mutation to the decisions; `list` names them")
-@click.option("--faults", is_flag=True, help="apply each mutation and show after how many seeds it is found")
+@click.option("--planted", default="", help="apply this mutation to the decisions; `list`: print all")
+@click.option("--faults", is_flag=True, help="apply each mutation and print after how many seeds it is found")
 def lab_trial(seeds: str, jobs: int, members: int, planted: str, faults: bool) -> None:
-    """Run the same decisions on a virtual clock, with faults drawn from seeds. Exit code 1: a rule was broken
-    (with --faults: a mutation was not found).
+    """Run the fleet's lease decisions on a virtual clock, with faults drawn from seeds. Exit code 1: a rule
+    was broken (with --faults: a mutation was not found).
     """
     from stairhatch.fault_injection.mutations import MUTATIONS
     from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 
-    chosen = seed_range(seeds)
+    chosen_seeds = seed_range(seeds)
     if planted == "list":
         click.echo("\n".join(MUTATIONS))
         return
     if planted and planted not in MUTATIONS:
-        raise click.BadParameter(f"there is no fault called {planted!r}: try list", param_hint="--planted")
+        raise click.BadParameter(
+            f"no mutation is called {planted!r}: `list` prints all", param_hint="--planted"
+        )
     if faults:
-        _try_mutations(chosen, jobs, members)
-    summary = run_seeds(chosen, TrialOptions(members=members, mutation=planted), jobs)
+        _try_mutations(chosen_seeds, jobs, members)
+    summary = run_seeds(chosen_seeds, TrialOptions(members=members, mutation=planted), jobs)
     for run in summary.failed[:MAX_FAILED_SEEDS]:
         click.echo(f"seed {run.seed}: BROKEN {run.violations[0].rule}: {run.violations[0].explanation}")
-    click.echo(_activations(summary.runs_by_activation))
+    click.echo(_activation_line(summary.runs_by_activation))
     click.echo(
         f"{summary.runs - len(summary.failed)} of {summary.runs} runs good, "
         f"{summary.beyond_drift_bound} beyond the drift bound, "
@@ -184,44 +186,42 @@
 
 
 def _try_mutations(seeds: range, jobs: int, members: int) -> NoReturn:
-    """Print after how many seeds each mutation breaks a rule, and end the command."""
+    """Print after how many seeds each mutation breaks a rule; end with exit code 1 if one breaks none."""
     from stairhatch.fault_injection.mutations import MUTATIONS
     from stairhatch.fault_injection.trial import TrialOptions, run_seeds
 
-    missed = 0
+    undetected = 0
     for name in MUTATIONS:
         options = TrialOptions(members=members, mutation=name)
         summary = run_seeds(seeds, options, jobs, until_violation=True)
         rule = summary.failed[0].violations[0].rule if summary.failed else ""
         click.echo(f"{name:52} {f'{summary.runs:5} seeds, {rule}' if rule else 'NOT FOUND'}")
-        missed += not rule
-    click.echo(f"{len(MUTATIONS) - missed} of {len(MUTATIONS)} planted faults found")
-    sys.exit(EXIT_FOUND_WRONG if missed else EXIT_OK)
+        undetected += not rule
+    click.echo(f"{len(MUTATIONS) - undetected} of {len(MUTATIONS)} planted faults found")
+    sys.exit(EXIT_FOUND_WRONG if undetected else EXIT_OK)
 
 
 @lab.command("explore")
 @click.option("--depth", default=8, show_default=True, type=click.IntRange(1, 40), help="events on a path")
-@click.option("--crashes", default=0, show_default=True, help="at most so many crashes of voters on one path")
-@click.option("--copies", default=0, show_default=True, help="at most so many duplicated messages")
-@click.option("--slow", default=0, show_default=True, help="at most so many slow writes")
-@click.option("--steps", default=0, show_default=True, help="at most so many clock steps to what is due next")
-@click.option(
-    "--leaps", default=1, show_default=True, help="at most so many clock steps past the end of a vote"
-)
+@click.option("--crashes", default=0, show_default=True, help="maximum of crashes of voters on a path")
+@click.option("--copies", default=0, show_default=True, help="maximum of duplicated messages on a path")
+@click.option("--slow", default=0, show_default=True, help="maximum of slow writes on a path")
+@click.option("--steps", default=0, show_default=True, help="maximum of clock steps to the next timer")
+@click.option("--leaps", default=1, show_default=True, help="maximum of clock steps past the end of a vote")
 @click.option("--held", is_flag=True, help="begin with a lease that is held")
-@click.option("--seconds", default=60.0, show_default=True, help="stop after so long")
+@click.option("--seconds", default=60.0, show_default=True, help="stop after this time")
 @click.option("--planted", default="", help="apply this mutation to the decisions")
 def lab_explore(planted: str, **bounds: Any) -> None:
-    """Explore every order of events in a small cluster, to a depth. Exit code 1: a rule was broken, or not
-    all states were seen.
+    """Explore every order of events in a small cluster of voters, up to a depth. Exit code 1: a rule was
+    broken, or not all states were visited.
     """
     from stairhatch.fault_injection import state_exploration
     from stairhatch.fault_injection.mutations import MUTATIONS, mutation_applied
 
     if planted and planted not in MUTATIONS:
-        raise click.BadParameter(f"there is no fault called {planted!r}", param_hint="--planted")
+        raise click.BadParameter(f"no mutation is called {planted!r}", param_hint="--planted")
     with mutation_applied(planted):
-        found = state_exploration.explore(
+        exploration = state_exploration.explore(
             state_exploration.ExplorationBounds(
                 depth=bounds["depth"],
                 crashes=bounds["crashes"],
@@ -233,11 +233,11 @@
                 begins_held=bounds["held"],
             )
         )
-    if found.violation:
-        click.echo(f"BROKEN {found.violation}, after: {', '.join(found.path)}")
+    if exploration.violation:
+        click.echo(f"BROKEN {exploration.violation}, after: {', '.join(exploration.path)}")
     click.echo(
-        f"{found.states} states, {'all' if found.complete else 'not all'} there are; "
-        f"in {found.states_with_holder} it was held, "
-        f"{found.takeovers} times taken over, {found.states_after_crash} behind a crash"
+        f"{exploration.states} states, {'all' if exploration.complete else 'not all'} there are; "
+        f"in {exploration.states_with_holder} it was held, "
+        f"{exploration.takeovers} times taken over, {exploration.states_after_crash} behind a crash"
     )
-    sys.exit(EXIT_OK if found.complete and not found.violation else EXIT_FOUND_WRONG)
+    sys.exit(EXIT_OK if exploration.complete and not exploration.violation else EXIT_FOUND_WRONG)
--- a/stairhatch/cli/main.py
+++ b/stairhatch/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands, and the entry point of the command line (`main`)."""
+"""Entry point of the command line (`main`) and the click group of all commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from stairhatch.cli.soak import soak
 from stairhatch.cli.users import users
 
-LOAD_LIBRARIES = ("hdrh", "matplotlib")  # of requirements-load.txt alone
+LOAD_LIBRARIES = ("hdrh", "matplotlib")  # installed by requirements-load.txt only
 COMMANDS = (
     serve,
     check_config,
@@ -40,7 +40,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name=None, version="0.6.0", prog_name="stairhatch")
 def main_group() -> None:
-    """A small SIP softswitch for small sites. Without a command the platform's softswitch is run."""
+    """A small SIP softswitch for small sites. Without a command, run the platform's softswitch."""
 
 
 for _command in COMMANDS:
@@ -48,20 +48,20 @@
 
 
 def main() -> int:
-    """Run the command in `sys.argv`; return the exit code.
+    """Run the command in `sys.argv` and return the exit code, unless the command itself exits.
 
-    `--sip FILE` is the old spelling of `serve FILE`.
+    `--sip FILE` is an older form of `serve FILE`. A command whose library is not installed returns 2.
     """
-    words = sys.argv[1:]
-    if len(words) == 2 and words[0] == "--sip":
-        words = ["serve", words[1]]
+    arguments = sys.argv[1:]
+    if len(arguments) == 2 and arguments[0] == "--sip":
+        arguments = ["serve", arguments[1]]
     try:
-        main_group(args=words, prog_name="stairhatch")
+        main_group(args=arguments, prog_name="stairhatch")
     except ModuleNotFoundError as error:
         library = (error.name or "").partition(".")[0]
         if library not in LOAD_LIBRARIES:
             raise
-        reason = f"{words[0]} needs what requirements-load.txt lists; {library} is not installed"
+        reason = f"{arguments[0]} needs what requirements-load.txt lists; {library} is not installed"
         click.echo(f"stairhatch: {reason}", err=True)
         return EXIT_UNUSABLE
     return EXIT_OK
--- a/stairhatch/cli/restart_slot.py
+++ b/stairhatch/cli/restart_slot.py
@@ -1,4 +1,4 @@
-"""`stairhatch restart-slot`: take a restart slot for a planned restart, at the admin endpoint."""
+"""`stairhatch restart-slot`: acquire or release a restart slot of the fleet, through the admin endpoint."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @click.command("restart-slot")
 @click.argument("file", type=click.Path())
-@click.option("--wait", default=60.0, show_default=True, help="wait at most so many seconds for a slot")
-@click.option("--give", is_flag=True, help="release the slot: there will be no restart")
+@click.option("--wait", default=60.0, show_default=True, help="wait at most this many seconds for a slot")
+@click.option("--give", is_flag=True, help="release the slot, if the restart is cancelled")
 def restart_slot(file: str, wait: float, give: bool) -> None:
-    """Take one of the fleet's restart slots for the softswitch that FILE describes; then end that one with
-    SIGTERM. Exit code 0: the slot is held, until a lease duration after that softswitch has gone. 1: none was
-    free in time.
+    """Acquire one of the fleet's restart slots for the softswitch configured in FILE, which the operator then
+    ends with SIGTERM. Exit code 0: the softswitch holds the slot, until a lease duration after its end. 1: no
+    slot was free in time, or the admin endpoint could not be used.
     """
     from stairhatch.fleet import admin_client
 
--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`stairhatch scale`: simulate many softswitches on a virtual clock, compared with real processes."""
+"""`stairhatch scale`: simulate many softswitches on a virtual clock and compare them with real processes."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--out", default="experiments", type=click.Path(path_type=Path), show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="print what the seed determines as one JSON object")
+@click.option("--json", "as_json", is_flag=True, help="print the reproducible results as one JSON object")
 @click.option("--quiet", is_flag=True, help="print no progress")
 def scale(file: Path, out: Path, as_json: bool, quiet: bool) -> None:
-    """Simulate the softswitches of FILE on a virtual clock and compare them with real processes; keep the run
-    as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the run is void.
-    130: ended by Ctrl-C; nothing is kept.
+    """Simulate the softswitches of FILE on a virtual clock and compare them with real processes. The results
+    are written as JSON, a table and a chart under --out. Exit code 1: a figure is out of its bounds, or the
+    run is void. 130: the run was ended by Ctrl-C, and no results are written.
     """
     from stairhatch.scale_test.errors import ScaleTestError
     from stairhatch.scale_test.plan_file import read_plan
@@ -34,7 +34,7 @@
     from stairhatch.scale_test.summary import summarize
 
     def show_progress(line: str) -> None:
-        """Print a line on standard error, unless that is not wanted."""
+        """Print a line on standard error, unless --quiet is given."""
         if not quiet:
             click.echo(line, err=True)
 
--- a/stairhatch/cli/users.py
+++ b/stairhatch/cli/users.py
@@ -1,4 +1,4 @@
-"""`stairhatch users`: add, remove and list the users in a file of SIP users."""
+"""`stairhatch users`: add, remove and list the SIP users in a file of password hashes."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @click.group()
 def users() -> None:
-    """Change who may call: the file of password hashes that `sip.auth.users` names."""
+    """Change the users that may call, in the file of password hashes that `sip.auth.users` names."""
 
 
 @users.command("add")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.argument("name")
 @click.option("--realm", required=True, help="the value of `sip.auth.realm`")
-@click.option("--md5", is_flag=True, help="also keep a hash for old telephones that know only MD5")
+@click.option("--md5", is_flag=True, help="also store an MD5 hash, for old telephones that support only MD5")
 @click.option(
     "--stdin", "from_stdin", is_flag=True, help="read the password from the first line of standard input"
 )
 def users_add(file: Path, name: str, realm: str, md5: bool, from_stdin: bool) -> None:
-    """Add NAME to FILE, or give it a new password. The password is asked for and not kept."""
+    """Add NAME to FILE, or change its password. The password is prompted for; only hashes are stored."""
     from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import add
 
@@ -39,9 +39,9 @@
 @users.command("remove")
 @click.argument("file", type=click.Path(path_type=Path))
 @click.argument("name")
-@click.option("--realm", default="", help="only in this realm")
+@click.option("--realm", default="", help="remove the user in this realm only")
 def users_remove(file: Path, name: str, realm: str) -> None:
-    """Remove NAME from FILE."""
+    """Remove NAME from FILE, in all realms unless --realm is given."""
     from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import remove
 
@@ -52,7 +52,7 @@
 @users.command("list")
 @click.argument("file", type=click.Path(path_type=Path))
 def users_list(file: Path) -> None:
-    """List the users in FILE, with realm and algorithms."""
+    """List the users in FILE with their realms and digest algorithms."""
     from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import list_users
 
