--- a/stairhatch/soak/roster_server.py
+++ b/stairhatch/soak/roster_server.py
@@ -166,7 +166,7 @@
         self._record.note(Kind.STARTED_COLD, server=self.instance)
 
     def processor_load(self) -> ProcessorLoad:
-        """Return the load that the server reports: its present capacity and the queue delay at its use."""
+        """Return the load that the server reports: its capacity, and a queue delay that grows with use."""
         return self.capacity.load(self.timers.time())
 
     # ---- receiving lines ----
@@ -181,9 +181,9 @@
             self._note(Kind.SETUP_RECEIVED, call)
             self.when_running(partial(self._setup_received_while_running, call, message))
         elif message["verb"] == "FINISH":
-            if (released := self.trial_calls.get(tag)) is not None:
-                released.is_released = True
-                self._note_released(released)
+            if (released_call := self.trial_calls.get(tag)) is not None:
+                released_call.is_released = True
+                self._note_released(released_call)
             self.when_running(partial(self.trial_calls.pop, tag, None))
 
     def note_lost_release(self, message: Message) -> None:
@@ -287,7 +287,7 @@
     # ---- failures of the server ----
 
     def vanish(self) -> None:
-        """Lose the machine with its calls; open connections stay silent, so no peer can notice."""
+        """Lose the machine with its calls; open connections stay silent and are not closed."""
         self._lose_calls("vanished")
         for link in self.links():
             link.loses_input = link.loses_output = True
--- a/tests/test_soak_rules.py
+++ b/tests/test_soak_rules.py
@@ -71,7 +71,7 @@
 
 
 def retried_call(end: Kind, second_at: float, call_class: str = "safe") -> list[Observation]:
-    """Return the record of a call whose first attempt ends in another way and whose second is served."""
+    """Return the record of a call whose first attempt ends with `end` and whose second one is served."""
     first = call_record(
         (1.005, Kind.SETUP_RECEIVED, {"server": OTHER_SERVER}), (1.008, end, {"server": OTHER_SERVER})
     )
