--- a/stairhatch/scale_test/call_generator.py
+++ b/stairhatch/scale_test/call_generator.py
@@ -1,4 +1,4 @@
-"""The calls of a run, drawn from its seed: the same for simulated and for real softswitches."""
+"""Generates the calls of a run from the plan's seed, identically for simulated and for real softswitches."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 from stairhatch.scale_test.schema import ScalePlan
 from stairhatch.scale_test.topology import Topology
 
-SERVICE_PREFIX_BASE = 1000  # a called number begins with this plus the service
-FOLLOW_UP_SERIALS = (10**9, 10**16)  # above those of the calls from outside
+SERVICE_PREFIX_BASE = 1000  # prefix of a called number = this base + service index
+FOLLOW_UP_SERIALS = (10**9, 10**16)  # range above all serials of calls from outside
 
 
 def service_prefix(service: int) -> str:
-    """Return what the called numbers of a service begin with."""
+    """Return the prefix of all called numbers of a service, which identifies the service."""
     return str(SERVICE_PREFIX_BASE + service)
 
 
 @dataclass(slots=True, kw_only=True)
 class GeneratedCall:
-    """A call that is requested of a softswitch."""
+    """A generated call to be placed at one softswitch."""
 
     serial: int
-    at_s: float  # after the beginning of the run
+    at_s: float  # seconds from the start of the run
     service: int
-    depth: int  # in the chain of calls; 1: from outside
+    depth: int  # position in the chain of calls; 1 for a call from outside
     softswitch: int
     hold_s: float
     result: SimulatedCallResult | None = None
 
     @property
     def called_number(self) -> str:
-        """The number called. Its prefix names the service."""
+        """The called number: the prefix of the service, followed by the serial in 16 digits."""
         return f"{service_prefix(self.service)}{self.serial:016d}"
 
 
 class CallGenerator:
     """Generates the calls of a run and records their results.
 
-    The calls from outside come when they are due, whatever becomes of others (an open workload). An
-    established call leads to calls of the services below its own. What a call leads to is drawn from its own
-    serial, so that it does not depend on the order in which answers come.
+    Calls from outside arrive at their drawn times regardless of the results of earlier calls (an open
+    workload). An established call triggers follow-up calls to services of the next level. Follow-up calls are
+    drawn from the serial of the triggering call, so they don't depend on the order in which answers arrive.
     """
 
     def __init__(self, plan: ScalePlan, place_call: Callable[[GeneratedCall], None]) -> None:
-        """`place_call` hands a call that is due to its softswitch."""
+        """Build topology and call graph; `place_call` places a due call at its softswitch."""
         self.plan = plan
         self.topology = Topology(plan)
         self.graph = CallGraph(plan)
@@ -56,10 +56,10 @@
         self.open_calls: dict[str, GeneratedCall] = {}  # by called number
         self._place_call = place_call
         self._next_serial = 1
-        self._servers: dict[str, int] = {}  # where an open call was established, by called number
+        self._servers: dict[str, int] = {}  # roster server that established an open call, by called number
 
     def calls_from_outside(self) -> Iterator[GeneratedCall]:
-        """Draw the calls from outside in the order of their times, a Poisson process."""
+        """Yield the calls from outside in order of time; their arrivals form a Poisson process."""
         rng, calls = random.Random(f"calls {self.plan.seed}"), self.plan.calls
         at_s = 0.0
         while calls.rate_per_s > 0:
@@ -80,20 +80,22 @@
             )
 
     def request(self, call: GeneratedCall) -> None:
-        """Place a call that is due."""
+        """Count a due call as requested and place it at its softswitch."""
         self.open_calls[call.called_number] = call
         self.tally.record_request(call.depth)
         self._place_call(call)
 
     def record_server(self, called_number: str, server: int) -> None:
-        """Record the roster server that has established a call."""
+        """Record which roster server established an open call; a call that has ended is ignored."""
         if called_number in self.open_calls:
             self._servers[called_number] = server
 
     def record_result(self, call: GeneratedCall, result: SimulatedCallResult, at_s: float) -> None:
-        """Record a call's one final answer, at its time in seconds after the beginning of the run.
+        """Record the final answer of a call; `at_s` is in seconds from the start of the run.
 
-        AssertionError: it had one already.
+        An established call triggers its follow-up calls, unless the run's duration is over.
+
+        Raises AssertionError if the call already has a final answer.
         """
         if call.result is not None:
             raise AssertionError(f"{call.called_number}: {call.result.value} and then {result.value}")
@@ -107,7 +109,7 @@
                 self._request_follow_ups(call, server, at_s)
 
     def _request_follow_ups(self, call: GeneratedCall, server: int, at_s: float) -> None:
-        """Request the calls that an established call leads to, at the softswitch beside its server."""
+        """Request the follow-up calls of an established call at the softswitch local to its roster server."""
         if call.depth >= self.graph.max_depth:
             return
         rng = random.Random(f"{self.plan.seed} {call.serial}")
@@ -120,7 +122,7 @@
                         at_s=at_s,
                         service=service,
                         depth=call.depth + 1,
-                        softswitch=self.topology.softswitch_beside(server),
+                        softswitch=self.topology.local_softswitch(server),
                         hold_s=hold_s,
                     )
                 )
--- a/stairhatch/scale_test/call_graph.py
+++ b/stairhatch/scale_test/call_graph.py
@@ -1,4 +1,4 @@
-"""Which service calls which, drawn from the seed of a plan."""
+"""The call graph: which services each service calls, drawn from the plan's seed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CallGraph:
-    """Services in levels. Each calls `fan_out` services of the next level."""
+    """Services in levels; each service calls at most `fan_out` services of the next level."""
 
     def __init__(self, plan: ScalePlan) -> None:
         """Draw the graph from the plan's seed."""
@@ -18,7 +18,7 @@
         self.entry_services = levels[0] if plan.calls.service < 0 else [plan.calls.service]
         self.services_below: dict[int, list[int]] = {}
         for level, services in enumerate(levels):
-            # With fewer services than levels, the last ones call the first again.
+            # If there are fewer services than call depths, the last level calls the first one again.
             next_level = levels[(level + 1) % len(levels)]
             for service in services:
                 below = rng.sample(next_level, min(len(next_level), plan.calls.fan_out))
--- a/stairhatch/scale_test/call_result.py
+++ b/stairhatch/scale_test/call_result.py
@@ -6,10 +6,10 @@
 
 
 class SimulatedCallResult(Enum):
-    """The result of a call. The values are keys of the kept results."""
+    """The result of a call; the values are keys in the result files."""
 
     ESTABLISHED = "stood"
     REJECTED = "refused"
     FAILED = "failed"
-    UNREACHABLE = "unreached"  # its softswitch was not running
-    LOST = "lost"  # its softswitch ended during the set-up
+    UNREACHABLE = "unreached"  # the call's softswitch was down, not ready or shutting down
+    LOST = "lost"  # the call's softswitch ended during the set-up
--- a/stairhatch/scale_test/call_tally.py
+++ b/stairhatch/scale_test/call_tally.py
@@ -12,35 +12,35 @@
 
 @dataclass(slots=True)
 class CallTally:
-    """Counts of requested calls and of their results, and the set-up times."""
+    """Counts of requested calls and of their results, and the set-up times of established calls."""
 
     requested: int = 0
     results: Counter[SimulatedCallResult] = field(default_factory=Counter)
     requested_by_depth: Counter[int] = field(default_factory=Counter)
     established_by_depth: Counter[int] = field(default_factory=Counter)
-    interrupted: int = 0  # established, and ended by a fault
+    interrupted: int = 0  # established calls that a fault ended
     results_by_second: dict[int, Counter[SimulatedCallResult]] = field(
         default_factory=lambda: defaultdict(Counter)
     )
     setup_times_ms: list[float] = field(default_factory=list)  # of established calls
 
     def record_request(self, depth: int) -> None:
-        """Count a call that is requested, at its place in the chain of calls; 1 is from outside."""
+        """Count a requested call; `depth` is its position in the chain, 1 for a call from outside."""
         self.requested += 1
         self.requested_by_depth[depth] += 1
 
     def record_result(self, result: SimulatedCallResult, at_s: float) -> None:
-        """Count a final answer, at its time in seconds after the beginning of the run."""
+        """Count a final answer; `at_s` is in seconds from the start of the run."""
         self.results[result] += 1
         self.results_by_second[int(at_s)][result] += 1
 
     def record_established(self, depth: int, setup_time_s: float) -> None:
-        """Count an established call once more, by its depth and by how long its set-up took."""
+        """Record depth and set-up time of an established call, in addition to `record_result`."""
         self.setup_times_ms.append(1000 * setup_time_s)
         self.established_by_depth[depth] += 1
 
     def figures(self) -> CallFigures:
-        """Return the counts as they are kept in the results."""
+        """Return the counts in the form of the result files."""
         ascending_ms = sorted(self.setup_times_ms)
         return CallFigures(
             requested=self.requested,
--- a/stairhatch/scale_test/chart.py
+++ b/stairhatch/scale_test/chart.py
@@ -1,4 +1,7 @@
-"""The chart of a scale run. matplotlib is imported as it is drawn, since only this needs it."""
+"""Draws the chart of a scale run.
+
+matplotlib is imported inside `draw_chart`, because no other module of the scale test needs it.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
 
 
 def draw_chart(result: ScaleResult, path: Path) -> None:
-    """Draw the answers of each second, and the established fraction of the calls of each depth, as SVG."""
+    """Write an SVG chart of the answers per second and the established fraction of calls at each depth."""
     import matplotlib
 
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = result.plan.name  # so that the same figures give the same file
+    matplotlib.rcParams["svg.hashsalt"] = result.plan.name  # fixed salt: equal figures give an identical file
     from matplotlib import pyplot
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=FIGURE_SIZE_INCHES)
--- a/stairhatch/scale_test/cold_start_windows.py
+++ b/stairhatch/scale_test/cold_start_windows.py
@@ -1,4 +1,4 @@
-"""The overload windows of cold roster servers (docs/cold.md): how full the fullest was, and its limit."""
+"""Finds the fullest overload window of each cold start of a roster server, and its limit (docs/cold.md)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def fullest_window(ascending_times: Sequence[float], window_s: float) -> int:
-    """Return the most of these times that lie in any window of this length."""
+    """Return the maximum number of `ascending_times` within any window of `window_s` seconds."""
     fullest = first = 0
     for last, time in enumerate(ascending_times):
         while ascending_times[first] <= time - window_s:
@@ -20,19 +20,22 @@
 
 
 def setup_limit(capacity: float) -> float:
-    """Return how many set-ups a window may hold: N + 2 root N + 2, where a cold server can work off N."""
+    """Return the allowed number of set-ups in a window: N + 2 sqrt(N) + 2, to one decimal.
+
+    `capacity` is N, the number of set-ups that a cold server completes within the window.
+    """
     root: float = capacity**0.5
     return round(capacity + 2 * root + 2, 1)
 
 
 def cold_start_windows(servers: Sequence[SimulatedServer]) -> list[ColdStartWindow]:
-    """Return the fullest window of each cold start, by server and start."""
+    """Return the fullest overload window of each cold start, ordered by server and cold start."""
     windows = []
     for server in servers:
         profile = server.processor.profile
         capacity = (
             profile.initial_capacity_fraction / profile.setup_s * profile.overload_window_s
-        )  # of a cold server, in set-ups
+        )  # set-ups that a cold server completes within the window
         windows += [
             ColdStartWindow(
                 server=server.machine,
--- a/stairhatch/scale_test/comparison.py
+++ b/stairhatch/scale_test/comparison.py
@@ -1,4 +1,4 @@
-"""The scenario that simulated and real softswitches both play, and the ratios of their figures."""
+"""The scenario that simulated and real softswitches both run, and the ratios of their figures."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 )
 
 LOOPBACK = DatagramConditions(delay_ms=0.05, jitter_ms=0.05)
-CHANGES_BEGIN, CHANGES_DURATION = 0.1, 0.8  # as fractions of the run
+CHANGES_BEGIN, CHANGES_DURATION = 0.1, 0.8  # list changes, as fractions of the run's duration
 
 
 def comparison_plan(plan: ScalePlan, real: RealRunPlan) -> ScalePlan:
-    """Return the scenario for both: the size of the real run, loopback's delays and no faults."""
+    """Return the common scenario: the real run's size, loopback delays and no events but list changes."""
     change = PlannedEvent(
         at_s=real.duration_s * CHANGES_BEGIN,
         kind=PlannedEventKind.LIST_CHANGE,
@@ -51,7 +51,10 @@
 
 
 def ratio(simulated: float, real: float, pseudocount: float) -> float:
-    """Return simulated over real, the pseudocount added to both; 1 where both are 0."""
+    """Return (simulated + pseudocount) / (real + pseudocount).
+
+    If the divisor is 0, return infinity, or 1 if the simulated figure is 0 too.
+    """
     divisor = real + pseudocount
     if divisor:
         return (simulated + pseudocount) / divisor
@@ -61,7 +64,7 @@
 def compare(
     plan: ScalePlan, simulated: ComparedFigures, real: ComparedFigures
 ) -> dict[ComparedFigure, FigureComparison]:
-    """Return each figure of both runs, their ratio to a thousandth, and its bounds in the plan."""
+    """Return, for each figure, both values, their ratio rounded to 3 decimals, and the bounds in the plan."""
     return {
         figure: _compare_figure(plan, figure, simulated[figure], real[figure]) for figure in ComparedFigure
     }
@@ -81,7 +84,7 @@
 
 
 def ratios_out_of_bounds(compared: dict[ComparedFigure, FigureComparison]) -> list[str]:
-    """Return a sentence for each ratio that is out of its bounds."""
+    """Return a message for each ratio outside its bounds."""
     return [
         f"{figure.value}: simulated {each.simulated:g} over real {each.real:g} is {each.ratio:g}, "
         f"not within {each.minimum:g} and {each.maximum:g}"
--- a/stairhatch/scale_test/connection_drivers.py
+++ b/stairhatch/scale_test/connection_drivers.py
@@ -1,7 +1,7 @@
-"""Drivers of a softswitch's protocols on simulated connections, in place of those in `node/io/`.
+"""Drivers that run a softswitch's protocols on simulated connections; they replace those in `node/io/`.
 
-A driver carries bytes and opens connections again; it decides nothing. Its pauses are those of the driver
-that it replaces, so that `node/io/connector.py` remains the reference.
+A driver transfers bytes and reopens connections, and makes no other decisions. Each driver uses the backoff
+delays of the driver that it replaces, so `node/io/connector.py` remains the reference.
 """
 
 from __future__ import annotations
@@ -26,26 +26,27 @@
 
 
 class DriverOwner(Protocol):
-    """The process whose connections are driven."""
+    """Interface of the softswitch process that owns the connections."""
 
     core: CallManager
     machine: int
     drivers: dict[ConnectionDriver, None]
 
     def log(self, event: str, **fields: object) -> None:
-        """Write a line of its log."""
+        """Log an event of the process."""
 
 
 class ConnectionDriver:
-    """Carries bytes between a protocol and a connection, as `ConnectionRunner` does with a socket.
+    """Base class of drivers: transfers bytes between a protocol and a simulated connection.
 
-    A subclass opens the connection (`_dial`) and decides when to open the next one (`_reconnect`).
+    It corresponds to `ConnectionRunner`, which does the same with a socket. A subclass opens the connection
+    (`_connect`) and schedules the next attempt after it has ended (`_reconnect`).
     """
 
-    part = ProcessorPart.REST  # what the protocol's work is charged to
+    part = ProcessorPart.REST  # the processor time of the protocol is charged to this part
 
     def __init__(self, context: SimulationContext, owner: DriverOwner, protocol: ConnectionProtocol) -> None:
-        """Schedule the first dial."""
+        """Schedule the first connection attempt."""
         self.context = context
         self.clock = context.clock
         self.owner = owner
@@ -56,24 +57,27 @@
         self.backoff_s = MIN_BACKOFF_S
         self.connected_at = 0.0
         self._flush_scheduled = False
-        self._dial_wanted_now = False  # whether the protocol has asked for it since the last dial
-        self._next_dial: ScheduledEvent | None = None
+        self._immediate_attempt_requested = False  # by the protocol, since the last attempt
+        self._next_attempt: ScheduledEvent | None = None
         owner.drivers[self] = None
-        self._dial_after(0.0)
+        self._connect_after(0.0)
 
-    def stop(self, unnoticed: bool) -> None:
-        """Stop with the process; `unnoticed`: without closing the connection, as its machine is off."""
+    def stop(self, powered_off: bool) -> None:
+        """Stop the driver because its process ends.
+
+        With `powered_off` the connection is dropped without notifying the peer; otherwise it is closed.
+        """
         self.has_stopped = True
         connection, self.connection = self.connection, None
         if connection is None:
             return
-        if unnoticed:
+        if powered_off:
             connection.drop()
         else:
             connection.close(Side.CLIENT)
 
     def connection_made(self, connection: SimulatedConnection) -> None:
-        """Begin to carry bytes on a connection that has come up."""
+        """Start transferring bytes on an established connection."""
         self.connection = connection
         self.connected_at = self.clock.now
         self.protocol.notify_writable = self._schedule_flush
@@ -81,17 +85,20 @@
         self._schedule_flush()
 
     def connect_failed(self, refused: bool) -> None:
-        """Handle a connection attempt that was refused or timed out."""
+        """Handle a failed connection attempt: `refused`, or timed out."""
         raise NotImplementedError
 
     def receive(self, data: bytes) -> None:
-        """Hand bytes to the protocol. A fault in it ends this connection only, as in `ConnectionRunner`."""
+        """Pass received bytes to the protocol.
+
+        An exception in the protocol is logged and ends only this connection, as in `ConnectionRunner`.
+        """
         if self.connection is None:
             return
         self.context.meter.enter(self.part)
         try:
             self.protocol.receive_data(data)
-        except Exception as error:  # noqa: BLE001 - as `ConnectionRunner.run`: it ends this connection only
+        except Exception as error:  # noqa: BLE001 - ends only this connection, as in `ConnectionRunner.run`
             self.owner.core.counters.add("connection_faults")
             self.owner.log("fault", why=f"{type(error).__name__}: {error}")
             self._schedule_abort()
@@ -102,7 +109,7 @@
             self._flush()
 
     def connection_lost(self, connection: SimulatedConnection | None) -> None:
-        """Handle the end of a connection by either side, unless it is no longer the driver's."""
+        """Handle the end of the connection by either side; the end of an earlier connection is ignored."""
         if self.connection is None or self.has_stopped or connection not in (None, self.connection):
             return
         ended, self.connection = self.connection, None
@@ -113,26 +120,26 @@
         self.protocol.connection_lost()
         self._reconnect()
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         raise NotImplementedError
 
     def _reconnect(self) -> None:
         raise NotImplementedError
 
-    def _dial_now(self) -> None:
-        """Dial at once if a dial is scheduled; else remember that one is wanted."""
-        self._dial_wanted_now = True
-        if self._next_dial is not None:
-            self._dial_after(0.0)
+    def _request_immediate_attempt(self) -> None:
+        """Move a scheduled connection attempt to now; without one, make the next attempt immediate."""
+        self._immediate_attempt_requested = True
+        if self._next_attempt is not None:
+            self._connect_after(0.0)
 
-    def _dial_after(self, delay_s: float) -> None:
-        if self._next_dial is not None:
-            self._next_dial.cancel()
-        self._next_dial = self.clock.call_later(delay_s, self._dial)
+    def _connect_after(self, delay_s: float) -> None:
+        if self._next_attempt is not None:
+            self._next_attempt.cancel()
+        self._next_attempt = self.clock.call_later(delay_s, self._connect)
 
-    def _dial_after_backoff(self, at_once: bool, max_backoff_s: float) -> None:
-        """Dial at once or after the backoff, which doubles either way."""
-        self._dial_after(0.0 if at_once else self.backoff_s)
+    def _connect_after_backoff(self, at_once: bool, max_backoff_s: float) -> None:
+        """Schedule an attempt now or after the backoff; either way, double the backoff up to its maximum."""
+        self._connect_after(0.0 if at_once else self.backoff_s)
         self.backoff_s = min(max_backoff_s, 2 * self.backoff_s)
 
     def _schedule_flush(self) -> None:
@@ -156,53 +163,58 @@
 
 
 class PersistentConnectionDriver(ConnectionDriver):
-    """Keeps a connection to a roster server, as `ServerConnector.keep_up`."""
+    """Driver that keeps a connection to a roster server open, as `ServerConnector.keep_up` does."""
 
     part = ProcessorPart.SERVER_CONNECTIONS
 
     def __init__(self, context: SimulationContext, owner: DriverOwner, protocol: ServerConnection) -> None:
-        """Schedule the first dial of the server."""
+        """Schedule the first connection attempt to the server."""
         super().__init__(context, owner, protocol)
         self.server_connection = protocol
 
     def connection_made(self, connection: SimulatedConnection) -> None:
-        """Begin to carry bytes on a connection that has come up."""
+        """Notify the protocol, then start transferring bytes on an established connection."""
         self.server_connection.connection_made()
         super().connection_made(connection)
 
     def connect_failed(self, refused: bool) -> None:
-        """Dial again after the backoff, unless the server is draining."""
+        """Schedule another attempt after the backoff; if the server is draining, remove the connection."""
         if self.has_stopped:
             return
         self.server_connection.connect_failed(refused)
         if self.server_connection.draining:
             self._remove()
             return
-        self._dial_wanted_now = self._dial_wanted_now and self.server_connection.has_queued
-        self._dial_after_backoff(at_once=self._dial_wanted_now, max_backoff_s=MAX_BACKOFF_S)
+        self._immediate_attempt_requested = (
+            self._immediate_attempt_requested and self.server_connection.has_queued
+        )
+        self._connect_after_backoff(at_once=self._immediate_attempt_requested, max_backoff_s=MAX_BACKOFF_S)
 
-    def _dial(self) -> None:
-        self._next_dial = None
+    def _connect(self) -> None:
+        self._next_attempt = None
         protocol = self.server_connection
         if self.has_stopped:
             return
         if protocol.can_close() or (protocol.draining and not protocol.has_queued):
             self._remove()
             return
-        self._dial_wanted_now = False
-        protocol.notify_writable = self._dial_now
+        self._immediate_attempt_requested = False
+        protocol.notify_writable = self._request_immediate_attempt
         timeout_s = self.owner.core.settings.connect_timeout_s
         self.context.connector.connect(self, protocol.server.record.address, timeout_s)
 
     def _reconnect(self) -> None:
-        """Dial again, at once where the connection had been up for long."""
+        """Schedule another attempt, after the backoff if the connection lasted at most MAX_BACKOFF_S.
+
+        For a draining server it is immediate: `_connect` removes the connection unless requests are queued.
+        """
         if self.clock.now - self.connected_at > MAX_BACKOFF_S:
             self.backoff_s = MIN_BACKOFF_S
-            self._dial_after(0.0)
+            self._connect_after(0.0)
         elif self.server_connection.draining:
-            self._dial_after(0.0)
+            self._connect_after(0.0)
         else:
-            self._dial_after_backoff(at_once=False, max_backoff_s=MAX_BACKOFF_S)
+            self._connect_after_backoff(at_once=False, max_backoff_s=MAX_BACKOFF_S)
 
     def _remove(self) -> None:
         self.owner.drivers.pop(self, None)
@@ -210,38 +222,38 @@
 
 
 class ServiceDiscoveryDriver(ConnectionDriver):
-    """Keeps the long poll of the coordinator going, as `ServiceDiscoveryPoller`."""
+    """Driver that keeps a long poll at the coordinator open, as `ServiceDiscoveryPoller` does."""
 
     part = ProcessorPart.ENDPOINT_LIST
 
     def __init__(
         self, context: SimulationContext, owner: DriverOwner, protocol: ServiceDiscoveryClient
     ) -> None:
-        """Schedule the first dial of the coordinator."""
+        """Schedule the first connection attempt to the coordinator."""
         super().__init__(context, owner, protocol)
         self.client = protocol
-        self.client.reconnect_now = self._dial_now
-        self._answers_before = 0  # answers that the client had received at the last dial
+        self.client.reconnect_now = self._request_immediate_attempt
+        self._answers_before = 0  # answers the client had received at the last attempt
 
     def connection_made(self, connection: SimulatedConnection) -> None:
-        """Begin to carry bytes on a connection that has come up."""
+        """Notify the client, then start transferring bytes on an established connection."""
         self.client.connected()
         super().connection_made(connection)
 
     def connect_failed(self, refused: bool) -> None:
-        """Dial again after the backoff."""
+        """Report the error to the client and schedule another attempt."""
         self.client.connect_failed(
             ConnectionRefusedError("refused") if refused else TimeoutError("timed out")
         )
         self._reconnect()
 
-    def _dial(self) -> None:
-        self._next_dial = None
-        self._dial_wanted_now = False
+    def _connect(self) -> None:
+        self._next_attempt = None
+        self._immediate_attempt_requested = False
         if self.has_stopped:
             return
         if self.client.is_paused():
-            self._dial_after(POLL_TURN_CHECK_S)
+            self._connect_after(POLL_TURN_CHECK_S)
             return
         self._answers_before = self.client.answers_received
         self.context.connector.connect(self, self.client.address, CONNECT_TIMEOUT_S)
@@ -249,6 +261,8 @@
     def _reconnect(self) -> None:
         if self.has_stopped:
             return
-        if self._dial_wanted_now or self.client.answers_received > self._answers_before:
+        if self._immediate_attempt_requested or self.client.answers_received > self._answers_before:
             self.backoff_s = MIN_BACKOFF_S
-        self._dial_after_backoff(at_once=self._dial_wanted_now, max_backoff_s=MAX_POLL_BACKOFF_S)
+        self._connect_after_backoff(
+            at_once=self._immediate_attempt_requested, max_backoff_s=MAX_POLL_BACKOFF_S
+        )
--- a/stairhatch/scale_test/errors.py
+++ b/stairhatch/scale_test/errors.py
@@ -1,19 +1,19 @@
-"""Exceptions of the scale test, all below `ScaleTestError`."""
+"""Exceptions of the scale test; all derive from `ScaleTestError`."""
 
 from __future__ import annotations
 
 
 class ScaleTestError(Exception):
-    """A scale run could not be carried out; the message is one line."""
+    """A scale run could not be completed; the message is one line."""
 
 
 class ScalePlanError(ScaleTestError, ValueError):
-    """A scale file cannot be used; the message names the key."""
+    """A scale file is unreadable or invalid; the message of an invalid plan names the key."""
 
 
 class MemoryLimitError(ScaleTestError):
-    """A run takes more than the allowed fraction of the machine's memory."""
+    """A run needs or uses more than the allowed fraction of the machine's memory."""
 
 
 class ProcessStartError(ScaleTestError):
-    """A real process did not start or did not report in time."""
+    """A real softswitch process failed to start, or didn't log its counters in time."""
--- a/stairhatch/scale_test/event_injector.py
+++ b/stairhatch/scale_test/event_injector.py
@@ -12,11 +12,11 @@
 from stairhatch.scale_test.simulated_softswitch import SimulatedSoftswitch
 from stairhatch.scale_test.simulation_context import SimulationContext
 
-OUTAGE_DETECTION_S = 2.0  # after which the coordinator knows that a machine is off
+OUTAGE_DETECTION_S = 2.0  # from a machine's outage until the coordinator removes its roster server
 
 
 class EventInjector:
-    """Schedules the planned events and counts how often each had an effect."""
+    """Schedules the planned events of a run and counts how often each kind had an effect."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         coordinators: Sequence[SimulatedCoordinator],
         softswitches: Sequence[SimulatedSoftswitch],
     ) -> None:
-        """Inject events into these machines."""
+        """Prepare to inject events into the given machines; nothing is scheduled yet."""
         self.context = context
         self.servers = servers
         self.coordinators = coordinators
@@ -33,7 +33,7 @@
         self._activations: Counter[PlannedEventKind] = Counter()
 
     def schedule(self) -> None:
-        """Schedule all events of the plan, from the beginning of the calls."""
+        """Schedule all events of the plan; event times count from the time at which calls begin."""
         injected = 0
         for event in self.context.plan.events:
             if event.kind is PlannedEventKind.RESTART:
@@ -49,12 +49,12 @@
                 self.context.clock.call_at(at, self._inject, event, region)
 
     def activations(self) -> dict[PlannedEventKind, int]:
-        """Return how often each kind of event had an effect."""
+        """Return, for each kind of event, how often it had an effect."""
         by_network = self.context.network.activations
         return {kind: self._activations[kind] + by_network[kind] for kind in PlannedEventKind}
 
     def _time_of(self, event: PlannedEvent, order: int, times: int) -> float:
-        """Return when an event is due that happens several times, evenly over its duration."""
+        """Return the clock time of occurrence `order` of `times`, spread evenly over the event's duration."""
         return self.context.begins_at + (event.at_s + event.duration_s * order / times)
 
     def _schedule_restarts(self, event: PlannedEvent) -> None:
@@ -79,7 +79,7 @@
             case PlannedEventKind.ZONE_PARTITION | PlannedEventKind.REGION_PARTITION:
                 self.context.network.begin_partition(event)
             case PlannedEventKind.RESTART:
-                raise AssertionError("restarts are scheduled by softswitch")
+                raise AssertionError("restarts are scheduled per softswitch, by _schedule_restarts")
 
     def _change_line(self, region: int) -> None:
         notified = self.context.list_changes.notified
@@ -89,7 +89,7 @@
         self._activations[PlannedEventKind.LIST_CHANGE] += 1
 
     def _notify(self, lines: list[EndpointLine], region: int) -> None:
-        """Change lines of the endpoint list at the coordinator of a region."""
+        """Record a list change and apply its lines at the coordinator of a region."""
         self.context.list_changes.record_change(lines[0]["instanceId"], self.context.clock.now)
         self.coordinators[region].change(lines)
 
@@ -103,25 +103,25 @@
         lines = []
         for index in self.context.topology.servers_of(event.service)[: event.count]:
             server = self.servers[index]
-            gone = server.endpoint_line("terminated")
+            terminated_line = server.endpoint_line("terminated")
             server.kill()
             server.start_cold()
-            lines += [server.endpoint_line(), gone]
+            lines += [server.endpoint_line(), terminated_line]
             self._activations[PlannedEventKind.COLD_REPLACEMENT] += 1
         self._notify(lines, region)
 
     def _begin_rack_outage(self, event: PlannedEvent, region: int) -> None:
         machines = self.context.topology.machines_in_zone(event.zone)[: event.count]
-        gone = []
+        terminated_lines = []
         for machine in machines:
             self._activations[PlannedEventKind.RACK_OUTAGE] += 1
             if machine < len(self.servers):
-                gone.append(self.servers[machine].endpoint_line("terminated"))
+                terminated_lines.append(self.servers[machine].endpoint_line("terminated"))
                 self.servers[machine].power_off()
             if machine < len(self.softswitches):
                 self.softswitches[machine].power_off()
-        if gone:
-            self.context.clock.call_later(OUTAGE_DETECTION_S, self._notify, gone, region)
+        if terminated_lines:
+            self.context.clock.call_later(OUTAGE_DETECTION_S, self._notify, terminated_lines, region)
         self.context.clock.call_later(event.duration_s, self._end_rack_outage, machines, region)
 
     def _end_rack_outage(self, machines: list[int], region: int) -> None:
--- a/stairhatch/scale_test/figures.py
+++ b/stairhatch/scale_test/figures.py
@@ -1,6 +1,6 @@
-"""The figures of a scale run, as they are kept. Encoded names are the keys of `result.json` and `run.json`.
+"""Figures of a scale run. Their encoded names are the keys of `result.json` and `run.json`.
 
-Bytes, messages and set-ups are counts over the whole run unless a field says otherwise.
+Bytes, messages and set-ups are counts over the whole run unless a field or class states another unit.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     failed: int
     unreachable: int = field(name="unreached")
     lost: int
-    interrupted: int = field(name="cut")  # established, and ended by a fault
+    interrupted: int = field(name="cut")  # established calls that a fault ended
     requested_by_depth: dict[int, int] = field(name="depths")
     established_by_depth: dict[int, int] = field(name="stood_at_depth")
     max_depth: int = field(name="deepest")
@@ -35,14 +35,14 @@
 
 
 class ServerFigures(Struct, frozen=True, kw_only=True):
-    """The roster servers: rejected set-ups, and servers pushed over while they were cold."""
+    """Counts for all roster servers: rejected set-ups, and servers that crashed from overload while cold."""
 
     rejected_setups: int = field(name="turned_away")
     overloaded: int = field(name="fallen")
 
 
 class ControlTraffic(Struct, frozen=True, kw_only=True):
-    """Bytes and messages for each second and softswitch."""
+    """Control traffic: bytes and messages per second and softswitch."""
 
     list_bytes: float
     lease_bytes: float = field(name="claim_bytes")
@@ -51,12 +51,16 @@
 
 
 class ListChangeFigures(Struct, frozen=True, kw_only=True):
-    """The changes of the endpoint list, and how long each took to be in force at a softswitch."""
+    """Changes of the endpoint list, and the times from each change until it was in force at a softswitch."""
 
     notified: int = field(name="told")
-    not_received: int = field(name="not_heard")  # over changes and running softswitches
-    diverged_lists: int = field(name="lists_apart")  # softswitches with another list than their coordinator
-    superseded: int = field(name="older_left_out")  # lines that came after a newer one
+    not_received: int = field(name="not_heard")  # summed over changes and running softswitches
+    diverged_lists: int = field(
+        name="lists_apart"
+    )  # softswitches whose list differs from their coordinator's
+    superseded: int = field(
+        name="older_left_out"
+    )  # lines that arrived after a newer version of the same line
     in_force_p50_ms: float
     in_force_p99_ms: float
     in_force_max_ms: float = field(name="in_force_longest_ms")
@@ -66,8 +70,8 @@
     """The fullest overload window of one cold start, in set-ups."""
 
     server: int
-    start: int  # 1 for the first cold start of the server
-    setups: int = field(name="set_ups")  # all that came while it was cold
+    start: int  # number of the cold start of the server, from 1
+    setups: int = field(name="set_ups")  # all that arrived while the server was cold
     fullest: int
     limit: float = field(name="most")
     overload_limit: float = field(name="falls_above")
@@ -75,7 +79,7 @@
 
 
 class SimulationFigures(Struct, frozen=True, kw_only=True):
-    """Everything that the seed of a simulated run decides."""
+    """All figures of a simulated run that are determined by the plan and its seed."""
 
     calls: CallFigures
     unanswered: int
@@ -86,22 +90,22 @@
     windows: list[ColdStartWindow]
     activations: dict[PlannedEventKind, int] = field(name="bites")
     faults: list[str]
-    counters: dict[str, int]  # of all softswitches together
+    counters: dict[str, int]  # sums over all softswitches
     results_by_second: dict[int, dict[SimulatedCallResult, int]] = field(name="by_second")
 
 
 class RealRunFigures(Struct, frozen=True, kw_only=True):
-    """The figures of a run of real processes."""
+    """The figures of a run with real softswitch processes."""
 
     compared: ComparedFigures
     not_received: int = field(name="not_heard")
     unanswered: int
     calls: CallFigures
-    longest_stall_s: float = field(name="stalled_s")  # of the event loop that drives the run
+    longest_stall_s: float = field(name="stalled_s")  # longest stall of the event loop that drives the run
 
 
 class FigureComparison(Struct, frozen=True, kw_only=True):
-    """One figure of the simulated and of the real run, their ratio, and its bounds."""
+    """One figure of the simulated and of the real run, the ratio of the two, and the bounds of the ratio."""
 
     simulated: float = field(name="hollow")
     real: float
@@ -110,25 +114,25 @@
     maximum: float = field(name="most")
 
     def is_in_bounds(self) -> bool:
-        """Return whether the ratio lies within its range."""
+        """Return whether the ratio lies within its bounds, both inclusive."""
         return self.minimum <= self.ratio <= self.maximum
 
 
 class MachineUsage(Struct, frozen=True, kw_only=True):
-    """The resources that a simulated run used. These figures differ from run to run."""
+    """Resources of this machine that a simulated run used; they differ between runs of the same seed."""
 
     elapsed_s: float = field(name="seconds")
     processor_s: float
     processor_s_by_part: dict[ProcessorPart, float] = field(name="parts_s")
     virtual_s: float
     memory_mb: int
-    steps: int  # events carried out on the virtual clock
-    control_percent: float  # of a core, for each softswitch: endpoint list and leases
+    steps: int  # events that the virtual clock has run
+    control_percent: float  # percent of a core per softswitch, for endpoint list and leases
     predicted_memory_mb: int = field(name="needed_mb", default=0)
     softswitch_kb: float = 0.0
     connection_kb: float = field(name="link_kb", default=0.0)
 
 
 def to_json_object(figures: Struct | dict[Any, Any]) -> Any:
-    """Return figures as objects for JSON, under their encoded names."""
+    """Return figures as objects that JSON can encode, with their encoded names as keys."""
     return msgspec.to_builtins(figures, str_keys=True)
--- a/stairhatch/scale_test/list_changes.py
+++ b/stairhatch/scale_test/list_changes.py
@@ -1,4 +1,4 @@
-"""The changes of the endpoint list in a run, and when each of them came into force at each softswitch."""
+"""Tracks the endpoint list changes of a run and when each change came into force at each softswitch."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-FIRST_CHANGED_WEIGHT = 2  # of a changed line; 1 is what the lines have at first
+FIRST_CHANGED_WEIGHT = 2  # weight of the first changed line; the initial lines have weight 1
 
 
 @dataclass(frozen=True, slots=True)
 class RunningSoftswitch:
-    """A softswitch that runs, and since when."""
+    """The machine of a running softswitch, and the clock time at which its process started."""
 
     machine: int
     started_at: float
@@ -19,25 +19,28 @@
 
 @dataclass(slots=True)
 class ListChangeTracker:
-    """Tracks list changes and their arrival. Times are those of the virtual clock.
+    """Tracker of list changes and of their arrival at the softswitches. Times are of the virtual clock.
 
-    A change counts for a softswitch only if it was made while the softswitch ran.
+    A change counts for a softswitch only if it was made after the softswitch's process started.
     """
 
-    notified: int = 0  # changes so far, each of one or more lines
-    # from each change until it is in force at each softswitch
+    notified: int = 0  # number of changes so far; a change has one or more lines
+    # milliseconds from a change until it is in force, one value per change and softswitch
     in_force_ms: list[float] = field(default_factory=list)
-    _changed_at: dict[str, list[float]] = field(default_factory=dict)  # by instance
-    # the number of changes received, by softswitch and instance
+    _changed_at: dict[str, list[float]] = field(default_factory=dict)  # times of all changes, by instance
+    # number of changes received, by machine of the softswitch and instance
     _received: defaultdict[int, dict[str, int]] = field(default_factory=lambda: defaultdict(dict))
 
     def record_change(self, instance: str, now: float) -> None:
-        """Record a change by one of its lines; the lines of a change come into force together."""
+        """Record a change made at `now`.
+
+        One line, that of `instance`, represents the change: all lines of a change come into force together.
+        """
         self.notified += 1
         self._changed_at.setdefault(instance, []).append(now)
 
     def record_received(self, softswitch: RunningSoftswitch, instance: str, now: float) -> None:
-        """Record that a softswitch has applied a line, and so all changes of it up to now."""
+        """Record that a softswitch has applied a line, and with it all changes of this line up to `now`."""
         changes = self._changed_at.get(instance)
         if changes is None:
             return
@@ -49,7 +52,7 @@
                 self.in_force_ms.append(1000 * (now - changed_at))
 
     def not_received(self, running: Iterable[RunningSoftswitch]) -> int:
-        """Return the number of changes not received, summed over running softswitches."""
+        """Return the number of changes not yet received, summed over the running softswitches."""
         return sum(
             changed_at >= softswitch.started_at
             for softswitch in running
--- a/stairhatch/scale_test/member_log.py
+++ b/stairhatch/scale_test/member_log.py
@@ -1,4 +1,4 @@
-"""Reads what a scale run needs from the log of a real softswitch."""
+"""Reads readiness, counters and applied list lines from the log of a real softswitch."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ListedServer(NamedTuple):
-    """A line of the endpoint list that a softswitch has applied, and when, in Unix time."""
+    """A roster server whose endpoint list line a softswitch applied, and the Unix time of applying it."""
 
     at: float
     instance: str
@@ -22,36 +22,39 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberLog:
-    """The log file of one softswitch, read again by each method."""
+    """The log file of one softswitch; each method reads the whole file again."""
 
     path: Path
 
     def lines(self) -> list[str]:
-        """Return its lines."""
+        """Return all lines of the file; undecodable bytes are replaced."""
         return self.path.read_text(errors="replace").splitlines()
 
     def last_line(self) -> str:
-        """Return the last line, empty if there is none."""
+        """Return the last line, or an empty string if the log is empty."""
         return "".join(self.lines()[-1:])
 
     def is_serving(self, with_leased_index: bool) -> bool:
-        """Return whether it serves, and with a leased instance index if that is required."""
+        """Return whether the softswitch logged that it is serving and, if required, has leased an index."""
         lines = self.lines()
         has_index = not with_leased_index or any(INDEX_LEASED_MARK in line for line in lines)
         return has_index and any(SERVING_MARK in line for line in lines)
 
     def counter_reports(self) -> int:
-        """Return how often the counters were logged."""
+        """Return how many times the softswitch has logged its counters."""
         return sum(COUNTERS_MARK in line for line in self.lines())
 
     def last_counters(self) -> dict[str, int]:
-        """Return the counters as they were logged last."""
+        """Return the most recently logged counters.
+
+        Raises StopIteration if none were logged.
+        """
         line = next(line for line in reversed(self.lines()) if COUNTERS_MARK in line)
         pairs = (word.partition("=") for word in line.split()[2:])
         return {name: int(value) for name, _, value in pairs}
 
     def listed_servers(self, since: float) -> Iterator[ListedServer]:
-        """Yield the lines of the endpoint list applied since a Unix time."""
+        """Yield the roster servers of the list lines that were applied at or after a Unix time."""
         for line in self.lines():
             words = line.split()
             if len(words) > 2 and words[1] == LISTED_EVENT and float(words[0]) >= since:
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -1,4 +1,4 @@
-"""The memory that a run needs, measured on small runs of the same form before it begins."""
+"""Predicts the memory of a run from small runs of the same plan, before the run itself begins."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
 from stairhatch.scale_test.schema import FleetPlan, PlannedEventKind, ScalePlan
 from stairhatch.scale_test.simulation import Simulation
 
-MAX_MEMORY_FRACTION = 0.5  # of the machine's
-FEW_SOFTSWITCHES, MANY_SOFTSWITCHES = 2, 8  # in the small runs
-FEW_SERVERS, MANY_SERVERS = 10, 40
-SAMPLE_DURATION_S = 1.5  # of the virtual clock: all connections are up by then
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory, for one run
+FEW_SOFTSWITCHES, MANY_SOFTSWITCHES = 2, 8  # numbers of softswitches in the small runs
+FEW_SERVERS, MANY_SERVERS = 10, 40  # numbers of roster servers in the small runs
+SAMPLE_DURATION_S = 1.5  # virtual time, long enough for all connections to be established
 
 KIB, MIB, GIB = 2**10, 2**20, 2**30
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemoryNeed:
-    """The memory of each part of a run, in bytes."""
+    """The predicted memory of each kind of object in a run, in bytes."""
 
     softswitch: float
-    connection: float  # of a softswitch to a roster server, both ends
+    connection: float  # between a softswitch and a roster server, both ends
     server: float
     base: float
 
     def total(self, plan: ScalePlan) -> float:
-        """Return the memory that a run of a plan takes, in bytes.
+        """Return the predicted memory of a run of a plan, in bytes.
 
-        The connection to a server that is replaced is kept for a while beside the new one.
+        A replaced server counts twice for connections: each softswitch keeps the connection to the old
+        process for a while beside the one to the new process.
         """
         replacing = (PlannedEventKind.COLD_REPLACEMENT, PlannedEventKind.RACK_OUTAGE)
         replaced = sum(event.count for event in plan.events if event.kind in replacing)
@@ -48,11 +49,11 @@
 
 
 def machine_memory_bytes() -> int:
-    """Return the memory of this machine in bytes, or the limit of its control group."""
+    """Return the physical memory in bytes, or the memory limit of the control group if that is lower."""
     physical = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     try:
         return min(physical, int(Path("/sys/fs/cgroup/memory.max").read_text()))
-    except (OSError, ValueError):  # there is no limit
+    except (OSError, ValueError):  # the control group has no limit ("max"), or there is no such file
         return physical
 
 
@@ -62,32 +63,51 @@
 
 
 def memory_limit_bytes() -> float:
-    """Return the limit for the memory of a run."""
+    """Return the maximum memory of a run in bytes."""
     return MAX_MEMORY_FRACTION * machine_memory_bytes()
 
 
 def measure_memory_need(plan: ScalePlan) -> MemoryNeed:
-    """Measure the memory of the parts of a run: four small runs, solved for four unknowns."""
-    few, many, less, more = FEW_SOFTSWITCHES, MANY_SOFTSWITCHES, FEW_SERVERS, MANY_SERVERS
+    """Return the memory of each part of a run, from four small runs: four equations with four unknowns."""
+    low_softswitches, high_softswitches, low_servers, high_servers = (
+        FEW_SOFTSWITCHES,
+        MANY_SOFTSWITCHES,
+        FEW_SERVERS,
+        MANY_SERVERS,
+    )
+    # Bytes of the small runs, named by the number of softswitches and then of servers.
     tracemalloc.start()
     try:
-        few_less = _traced_bytes(plan, few, less)
-        many_less = _traced_bytes(plan, many, less)
-        few_more = _traced_bytes(plan, few, more)
-        many_more = _traced_bytes(plan, many, more)
+        low_low = _traced_bytes(plan, low_softswitches, low_servers)
+        high_low = _traced_bytes(plan, high_softswitches, low_servers)
+        low_high = _traced_bytes(plan, low_softswitches, high_servers)
+        high_high = _traced_bytes(plan, high_softswitches, high_servers)
     finally:
         tracemalloc.stop()
-    interpreter = resident_bytes()  # with all modules loaded
-    connection = (many_more - many_less - few_more + few_less) / ((many - few) * (more - less))
+    interpreter = resident_bytes()  # of the interpreter with all modules loaded
+    connection = (high_high - high_low - low_high + low_low) / (
+        (high_softswitches - low_softswitches) * (high_servers - low_servers)
+    )
     connection = max(0.0, connection)
-    softswitch = max(0.0, (many_less - few_less) / (many - few) - connection * less)
-    server = max(0.0, (few_more - few_less) / (more - less) - connection * few)
-    base = max(0.0, few_less - softswitch * few - server * less - connection * few * less)
+    softswitch = max(
+        0.0, (high_low - low_low) / (high_softswitches - low_softswitches) - connection * low_servers
+    )
+    server = max(0.0, (low_high - low_low) / (high_servers - low_servers) - connection * low_softswitches)
+    base = max(
+        0.0,
+        low_low
+        - softswitch * low_softswitches
+        - server * low_servers
+        - connection * low_softswitches * low_servers,
+    )
     return MemoryNeed(softswitch=softswitch, connection=connection, server=server, base=interpreter + base)
 
 
 def require_memory(plan: ScalePlan) -> MemoryNeed:
-    """Return the memory of the parts of a run; MemoryLimitError if the run exceeds the limit."""
+    """Return the predicted memory of a run.
+
+    Raises MemoryLimitError if the prediction exceeds the limit of `memory_limit_bytes`.
+    """
     need = measure_memory_need(plan)
     total, limit = need.total(plan), memory_limit_bytes()
     if total > limit:
@@ -101,7 +121,7 @@
 
 
 def _traced_bytes(plan: ScalePlan, softswitch_count: int, server_count: int) -> float:
-    """Return the memory of a small run of the same form, with all connections up and no calls."""
+    """Return the bytes allocated by a small run of the same plan, with all connections up and no calls."""
     small = msgspec.structs.replace(
         plan,
         softswitch_count=softswitch_count,
--- a/stairhatch/scale_test/simulated_softswitch.py
+++ b/stairhatch/scale_test/simulated_softswitch.py
@@ -74,7 +74,7 @@
     def power_off(self) -> None:
         """Power its machine off, which notifies nobody."""
         self.machine_on = False
-        self._end(unnoticed=True)
+        self._end(powered_off=True)
 
     def power_on(self) -> None:
         """Power its machine on, and start its process."""
@@ -118,10 +118,10 @@
             clock.call_later(DRAIN_CHECK_INTERVAL_S, self._end_when_drained, incarnation, deadline)
             return
         incarnation.leave_fleet()
-        self._end(unnoticed=False)
+        self._end(powered_off=False)
         clock.call_later(self.context.plan.restart_downtime_s, self.start)
 
-    def _end(self, unnoticed: bool) -> None:
+    def _end(self, powered_off: bool) -> None:
         incarnation, self.incarnation = self.incarnation, None
         if incarnation is not None:
-            incarnation.end(unnoticed)
+            incarnation.end(powered_off)
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -137,11 +137,11 @@
         if self._fleet is not None:
             self._fleet.stop()
 
-    def end(self, unnoticed: bool) -> None:
-        """End the process; `unnoticed`: without closing connections, as its machine is off."""
+    def end(self, powered_off: bool) -> None:
+        """End the process; `powered_off`: without closing connections, as its machine is off."""
         self.is_running = False
         for driver in list(self.drivers):
-            driver.stop(unnoticed)
+            driver.stop(powered_off)
         self.drivers.clear()
         self._cancel_timer()
         self.core.timers.on_earlier_due = do_nothing
--- a/stairhatch/scale_test/topology.py
+++ b/stairhatch/scale_test/topology.py
@@ -51,7 +51,7 @@
         """Return the roster servers of a service."""
         return list(range(service, self.plan.server_count, self.plan.service_count))
 
-    def softswitch_beside(self, server: int) -> int:
+    def local_softswitch(self, server: int) -> int:
         """Return the softswitch at which calls that a roster server makes enter."""
         return server % self.plan.softswitch_count
 
