--- a/stairhatch/scale_test/call_generator.py
+++ b/stairhatch/scale_test/call_generator.py
@@ -26,7 +26,7 @@
     """A generated call to be placed at one softswitch."""
 
     serial: int
-    at_s: float  # seconds from the start of the run
+    at_s: float  # seconds since the calls began
     service: int
     depth: int  # position in the chain of calls; 1 for a call from outside
     softswitch: int
@@ -91,7 +91,7 @@
             self._servers[called_number] = server
 
     def record_result(self, call: GeneratedCall, result: SimulatedCallResult, at_s: float) -> None:
-        """Record the final answer of a call; `at_s` is in seconds from the start of the run.
+        """Record the final answer of a call; `at_s` is in seconds since the calls began.
 
         An established call triggers its follow-up calls, unless the run's duration is over.
 
--- a/stairhatch/scale_test/call_tally.py
+++ b/stairhatch/scale_test/call_tally.py
@@ -30,7 +30,7 @@
         self.requested_by_depth[depth] += 1
 
     def record_result(self, result: SimulatedCallResult, at_s: float) -> None:
-        """Count a final answer; `at_s` is in seconds from the start of the run."""
+        """Count a final answer; `at_s` is in seconds since the calls began."""
         self.results[result] += 1
         self.results_by_second[int(at_s)][result] += 1
 
--- a/stairhatch/scale_test/processor_meter.py
+++ b/stairhatch/scale_test/processor_meter.py
@@ -1,4 +1,7 @@
-"""Measures the processor time of a run by part of the work."""
+"""Measures the time of a run by part of the work.
+
+The readings are of `time.perf_counter`, so they include time in which the process was not scheduled.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class ProcessorPart(Enum):
-    """A part of the work. The values are keys of the kept results."""
+    """A part of the work of a run; the values are keys in the result files."""
 
     REST = "rest"
     SERVER_CONNECTIONS = "links"
@@ -23,30 +26,33 @@
 
 
 class ProcessorMeter:
-    """Seconds by part. Time is charged to the part that was entered last and not yet left."""
+    """Meter of the seconds spent in each part.
+
+    Parts nest: time is charged to the part that was entered last and has not been left.
+    """
 
     def __init__(self) -> None:
-        """Begin with the rest."""
+        """Start charging time to `ProcessorPart.REST`."""
         self.seconds: defaultdict[ProcessorPart, float] = defaultdict(float)
         self._entered = [ProcessorPart.REST]
         self._since = time.perf_counter()
 
     def enter(self, part: ProcessorPart) -> None:
-        """Charge the time from now on to a part, until it is left or another is entered."""
+        """Start charging time to a part, until the part is left or another one is entered."""
         self._charge(self._entered[-1])
         self._entered.append(part)
 
     def leave(self) -> None:
-        """Charge the time from now on to the part that was entered before."""
+        """Leave the current part; time is again charged to the part that was entered before it."""
         self._charge(self._entered.pop())
 
     def update(self) -> None:
-        """Charge the time up to now, so that `seconds` is complete."""
+        """Charge the time since the last change to the current part, so that `seconds` is up to date."""
         self._charge(self._entered[-1])
 
     @contextmanager
     def measuring(self, part: ProcessorPart) -> Iterator[None]:
-        """Charge the time inside the block to a part."""
+        """Context manager that charges the time inside the block to a part."""
         self.enter(part)
         try:
             yield
--- a/stairhatch/scale_test/quantiles.py
+++ b/stairhatch/scale_test/quantiles.py
@@ -1,4 +1,4 @@
-"""The quantile of the figures of a scale run."""
+"""The quantile function for the figures of a scale run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def quantile(ascending: Sequence[float], fraction: float) -> float:
-    """Return the value below which a fraction of the values lies, to a thousandth; 0 of no values."""
+    """Return the `fraction` quantile of sorted values, rounded to 3 decimals; 0 if there are no values.
+
+    The result is one of the values, without interpolation.
+    """
     if not ascending:
         return 0.0
     return round(ascending[min(len(ascending) - 1, int(fraction * len(ascending)))], DECIMALS)
--- a/stairhatch/scale_test/real_config.py
+++ b/stairhatch/scale_test/real_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of each real softswitch of a run.
+"""Builds the configuration file of each real softswitch of a run.
 
 The keys are those of the appliance's configuration (`stairhatch.config.appliance`).
 """
@@ -28,7 +28,7 @@
 
 
 def inline_toml(value: Any) -> str:
-    """Return a value on one line of TOML: lists, strings and numbers are written as in JSON."""
+    """Return a value as one line of TOML; lists, strings and numbers have the same form as in JSON."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{key} = {inline_toml(each)}" for key, each in value.items()) + " }"
     if isinstance(value, list):
@@ -39,7 +39,7 @@
 def config_text(
     plan: ScalePlan, members: Sequence[MemberProcess], index: int, coordinator: tuple[str, int]
 ) -> str:
-    """Return the configuration of one member; the first ones of `members` are the voters."""
+    """Return the configuration of `members[index]`; the first members of the list are the voters."""
     member = members[index]
     text = CONFIG_TEMPLATE.format(
         name=member.name,
--- a/stairhatch/scale_test/real_run.py
+++ b/stairhatch/scale_test/real_run.py
@@ -1,6 +1,7 @@
-"""The same scenario by real processes: a few softswitches on loopback with emulators around them.
+"""Runs the comparison scenario with real processes: a few softswitches and emulators on loopback.
 
-Calls, list changes and what is counted are those of the simulated run; nothing may be counted another way.
+Calls and list changes are identical to those of the simulated run, and every figure is counted at the same
+place in both runs, because a figure counted differently would not be comparable.
 """
 
 from __future__ import annotations
@@ -51,7 +52,10 @@
 
 
 async def _poll_until(condition: Callable[[], bool], timeout_s: float) -> bool:
-    """Return whether a condition came to hold in time. Logs and counts have no event to await."""
+    """Return whether `condition` became true within the timeout.
+
+    Polling is necessary because log files and call counts provide no event to await.
+    """
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
@@ -61,10 +65,13 @@
 
 
 class RealRun:
-    """One run of real processes. A run is made once and then closed."""
+    """One run of real processes; an instance runs once and then closes itself."""
 
     def __init__(self, plan: ScalePlan, settle_s: float) -> None:
-        """Make its folder, which is removed even if this process is killed; nothing is started yet."""
+        """Create the folder of the run and start its cleanup process; no softswitch is started yet.
+
+        The cleanup process removes the folder even if this process is killed.
+        """
         self.plan = plan
         self.settle_s = settle_s
         self.folder = Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
@@ -80,14 +87,20 @@
         self._callers: list[CallerEmulator] = []
         self._coordinator = CoordinatorEmulator()
         self._stall = EventLoopStall()
-        self._changed_at: defaultdict[str, list[float]] = defaultdict(list)  # Unix times, by instance
+        self._changed_at: defaultdict[str, list[float]] = defaultdict(
+            list
+        )  # Unix times of list changes, by instance
         self._begins_at = 0.0  # the monotonic time at which the calls begin
-        # Owned here and cancelled in `_close`; asyncio.run awaits them, since a turn of the loop there would
-        # have closed callers hang up. No task group: a fault in a task is raised once the calls are over.
+        # `_close` cancels the tasks, and asyncio.run awaits them: awaiting them in `_close` would run the
+        # event loop, in which the closed callers would hang up. A task group would end the run at the first
+        # exception; here an exception in a task is raised after the calls have ended.
         self._tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> RealRunFigures:
-        """Play the plan, and return what was counted. ProcessStartError: a process did not serve."""
+        """Run the plan and return its figures.
+
+        Raises ProcessStartError if a process fails to start, or doesn't log its counters in time.
+        """
         try:
             await self._start()
             await asyncio.sleep(self.settle_s)
@@ -111,7 +124,7 @@
         self._coordinator.publish([self._endpoint_line(index) for index in range(self.plan.server_count)])
         self._start_members()
         if not await _poll_until(self._all_serving, READY_TIMEOUT_S):
-            raise ProcessStartError("real: a softswitch does not serve")
+            raise ProcessStartError("real: a softswitch was not serving in time")
         for member in self._members:
             caller = await CallerEmulator.over_udp(member.sip, f"c{member.name}", self.plan.seed)
             self._callers.append(caller)
@@ -124,7 +137,7 @@
         )
 
         def observe(kind: ObservationKind, called_number: str) -> None:
-            """Take note of the server at which a call was established."""
+            """Record the server that established a call."""
             if kind is ObservationKind.ESTABLISHED:
                 self._calls.record_server(called_number, index)
 
@@ -149,13 +162,16 @@
             member.start()
 
     def _all_serving(self) -> bool:
-        """Return whether all serve, each with an instance index of its own where they are leased."""
+        """Return whether all softswitches serve and have leased their instance index, if indexes are leased.
+
+        Raises ProcessStartError if a process has exited.
+        """
         fleet = self.plan.fleet
         leases_index = fleet is not None and fleet.lease_instance_index
         for member, log in zip(self._members, self._logs, strict=True):
             assert member.process is not None
             if member.process.poll() is not None:
-                raise ProcessStartError(f"real: {member.name} ended at its start: {log.last_line()}")
+                raise ProcessStartError(f"real: {member.name} exited during its start: {log.last_line()}")
             if not log.is_serving(leases_index):
                 return False
         return True
@@ -184,15 +200,17 @@
             self._calls.request(call)
 
     def _place_call(self, call: GeneratedCall) -> None:
-        def ended(_placed: PlacedCall, result: CallResult, _took_s: float, _status: int) -> None:
-            """Record the final answer."""
+        def record_final_answer(
+            _placed: PlacedCall, result: CallResult, _took_s: float, _status: int
+        ) -> None:
+            """Record the final answer of the call with its time."""
             self._calls.record_result(call, RESULTS[result], self._elapsed_s())
 
         now = asyncio.get_running_loop().time()
-        self._callers[call.softswitch].place(call.called_number, call.hold_s, now, ended)
+        self._callers[call.softswitch].place(call.called_number, call.hold_s, now, record_final_answer)
 
     async def _change_list(self, event: PlannedEvent) -> None:
-        """Change lines of the endpoint list: a scenario for real processes has no other events."""
+        """Publish the list changes of an event at their times; the scenario has no other kind of event."""
         assert event.kind is PlannedEventKind.LIST_CHANGE
         for order in range(event.count):
             due_s = event.at_s + event.duration_s * order / event.count
@@ -204,7 +222,10 @@
             )
 
     async def _usage_totals(self) -> UsageTotals:
-        """Return what has been used up to now. The softswitches log their counters at SIGUSR1."""
+        """Return the usage up to now, from the emulators and the softswitches' counters.
+
+        A softswitch logs its counters on SIGUSR1. Raises ProcessStartError if one doesn't in time.
+        """
         reports_before = [log.counter_reports() for log in self._logs]
         for member in self._members:
             member.send_signal(signal.SIGUSR1)
@@ -212,11 +233,11 @@
         for member, log, before in zip(self._members, self._logs, reports_before, strict=True):
 
             def has_reported(log: MemberLog = log, before: int = before) -> bool:
-                """Return whether the counters have been logged since the signal."""
+                """Return whether the softswitch has logged its counters since the signal."""
                 return log.counter_reports() > before
 
             if not await _poll_until(has_reported, READY_TIMEOUT_S):
-                raise ProcessStartError(f"real: {member.name} tells no counters")
+                raise ProcessStartError(f"real: {member.name} did not log its counters in time")
             counters.update(log.last_counters())
         return UsageTotals(
             setups=sum(server.setup_count for server in self._servers),
@@ -227,7 +248,10 @@
         )
 
     def _in_force_ms(self, since: float) -> list[float]:
-        """Return the time from each change until each softswitch logged that it had taken it in."""
+        """Return the milliseconds from each list change until each softswitch logged that it applied it.
+
+        `since` is a Unix time; earlier log lines are ignored.
+        """
         in_force_ms = []
         for log in self._logs:
             received: Counter[str] = Counter()
@@ -264,7 +288,7 @@
         self._remove_folder()
 
     def _remove_folder(self) -> None:
-        """Have the folder removed: its cleaner waits for the end of its standard input."""
+        """Make the cleanup process remove the folder, by closing its standard input, and await its exit."""
         assert self._folder_cleanup.stdin is not None
         with contextlib.suppress(OSError):
             self._folder_cleanup.stdin.close()
--- a/stairhatch/scale_test/result_files.py
+++ b/stairhatch/scale_test/result_files.py
@@ -1,7 +1,8 @@
-"""The kept files of a scale run, in a folder of its name.
+"""Writes the result files of a scale run into a folder named after the plan.
 
-`result.json` holds what the seed decides and is the same for the same scale file; `run.json` what the machine
-and the real processes added; `table.md` and `chart.svg` are for readers.
+`result.json` has the figures that the seed determines and is identical for the same scale file. `run.json`
+has the usage of the machine and the figures of the real processes, which differ between runs. `table.md` and
+`chart.svg` present the results to readers.
 """
 
 from __future__ import annotations
@@ -18,12 +19,15 @@
 
 
 def result_json(result: ScaleResult) -> str:
-    """Return what the seed decides, the text of `result.json`."""
+    """Return the text of `result.json`: the plan, and the figures that its seed determines."""
     return _json_text({"plan": to_json_object(result.plan), "figures": to_json_object(result.figures)})
 
 
 def keep_result(result: ScaleResult, parent: Path, command: str) -> Path:
-    """Write the files of a run into a folder of its name, and return the folder."""
+    """Write the result files into a subfolder of `parent` named after the plan, and return the subfolder.
+
+    `command` is the command line to record in the files.
+    """
     folder = parent / result.plan.name
     folder.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
--- a/stairhatch/scale_test/roster_processor.py
+++ b/stairhatch/scale_test/roster_processor.py
@@ -1,4 +1,4 @@
-"""The processor model of a plan's roster servers, the same for simulated and for real runs."""
+"""Builds the processor model of a plan's roster servers, identically for simulated and for real runs."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from stairhatch.emulators.processor import Processor, ProcessorProfile
 from stairhatch.scale_test.schema import ScalePlan
 
-SEED_FACTOR = 31  # so that the servers of two neighbouring seeds differ
+SEED_FACTOR = 31  # keeps the processor seeds of consecutive plan seeds apart, for up to 31 servers
 
 
 def processor_profile(plan: ScalePlan) -> ProcessorProfile:
-    """Return what the roster servers of a plan can do."""
+    """Return speed, queue limit, cold start and overload behaviour of the plan's roster servers."""
     server = plan.server
     return ProcessorProfile(
         setup_s=server.setup_work_ms / 1000,
@@ -24,5 +24,5 @@
 
 
 def create_processor(plan: ScalePlan, server: int) -> Processor:
-    """Return the processor of one roster server, seeded by the plan and the server's number."""
+    """Return the processor model of one roster server, seeded by the plan's seed and the server's index."""
     return Processor(processor_profile(plan), random.Random(plan.seed * SEED_FACTOR + server))
--- a/stairhatch/scale_test/run.py
+++ b/stairhatch/scale_test/run.py
@@ -1,4 +1,4 @@
-"""A whole scale run: whether it fits the machine, the simulation, the comparison with real processes."""
+"""Runs a complete scale test: memory check, simulation, verdict, and comparison with real processes."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
 
 
 def _report_nothing(line: str) -> None:
-    """Drop a line of progress."""
+    """Discard a progress line."""
 
 
 @dataclass(slots=True)
 class ScaleResult:
-    """What came of a run; it is good if there are no failures."""
+    """The result of a scale test, which has passed if `failures` is empty."""
 
     plan: ScalePlan
-    figures: SimulationFigures  # the same for the same file
+    figures: SimulationFigures  # identical for the same scale file
     machine: MachineUsage
     compared: dict[ComparedFigure, FigureComparison] = field(default_factory=dict)
     real: RealRunFigures | None = None
@@ -57,18 +57,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedSimulation:
-    """A simulation that has ended, and what it took of the machine."""
+class CompletedSimulation:
+    """A simulation that has ended, and the resources that it used on this machine."""
 
     simulation: Simulation
     machine: MachineUsage
 
 
 class RunObserver:
-    """Reports the progress of a simulation, and ends it if it takes too much memory."""
+    """Observer that reports the progress of a simulation and aborts it if it uses too much memory."""
 
     def __init__(self, report: ReportProgress) -> None:
-        """Begin now."""
+        """Start measuring time and memory; progress lines are passed to `report`."""
         self.started_at = time.monotonic()
         self.peak_bytes = resident_bytes()
         self._limit_bytes = memory_limit_bytes()
@@ -76,12 +76,15 @@
         self._reported_at = self.started_at
 
     def observe(self, simulation: Simulation) -> None:
-        """Take note of how far a simulation is; MemoryLimitError if it takes too much."""
+        """Update the peak memory, and report progress if PROGRESS_INTERVAL_S has passed.
+
+        Raises MemoryLimitError if the resident memory exceeds the limit.
+        """
         resident = resident_bytes()
         self.peak_bytes = max(self.peak_bytes, resident)
         if resident > self._limit_bytes:
             raise MemoryLimitError(
-                f"softswitches: at {simulation.context.elapsed_s:.1f} s the run holds "
+                f"softswitches: at {simulation.context.elapsed_s:.1f} s the run uses "
                 f"{resident / GIB:.1f} GiB, more than half of this machine's memory"
             )
         now = time.monotonic()
@@ -98,10 +101,14 @@
         )
 
 
-def play(
+def simulate(
     plan: ScalePlan, report: ReportProgress = _report_nothing, settle_s: float | None = None
-) -> PlayedSimulation:
-    """Play a plan by simulated softswitches. MemoryLimitError: it took too much memory."""
+) -> CompletedSimulation:
+    """Run a plan with simulated softswitches, and return the ended simulation.
+
+    With `settle_s`, calls begin that many seconds after all softswitches serve, instead of after the plan's
+    lead time. Raises MemoryLimitError if the run uses too much memory.
+    """
     simulation = Simulation(plan)
     observer = RunObserver(report)
     processor_s_before = time.process_time()
@@ -110,7 +117,7 @@
     elapsed_s = time.monotonic() - observer.started_at
     processor_s = time.process_time() - processor_s_before
     peak_bytes = max(observer.peak_bytes, resident_bytes())
-    return PlayedSimulation(simulation, _machine_usage(simulation, elapsed_s, processor_s, peak_bytes))
+    return CompletedSimulation(simulation, _machine_usage(simulation, elapsed_s, processor_s, peak_bytes))
 
 
 def _machine_usage(
@@ -134,27 +141,32 @@
 
 
 def run_scale_test(plan: ScalePlan, report: ReportProgress = _report_nothing) -> ScaleResult:
-    """Carry out a whole run. ScaleTestError: it could not be."""
+    """Run a complete scale test and return its result.
+
+    Raises ScaleTestError if it cannot be completed: too little memory, or a real process that does not start.
+    """
     need = require_memory(plan)
-    report(_announcement(plan, need))
-    played = play(plan, report)
-    result = ScaleResult(plan, gather_figures(played.simulation), _with_need(played.machine, plan, need))
-    del played  # its memory is needed for the comparison
+    report(_prediction_line(plan, need))
+    completed = simulate(plan, report)
+    result = ScaleResult(
+        plan, gather_figures(completed.simulation), _with_predicted_memory(completed.machine, plan, need)
+    )
+    del completed  # frees its memory for the comparison
     result.failures += find_failures(plan, result.figures)
     if plan.real is not None:
         _compare_with_real_run(result, plan.real, report)
     return result
 
 
-def _announcement(plan: ScalePlan, need: MemoryNeed) -> str:
+def _prediction_line(plan: ScalePlan, need: MemoryNeed) -> str:
     return (
         f"{plan.softswitch_count} simulated softswitches, {plan.server_count} servers: "
-        f"{need.total(plan) / MIB:.0f} MB by what was measured ({need.softswitch / KIB:.0f} KB each and "
+        f"{need.total(plan) / MIB:.0f} MB predicted from small runs ({need.softswitch / KIB:.0f} KB each and "
         f"{need.connection / KIB:.1f} KB a connection)"
     )
 
 
-def _with_need(machine: MachineUsage, plan: ScalePlan, need: MemoryNeed) -> MachineUsage:
+def _with_predicted_memory(machine: MachineUsage, plan: ScalePlan, need: MemoryNeed) -> MachineUsage:
     return msgspec.structs.replace(
         machine,
         predicted_memory_mb=round(need.total(plan) / MIB),
@@ -164,10 +176,15 @@
 
 
 def _compare_with_real_run(result: ScaleResult, real_plan: RealRunPlan, report: ReportProgress) -> None:
-    """Play the same scenario by simulated softswitches and by processes, and add what came of both."""
+    """Run the comparison scenario with simulated softswitches and with real processes.
+
+    The figures, ratios and failures of both runs are added to `result`.
+    """
     plan = comparison_plan(result.plan, real_plan)
-    report(f"real: {plan.softswitch_count} processes and as many simulated ones, {plan.duration_s:g} s")
-    simulated = gather_figures(play(plan, settle_s=real_plan.settle_s).simulation)
+    report(
+        f"real: {plan.softswitch_count} processes and as many simulated softswitches, {plan.duration_s:g} s"
+    )
+    simulated = gather_figures(simulate(plan, settle_s=real_plan.settle_s).simulation)
     result.failures += [f"comparison: {each}" for each in find_failures(plan, simulated)]
     result.real = asyncio.run(RealRun(plan, real_plan.settle_s).run())
     result.compared = compare(result.plan, simulated.compared, result.real.compared)
--- a/stairhatch/scale_test/schema.py
+++ b/stairhatch/scale_test/schema.py
@@ -1,7 +1,7 @@
-"""The schema of a scale file (docs/scale.md): what each key is called in the file and in the code.
+"""The schema of a scale file (docs/scale.md): types, ranges and the file's key for each field.
 
-Only shape and ranges are stated here; whether the parts of a plan fit together is checked by `plan_file`.
-The keys in the file are also those of the kept results, so they never follow a renamed field.
+`plan_file` checks the consistency between fields. The result files contain the same keys, so a key stays
+unchanged when its field is renamed.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class PlannedEventKind(Enum):
-    """What can happen during a run. The values are the words of the file."""
+    """The kind of a planned event; the values are those in the file."""
 
-    LIST_CHANGE = "change"  # `count` lines of the endpoint list are notified anew, evenly over the duration
-    RESTART = "restart"  # `count` softswitches restart one after the other, evenly over the duration
-    ZONE_START = "start"  # the softswitches of `zone` are down until then, and start at once
-    COLD_REPLACEMENT = "cold"  # `count` roster servers of `service` are replaced by cold ones at once
-    RACK_OUTAGE = "rack"  # `count` machines of `zone` are off: their roster servers and softswitches
-    ZONE_PARTITION = "zone"  # `zone` is cut off from the other zones
-    REGION_PARTITION = "regions"  # the regions are cut off from each other
+    LIST_CHANGE = "change"  # `count` changes of endpoint list lines, spread evenly over the duration
+    RESTART = "restart"  # `count` softswitches restart, spread evenly over the duration
+    ZONE_START = "start"  # the softswitches of `zone` are down before the event and start together
+    COLD_REPLACEMENT = "cold"  # `count` roster servers of `service` are replaced by cold ones together
+    RACK_OUTAGE = "rack"  # `count` machines of `zone`, with roster server and softswitch, are off
+    ZONE_PARTITION = "zone"  # `zone` cannot reach the other zones
+    REGION_PARTITION = "regions"  # the regions cannot reach each other
 
 
 class ComparedFigure(Enum):
-    """The figures of which simulated and real runs are compared. The values are keys of the file."""
+    """The figures compared between simulated and real runs; the values are keys in the file."""
 
     ESTABLISHED = "stood"
     REJECTED = "refused"
@@ -49,7 +49,7 @@
 
 
 class PlannedEvent(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Something that happens at a set time of a run. Times in seconds after its beginning."""
+    """An event at a planned time; `at_s` is in seconds from the time at which calls begin."""
 
     at_s: Seconds = field(name="at")
     kind: PlannedEventKind = field(name="what")
@@ -57,42 +57,42 @@
     count: Count = 1
     zone: Index = 0
     service: Index = 0
-    region: Annotated[int, Meta(ge=-1)] = -1  # whose coordinator is notified of a change; -1: each in turn
+    region: Annotated[int, Meta(ge=-1)] = -1  # region whose coordinator changes its list; -1: regions in turn
 
 
 class CallPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What callers request, and what services request of each other."""
+    """Rate and destination of calls from outside, and the follow-up calls between services."""
 
-    # calls a second from outside, over all softswitches
+    # calls from outside per second, summed over all softswitches
     rate_per_s: Annotated[float, Meta(ge=0, le=260_000)] = field(name="rate", default=20.0)
-    service: Annotated[int, Meta(ge=-1)] = -1  # which is called from outside; -1: those of the first level
+    service: Annotated[int, Meta(ge=-1)] = -1  # service called from outside; -1: those of the first level
     max_depth: Annotated[int, Meta(ge=1, le=MAX_CALL_DEPTH)] = field(name="depth", default=3)
-    # that an established call leads to one at each service below
+    # probability that an established call triggers a call to each service of the next level
     follow_probability: Probability = field(name="follow", default=0.6)
-    fan_out: Annotated[int, Meta(ge=1, le=16)] = 2  # services below each
+    fan_out: Annotated[int, Meta(ge=1, le=16)] = 2  # services of the next level that a service calls
     mean_hold_s: Annotated[float, Meta(gt=0, le=3600)] = field(name="hold_s", default=0.5)
     latency_objective_s: Annotated[float, Meta(gt=0, le=60)] = field(name="aim_s", default=1.0)
     hard_limit_s: Annotated[float, Meta(gt=0, le=60)] = field(name="limit_s", default=3.0)
 
 
 class RosterServerPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What a roster server can do, as `emulators/processor.py` models it."""
+    """Capacity, load reports and overload of a roster server, as `emulators/processor.py` models it."""
 
     setup_work_ms: Annotated[float, Meta(gt=0, le=60_000)] = field(name="set_up_ms", default=5.0)
     call_capacity: Count = field(name="lines", default=200)
-    # how often it reports its load on each connection
+    # interval between load reports on each connection
     load_report_interval_s: Annotated[float, Meta(ge=0.05, le=60)] = field(name="state_s", default=0.4)
     max_wait_s: Annotated[float, Meta(gt=0, le=60)] = field(name="longest_wait_s", default=3.0)
-    # the part of its capacity that it starts with
+    # fraction of its capacity that a cold server starts with
     cold_capacity: Annotated[float, Meta(gt=0, le=1)] = field(name="cold_from", default=0.3)
     warm_up_s: Seconds = field(name="warm_after_s", default=14.0)
-    # work above this multiple of its capacity over this long pushes a cold server over
+    # a cold server crashes if the work of a window exceeds this multiple of its capacity
     overload_multiple: PositiveNumber = field(name="fall_multiple", default=2.5)
     overload_window_s: Annotated[float, Meta(gt=0, le=60)] = field(name="fall_s", default=1.5)
 
 
 class NetworkDelays(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The network links between two machines, by how far apart they are."""
+    """Datagram conditions between two machines, by whether they share a zone or a region."""
 
     within_zone: DatagramConditions = field(
         name="zone", default=DatagramConditions(delay_ms=0.1, jitter_ms=0.1)
@@ -106,17 +106,19 @@
 
 
 class FleetPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Leases among all softswitches."""
+    """The fleet of all softswitches: its voters and leases."""
 
     voter_count: Annotated[int, Meta(ge=1, le=9)] = field(name="voters", default=3)
     lease_duration_s: Annotated[float, Meta(ge=0.1, le=600)] = field(name="term_s", default=3.0)
     lease_instance_index: bool = field(name="numbers", default=True)
-    relay_endpoint_list: bool = field(name="list", default=False)  # one polls the coordinator for all
+    relay_endpoint_list: bool = field(
+        name="list", default=False
+    )  # one softswitch polls the coordinator for all
     clock_drift_bound: Annotated[float, Meta(ge=0, le=0.1)] = field(name="drift", default=0.01)
 
 
 class RealRunPlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The size at which the same scenario is played by real and by simulated softswitches."""
+    """The size of the comparison scenario, which real and simulated softswitches both run."""
 
     softswitch_count: Annotated[int, Meta(ge=2, le=8)] = field(name="softswitches", default=4)
     server_count: Annotated[int, Meta(ge=1, le=16)] = field(name="servers", default=4)
@@ -125,20 +127,20 @@
     max_depth: Annotated[int, Meta(ge=1, le=MAX_CALL_DEPTH)] = field(name="depth", default=3)
     duration_s: Annotated[float, Meta(gt=0, le=60)] = field(name="seconds", default=5.0)
     change_count: Annotated[int, Meta(ge=0, le=100)] = field(name="changes", default=4)
-    settle_s: Annotated[float, Meta(ge=0, le=30)] = 1.0  # from when all serve until the counting begins
+    settle_s: Annotated[float, Meta(ge=0, le=30)] = 1.0  # from when all serve until calls and counts begin
 
 
 class RatioBounds(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The range within which simulated over real has to lie."""
+    """The allowed range of the ratio of a simulated to a real figure."""
 
     minimum: Annotated[float, Meta(ge=0)] = field(name="least", default=0.8)
     maximum: Annotated[float, Meta(ge=0)] = field(name="most", default=1.25)
-    # added to both figures, so that the ratio of two small ones says little
+    # added to both figures, so that the ratio of two small figures is close to 1
     pseudocount: Annotated[float, Meta(ge=0)] = field(name="grain", default=5.0)
 
 
 class ScalePlan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A whole scale file."""
+    """The plan of a scale test, the top level of a scale file."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9-]{1,40}$")]
     seed: int
@@ -154,11 +156,11 @@
     fleet: FleetPlan | None = None
     events: tuple[PlannedEvent, ...] = field(name="event", default=())
     lead_time_s: Annotated[float, Meta(ge=0.5, le=600)] = field(name="lead_s", default=2.0)
-    # events without which the run proves nothing
+    # kinds of events that must have an effect; otherwise the run fails
     required_events: tuple[PlannedEventKind, ...] = field(name="must_bite", default=())
-    # whether the fullest overload window of each cold server is judged (docs/cold.md)
+    # whether the fullest overload window of each cold start is checked against its limit (docs/cold.md)
     judge_cold_windows: bool = field(name="window", default=False)
-    drain_timeout_s: Seconds = field(name="drain_s", default=5.0)  # of a softswitch that is restarted
+    drain_timeout_s: Seconds = field(name="drain_s", default=5.0)  # of a restarting softswitch
     restart_downtime_s: Seconds = field(name="down_s", default=1.0)
     max_attempts: Annotated[int, Meta(ge=1, le=6)] = field(name="attempts", default=6)
     real: RealRunPlan | None = None
--- a/stairhatch/scale_test/simulated_caller.py
+++ b/stairhatch/scale_test/simulated_caller.py
@@ -1,4 +1,4 @@
-"""The caller of one call at a simulated softswitch: the call's frontend session, in place of a protocol."""
+"""The caller of one call at a simulated softswitch, which replaces a frontend and its protocol."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class CallOwner(Protocol):
-    """The process that handles a call."""
+    """Interface of the softswitch process that handles a call."""
 
     core: CallManager
     is_running: bool
 
 
 class SimulatedCaller:
-    """The session of one call (`CallerSession`), which hangs up after the hold time."""
+    """Caller session (`CallerSession`) of one call, which releases the call after the hold time."""
 
     __slots__ = ("call", "context", "has_ended", "owner", "request")
 
     def __init__(self, context: SimulationContext, owner: CallOwner, request: GeneratedCall) -> None:
-        """Before its call is offered; `call` is set by who offers it."""
+        """Create the session before its call is offered; the softswitch sets `call` when it offers it."""
         self.context = context
         self.owner = owner
         self.request = request
@@ -32,29 +32,29 @@
         self.has_ended = False
 
     def progressing(self) -> None:
-        """Ignore progress: only the result counts."""
+        """Ignore progress; the run counts only final answers."""
 
-    def established(self, description: bytes) -> None:  # noqa: ARG002 - the session needs no description
-        """Hold the call for its time, then hang up."""
+    def established(self, description: bytes) -> None:  # noqa: ARG002 - no media in a simulation
+        """Record the call as established and schedule its release after the hold time."""
         self.context.clock.call_later(self.request.hold_s, self._hang_up)
         self._record(SimulatedCallResult.ESTABLISHED)
 
-    def rejected(self, retry_after_s: float) -> None:  # noqa: ARG002 - nobody calls again
+    def rejected(self, retry_after_s: float) -> None:  # noqa: ARG002 - a rejected call is not retried
         """Record the call as rejected."""
         self._record(SimulatedCallResult.REJECTED)
 
     def failed(self, timed_out: bool) -> None:  # noqa: ARG002 - both count as failed
-        """Record the call as failed."""
+        """Record the call as failed, whether timed out or not."""
         self._record(SimulatedCallResult.FAILED)
 
     def released(self, cause: int) -> None:
-        """Record the release by the roster server."""
+        """Handle the release by the roster server; an abnormal cause counts as interrupted."""
         self.has_ended = True
         if cause != ReleaseCause.NORMAL_CLEARING:
             self.context.calls.tally.interrupted += 1
 
     def softswitch_ended(self) -> None:
-        """Record that the call has ended with its softswitch."""
+        """Handle the end of the softswitch: a call in set-up is lost, an established call is interrupted."""
         if self.request.result is None:
             self._record(SimulatedCallResult.LOST)
         elif not self.has_ended:
--- a/stairhatch/scale_test/simulated_connection.py
+++ b/stairhatch/scale_test/simulated_connection.py
@@ -1,6 +1,7 @@
-"""Connections between simulated machines, and how they are opened.
+"""Connections between simulated machines, and the connector that opens them.
 
-A connection carries bytes in order. Each side is notified of its end as by TCP: after what was sent before.
+A connection delivers bytes in order. As with TCP, a side is notified that the connection has ended after all
+bytes sent before the end have been delivered.
 """
 
 from __future__ import annotations
@@ -17,57 +18,60 @@
 class Side(IntEnum):
     """The two sides of a connection."""
 
-    CLIENT = 0  # opened it
+    CLIENT = 0  # the side that opened the connection
     SERVER = 1
 
     @property
     def peer(self) -> Side:
-        """The other side."""
+        """The opposite side."""
         return Side.SERVER if self is Side.CLIENT else Side.CLIENT
 
 
-def _ignore(data: bytes) -> None:
-    """Take no bytes: what a side that is not attached does."""
+def _discard_bytes(data: bytes) -> None:
+    """Discard received bytes; default for a side that is not attached yet."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConnectionEnd:
-    """How one side of a connection takes bytes, and how it is notified that the connection has ended."""
+    """Callbacks of one side: `receive` takes bytes, `lost` is called after the peer has closed its side."""
 
-    receive: Callable[[bytes], None] = _ignore
+    receive: Callable[[bytes], None] = _discard_bytes
     lost: Callable[[], None] = do_nothing
 
 
 class SimulatedConnection:
-    """A connection between two machines."""
+    """A simulated stream connection between two machines."""
 
     def __init__(self, network: SimulatedNetwork, client_machine: int, server_machine: int) -> None:
-        """Open, with neither side attached."""
+        """Create an open connection; neither side is attached yet."""
         self.network = network
         self.machines = (client_machine, server_machine)
         self._ends = [ConnectionEnd(), ConnectionEnd()]
-        self._is_closed = [False, False]  # a side has closed it, or was notified that the other did
-        self._last_arrival = [0.0, 0.0]  # of what was sent to each side
+        self._is_closed = [
+            False,
+            False,
+        ]  # by side: closed by the side itself, or it was notified of the peer's close
+        self._last_arrival = [0.0, 0.0]  # time at which the last data sent to each side arrives
 
     def attach(self, side: Side, end: ConnectionEnd) -> None:
-        """Say who takes the bytes that come to a side."""
+        """Set the callbacks of a side."""
         self._ends[side] = end
 
     def send(self, side: Side, data: bytes) -> None:
-        """Send bytes from a side."""
+        """Send bytes from a side to its peer; after the side is closed, they are discarded."""
         if not self._is_closed[side]:
             self.network.connection_bytes += len(data)
             self.network.clock.call_at(self._arrival_at(side.peer), self._deliver, side.peer, data)
 
     def close(self, side: Side) -> None:
-        """Close a side, or have its process end; the other is notified after what was sent before."""
+        """Close a side, also when its process ends; the peer is notified after earlier data has arrived."""
         if self._is_closed[side]:
             return
         self._is_closed[side] = True
         self.network.clock.call_at(self._arrival_at(side.peer), self._deliver_end, side.peer)
 
     def drop(self) -> None:
-        """Deliver nothing more and notify neither side, as a machine is off."""
+        """Stop all delivery without notifying either side, as when a machine is powered off."""
         self._is_closed = [True, True]
 
     def _arrival_at(self, side: Side) -> float:
@@ -87,49 +91,53 @@
 
 
 class SimulatedListener(Protocol):
-    """Who accepts connections at an address."""
+    """Interface of an endpoint that accepts connections at an address."""
 
     machine: int
 
     def is_machine_on(self) -> bool:
-        """Return whether there is a machine that answers or refuses."""
+        """Return whether the machine is on, so that it accepts or refuses connections."""
 
     def is_listening(self) -> bool:
-        """Return whether a process listens there."""
+        """Return whether a process listens at the address; otherwise connections are refused."""
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Accept a connection, and return its server side."""
+        """Accept a connection and return the callbacks of its server side."""
 
 
 class ConnectionClient(Protocol):
-    """Who opens connections."""
+    """Interface of an object that opens connections."""
 
     machine: int
     has_stopped: bool
 
     def connection_made(self, connection: SimulatedConnection) -> None:
-        """Take a connection that has come up."""
+        """Handle a newly established connection."""
 
     def connect_failed(self, refused: bool) -> None:
-        """Take note that none came up: refused, or timed out."""
+        """Handle a failed connection attempt: `refused`, or timed out."""
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the server side."""
+        """Handle bytes from the server side."""
 
     def connection_lost(self, connection: SimulatedConnection) -> None:
-        """Take note that a connection has ended."""
+        """Handle the end of a connection."""
 
 
 class SimulatedConnector:
-    """Opens connections, as connect(2) does: refused where a machine is on and nobody listens."""
+    """Connector with the results of connect(2).
+
+    An attempt is refused if the machine is on and no process listens, and times out if the machine is off or
+    unreachable.
+    """
 
     def __init__(self, network: SimulatedNetwork) -> None:
-        """Nobody listens yet."""
+        """Create a connector without listeners; they are added to `listeners`."""
         self.network = network
         self.listeners: dict[Address, SimulatedListener] = {}
 
     def connect(self, client: ConnectionClient, address: Address, timeout_s: float) -> None:
-        """Open a connection. The client is notified later, by `connection_made` or `connect_failed`."""
+        """Start a connection attempt; its result is passed to `connection_made` or `connect_failed` later."""
         clock, network = self.network.clock, self.network
         listener = self.listeners.get(address)
         server_machine = listener.machine if listener is not None else client.machine
--- a/stairhatch/scale_test/simulated_coordinator.py
+++ b/stairhatch/scale_test/simulated_coordinator.py
@@ -1,4 +1,4 @@
-"""A simulated coordinator: the endpoint list of one region, answered by long polls on the virtual clock."""
+"""A simulated coordinator, which answers long polls for the endpoint list of one region."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 COORDINATOR_PORT = 8000
 
-EndpointLine = dict[str, Any]  # as the list has it in JSON
+EndpointLine = dict[str, Any]  # a line of the endpoint list, decoded from JSON
 
 
 class ChangeStamp(NamedTuple):
-    """Orders changes of one line: the later one applies, and of two at one time the higher region's."""
+    """Version of a list line: the latest change takes effect, at equal times that of the higher region."""
 
     time: float
     region: int
@@ -25,50 +25,55 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPoll:
-    """A long poll that waits for the next change."""
+    """A long poll that waits for the next change of the list."""
 
-    after: int  # the last change that the softswitch knows
+    after: int  # number of events that the softswitch has already received
     timeout: ScheduledEvent
 
 
 class SimulatedCoordinator:
-    """The coordinator of one region. A change made at it is replicated to those of the other regions."""
+    """The coordinator of one region, which replicates its list changes to those of the other regions."""
 
     def __init__(self, context: SimulationContext, region: int) -> None:
-        """Start with an empty list."""
+        """Create a coordinator with an empty list; `peers` is set once all coordinators exist."""
         self.context = context
         self.region = region
         self.machine = context.topology.first_machine_in_region(region)
         self.address = (f"10.9.{region}.1", COORDINATOR_PORT)
         self.list = EndpointEventLog()
-        self.peers: list[SimulatedCoordinator] = []  # of the other regions
-        self.superseded = 0  # lines that came after a newer one
+        self.peers: list[SimulatedCoordinator] = []  # coordinators of the other regions
+        self.superseded = 0  # lines that arrived after a newer version of the same line
         self._pending_polls: dict[SimulatedConnection, PendingPoll] = {}
-        self._stamps: dict[str, ChangeStamp] = {}  # of the last change, by instance
-        self._last_arrival: dict[int, float] = {}  # of what was replicated, by region
+        self._stamps: dict[str, ChangeStamp] = {}  # of the latest change of each line, by instance
+        self._last_arrival: dict[
+            int, float
+        ] = {}  # time at which the last replicated change arrives, by region
 
     def is_machine_on(self) -> bool:
-        """Return whether its machine is on: always."""
+        """Return True: the machine of a coordinator is never powered off."""
         return True
 
     def is_listening(self) -> bool:
-        """Return whether it takes connections: always."""
+        """Return True: a coordinator always accepts connections."""
         return True
 
     def set_initial_list(self, lines: list[EndpointLine]) -> None:
-        """Have these lines from the beginning, older than any change."""
+        """Publish the initial lines, stamped older than any change."""
         self._stamps.update((line["instanceId"], ChangeStamp(0.0, self.region)) for line in lines)
         self.list.publish(lines, reset=True)
 
     def change(self, lines: list[EndpointLine]) -> None:
-        """Change lines of the list, here and then in the other regions."""
+        """Change lines of the list in this region and replicate the change to the other regions."""
         stamp = ChangeStamp(self.context.clock.now, self.region)
         self.apply(lines, stamp)
         for peer in self.peers:
             self._replicate(peer, lines, stamp)
 
     def apply(self, lines: list[EndpointLine], stamp: ChangeStamp) -> None:
-        """Take a change, unless a newer one of the line is known, and answer the pending polls."""
+        """Apply the lines that are not older than the known version, and answer the pending polls.
+
+        Older lines are counted in `superseded`.
+        """
         newer = [line for line in lines if stamp >= self._stamps.get(line["instanceId"], stamp)]
         self.superseded += len(lines) - len(newer)
         self._stamps.update((line["instanceId"], stamp) for line in newer)
@@ -79,7 +84,7 @@
                 self._answer(connection, poll.after)
 
     def instances_in_service(self) -> set[str]:
-        """Return the roster servers that are in service by the list as it is now."""
+        """Return the instances of the roster servers that the current list has in service."""
         states: dict[str, str] = {}
         for event in self.list.events:
             for line in event["endpoints"]["instances"]:
@@ -87,7 +92,7 @@
         return {instance for instance, state in states.items() if state == "in_service"}
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Accept a connection, and return its server side."""
+        """Accept a connection and return the callbacks of its server side."""
         buffered = b""
 
         def receive(data: bytes) -> None:
@@ -101,7 +106,7 @@
                         self._poll(connection, line)
 
         def lost() -> None:
-            """Drop the poll that waits on the connection."""
+            """Cancel the pending poll of the connection, if any."""
             if connection in self._pending_polls:
                 self._pending_polls.pop(connection).timeout.cancel()
 
--- a/stairhatch/scale_test/simulated_fleet_network.py
+++ b/stairhatch/scale_test/simulated_fleet_network.py
@@ -1,4 +1,4 @@
-"""The network and event loop of the fleet of a simulated softswitch."""
+"""Network and event loop for the fleet member of a simulated softswitch."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class SimulatedFleetNetwork(ProcessClock):
-    """The part of `Network` that `FleetRuntime` uses, on the virtual clock and the simulated network."""
+    """Simulated replacement for the part of `Network` that `FleetRuntime` uses, including its event loop."""
 
     def __init__(self, context: SimulationContext, machine: int, address: Address) -> None:
-        """For one incarnation of the softswitch on a machine."""
+        """Create the network of one softswitch incarnation; `address` is its fleet's datagram port."""
         super().__init__(context.clock, context.meter, ProcessorPart.LEASES)
         self.context = context
         self.machine = machine
@@ -21,14 +21,14 @@
 
     @property
     def loop(self) -> SimulatedFleetNetwork:
-        """The event loop: the scheduling methods of this object."""
+        """The event loop; this object has its scheduling methods."""
         return self
 
-    def open_datagram_port(self, address: Address, port: FleetRuntime) -> None:  # noqa: ARG002 - its own
-        """Send the datagrams of the fleet over the simulated network."""
+    def open_datagram_port(self, address: Address, port: FleetRuntime) -> None:  # noqa: ARG002 - `self.address`
+        """Connect the fleet member's datagram output to the simulated network."""
 
         def send() -> None:
-            """Send what the fleet has written, unless its process has ended."""
+            """Send all queued datagrams; discard them if the process has ended."""
             while port.output:
                 data, (host, _) = port.output.popleft()
                 if not self.has_ended:
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -1,7 +1,7 @@
-"""The network between the machines of a run: how long bytes are under way, and what a partition does.
+"""The simulated network between the machines of a run: delays, losses and partitions.
 
-Bytes are carried as they are and never looked into. Whether a datagram is lost, delayed or duplicated is
-drawn by `DatagramLink` from the plan's seed.
+The network doesn't inspect or change the bytes that it delivers. `DatagramLink` decides, by random numbers
+from the plan's seed, whether a datagram is lost, delayed or duplicated.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from stairhatch.scale_test.topology import Topology
 from stairhatch.scale_test.virtual_clock import VirtualClock
 
-# After which a connection sends again what was lost (the least retransmission timeout that Linux has).
+# Delay before a stream retransmits lost data: the minimum retransmission timeout of Linux.
 RETRANSMISSION_TIMEOUT_S = 0.2
 
 Address = tuple[str, int]
 
 
 class DatagramReceiver(Protocol):
-    """Who has a datagram port."""
+    """Interface of an object with a datagram port."""
 
     machine: int
 
     def receive_datagram(self, data: bytes, sender: Address) -> None:
-        """Take a datagram."""
+        """Handle a datagram from `sender`."""
 
 
 @dataclass(frozen=True, slots=True)
 class ActivePartition:
-    """A partition that is in effect."""
+    """A partition that is in effect until the clock time `until`."""
 
     until: float
     kind: PlannedEventKind
@@ -42,20 +42,20 @@
 
 
 class SimulatedNetwork:
-    """Delays, losses and partitions between machines, and the datagram ports."""
+    """Simulated network that delivers datagrams and computes the delays of streams."""
 
     def __init__(self, plan: ScalePlan, topology: Topology, clock: VirtualClock) -> None:
-        """Draw the seeds of the network links from the plan's seed."""
+        """Create the network links; their random numbers derive from the plan's seed."""
         self.topology = topology
         self.clock = clock
-        self.activations: Counter[PlannedEventKind] = Counter()  # how often a partition had an effect
+        self.activations: Counter[PlannedEventKind] = Counter()  # traffic affected by a partition, by kind
         self.partitions: list[ActivePartition] = []
-        self.connection_bytes = 0  # sent on all connections
-        self.datagram_receivers: dict[str, DatagramReceiver] = {}  # by host
+        self.connection_bytes = 0  # bytes sent on all connections
+        self.datagram_receivers: dict[str, DatagramReceiver] = {}  # by host name
         rng = random.Random(f"wire {plan.seed}")
 
         def link(conditions: DatagramConditions) -> DatagramLink:
-            """Return a link with random numbers of its own."""
+            """Return a link with its own random generator."""
             return DatagramLink(conditions, random.Random(rng.getrandbits(64)))
 
         self._within_zone = link(plan.network.within_zone)
@@ -63,16 +63,16 @@
         self._between_regions = link(plan.network.between_regions)
 
     def begin_partition(self, event: PlannedEvent) -> None:
-        """Begin a partition that ends after its duration."""
+        """Begin the partition of an event and schedule its end."""
         until = self.clock.now + event.duration_s
         partition = ActivePartition(until, event.kind, self.topology.partition_for(event))
         self.partitions.append(partition)
         self.clock.call_later(event.duration_s, self.partitions.remove, partition)
 
     def partitioned_until(self, one: int, other: int) -> float:
-        """Return when two machines reach each other again, 0.0 if they do now.
+        """Return the clock time at which the last partition between two machines ends; 0.0 without one.
 
-        A partition between them is counted as activated.
+        Each call that finds a partition counts as an activation of its kind.
         """
         longest: ActivePartition | None = None
         for partition in self.partitions:
@@ -85,11 +85,11 @@
         return longest.until
 
     def one_way_delay_s(self, one: int, other: int) -> float:
-        """Return the delay between two machines without jitter."""
+        """Return the one-way delay between two machines in seconds, without jitter."""
         return self._link(one, other).conditions.delay_ms / 1000
 
     def send_datagram(self, sender: int, source: Address, host: str, data: bytes) -> None:
-        """Send a datagram from a machine: it arrives later, twice or never."""
+        """Send a datagram from a machine to a host; it may be delayed, duplicated or lost."""
         receiver = self.datagram_receivers[host]
         delays_s = self._link(sender, receiver.machine).draw_delays_s()
         if self.partitioned_until(sender, receiver.machine):
@@ -98,7 +98,7 @@
             self.clock.call_later(delay_s, receiver.receive_datagram, data, source)
 
     def stream_delay_s(self, one: int, other: int) -> float:
-        """Return the delay of a piece of a stream, retransmission after loss or partition included."""
+        """Return the delay of stream data in seconds, including retransmission after loss or partition."""
         arrivals_s, delay_s = self._link(one, other).draw_delays_s(), 0.0
         if not arrivals_s:
             delay_s, arrivals_s = RETRANSMISSION_TIMEOUT_S, (self.one_way_delay_s(one, other),)
--- a/stairhatch/scale_test/simulated_server.py
+++ b/stairhatch/scale_test/simulated_server.py
@@ -1,4 +1,4 @@
-"""A simulated roster server: the emulator's own protocol and processor on the virtual clock."""
+"""A simulated roster server, which runs protocol and processor model of the emulator on the virtual clock."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class SimulatedTransport:
-    """Replaces the asyncio transport of the emulator by the server side of a connection."""
+    """Replacement for the emulator's asyncio transport that writes to the server side of a connection."""
 
     def __init__(self, connection: SimulatedConnection) -> None:
-        """Write to the server side of this connection."""
+        """Create a transport for a simulated connection."""
         self._connection = connection
 
     def write(self, data: bytes) -> None:
@@ -30,24 +30,26 @@
         self._connection.send(Side.SERVER, data)
 
     def abort(self) -> None:
-        """End the connection."""
+        """Close the connection from the server side."""
         self._connection.close(Side.SERVER)
 
     close = abort
 
 
 class SimulatedServer:
-    """A machine with a roster server, and the processes that follow one another on it."""
+    """A machine with a roster server, whose process can be replaced by a cold one."""
 
     def __init__(self, context: SimulationContext, index: int) -> None:
-        """Create a warm server on a machine that is on."""
+        """Create a warm server on a machine that is powered on."""
         self.context = context
         self.machine = index
         subnet, host = divmod(index, HOSTS_PER_SUBNET)
         self.address = (f"10.0.{subnet}.{host + 1}", SERVER_PORT)
-        self.starts = 0  # cold ones
+        self.cold_start_count = 0
         self.machine_on = True
-        self.cold_setup_times: list[list[float]] = []  # by cold start, of the set-ups while it was cold
+        self.cold_setup_times: list[
+            list[float]
+        ] = []  # arrival times of set-ups at the cold server, by cold start
         self.processor = create_processor(context.plan, index)
         self.emulator = ServerEmulator(
             lines=context.plan.server.call_capacity,
@@ -60,37 +62,37 @@
 
     @property
     def instance(self) -> str:
-        """The name of its process in the endpoint list."""
-        return instance_name(self.machine, self.starts)
+        """The instance name of the current process in the endpoint list."""
+        return instance_name(self.machine, self.cold_start_count)
 
     def endpoint_line(self, state: str = "in_service") -> dict[str, Any]:
-        """Return its line of the endpoint list."""
+        """Return the endpoint list line of the current process, with the given lifecycle state."""
         started_at = self.processor.started_cold_at
         started_ms = int(1000 * started_at) if started_at else 0
         return endpoint_line(self.instance, self.address, self.machine, state, started_ms)
 
     def is_machine_on(self) -> bool:
-        """Return whether its machine is on."""
+        """Return whether the machine is powered on."""
         return self.machine_on
 
     def is_listening(self) -> bool:
-        """Return whether its process takes connections."""
+        """Return whether the process accepts connections: it has neither crashed nor ended."""
         return self.processor.state not in (ProcessorState.CRASHED, ProcessorState.GONE)
 
     def accept(self, connection: SimulatedConnection) -> ConnectionEnd:
-        """Accept a connection, and return its server side."""
+        """Accept a connection and return the callbacks of its server side."""
         meter = self.context.meter
         protocol = ServerEmulatorConnection(self.emulator)
         self._connections[connection] = None
 
         def receive(data: bytes) -> None:
-            """Hand bytes to the emulator, their time charged to it."""
+            """Pass bytes to the emulator and charge the time to the emulators."""
             meter.enter(ProcessorPart.EMULATORS)
             protocol.data_received(data)
             meter.leave()
 
         def lost() -> None:
-            """Tell the emulator that the connection has ended."""
+            """Notify the emulator that the connection has ended."""
             self._connections.pop(connection, None)
             protocol.connection_lost(None)
 
@@ -98,20 +100,20 @@
         return ConnectionEnd(receive=receive, lost=lost)
 
     def kill(self) -> None:
-        """End its process; the softswitches notice it as a reset of their connections."""
+        """End the process, which closes its connections to the softswitches."""
         self.emulator.abort_connections()
         self._connections.clear()
 
     def power_off(self) -> None:
-        """Power its machine off, which notifies nobody."""
+        """Power the machine off; its peers receive no notification."""
         for connection in self._connections:
             connection.drop()
         self.kill()
         self.machine_on = False
 
     def start_cold(self) -> None:
-        """Power its machine on if it is off, and start a cold process."""
-        self.starts += 1
+        """Start a cold process; the machine is powered on if it was off."""
+        self.cold_start_count += 1
         self.machine_on = True
         self.cold_setup_times.append([])
         self.processor.start_cold(self.context.clock.now)
--- a/stairhatch/scale_test/simulated_softswitch.py
+++ b/stairhatch/scale_test/simulated_softswitch.py
@@ -1,4 +1,4 @@
-"""A simulated softswitch: a machine, its disk, and the incarnations that follow one another on it."""
+"""A simulated softswitch: a machine with a disk, and the current incarnation of its process."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class SimulatedSoftswitch:
-    """One softswitch of a run, running or not."""
+    """A softswitch of a run, whether its process runs or not."""
 
     def __init__(self, context: SimulationContext, index: int, coordinator: Address) -> None:
-        """Create it on a machine that is on, not started yet, with an empty disk."""
+        """Create a softswitch that is not started, on a machine that is on, with an empty disk."""
         self.context = context
         self.machine = index
         self.name = softswitch_name(index)
         self.address = (self.name, FLEET_PORT)
         self.machine_on = True
         self.incarnation: SoftswitchIncarnation | None = None
-        self.has_instance_index = False  # it holds one by a lease
+        self.has_instance_index = False  # holds a leased instance index
         self._disk = VirtualDisk()
         self._identity = SoftswitchIdentity(
             machine=index, name=self.name, address=self.address, coordinator=coordinator
@@ -37,32 +37,35 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process runs."""
         return self.incarnation is not None
 
     def is_ready(self) -> bool:
-        """Return whether its process serves."""
+        """Return whether the process runs and serves."""
         return self.incarnation is not None and self.incarnation.is_ready()
 
     def counters(self) -> Counter[str]:
-        """Return the counters of its process; none if it does not run."""
+        """Return the counters of the process, empty if it does not run."""
         return Counter() if self.incarnation is None else Counter(self.incarnation.core.counters.counts)
 
     def running(self) -> RunningSoftswitch | None:
-        """Return since when its process runs, None if it does not."""
+        """Return machine and start time of the process, or None if it does not run."""
         if self.incarnation is None:
             return None
         return RunningSoftswitch(self.machine, self.incarnation.started_at)
 
     def start(self) -> None:
-        """Start its process, unless it runs or its machine is off."""
+        """Start the process, unless it already runs or the machine is off."""
         if self.incarnation is not None or not self.machine_on:
             return
         self.incarnation = SoftswitchIncarnation(self.context, self._identity, self._disk, self.log)
         self.incarnation.start()
 
     def restart(self) -> bool:
-        """Drain, end and start again, as planned. Returns whether there was a process to restart."""
+        """Begin a planned restart: drain, end and start the process.
+
+        Return False, without a restart, if no process runs or it is already shutting down.
+        """
         incarnation = self.incarnation
         if incarnation is None or incarnation.core.readiness.shutting_down:
             return False
@@ -72,27 +75,27 @@
         return True
 
     def power_off(self) -> None:
-        """Power its machine off, which notifies nobody."""
+        """Power the machine off; its peers receive no notification."""
         self.machine_on = False
         self._end(powered_off=True)
 
     def power_on(self) -> None:
-        """Power its machine on, and start its process."""
+        """Power the machine on and start the process."""
         self.machine_on = True
         self.start()
 
     def open_store(self) -> SimulatedVoteStore:
-        """Return the vote store of its process, opened now."""
+        """Open and return the vote store of the running process."""
         assert self.incarnation is not None
         return self.incarnation.open_store()
 
     def receive_datagram(self, data: bytes, sender: Address) -> None:
-        """Take a datagram from another member of the fleet, if its process runs."""
+        """Pass a fleet datagram to the process; discard it if no process runs."""
         if self.incarnation is not None:
             self.incarnation.receive_datagram(data, sender)
 
     def offer(self, request: GeneratedCall) -> None:
-        """Offer a call to its process; without one the call is unreachable."""
+        """Offer a call to the process; if no process runs, record the call as unreachable."""
         if self.incarnation is not None:
             self.incarnation.offer(request)
         else:
@@ -100,7 +103,7 @@
             self.context.calls.record_result(request, result, self.context.elapsed_s)
 
     def log(self, event: str, **fields: object) -> None:
-        """Observe the events of its log that the run counts."""
+        """Evaluate a log event of the process: applied list lines, leased index and faults are recorded."""
         running = self.running()
         if event == "server_listed" and running is not None:
             now = self.context.clock.now
--- a/stairhatch/scale_test/simulated_vote_store.py
+++ b/stairhatch/scale_test/simulated_vote_store.py
@@ -1,4 +1,4 @@
-"""A simulated vote store: what a voter writes is on its virtual disk after the time of a sync."""
+"""A simulated vote store, which writes a voter's state to a virtual disk after the duration of a sync."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class SimulatedVoteStore:
-    """Takes the place of `VoterStore` during one incarnation of a softswitch."""
+    """Replacement for `VoterStore` during one incarnation of a softswitch."""
 
     def __init__(self, clock: VirtualClock, rng: random.Random, disk: VirtualDisk) -> None:
-        """Open the disk: its incarnation counts up."""
+        """Read the stored state from the disk and increment the disk's incarnation number."""
         self.clock = clock
         self.rng = rng
         self.disk = disk
@@ -32,11 +32,11 @@
         self.stored = StoredState(persisted, dict(disk.fencing_tokens))
 
     def persist(self, write: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
-        """Write to the disk; `done` is called with no error once it is synced."""
+        """Schedule a write to the disk; after the sync, `done` is called with an empty error."""
         self.clock.call_later(self.rng.uniform(*DISK_SYNC_S), self._finish, write, done)
 
     def close(self) -> None:
-        """Drop writes that are not synced yet, as its process has ended."""
+        """Discard all writes that are not synced yet, because the process has ended."""
         self.is_closed = True
 
     def _finish(self, write: PersistVotes | PersistFencingToken, done: Callable[[str], None]) -> None:
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -1,4 +1,4 @@
-"""One simulated run: builds its parts on one virtual clock, starts them, and schedules calls and events."""
+"""A simulated run: creates all machines on one virtual clock, and schedules calls and planned events."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 from stairhatch.scale_test.virtual_clock import START_TIME, ProcessClock, VirtualClock
 from stairhatch.scale_test.virtual_environment import virtual_environment
 
-START_SPREAD_S = 0.5  # within which all softswitches are started
-READY_TIMEOUT_S = 30.0  # within which all have to serve
+START_SPREAD_S = 0.5  # softswitches start at random times within this span
+READY_TIMEOUT_S = 30.0  # maximum wait until all softswitches serve
 READY_CHECK_INTERVAL_S = 0.05
-ANSWER_MARGIN_S = 0.5  # beyond the longest that a caller waits
+ANSWER_MARGIN_S = 0.5  # waiting time for final answers beyond the callers' hard limit
 
 Observer = Callable[["Simulation"], None]
 
 
 def _observe_nothing(simulation: Simulation) -> None:
-    """Observe nothing."""
+    """Observer that does nothing."""
 
 
 class Simulation:
-    """A run of a plan: its machines, and what they have used when the calls began and ended."""
+    """A simulated run of a plan, with its machines and the usage totals when calls begin and end."""
 
     def __init__(self, plan: ScalePlan) -> None:
-        """Build all machines; nothing is started yet."""
+        """Create all machines; no process is started yet."""
         self.plan = plan
         self.context = self._create_context()
         self.servers = [SimulatedServer(self.context, index) for index in range(plan.server_count)]
@@ -58,10 +58,10 @@
         self.totals_at_end: UsageTotals
 
     def run(self, observe: Observer = _observe_nothing, settle_s: float | None = None) -> None:
-        """Run the plan to the last final answer; `observe` is called now and then.
+        """Run the plan until all calls have a final answer, or ANSWER_MARGIN_S past the callers' hard limit.
 
-        The calls begin after the plan's lead time or, with `settle_s`, so many seconds after all softswitches
-        serve, as with real processes.
+        Calls begin after the plan's lead time. With `settle_s` they begin that many seconds after all
+        softswitches serve, as in a run of real processes. `observe` is called every OBSERVE_INTERVAL events.
         """
         with self.virtual_environment():
             self.start()
@@ -77,7 +77,7 @@
             self._await_answers(observe)
 
     def start(self) -> None:
-        """Start the coordinators, and schedule the start of the softswitches that run from the beginning."""
+        """Publish the initial endpoint list and schedule the softswitches' start, except in late zones."""
         for coordinator in self.coordinators:
             coordinator.set_initial_list([server.endpoint_line() for server in self.servers])
         late_zones = {event.zone for event in self.plan.events if event.kind is PlannedEventKind.ZONE_START}
@@ -87,14 +87,14 @@
                 self.context.clock.call_at(starts_at, softswitch.start)
 
     def virtual_environment(self) -> AbstractContextManager[None]:
-        """Run the fleets on this run's clock, disks and random numbers inside the block."""
+        """Return a context in which the fleets use this run's clock, disks and random numbers."""
         by_name = {softswitch.name: softswitch for softswitch in self.softswitches}
         return virtual_environment(
             self.context.clock.time, self.context.rng, lambda name: by_name[name].open_store()
         )
 
     def usage_totals(self) -> UsageTotals:
-        """Return what has been used up to now."""
+        """Return the usage totals up to now."""
         counters = self.counters()
         return UsageTotals(
             setups=sum(server.emulator.setup_count for server in self.servers),
@@ -106,19 +106,19 @@
         )
 
     def counters(self) -> Counter[str]:
-        """Return the counters of all processes, those that have ended included."""
+        """Return the sum of the counters of all softswitch processes, running and ended."""
         total = Counter(self.context.ended_counters)
         for softswitch in self.softswitches:
             total.update(softswitch.counters())
         return total
 
     def changes_not_received(self) -> int:
-        """Return the number of list changes not received, summed over running softswitches."""
+        """Return the number of list changes not yet received, summed over the running softswitches."""
         running = [each for softswitch in self.softswitches if (each := softswitch.running()) is not None]
         return self.context.list_changes.not_received(running)
 
     def diverged_lists(self) -> int:
-        """Return how many softswitches have another endpoint list than their coordinator."""
+        """Return the number of running softswitches whose endpoint list differs from their coordinator's."""
         return sum(map(self._has_diverged, self.softswitches))
 
     def _create_context(self) -> SimulationContext:
@@ -134,7 +134,9 @@
             topology=topology,
             network=network,
             connector=SimulatedConnector(network),
-            rng=random.Random(f"world {plan.seed}"),  # this text decides the draws, so it stays
+            rng=random.Random(
+                f"world {plan.seed}"
+            ),  # the text is part of the seed: changing it changes all draws
             calls=CallGenerator(plan, self._place_call),
             list_changes=ListChangeTracker(),
             begins_at=START_TIME + plan.lead_time_s,
@@ -153,7 +155,7 @@
         return SimulatedSoftswitch(self.context, index, self.coordinators[region].address)
 
     def _choose_voters(self) -> dict[str, Address]:
-        """Choose the voters, spread over the zones and so over the regions."""
+        """Return the addresses of the voters by name; they are chosen from the zones in turn."""
         voter_count = self.plan.fleet.voter_count if self.plan.fleet is not None else 0
         candidates = [self._softswitches_in(zone) for zone in range(self.plan.zone_count)]
         voters: list[SimulatedSoftswitch] = []
@@ -176,7 +178,7 @@
             clock.run_until(clock.now + READY_CHECK_INTERVAL_S)
 
     def _is_ready(self) -> bool:
-        """Return whether all serve, each with an instance index of its own where they are leased."""
+        """Return whether all softswitches serve and, if indexes are leased, hold an instance index."""
         fleet = self.plan.fleet
         leases_index = fleet is not None and fleet.lease_instance_index
         return all(
--- a/stairhatch/scale_test/simulation_context.py
+++ b/stairhatch/scale_test/simulation_context.py
@@ -1,4 +1,4 @@
-"""What the simulated parts of one run share: plan, clock, network, random numbers and observations."""
+"""The context that all simulated parts of a run share: plan, clock, network, random numbers, observations."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
 
 @dataclass(slots=True, kw_only=True)
 class SimulationContext:
-    """The surroundings of the simulated parts. None of them owns it; `Simulation` builds it."""
+    """Shared state of the simulated parts of one run, created by `Simulation`."""
 
     plan: ScalePlan
-    settings: Settings  # of each softswitch, before its instance index
+    settings: Settings  # common to all softswitches, which add their instance index
     clock: VirtualClock
     meter: ProcessorMeter
-    emulator_clock: ProcessClock  # of servers and coordinators
+    emulator_clock: ProcessClock  # clock of roster servers and coordinators
     topology: Topology
     network: SimulatedNetwork
     connector: SimulatedConnector
     rng: random.Random
     calls: CallGenerator
     list_changes: ListChangeTracker
-    begins_at: float  # the time of the clock at which the calls begin
+    begins_at: float  # clock time at which calls begin
     voters: dict[str, Address] = field(default_factory=dict)
-    faults: list[str] = field(default_factory=list)  # of the program's own parts
-    ended_counters: Counter[str] = field(default_factory=Counter)  # of processes that have ended
+    faults: list[str] = field(default_factory=list)  # first exceptions in the softswitch's production code
+    ended_counters: Counter[str] = field(default_factory=Counter)  # sum over ended processes
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds after the beginning of the calls."""
+        """Seconds since the calls began; negative before that."""
         return self.clock.now - self.begins_at
 
     def record_fault(self, softswitch: str, reason: object) -> None:
-        """Keep one of the first faults in the program's own parts."""
+        """Record a fault in a softswitch's production code; only the first MAX_FAULTS_KEPT are kept."""
         if len(self.faults) < MAX_FAULTS_KEPT:
             self.faults.append(f"{softswitch}: {reason}")
--- a/stairhatch/scale_test/simulation_figures.py
+++ b/stairhatch/scale_test/simulation_figures.py
@@ -1,4 +1,4 @@
-"""Gathers the figures of a simulated run that has ended."""
+"""Collects the figures of a simulated run after its end."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stairhatch.scale_test.simulation import Simulation
 from stairhatch.scale_test.usage_totals import compared_figures
 
-# Gauges of the program: the sum over softswitches has no meaning.
+# Prefixes of gauges among the softswitch's counters: a sum over softswitches would be meaningless.
 GAUGES = (
     "fleet_remaining_ms",
     "fleet_fencing_token",
@@ -26,7 +26,7 @@
 
 
 def gather_figures(simulation: Simulation) -> SimulationFigures:
-    """Return everything that the seed of the run decides."""
+    """Return all figures of an ended run that are determined by the plan and its seed."""
     context, tally = simulation.context, simulation.context.calls.tally
     return SimulationFigures(
         calls=tally.figures(),
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -1,7 +1,7 @@
-"""One incarnation of a simulated softswitch: the program's own parts, fed without sockets.
+"""One incarnation of a simulated softswitch: the production code without sockets.
 
 `CallManager` with its `Controller`, `ServerConnectionPool`, `ServiceDiscoveryClient` and `FleetRuntime` are
-the program's. No decision is reached into: what they do is known from what they send, log and count.
+production classes. The simulation observes only what they send, log and count, not their internal state.
 """
 
 from __future__ import annotations
@@ -46,22 +46,22 @@
 
 FLEET_NAME = "scale"
 SEED_BITS = 64
-NO_INSTANCE_INDEX = -1  # until one is leased
-MIN_CALLERS_TO_PURGE = 64  # that have ended, before they are looked for
+NO_INSTANCE_INDEX = -1  # value of the setting until an index is leased
+MIN_CALLERS_TO_PURGE = 64  # callers in excess of twice the open calls, before a purge
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SoftswitchIdentity:
-    """The names and addresses of a softswitch, the same for all its incarnations."""
+    """Name and addresses of a softswitch, which all its incarnations share."""
 
     machine: int
     name: str
-    address: Address  # of its fleet's datagram port
+    address: Address  # datagram port of its fleet member
     coordinator: Address
 
 
 class SoftswitchIncarnation:
-    """One process of a softswitch, from its start to its end."""
+    """A process of a softswitch from its start to its end."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         disk: VirtualDisk,
         log: Callable[..., None],
     ) -> None:
-        """Build the core; `start` connects it to servers, service discovery and fleet."""
+        """Create the core; `start` connects it to roster servers, service discovery and fleet."""
         self.context = context
         self.identity = identity
         self.machine = identity.machine
@@ -80,15 +80,15 @@
         self.is_running = True
         self.drivers: dict[ConnectionDriver, None] = {}
         self.core = self._create_core()
-        self._callers: dict[int, SimulatedCaller] = {}  # by the serial of the call
+        self._callers: dict[int, SimulatedCaller] = {}  # by serial of the call
         self._fleet: FleetRuntime | None = None
         self._fleet_network = SimulatedFleetNetwork(context, identity.machine, identity.address)
         self._store: SimulatedVoteStore | None = None
         self._timer: ScheduledEvent | None = None
 
     def start(self) -> None:
-        """Start as the program does: servers, service discovery, leases."""
-        ServerConnectionPool(self.core, self._keep_up)
+        """Start server connections, service discovery and fleet in the order of the production code."""
+        ServerConnectionPool(self.core, self._drive_connection)
         self.core.readiness.listening = True
         discovery = ServiceDiscoveryClient(self.core, self.identity.coordinator, 0)
         if self.context.plan.fleet is not None:
@@ -97,23 +97,26 @@
         self._schedule_timers()
 
     def open_store(self) -> SimulatedVoteStore:
-        """Return the vote store of its fleet's member, opened now."""
+        """Open and return the vote store of the fleet member."""
         self._store = SimulatedVoteStore(self.context.clock, self.context.rng, self.disk)
         return self._store
 
     def receive_datagram(self, data: bytes, sender: Address) -> None:
-        """Take a datagram from another member of the fleet."""
+        """Handle a datagram from another member of the fleet."""
         if self._fleet is not None:
             self.context.meter.enter(ProcessorPart.LEASES)
             self._fleet.receive(data, sender)
             self.context.meter.leave()
 
     def is_ready(self) -> bool:
-        """Return whether it serves."""
+        """Return whether the softswitch has completed its startup and serves calls."""
         return self.core.readiness.startup_health().is_ready
 
     def offer(self, request: GeneratedCall) -> None:
-        """Offer a call as its frontend would."""
+        """Offer a call as a frontend would.
+
+        The call is unreachable if the softswitch is not ready or, while shutting down, rejects new calls.
+        """
         readiness = self.core.readiness
         rejects_calls = readiness.rejects_new_calls()
         if not self.is_ready() or (readiness.shutting_down and rejects_calls):
@@ -124,21 +127,24 @@
             self._offer_to_core(request)
 
     def begin_shutdown(self) -> None:
-        """Drain, as at a planned restart."""
+        """Start draining, as before a planned restart."""
         self.core.readiness.shutting_down = True
         self.core.readiness.drain(True)
 
     def is_drained(self) -> bool:
-        """Return whether no call is open and nothing is owed."""
+        """Return whether no call is open and all releases to the roster servers have been written."""
         return self.core.is_settled() and not self.core.calls.by_number
 
     def leave_fleet(self) -> None:
-        """Release its leases, as at the end of a graceful shutdown."""
+        """Stop the fleet member, which releases its leases, as at the end of a graceful shutdown."""
         if self._fleet is not None:
             self._fleet.stop()
 
     def end(self, powered_off: bool) -> None:
-        """End the process; `powered_off`: without closing connections, as its machine is off."""
+        """End the process.
+
+        With `powered_off` its connections are dropped without notifying the peers; otherwise they are closed.
+        """
         self.is_running = False
         for driver in list(self.drivers):
             driver.stop(powered_off)
@@ -169,13 +175,13 @@
         meter, handle = self.context.meter, core.controller.handle
 
         def measured_handle(now: float, event: Event) -> Iterator[Action]:
-            """Handle an event, its time charged to the decisions."""
+            """Handle an event and charge the time to the decisions."""
             with meter.measuring(ProcessorPart.DECISIONS):
                 yield from handle(now, event)
 
         core.controller.handle = measured_handle  # type: ignore[method-assign]
 
-    def _keep_up(self, connection: ServerConnection) -> None:
+    def _drive_connection(self, connection: ServerConnection) -> None:
         PersistentConnectionDriver(self.context, self, connection)
 
     def _join_fleet(self, fleet: FleetPlan, discovery: ServiceDiscoveryClient) -> None:
@@ -190,7 +196,9 @@
             lease_instance_index=fleet.lease_instance_index,
             relay_endpoint_list=fleet.relay_endpoint_list,
         )
-        network = cast(Network, self._fleet_network)  # a fleet uses only its loop and datagram port
+        network = cast(
+            Network, self._fleet_network
+        )  # `FleetRuntime` uses only its loop and `open_datagram_port`
         self._fleet = FleetRuntime(self.core, network, config, self.context.settings)
         if fleet.relay_endpoint_list:
             self._fleet.discovery = discovery
--- a/stairhatch/scale_test/softswitch_settings.py
+++ b/stairhatch/scale_test/softswitch_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a plan gives to each softswitch, in the form of the settings file."""
+"""Builds the settings of the softswitches of a plan, in the form of the settings file."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def call_class_name(service: int) -> str:
-    """Return the name of the call class of a service."""
+    """Return the name of the call class that belongs to a service."""
     return f"s{service}"
 
 
 def settings_object(plan: ScalePlan) -> dict[str, Any]:
-    """Return the settings as a decoded settings file: a call class for each service, with its servers."""
+    """Return the settings as a decoded settings file, with one call class per service."""
     topology = Topology(plan)
     return {
         "balancers": plan.softswitch_count,
@@ -66,5 +66,5 @@
 
 
 def parsed_settings(plan: ScalePlan) -> Settings:
-    """Return the settings as the program reads them."""
+    """Return the settings of a plan, parsed and checked by the softswitch's settings parser."""
     return settings_from_object(settings_object(plan)).settings
--- a/stairhatch/scale_test/summary.py
+++ b/stairhatch/scale_test/summary.py
@@ -1,4 +1,4 @@
-"""The summary of a scale run, in a few lines."""
+"""The printed summary of a scale run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def summarize(result: ScaleResult) -> str:
-    """Return the summary of a run."""
+    """Return the summary as text: calls, list changes, control traffic, events, usage, ratios and verdict."""
     return "\n".join(_lines(result)) + "\n"
 
 
--- a/stairhatch/scale_test/usage_totals.py
+++ b/stairhatch/scale_test/usage_totals.py
@@ -1,4 +1,4 @@
-"""Totals of set-ups, messages and bytes; the difference of two is the usage between them."""
+"""Running totals of set-ups, messages and bytes, and the figures that are compared between runs."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsageTotals:
-    """Totals counted at the same places in simulated and real runs."""
+    """Totals since the start of a run, counted at the same places in simulated and real runs."""
 
-    setups: int  # at the roster servers
-    list_messages: int  # polls at the coordinators
-    list_bytes: int  # there, both ways
+    setups: int  # received by the roster servers
+    list_messages: int  # polls received by the coordinators
+    list_bytes: int  # of polls and answers at the coordinators
     lease_messages: int  # sent by the softswitches
     lease_bytes: int
-    connection_bytes: int = 0  # of a simulated run, on all connections
+    connection_bytes: int = 0  # on all connections; counted in simulated runs only
 
     def __sub__(self, earlier: UsageTotals) -> UsageTotals:
-        """Return what was used since."""
+        """Return the usage between `earlier` and these totals."""
         return UsageTotals(
             setups=self.setups - earlier.setups,
             list_messages=self.list_messages - earlier.list_messages,
@@ -37,9 +37,9 @@
 def compared_figures(
     tally: CallTally, used: UsageTotals, setups: int, in_force_ms: list[float]
 ) -> ComparedFigures:
-    """Return the figures that simulated and real runs are compared by.
+    """Return the figures for the comparison of simulated and real runs.
 
-    `used` is what was used while calls came, `setups` also those until the last answer.
+    `used` is the usage while calls arrive; `setups` also includes later set-ups, up to the last final answer.
     """
     results = tally.results
     unsuccessful = (
--- a/stairhatch/scale_test/verdict.py
+++ b/stairhatch/scale_test/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a simulated run: its failures, and what it does not prove."""
+"""Checks the figures of a simulated run for failures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def find_failures(plan: ScalePlan, figures: SimulationFigures) -> list[str]:
-    """Return a sentence for each failure; a run that proves nothing is a failure, too."""
+    """Return a message for each failure; a required event without effect, or no established call, is one."""
     failures = [*_call_failures(figures), *_list_failures(figures)]
     failures += [
         f"{kind.value} had no effect: the run proves nothing of it"
--- a/stairhatch/scale_test/virtual_environment.py
+++ b/stairhatch/scale_test/virtual_environment.py
@@ -1,6 +1,7 @@
-"""Puts a run's virtual clock, disks and random numbers in place of those of the fleet.
+"""Replaces clock, vote store and random numbers of the fleet by those of a simulated run.
 
-`FleetRuntime` looks up `clock`, `VoterStore` and `secrets` in its module at each use.
+The replacement works because `FleetRuntime` looks up `clock`, `VoterStore` and `secrets` in its module at
+each use.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from stairhatch.fleet import runtime as fleet_runtime
 from stairhatch.scale_test.simulated_vote_store import SimulatedVoteStore
 
-OpenStore = Callable[[str], SimulatedVoteStore]  # by the name of the data directory
+OpenStore = Callable[[str], SimulatedVoteStore]  # takes the name of the data directory
 
 
 class SeededSecrets:
-    """Takes the place of the module `secrets`, so that a run can be repeated from its seed."""
+    """Replacement for the module `secrets`, which makes a run repeatable from its seed."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Draw from the random numbers of a run."""
+        """Draw from the random generator of a run."""
         self.randbits = rng.getrandbits
 
 
@@ -29,10 +30,10 @@
 def virtual_environment(
     clock: Callable[[], float], rng: random.Random, open_store: OpenStore
 ) -> Iterator[None]:
-    """Run the fleets on a virtual clock, disks and random numbers inside the block."""
+    """Context manager in which all fleets use a virtual clock, virtual disks and seeded random numbers."""
 
     def create_store(data_directory: Path, _call_on_loop: object) -> SimulatedVoteStore:
-        """Open the store of a data directory on the virtual disk."""
+        """Open the store of a data directory on its virtual disk."""
         return open_store(str(data_directory))
 
     replacements: dict[str, Any] = {
