--- a/stairhatch/scale_test/cold_start_windows.py
+++ b/stairhatch/scale_test/cold_start_windows.py
@@ -33,9 +33,8 @@
     windows = []
     for server in servers:
         profile = server.processor.profile
-        capacity = (
-            profile.initial_capacity_fraction / profile.setup_s * profile.overload_window_s
-        )  # set-ups that a cold server completes within the window
+        # set-ups that a cold server completes within the window
+        capacity = profile.initial_capacity_fraction / profile.setup_s * profile.overload_window_s
         windows += [
             ColdStartWindow(
                 server=server.machine,
--- a/stairhatch/scale_test/figures.py
+++ b/stairhatch/scale_test/figures.py
@@ -55,12 +55,10 @@
 
     notified: int = field(name="told")
     not_received: int = field(name="not_heard")  # summed over changes and running softswitches
-    diverged_lists: int = field(
-        name="lists_apart"
-    )  # softswitches whose list differs from their coordinator's
-    superseded: int = field(
-        name="older_left_out"
-    )  # lines that arrived after a newer version of the same line
+    # softswitches whose list differs from their coordinator's
+    diverged_lists: int = field(name="lists_apart")
+    # lines that arrived after a newer version of the same line
+    superseded: int = field(name="older_left_out")
     in_force_p50_ms: float
     in_force_p99_ms: float
     in_force_max_ms: float = field(name="in_force_longest_ms")
--- a/stairhatch/scale_test/real_run.py
+++ b/stairhatch/scale_test/real_run.py
@@ -87,9 +87,8 @@
         self._callers: list[CallerEmulator] = []
         self._coordinator = CoordinatorEmulator()
         self._stall = EventLoopStall()
-        self._changed_at: defaultdict[str, list[float]] = defaultdict(
-            list
-        )  # Unix times of list changes, by instance
+        # Unix times of list changes, by instance
+        self._changed_at: defaultdict[str, list[float]] = defaultdict(list)
         self._begins_at = 0.0  # the monotonic time at which the calls begin
         # `_close` cancels the tasks, and asyncio.run awaits them: awaiting them in `_close` would run the
         # event loop, in which the closed callers would hang up. A task group would end the run at the first
--- a/stairhatch/scale_test/schema.py
+++ b/stairhatch/scale_test/schema.py
@@ -111,9 +111,8 @@
     voter_count: Annotated[int, Meta(ge=1, le=9)] = field(name="voters", default=3)
     lease_duration_s: Annotated[float, Meta(ge=0.1, le=600)] = field(name="term_s", default=3.0)
     lease_instance_index: bool = field(name="numbers", default=True)
-    relay_endpoint_list: bool = field(
-        name="list", default=False
-    )  # one softswitch polls the coordinator for all
+    # whether one softswitch polls the coordinator for all
+    relay_endpoint_list: bool = field(name="list", default=False)
     clock_drift_bound: Annotated[float, Meta(ge=0, le=0.1)] = field(name="drift", default=0.01)
 
 
--- a/stairhatch/scale_test/simulated_connection.py
+++ b/stairhatch/scale_test/simulated_connection.py
@@ -47,10 +47,8 @@
         self.network = network
         self.machines = (client_machine, server_machine)
         self._ends = [ConnectionEnd(), ConnectionEnd()]
-        self._is_closed = [
-            False,
-            False,
-        ]  # by side: closed by the side itself, or it was notified of the peer's close
+        # by side: closed by the side itself, or it was notified of the peer's close
+        self._is_closed = [False, False]
         self._last_arrival = [0.0, 0.0]  # time at which the last data sent to each side arrives
 
     def attach(self, side: Side, end: ConnectionEnd) -> None:
--- a/stairhatch/scale_test/simulated_coordinator.py
+++ b/stairhatch/scale_test/simulated_coordinator.py
@@ -45,9 +45,8 @@
         self.superseded = 0  # lines that arrived after a newer version of the same line
         self._pending_polls: dict[SimulatedConnection, PendingPoll] = {}
         self._stamps: dict[str, ChangeStamp] = {}  # of the latest change of each line, by instance
-        self._last_arrival: dict[
-            int, float
-        ] = {}  # time at which the last replicated change arrives, by region
+        # time at which the last replicated change arrives, by region
+        self._last_arrival: dict[int, float] = {}
 
     def is_machine_on(self) -> bool:
         """Return True: the machine of a coordinator is never powered off."""
--- a/stairhatch/scale_test/simulated_server.py
+++ b/stairhatch/scale_test/simulated_server.py
@@ -47,9 +47,8 @@
         self.address = (f"10.0.{subnet}.{host + 1}", SERVER_PORT)
         self.cold_start_count = 0
         self.machine_on = True
-        self.cold_setup_times: list[
-            list[float]
-        ] = []  # arrival times of set-ups at the cold server, by cold start
+        # arrival times of set-ups at the cold server, by cold start
+        self.cold_setup_times: list[list[float]] = []
         self.processor = create_processor(context.plan, index)
         self.emulator = ServerEmulator(
             lines=context.plan.server.call_capacity,
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -134,9 +134,7 @@
             topology=topology,
             network=network,
             connector=SimulatedConnector(network),
-            rng=random.Random(
-                f"world {plan.seed}"
-            ),  # the text is part of the seed: changing it changes all draws
+            rng=random.Random(f"world {plan.seed}"),  # changing this text changes all draws
             calls=CallGenerator(plan, self._place_call),
             list_changes=ListChangeTracker(),
             begins_at=START_TIME + plan.lead_time_s,
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -1,7 +1,8 @@
 """One incarnation of a simulated softswitch: the production code without sockets.
 
 `CallManager` with its `Controller`, `ServerConnectionPool`, `ServiceDiscoveryClient` and `FleetRuntime` are
-production classes. The simulation observes only what they send, log and count, not their internal state.
+production classes. The simulation doesn't intervene in their decisions; it derives results from what they
+send, log and count.
 """
 
 from __future__ import annotations
@@ -196,9 +197,8 @@
             lease_instance_index=fleet.lease_instance_index,
             relay_endpoint_list=fleet.relay_endpoint_list,
         )
-        network = cast(
-            Network, self._fleet_network
-        )  # `FleetRuntime` uses only its loop and `open_datagram_port`
+        # `FleetRuntime` uses only the loop and the datagram port of its network.
+        network = cast(Network, self._fleet_network)
         self._fleet = FleetRuntime(self.core, network, config, self.context.settings)
         if fleet.relay_endpoint_list:
             self._fleet.discovery = discovery
