--- a/stairhatch/scale_test/figures.py
+++ b/stairhatch/scale_test/figures.py
@@ -124,7 +124,7 @@
     processor_s_by_part: dict[ProcessorPart, float] = field(name="parts_s")
     virtual_s: float
     memory_mb: int
-    steps: int  # events that the virtual clock has run
+    steps: int  # events that the virtual clock has processed, including cancelled ones
     control_percent: float  # percent of a core per softswitch, for endpoint list and leases
     predicted_memory_mb: int = field(name="needed_mb", default=0)
     softswitch_kb: float = 0.0
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -104,7 +104,7 @@
 
 
 def require_memory(plan: ScalePlan) -> MemoryNeed:
-    """Return the predicted memory of a run.
+    """Return the predicted memory of each kind of object in a run.
 
     Raises MemoryLimitError if the prediction exceeds the limit of `memory_limit_bytes`.
     """
