--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -68,13 +68,13 @@
     port.receive(invite(number), PEER)
     environment.wait(step_s)
     environment.deliver_output()
-    answer = sip_parser.parse_datagram(environment.unclaimed[-1][1])
-    environment.unclaimed.clear()
+    answer = sip_parser.parse_datagram(environment.undelivered[-1][1])
+    environment.undelivered.clear()
     port.receive(in_dialog_request("ACK", 1, f"z9hG4bKa{number}", answer), PEER)
     if hang_up:
         port.receive(in_dialog_request("BYE", 2, f"z9hG4bKb{number}", answer), PEER)
     environment.deliver_output()
-    environment.unclaimed.clear()
+    environment.undelivered.clear()
 
 
 def throughput_mb_s(data: list[bytes], read: Callable[[bytes], object]) -> float:
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -41,7 +41,7 @@
         if udp or tcp:
             udp_address = optional_address(udp, "--udp")
             tcp_address = optional_address(tcp, "--tcp")
-            target = SocketTarget(udp=udp_address, tcp=tcp_address, asks_for_users=users)
+            target = SocketTarget(udp=udp_address, tcp=tcp_address, requires_authentication=users)
             results = suite.run_over_sockets(cases, target, slow=slow)
         else:
             results = suite.run_in_process(cases)
--- a/stairhatch/conformance/__init__.py
+++ b/stairhatch/conformance/__init__.py
@@ -1,8 +1,9 @@
-"""The project's own conformance suite of SIP.
+"""The project's own SIP conformance suite.
 
-`cases` and `steps` read what is sent and what must come back, as data. `environment` says what a case is
-played in: `in_process` runs the program's own protocols under a virtual clock, `sockets` asks a program over
-loopback. `player` plays a case as its caller, `suite` plays all of them, `report` prints the results, and
-`mutations` holds deliberate mistakes in these protocols, which the suite has to find. The program itself
-never imports this package, and nothing is sent to an address that is not of this machine.
+`cases` and `steps` read the case files, which list the messages to send and the messages to expect.
+`environment` defines the interface of the environment that a case is played in: `in_process` runs the
+program's own protocols under a virtual clock, `sockets` tests a running program over loopback. `player` plays
+a case as its caller, `suite` plays all cases, `report` formats the results, and `mutations` holds deliberate
+faults in the program's protocols, each of which the suite must find. The program itself never imports this
+package, and the suite sends nothing to an address of another machine.
 """
--- a/stairhatch/conformance/caller_dialog.py
+++ b/stairhatch/conformance/caller_dialog.py
@@ -1,4 +1,4 @@
-"""What a caller remembers of its calls while a case is played."""
+"""The caller's state of each call while a case is played."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class CallerDialog:
-    """One call as its caller has it (RFC 3261, section 12)."""
+    """The caller's state of one call and its dialog (RFC 3261, section 12)."""
 
     call_id: str
     from_tag: str
@@ -24,12 +24,12 @@
     invite_branch: str = ""
     last_request: bytes = b""
     last_method: str = "INVITE"
-    final_response: sip.SipMessage | None = None  # to the last INVITE
-    rseq: str = ""  # of the last reliable provisional response (RFC 3262)
+    final_response: sip.SipMessage | None = None  # the final response to the last INVITE
+    rseq: str = ""  # the RSeq of the last reliable provisional response (RFC 3262)
     challenge: sip.SipMessage | None = None
 
-    def take_response(self, response: sip.SipMessage) -> None:
-        """Remember what later requests need of a response."""
+    def record_response(self, response: sip.SipMessage) -> None:
+        """Store the parts of a response that later requests need: To tag, RSeq, challenge, final response."""
         cseq, method = response.cseq()
         if response.status == 401:
             self.challenge = response
@@ -44,7 +44,7 @@
 
 
 class CallerDialogs:
-    """The calls of one case by the names that its steps give them; a new name begins a call."""
+    """The calls of one case by the names that its steps give them; a name used first creates a call."""
 
     def __init__(self, case_id: str, serial: int) -> None:
         self._case_id = case_id
@@ -52,7 +52,7 @@
         self._by_name: dict[str, CallerDialog] = {}
 
     def get(self, name: str) -> CallerDialog:
-        """Return the call of a name."""
+        """Return the call with a name; it is created at the first use of the name."""
         if name not in self._by_name:
             label = f"{self._serial:x}{name}"
             self._by_name[name] = CallerDialog(
@@ -60,10 +60,10 @@
             )
         return self._by_name[name]
 
-    def take_response(self, response: sip.SipMessage) -> None:
-        """Give a response to the call that it is of, if there is one."""
+    def record_response(self, response: sip.SipMessage) -> None:
+        """Store a response in the call with its Call-ID; a response to no call of the case is ignored."""
         call_id = response.get("call-id")
         for dialog in self._by_name.values():
             if dialog.call_id == call_id:
-                dialog.take_response(response)
+                dialog.record_response(response)
                 return
--- a/stairhatch/conformance/caller_flow.py
+++ b/stairhatch/conformance/caller_flow.py
@@ -1,4 +1,4 @@
-"""A caller's flow: one TCP connection or UDP port, with the parser of what comes on it."""
+"""A caller's flow: one TCP connection or UDP port, with the parser of the bytes received on it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallerFlow:
-    """A flow by its name in the case."""
+    """A caller's flow under the name that the case gives it; counts the keep-alive replies on it."""
 
     def __init__(self, name: str, transport: CallerTransport) -> None:
         self.name = name
@@ -22,19 +22,19 @@
         self._stream = sip_parser.StreamParser() if transport.transport == "tcp" else None
 
     def send(self, data: bytes, piece_bytes: int = 0) -> None:
-        """Send a message; over TCP in pieces of a size, if one is given."""
+        """Send a message; over TCP in pieces of `piece_bytes`, unless that is 0."""
         size = piece_bytes if piece_bytes and self._stream is not None else max(1, len(data))
         for start in range(0, len(data), size):
             self.transport.send(data[start : start + size])
 
     def receive(self) -> Iterator[ReceivedMessage]:
-        """Yield the messages that have come. Raises SipError for one that can't be read."""
+        """Yield the messages received since the last call. Raises SipError for one that can't be parsed."""
         for received in self.transport.receive():
             for message in self._parse(received):
-                yield ReceivedMessage(received.at_s, self.name, message)
+                yield ReceivedMessage(received.received_at_s, self.name, message)
 
     def close(self) -> None:
-        """End it."""
+        """Close the caller's transport."""
         self.transport.close()
 
     def _parse(self, received: ReceivedData) -> Iterator[sip.SipMessage]:
--- a/stairhatch/conformance/cases.py
+++ b/stairhatch/conformance/cases.py
@@ -1,4 +1,4 @@
-"""Reads the files of cases in `conformance/`, whose form `docs/conformance.md` describes."""
+"""Reads the case files in `conformance/`; `docs/conformance.md` describes their format."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Case:
-    """One case over one transport."""
+    """One case over one transport, as the player plays it."""
 
     id: str
-    section: str  # of an RFC, such as "RFC 3261 8.2.1"
+    section: str  # the section of an RFC that the case checks, such as "RFC 3261 8.2.1"
     title: str
     transport: str
     steps: tuple[Step, ...]
-    virtual: bool = False  # its waits are too long for sockets
-    needs: tuple[str, ...] = ()  # of the program's configuration: "auth"
+    virtual: bool = False  # the waits are too long to play over sockets by default
+    needs: tuple[str, ...] = ()  # required configuration of the program; "auth": user authentication
 
     @property
     def name(self) -> str:
-        """Its id with its transport."""
+        """The case's id and its transport, as `id/transport`; unique among all cases."""
         return f"{self.id}/{self.transport}"
 
 
 def read_cases(directory: Path = CASES_DIRECTORY) -> list[Case]:
-    """Read all cases, in the order of the files. Raises CaseError, which names the file and the case."""
+    """Return all cases, in the order of the file names and of the tables in each file.
+
+    Raises CaseError, naming the file and the case, for a case that can't be read or is defined twice, and for
+    a directory without cases.
+    """
     cases: dict[str, Case] = {}
     for path in sorted(directory.glob("*.toml")):
         try:
@@ -47,15 +51,15 @@
                     raise CaseError(f"{path.name}: {case.name} is defined twice")
                 cases[case.name] = case
     if not cases:
-        raise CaseError(f"{directory}: no cases")
+        raise CaseError(f"{directory}: no case is defined")
     return list(cases.values())
 
 
 def _read_table(table: dict[str, Any], file_name: str) -> Iterator[Case]:
-    """Read one `[[case]]` table: a case for each entry of `each` and each transport."""
+    """Yield the cases of one `[[case]]` table: one for each entry of `each` on each transport."""
     name = table.get("id", "?")
     if missing := [key for key in ("id", "section", "title", "steps") if key not in table]:
-        raise CaseError(f"{file_name}: {name}: no {missing[0]}")
+        raise CaseError(f"{file_name}: {name}: missing key {missing[0]}")
     for number, values in enumerate(table.get("each", [{}]), 1):
         case_id = f"{name}-{values.get('as', number)}" if "each" in table else name
         try:
@@ -75,9 +79,12 @@
 
 
 def _substitute(template: Any, values: dict[str, Any]) -> Any:
-    """Replace each `{name}` in the texts of a template; a text that is nothing else becomes the value."""
+    """Return a template with each `{name}` in its texts replaced by the value of that name.
+
+    A text that consists of one `{name}` alone becomes the value itself, which keeps its type.
+    """
     if isinstance(template, str):
-        return _substitute_text(template, values)
+        return _substitute_in_text(template, values)
     if isinstance(template, dict):
         return {_substitute(key, values): _substitute(item, values) for key, item in template.items()}
     if isinstance(template, list):
@@ -85,7 +92,7 @@
     return template
 
 
-def _substitute_text(text: str, values: dict[str, Any]) -> Any:
+def _substitute_in_text(text: str, values: dict[str, Any]) -> Any:
     if text.startswith("{") and text.endswith("}") and text[1:-1] in values:
         return values[text[1:-1]]
     for name, value in values.items():
--- a/stairhatch/conformance/environment.py
+++ b/stairhatch/conformance/environment.py
@@ -1,7 +1,8 @@
-"""What a case is played in, as the player sees it.
+"""The interface of the environment in which the player plays a case.
 
-Two environments have this form: the program's protocols in process under a virtual clock, and a program on
-this machine over sockets. What a case sends goes through both as bytes, and neither judges it.
+Two environments implement it: the program's protocols in process under a virtual clock (`in_process`), and a
+program on this machine over sockets (`sockets`). Both pass on the bytes that a case sends without checking
+them.
 """
 
 from __future__ import annotations
@@ -12,44 +13,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedData:
-    """Bytes from the program, and when they came by the environment's clock, in seconds."""
+    """Bytes from the program, with the time of their receipt by the environment's clock, in seconds."""
 
-    at_s: float
+    received_at_s: float
     data: bytes
 
 
 class CallerTransport(Protocol):
-    """A caller's end: one TCP connection, or one UDP port."""
+    """The caller's end of a flow: one TCP connection or one UDP port."""
 
     @property
     def host(self) -> str:
-        """Its address as Via and Contact name it."""
+        """The caller's address as written in Via and Contact, `host:port`."""
 
     @property
     def transport(self) -> str:
-        """Either "udp" or "tcp"."""
+        """The transport protocol, "udp" or "tcp"."""
 
     def send(self, data: bytes) -> None:
-        """Send bytes to the program: a datagram, or a piece of the stream."""
+        """Send bytes to the program: one datagram over UDP, a part of the stream over TCP."""
 
     def receive(self) -> list[ReceivedData]:
-        """Return what has come since the last time."""
+        """Return the data received since the last call, in order."""
 
     def close(self) -> None:
-        """End the caller's connection."""
+        """Close the caller's connection or port."""
 
 
 class ConformanceEnvironment(Protocol):
-    """The program under test and the clock that a case is played by."""
+    """The program under test and the clock for a case; the player closes it after the case."""
 
     def open(self, transport: str) -> CallerTransport:
-        """Open a new transport for a caller."""
+        """Return a new transport for a caller, "udp" or "tcp"."""
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the time in seconds, by a monotonic clock."""
 
     def wait(self, seconds: float) -> None:
-        """Wait for so long; in real time only until something comes."""
+        """Wait for a time; in real time, end the wait early at the receipt of data."""
 
     def close(self) -> None:
-        """Close whatever was opened."""
+        """Close all transports."""
--- a/stairhatch/conformance/errors.py
+++ b/stairhatch/conformance/errors.py
@@ -1,15 +1,15 @@
-"""What can go wrong while cases are read and played."""
+"""The errors of the conformance suite, raised while cases are read and played."""
 
 from __future__ import annotations
 
 
 class ConformanceError(Exception):
-    """Any failure of the conformance suite."""
+    """The base class of the suite's errors."""
 
 
 class CaseError(ConformanceError, ValueError):
-    """A file of cases that can't be used. The message names the file, the case and the fault."""
+    """A case file that can't be used. The message names the file, the case and the fault."""
 
 
 class CheckFailedError(ConformanceError):
-    """What the program sent is not what the case expects."""
+    """A step of a case failed: the program's messages differ from the expected ones."""
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -1,7 +1,7 @@
 """Plays cases against the program's own protocols in this process, under a virtual clock.
 
-The frontend and the call manager are the program's; the roster server behind them is emulated, and time
-passes only where a case waits, from one event to the next.
+The frontend and the call manager are the program's own, and the roster server is emulated. The virtual clock
+advances only in the waits of a case, from one event to the next.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from stairhatch.sip.frontend import SipFrontend
 from stairhatch.sip.transport import SipConnection
 
-START_S = 1000.0  # of the virtual clock
+START_S = 1000.0  # the first time of the virtual clock
 HOST = "127.0.0.1"
 SIP_PORT = 5060
 FIRST_CALLER_PORT = 40000
@@ -42,7 +42,7 @@
 
 
 class VirtualTimeline:
-    """The virtual clock and what is due on it; events of one moment run in the order they were scheduled."""
+    """A virtual clock and its scheduled events; events of the same time run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now_s = START_S
@@ -50,26 +50,26 @@
         self._order = count()
 
     def clock(self) -> float:
-        """Return the time in seconds."""
+        """Return the virtual time in seconds."""
         return self.now_s
 
-    def schedule(self, after_s: float, act: Callable[[], None]) -> None:
-        """Do something so much later."""
-        heapq.heappush(self._scheduled, (self.now_s + after_s, next(self._order), act))
+    def schedule(self, after_s: float, callback: Callable[[], None]) -> None:
+        """Schedule the call of a function `after_s` from now."""
+        heapq.heappush(self._scheduled, (self.now_s + after_s, next(self._order), callback))
 
     def next_due(self) -> float | None:
-        """Return when the next event is due, None if there is none."""
+        """Return the time of the next scheduled event in seconds, None if there is none."""
         return self._scheduled[0][0] if self._scheduled else None
 
     def run_due(self) -> None:
-        """Run what is due by now."""
+        """Run the events scheduled for the present time or before, earliest first."""
         while self._scheduled and self._scheduled[0][0] <= self.now_s:
-            _, _, act = heapq.heappop(self._scheduled)
-            act()
+            _, _, callback = heapq.heappop(self._scheduled)
+            callback()
 
 
 class EmulatedServerPool:
-    """The roster side of the call manager: one emulated server, which answers by the number called."""
+    """A server pool for the call manager: one emulated server, whose replies depend on the number called."""
 
     def __init__(self, core: CallManager, timeline: VirtualTimeline) -> None:
         self._core = core
@@ -80,7 +80,7 @@
         """Do nothing: the server is always connected."""
 
     def send_setup(self, attempt: Attempt) -> None:
-        """Write a set-up at once, and schedule the server's replies."""
+        """Send a set-up at once, if it may still be sent, and schedule the server's replies."""
         if not self._core.attempts.claim_transmission(attempt):
             return
         request = attempt.call.request
@@ -88,18 +88,20 @@
             self._timeline.schedule(reply.delay_s, self._reply(attempt.server, request.ident, reply))
 
     def send_release(self, _server: RosterServer, ident: str, _cause: int) -> None:
-        """Release a call, or give a set-up up: the server says no more about it."""
+        """Release a call or an unanswered set-up: the emulated server sends no further reply for it."""
         self._released.add(ident)
 
     def shut_down(self) -> None:
-        """Do nothing: there is no connection to close."""
+        """Do nothing: the pool has no connection to close."""
 
     def is_flushed(self) -> bool:
-        """Return True: all is written at once."""
+        """Return True: set-ups and releases take effect at once, so nothing is ever queued."""
         return True
 
     def _reply(self, server: RosterServer, ident: str, reply: ScriptedReply) -> Callable[[], None]:
-        def act() -> None:
+        """Return a function that passes a reply to the call manager, unless the call has been released."""
+
+        def callback() -> None:
             if ident in self._released:
                 return
             responses = self._core.responses
@@ -111,11 +113,11 @@
                 case ReplyVerb.FINISH:
                     responses.call_released(server, ident, reply.cause, "", LoadReport())
 
-        return act
+        return callback
 
 
 class InProcessTransport:
-    """A caller's end of a flow to the frontend in this process."""
+    """The caller's end of a flow to the frontend in this process (`CallerTransport`)."""
 
     def __init__(self, environment: InProcessEnvironment, transport: str, peer: Address) -> None:
         self._environment = environment
@@ -131,7 +133,7 @@
             self.connection = protocol
 
     def send(self, data: bytes) -> None:
-        """Send bytes to the frontend; one that is closing hears no more."""
+        """Send bytes to the frontend; a connection that the frontend is closing ignores them."""
         if self.connection is None:
             self._environment.frontend.flows.ports[0].receive(data, self.peer)
         elif not self.connection.closing:
@@ -139,45 +141,48 @@
         self._environment.deliver_output()
 
     def deliver(self, received: ReceivedData) -> None:
-        """Take what the frontend has sent."""
+        """Add data from the frontend for the next `receive`."""
         self._received.append(received)
 
     def receive(self) -> list[ReceivedData]:
-        """Return what has come since the last time."""
+        """Return the data received since the last call, in order."""
         received, self._received = self._received, []
         return received
 
     def close(self) -> None:
-        """End the caller's connection."""
+        """Close the caller's connection; a UDP port stays as it is."""
         if self.connection is not None:
             self.connection.connection_lost()
             self.connection = None
 
 
 class InProcessEnvironment:
-    """The frontend and the call manager under a virtual clock; `overrides` are of the frontend's settings."""
+    """The program's frontend and call manager under a virtual clock; implements `ConformanceEnvironment`.
+
+    `overrides` replace fields of the frontend's `SipConfig`.
+    """
 
     def __init__(self, **overrides: Any) -> None:
         self.timeline = VirtualTimeline()
         self.core = _connected_core(self.timeline)
         self.frontend = _frontend(self.core, overrides)
         self.frontend.flows.dial = self._connect
-        self.unclaimed: list[tuple[Address, bytes]] = []  # sent to a peer that is no transport of the case
+        self.undelivered: list[tuple[Address, bytes]] = []  # datagrams to addresses of no open transport
         self._transports: list[InProcessTransport] = []
         self._caller_ports = count(FIRST_CALLER_PORT)
 
     def open(self, transport: str) -> InProcessTransport:
-        """Open a new transport for a caller."""
+        """Return a new transport for a caller, "udp" or "tcp"."""
         opened = InProcessTransport(self, transport, (HOST, next(self._caller_ports)))
         self._transports.append(opened)
         return opened
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the virtual time in seconds."""
         return self.timeline.now_s
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, event by event."""
+        """Advance the virtual clock by a time, event by event."""
         end = self.timeline.now_s + seconds
         while (due := self._next_due()) is not None and due <= end:
             self.timeline.now_s = max(self.timeline.now_s, due)
@@ -188,10 +193,10 @@
         self.deliver_output()
 
     def close(self) -> None:
-        """Do nothing: there is nothing open outside this process."""
+        """Do nothing: no connection leaves this process."""
 
     def deliver_output(self) -> None:
-        """Hand what the frontend has written to whom it is for."""
+        """Deliver the frontend's pending output to the transports that it is addressed to."""
         for port in self.frontend.flows.ports:
             while port.output:
                 data, peer = port.output.popleft()
@@ -205,10 +210,10 @@
             if transport.peer == peer and transport.transport == "udp":
                 transport.deliver(ReceivedData(self.now(), data))
                 return
-        self.unclaimed.append((peer, data))
+        self.undelivered.append((peer, data))
 
     def _connect(self, connection: SipConnection) -> None:
-        """Connect the frontend to a caller that has closed its connection; nobody else can be reached."""
+        """Connect the frontend to a caller's closed TCP transport at the address; any other connect fails."""
         for transport in self._transports:
             is_closed = transport.transport == "tcp" and transport.connection is None
             if is_closed and transport.peer == connection.peer:
@@ -217,12 +222,13 @@
         self.timeline.schedule(0.0, connection.connection_lost)
 
     def _next_due(self) -> float | None:
-        dues = (self.timeline.next_due(), self.core.timers.next_due())
-        return min((due for due in dues if due is not None), default=None)
+        """Return the time of the next event or timer in seconds, None if there is neither."""
+        due_times = (self.timeline.next_due(), self.core.timers.next_due())
+        return min((due for due in due_times if due is not None), default=None)
 
 
 def _connected_core(timeline: VirtualTimeline) -> CallManager:
-    """Return a call manager that has its one roster server connected."""
+    """Return a call manager whose single roster server is connected."""
     core = CallManager(SETTINGS, random.Random(1), timeline.clock, _log_nothing, Counters())
     core.servers.pool = EmulatedServerPool(core, timeline)
     core.update_servers([SERVER], True)
@@ -233,7 +239,7 @@
 
 
 def _frontend(core: CallManager, overrides: dict[str, Any]) -> SipFrontend:
-    """Return a SIP frontend with tokens and draws that are the same each time."""
+    """Return a SIP frontend whose tokens and random numbers are the same in each run."""
     listeners = (SipListener((HOST, SIP_PORT)),)
     settings: dict[str, Any] = {
         "udp": listeners,
@@ -243,9 +249,9 @@
         "numbers": (NumberPrefix("7", "save-roster", 0),),
         **overrides,
     }
-    tokens, draws = (f"{number:016x}" for number in count(1)), random.Random(2)
-    return SipFrontend(core, SipConfig(**settings), lambda: next(tokens), draws.random, b"secret")
+    tokens, random_numbers = (f"{number:016x}" for number in count(1)), random.Random(2)
+    return SipFrontend(core, SipConfig(**settings), lambda: next(tokens), random_numbers.random, b"secret")
 
 
 def _log_nothing(_event: str, **_fields: Any) -> None:
-    """Log nothing: the cases check the messages alone."""
+    """Discard a log event: the cases check only the SIP messages."""
--- a/stairhatch/conformance/player.py
+++ b/stairhatch/conformance/player.py
@@ -1,4 +1,4 @@
-"""Plays a case in an environment, as the caller that the case describes."""
+"""Plays the steps of a case in an environment, in the role of the caller."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 
 POLL_INTERVAL_S = 0.05
 TIME_TOLERANCE_S = 1e-9
-SHOWN_BYTES = 60  # of a message in the transcript
-OTHER_FLOW = "other"  # flows whose names begin so have the other transport
+MAX_SHOWN_BYTES = 60  # of a sent message in the transcript
+OTHER_FLOW_PREFIX = "other"  # a flow whose name begins with it uses the transport that the case does not
 OTHER_TRANSPORT = {"tcp": "udp", "udp": "tcp"}
 T = TypeVar("T")
-_serials = count(1)  # distinguishes the calls of the cases of one run
+_serials = count(1)  # keeps call ids and branches distinct among the cases of one process
 
 
 def play(case: Case, environment: ConformanceEnvironment) -> CaseResult:
-    """Play one case; the environment is closed behind it."""
+    """Play one case and return its result; the environment is closed in any case."""
     try:
         return CasePlayer(case, environment).play()
     finally:
@@ -54,7 +54,7 @@
 
 
 class CasePlayer:
-    """One case while it is played: the caller's flows and calls, and what has come."""
+    """The player of one case: holds the caller's flows and calls, and the messages received."""
 
     def __init__(self, case: Case, environment: ConformanceEnvironment) -> None:
         self._case = case
@@ -68,7 +68,7 @@
         self._transcript: list[str] = []
 
     def play(self) -> CaseResult:
-        """Play all steps; the first that fails ends the case."""
+        """Play the steps in order until one fails, and return the result; a failed step raises nothing."""
         result = CaseResult(case=self._case, transcript=self._transcript)
         try:
             for number, step in enumerate(self._case.steps, 1):
@@ -86,12 +86,12 @@
             case PassTime():
                 self._pass_time(step.duration_s)
             case SendRequest() | SendAck() | SendText() | Retransmit() | CloseFlow():
-                self._act(step, dialog)
+                self._play_caller_action(step, dialog)
             case _:
-                self._expect(step, dialog)
+                self._check_expectation(step, dialog)
 
-    def _act(self, step: Step, dialog: CallerDialog) -> None:
-        """Do what the caller does in a step."""
+    def _play_caller_action(self, step: Step, dialog: CallerDialog) -> None:
+        """Carry out a step in which the caller sends a message or closes a flow."""
         match step:
             case SendRequest():
                 request = self._send_request(step.method, step, dialog)
@@ -105,8 +105,8 @@
             case CloseFlow():
                 self._flow(step.flow).close()
 
-    def _expect(self, step: Step, dialog: CallerDialog) -> None:
-        """Hold what comes against a step. Raises CheckFailedError."""
+    def _check_expectation(self, step: Step, dialog: CallerDialog) -> None:
+        """Check the program's messages against a step. Raises CheckFailedError if they differ."""
         match step:
             case ExpectResponse():
                 self._expect_response(step, dialog)
@@ -119,13 +119,13 @@
             case ExpectPong():
                 self._expect_pong(step)
 
-    # ---- what the caller sends ----
+    # ---- messages that the caller sends ----
 
     def _flow(self, name: str) -> CallerFlow:
-        """Return a flow; it is opened when it is first named."""
+        """Return the flow with a name; it is opened at the first use of the name."""
         if name not in self._flows:
             transport = self._case.transport
-            if name.startswith(OTHER_FLOW):
+            if name.startswith(OTHER_FLOW_PREFIX):
                 transport = OTHER_TRANSPORT[transport]
             self._flows[name] = CallerFlow(name, self._environment.open(transport))
         return self._flows[name]
@@ -143,9 +143,14 @@
         return request
 
     def _send_ack(self, step: SendAck, dialog: CallerDialog) -> None:
-        """Send the ACK: to a 2xx on its own, else within the INVITE's transaction (RFC 3261, 17.1.1.3)."""
+        """Send the ACK: to a 2xx with a new branch, else with the INVITE's branch (RFC 3261, 17.1.1.3).
+
+        Raises CheckFailedError if the last INVITE has no final response.
+        """
         if dialog.final_response is None:
-            raise CheckFailedError("there was no final answer to acknowledge")
+            raise CheckFailedError(
+                "no final response to the INVITE was received, so there is nothing to acknowledge"
+            )
         branch, to_tag = "new", "theirs"
         if dialog.final_response.status >= 300:
             branch = "same"
@@ -168,45 +173,47 @@
 
     def _transmit(self, data: bytes, flow_name: str, piece_bytes: int = 0) -> None:
         flow = self._flow(flow_name)
-        self._note(self._environment.now(), f"> {flow_name} {data[:SHOWN_BYTES].splitlines()[:1]}")
+        self._add_to_transcript(
+            self._environment.now(), f"> {flow_name} {data[:MAX_SHOWN_BYTES].splitlines()[:1]}"
+        )
         flow.send(data, piece_bytes)
         self._receive()
 
-    # ---- what comes ----
+    # ---- messages that the program sends ----
 
-    def _note(self, at_s: float, text: str) -> None:
+    def _add_to_transcript(self, at_s: float, text: str) -> None:
         self._transcript.append(f"{at_s - self._started_at:8.3f} {text}")
 
     def _receive(self) -> None:
-        """Take in what has come on all flows."""
+        """Add the messages received on all flows to the inbox."""
         for flow in self._flows.values():
             for received in flow.receive():
-                self._take(received)
+                self._record_received(received)
 
-    def _take(self, received: ReceivedMessage) -> None:
+    def _record_received(self, received: ReceivedMessage) -> None:
         message = received.message
         self._inbox.add(received)
-        shown = message.method or f"{message.status} {message.get('cseq')}"
-        self._note(received.at_s, f"< {received.flow} {shown}")
+        summary = message.method or f"{message.status} {message.get('cseq')}"
+        self._add_to_transcript(received.received_at_s, f"< {received.flow} {summary}")
         if not message.method:
-            self._dialogs.take_response(message)
+            self._dialogs.record_response(message)
 
     def _wait_for(self, find: Callable[[], T | None], timeout_s: float) -> T | None:
-        """Return what is found within so long, None if nothing is."""
+        """Poll `find` for up to `timeout_s` and return its first result, None if it finds nothing."""
         end = self._environment.now() + timeout_s
         while True:
             self._receive()
             if (found := find()) is not None:
                 return found
-            left = end - self._environment.now()
-            if left <= 0:
+            remaining_s = end - self._environment.now()
+            if remaining_s <= 0:
                 return None
-            self._environment.wait(min(POLL_INTERVAL_S, left))
+            self._environment.wait(min(POLL_INTERVAL_S, remaining_s))
 
     def _pass_time(self, seconds: float) -> None:
         end = self._environment.now() + seconds
-        while (left := end - self._environment.now()) > TIME_TOLERANCE_S:
-            self._environment.wait(left)
+        while (remaining_s := end - self._environment.now()) > TIME_TOLERANCE_S:
+            self._environment.wait(remaining_s)
             self._receive()
 
     def _expect_response(self, step: ExpectResponse, dialog: CallerDialog) -> None:
@@ -215,24 +222,24 @@
             lambda: self._inbox.next_response(dialog, method, step.status), step.timeout_s
         )
         if received is None:
-            raise CheckFailedError(f"no {step.status} to {method} came in {step.timeout_s} s")
+            raise CheckFailedError(f"no {step.status} to {method} was received within {step.timeout_s} s")
         received.claimed = True
         message = received.message
         if message.status != step.status:
-            raise CheckFailedError(f"{message.status} came for {method}, not {step.status}")
+            raise CheckFailedError(f"{message.status} received for {method}, expected {step.status}")
         _check_flow(step.flow, received, "it")
         if step.same_tag and sip.parameters(message.get("to")).get("tag") != dialog.to_tag:
-            raise CheckFailedError("it has another To tag")
+            raise CheckFailedError("the To tag differs from the dialog's")
         check_headers(step.headers, message)
         check_body(step.body, message)
 
     def _expect_request(self, step: ExpectRequest, dialog: CallerDialog) -> None:
         received = self._wait_for(lambda: self._inbox.next_request(dialog, step.method), step.timeout_s)
         if received is None:
-            raise CheckFailedError(f"no {step.method} came in {step.timeout_s} s")
+            raise CheckFailedError(f"no {step.method} was received within {step.timeout_s} s")
         received.claimed = True
         _check_flow(step.flow, received, step.method)
-        expected_headers = step.headers if step.answer is None else {}  # else they are the answer's
+        expected_headers = step.headers if step.answer is None else {}  # otherwise sent in the answer
         check_headers(expected_headers, received.message)
         check_body(step.body, received.message)
         if step.answer is not None:
@@ -246,27 +253,30 @@
 
     def _expect_silence(self, step: ExpectSilence, dialog: CallerDialog) -> None:
         self._receive()
-        before = len(self._inbox.select(dialog, step))
+        count_before = len(self._inbox.select(dialog, step))
         self._pass_time(step.duration_s)
         selected = self._inbox.select(dialog, step)
-        if len(selected) > before:
-            message = selected[before].message
-            raise CheckFailedError(f"{message.method or message.status} came where nothing must")
+        if len(selected) > count_before:
+            message = selected[count_before].message
+            raise CheckFailedError(f"{message.method or message.status} received, expected no message")
 
     def _expect_count(self, step: ExpectCount, dialog: CallerDialog) -> None:
         self._receive()
         found = len(self._inbox.select(dialog, step))
         if found != step.count:
-            raise CheckFailedError(f"{found} came, not {step.count}")
+            raise CheckFailedError(f"{found} messages received, expected {step.count}")
 
     def _expect_pong(self, step: ExpectPong) -> None:
         def flow_with_pong() -> CallerFlow | None:
             return next((flow for flow in self._flows.values() if flow.pongs), None)
 
         if self._wait_for(flow_with_pong, step.timeout_s) is None:
-            raise CheckFailedError("no CRLF came for a ping")
+            raise CheckFailedError("no CRLF was received as the answer to a keep-alive")
 
 
-def _check_flow(expected: str | None, received: ReceivedMessage, what: str) -> None:
+def _check_flow(expected: str | None, received: ReceivedMessage, message_name: str) -> None:
+    """Raise CheckFailedError if a message was received on a flow other than the expected one, if any."""
     if expected is not None and received.flow != expected:
-        raise CheckFailedError(f"{what} came by {received.flow}, not by {expected}")
+        raise CheckFailedError(
+            f"{message_name} was received on flow {received.flow}, expected on flow {expected}"
+        )
--- a/stairhatch/conformance/report.py
+++ b/stairhatch/conformance/report.py
@@ -1,4 +1,4 @@
-"""Shows the results of a run: as tables of text, and as JUnit XML."""
+"""Formats the results of a run as text tables and as JUnit XML."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from stairhatch.conformance.results import CaseResult
 
 SHOWN_TRANSCRIPT_LINES = 12
-MAX_MESSAGE_CHARACTERS = 400  # of a failure in JUnit XML
+MAX_MESSAGE_CHARACTERS = 400  # of a failure's message in JUnit XML
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ResultCounts:
-    """How many cases came out how."""
+    """The numbers of passed, failed and skipped cases."""
 
     passed: int
     failed: int
@@ -23,15 +23,15 @@
 
 
 def count_results(results: Iterable[CaseResult]) -> ResultCounts:
-    """Count results."""
-    every = list(results)
-    failed = sum(bool(each.failure) for each in every)
-    skipped = sum(bool(each.skip_reason) for each in every)
-    return ResultCounts(passed=len(every) - failed - skipped, failed=failed, skipped=skipped)
+    """Return the numbers of passed, failed and skipped cases among the results."""
+    all_results = list(results)
+    failed = sum(bool(result.failure) for result in all_results)
+    skipped = sum(bool(result.skip_reason) for result in all_results)
+    return ResultCounts(passed=len(all_results) - failed - skipped, failed=failed, skipped=skipped)
 
 
 def section_table(results: Iterable[CaseResult]) -> str:
-    """Return a table with a line for each section of an RFC."""
+    """Return a text table with the numbers of each RFC section on one line, without a final line end."""
     by_section: defaultdict[str, list[CaseResult]] = defaultdict(list)
     for result in results:
         by_section[result.case.section].append(result)
@@ -43,7 +43,7 @@
 
 
 def failure_report(results: Iterable[CaseResult]) -> str:
-    """Return each case that failed, with the end of its transcript."""
+    """Return a text with each failed case, its failed step and the end of its transcript; "" for none."""
     lines = []
     for result in results:
         if result.failure:
@@ -55,7 +55,7 @@
 
 
 def junit_xml(results: Sequence[CaseResult]) -> str:
-    """Return the results as JUnit XML."""
+    """Return the results as a JUnit XML document with one `testcase` for each."""
     counts = count_results(results)
     suite = ElementTree.Element(
         "testsuite",
@@ -90,6 +90,6 @@
 
 
 def _section_order(section: str) -> tuple[str, list[int]]:
-    """Sort key: by RFC and section numbers, not by their text."""
+    """Return a sort key by the numbers of the RFC and of the section, so that 8.10 follows 8.2."""
     words = section.replace(",", " ").split()
     return words[0], [int(part) for word in words for part in word.split(".") if part.isdigit()]
--- a/stairhatch/conformance/request_writer.py
+++ b/stairhatch/conformance/request_writer.py
@@ -1,4 +1,4 @@
-"""Writes the requests that a case has its caller send."""
+"""Writes the requests that the caller of a case sends."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from stairhatch.node import sip_message as sip
 
 BRANCH_COOKIE = "z9hG4bK"  # RFC 3261, section 8.1.1.7
-OF_CALL = "of-"  # a tag of another call of the case, by its name
+OTHER_CALL_PREFIX = "of-"  # precedes the name of another call of the case, whose tag is used
 FILLER = '"'
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WrittenRequest:
-    """A request and what its sender remembers of it."""
+    """A request as bytes, with the parts that its sender needs later: method, CSeq number and branch."""
 
     method: str
     cseq: int
@@ -28,7 +28,7 @@
 
 
 class RequestWriter:
-    """Writes requests of one case; its `serial` keeps the branches of several cases distinct."""
+    """A writer of the requests of one case; `serial` keeps the branches of different cases distinct."""
 
     def __init__(self, dialogs: CallerDialogs, serial: int) -> None:
         self._dialogs = dialogs
@@ -38,7 +38,10 @@
     def write(
         self, method: str, step: RequestStep, dialog: CallerDialog, transport: CallerTransport
     ) -> WrittenRequest:
-        """Write a request of a call as a step has it; the call's CSeq moves on with it."""
+        """Return the request of a call for a step; advance the call's CSeq number except for ACK and CANCEL.
+
+        Raises CheckFailedError if credentials are needed and the call has no challenge.
+        """
         cseq = self._next_cseq(method, step, dialog)
         branch = self._branch(method, step, dialog)
         uri = step.uri or f"sip:{dialog.number}@softswitch.example"
@@ -62,7 +65,7 @@
         return WrittenRequest(method=method, cseq=cseq, branch=branch, data=data)
 
     def write_text(self, step: SendText, dialog: CallerDialog, transport: CallerTransport) -> bytes:
-        """Fill in the placeholders of a text that is sent unchanged otherwise."""
+        """Return the bytes of a step's text, with only its placeholders replaced and the filler appended."""
         values = {
             "branch": self._new_branch(),
             "call": dialog.call_id,
@@ -85,43 +88,46 @@
         return dialog.cseq
 
     def _branch(self, method: str, step: RequestStep, dialog: CallerDialog) -> str:
-        wanted = step.branch
-        if wanted is None:
-            wanted = "same" if method == "CANCEL" else "new"
-        match wanted:
+        selector = step.branch
+        if selector is None:
+            selector = "same" if method == "CANCEL" else "new"
+        match selector:
             case "new":
                 return self._new_branch()
             case "same":
                 return dialog.invite_branch
             case _:
-                return wanted
+                return selector
 
     def _to_tag(self, method: str, step: RequestStep, dialog: CallerDialog) -> str:
-        wanted = step.to_tag
-        if wanted is None:
+        selector = step.to_tag
+        if selector is None:
             is_first_invite = method == "INVITE" and not dialog.to_tag
-            wanted = "none" if method == "CANCEL" or is_first_invite else "theirs"
-        match wanted:
+            selector = "none" if method == "CANCEL" or is_first_invite else "theirs"
+        match selector:
             case "theirs":
                 return dialog.to_tag
             case "none":
                 return ""
-            case _ if wanted.startswith(OF_CALL):
-                return self._dialogs.get(wanted.removeprefix(OF_CALL)).to_tag
+            case _ if selector.startswith(OTHER_CALL_PREFIX):
+                return self._dialogs.get(selector.removeprefix(OTHER_CALL_PREFIX)).to_tag
             case _:
-                return wanted
+                return selector
 
     def _from_tag(self, step: RequestStep, dialog: CallerDialog) -> str:
         if step.from_tag is None:
             return dialog.from_tag
-        if step.from_tag.startswith(OF_CALL):
-            return self._dialogs.get(step.from_tag.removeprefix(OF_CALL)).from_tag
+        if step.from_tag.startswith(OTHER_CALL_PREFIX):
+            return self._dialogs.get(step.from_tag.removeprefix(OTHER_CALL_PREFIX)).from_tag
         return step.from_tag
 
     def _header_lines(
         self, headers: HeaderValues, method: str, uri: str, dialog: CallerDialog
     ) -> sip.Headers:
-        """Return a line for each value; an empty value leaves the header out."""
+        """Return one header line for each value, without the empty values.
+
+        A value that is a template of credentials is replaced by these; see `credentials`.
+        """
         lines: sip.Headers = []
         for name, values in headers.items():
             for value in values if isinstance(values, list) else [values]:
--- a/stairhatch/conformance/sockets.py
+++ b/stairhatch/conformance/sockets.py
@@ -18,24 +18,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SocketTarget:
-    """The program under test by its addresses. Raises ValueError for one that is not of this machine."""
+    """The addresses of the program under test. Raises ValueError for one that is not a loopback address."""
 
     udp: Address | None
     tcp: Address | None
-    asks_for_users: bool = False  # it requires authentication
+    requires_authentication: bool = False  # the program challenges its callers
 
     def __post_init__(self) -> None:
         for address in (self.udp, self.tcp):
             if address is not None and not ipaddress.ip_address(address[0]).is_loopback:
-                raise ValueError(f"{address[0]} is no loopback address")
+                raise ValueError(f"{address[0]} is not a loopback address")
 
     def address(self, transport: str) -> Address | None:
-        """Return where it listens on a transport, None if that is not known."""
+        """Return the program's address for a transport, None if it was not given."""
         return self.tcp if transport == "tcp" else self.udp
 
 
 class SocketTransport:
-    """A caller's socket."""
+    """The caller's end of a flow as a socket (`CallerTransport`). Raises OSError if it can't connect."""
 
     def __init__(self, transport: str, address: Address) -> None:
         self.transport = transport
@@ -52,7 +52,7 @@
         self.is_open = True
 
     def send(self, data: bytes) -> None:
-        """Send bytes to the program; a failure ends the transport."""
+        """Send bytes to the program, blocking until all are queued; an error ends the transport."""
         try:
             self.socket.setblocking(True)
             self.socket.sendall(data)
@@ -62,7 +62,7 @@
             self.socket.setblocking(False)
 
     def receive(self) -> list[ReceivedData]:
-        """Return what has come since the last time."""
+        """Return the data received since the last call; an error or the peer's close ends the transport."""
         received = []
         while self.is_open:
             try:
@@ -79,34 +79,37 @@
         return received
 
     def close(self) -> None:
-        """End the caller's connection."""
+        """Close the caller's socket."""
         self.is_open = False
         self.socket.close()
 
 
 class SocketEnvironment:
-    """A program that listens at addresses of this machine, in real time."""
+    """A program that listens on this machine, tested in real time; implements `ConformanceEnvironment`."""
 
     def __init__(self, target: SocketTarget) -> None:
         self._target = target
         self._transports: list[SocketTransport] = []
 
     def open(self, transport: str) -> SocketTransport:
-        """Open a new transport for a caller. Raises ValueError where the program has no such address."""
+        """Return a new transport for a caller, "udp" or "tcp".
+
+        Raises ValueError if the target has no address for it, and OSError if the connection fails.
+        """
         address = self._target.address(transport)
         if address is None:
-            raise ValueError(f"no {transport} address was given")
+            raise ValueError(f"the target has no {transport} address")
         opened = SocketTransport(transport, address)
         self._transports.append(opened)
         return opened
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def wait(self, seconds: float) -> None:
-        """Wait for so long, or until something comes."""
-        sockets = [each.socket for each in self._transports if each.is_open]
+        """Wait for a time, or until data arrives on an open transport."""
+        sockets = [transport.socket for transport in self._transports if transport.is_open]
         if sockets:
             select.select(sockets, [], [], seconds)
         else:
--- a/stairhatch/conformance/suite.py
+++ b/stairhatch/conformance/suite.py
@@ -1,4 +1,4 @@
-"""The whole suite: which cases are played where, and the search for mutations that a case finds."""
+"""Runs the suite in process or over sockets, and searches for the case that finds a mutation."""
 
 from __future__ import annotations
 
@@ -19,19 +19,23 @@
 __all__ = ["MUTATIONS", "find_mutation", "run_in_process", "run_over_sockets"]
 ALGORITHMS = ("SHA-512-256", "SHA-256")
 NONCE_LIFETIME_S = 300.0
-MAX_RETRIES = 5  # of a case whose call was rejected with 503, for its servers' sake
+MAX_RETRIES = 5  # of a case whose INVITE was rejected with 503 to protect the servers
 RETRY_PAUSE_S = 1.0
-REJECTED = "503 came for INVITE"
-CONCURRENT_CASES = 16  # over sockets, where they wait far more than they work
+REJECTION_FAILURE = "503 received for INVITE"  # in the failure text of such a case
+CONCURRENT_CASES = 16  # over sockets, where a case spends most of its time waiting
 
 
 def run_in_process(cases: Iterable[Case]) -> list[CaseResult]:
-    """Play cases in process."""
+    """Play cases in process and return their results in the same order."""
     return [play(case, _environment_for(case)) for case in cases]
 
 
 def run_over_sockets(cases: Iterable[Case], target: SocketTarget, slow: bool = False) -> list[CaseResult]:
-    """Play cases against a program. What it can't show is skipped, and so are long waits unless `slow`."""
+    """Play cases against a running program and return their results in the same order.
+
+    A case is skipped if the target lacks its transport or configuration, or if its waits are long and `slow`
+    is false.
+    """
 
     def run(case: Case) -> CaseResult:
         if reason := _skip_reason(case, target, slow):
@@ -43,7 +47,10 @@
 
 
 def find_mutation(cases: Iterable[Case], name: str) -> str:
-    """Return the name of the first case that fails with a mutation, "" if none does."""
+    """Return the name of the first case that fails under a mutation, "" if none does.
+
+    Raises KeyError if no mutation has the name.
+    """
     with mutation_applied(name):
         for case in cases:
             if play(case, _environment_for(case)).failure:
@@ -52,7 +59,7 @@
 
 
 def _environment_for(case: Case) -> InProcessEnvironment:
-    """Return the program in process with the configuration that a case needs."""
+    """Return an in-process environment with the configuration that a case needs."""
     if "auth" not in case.needs:
         return InProcessEnvironment()
     lines = digest_auth.format_user_lines(USER, REALM, PASSWORD, ALGORITHMS)
@@ -61,21 +68,23 @@
 
 
 def _skip_reason(case: Case, target: SocketTarget, slow: bool) -> str:
-    """Return why a case can't be played against a program, "" if it can."""
+    """Return the reason for skipping a case against a program, "" if the case can be played."""
     if target.address(case.transport) is None:
-        return f"no {case.transport} address was given"
+        return f"the target has no {case.transport} address"
     if case.virtual and not slow:
-        return "its waits are long: --slow"
-    if ("auth" in case.needs) is not target.asks_for_users:
-        return "it needs a program that asks " + ("for none" if target.asks_for_users else "for users")
+        return "the case has long waits and runs only with --slow"
+    if ("auth" in case.needs) is not target.requires_authentication:
+        return "the case needs a program that runs " + (
+            "without authentication" if target.requires_authentication else "with authentication"
+        )
     return ""
 
 
 def _play_with_retries(case: Case, target: SocketTarget) -> CaseResult:
-    """Play a case; where the program says to return later, the suite does."""
+    """Play a case, again after a pause while its INVITE is rejected with 503; return the last result."""
     result = play(case, SocketEnvironment(target))
     for _ in range(MAX_RETRIES):
-        if REJECTED not in result.failure:
+        if REJECTION_FAILURE not in result.failure:
             break
         time.sleep(RETRY_PAUSE_S)
         result = play(case, SocketEnvironment(target))
--- a/tests/test_conformance.py
+++ b/tests/test_conformance.py
@@ -1,6 +1,4 @@
-"""The conformance suite: every case passes in process, every mutation is found, and over sockets the same
-cases pass against the real program.
-"""
+"""The conformance suite: every case passes in process and over sockets, and the cases find each mutation."""
 
 from __future__ import annotations
 
@@ -23,7 +21,9 @@
 
 
 def test_every_case_passes_in_process():
-    """Any change to what SIP callers may expect shows; 200 cases at least, of many sections."""
+    """A change to the SIP behaviour that callers rely on fails a case; the suite has at least 200 cases from
+    40 sections of the RFCs.
+    """
     results = suite.run_in_process(CASES)
 
     assert report.failure_report(results) == ""
@@ -33,31 +33,33 @@
 
 @pytest.mark.parametrize("mutation", sorted(suite.MUTATIONS))
 def test_each_mutation_is_found(mutation):
-    """No case passes whatever the program does."""
-    assert suite.find_mutation(CASES, mutation), "no case fails with it"
+    """At least one case fails under each mutation, so that no mutated rule goes unchecked."""
+    assert suite.find_mutation(CASES, mutation), "no case fails under the mutation"
 
 
-def test_a_mutation_leaves_nothing_behind():
-    """A search for mutations does not spoil what is played after it."""
-    few = [case for case in CASES if case.id in ("bye-copy", "uri-escaped-number", "auth-good-1")]
+def test_mutations_are_reverted_after_the_search():
+    """Cases pass after a search for mutations, which must restore the attributes that it has replaced."""
+    selected = [case for case in CASES if case.id in ("bye-copy", "uri-escaped-number", "auth-good-1")]
     for mutation in ("what is over is forgotten at once", "escapes in a user stay", "any password is good"):
-        assert suite.find_mutation(few, mutation) or mutation == "any password is good"
+        assert suite.find_mutation(selected, mutation) or mutation == "any password is good"
 
-    assert all(result.passed for result in suite.run_in_process(few))
+    assert all(result.passed for result in suite.run_in_process(selected))
 
 
-def test_a_case_that_cannot_be_read_is_named(tmp_path):
-    """A mistyped step does not pass as one that checks nothing."""
+def test_error_names_the_unreadable_case(tmp_path):
+    """A step with a mistyped key raises an error naming file and case; it is not read as an empty step."""
     (tmp_path / "x.toml").write_text(
         '[[case]]\nid = "a"\nsection = "s"\ntitle = "t"\nsteps = [{exspect = 1}]'
     )
-    with pytest.raises(CaseError, match=r"x\.toml: a: a step with \['exspect'\]"):
+    with pytest.raises(
+        CaseError, match=r"x\.toml: a: a step needs one key that names its action, found \['exspect'\]"
+    ):
         read_cases(tmp_path)
 
 
 @pytest.fixture
 def demo_address(tmp_path):
-    """The address of a demonstration that listens on UDP and TCP."""
+    """The address of a running `stairhatch demo`, which listens on it over UDP and TCP."""
     address, output = f"127.0.0.1:{free_port()}", tmp_path / "demo.txt"
     with output.open("w") as out:
         demo = subprocess.Popen(
@@ -67,7 +69,7 @@
             stderr=out,
         )
     try:
-        wait_until(lambda: "listens on" in output.read_text(), "the demonstration")
+        wait_until(lambda: "listens on" in output.read_text(), "the start of the demonstration")
         yield address
     finally:
         demo.terminate()
@@ -80,14 +82,16 @@
     )
 
 
-def test_the_command_against_the_real_program(demo_address, tmp_path):
-    """The program behaves on sockets as its protocols do in process; no failure is hidden."""
+def test_conform_command_against_a_running_program(demo_address, tmp_path):
+    """All cases pass over sockets; a failed case gives exit code 1, an address of another machine code 2."""
     junit = tmp_path / "junit.xml"
 
-    done = run_command("--udp", demo_address, "--tcp", demo_address, "--junit", str(junit), timeout_s=120)
+    completed = run_command(
+        "--udp", demo_address, "--tcp", demo_address, "--junit", str(junit), timeout_s=120
+    )
 
-    assert done.returncode == 0, done.stdout
-    passed = int(done.stdout.splitlines()[-1].split(" ")[0])
+    assert completed.returncode == 0, completed.stdout
+    passed = int(completed.stdout.splitlines()[-1].split(" ")[0])
     assert passed >= 400
     root = ElementTree.parse(junit).getroot()
     assert root.get("failures") == "0"
@@ -100,9 +104,9 @@
     assert "loopback" in remote.stderr
 
 
-def test_a_choice_that_no_case_fits_is_told_and_ends_with_code_2():
-    """It ended in a traceback."""
+def test_only_filter_without_a_matching_case_exits_with_code_2():
+    """An `--only` filter that matches no case gives an error message and no traceback."""
     command = [*COMMAND, "conform", "--only", "no such case"]
-    ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    assert ended.returncode == 2
-    assert ended.stderr.startswith("stairhatch: --only no such case")
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    assert completed.returncode == 2
+    assert completed.stderr.startswith("stairhatch: --only no such case")
