--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def make_node() -> Callable[..., Node]:
-    """Nodes that know servers 10, 11, ... with numbers 0, 1, ..."""
+    """Function that returns a node with an endpoint list of servers 10, 11, ... with numbers 0, 1, ..."""
 
     def make(servers: int = 2, settings: Settings = SETTINGS, seed: int = 1) -> Node:
         node = Node(settings, seed)
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def started_programs() -> Iterator[list[Program]]:
-    """A list of programs that are ended with the test."""
+    """List of programs to which a test adds those that it starts; they are killed after the test."""
     programs: list[Program] = []
     yield programs
     for program in programs:
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def start_deployment(tmp_path: Path) -> Iterator[Deployments]:
-    """Starts a program before scripted servers; ends it with the test."""
+    """Function that starts a program with scripted servers; both are ended after the test."""
     deployments = Deployments(tmp_path)
     yield deployments
     deployments.end()
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def start_unusual(start_deployment: Deployments) -> Callable[..., Deployment]:
-    """Starts a program before two servers; on the platform under settings that no deployment has."""
+    """Function that starts a program with scripted servers; the platform runs under `UNUSUAL_SETTINGS`."""
 
     def start(
         *scripts: Script | None, frontend: str = PLATFORM, servers: list[ScriptedServer] | None = None
--- a/tests/support/accepted_connections.py
+++ b/tests/support/accepted_connections.py
@@ -1,4 +1,4 @@
-"""A platform frontend's listener over connections whose bytes a test hands in, without an event loop."""
+"""A listener of the platform frontend, without an event loop, whose received bytes a test supplies."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class UnreadSocket:
-    """Our end of a connection on which some bytes lie unread, as far as a listener looks at it."""
+    """A stand-in for an accepted socket with unread bytes; has only the method that a listener calls."""
 
     def __init__(self, unread: bytes = b"") -> None:
         self.unread = unread
 
     def recv(self, size: int, _flags: int) -> bytes:
-        """The bytes, without taking them; raises BlockingIOError where there are none."""
+        """Return up to `size` bytes, which stay unread. Raises BlockingIOError if there are none."""
         if not self.unread:
             raise BlockingIOError
         return self.unread[:size]
@@ -30,7 +30,7 @@
 def listener_with_connections(
     node: InProcessNode, max_connections: int, *sockets: Any
 ) -> tuple[Listener, list[AcceptedConnection]]:
-    """A listener of the platform's frontend with one connection accepted for each given socket."""
+    """Return a listener of the platform frontend and its connections, one accepted for each socket."""
     frontend = PlatformFrontend(node.core)
     network = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
     listener = Listener(network, None, None, frontend.connect, ListenerLimits(max_connections))
@@ -40,7 +40,7 @@
 
 
 def receive(node: InProcessNode, connection: AcceptedConnection, data: bytes) -> None:
-    """Bytes have come on a connection, as the network notes them."""
+    """Pass bytes to a connection and record their time of receipt, as the network code does."""
     connection.protocol.receive_data(data)
     connection.received_at = node.now
     partial = connection.protocol.has_partial_message()
@@ -48,7 +48,7 @@
 
 
 def take_statuses(connection: ConnectionProtocol, ident: str) -> list[int | str]:
-    """Takes the queued output of a platform connection; returns the statuses and methods for one call."""
+    """Remove the queued output of a platform connection; return the statuses and methods for one call."""
     parser, found = sip_parser.StreamParser(), []
     parser.feed(connection.data_to_send())
     while (message := parser.next_message()) is not None:
--- a/tests/support/call_ids.py
+++ b/tests/support/call_ids.py
@@ -8,5 +8,5 @@
 
 
 def next_call_id() -> str:
-    """An id that no other call of this process has."""
+    """Return an id that no other call of this process has."""
     return f"{next(_NUMBERS):016x}"
--- a/tests/support/caller_disconnects.py
+++ b/tests/support/caller_disconnects.py
@@ -1,4 +1,4 @@
-"""Calls that tests place with either frontend, and the ways in which their callers leave."""
+"""Calls that tests place through either frontend, and the ways in which their callers disconnect."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from .sip_messages import sip_headers
 from .waiting import wait_until
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time of 0
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a time of 0: the close sends a RST
 CALLER_TIMEOUT_MS = 15_000
 
 
 def place_call(program: Program, frontend: str, udp: bool = False) -> tuple[SipCaller, str]:
-    """A new caller with one open set-up, under the class of the unusual settings; returns both."""
+    """Send a set-up from a new caller; return the caller and the id of the call.
+
+    On the platform the call has a class of `UNUSUAL_SETTINGS`.
+    """
     caller, ident = SipCaller(program.address, udp=udp), next_call_id()
     if frontend == PLATFORM:
         caller.invite(ident, "ebb", CALLER_TIMEOUT_MS)
@@ -30,7 +33,7 @@
 
 
 def disconnect(caller: SipCaller, ident: str, way: str, frontend: str = PLATFORM) -> None:
-    """Have a caller leave its open set-up: by "cancel", "close", "half-close" or "reset"."""
+    """End a caller's pending set-up by "cancel", "close", "half-close" or "reset"."""
     if way == "cancel" and frontend == PLATFORM:
         caller.send("CANCEL", "sip:x@net", {"call-id": ident, "cseq": "1 CANCEL"})
     elif way == "cancel":
@@ -42,11 +45,11 @@
         caller.close()
     else:
         caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        caller.sock.shutdown(socket.SHUT_RD)  # frees the thread that reads
+        caller.sock.shutdown(socket.SHUT_RD)  # ends the blocked read of the reader thread
         wait_until(lambda: caller.closed)
         caller.sock.close()
 
 
 def setup_ids(*servers: ScriptedServer) -> list[str]:
-    """The ids of the set-ups that servers received."""
+    """Return the ids of the set-ups that servers have received, in the order of the servers."""
     return [message["tag"] for server in servers for message in server.messages("START")]
--- a/tests/support/full_listener.py
+++ b/tests/support/full_listener.py
@@ -1,4 +1,4 @@
-"""A listener that accepts nobody: connects to it wait in the kernel."""
+"""A listener with a full accept queue: further connects to it wait in the kernel."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FullListener:
-    """A listener whose queue is full, so that the SYN of the next connect gets no answer."""
+    """A listening socket whose accept queue is full, so that the SYN of the next connect gets no answer."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -19,6 +19,7 @@
         self._fill()
 
     def _fill(self) -> None:
+        """Connect until a connect times out because the accept queue is full."""
         while True:
             connection = socket.socket()
             connection.settimeout(CONNECT_TIMEOUT_S)
@@ -26,14 +27,14 @@
             try:
                 connection.connect(("127.0.0.1", self.port))
             except TimeoutError:
-                connection.close()  # its retransmitted SYN would take the place that the test frees
+                connection.close()  # or its retransmitted SYN takes the queue place that the test frees
                 return
 
     def empty_queue(self) -> None:
-        """Accept the queued connections; the kernel retransmits the SYN of a connect that waits."""
+        """Accept all queued connections; a waiting connect succeeds once the kernel retransmits its SYN."""
         self.connections += [self.listener.accept()[0] for _ in self.connections[:-1]]
 
     def close(self) -> None:
-        """End the listener and the connections that fill it."""
-        for each in (*self.connections, self.listener):
-            each.close()
+        """Close the listener and the connections in its accept queue."""
+        for opened in (*self.connections, self.listener):
+            opened.close()
--- a/tests/support/hypothesis_profile.py
+++ b/tests/support/hypothesis_profile.py
@@ -1,4 +1,4 @@
-"""How property tests draw their examples: the same ones each time, and not too many."""
+"""The Hypothesis settings of property tests: a bounded number of examples, the same in each run."""
 
 from __future__ import annotations
 
--- a/tests/support/in_process_node.py
+++ b/tests/support/in_process_node.py
@@ -1,4 +1,4 @@
-"""The SIP frontend and the call manager in the test's process, without sockets."""
+"""A SIP frontend and a call manager in the test's process, without sockets."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
 NUMBERING_PLAN = (
     "read-roster",
     (NumberPrefix("7", "save-roster", 0),),
-)  # the default class, and one for a prefix
+)  # the default class, and the class of numbers with a prefix
 
 
 class InProcessNode:
-    """The SIP frontend and the call manager with a clock set by hand; in place of server connections it
-    records what would be written.
+    """A SIP frontend and a call manager with a clock that tests advance.
+
+    The node is the server pool of its own call manager: in place of writing to server connections it records
+    the set-ups (`written`) and the releases (`releases`).
     """
 
     def __init__(self, **config: Any) -> None:
@@ -55,43 +57,45 @@
         self.core.servers.by_id[1].dial_attempted = True
 
     def follow_loop(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Let the clock run on with an event loop's, from where it stands: it never goes back, however short
-        the machine has been up.
+        """Let the clock advance with that of an event loop, starting at its present time.
+
+        The loop's own time may be lower than the node's if the machine has been started recently, and the
+        node's clock must not go back.
         """
         offset_s = self.now - loop.time()
         self.clock = lambda: loop.time() + offset_s
 
     def record_changed(self, server: object) -> None:
-        """Take a change in a server's entry of the endpoint list (the pool's interface)."""
+        """Ignore a changed entry of the endpoint list (server pool's interface)."""
 
     def send_setup(self, attempt: Attempt) -> None:
-        """Write a set-up at once, if it may still be sent (the pool's interface)."""
+        """Record a set-up as written, if it may still be sent (server pool's interface)."""
         if self.core.attempts.claim_transmission(attempt):
             self.written.append(attempt)
 
     def shut_down(self) -> None:
-        """Take that the process is about to end (the pool's interface)."""
+        """Do nothing at the shutdown: there is no connection to close (server pool's interface)."""
 
     def is_flushed(self) -> bool:
-        """Whether all is written: always, as nothing is queued (the pool's interface)."""
+        """Return True, as no output is ever queued (server pool's interface)."""
         return True
 
     def send_release(self, _server: object, ident: str, cause: int) -> None:
-        """Record a set-up given up, or a call released (the pool's interface)."""
+        """Record the release of a call or of an abandoned set-up (server pool's interface)."""
         self.releases.append((ident, cause))
 
     def establish(self) -> None:
-        """The server establishes the call whose set-up was written last."""
+        """Establish the call whose set-up was written last, as the server's reply does."""
         attempt = self.written[-1]
         self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
 
     @staticmethod
     def empty_report() -> LoadReport:
-        """A load report without a figure."""
+        """Return a load report without any values."""
         return LoadReport()
 
     def run(self, seconds: float) -> None:
-        """Let time pass, timer by timer."""
+        """Advance the clock by a time in seconds, and run each due timer at its time."""
         end = self.now + seconds
         while (due := self.core.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
--- a/tests/support/load_plans.py
+++ b/tests/support/load_plans.py
@@ -1,4 +1,4 @@
-"""A plan of load with two classes of calls."""
+"""A load plan with two call classes."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 
 def two_class_plan(**keys: Any) -> LoadPlan:
-    """Return a plan of 20 s at 50 calls a second from 6 sources, but for the keys that are given."""
+    """Return a load plan of 20 s at 50 calls a second from 6 sources; `keys` replace the plan's keys."""
     defaults = {"phase": [{"seconds": 20.0, "rate": 50.0}], "kind": CLASSES, "offices": 6}
     return parse_load_plan(defaults | keys)
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Places in the repository that tests read from."""
+"""Paths in the repository that tests read from."""
 
 from __future__ import annotations
 
--- a/tests/support/recording_flow.py
+++ b/tests/support/recording_flow.py
@@ -1,4 +1,4 @@
-"""A SIP flow that records what is sent on it."""
+"""A SIP flow that records the messages sent on it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecordingFlow(Flow):
-    """A flow of an in-process node that keeps the messages sent on it, parsed."""
+    """A flow of an in-process node; `sent` holds the parsed messages that the node has sent on it."""
 
     def __init__(self, node: InProcessNode, reliable: bool = False) -> None:
         self.node = node
@@ -20,13 +20,14 @@
         self.sent: list[sip.SipMessage] = []
 
     def send(self, data: bytes) -> None:
-        """Record a message."""
+        """Parse a message and record it. Raises SipError if it can't be parsed."""
         self.sent.append(sip_parser.parse_datagram(data))
 
     def request(self, method: str = "INVITE", **change: str | None) -> sip.SipMessage:
-        """Have a plain request come on the flow, with some headers changed or left out (None).
+        """Pass a plain request to the node's frontend, as if received on this flow.
 
-        Returns the message sent last, or an empty one.
+        Keywords change headers, or leave them out (None); `number` and `branch` set CSeq number and branch.
+        Returns the last message sent on the flow, or an empty one if there is none.
         """
         number = change.pop("number", "1")
         headers = sip_headers(method, number or "1", change.pop("branch", None) or f"z9hG4bK{method}{number}")
@@ -38,9 +39,9 @@
         return self.sent[-1] if self.sent else sip.SipMessage()
 
     def statuses(self, method: str = "INVITE") -> list[int]:
-        """The statuses of the responses to a method, in order."""
+        """Return the statuses of the responses sent to a method, in order."""
         return [message.status for message in self.sent if message.status and message.cseq()[1] == method]
 
     def to_tag(self) -> str:
-        """The program's tag in the message sent last."""
+        """Return the To tag, which the node has chosen, in the message sent last."""
         return sip.parameters(self.sent[-1].get("to"))["tag"]
--- a/tests/support/recording_session.py
+++ b/tests/support/recording_session.py
@@ -4,27 +4,27 @@
 
 
 class RecordingSession:
-    """Keeps the names of the events of one call (`stairhatch.node.calls.CallerSession`)."""
+    """A caller's session that keeps the names of its events (`stairhatch.node.calls.CallerSession`)."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
 
     def progressing(self) -> None:
-        """A server is at work on the call."""
+        """Record that a server has reported progress of the set-up."""
         self.events.append("progressing")
 
     def established(self, _description: bytes) -> None:
-        """The call is established."""
+        """Record that the call is established."""
         self.events.append("established")
 
     def rejected(self, _retry_after_s: float) -> None:
-        """The call is rejected."""
+        """Record that the call is rejected before an attempt."""
         self.events.append("rejected")
 
     def failed(self, timed_out: bool) -> None:
-        """The call has failed."""
+        """Record that the call has failed, by a timeout or otherwise."""
         self.events.append("timed out" if timed_out else "failed")
 
     def released(self, _cause: int) -> None:
-        """The server has released the call."""
+        """Record that the server has released the established call."""
         self.events.append("released")
--- a/tests/support/sip_messages.py
+++ b/tests/support/sip_messages.py
@@ -1,4 +1,4 @@
-"""Requests as callers of either frontend send them, as headers and as bytes."""
+"""Requests of callers: headers for the SIP frontend, and bytes for the platform frontend."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 PLATFORM_URI = f"sip:{CALL_KEY}@net"
 
 
-def sip_headers(  # noqa: PLR0913  # a keyword for each part of the headers that tests vary
+def sip_headers(  # noqa: PLR0913  # one keyword for each part of the headers that tests vary
     method: str,
     number: str = "1",
     branch: str = "z9hG4bKa",
@@ -17,7 +17,7 @@
     transport: str = "UDP",
     to_tag: str = "",
 ) -> dict[str, str]:
-    """The headers of a plain SIP request (RFC 3261)."""
+    """Return the headers of a plain SIP request (RFC 3261)."""
     return {
         "via": f"SIP/2.0/{transport} {host};branch={branch};rport", "max-forwards": "70",
         "from": "<sip:office@net>;tag=f1", "to": "<sip:7@net>" + (f";tag={to_tag}" if to_tag else ""),
@@ -34,7 +34,7 @@
     key: str = CALL_KEY,
     **headers: str,
 ) -> bytes:
-    """The bytes of a set-up in the platform's form, with further headers or others in their place."""
+    """Return the bytes of a set-up in the platform's format; `headers` add to or replace its headers."""
     fields = {
         "call-id": ident,
         "cseq": "1 INVITE",
--- a/tests/support/unusual_settings.py
+++ b/tests/support/unusual_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform that share no class, cell or figure with any deployment."""
+"""Platform settings whose classes, cells and values occur in no deployment, to detect built-in ones."""
 
 from __future__ import annotations
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports run one way: no module reaches one that reaches it, and no package one above it."""
+"""The imports among the modules form no cycle, and no layer imports a higher one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from .support.paths import ROOT
 
-# From the lowest up; a module may import from its own layer and those before it.
+# From lowest to highest; a module may import from its own layer and from lower ones.
 LAYERS = (
     ("overload", "settings", "", "simulator"), ("node",), ("admission", "fleet", "scope"),
     ("sip",), ("config",), ("components", "connection_limits", "reload", "shutdown", "terminal"),
@@ -21,25 +21,26 @@
 }
 
 
-def imported(name):
-    """Every module of ours that one imports, anywhere in it, also where only a type checker looks."""
+def imported_modules(name):
+    """The project's modules that a module imports, also in functions and under `TYPE_CHECKING`."""
     found = set()
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.Import):
-            found |= {each.name for each in node.names}
+            found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found |= {f"{node.module}.{each.name}" for each in node.names} | {node.module}
-    return {each for each in found & set(MODULES) if each != name}
+            found |= {f"{node.module}.{alias.name}" for alias in node.names} | {node.module}
+    return {module for module in found & set(MODULES) if module != name}
 
 
 def layer(name):
+    """The index in `LAYERS` of the layer that holds a module."""
     part = [*name.split("."), ""][1]
     return next(level for level, parts in enumerate(LAYERS) if part in parts)
 
 
-def test_no_module_reaches_one_that_reaches_it():
-    """Each module can be understood, moved and tested without those that import it."""
-    graph = {name: imported(name) - {"stairhatch"} for name in MODULES}
+def test_imports_form_no_cycle():
+    """Each module can be read, moved and tested without those that import it."""
+    graph = {name: imported_modules(name) - {"stairhatch"} for name in MODULES}
     done, path = set(), []
 
     def visit(name):
@@ -47,10 +48,10 @@
         if name in done:
             return
         path.append(name)
-        for each in sorted(graph[name]):
-            # a package's __init__ stands above its modules, which don't import it
-            if not name.startswith(f"{each}."):
-                visit(each)
+        for module in sorted(graph[name]):
+            # `from package import module` counts the package too, whose __init__ its modules don't import.
+            if not name.startswith(f"{module}."):
+                visit(module)
         done.add(path.pop())
 
     for name in sorted(MODULES):
@@ -58,7 +59,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(MODULES))
-def test_no_module_imports_from_above(name):
-    """No lower layer knows a higher one, and no program the emulators of its tests."""
-    for each in imported(name):
-        assert layer(each) <= layer(name), f"{name} imports {each}"
+def test_no_module_imports_from_a_higher_layer(name):
+    """No lower layer imports a higher one, so the program imports no emulators of its tests."""
+    for module in imported_modules(name):
+        assert layer(module) <= layer(name), f"{name} imports {module}"
