--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,12 +1,11 @@
-"""The tables of docs/CAPACITY.md, made from the slopes that are kept under docs/capacity/.
+"""Generates the tables of docs/CAPACITY.md from the slope files under docs/capacity/.
 
     .venv/bin/python benchmarks/capacity.py            # print the tables
-    .venv/bin/python benchmarks/capacity.py --write    # put them into docs/CAPACITY.md
+    .venv/bin/python benchmarks/capacity.py --write    # write them into docs/CAPACITY.md
 
-A slope is one figure by one size, each size measured several times (`benchmarks/scale.py`). Its fit is the
-straight line of least squares through the medians. A page's figure at a size is the median measured there,
-else what lies between its neighbours or, beyond the last size, on the line of the last two (named
-`extrapolated`).
+A slope has the values of one figure by one size, with several repeats at each size (`benchmarks/scale.py`).
+Its fit is the least squares line through the medians. The page shows the median at a measured size, an
+interpolation between two measured sizes, or an extrapolation from the nearest two, marked `extrapolated`.
 """
 
 from __future__ import annotations
@@ -21,26 +20,33 @@
 from benchmarks.scaling.slope_files import ROOT, read_slopes
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
-BEGIN, END = "<!-- begin: benchmarks/capacity.py -->", "<!-- end: benchmarks/capacity.py -->"
+BEGIN_MARKER, END_MARKER = "<!-- begin: benchmarks/capacity.py -->", "<!-- end: benchmarks/capacity.py -->"
 
 
 def generated_part(page: str) -> str:
-    """Return the part of the page that is generated. Raises SlopeError unless its marks stand there once."""
-    if page.count(BEGIN) != 1 or page.count(END) != 1 or page.index(BEGIN) > page.index(END):
-        raise SlopeError(f"{PAGE.name}: the marks of the generated part must stand there once, in order")
-    return page.partition(BEGIN)[2].partition(END)[0].strip("\n") + "\n"
+    """Return the generated part of the page, without its markers.
+
+    Raises SlopeError unless the page contains each marker once, in order.
+    """
+    if (
+        page.count(BEGIN_MARKER) != 1
+        or page.count(END_MARKER) != 1
+        or page.index(BEGIN_MARKER) > page.index(END_MARKER)
+    ):
+        raise SlopeError(f"{PAGE.name}: the markers of the generated part must occur once each, in order")
+    return page.partition(BEGIN_MARKER)[2].partition(END_MARKER)[0].strip("\n") + "\n"
 
 
 def write_page(tables: str) -> None:
-    """Put tables into the page. Raises SlopeError for one without its marks."""
+    """Replace the generated part of the page. Raises SlopeError if its markers are not valid."""
     page = PAGE.read_text()
     generated_part(page)
-    head, _, rest = page.partition(BEGIN)
-    PAGE.write_text(f"{head}{BEGIN}\n{tables}{END}{rest.partition(END)[2]}")
+    head, _, rest = page.partition(BEGIN_MARKER)
+    PAGE.write_text(f"{head}{BEGIN_MARKER}\n{tables}{END_MARKER}{rest.partition(END_MARKER)[2]}")
 
 
 def main() -> int:
-    """Print the tables, or put them into the page."""
+    """Print the tables, or write them into the page with `--write`. Returns 1 on an error."""
     try:
         tables = capacity_tables(read_slopes())
         if "--write" in sys.argv:
--- a/benchmarks/scaling/added_delay.py
+++ b/benchmarks/scaling/added_delay.py
@@ -1,4 +1,4 @@
-"""What the softswitch adds to the time until a call is established."""
+"""Measures the set-up time that the softswitch adds to a call."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from benchmarks.scaling.softswitch_process import SoftswitchProcess
 from benchmarks.scaling.workload import CALL_DURATION_S, CALL_RATE, SERVICE_SERVERS, SETTLE_S
 
-BLOCKS = 7  # through the softswitch, and as many directly, in turn
-WARM_UP_BLOCKS = 2  # one of each, not counted
+BLOCKS = 7  # of calls through the softswitch, alternating with as many blocks of direct calls
+WARM_UP_BLOCKS = 2  # one through the softswitch and one direct; their times are discarded
 BLOCK_S = 1.0
 PAUSE_S = 0.1  # between two blocks
 SEED = 5
@@ -24,7 +24,7 @@
 
 
 def measure_by_servers(size: int, _options: MeasurementOptions) -> Measurement:
-    """By servers listed."""
+    """Measure added and direct set-up times, in milliseconds, for a number of listed servers."""
     with SoftswitchProcess(size) as softswitch:
         time.sleep(SETTLE_S)
         through_s, direct_s = uvloop.run(_setup_times(softswitch))
@@ -37,12 +37,16 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Return a quantile by the nearest rank."""
+    """Return the nearest-rank quantile of the values; `fraction` is between 0 and 1."""
     return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 async def _setup_times(softswitch: SoftswitchProcess) -> tuple[list[float], list[float]]:
-    """Return set-up times in seconds, through the softswitch and directly, by the same callers in turn."""
+    """Return set-up times in seconds: those through the softswitch, and those directly at the servers.
+
+    Blocks of the two kinds alternate, so that both are measured under the same conditions. Raises
+    UnavailableFigureError if a call failed or was not answered.
+    """
     serials, rng = itertools.count(1), random.Random(SEED)
     through = await SoftswitchCaller.connect(softswitch.address, CALL_DURATION_S)
     direct_times_s: list[float] = []
@@ -64,7 +68,7 @@
         await run_poisson_process(BLOCK_S, CALL_RATE, rng, call_directly if block % 2 else call_through)
         await asyncio.sleep(PAUSE_S)
     if through.failed or through.sent_at or any(caller.sent_at for caller in direct):
-        raise UnavailableFigureError("not all calls were established or answered")
+        raise UnavailableFigureError("some calls failed or were not answered")
     through.transport.close()
     for caller in direct:
         caller.transport.close()
--- a/benchmarks/scaling/call_breakdown.py
+++ b/benchmarks/scaling/call_breakdown.py
@@ -1,4 +1,4 @@
-"""Where the processor time of a call goes, from timers within the program."""
+"""Measures how a call's processor time divides among the parts of the program, by timers inside it."""
 
 from __future__ import annotations
 
@@ -18,15 +18,19 @@
 
 
 def measure_by_servers(size: int, _options: MeasurementOptions) -> Measurement:
-    """By servers listed."""
+    """Measure milliseconds per call of each part of the program, for a number of listed servers."""
     with SoftswitchProcess(size, INSTRUMENTED_PROGRAM) as softswitch:
         time.sleep(SETTLE_S)
         run = uvloop.run(run_calls(softswitch, CALLS_S, CALL_RATE))
         path = softswitch.spans_path
-        text = wait_until(lambda: path.read_text() if path.exists() else "", "the spans")
+        text = wait_until(
+            lambda: path.read_text() if path.exists() else "",
+            "the time spans written by the instrumented program",
+        )
     after: dict[str, float] = json.loads(text)
     before: dict[str, float] = json.loads(run.spans_before) if run.spans_before else {}
-    # The spans are written now and then, and calls come before and after the window.
+    # The spans are written at intervals of their own, and the time between the two files read here includes
+    # calls from before and after the measured window: only the window's share of that time counts.
     fraction = run.duration_s / (after[WRITTEN_AT] - before.get(WRITTEN_AT, 0.0)) if before else 1.0
     figures = {
         f"call_{name}_by_servers": 1000
--- a/benchmarks/scaling/callers.py
+++ b/benchmarks/scaling/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a softswitch, or straight of a roster server, that time how long a call takes to establish."""
+"""Callers that measure set-up times of calls, through a softswitch or directly at a roster server."""
 
 from __future__ import annotations
 
@@ -22,30 +22,33 @@
 CALLER_TIMEOUT_MS = 3000
 BODY = "v=0"
 VIA = ("via", "SIP/2.0/TCP bench")
-LAST_ANSWERS_S = 1.0  # that the last answers of a run may take
-MAX_FAILED_FRACTION = 0.01  # of the calls: with more, the figures are not those of this rate
-LEAD_S = 0.3  # of calls before a run is measured, behind the time that a call lasts
+LAST_ANSWERS_S = 1.0  # how long a run waits for outstanding answers after its last call
+MAX_FAILED_FRACTION = 0.01  # of the calls; above it, the figures do not represent the intended call rate
+LEAD_S = 0.3  # of calls before the measurement, in addition to the duration of one call
 NORMAL_CLEARING = 16
 SEED = 3
 
 
 class SoftswitchCaller(asyncio.Protocol):
-    """A connection to the softswitch that places calls; each is released after `duration_s`, 0: never."""
+    """A caller's connection to the softswitch.
+
+    Each established call is released after `duration_s` seconds; 0 means that calls are never released.
+    """
 
     transport: asyncio.Transport
 
     def __init__(self, duration_s: float) -> None:
         self.duration_s = duration_s
-        self.sent_at: dict[str, float] = {}  # by Call-ID, of the calls that are not answered
+        self.sent_at: dict[str, float] = {}  # by Call-ID: when the INVITE of each unanswered call was sent
         self.setup_times_s: list[float] = []
-        self.failed = 0  # calls whose final answer was no 200
+        self.failed = 0  # calls whose final response was not 200
         self._parser = sip_parser.StreamParser()
         self._all_answered = asyncio.Event()
         self._loop = asyncio.get_running_loop()
 
     @classmethod
     async def connect(cls, address: Address, duration_s: float) -> SoftswitchCaller:
-        """Connect to a softswitch."""
+        """Connect to a softswitch. Raises OSError if that fails."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_connection(partial(cls, duration_s), *address)
         return caller
@@ -55,7 +58,7 @@
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
     def place_call(self, serial: int, server: int) -> None:
-        """Place a call that prefers a server."""
+        """Send an INVITE whose routing data names a preferred server."""
         call_id = f"{serial:016x}"
         headers = [
             VIA,
@@ -71,13 +74,13 @@
         self.transport.write(data)
 
     async def wait_until_answered(self, timeout_s: float | None = None) -> None:
-        """Wait until all calls are answered, or for so long."""
+        """Wait until all calls have a final response, or until `timeout_s` seconds have passed."""
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._all_answered.wait()
 
     def data_received(self, data: bytes) -> None:
-        """Take answers."""
+        """Record the set-up times of calls with a final response, and schedule their releases."""
         now = time.perf_counter()
         self._parser.feed(data)
         while (message := self._parser.next_message()) is not None:
@@ -92,7 +95,7 @@
             self._all_answered.set()
 
     def _release(self, call_id: str) -> None:
-        """Release an established call, unless the run is over: then its servers are ended."""
+        """Send BYE for an established call, unless the run has ended and its servers are stopped."""
         if self.transport.is_closing():
             return
         headers = [VIA, ("call-id", call_id), ("cseq", "2 BYE")]
@@ -100,7 +103,7 @@
 
 
 class ServerCaller(asyncio.Protocol):
-    """A connection straight to a roster server; a call is released as soon as it is established."""
+    """A direct connection to a roster server; each call is released as soon as it is established."""
 
     transport: asyncio.Transport
 
@@ -111,7 +114,7 @@
 
     @classmethod
     async def connect(cls, address: Address, setup_times_s: list[float]) -> ServerCaller:
-        """Connect to a roster server."""
+        """Connect to a roster server; set-up times in seconds are appended to `setup_times_s`."""
         loop = asyncio.get_running_loop()
         _, caller = await loop.create_connection(partial(cls, setup_times_s), *address)
         return caller
@@ -121,7 +124,7 @@
         self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
 
     def place_call(self, serial: int) -> None:
-        """Set a call up."""
+        """Send a set-up to the roster server."""
         call_id = f"{serial:016x}"
         options = {"class": service_name(0), "key": call_id, "left": str(CALLER_TIMEOUT_MS)}
         line = {"verb": "START", "tag": call_id, "opts": options, "blob": BODY}
@@ -130,7 +133,7 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Take answers, and states between them."""
+        """Record set-up times and release established calls; skip load reports and other messages."""
         now = time.perf_counter()
         *lines, self._data = (self._data + data).split(b"\n")
         for line in lines:
@@ -142,14 +145,17 @@
 
 
 async def run_poisson_process(
-    seconds: float, rate: float, rng: random.Random, act: Callable[[], None]
+    seconds: float, rate: float, rng: random.Random, action: Callable[[], None]
 ) -> int:
-    """Do something at the times of a Poisson process. Returns how often."""
+    """Run an action at the times of a Poisson process with `rate` events per second.
+
+    Returns the number of times that the action was run in `seconds` seconds.
+    """
     began, due_s, count = time.monotonic(), rng.expovariate(rate), 0
     while due_s < seconds:
-        if (left := began + due_s - time.monotonic()) > 0:
-            await asyncio.sleep(left)
-        act()
+        if (delay_s := began + due_s - time.monotonic()) > 0:
+            await asyncio.sleep(delay_s)
+        action()
         count += 1
         due_s += rng.expovariate(rate)
     await asyncio.sleep(max(0.0, began + seconds - time.monotonic()))
@@ -158,24 +164,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallRun:
-    """Calls at a steady rate, and what the softswitch used meanwhile."""
+    """Number of calls placed at a steady rate, and the softswitch's processor use meanwhile."""
 
     calls: int
     duration_s: float
     processor: ProcessorTime
-    waits: int  # of the main thread
-    spans_before: str  # what the instrumented program had written when the run began
+    waits: int  # voluntary context switches of the main thread
+    spans_before: str  # JSON that the instrumented program had written when the run began; "" if none
 
     def processor_ms_a_call(self, core_percent_at_rest: float) -> float:
-        """Return the processor time of one call, what the program uses at rest taken off."""
+        """Return the processor time per call in milliseconds, without what the program uses at rest."""
         used_s = self.processor.total_s - self.duration_s * core_percent_at_rest / 100
         return 1000 * used_s / self.calls
 
 
 async def run_calls(softswitch: SoftswitchProcess, seconds: float, rate: float) -> CallRun:
-    """Place calls for so long, after a while in which as many come and go.
+    """Measure calls at a rate per second, for `seconds` seconds.
 
-    Raises UnavailableFigureError where too many fail.
+    Calls are placed before the measurement too, until they end at the same rate as they arrive. Raises
+    UnavailableFigureError if more than MAX_FAILED_FRACTION of the calls fail.
     """
     rng, serials = random.Random(SEED), itertools.count(1)
     caller = await SoftswitchCaller.connect(softswitch.address, CALL_DURATION_S)
@@ -199,6 +206,6 @@
     caller.transport.close()
     if caller.failed + len(caller.sent_at) > MAX_FAILED_FRACTION * (calls + rate):
         raise UnavailableFigureError(
-            f"{caller.failed} calls failed and {len(caller.sent_at)} were not answered of {calls}"
+            f"{caller.failed} calls failed and {len(caller.sent_at)} were not answered, out of {calls}"
         )
     return run
--- a/benchmarks/scaling/capacity_rows.py
+++ b/benchmarks/scaling/capacity_rows.py
@@ -1,24 +1,24 @@
-"""The figures of docs/CAPACITY.md: by role, the size at which a slope is read and what is allowed there."""
+"""Rows of the tables in docs/CAPACITY.md: for each role, a slope, the size to evaluate it at and a budget."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from functools import partial
 
-# The size expected within two years.
+# Size of the deployment that is expected within two years.
 SERVERS = 1900
 SERVICE_SERVERS = 10  # of the service that is called
 CALLS_A_SECOND = 137
 PENDING_CALLS = 1900
-MS_A_CALL_TO_CORE = CALLS_A_SECOND / 10  # from ms a call to per cent of a core
+MS_A_CALL_TO_CORE = CALLS_A_SECOND / 10  # factor from milliseconds per call to per cent of a core
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What is allowed of a figure, in the figure's unit."""
+    """The upper limit of a figure, in the figure's unit."""
 
     limit: float
-    meaning: str  # what the limit is of
+    meaning: str  # what the limit applies to, as the table names it
 
 
 CONTROL_PROCESSOR = Budget(3.5, "control")
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityRow:
-    """One figure of a role at the expected size."""
+    """A table row: one figure of a role, at one size."""
 
     role: str
     figure: str
-    slope: str = ""  # its name; "": nothing has been measured
-    size: float = 0.0  # at which the slope is read
+    slope: str = ""  # name of the slope; "": no measurement exists
+    size: float = 0.0  # at which the slope is evaluated
     unit: str = ""
     budget: Budget | None = None
-    factor: float = 1.0  # from the slope's unit to the row's
+    factor: float = 1.0  # converts the slope's unit to the row's unit
 
 
 softswitch = partial(CapacityRow, "softswitch")
--- a/benchmarks/scaling/capacity_tables.py
+++ b/benchmarks/scaling/capacity_tables.py
@@ -1,4 +1,4 @@
-"""The generated part of docs/CAPACITY.md: a table a role, what breaks first, and the slopes. Pure."""
+"""Generates the tables of docs/CAPACITY.md: one per role, broken budgets by size, and the slopes. Pure."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def capacity_tables(slopes: dict[str, Slope], rows: Iterable[CapacityRow] = ROWS) -> str:
-    """Return what stands in the page between its two marks."""
+    """Return the generated part of the page, the text between its two markers."""
     judged = [judge(row, slopes) for row in rows]
     lines: list[str] = []
     for role in dict.fromkeys(each.row.role for each in judged):
         lines += _role_table(role, [each for each in judged if each.row.role == role], slopes)
-    lines += _what_breaks_first(judged, slopes)
+    lines += _broken_budget_list(judged, slopes)
     lines += _slope_table(slopes)
     return "\n".join(lines) + "\n"
 
@@ -53,8 +53,11 @@
     return f"{text} (extrapolated)" if judged.extrapolated else text
 
 
-def _what_breaks_first(judged: list[JudgedRow], slopes: dict[str, Slope]) -> list[str]:
-    """Return the list of what breaks, the smallest size first; one row at several sizes breaks once."""
+def _broken_budget_list(judged: list[JudgedRow], slopes: dict[str, Slope]) -> list[str]:
+    """Return the lines of the list of broken budgets, ordered by size.
+
+    A figure that has rows at several sizes is listed once, at the smallest size at which it breaks.
+    """
     by_size = sorted(
         (each.breaks_at, index, each) for index, each in enumerate(judged) if each.breaks_at is not None
     )
@@ -65,12 +68,12 @@
         if (row.role, row.figure, row.slope) in listed:
             continue
         listed.add((row.role, row.figure, row.slope))
-        where = _where_it_breaks(each, size, slopes[row.slope].size_name)
+        where = _breaking_size_text(each, size, slopes[row.slope].size_name)
         lines.append(f"{len(listed)}. {row.role}, {row.figure}: {where}.")
     return [*lines, *([] if by_size else ["Nothing that was measured."])]
 
 
-def _where_it_breaks(judged: JudgedRow, size: float, size_name: str) -> str:
+def _breaking_size_text(judged: JudgedRow, size: float, size_name: str) -> str:
     if judged.value is None:
         return f"after {math.floor(size):,} {size_name}"
     return f"from {math.floor(size):,} {size_name} on" if size >= 1 else "at any size"
--- a/benchmarks/scaling/capacity_verdicts.py
+++ b/benchmarks/scaling/capacity_verdicts.py
@@ -1,4 +1,4 @@
-"""Holds a row's figure against its budget. Pure."""
+"""Compares the figure of a capacity row with its budget. Pure functions."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JudgedRow:
-    """A row with its figure and verdict."""
+    """A capacity row together with its figure and its verdict."""
 
     row: CapacityRow
-    value: float | None = None  # in the row's unit; None: not measured, or it could not be had
+    value: float | None = None  # in the row's unit; None: not measured, or measuring it failed
     extrapolated: bool = False
-    breaks_at: float | None = None  # the size from which on it is above its budget; 0: at any size
+    breaks_at: float | None = None  # smallest size at which the figure exceeds its budget; 0: at any size
     verdict: str = "not measured"
 
 
 def judge(row: CapacityRow, slopes: dict[str, Slope]) -> JudgedRow:
-    """Return a row at the expected size, held against its budget."""
+    """Evaluate the slope of a row at the row's size, and compare the figure with the budget."""
     slope = slopes.get(row.slope)
     if slope is None:
         return JudgedRow(row=row)
@@ -46,33 +46,33 @@
 
 
 def _judge_unavailable(row: CapacityRow, slope: Slope) -> JudgedRow:
-    """Judge what was tried and could not be had: no line may stand for that."""
-    last = slope.points[-1].size
-    where = f"between {last:,.0f} and {row.size:,.0f} {slope.size_name}"
+    """Judge a figure whose measurement failed at the row's size; no extrapolation may replace it."""
+    largest_measured = slope.points[-1].size
+    size_text = f"between {largest_measured:,.0f} and {row.size:,.0f} {slope.size_name}"
     return JudgedRow(
         row=row,
         extrapolated=True,
-        breaks_at=last,
-        verdict=f"**breaks** {where}: could not be had there",
+        breaks_at=largest_measured,
+        verdict=f"**breaks** {size_text}: could not be had there",
     )
 
 
 def _judge_broken(row: CapacityRow, slope: Slope, estimate: Estimate, budget: Budget) -> JudgedRow:
-    """Judge what is above its budget."""
+    """Judge a figure that exceeds its budget."""
     value = estimate.value * row.factor
     breaks_at = slope.size_exceeding(budget.limit / row.factor) or 0.0
-    where = f"from {math.floor(breaks_at):,} {slope.size_name} on" if breaks_at >= 1 else "at any size"
+    size_text = f"from {math.floor(breaks_at):,} {slope.size_name} on" if breaks_at >= 1 else "at any size"
     return JudgedRow(
         row=row,
         value=value,
         extrapolated=estimate.extrapolated,
         breaks_at=breaks_at,
-        verdict=f"**breaks** {where}; {format_figure(value / budget.limit)} times too much",
+        verdict=f"**breaks** {size_text}; {format_figure(value / budget.limit)} times too much",
     )
 
 
 def format_figure(value: float) -> str:
-    """Return a figure with three digits, and thousands apart."""
+    """Return a figure with three significant digits and commas between thousands."""
     if value == 0:
         return "0"
     if not math.isfinite(value):
--- a/benchmarks/scaling/counting_emulators.py
+++ b/benchmarks/scaling/counting_emulators.py
@@ -1,4 +1,4 @@
-"""Emulated roster servers and a coordinator that count what goes over their connections."""
+"""Emulators of roster servers and of the coordinator that count messages and bytes on their connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.scaling.emulator_processes import ChangeEndpoint, Question, StatusQuestion
+from benchmarks.scaling.emulator_processes import ChangeEndpointRequest, Request, StatusRequest
 from benchmarks.scaling.workload import SERVER_LINES
 from stairhatch.emulators.coordinator_emulator import CoordinatorEmulator
 from stairhatch.emulators.ports import Address
@@ -19,49 +19,49 @@
 
 @dataclass(slots=True)
 class ServerCounts:
-    """Messages and bytes on the connections of roster servers so far, and how many connections are open."""
+    """Messages and bytes on the connections of roster servers so far, and the number of open connections."""
 
     messages_in: int = 0
     messages_out: int = 0
-    bytes: int = 0  # both ways
+    bytes: int = 0  # in both directions
     connections: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorCounts:
-    """Polls at the coordinator so far, and their bytes both ways."""
+    """Polls at the coordinator so far, and the bytes of their requests and answers."""
 
     polls: int
     bytes: int
 
 
 class CountingConnection(ServerEmulatorConnection):
-    """A connection whose messages are counted."""
+    """A roster server's connection that adds its messages and bytes to the server's counts."""
 
     server: CountingServer
 
     def send(self, message: dict[str, Any]) -> None:
-        """Write a line."""
+        """Count a message and write it as one line."""
         self.server.counts.messages_out += 1
         self.server.counts.bytes += len(json.dumps(message)) + 1
         super().send(message)
 
     def data_received(self, data: bytes) -> None:
-        """Take lines of a softswitch."""
+        """Count received lines and bytes, and process them."""
         self.server.counts.messages_in += data.count(b"\n")
         self.server.counts.bytes += len(data)
         super().data_received(data)
 
 
 class CountingServer(ServerEmulator):
-    """A roster server that counts; several may share their counts."""
+    """A roster server that counts messages and bytes; several servers may share one `counts` object."""
 
     def __init__(self, counts: ServerCounts) -> None:
         super().__init__(lines=SERVER_LINES)
         self.counts = counts
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> CountingServer:
-        """Begin to serve."""
+        """Listen on an address, with a backlog for all softswitches. Returns the emulator itself."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: CountingConnection(self), host, port, backlog=LISTEN_BACKLOG
@@ -71,10 +71,10 @@
 
 
 class BusyCoordinator(CoordinatorEmulator):
-    """A coordinator that many softswitches connect to at once."""
+    """A coordinator whose listen backlog admits many softswitches that connect at once."""
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> BusyCoordinator:
-        """Begin to serve."""
+        """Listen on an address, with a backlog for all softswitches. Returns the emulator itself."""
         self._server = await asyncio.start_server(self._serve_connection, host, port, backlog=LISTEN_BACKLOG)
         self.address = self._server.sockets[0].getsockname()[:2]
         return self
@@ -82,41 +82,41 @@
 
 @dataclass
 class RosterServers:
-    """A service of roster servers; its first answer are their addresses."""
+    """An emulator service of `count` roster servers; its start message contains their addresses."""
 
     count: int
 
     async def start(self) -> list[Address]:
-        """Begin to serve."""
+        """Start the servers. Returns their addresses."""
         self._counts = ServerCounts()
         self._servers = [await CountingServer(self._counts).listen() for _ in range(self.count)]
         return [server.address for server in self._servers]
 
-    def answer(self, _question: Question) -> ServerCounts:
-        """Answer with the counts."""
+    def reply(self, _request: Request) -> ServerCounts:
+        """Return the counts of all servers of the service."""
         self._counts.connections = sum(len(server.connections) for server in self._servers)
         return self._counts
 
 
 @dataclass
 class Coordinator:
-    """A service of one coordinator; its first answer is its address."""
+    """An emulator service of one coordinator; its start message contains the coordinator's address."""
 
     records: list[dict[str, Any]]  # of the endpoint list
 
     async def start(self) -> Address:
-        """Begin to serve."""
+        """Start the coordinator and publish all records. Returns its address."""
         self._coordinator = await BusyCoordinator().listen()
         self._coordinator.publish(self.records, reset=True)
         return self._coordinator.address
 
-    def answer(self, question: Question) -> CoordinatorCounts | float:
-        """Answer with the counts, or publish a change and answer with its time."""
-        match question:
-            case ChangeEndpoint(record):
+    def reply(self, request: Request) -> CoordinatorCounts | float:
+        """Return the counts, or publish a changed record and return the Unix time of that in seconds."""
+        match request:
+            case ChangeEndpointRequest(record):
                 published_at = time.time()
                 self._coordinator.publish([record])
                 return published_at
-            case StatusQuestion():
+            case StatusRequest():
                 emulator = self._coordinator
                 return CoordinatorCounts(emulator.poll_count, emulator.poll_bytes + emulator.answer_bytes)
--- a/benchmarks/scaling/decision_cost.py
+++ b/benchmarks/scaling/decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of the decisions alone, on a virtual clock."""
+"""Measures processor time of the decisions without the rest of the program, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -42,33 +42,33 @@
 from stairhatch.settings.parser import settings_from_object
 
 START_S = 1000.0  # of the virtual clock
-SETUP_S = 0.01  # until a set-up is answered
+SETUP_S = 0.01  # from sending a set-up to the established call
 RUN_S = 3.0
-CHANGES = 50  # of one line of the list
+CHANGES = 50  # updates of the endpoint list, of one line each
 CHANGE_INTERVAL_S = 0.1
 CALLER_TIMEOUT_S = 3.0
 LONG_CALLER_TIMEOUT_S = 600.0
 MAX_LISTED = 1900
 SMALL_LIST, MEDIUM_LIST = 24, 100
 CALLED_SERVICE, FULL_SERVICE = 0, 1
-FILLING_CALLS = 40 * SERVICE_SERVERS  # so many fill the concurrency limits of a service
+FILLING_CALLS = 40 * SERVICE_SERVERS  # enough to reach the concurrency limits of a service's servers
 
 
 class Decisions(Protocol):
-    """What is measured."""
+    """The decision component under measurement."""
 
     pending: PendingQueue
 
     def handle(self, now: float, event: Event) -> Iterable[Action]:
-        """Take one event and return the actions it leads to."""
+        """Process one event at time `now` in seconds. Returns the resulting actions."""
 
 
 DecisionFactory = Callable[[Settings, random.Random], Decisions]
-DECISIONS: dict[str, DecisionFactory] = {"plain": Controller}  # by the name that `--decisions` takes
+DECISIONS: dict[str, DecisionFactory] = {"plain": Controller}  # by the value of the option `--decisions`
 
 
 class EventPurpose(Enum):
-    """What an event is for: processor time is counted by it."""
+    """The category of an event, by which processor time is accounted."""
 
     FULL_LIST = "full list"
     LIST_CHANGE = "list change"
@@ -78,7 +78,10 @@
 
 
 class DecisionDriver:
-    """The decisions of one softswitch, whose servers answer at once and report their state at intervals."""
+    """A driver for the decisions of one softswitch, with simulated servers.
+
+    The servers establish each call after SETUP_S and send load reports at intervals.
+    """
 
     def __init__(
         self, make_decisions: DecisionFactory, listed: int, service_servers: int = SERVICE_SERVERS
@@ -91,14 +94,14 @@
         self.event_counts: Counter[EventPurpose] = Counter()
         self._rng = random.Random(1)
         self.decisions = make_decisions(self.settings, random.Random(2))
-        self._event_time = 0.0  # as the decisions see it: it advances by the settings' period
+        self._event_time = 0.0  # the time given to the decisions; it advances in steps of `event_period_s`
         self._call_ids = itertools.count(1)
         self._order = itertools.count()
         self._scheduled: list[tuple[float, int, EventPurpose, Event]] = []
         self.handle(EventPurpose.FULL_LIST, EndpointsUpdated(self.endpoints, complete=True))
 
     def handle(self, purpose: EventPurpose, event: Event) -> None:
-        """Hand one event over, and schedule what its actions lead to."""
+        """Pass an event to the decisions, count its processor time, and schedule the events that follow."""
         if self.now - self._event_time >= self.settings.event_period_s:
             self._event_time = self.now
         began = time.process_time()
@@ -113,19 +116,19 @@
                     self.schedule(action.delay_s, EventPurpose.CALL, TimerExpired(action.timer_id))
 
     def schedule(self, after_s: float, purpose: EventPurpose, event: Event) -> None:
-        """Hand an event over so much later."""
+        """Schedule an event `after_s` seconds from now."""
         heapq.heappush(self._scheduled, (self.now + after_s, next(self._order), purpose, event))
 
     def offer_call(self, service: int = CALLED_SERVICE, caller_timeout_s: float = CALLER_TIMEOUT_S) -> None:
-        """Offer a call to one of a service's servers."""
+        """Offer a call that prefers a random server of a service."""
         call_class = self.settings.classes[service]
         preferred = self._rng.choice(call_class.allowed_servers or (0,))
         offered = CallOffered(next(self._call_ids), call_class, preferred, caller_timeout_s)
         self.handle(EventPurpose.CALL, offered)
 
     def run(self, seconds: float, rate: float, service: int = CALLED_SERVICE) -> float:
-        """Offer calls for so long. Returns the processor time of one call, in milliseconds."""
-        self._schedule_states(seconds)
+        """Offer `rate` calls per second for a time. Returns milliseconds of processor time per call."""
+        self._schedule_load_reports(seconds)
         began, count = self.now, int(seconds * rate)
         self.processor_s[EventPurpose.CALL] = 0.0
         for number in range(count):
@@ -135,7 +138,7 @@
         return 1000 * self.processor_s[EventPurpose.CALL] / count
 
     def advance_to(self, when: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock to a time, and process the events that are due by then."""
         while self._scheduled and self._scheduled[0][0] <= when:
             due, _, purpose, event = heapq.heappop(self._scheduled)
             self.now = max(self.now, due)
@@ -143,14 +146,14 @@
         self.now = when
 
     def _schedule_answers(self, setup: SendSetup) -> None:
-        """The server establishes the call, and the call ends after its time."""
+        """Schedule the call's establishment by its server, and its end after CALL_DURATION_S."""
         established = CallEstablished(setup.call_id, setup.server_id, SETUP_S)
         ended = AttemptEnded(setup.call_id, setup.server_id, AttemptOutcome.COMPLETED, True, LoadReport())
         self.schedule(SETUP_S, EventPurpose.CALL, established)
         self.schedule(CALL_DURATION_S, EventPurpose.CALL, ended)
 
-    def _schedule_states(self, seconds: float) -> None:
-        """Each server reports its state at intervals, all evenly apart."""
+    def _schedule_load_reports(self, seconds: float) -> None:
+        """Schedule the load reports of all servers, spread evenly over each interval."""
         load = LoadReport(
             free_lines=SERVER_LINES,
             total_lines=SERVER_LINES,
@@ -164,7 +167,7 @@
 
 
 def measure_by_servers(size: int, options: MeasurementOptions) -> Measurement:
-    """By servers listed."""
+    """Measure the processor time of calls, load reports and endpoint list updates, by servers listed."""
     driver = DecisionDriver(DECISIONS[options.decisions], size)
     call_ms = driver.run(RUN_S, CALL_RATE)
     state_s = driver.processor_s[EventPurpose.SERVER_STATE] / driver.event_counts[EventPurpose.SERVER_STATE]
@@ -185,33 +188,36 @@
 
 
 def measure_by_service(size: int, options: MeasurementOptions) -> Measurement:
-    """By servers of the call's service."""
+    """Measure the processor time per call, by the number of servers of the call's service."""
     driver = DecisionDriver(DECISIONS[options.decisions], max(MAX_LISTED, size), size)
     return Measurement(figures={"decisions_call_by_service": driver.run(1.5, CALL_RATE)})
 
 
 def measure_by_rate(size: int, options: MeasurementOptions) -> Measurement:
-    """By calls a second."""
+    """Measure the processor time per call, by calls per second."""
     driver = DecisionDriver(DECISIONS[options.decisions], SMALL_LIST)
     return Measurement(figures={"decisions_call_by_rate": driver.run(RUN_S, size)})
 
 
 def measure_by_pending_calls(size: int, options: MeasurementOptions) -> Measurement:
-    """By calls that wait for a service whose servers are full, while another of ten services is called."""
+    """Measure the processor time per call, by the number of pending calls of another, full service.
+
+    Raises UnavailableFigureError if the number of pending calls changed during the run.
+    """
     driver = DecisionDriver(DECISIONS[options.decisions], MEDIUM_LIST)
     driver.answers_setups = False
-    for _ in range(FILLING_CALLS):  # no answer moves the concurrency limits
+    for _ in range(FILLING_CALLS):  # set-ups stay unanswered, so that the concurrency limits do not change
         driver.offer_call(FULL_SERVICE, LONG_CALLER_TIMEOUT_S)
     pending = driver.decisions.pending
     while len(pending) < size:
         driver.offer_call(FULL_SERVICE, LONG_CALLER_TIMEOUT_S)
     while len(pending) > size:
         driver.handle(EventPurpose.ABANDONED, CallAbandoned(next(iter(pending))))
-    for call in pending.calls.values():  # they stay pending through the run
+    for call in pending.calls.values():  # keeps the calls pending until the end of the run
         call.queue_until = call.answer_by
     pending.deadlines.clear()
     driver.answers_setups = True
     call_ms = driver.run(0.4, CALL_RATE)
     if len(pending) != size:
-        raise UnavailableFigureError(f"{len(pending)} calls waited at the end, not {size}")
+        raise UnavailableFigureError(f"{len(pending)} calls were pending at the end of the run, not {size}")
     return Measurement(figures={"decisions_call_by_waiting": call_ms})
--- a/benchmarks/scaling/emulator_processes.py
+++ b/benchmarks/scaling/emulator_processes.py
@@ -1,6 +1,6 @@
-"""Emulators in processes of their own, so that their work does not disturb what is measured.
+"""Runs emulators in separate processes, so that their processor time does not count in a measurement.
 
-A service is started in the child process; its parent sends it one question at a time over a pipe.
+The child process starts an emulator service; the parent sends it one request at a time over a pipe.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StatusQuestion:
-    """Asks what has been counted so far."""
+class StatusRequest:
+    """A request for the counts so far."""
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeEndpoint:
-    """Asks to publish a changed record; the answer is when that was, in seconds of Unix time."""
+class ChangeEndpointRequest:
+    """A request to publish a changed record; the reply is the Unix time of publication in seconds."""
 
     record: dict[str, Any]
 
 
-Question = StatusQuestion | ChangeEndpoint
+Request = StatusRequest | ChangeEndpointRequest
 
 
 class EmulatorService(Protocol):
-    """What a process of emulators runs; an instance is sent to the process before it starts."""
+    """The service that an emulator process runs; it is pickled to the process before it starts."""
 
     async def start(self) -> Any:
-        """Begin to serve. Returns the first answer to the parent."""
+        """Start the service. Returns the start message for the parent, such as an address."""
 
-    def answer(self, question: Question) -> Any:
-        """Answer a question of the parent."""
+    def reply(self, request: Request) -> Any:
+        """Return the reply to a request of the parent."""
 
 
 class EmulatorProcess:
-    """A process that runs a service until it is ended."""
+    """A child process that runs one emulator service until `end` is called."""
 
     def __init__(self, service: EmulatorService) -> None:
         context = multiprocessing.get_context("spawn")
@@ -54,34 +54,34 @@
         self._process.start()
         child_pipe.close()
         try:
-            self.first_answer = self._receive()
+            self.start_message = self._receive()
         except BaseException:
             self.end()
             raise
 
-    def ask(self, question: Question) -> Any:
-        """Return the answer to a question. Raises UnavailableFigureError if none comes."""
-        self._pipe.send(question)
+    def request(self, request: Request) -> Any:
+        """Return the reply to a request. Raises UnavailableFigureError if none arrives within TIMEOUT_S."""
+        self._pipe.send(request)
         return self._receive()
 
     def status(self) -> Any:
-        """Return what has been counted so far."""
-        return self.ask(StatusQuestion())
+        """Return the service's counts so far."""
+        return self.request(StatusRequest())
 
     def end(self) -> None:
-        """End the process."""
+        """Kill the process and wait for its end."""
         self._process.kill()
         self._process.join()
 
     def _receive(self) -> Any:
         if not self._pipe.poll(TIMEOUT_S):
-            raise UnavailableFigureError("an emulator does not answer")
+            raise UnavailableFigureError("an emulator process did not reply")
         return self._pipe.recv()
 
 
 @contextmanager
 def emulator_processes(services: Sequence[EmulatorService]) -> Iterator[list[EmulatorProcess]]:
-    """Run services for as long as they are needed."""
+    """Run each service in a process of its own until the context is left."""
     with ExitStack() as stack:
         processes = []
         for service in services:
@@ -92,19 +92,19 @@
 
 
 def _run_service(pipe: Connection, service: EmulatorService) -> None:
-    """Run a service in this process until its parent is gone."""
+    """Run a service in this process until the parent closes its end of the pipe."""
 
     async def serve() -> None:
         pipe.send(await service.start())
-        loop, parent_gone = asyncio.get_running_loop(), asyncio.Event()
+        loop, parent_closed = asyncio.get_running_loop(), asyncio.Event()
 
-        def answer_question() -> None:
+        def reply_to_request() -> None:
             try:
-                pipe.send(service.answer(pipe.recv()))
+                pipe.send(service.reply(pipe.recv()))
             except EOFError:
-                parent_gone.set()
+                parent_closed.set()
 
-        loop.add_reader(pipe.fileno(), answer_question)
-        await parent_gone.wait()
+        loop.add_reader(pipe.fileno(), reply_to_request)
+        await parent_closed.wait()
 
     uvloop.run(serve())
--- a/benchmarks/scaling/errors.py
+++ b/benchmarks/scaling/errors.py
@@ -1,15 +1,15 @@
-"""What can go wrong while figures are measured, kept and read."""
+"""Errors raised while figures are measured, stored and read."""
 
 from __future__ import annotations
 
 
 class ScalingError(Exception):
-    """Any failure of these measurements."""
+    """Base class of the errors of the scaling measurements."""
 
 
 class SlopeError(ScalingError, ValueError):
-    """A kept slope, or a page of them, that can't be used; the message names the file and the reason."""
+    """An invalid slope file or capacity page; the message names the file and the reason."""
 
 
 class UnavailableFigureError(ScalingError, RuntimeError):
-    """A figure that can't be had at a size, with the reason."""
+    """A figure that could not be measured at a size; the message is the reason."""
--- a/benchmarks/scaling/families.py
+++ b/benchmarks/scaling/families.py
@@ -1,7 +1,7 @@
-"""What can be measured: families of slopes, each by one size with all else held.
+"""The families of measurements: each varies one size and keeps all other conditions constant.
 
-The names, titles, units and conditions are stored with the results under docs/capacity/; they keep the words
-that the kept results have.
+Names, titles, units and conditions are stored with the results under docs/capacity/. Their texts must stay
+equal to those of the stored results.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlopeTitle:
-    """What a slope shows."""
+    """Title and unit of a slope."""
 
     title: str
     unit: str
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Family:
-    """What one run gives: several slopes by one size."""
+    """A kind of run that produces several slopes, all by the same size."""
 
     measure: Measure
-    size_name: str  # what the size counts
-    sizes: tuple[int, ...]  # measured unless others are asked for
-    conditions: str  # what is kept the same
-    slopes: dict[str, SlopeTitle]  # by name
+    size_name: str  # the unit of the size, such as "servers listed"
+    sizes: tuple[int, ...]  # measured by default
+    conditions: str  # those that are the same at all sizes
+    slopes: dict[str, SlopeTitle]  # by the slope's name
 
 
 FEW_SIZES = (24, 100, 400, 1900)
--- a/benchmarks/scaling/instrumented_program.py
+++ b/benchmarks/scaling/instrumented_program.py
@@ -1,4 +1,4 @@
-"""The program with timers in it, which writes out now and then how long each part has taken."""
+"""Runs the program with timers around its parts, and writes their totals to a file at intervals."""
 
 from __future__ import annotations
 
@@ -20,44 +20,50 @@
 from stairhatch.overload.controller import Controller
 
 SPANS = ("parse", "decide", "core", "ask", "answer", "states")
-WRITTEN_AT = "at"  # by the monotonic clock, in seconds
+WRITTEN_AT = "at"  # JSON key of the time of writing, in seconds of the monotonic clock
 WRITE_INTERVAL_S = 0.25
 
 
 class SpanTimer:
-    """Seconds by the name of a span; each span is exclusive of those within it."""
+    """A timer that adds up seconds by span name; time in a nested span counts only for the nested span."""
 
     def __init__(self) -> None:
         self.spent_s: defaultdict[str, float] = defaultdict(float)
-        self._inner_s: list[float] = []  # of each open span, what those within it took
+        self._inner_s: list[float] = []  # for each open span, the seconds spent in its nested spans
 
     def instrument(self, owner: type, method: str, span: str, exhaust: bool = False) -> None:
-        """Time a method of a class; with `exhaust` its result is an iterator that is run to its end."""
+        """Replace a method of a class by a timed one.
+
+        `exhaust`: the method returns an iterator, which is consumed within the timed span.
+        """
         original = getattr(owner, method)
 
         def timed(*arguments: Any, **named: Any) -> Any:
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             self._inner_s.append(0.0)
             try:
                 result = original(*arguments, **named)
                 return list(result) if exhaust else result
             finally:
-                took = time.perf_counter() - began
-                self.spent_s[span] += took - self._inner_s.pop()
+                elapsed_s = time.perf_counter() - started_at
+                self.spent_s[span] += elapsed_s - self._inner_s.pop()
                 if self._inner_s:
-                    self._inner_s[-1] += took
+                    self._inner_s[-1] += elapsed_s
 
         setattr(owner, method, timed)
 
     def write(self, path: Path) -> None:
-        """Write all spans out."""
+        """Replace the file by the totals of all spans, as JSON, in one step."""
         unfinished = path.with_suffix(".new")
         unfinished.write_text(json.dumps({**self.spent_s, WRITTEN_AT: time.monotonic()}))
         unfinished.replace(path)
 
 
 def run_instrumented() -> int:
-    """Run the program; the spans go to the file that the environment's SPANS names."""
+    """Run the program with timers, and return its exit code.
+
+    The totals are written to the file named by the environment variable SPANS.
+    """
     timer = SpanTimer()
     timer.instrument(PlatformConnection, "receive_data", "parse")
     timer.instrument(Controller, "handle", "decide", exhaust=True)
@@ -76,10 +82,10 @@
 
 
 def _write_regularly(timer: SpanTimer, path: Path) -> None:
-    """Have each call manager write the spans by its own timers."""
+    """Make each call manager write the totals every WRITE_INTERVAL_S seconds, by its own timers."""
     original = CallManager.__init__
 
-    def begin(self: CallManager, *arguments: Any, **named: Any) -> None:
+    def initialize(self: CallManager, *arguments: Any, **named: Any) -> None:
         original(self, *arguments, **named)
 
         def write() -> None:
@@ -88,4 +94,4 @@
 
         self.timers.schedule(self.clock() + WRITE_INTERVAL_S, write)
 
-    CallManager.__init__ = begin  # type: ignore[method-assign]
+    CallManager.__init__ = initialize  # type: ignore[method-assign]
--- a/benchmarks/scaling/line_fit.py
+++ b/benchmarks/scaling/line_fit.py
@@ -1,4 +1,4 @@
-"""The straight line through measured figures, and the size from which on it bends. Pure."""
+"""Least squares fit of a straight line to measured figures, and detection of a bend. Pure functions."""
 
 from __future__ import annotations
 
@@ -7,56 +7,60 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-BEND_FRACTION = 0.1  # a line that misses a median by more than this part of it, and by its spread, is bent
+# A deviation above this fraction of the median, and above the point's spread, indicates a bend.
+BEND_FRACTION = 0.1
 MIN_SIZES_FOR_BEND = 4
-MIN_WEIGHT_FRACTION = 0.05  # a median counts as this part of the largest at least: 0 is no measure of a miss
-SINGULAR = 1e-9
-TINY = 1e-12
+# A deviation is weighed by the inverse of its median. The median counts as at least this fraction of the
+# largest one, because a deviation relative to a median of 0 is undefined.
+MIN_WEIGHT_FRACTION = 0.05
+SINGULAR = 1e-9  # a relative pivot below this makes the equations singular
+TINY = 1e-12  # prevents a division by 0 if all medians are 0
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One size and the figures measured there."""
+    """A size and the figures measured at it, one per repeat."""
 
     size: float
     values: tuple[float, ...]
 
     @property
     def median(self) -> float:
-        """The figure that counts."""
+        """The median of the repeats, to which the line is fitted."""
         return statistics.median(self.values)
 
     @property
     def spread(self) -> float:
-        """The distance from the least to the most of the repeats."""
+        """The difference between the largest and the smallest repeat."""
         return max(self.values) - min(self.values)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LineFit:
-    """The line of least squares through the medians."""
+    """The least squares line through the medians of the points."""
 
     intercept: float
-    gradient: float  # of the figure, by one of the size
-    residual: float  # root mean square of what the line leaves, in the figure's unit
-    bend: float | None  # the size from which on it runs another way; None: it is straight, or too few sizes
+    gradient: float  # change of the figure per unit of size
+    residual: float  # root mean square deviation of the medians, in the figure's unit
+    bend: float | None  # size at which the gradient changes; None: the line is straight or has too few sizes
 
 
 def fit_line(points: Sequence[Point]) -> LineFit:
-    """Return the line through the medians, and where it bends.
+    """Return the line through the medians, and the size at which it bends.
 
-    It bends at the size at which two lines that meet there leave the least (Hudson 1966, 'Fitting segmented
-    curves whose join points have to be estimated').
+    The bend is the join point at which two joined segments have the least weighted squared deviation
+    (Hudson 1966, 'Fitting segmented curves whose join points have to be estimated'). Raises ValueError if the
+    sizes do not determine a line.
     """
     largest = max(point.size for point in points)
     scaled_sizes = [point.size / largest for point in points]
     medians = [point.median for point in points]
     intercept, gradient = _solve([(1.0, size) for size in scaled_sizes], medians)
-    misses = [y - intercept - gradient * x for x, y in zip(scaled_sizes, medians, strict=True)]
-    residual = math.sqrt(sum(miss * miss for miss in misses) / len(misses))
+    deviations = [y - intercept - gradient * x for x, y in zip(scaled_sizes, medians, strict=True)]
+    residual = math.sqrt(sum(deviation * deviation for deviation in deviations) / len(deviations))
     is_bent = len(points) >= MIN_SIZES_FOR_BEND and any(
-        abs(miss) > max(BEND_FRACTION * abs(point.median), point.spread)
-        for miss, point in zip(misses, points, strict=True)
+        abs(deviation) > max(BEND_FRACTION * abs(point.median), point.spread)
+        for deviation, point in zip(deviations, points, strict=True)
     )
     return LineFit(
         intercept=intercept,
@@ -67,40 +71,43 @@
 
 
 def _best_bend(points: Sequence[Point]) -> float:
-    """Return the inner size at which two lines that meet there leave the least."""
-    _, bend = min((_left_by_bend(points, point.size), point.size) for point in points[1:-1])
+    """Return the inner size that is the best join point of two line segments."""
+    _, bend = min((_squared_deviation_with_bend(points, point.size), point.size) for point in points[1:-1])
     return bend
 
 
-def _left_by_bend(points: Sequence[Point], bend: float) -> float:
-    """Return what two lines that meet at a size leave: squares of parts of the medians."""
+def _squared_deviation_with_bend(points: Sequence[Point], bend: float) -> float:
+    """Return the sum of squared relative deviations from two line segments that join at a size."""
     largest = max(point.size for point in points)
-    least = MIN_WEIGHT_FRACTION * max(abs(point.median) for point in points)
-    rows, wanted = [], []
+    min_weighted_median = MIN_WEIGHT_FRACTION * max(abs(point.median) for point in points)
+    rows, targets = [], []
     for point in points:
-        weight = 1 / max(abs(point.median), least, TINY)
-        x, beyond = point.size / largest, max(0.0, point.size - bend) / largest
-        rows.append((weight, weight * x, weight * beyond))
-        wanted.append(weight * point.median)
+        weight = 1 / max(abs(point.median), min_weighted_median, TINY)
+        x, size_beyond_bend = point.size / largest, max(0.0, point.size - bend) / largest
+        rows.append((weight, weight * x, weight * size_beyond_bend))
+        targets.append(weight * point.median)
     scale = max(abs(each) for row in rows for each in row)
     rows = [(a / scale, b / scale, c / scale) for a, b, c in rows]
-    solution = _solve(rows, [each / scale for each in wanted])
-    misses = (
+    solution = _solve(rows, [each / scale for each in targets])
+    deviations = (
         sum(a * b for a, b in zip(solution, row, strict=True)) - each / scale
-        for row, each in zip(rows, wanted, strict=True)
+        for row, each in zip(rows, targets, strict=True)
     )
-    return sum(miss * miss for miss in misses)
+    return sum(deviation * deviation for deviation in deviations)
 
 
-def _solve(rows: Sequence[Sequence[float]], wanted: Sequence[float]) -> list[float]:
-    """Return the least squares by the normal equations. Raises ValueError where they name no one solution."""
+def _solve(rows: Sequence[Sequence[float]], targets: Sequence[float]) -> list[float]:
+    """Solve a least squares problem by its normal equations.
+
+    Returns the coefficients. Raises ValueError if the equations are singular.
+    """
     count = len(rows[0])
     left = [[sum(row[i] * row[j] for row in rows) for j in range(count)] for i in range(count)]
-    right = [sum(row[i] * y for row, y in zip(rows, wanted, strict=True)) for i in range(count)]
+    right = [sum(row[i] * y for row, y in zip(rows, targets, strict=True)) for i in range(count)]
     for i in range(count):
         pivot = max(range(i, count), key=lambda k: abs(left[k][i]))
         if abs(left[pivot][i]) < SINGULAR * max(1.0, abs(left[0][0])):
-            raise ValueError("the sizes name no one line")
+            raise ValueError("the measured sizes do not determine a line")
         left[i], left[pivot], right[i], right[pivot] = left[pivot], left[i], right[pivot], right[i]
         for k in range(i + 1, count):
             factor = left[k][i] / left[i][i]
--- a/benchmarks/scaling/measurement.py
+++ b/benchmarks/scaling/measurement.py
@@ -1,4 +1,4 @@
-"""What one run gives at one size."""
+"""Types of a measurement at one size, and waiting for conditions during it."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MeasurementOptions:
-    """What the command line says of a run."""
+    """Options of a measurement that are set on the command line."""
 
-    decisions: str = "plain"  # which decisions are measured alone
-    window_s: float = 6.0  # of the voter's window, on the virtual clock
+    decisions: str = "plain"  # key of DECISIONS: the decision component to measure
+    window_s: float = 6.0  # length of the measured window of voters, on the virtual clock
 
 
 @dataclass(slots=True, kw_only=True)
 class Measurement:
-    """Figures by the name of their slope, and why others could not be had."""
+    """Figures by slope name, and the reasons for figures that could not be measured."""
 
     figures: dict[str, float] = field(default_factory=dict)
     unavailable: list[str] = field(default_factory=list)
@@ -34,12 +34,15 @@
 
 
 def wait_until(
-    condition: Callable[[], T], what: str, timeout_s: float = TIMEOUT_S, poll_s: float = POLL_INTERVAL_S
+    condition: Callable[[], T], awaited: str, timeout_s: float = TIMEOUT_S, poll_s: float = POLL_INTERVAL_S
 ) -> T:
-    """Wait until a condition gives something true, and return that. Raises UnavailableFigureError."""
-    end = time.monotonic() + timeout_s
-    while not (found := condition()):
-        if time.monotonic() > end:
-            raise UnavailableFigureError(f"never came within {timeout_s:.0f} s: {what}")
+    """Poll a condition until it returns a true value, and return that value.
+
+    Raises UnavailableFigureError, with `awaited` as the subject, after `timeout_s` seconds.
+    """
+    deadline = time.monotonic() + timeout_s
+    while not (value := condition()):
+        if time.monotonic() > deadline:
+            raise UnavailableFigureError(f"timed out after {timeout_s:.0f} s waiting for {awaited}")
         time.sleep(poll_s)
-    return found
+    return value
--- a/benchmarks/scaling/program_cost.py
+++ b/benchmarks/scaling/program_cost.py
@@ -1,4 +1,4 @@
-"""Processor time, memory, descriptors, messages and bytes of the program, as a process on loopback."""
+"""Measures processor time, memory, descriptors, messages and bytes of the program, run on loopback."""
 
 from __future__ import annotations
 
@@ -24,12 +24,15 @@
 
 SMALL_LIST = 24
 SHORT_REST_S = 2.0
-CHANGES = 5  # of the list; their median counts
+CHANGES = 5  # of the endpoint list; the result is the median of their delays
 PLACING_INTERVAL_S = 0.002
 
 
 def measure_by_servers(size: int, _options: MeasurementOptions) -> Measurement:
-    """By servers listed. What it can't do at a size is named, and the rest is measured all the same."""
+    """Measure the program at rest, under calls and at list changes, by servers listed.
+
+    A figure that fails at a size is recorded as unavailable; the other figures are still measured.
+    """
     measurement = Measurement()
     figures, unavailable = measurement.figures, measurement.unavailable
     with SoftswitchProcess(size) as softswitch:
@@ -37,10 +40,10 @@
         figures["program_links_by_servers"] = float(softswitch.server_counts().connections)
         figures["program_memory_by_servers"] = softswitch.memory_mb()
         figures["program_descriptors_by_servers"] = float(softswitch.descriptors())
-        if softswitch.started_s is None:
-            unavailable.append(f"did not serve within {SERVING_TIMEOUT_S:.0f} s")
+        if softswitch.startup_s is None:
+            unavailable.append(f"the softswitch was not serving after {SERVING_TIMEOUT_S:.0f} s")
         else:
-            figures["program_start_by_servers"] = softswitch.started_s
+            figures["program_start_by_servers"] = softswitch.startup_s
         rest = softswitch.figures_at_rest(REST_S)
         figures["program_rest_by_servers"] = rest.core_percent
         figures["program_bytes_by_servers"] = rest.server_bytes
@@ -63,7 +66,7 @@
 
 
 def measure_by_rate(size: int, _options: MeasurementOptions) -> Measurement:
-    """By calls a second."""
+    """Measure the processor time per call, by calls per second."""
     with SoftswitchProcess(SMALL_LIST) as softswitch:
         time.sleep(SETTLE_S)
         rest = softswitch.figures_at_rest(SHORT_REST_S)
@@ -72,7 +75,7 @@
 
 
 def measure_by_established_calls(size: int, _options: MeasurementOptions) -> Measurement:
-    """By calls that are established."""
+    """Measure the resident memory, by established calls."""
     with SoftswitchProcess(SMALL_LIST) as softswitch:
         uvloop.run(_establish_calls(softswitch, size))
         time.sleep(SETTLE_S)
@@ -80,7 +83,7 @@
 
 
 async def _establish_calls(softswitch: SoftswitchProcess, count: int) -> None:
-    """Establish calls that are not released. Raises UnavailableFigureError where one fails."""
+    """Establish calls and keep them. Raises UnavailableFigureError if a call fails."""
     rng = random.Random(SEED)
     caller = await SoftswitchCaller.connect(softswitch.address, duration_s=0.0)
     for serial in range(1, count + 1):
--- a/benchmarks/scaling/simulated_softswitches.py
+++ b/benchmarks/scaling/simulated_softswitches.py
@@ -1,4 +1,4 @@
-"""Many softswitches in one process, each with only the part that meets the coordinator or a server."""
+"""Many partial softswitches in one process, each with only its coordinator or its server connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any
 
-from benchmarks.scaling.emulator_processes import Question
+from benchmarks.scaling.emulator_processes import Request
 from benchmarks.scaling.workload import settings_json
 from stairhatch.components import steady_unix_clock
 from stairhatch.emulators.ports import Address
@@ -26,7 +26,7 @@
 
 
 def call_manager() -> CallManager:
-    """Return a call manager without frontends."""
+    """Return a new call manager that has no frontends and discards its log."""
     return CallManager(
         settings_from_object(settings_json(SETTINGS_SERVERS)).settings,
         random.Random(1),
@@ -37,15 +37,15 @@
 
 
 class NoServerPool:
-    """In place of the server connections: none is opened."""
+    """A server connection pool that opens no connections."""
 
     def record_changed(self, _server: object) -> None:
-        """Do nothing."""
+        """Ignore the changed server record."""
 
 
 @dataclass(slots=True)
 class FollowerStatus:
-    """How many updates of the list each follower has at least, and when the last of all took one in."""
+    """The smallest update count among the followers, and the time of the latest update of any follower."""
 
     updates: int = 0
     last_at: float = 0.0  # Unix time
@@ -53,13 +53,13 @@
 
 @dataclass
 class ListFollowers:
-    """A service of softswitches that follow the coordinator and have no connections to servers."""
+    """An emulator service of softswitches that poll the coordinator and don't connect to servers."""
 
     count: int
     coordinator: Address
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start polling the coordinator."""
         self._updates = [0] * self.count
         self._last_at = 0.0
         for index in range(self.count):
@@ -68,14 +68,14 @@
             network = Network(core)
             client = ServiceDiscoveryClient(core, self.coordinator, 0)
             update_servers = core.update_servers
-            core.update_servers = partial(self._update, index, update_servers)  # type: ignore[method-assign]
+            core.update_servers = partial(self._record_update, index, update_servers)  # type: ignore[method-assign]
             network.spawn(network.poll_service_discovery(client))
 
-    def answer(self, _question: Question) -> FollowerStatus:
-        """Answer how far all have come."""
+    def reply(self, _request: Request) -> FollowerStatus:
+        """Return the update status of all followers of the service."""
         return FollowerStatus(min(self._updates), self._last_at)
 
-    def _update(self, index: int, update_servers: Any, records: Iterable[Any], complete: bool) -> None:
+    def _record_update(self, index: int, update_servers: Any, records: Iterable[Any], complete: bool) -> None:
         update_servers(records, complete)
         self._updates[index] += 1
         self._last_at = time.time()
@@ -83,13 +83,13 @@
 
 @dataclass
 class ServerClients:
-    """A service of softswitches with a connection to one roster server."""
+    """An emulator service of softswitches that each connect to the same roster server."""
 
     count: int
     server: Address
 
     async def start(self) -> None:
-        """Begin to connect."""
+        """Start the connections to the roster server."""
         record = ServerRecord("one", (self.server[0], self.server[1]), 0, Availability.READY)
         self._cores = []
         for _ in range(self.count):
@@ -98,6 +98,6 @@
             core.update_servers([record], complete=True)
             self._cores.append(core)
 
-    def answer(self, _question: Question) -> int:
-        """Answer how many are connected."""
+    def reply(self, _request: Request) -> int:
+        """Return how many softswitches are connected to the roster server."""
         return sum(core.servers.by_id[1].connected for core in self._cores)
--- a/benchmarks/scaling/slope_files.py
+++ b/benchmarks/scaling/slope_files.py
@@ -1,6 +1,6 @@
-"""Slopes as they are kept: docs/capacity/NAME.json, with points, fit, commit, command and date.
+"""Reads and writes slope files: docs/capacity/NAME.json, with points, fit, commit, command and date.
 
-Reads and writes those files, and never measures anything.
+This module makes no measurements.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def slope_to_json(slope: Slope) -> dict[str, Any]:
-    """Return a slope as it is kept."""
+    """Return the JSON object of a slope, as stored in its file."""
     return {
         "name": slope.name,
         "title": slope.title,
@@ -39,7 +39,7 @@
 
 
 def fit_to_json(fit: LineFit) -> dict[str, float | None]:
-    """Return a fit as it is kept."""
+    """Return the JSON object of a fit, as stored in a slope file."""
     return {
         "base": fit.intercept,
         "step": fit.gradient,
@@ -49,31 +49,32 @@
 
 
 def read_slope(path: Path) -> Slope:
-    """Read a kept slope. Raises SlopeError for one that is incomplete or whose fit is not its points'."""
+    """Read a slope file. Raises SlopeError if it is incomplete or its fit does not match its points."""
     try:
         raw = json.loads(path.read_text())
         slope = _slope_from_json(raw)
-        kept_fit = {key: raw["fit"][key] for key in ("base", "step", "residual", "bend")}
+        stored_fit = {key: raw["fit"][key] for key in ("base", "step", "residual", "bend")}
     except (OSError, KeyError, TypeError, ValueError) as error:
         raise SlopeError(f"{path.name}: {type(error).__name__}: {error}") from error
     if not slope.points or any(not point.values for point in slope.points) or slope.name != path.stem:
-        raise SlopeError(f"{path.name}: no figures, or another name than its file's")
+        raise SlopeError(f"{path.name}: the slope has no figures, or another name than its file")
     if [point.size for point in slope.points] != sorted({point.size for point in slope.points}):
-        raise SlopeError(f"{path.name}: each size must be there once, in growing order")
+        raise SlopeError(f"{path.name}: sizes must be unique and in ascending order")
     if not all((slope.commit, slope.command, slope.date)):
         raise SlopeError(f"{path.name}: commit, command and date are required")
-    for key, right in fit_to_json(fit_line(slope.points)).items():
-        if not _is_same_figure(kept_fit[key], right):
+    for key, expected in fit_to_json(fit_line(slope.points)).items():
+        if not _is_same_value(stored_fit[key], expected):
             raise SlopeError(
-                f"{path.name}: the fit is not that of the points: {kept_fit[key]} is kept, {right} is right"
+                f"{path.name}: the fit is not that of the points:"
+                f" {stored_fit[key]} is stored, {expected} is expected"
             )
     return slope
 
 
 def read_slopes(directory: Path = SLOPES_DIRECTORY) -> dict[str, Slope]:
-    """Read every kept slope, by name. Raises SlopeError.
+    """Read all slope files of a directory. Returns the slopes by name; raises SlopeError for an invalid file.
 
-    What else is kept there is passed over: a slope has a fit, or the name of its file.
+    A file counts as a slope if it has a fit, or a name equal to its file name. Other JSON files are skipped.
     """
     slopes = {}
     for path in sorted(directory.glob("*.json")):
@@ -87,22 +88,30 @@
 
 
 def keep_slope(slope: Slope, directory: Path = SLOPES_DIRECTORY) -> None:
-    """Write a slope, or add its repeats to what the same commit measured by the same command."""
+    """Write a slope file.
+
+    If the file has the same commit, command and conditions, the new repeats are added to it; otherwise it is
+    replaced. Raises SlopeError if the present file is invalid.
+    """
     path = directory / f"{slope.name}.json"
     if path.exists():
-        kept = read_slope(path)
-        if (kept.commit, kept.command, kept.conditions) == (slope.commit, slope.command, slope.conditions):
-            slope = _joined(kept, slope)
+        stored = read_slope(path)
+        if (stored.commit, stored.command, stored.conditions) == (
+            slope.commit,
+            slope.command,
+            slope.conditions,
+        ):
+            slope = _with_added_repeats(stored, slope)
     directory.mkdir(exist_ok=True)
     path.write_text(json.dumps(slope_to_json(slope), indent=1) + "\n")
 
 
-def _joined(kept: Slope, slope: Slope) -> Slope:
-    values = {point.size: point.values for point in kept.points}
+def _with_added_repeats(stored: Slope, slope: Slope) -> Slope:
+    values = {point.size: point.values for point in stored.points}
     for point in slope.points:
         values[point.size] = (*values.get(point.size, ()), *point.values)
     points = tuple(Point(size, each) for size, each in sorted(values.items()))
-    unavailable = tuple(dict.fromkeys((*kept.unavailable, *slope.unavailable)))
+    unavailable = tuple(dict.fromkeys((*stored.unavailable, *slope.unavailable)))
     return replace(slope, points=points, unavailable=unavailable)
 
 
@@ -125,7 +134,7 @@
     )
 
 
-def _is_same_figure(kept: float | None, right: float | None) -> bool:
-    if kept is None or right is None:
-        return kept is right
-    return math.isclose(kept, right, rel_tol=FIT_TOLERANCE, abs_tol=FIT_TOLERANCE_NEAR_ZERO)
+def _is_same_value(stored: float | None, expected: float | None) -> bool:
+    if stored is None or expected is None:
+        return stored is expected
+    return math.isclose(stored, expected, rel_tol=FIT_TOLERANCE, abs_tol=FIT_TOLERANCE_NEAR_ZERO)
--- a/benchmarks/scaling/slopes.py
+++ b/benchmarks/scaling/slopes.py
@@ -1,4 +1,4 @@
-"""A slope: one figure by one size, each size measured several times. Pure."""
+"""Slopes: the values of one figure by one size, with several repeats at each size. Pure."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A figure at a size."""
+    """The value of a figure at a size."""
 
     value: float
-    extrapolated: bool  # the size lies beyond all that were measured
+    extrapolated: bool  # the size is outside the range of the measured sizes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Slope:
-    """One figure by one size, as it was measured."""
+    """The measured values of one figure by one size, with the circumstances of the measurement."""
 
     name: str
     title: str
-    size_name: str  # what the size counts
+    size_name: str  # the unit of the size, such as "servers listed"
     unit: str
-    points: tuple[Point, ...]  # by growing size
+    points: tuple[Point, ...]  # in ascending order of size
     commit: str
     command: str
     date: str
-    conditions: str  # what was kept the same
-    unavailable: tuple[str, ...] = ()  # sizes at which it could not be had, as "SIZE: reason"
+    conditions: str  # those that are the same at all sizes
+    unavailable: tuple[str, ...] = ()  # sizes at which measuring failed, as "SIZE: reason"
 
     def value_at(self, size: float) -> Estimate:
-        """Return the median measured at a size, else what lies on the line of its neighbours.
+        """Return the median at a measured size, or an interpolation between its neighbours.
 
-        Beyond the sizes it is the line of the last two. Raises SlopeError for a single size.
+        Outside the range of the measured sizes, the line through the nearest two is extrapolated. Raises
+        SlopeError if only one size was measured.
         """
         points = self.points
         for point in points:
@@ -50,12 +51,12 @@
         return Estimate(value, extrapolated=not points[0].size < size < points[-1].size)
 
     def is_unavailable_at(self, size: float) -> bool:
-        """Return whether it was tried at a size and could never be had."""
+        """Return whether the figure was measured at a size and all of its repeats failed."""
         was_tried = any(entry.partition(":")[0] == f"{size:.0f}" for entry in self.unavailable)
         return was_tried and all(point.size != size for point in self.points)
 
     def size_exceeding(self, limit: float) -> float | None:
-        """Return the smallest size at which the figure is above a limit, None if it never is."""
+        """Return the smallest size at which the figure exceeds a limit, None if it never does."""
         points = self.points
         if points[0].median > limit:
             return self._size_below_the_first(limit)
@@ -68,7 +69,7 @@
         return points[-1].size + (limit - points[-1].median) / _gradient(points[-2], points[-1])
 
     def _size_below_the_first(self, limit: float) -> float:
-        """Follow the first line down to a limit; 0 where it does not grow."""
+        """Extrapolate below the first size down to a limit; returns 0 if the figure does not grow there."""
         points = self.points
         if len(points) < 2 or points[1].median <= points[0].median:
             return 0.0
--- a/benchmarks/scaling/softswitch_process.py
+++ b/benchmarks/scaling/softswitch_process.py
@@ -1,4 +1,4 @@
-"""A real softswitch in a process of its own on loopback, with emulated roster servers and a coordinator."""
+"""Runs the program as a process on loopback, with emulated roster servers and an emulated coordinator."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from benchmarks.platform_settings import complete_settings
 from benchmarks.scaling.counting_emulators import Coordinator, RosterServers, ServerCounts
-from benchmarks.scaling.emulator_processes import ChangeEndpoint, emulator_processes
+from benchmarks.scaling.emulator_processes import ChangeEndpointRequest, emulator_processes
 from benchmarks.scaling.errors import UnavailableFigureError
 from benchmarks.scaling.measurement import wait_until
 from benchmarks.scaling.slope_files import ROOT
@@ -26,25 +26,25 @@
 
 HOST = "127.0.0.1"
 MAX_SERVERS_A_PROCESS = 475
-SERVING_TIMEOUT_S = 20.0  # until it serves, or has taken a change in
+SERVING_TIMEOUT_S = 20.0  # for the event `serving` after a start, and for a list change to be in force
 SHOWN_LOG_CHARACTERS = 300
 PROGRAM = ("-m", "stairhatch")
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorTime:
-    """Processor seconds of the process so far."""
+    """Processor seconds of the process, for its main thread and for all other threads."""
 
     main_thread_s: float
     other_threads_s: float
 
     @property
     def total_s(self) -> float:
-        """Of all threads."""
+        """Processor seconds of all threads."""
         return self.main_thread_s + self.other_threads_s
 
     def since(self, earlier: ProcessorTime) -> ProcessorTime:
-        """Return what has come since."""
+        """Return the processor time used since an earlier reading."""
         return ProcessorTime(
             self.main_thread_s - earlier.main_thread_s, self.other_threads_s - earlier.other_threads_s
         )
@@ -52,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestFigures:
-    """What it uses a second with no calls."""
+    """The softswitch's use of resources per second without calls."""
 
-    core_percent: float
+    core_percent: float  # processor time, in per cent of a core
     server_bytes: float
     server_messages: float
     list_bytes: float
@@ -62,13 +62,14 @@
 
 
 class SoftswitchProcess:
-    """The softswitch and its surroundings, started when entered and ended with the block."""
+    """A softswitch process with its emulators; a context manager that starts and ends them."""
 
     def __init__(self, listed: int, program: Sequence[str] = PROGRAM) -> None:
         self._listed = listed
         self._program = program
         self._resources = ExitStack()
-        self.started_s: float | None = None  # until it served; None: it did not in time
+        # Seconds from the start to the event `serving`; None: no such event within SERVING_TIMEOUT_S.
+        self.startup_s: float | None = None
 
     def __enter__(self) -> SoftswitchProcess:
         try:
@@ -92,7 +93,7 @@
             emulator_processes([RosterServers(count) for count in counts])
         )
         self.server_addresses: list[Address] = [
-            address for process in self._servers for address in process.first_answer
+            address for process in self._servers for address in process.start_message
         ]
         self._records = [
             endpoint_line(f"r{index}", address, index) for index, address in enumerate(self.server_addresses)
@@ -105,9 +106,11 @@
         started_at = time.time()
         self._process = self._run_program(self._write_config(directory))
         self._resources.callback(self._end_program)
-        with suppress(UnavailableFigureError):  # too busy to serve: what it holds is measured all the same
-            serving_at = wait_until(lambda: self.last_logged("serving"), "serving", SERVING_TIMEOUT_S)
-            self.started_s = serving_at - started_at
+        with suppress(UnavailableFigureError):  # an overloaded program can still be measured
+            serving_at = wait_until(
+                lambda: self.last_logged_at("serving"), "the softswitch to serve", SERVING_TIMEOUT_S
+            )
+            self.startup_s = serving_at - started_at
 
     def _write_config(self, directory: Path) -> Path:
         config = {
@@ -115,7 +118,7 @@
             "listen": f"{HOST}:{self.address[1]}",
             "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "coordinator": f"{HOST}:{self._coordinator.first_answer[1]}",
+            "coordinator": f"{HOST}:{self._coordinator.start_message[1]}",
             "known": {"index": 0, "updates": []},
             "settings": complete_settings(settings_json(self._listed)),
         }
@@ -140,11 +143,14 @@
         self._process.kill()
         self._process.wait()
 
-    def last_logged(self, event: str, field: str = "") -> float:
-        """Return when it logged an event last, with a field if one is named; 0 if it has not."""
+    def last_logged_at(self, event: str, field: str = "") -> float:
+        """Return the Unix time of the last log line with an event, and with a `name=value` field if given.
+
+        Returns 0 if there is none. Raises UnavailableFigureError if the process has ended.
+        """
         text = self._log_path.read_text()
         if self._process.poll() is not None:
-            raise UnavailableFigureError(f"it has ended: {text[-SHOWN_LOG_CHARACTERS:]}")
+            raise UnavailableFigureError(f"the softswitch process has ended: {text[-SHOWN_LOG_CHARACTERS:]}")
         for line in reversed(text.splitlines()):
             words = line.split(" ")
             if len(words) > 1 and words[1] == event and (not field or field in words):
@@ -152,18 +158,22 @@
         return 0.0
 
     def seconds_until_change_in_force(self, number: int) -> float:
-        """Publish a server as leaving, counted from the last one, and wait until that is in force."""
+        """Publish a server as terminating, and wait until the softswitch logs the change.
+
+        `number` counts servers from the end of the list. Returns the delay in seconds; raises
+        UnavailableFigureError after SERVING_TIMEOUT_S.
+        """
         changed = {**self._records[-1 - number], "lifecycle": "terminating"}
         field = f"server={changed['instanceId']}"
-        published_at: float = self._coordinator.ask(ChangeEndpoint(changed))
+        published_at: float = self._coordinator.request(ChangeEndpointRequest(changed))
         return wait_until(
-            lambda: max(0.0, self.last_logged("server_listed", field) - published_at),
-            "a change",
+            lambda: max(0.0, self.last_logged_at("server_listed", field) - published_at),
+            "the endpoint list change to be in force",
             SERVING_TIMEOUT_S,
         )
 
     def server_counts(self) -> ServerCounts:
-        """Return what all roster servers have counted so far."""
+        """Return the sum of the counts of all roster servers so far."""
         total = ServerCounts()
         for process in self._servers:
             counts = process.status()
@@ -174,26 +184,26 @@
         return total
 
     def figures_at_rest(self, seconds: float) -> RestFigures:
-        """Return what it uses a second, measured for so long without calls."""
+        """Return the softswitch's use of resources without calls, measured for `seconds` seconds."""
         processor, servers = self.processor_time(), self.server_counts()
         coordinator, began = self._coordinator.status(), time.monotonic()
         time.sleep(seconds)
-        passed = time.monotonic() - began
+        elapsed_s = time.monotonic() - began
         servers_after, coordinator_after = self.server_counts(), self._coordinator.status()
         used = self.processor_time().since(processor)
         messages = (servers_after.messages_in + servers_after.messages_out) - (
             servers.messages_in + servers.messages_out
         )
         return RestFigures(
-            core_percent=100 * used.total_s / passed,
-            server_bytes=(servers_after.bytes - servers.bytes) / passed,
-            server_messages=messages / passed,
-            list_bytes=(coordinator_after.bytes - coordinator.bytes) / passed,
-            list_messages=2 * (coordinator_after.polls - coordinator.polls) / passed,
+            core_percent=100 * used.total_s / elapsed_s,
+            server_bytes=(servers_after.bytes - servers.bytes) / elapsed_s,
+            server_messages=messages / elapsed_s,
+            list_bytes=(coordinator_after.bytes - coordinator.bytes) / elapsed_s,
+            list_messages=2 * (coordinator_after.polls - coordinator.polls) / elapsed_s,
         )
 
     def processor_time(self) -> ProcessorTime:
-        """Return the processor time so far."""
+        """Return the processor time of the process so far, from the schedstat of its threads (proc(5))."""
         process_id = str(self._process.pid)
         main_s = others_s = 0.0
         for task in Path(f"/proc/{process_id}/task").iterdir():
@@ -205,15 +215,15 @@
         return ProcessorTime(main_s, others_s)
 
     def waits(self) -> int:
-        """Return how often the main thread has waited for something so far."""
+        """Return the number of voluntary context switches of the main thread so far."""
         return self._status_field("voluntary_ctxt_switches:")
 
     def memory_mb(self) -> float:
-        """Return its resident memory."""
+        """Return the resident memory of the process in MiB."""
         return self._status_field("VmRSS:") / 1024
 
     def descriptors(self) -> int:
-        """Return how many descriptors are open."""
+        """Return the number of open file descriptors of the process."""
         return len(list(Path(f"/proc/{self._process.pid}/fd").iterdir()))
 
     def _status_field(self, name: str) -> int:
--- a/benchmarks/scaling/workload.py
+++ b/benchmarks/scaling/workload.py
@@ -1,4 +1,4 @@
-"""The workload that all measurements share: who is called, how often, and for how long."""
+"""The workload of all scaling measurements: called servers, call rate, durations and settings."""
 
 from __future__ import annotations
 
@@ -7,17 +7,21 @@
 SERVICE_SERVERS = 10  # of the service that is called
 CALL_RATE = 137.0  # calls a second
 CALL_DURATION_S = 1.0
-STATE_INTERVAL_S = 0.4  # between two states that a roster server reports
-SERVER_LINES = 1000  # of an emulated roster server: they never run short
+STATE_INTERVAL_S = 0.4  # between two load reports of a roster server
+SERVER_LINES = 1000  # lines of an emulated roster server; enough for all calls of a run
 
 # Phases of a run, in seconds.
-SETTLE_S = 1.5  # from the start until a figure at rest is taken
-REST_S = 4.0  # of a figure at rest
-CALLS_S = 4.0  # of a figure with calls
+SETTLE_S = 1.5  # from the start to the first measurement at rest
+REST_S = 4.0  # duration of a measurement at rest
+CALLS_S = 4.0  # duration of a measurement with calls
 
 
 def settings_json(listed: int, service_servers: int = SERVICE_SERVERS) -> dict[str, Any]:
-    """Return settings with a class for each service, whose servers are numbered in order."""
+    """Return the settings object for `listed` servers.
+
+    Each service has one call class and `service_servers` consecutive server numbers; the last service may
+    have fewer.
+    """
     services = [
         list(range(first, min(first + service_servers, listed)))
         for first in range(0, listed, service_servers)
@@ -36,5 +40,5 @@
 
 
 def service_name(index: int) -> str:
-    """Return the name of a service's class."""
+    """Return the name of the call class of a service."""
     return f"service-{index}"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,6 +1,6 @@
-"""docs/CAPACITY.md and the slopes under docs/capacity/ say the same.
+"""Tests that docs/CAPACITY.md matches the slope files under docs/capacity/.
 
-The fit, the bend and the verdicts are right on points that are made up. No figure is measured here.
+Line fits, bends and verdicts are checked with invented points. No test here makes a measurement.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
     return 2.0 + 0.01 * x
 
 
-def test_a_straight_line_is_found_as_it_is():
-    """The figures at a size come of the right line: intercept, gradient, nothing left over, no bend."""
+def test_fit_of_points_on_a_straight_line():
+    """Points on a straight line give its intercept and gradient, a residual of 0 and no bend."""
     fit = fit_line(points(*((x, straight(x)) for x in (24, 100, 400, 1900))))
 
     assert (fit.intercept, fit.gradient) == (pytest.approx(2.0), pytest.approx(0.01))
@@ -68,39 +68,42 @@
     assert fit.bend is None
 
 
-def test_the_residual_is_what_the_line_leaves():
-    """Least squares of (0, 0), (1, 1), (2, 5): y = -0.5 + 2.5 x misses by 0.5, -1, 0.5."""
+def test_residual_is_the_root_mean_square_deviation():
+    """The fit of (0, 0), (1, 1), (2, 5) is y = -0.5 + 2.5 x, with the deviations 0.5, -1 and 0.5."""
     fit = fit_line(points((0, 0), (1, 1), (2, 5)))
 
     assert (fit.intercept, fit.gradient) == (pytest.approx(-0.5), pytest.approx(2.5))
     assert fit.residual == pytest.approx((1.5 / 3) ** 0.5)
-    assert fit.bend is None, "three sizes show no bend"
+    assert fit.bend is None, "three sizes are too few to detect a bend"
 
 
 @pytest.mark.parametrize("bend", [50, 100, 400])
-def test_a_bend_is_found_where_it_is(bend):
-    """A straight line hides no limit: flat up to a size, and growing from there on."""
-    made = ((x, 1.0 + 0.02 * max(0, x - bend)) for x in (24, 50, 100, 200, 400, 1900))
-    assert fit_line(points(*made)).bend == bend
+def test_bend_is_found_at_its_size(bend):
+    """A figure that is flat up to a size and grows above it has its bend at that size.
 
+    Without bend detection, the straight line would hide a limit of the program.
+    """
+    measured = ((x, 1.0 + 0.02 * max(0, x - bend)) for x in (24, 50, 100, 200, 400, 1900))
+    assert fit_line(points(*measured)).bend == bend
 
-def test_noise_within_its_spread_is_no_bend():
-    """A line that misses by no more than the repeats differ is straight."""
-    wrong = {24: 1.3, 100: 0.8, 400: 1.2, 1900: 1.0}
-    made = [(x, straight(x) * wrong[x]) for x in (24, 100, 400, 1900)]
 
-    assert fit_line(points(*made)).bend is not None
-    assert fit_line(points(*made, spread=8.0)).bend is None
+def test_deviation_within_the_spread_is_no_bend():
+    """Deviations that are smaller than the spread of the repeats indicate no bend."""
+    noise_factors = {24: 1.3, 100: 0.8, 400: 1.2, 1900: 1.0}
+    measured = [(x, straight(x) * noise_factors[x]) for x in (24, 100, 400, 1900)]
 
+    assert fit_line(points(*measured)).bend is not None
+    assert fit_line(points(*measured, spread=8.0)).bend is None
 
-def test_a_figure_of_nothing_is_no_fault_of_the_fit():
-    """A saturated process may have sent nothing at the last size."""
-    made = points((24, 69.0), (100, 69.0), (400, 69.0), (1900, 0.0))
-    assert fit_line(made).bend == 400
 
+def test_fit_with_a_median_of_zero():
+    """A median of 0 does not break the fit: a saturated process may send nothing at the largest size."""
+    measured = points((24, 69.0), (100, 69.0), (400, 69.0), (1900, 0.0))
+    assert fit_line(measured).bend == 400
 
-def judged(row: CapacityRow, made: Slope) -> JudgedRow:
-    return judge(replace(row, slope=made.name), {made.name: made})
+
+def judge_slope(row: CapacityRow, measured: Slope) -> JudgedRow:
+    return judge(replace(row, slope=measured.name), {measured.name: measured})
 
 
 def budget(limit: float) -> Budget:
@@ -111,75 +114,83 @@
 GROWING = slope((24, 0.24), (100, 1.0), (400, 4.0), (1900, 19.0))
 
 
-def test_a_verdict_holds_by_its_factor():
-    """The budget is not held the wrong way round."""
-    found = judged(replace(ROW, budget=budget(38.0)), GROWING)
-    assert (found.verdict, found.breaks_at, found.extrapolated) == ("holds, 2.00 times", None, False)
+def test_verdict_states_the_margin_of_a_budget_that_holds():
+    """The verdict states the budget as a multiple of the figure, not the inverse."""
+    judged = judge_slope(replace(ROW, budget=budget(38.0)), GROWING)
+    assert (judged.verdict, judged.breaks_at, judged.extrapolated) == ("holds, 2.00 times", None, False)
+
 
+def test_breaking_size_is_interpolated():
+    """The breaking size is interpolated between measured sizes: the figure reaches 5 ms at 500."""
+    judged = judge_slope(ROW, GROWING)
 
-def test_a_verdict_breaks_at_the_size_between_two_points():
-    """The size at which it breaks is on the measured line: 5 ms is reached at 500."""
-    found = judged(ROW, GROWING)
+    assert judged.breaks_at == pytest.approx(500)
+    assert "from 500 servers listed on; 3.80 times" in judged.verdict
 
-    assert found.breaks_at == pytest.approx(500)
-    assert "from 500 servers listed on; 3.80 times" in found.verdict
 
+def test_factor_of_a_row_applies_to_figure_and_breaking_size():
+    """The row's factor applies to the figure and to the breaking size.
 
-def test_a_factor_counts_in_the_verdict():
-    """137 calls a second of 1 ms each are 13.7 in 100 of a core: a budget of 6.85 is reached at 50."""
-    found = judged(replace(ROW, factor=13.7, budget=budget(6.85)), GROWING)
+    1 ms per call at 137 calls per second is 13.7 % of a core, so that a budget of 6.85 % is reached at 50.
+    """
+    judged = judge_slope(replace(ROW, factor=13.7, budget=budget(6.85)), GROWING)
 
-    assert found.value == pytest.approx(19 * 13.7)
-    assert found.breaks_at == pytest.approx(50)
+    assert judged.value == pytest.approx(19 * 13.7)
+    assert judged.breaks_at == pytest.approx(50)
 
 
-def test_what_is_above_its_budget_at_the_smallest_size_breaks_below_it():
-    """The first size does not pass for the limit: the line is followed down, not past nothing."""
+def test_breaking_size_below_the_smallest_measured_size():
+    """The breaking size is extrapolated below the smallest measured size, but never below 0."""
     row = replace(ROW, budget=budget(0.1))
-    assert judged(row, GROWING).breaks_at == pytest.approx(10)
+    assert judge_slope(row, GROWING).breaks_at == pytest.approx(10)
 
-    flat = judged(row, slope((24, 3.0), (100, 3.0), (400, 3.0), (1900, 3.0)))
+    flat = judge_slope(row, slope((24, 3.0), (100, 3.0), (400, 3.0), (1900, 3.0)))
 
     assert flat.breaks_at == 0
     assert "at any size" in flat.verdict
 
 
-def test_what_lies_beyond_the_sizes_is_named_so():
-    """A figure that was never measured does not look as if it was."""
-    short = slope((24, 0.24), (100, 1.0), (400, 4.0))
+def test_figure_beyond_the_measured_sizes_is_marked_extrapolated():
+    """A figure beyond the measured sizes is marked as extrapolated in the table."""
+    three_sizes = slope((24, 0.24), (100, 1.0), (400, 4.0))
+
+    judged = judge_slope(ROW, three_sizes)
 
-    found = judged(ROW, short)
+    assert judged.extrapolated
+    assert judged.value == pytest.approx(19.0)
+    assert judged.breaks_at == pytest.approx(500)
+    assert "19.0 ms (extrapolated)" in capacity_tables(
+        {three_sizes.name: three_sizes}, [replace(ROW, slope=three_sizes.name)]
+    )
 
-    assert found.extrapolated
-    assert found.value == pytest.approx(19.0)
-    assert found.breaks_at == pytest.approx(500)
-    assert "19.0 ms (extrapolated)" in capacity_tables({short.name: short}, [replace(ROW, slope=short.name)])
 
+def test_failed_measurement_is_not_extrapolated():
+    """A size at which all repeats failed breaks the budget; the fitted line is not extrapolated to it.
 
-def test_what_could_not_be_had_is_no_extrapolation():
-    """No line says 'holds' for a size at which the program was tried in vain."""
-    reason = "1900: never came within 20 s: a change"
-    made = replace(slope((24, 0.1), (100, 0.1), (400, 0.1)), unavailable=(reason,))
+    Otherwise the verdict would be `holds` for a size at which the program failed.
+    """
+    reason = "1900: timed out after 20 s waiting for the endpoint list change to be in force"
+    measured = replace(slope((24, 0.1), (100, 0.1), (400, 0.1)), unavailable=(reason,))
 
-    found = judged(ROW, made)
+    judged = judge_slope(ROW, measured)
 
-    assert found.value is None
-    assert found.verdict.startswith("**breaks** between 400 and 1,900")
-    tables = capacity_tables({made.name: made}, [replace(ROW, slope=made.name)])
+    assert judged.value is None
+    assert judged.verdict.startswith("**breaks** between 400 and 1,900")
+    tables = capacity_tables({measured.name: measured}, [replace(ROW, slope=measured.name)])
     assert "| not to be had |" in tables
     assert "1. softswitch, a figure: after 400 servers listed." in tables
-    tried_again = replace(made, points=(*made.points, Point(1900, (0.1,))))
-    assert judged(ROW, tried_again).verdict == "holds, 50.0 times"
+    with_successful_repeat = replace(measured, points=(*measured.points, Point(1900, (0.1,))))
+    assert judge_slope(ROW, with_successful_repeat).verdict == "holds, 50.0 times"
 
 
-def test_what_was_not_measured_says_so():
-    """A row is not left out, and shows no figure that nothing gave."""
+def test_row_without_measurement_stays_in_the_table():
+    """A row without a slope stays in the table, without a figure."""
     tables = capacity_tables({}, [ROW])
     assert "| a figure | not measured | 5.00 ms, a budget | not measured | - |" in tables
 
 
-def test_what_breaks_first_is_told_first():
-    """The list is not in the page's order: the smallest size comes first."""
+def test_broken_budgets_are_listed_by_breaking_size():
+    """The list of broken budgets is ordered by breaking size, not by the order of the rows."""
     rows = [
         replace(ROW, slope="made_up", figure=f"budget {limit}", budget=budget(limit))
         for limit in (5.0, 1.0, 18.0)
@@ -191,18 +202,18 @@
     assert listed == [("budget 1.0", "100"), ("budget 5.0", "500"), ("budget 18.0", "1,800")]
 
 
-def test_the_page_says_what_was_measured():
-    """Page and figures do not part: its tables are made anew from the kept slopes."""
+def test_page_equals_the_tables_of_the_stored_slopes():
+    """The generated part of the page equals the tables made from the stored slopes."""
     slopes = read_slopes()
-    assert slopes, "no slope is kept"
+    assert slopes, "no slope is stored"
 
     tables = capacity_tables(slopes)
 
-    assert capacity.generated_part(capacity.PAGE.read_text()) == tables, "benchmarks/capacity.py --write"
+    assert capacity.generated_part(capacity.PAGE.read_text()) == tables, "run benchmarks/capacity.py --write"
 
 
-def test_a_changed_figure_is_found(tmp_path):
-    """A figure changed by hand is not its fit's; changed together with the fit it is not the page's."""
+def test_edited_figure_is_detected(tmp_path):
+    """A figure edited by hand contradicts its fit; edited together with the fit, it contradicts the page."""
     shutil.copytree(SLOPES_DIRECTORY, tmp_path, dirs_exist_ok=True)
     row = next(row for row in ROWS if row.slope in read_slopes())
     path = tmp_path / f"{row.slope}.json"
@@ -235,16 +246,16 @@
         ("fit", {}, "KeyError"),
     ],
 )
-def test_a_slope_that_is_incomplete_is_refused_with_its_file(tmp_path, key, value, reason):
-    """A file that is cut short, or says nothing of how it came about, is not read."""
+def test_incomplete_slope_file_is_rejected_by_name(tmp_path, key, value, reason):
+    """A slope file without points, fit, matching name or commit raises an error that names the file."""
     path = tmp_path / "made_up.json"
     path.write_text(json.dumps({**slope_to_json(GROWING), key: value}))
     with pytest.raises(SlopeError, match=f"made_up.json: .*({reason})"):
         read_slope(path)
 
 
-def test_what_is_no_slope_is_passed_over_and_a_spoilt_slope_is_not(tmp_path):
-    """The directory can be shared, and no slope is left out because its fit was lost."""
+def test_other_json_files_are_skipped_and_damaged_slopes_are_rejected(tmp_path):
+    """JSON files that are no slopes are skipped; a slope file without a fit, or cut short, is an error."""
     (tmp_path / "made_up.json").write_text(json.dumps(slope_to_json(GROWING)))
     (tmp_path / "days.json").write_text('{"runs": []}')
     assert list(read_slopes(tmp_path)) == ["made_up"]
@@ -257,24 +268,31 @@
             read_slopes(tmp_path)
 
 
-def test_a_page_without_its_marks_is_refused():
-    """A page whose generated part is gone is not compared with nothing."""
-    for page in ("", capacity.END + capacity.BEGIN, capacity.BEGIN + capacity.BEGIN + capacity.END):
-        with pytest.raises(SlopeError, match="marks"):
+def test_page_without_markers_is_rejected():
+    """A page whose markers are missing, repeated or in the noise_factors order raises an error."""
+    for page in (
+        "",
+        capacity.END_MARKER + capacity.BEGIN_MARKER,
+        capacity.BEGIN_MARKER + capacity.BEGIN_MARKER + capacity.END_MARKER,
+    ):
+        with pytest.raises(SlopeError, match="markers"):
             capacity.generated_part(page)
 
 
-def test_every_row_has_a_way_to_be_measured():
-    """Each row's slope is measured by a family, and no two families write the same file."""
-    every = [name for family in FAMILIES.values() for name in family.slopes]
+def test_every_row_has_a_family_that_measures_its_slope():
+    """A family measures the slope of each row, and no two families write the same slope file."""
+    slope_names = [name for family in FAMILIES.values() for name in family.slopes]
+
+    assert len(slope_names) == len(set(slope_names))
+    assert {row.slope for row in ROWS if row.slope} <= set(slope_names)
+    assert set(read_slopes()) <= set(slope_names)
 
-    assert len(every) == len(set(every))
-    assert {row.slope for row in ROWS if row.slope} <= set(every)
-    assert set(read_slopes()) <= set(every)
 
+def test_repeats_are_added_for_one_commit_and_replaced_by_another(tmp_path):
+    """Repeats of one commit are added to its slope file; another commit replaces the file.
 
-def test_repeats_of_one_commit_add_up_and_others_replace(tmp_path):
-    """No slope has figures of two commits."""
+    A slope must not mix the figures of two commits.
+    """
     path = tmp_path / "made_up.json"
     keep_slope(GROWING, tmp_path)
     keep_slope(GROWING, tmp_path)
@@ -285,19 +303,19 @@
     assert len(read_slope(path).points[0].values) == 3
 
 
-def test_what_decides_is_the_factorys():
-    """A variant that is named is what is measured: its own object is handed every event."""
-    handled = []
+def test_driver_measures_the_decisions_of_its_factory():
+    """The driver creates its decisions by the given factory, and passes slope_names event to them."""
+    handled_events = []
 
     class OtherController(Controller):
         def handle(self, now, event):
-            handled.append(event)
+            handled_events.append(event)
             return super().handle(now, event)
 
     driver = DecisionDriver(OtherController, 12)
     driver.run(0.1, 100)
 
-    kinds = [type(event).__name__ for event in handled]
+    kinds = [type(event).__name__ for event in handled_events]
     assert kinds[0] == "EndpointsUpdated"
     assert kinds.count("CallOffered") == kinds.count("CallEstablished") == 10
     assert "LoadReported" in kinds
@@ -309,8 +327,11 @@
     [scaling_settings(24), {**slow_start_settings(20), "me": 3}],
     ids=["scaling", "slow start"],
 )
-def test_the_program_accepts_the_settings_of_the_benchmarks(settings):
-    """A softswitch that refuses its file ends at once, and every family that starts one measures nothing."""
+def test_completed_settings_of_the_benchmarks_are_accepted(settings):
+    """The benchmarks' settings, completed by `complete_settings`, have all keys that the program requires.
+
+    A softswitch that rejects its settings exits at once, and the benchmark measures nothing.
+    """
     with pytest.raises(MissingKeyError):
         settings_from_object(settings, complete=True)
 
