--- a/benchmarks/slow_start/__init__.py
+++ b/benchmarks/slow_start/__init__.py
@@ -1,6 +1,6 @@
-"""How near a fleet comes to pushing a warming roster server over, and how much it makes of it.
+"""Measurements of how close a fleet comes to overloading a warming roster server, and how well it uses it.
 
-`scenarios` says what happens while the server warms up, `results` checks the set-ups that reached it. These
-are counted in `simulation` (the real decisions on a virtual clock) and in `process_run` (real processes).
-docs/cold.md has the derivation of the bound.
+`scenarios` defines the events during the warm-up; `simulation` (the real decisions on a virtual clock) and
+`process_run` (real processes) run them and count the set-ups that reach the server; `results` compares the
+counts with the bound. docs/cold.md has the derivation of the bound.
 """
--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback, which meet one warming server after another."""
+"""Runs slow start scenarios with real processes on loopback, one warming server after another."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from stairhatch.node.address import format_address
 
 ROOT = Path(__file__).resolve().parents[2]
-MEMBERS = (20, 30)  # of even and of odd seeds
+MEMBERS = (20, 30)  # number of members for even and for odd seeds
 SCENARIOS = (Scenario.CALM, Scenario.RESTARTED, Scenario.LATE, Scenario.ALONE)
-SCENARIO_S = 13.0  # of each scenario, one after the other
-LATE_S = 3.0
-LEARNING_S = 2.5 * CALL_DURATION_S
+SCENARIO_S = 13.0  # duration of each scenario
+LATE_S = 3.0  # delay of the second coordinator's list in the scenario LATE
+LEARNING_S = 2.5 * CALL_DURATION_S  # of calls before the first scenario
 POLL_INTERVAL_S = 0.1
 
 
 def settings_json(members: int) -> dict[str, Any]:
-    """Return the settings of all members but for the instance index."""
+    """Return the settings that are common to all members: all but the instance index."""
     safety = SITE.safety
     return {
         "balancers": members,
@@ -65,7 +65,7 @@
 
 
 class SlowStartProcessRun:
-    """All scenarios of one seed, one after the other; each replaces server number 0 by one that warms up."""
+    """A run of all scenarios with one seed; each scenario replaces server number 0 by a warming server."""
 
     def __init__(self, seed: int, directory: Path) -> None:
         self.seed = seed
@@ -73,7 +73,10 @@
         self._directory = directory
         self._rng = random.Random(seed)
         self._host = loopback_host()
-        self._coordinators = (CoordinatorEmulator(), CoordinatorEmulator())  # of the prompt and the late half
+        self._coordinators = (
+            CoordinatorEmulator(),
+            CoordinatorEmulator(),
+        )  # the second one may publish late; each has half of the members
         self._processes: dict[int, subprocess.Popen[bytes]] = {}
         self._addresses = {n: (self._host, free_port(self._host)) for n in range(self.member_count)}
         self._servers: dict[str, WarmableServer] = {}
@@ -81,15 +84,15 @@
         self._settings = settings_json(self.member_count)
 
     async def run(self) -> list[dict[str, Any]]:
-        """Play every scenario. Returns what was counted, as it is kept."""
+        """Run all scenarios in turn. Returns their results as JSON objects."""
         try:
             await self._start()
-            return [await self._play(scenario, index) for index, scenario in enumerate(SCENARIOS)]
+            return [await self._run_scenario(scenario, index) for index, scenario in enumerate(SCENARIOS)]
         finally:
             await self._end()
 
     async def _start(self) -> None:
-        """Start servers, members and callers, and let the members learn what the servers can bear."""
+        """Start servers, members and callers, and wait while the members learn the servers' capacities."""
         for coordinator in self._coordinators:
             await coordinator.listen(self._host)
         names = [f"r{number}" for number in range(SITE.servers)]
@@ -101,7 +104,7 @@
         await asyncio.sleep(0.05)
         for number in range(self.member_count):
             self._start_member(number)
-        while not self._all_ready():  # noqa: ASYNC110 - it is read in their logs: there is no event
+        while not self._all_ready():  # noqa: ASYNC110 - readiness is only visible in the members' logs, so it must be polled
             await asyncio.sleep(POLL_INTERVAL_S)
         rate = SITE.capacity * SITE.load * SITE.servers / self.member_count
         for address in self._addresses.values():
@@ -121,7 +124,7 @@
             coordinator.close()
 
     def _start_member(self, number: int) -> None:
-        """Start a member, or the next one under its number."""
+        """Start a member, or start it again after it was killed."""
         coordinator = self._coordinators[number % 2]
         config = {
             "name": f"n{number}",
@@ -149,7 +152,7 @@
         return self._directory / f"n{number}.log"
 
     def _all_ready(self) -> bool:
-        """Return whether every member has logged that it is ready."""
+        """Return whether the log of every member contains the event `ready`."""
         return all(" ready " in self._log_path(number).read_text() for number in self._processes)
 
     async def _start_server(self, name: str) -> WarmableServer:
@@ -158,29 +161,32 @@
         return server
 
     def _publish(self, records: list[dict[str, Any]], late_s: float = 0.0) -> None:
-        """Publish a change at both coordinators, at the second one so much later."""
+        """Publish records at the first coordinator now, and at the second one `late_s` seconds later."""
         prompt, late = self._coordinators
         prompt.publish(records)
         asyncio.get_running_loop().call_later(late_s, late.publish, records)
 
-    async def _play(self, scenario: Scenario, index: int) -> dict[str, Any]:
-        """Replace the server of number 0 by one that warms up, and do what the scenario says."""
+    async def _run_scenario(self, scenario: Scenario, index: int) -> dict[str, Any]:
+        """Run one scenario: replace server number 0 by a warming server, and disturb the fleet meanwhile.
+
+        Returns the result as a JSON object.
+        """
         old_name = "r0" if index == 0 else f"c{index - 1}"
         server = await self._start_server(f"c{index}")
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         assert server.processor is not None
-        server.processor.start_cold(began)
+        server.processor.start_cold(started_at)
         await self._replace_server(old_name, f"c{index}", LATE_S if scenario is Scenario.LATE else 0.0)
         await asyncio.sleep(self._rng.uniform(2.0, 4.0))
         killed = self._restart_half() if scenario is Scenario.RESTARTED else 0
         if scenario is Scenario.ALONE:
-            await self._lose_other_servers()
-        await asyncio.sleep(began + SCENARIO_S - loop.time())
-        setup_times_s = [at - began for at in server.setup_times_s]
+            await self._remove_other_servers()
+        await asyncio.sleep(started_at + SCENARIO_S - loop.time())
+        setup_times_s = [at - started_at for at in server.setup_times_s]
         result = SlowStartResult(setup_times_s=setup_times_s, site=SITE, activations=killed)
-        has_fallen = server.processor.state is ProcessorState.CRASHED
-        return self._result_json(scenario, result, has_fallen)
+        has_crashed = server.processor.state is ProcessorState.CRASHED
+        return self._result_json(scenario, result, has_crashed)
 
     async def _replace_server(self, old_name: str, name: str, late_s: float) -> None:
         old, new = self._servers[old_name], self._servers[name]
@@ -194,7 +200,7 @@
         await old.close()
 
     def _restart_half(self) -> int:
-        """Kill half of the members and start them again. Returns how many."""
+        """Kill half of the members and start them again. Returns the number of restarted members."""
         numbers = self._rng.sample(range(self.member_count), self.member_count // 2)
         for number in numbers:
             self._processes[number].kill()
@@ -202,7 +208,7 @@
             self._start_member(number)
         return len(numbers)
 
-    async def _lose_other_servers(self) -> None:
+    async def _remove_other_servers(self) -> None:
         names = {number: f"r{number}" for number in range(1, SITE.servers)}
         self._publish(
             [
@@ -213,7 +219,7 @@
         for name in names.values():
             await self._servers[name].close()
 
-    def _result_json(self, scenario: Scenario, result: SlowStartResult, has_fallen: bool) -> dict[str, Any]:
+    def _result_json(self, scenario: Scenario, result: SlowStartResult, has_crashed: bool) -> dict[str, Any]:
         window = result.fullest_window()
         return {
             "seed": self.seed,
@@ -227,5 +233,5 @@
             "share": round(window.bound_fraction, 3),
             "early": result.early_setups(),
             "bearable": round(result.bearable_early_setups()),
-            "fell": has_fallen,
+            "fell": has_crashed,
         }
--- a/benchmarks/slow_start/real_servers.py
+++ b/benchmarks/slow_start/real_servers.py
@@ -1,4 +1,4 @@
-"""The emulated roster servers and the callers of a run with real processes."""
+"""Emulated roster servers and callers for slow start runs with real processes."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from stairhatch.node import sip_message as sip
 from stairhatch.node import sip_parser
 
-CALL_DURATION_S = 4.0  # by the roster server's clock
+CALL_DURATION_S = 4.0  # mean; the roster server releases the calls
 SITE = Site(call_duration_s=CALL_DURATION_S, servers=4)
-NOT_REPORTED = ProcessorLoad(-1.0, -1.0)  # figures below 0 count as missing
+NOT_REPORTED = ProcessorLoad(-1.0, -1.0)  # negative figures are treated as missing
 READ_BYTES = 65536
 RECONNECT_PAUSE_S = 0.05
 CALLED_URI = "sip:7f3a9c21e0b4d655@net"
 
 
 class WarmableServer(ServerEmulator):
-    """A roster server that counts set-ups as they come, and ends calls.
+    """A roster server that records the times of set-ups, and releases calls after an exponential duration.
 
-    It reports its processor's figures in releases alone, as the platform's do.
+    Like the platform's servers, it includes its processor's figures in releases only.
     """
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
         self._is_releasing = False
-        self.setup_times_s: list[float] = []  # by the loop's clock
+        self.setup_times_s: list[float] = []  # in seconds of the event loop's clock
         profile = ProcessorProfile(
             setup_s=1 / (SITE.capacity * COST_PER_CALL),
             initial_capacity_fraction=SITE.safety.initial_capacity_fraction,
@@ -44,7 +44,7 @@
         self.observer = self._count
 
     def processor_load(self) -> ProcessorLoad:
-        """Return the processor's figures in a release, else that there are none."""
+        """Return the processor's figures for a release, and NOT_REPORTED for other messages."""
         return super().processor_load() if self._is_releasing else NOT_REPORTED
 
     def _count(self, kind: ObservationKind, _number: str) -> None:
@@ -61,14 +61,14 @@
 
 
 class MemberCallers:
-    """All callers of one softswitch, on one connection that is opened again when it is lost."""
+    """The callers of one softswitch, on one connection that is opened again when it is lost."""
 
     def __init__(self, rate: float, seed: int) -> None:
         self._rate = rate
         self._rng = random.Random(seed)
 
     async def run(self, address: tuple[str, int]) -> None:
-        """Place calls until cancelled."""
+        """Connect, place calls and answer releases, until the task is cancelled."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*address)
@@ -82,7 +82,7 @@
             writer.close()
 
     async def _place_calls(self, writer: asyncio.StreamWriter) -> None:
-        """Place calls at random moments."""
+        """Send INVITEs as a Poisson process with the callers' rate."""
         while True:
             await asyncio.sleep(self._rng.expovariate(self._rate))
             preferred = self._rng.randrange(SITE.servers)
@@ -98,7 +98,7 @@
                 writer.write(sip.request("INVITE", CALLED_URI, headers, b"d"))
 
     async def _answer_releases(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take what comes, and answer each release."""
+        """Read messages until the connection is closed, and answer each BYE with 200."""
         parser = sip_parser.StreamParser()
         while data := await reader.read(READ_BYTES):
             parser.feed(data)
--- a/benchmarks/slow_start/scenarios.py
+++ b/benchmarks/slow_start/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens while a server warms up, and what the servers are like."""
+"""The scenarios of slow start runs, and the parameters of the simulated site."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 from stairhatch.overload.settings import SafetyLimits
 
-REPORT_ERROR = 0.15  # reports are wrong by up to this fraction
+REPORT_ERROR = 0.15  # largest relative error of reported figures
 
 
 class Scenario(Enum):
-    """What happens to the fleet and to the other servers meanwhile."""
+    """The disturbance of the fleet and of the other servers while one server warms up.
+
+    The values are stored in results and seed the random draws, so they must stay the same.
+    """
 
     CALM = "calm"
     RESTARTED = "half killed and started again"
@@ -26,18 +29,18 @@
 
     @property
     def restarts_members(self) -> bool:
-        """Whether half of the members are killed and started again."""
+        """Whether the scenario kills half of the members and starts them again."""
         return self in (Scenario.RESTARTED, Scenario.BOTH)
 
     @property
     def loses_other_servers(self) -> bool:
-        """Whether the warming server is soon the only one."""
+        """Whether the scenario removes all servers but the warming one."""
         return self not in (Scenario.CALM, Scenario.RESTARTED, Scenario.LATE)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Site:
-    """What the settings say and what the servers are like. Times in seconds, rates in calls a second."""
+    """Settings and server properties of a simulated site. Times in seconds, rates in calls per second."""
 
     safety: SafetyLimits = field(
         default_factory=lambda: SafetyLimits(
@@ -51,16 +54,17 @@
     retransmit_s: float = 0.8
     connect_timeout_s: float = 0.5
     call_duration_s: float = 9.0
-    capacity: float = 40.0  # of each warm server
-    load: float = 0.8  # fraction of their capacity that the warm servers carried before
-    servers: int = 5  # with the warming one
+    capacity: float = 40.0  # calls per second of each warm server
+    load: float = 0.8  # fraction of the warm servers' capacity in use before the new server starts
+    servers: int = 5  # including the warming one
     reports_lines: bool = True
-    reports_rate: bool = True  # what it can take from all, as releases report it
-    lines_factor: float = 1.0  # its lines, over what its processor would be due by the others' lines
-    warms_evenly: bool = True  # else it stays at its initial capacity until it is warm
+    reports_rate: bool = True  # whether releases report the admissible rate
+    # Lines of the warming server, relative to the lines that the other servers have for the same capacity.
+    lines_factor: float = 1.0
+    warms_evenly: bool = True  # False: the server has its initial capacity until the warm-up ends
 
     def warmth(self, age_s: float) -> float:
-        """Return the fraction of its capacity that a server has so long after its start."""
+        """Return the fraction of its full capacity that a server has `age_s` seconds after its start."""
         progress = min(1.0, max(0.0, age_s / max(self.safety.warm_up_s, 1e-9)))
         if not self.warms_evenly and progress < 1:
             progress = 0.0
@@ -68,12 +72,12 @@
         return initial + (1 - initial) * progress
 
     def budget(self, age_s: float = 0.0) -> float:
-        """Return N: how many set-ups the settings allow the server then, in any overload window."""
+        """Return N, the set-ups that the settings allow in an overload window at `age_s` after the start."""
         return (
             self.safety.overload_multiple * self.warmth(age_s) * self.capacity * self.safety.overload_window_s
         )
 
     def bound(self, age_s: float = 0.0) -> float:
-        """Return N + 2 root N + 2: beyond N only so much is put down to chance."""
+        """Return N + 2 sqrt(N) + 2: the budget N and the largest excess that is attributed to chance."""
         budget = self.budget(age_s)
         return budget + 2 * math.sqrt(budget) + 2
--- a/benchmarks/slow_start/servers.py
+++ b/benchmarks/slow_start/servers.py
@@ -1,4 +1,4 @@
-"""The simulated servers: what the warming one can bear, and what all of them report."""
+"""Simulated servers: the warming server's processing of set-ups, and the load reports of all servers."""
 
 from __future__ import annotations
 
@@ -8,46 +8,50 @@
 from benchmarks.slow_start.scenarios import REPORT_ERROR, Site
 from stairhatch.overload.events import LoadReport
 
-WARMING = 100  # the id of the warming server; the warm ones are 1, 2, ...
-WARM_WAIT_S = 0.01  # at the processor of a warm server
+WARMING = 100  # id of the warming server; the warm servers have the ids 1, 2, ...
+WARM_WAIT_S = 0.01  # processor wait that a warm server reports
 
 
 @dataclass(slots=True)
 class WarmingServer:
-    """The server that has just started."""
+    """The simulated server that has just started, with one queue for set-ups."""
 
     site: Site
     started_at: float
-    setup_times_s: list[float] = field(default_factory=list)  # after its start
-    idle_at: float = 0.0
+    setup_times_s: list[float] = field(default_factory=list)  # seconds after the server's start
+    idle_at: float = 0.0  # when all accepted set-ups are processed
     open_calls: int = 0
 
     def rate(self, now: float) -> float:
-        """Return how many calls a second it can bear."""
+        """Return the server's capacity at a time, in calls per second."""
         return self.site.capacity * self.site.warmth(now - self.started_at)
 
     def take_setup(self, now: float) -> float:
-        """Take a set-up. Returns when it is answered."""
+        """Accept a set-up into the queue. Returns the time at which it is processed."""
         self.setup_times_s.append(now - self.started_at)
         self.idle_at = max(self.idle_at, now) + 1 / self.rate(now)
         return self.idle_at
 
 
 class ServerReports:
-    """The load reports of all servers; each draws its error, also one that holds nothing wrong."""
+    """The source of load reports of all servers.
+
+    Every report draws an error, even one without erroneous figures, so that the sequence of random draws does
+    not depend on the kind of report.
+    """
 
     def __init__(self, warming: WarmingServer, rng: random.Random) -> None:
         self._site = warming.site
         self._warming = warming
         self._rng = rng
 
-    def unasked(self, server: int) -> LoadReport:
-        """Return what a server reports at intervals: its lines alone, where it reports them."""
+    def at_interval(self, server: int) -> LoadReport:
+        """Return the report that a server sends at intervals: its lines only, or nothing if not reported."""
         self._draw_error()
         return self._lines(server)
 
     def in_release(self, now: float, server: int) -> LoadReport:
-        """Return what a server reports as a call ends: also its processor's figures, a little wrong."""
+        """Return the report in a release: the server's lines, and its processor's figures with an error."""
         error = self._draw_error()
         rate, wait_s = self._site.capacity, WARM_WAIT_S
         if server == WARMING:
@@ -58,7 +62,10 @@
         )
 
     def _lines(self, server: int) -> LoadReport:
-        """Return a server's lines, where it reports them; the warm ones are as busy as ever."""
+        """Return a report of a server's lines, empty if lines are not reported.
+
+        The warm servers always report the load from before the new server's start.
+        """
         if not self._site.reports_lines:
             return LoadReport()
         total = self._site.capacity * self._site.call_duration_s
--- a/benchmarks/slow_start/simulation.py
+++ b/benchmarks/slow_start/simulation.py
@@ -1,6 +1,6 @@
-"""One slow start on a virtual clock: the real decisions of a fleet, with simulated servers.
+"""Simulates one slow start on a virtual clock: the real decisions of a fleet, with simulated servers.
 
-The order of the random draws is part of the results.
+The results depend on the order of the random draws, so that order must stay the same.
 """
 
 from __future__ import annotations
@@ -32,44 +32,44 @@
 )
 from stairhatch.overload.settings import CallClass, Settings
 
-STATE_INTERVAL_S = 0.4  # how often a server reports its state
-ONE_WAY_S = (0.003, 0.02)  # from a member to a server, and back
-DEFAULT_TIMEOUT_S = 3.0  # of an attempt without one of its own
+STATE_INTERVAL_S = 0.4  # between two load reports of a server
+ONE_WAY_S = (0.003, 0.02)  # range of the network delay in each direction
+DEFAULT_TIMEOUT_S = 3.0  # of an attempt that has no time-out of its own
 MIN_TIMER_S = 0.04
 WARM_SETUP_S = 0.01
-LATE_S = 3.0
-CONNECTED_LATE_S = 2.5
+LATE_S = 3.0  # delay of half of the endpoint lists in the scenario LATE
+CONNECTED_LATE_S = 2.5  # delay of all connections to the server in the scenario LINKS_LATE
 LEARNING_S = 40.0  # of calls before the server starts
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """One softswitch's decisions, and what it has sent."""
+    """One simulated softswitch: its decisions and its pending calls."""
 
-    instance_index: int  # -1: it has none
-    call_fraction: float  # of all calls
-    controller: Controller | None = None  # None: it is down
-    pending_calls: set[int] = field(default_factory=set)  # that wait for a server's answer
-    connected_at: float = 0.0  # set-ups to the warming server wait for its connection until then
+    instance_index: int  # -1: no index is assigned
+    call_fraction: float  # fraction of all calls that this member receives
+    controller: Controller | None = None  # None: the member is down
+    pending_calls: set[int] = field(default_factory=set)  # ids of calls without a server's answer
+    connected_at: float = 0.0  # when the connection to the warming server is up; set-ups wait for it
 
 
 @dataclass(frozen=True, slots=True)
 class SetupAttempt:
-    """A set-up on its way."""
+    """A set-up that a member has sent to a server."""
 
     member: SimulatedMember
-    controller: Controller  # that sent it; the member may have another by now
+    controller: Controller  # the sender; after a restart the member has another controller
     setup: SendSetup
     sent_at: float
 
     @property
     def is_to_warming_server(self) -> bool:
-        """Whether it is to the server that has just started."""
+        """Whether the set-up is sent to the server that has just started."""
         return self.setup.server_id == WARMING
 
 
 class SlowStartSimulation:
-    """A fleet and its servers, from the start of the warming server until it is warm."""
+    """A simulation of a fleet and its servers, from the warming server's start to the end of its warm-up."""
 
     def __init__(self, site: Site, scenario: Scenario, members: int, seed: int) -> None:
         self.site = site
@@ -90,7 +90,7 @@
         ]
         for member in self.members:
             self._start_member(member)
-        self._learn()
+        self._simulate_history()
 
     @property
     def now(self) -> float:
@@ -98,7 +98,7 @@
         return self._queue.now
 
     def run(self) -> SlowStartResult:
-        """Run until the server is warm."""
+        """Run the simulation until the server is warm. Returns the set-ups that reached it."""
         for member in self.members:
             self._schedule_announcement(member)
             self._offer_call(member)
@@ -115,7 +115,7 @@
         )
 
     def handle(self, member: SimulatedMember, event: Event) -> None:
-        """Hand one event to a member that is up, and carry out its actions."""
+        """Pass an event to a member and carry out the resulting actions; a member that is down ignores it."""
         controller = member.controller
         if controller is None:
             return
@@ -128,10 +128,10 @@
                     due = self.now + max(MIN_TIMER_S, action.delay_s)
                     self._queue.schedule_at(due, partial(self._handle_if_same, member, controller, expired))
 
-    # ---- the fleet ----
+    # ---- members and the calls offered to them ----
 
     def _draw_weights(self, members: int) -> list[float]:
-        """Draw how many of the calls each member takes."""
+        """Draw the relative share of calls of each member."""
         weights = [self._rng.uniform(0.5, 1.5) for _ in range(members)]
         if self.scenario is Scenario.LOPSIDED:
             weights[0] = 2 * sum(weights[1:])
@@ -141,7 +141,7 @@
         return -1 if self.scenario is Scenario.UNNUMBERED and number % 3 == 0 else number
 
     def _start_member(self, member: SimulatedMember) -> None:
-        """Start a member with nothing but its settings and the endpoint list."""
+        """Start a member that has its settings, the endpoint list and one load report per warm server."""
         rng = random.Random(self._rng.random())
         member.controller = Controller(replace(self._settings, instance_index=member.instance_index), rng)
         member.pending_calls.clear()
@@ -150,10 +150,10 @@
             records.append(EndpointRecord(WARMING, 0, started_at=self.started_at))
         self.handle(member, EndpointsUpdated(tuple(records), True))
         for server in self._warm_servers:
-            self.handle(member, LoadReported(server, self._reports.unasked(server)))
+            self.handle(member, LoadReported(server, self._reports.at_interval(server)))
 
-    def _learn(self) -> None:
-        """Let each member have established its part of calls at the warm servers for a while."""
+    def _simulate_history(self) -> None:
+        """Give each member a history of calls at the warm servers, LEARNING_S long, from before the start."""
         for member in self.members:
             assert member.controller is not None
             rate = self.site.capacity * self.site.load * member.call_fraction
@@ -163,8 +163,8 @@
                 while (when := when + self._rng.expovariate(rate)) < self.started_at:
                     established.append((when, server))
             for when, server in sorted(established):
-                took_s = self._rng.uniform(0.01, 0.04)
-                event = CallEstablished(next(self._call_ids), server, took_s)
+                setup_s = self._rng.uniform(0.01, 0.04)
+                event = CallEstablished(next(self._call_ids), server, setup_s)
                 list(member.controller.handle(when, event))
             for server in self._warm_servers:
                 duration_s = self._rng.expovariate(1 / self.site.call_duration_s)
@@ -174,12 +174,12 @@
                 list(member.controller.handle(self.started_at - 1.0, ended))
 
     def _handle_if_same(self, member: SimulatedMember, controller: Controller, event: Event) -> None:
-        """Hand an event to a member, unless it has been restarted since."""
+        """Pass an event to a member, unless the member has been restarted since the event was scheduled."""
         if member.controller is controller:
             self.handle(member, event)
 
     def _offer_call(self, member: SimulatedMember) -> None:
-        """Offer a call, and draw when the next one comes."""
+        """Offer a call to a member, and schedule the next one as a Poisson process."""
         total_rate = self.site.capacity * self.site.load * self.site.servers
         gap_s = self._rng.expovariate(total_rate * member.call_fraction)
         self._queue.schedule_at(self.now + gap_s, partial(self._offer_call, member))
@@ -188,21 +188,24 @@
         caller_timeout_s = self._rng.choice((3.0, 9.0))
         self.handle(member, CallOffered(next(self._call_ids), call_class, preferred, caller_timeout_s))
 
-    # ---- a set-up's way ----
+    # ---- set-ups between members and servers ----
 
     def _send_setup(self, attempt: SetupAttempt) -> None:
-        """Write a set-up once the connection is up; it is given up after its time-out."""
+        """Send a set-up once the connection is up, and schedule its time-out.
+
+        A set-up whose connection is not up before the time-out never reaches the server.
+        """
         attempt.member.pending_calls.add(attempt.setup.call_id)
         connected_at = attempt.member.connected_at if attempt.is_to_warming_server else 0.0
         written_at = max(self.now, connected_at)
         times_out_at = self.now + (attempt.setup.timeout_s or DEFAULT_TIMEOUT_S)
         if written_at < times_out_at:
             arrives_at = written_at + self._rng.uniform(*ONE_WAY_S)
-            self._queue.schedule_at(arrives_at, partial(self._take_setup, attempt))
+            self._queue.schedule_at(arrives_at, partial(self._process_setup, attempt))
         self._queue.schedule_at(times_out_at, partial(self._time_out, attempt))
 
-    def _take_setup(self, attempt: SetupAttempt) -> None:
-        """The set-up reaches its server."""
+    def _process_setup(self, attempt: SetupAttempt) -> None:
+        """Process a set-up that arrives at its server, and schedule the answer."""
         if attempt.is_to_warming_server:
             done_at = self._warming.take_setup(self.now)
         else:
@@ -211,8 +214,8 @@
         self._queue.schedule_at(answered_at, partial(self._establish, attempt))
 
     def _establish(self, attempt: SetupAttempt) -> None:
-        """The call is established, unless the set-up was given up meanwhile."""
-        if not self._take_pending(attempt):
+        """Establish a call and schedule its end, unless the set-up has timed out."""
+        if not self._remove_pending(attempt):
             return
         setup = attempt.setup
         self.handle(
@@ -223,7 +226,7 @@
         self._queue.schedule_at(self.now + duration_s, partial(self._complete, attempt, duration_s))
 
     def _complete(self, attempt: SetupAttempt, duration_s: float) -> None:
-        """The call has lasted its time."""
+        """End an established call, and pass the server's load report to the member."""
         self._warming.open_calls -= attempt.is_to_warming_server
         server = attempt.setup.server_id
         ended = _completed(
@@ -232,8 +235,8 @@
         self._handle_if_same(attempt.member, attempt.controller, ended)
 
     def _time_out(self, attempt: SetupAttempt) -> None:
-        """The set-up is given up, unless it has been answered."""
-        if self._take_pending(attempt):
+        """Report a time-out to the member, unless the set-up has been answered."""
+        if self._remove_pending(attempt):
             timed_out = AttemptEnded(
                 attempt.setup.call_id,
                 attempt.setup.server_id,
@@ -244,8 +247,8 @@
             )
             self.handle(attempt.member, timed_out)
 
-    def _take_pending(self, attempt: SetupAttempt) -> bool:
-        """Return whether a set-up still waits for its answer, and let it wait no more."""
+    def _remove_pending(self, attempt: SetupAttempt) -> bool:
+        """Remove a set-up from the pending calls. Returns whether it was pending."""
         member, call_id = attempt.member, attempt.setup.call_id
         if member.controller is not attempt.controller or call_id not in member.pending_calls:
             return False
@@ -253,15 +256,15 @@
         return True
 
     def _report_states(self, member: SimulatedMember) -> None:
-        """Report the warming server's state on one connection, now and at intervals."""
+        """Send the warming server's load report to a connected member, now and every STATE_INTERVAL_S."""
         if member.controller is not None and self.now >= member.connected_at:
-            self.handle(member, LoadReported(WARMING, self._reports.unasked(WARMING)))
+            self.handle(member, LoadReported(WARMING, self._reports.at_interval(WARMING)))
         self._queue.schedule_at(self.now + STATE_INTERVAL_S, partial(self._report_states, member))
 
-    # ---- what the scenario does ----
+    # ---- events of the scenario ----
 
     def _schedule_announcement(self, member: SimulatedMember) -> None:
-        """Tell a member that the server has started, each at its own moment."""
+        """Schedule, with a random delay, the list update that announces the new server to a member."""
         delay_s = 0.02 * self._rng.random()
         if self.scenario is Scenario.LATE and self._rng.random() < 0.5:
             delay_s += LATE_S
@@ -272,42 +275,42 @@
         self._queue.schedule_at(self.started_at + delay_s, partial(self._announce_start, member))
 
     def _announce_start(self, member: SimulatedMember) -> None:
-        """The endpoint list names the server; the connection's first state follows."""
+        """Announce the new server to a member by an endpoint list update, and start the load reports."""
         record = EndpointRecord(WARMING, 0, started_at=self.started_at)
         self.handle(member, EndpointsUpdated((record,), False))
         self._report_states(member)
 
     def _schedule_restarts(self, disturbed_at: float) -> None:
-        """Kill half of the members and start them again."""
+        """Schedule restarts of half of the members."""
         for member in self._rng.sample(self.members, len(self.members) // 2):
             when = disturbed_at + 0.1 * self._rng.random()
             self._queue.schedule_at(when, partial(self._restart, member, self._rng.uniform(0.3, 0.8)))
 
     def _restart(self, member: SimulatedMember, down_s: float) -> None:
-        """Kill a member; another starts in its place."""
+        """Stop a member without notice, and start it again after `down_s` seconds."""
         self.activations += 1
         member.controller = None
         member.pending_calls.clear()
         self._queue.schedule_at(self.now + down_s, partial(self._start_member, member))
 
     def _schedule_losses(self, disturbed_at: float) -> None:
-        """Take all other servers away."""
+        """Schedule the loss of all servers but the warming one."""
         if self.scenario is Scenario.LINKS_LATE:
             lost_at = self.started_at + 0.3
         else:
             lost_at = max(self.started_at + 0.5, disturbed_at - self._rng.random())
         self._queue.schedule_at(lost_at, self._warm_servers.clear)
         for member in self.members:
-            told_at = lost_at + 0.02 * self._rng.random()
-            self._queue.schedule_at(told_at, partial(self._announce_losses, member))
+            announced_at = lost_at + 0.02 * self._rng.random()
+            self._queue.schedule_at(announced_at, partial(self._announce_losses, member))
 
     def _announce_losses(self, member: SimulatedMember) -> None:
-        """The endpoint list says that every other server is gone."""
-        gone = (EndpointRecord(n, n, Availability.GONE) for n in range(1, self.site.servers))
-        self.handle(member, EndpointsUpdated(tuple(gone), False))
+        """Announce to a member that all other servers are gone."""
+        gone_records = (EndpointRecord(n, n, Availability.GONE) for n in range(1, self.site.servers))
+        self.handle(member, EndpointsUpdated(tuple(gone_records), False))
 
     def _schedule_renumbering(self, disturbed_at: float) -> None:
-        """Give the members other instance indexes, of a fleet half as large again."""
+        """Schedule new instance indexes for all members, drawn for a fleet that is half as large again."""
         count = len(self.members) + len(self.members) // 2
         indexes = self._rng.sample(range(count), len(self.members))
         for member, index in zip(self.members, indexes, strict=True):
@@ -315,7 +318,7 @@
             self._queue.schedule_at(when, partial(self._renumber, member, index, count))
 
     def _renumber(self, member: SimulatedMember, index: int, count: int) -> None:
-        """Update a member's settings while it runs."""
+        """Update instance index and instance count in a running member's settings."""
         self.activations += 1
         assert member.controller is not None
         member.instance_index = index
