--- a/benchmarks/cold_claims.py
+++ b/benchmarks/cold_claims.py
@@ -1,12 +1,12 @@
-"""A cold roster server shared by softswitches, one of which is stopped, replaced and resumed.
+"""Compares slow start with leased and with configured instance indices when a softswitch is replaced.
 
-The fullest window of set-ups at that server with configured instance indices and with leased ones, counted at
-the server, against what would push it over. Where indices are configured, the replacement has the one of the
-softswitch that it replaces.
+Several softswitches send set-ups to a cold roster server while one of them is stopped, replaced and resumed.
+The fullest overload window at the server is compared with the number of set-ups that would overload it. With
+configured indices, the replacement has the index of the softswitch that it replaces.
 
     .venv/bin/python benchmarks/cold_claims.py [RUNS]
 
-Prints a line a run.
+Prints one line per run.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 LEASE_DURATION_S = 3.0
 CALLS_PER_S = 25.0  # to each softswitch
 PROFILE = ProcessorProfile(setup_s=0.0095, warm_up_s=11.0, overload_window_s=1.0)
-EARLY_S = 5.0  # after the cold start: set-ups of this time are counted
+EARLY_S = 5.0  # set-ups before this time after the cold start are counted as early
 DEFAULT_RUNS = 3
 
 
 class ColdServerRun(FaultInjectionRun):
-    """A run in which one roster server starts cold as the other one goes."""
+    """A fault injection run in which one roster server is removed and the other one starts cold."""
 
     def __init__(self, seed: int, *, leased: bool) -> None:
-        """`leased`: instance indices are leased; else they are configured."""
+        """Create a run; `leased` selects leased instance indices, otherwise they are configured."""
         schedule = FaultSchedule(ENDS_AT_S, NAMES, NAMES[:3], lease_duration_s=LEASE_DURATION_S)
         super().__init__(schedule, seed, calls=CALLS_PER_S)
         self.leased = leased
-        self.setup_times: list[float] = []  # at the cold server, monotonic
+        self.setup_times: list[float] = []  # of set-ups at the cold server, on the monotonic clock
         self._has_stopped = False
         self._has_started_cold = False
 
@@ -71,7 +71,7 @@
         self.servers[1].observer = observe_setups
 
     def on_progress(self, elapsed_s: float) -> None:
-        """Stop one softswitch, and start the server cold, each at its time."""
+        """Stop one softswitch at STOPPED_AT_S, and start the server cold at COLD_AT_S."""
         if not self._has_stopped and elapsed_s >= STOPPED_AT_S:
             self._has_stopped = True
             self.members[STOPPED].stop(RESUMED_AT_S - STOPPED_AT_S)
@@ -80,34 +80,34 @@
             self._start_cold()
 
     def _start_cold(self) -> None:
-        gone, cold = self.servers
+        removed, cold = self.servers
         assert cold.processor is not None
         started_at = time.time()
         cold.abort_connections()
         cold.processor.start_cold(time.monotonic())
         lines = [
-            endpoint_line("r0", gone.address, 0, "terminated"),
+            endpoint_line("r0", removed.address, 0, "terminated"),
             endpoint_line("r1", cold.address, 1, "terminated"),
             endpoint_line("r1b", cold.address, 1, "in_service", int(1000 * started_at)),
         ]
         self.coordinator.publish(lines)
-        gone.abort_connections()
+        removed.abort_connections()
         self.setup_times.clear()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Window:
-    """The set-ups within the time in which too many push a cold server over."""
+    """The set-ups in one overload window of the cold server."""
 
-    load: float = 0.0  # as a fraction of what pushes it over
+    load: float = 0.0  # set-ups as a fraction of the number that overloads the server
     setups: int = 0
-    ended_s: float = 0.0  # after the cold start
+    ended_s: float = 0.0  # seconds after the cold start
 
 
 def fullest_window(processor: Processor, setup_times: list[float]) -> Window:
-    """The window that came nearest to pushing the server over.
+    """Return the overload window with the highest load during the warm-up.
 
-    What a server can do grows as it warms, so the same count means less later on.
+    The server's capacity grows as it warms up, so that the same number of set-ups is a lower load later on.
     """
     first, fullest = 0, Window()
     started_at = processor.started_cold_at or 0.0
@@ -122,7 +122,7 @@
 
 
 async def measure(seed: int, *, leased: bool) -> None:
-    """Carry out one run, and print its fullest window."""
+    """Carry out one run, and print its fullest window and its early set-ups."""
     run = ColdServerRun(seed, leased=leased)
     await run.run(run.on_progress)
     processor = run.servers[1].processor
@@ -131,16 +131,16 @@
     early = sum(at - (processor.started_cold_at or 0.0) < EARLY_S for at in run.setup_times)
     kind = "leased    " if leased else "configured"
     print(
-        f"{kind} seed {seed}: fullest window {100 * window.load:.0f} in 100"
-        f" of what pushes it over ({window.setups} set-ups, {window.ended_s:.1f} s after its start);"
+        f"{kind} seed {seed}: fullest window {100 * window.load:.0f} %"
+        f" of the overload limit ({window.setups} set-ups, {window.ended_s:.1f} s after its start);"
         f" {early} in the first {EARLY_S:.0f} s"
-        f"{', PUSHED OVER' if processor.state is ProcessorState.CRASHED else ''}",
+        f"{', SERVER CRASHED' if processor.state is ProcessorState.CRASHED else ''}",
         flush=True,
     )
 
 
 def main() -> None:
-    """Carry out as many runs of each kind as the command line says."""
+    """Carry out the number of runs given on the command line, with leased and with configured indices."""
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RUNS
     for seed in range(runs):
         for leased in (False, True):
--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -1,13 +1,14 @@
-"""How near a fleet comes to pushing a warming roster server over, and how much it makes of it.
+"""Measures how close a fleet comes to overloading a warming roster server, and how well it uses it.
 
-The fullest overload window, counted as set-ups reach the server, is held against N + 2 root N + 2, and the
-set-ups of its first 12 s against what it could have borne. docs/cold.md has the derivation and the results.
+The set-ups that reach the server in its fullest overload window are compared with the bound
+N + 2 sqrt(N) + 2, and those of its first 12 s with the number that it could have processed. docs/cold.md has
+the derivation and the results.
 
     .venv/bin/python benchmarks/cold_ramp.py model [SEEDS]           # the real decisions on a virtual clock
     .venv/bin/python benchmarks/cold_ramp.py processes FILE SEED...  # 20 (even seeds) or 30 real processes
 
-The second plays two seeds at a time, 65 s each, and adds them to FILE (JSON). Prints a line a case; nothing
-here is a test. `tests/test_cold_ramp.py` asserts the bound on the same model.
+The second command runs two seeds at a time, 65 s each, and adds the results to FILE (JSON). Both print one
+line per case. No bound is asserted here: `tests/test_cold_ramp.py` does so on the same model.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class SimulatedCase(NamedTuple):
-    """A scenario that is simulated with several seeds."""
+    """A scenario to simulate with the seeds 0 to `seeds` - 1, with or without reports of lines."""
 
     reports_lines: bool
     scenario: Scenario
@@ -42,7 +43,7 @@
 
 
 def describe(case: SimulatedCase) -> str:
-    """Simulate a case. Returns a line on it."""
+    """Simulate a case. Returns a line of text with its fullest window and its early set-ups."""
     site = Site(reports_lines=case.reports_lines)
     results = [
         SlowStartSimulation(site, case.scenario, MEMBERS[seed % 2], seed).run() for seed in range(case.seeds)
@@ -59,7 +60,7 @@
 
 
 def simulate(seeds: int) -> None:
-    """Print a line a scenario, with and without reports of lines."""
+    """Simulate every scenario with and without reports of lines, and print a line for each case."""
     cases = [SimulatedCase(lines, scenario, seeds) for lines in (True, False) for scenario in Scenario]
     with multiprocessing.Pool(CONCURRENT_RUNS) as pool:
         for line in pool.imap(describe, cases):
@@ -67,25 +68,25 @@
 
 
 def run_processes(seed: int) -> list[dict[str, Any]]:
-    """Play all scenarios on real processes. Returns what was counted."""
+    """Run all scenarios of a seed on real processes. Returns their results as JSON objects."""
     with tempfile.TemporaryDirectory() as directory:
         return uvloop.run(SlowStartProcessRun(seed, Path(directory)).run())
 
 
 def add_process_runs(path: Path, seeds: list[int]) -> None:
-    """Play a run a seed on real processes; the file keeps all runs."""
-    kept = json.loads(path.read_text()) if path.exists() else []
+    """Run each seed on real processes, print the results, and add them to those in the file."""
+    stored_results = json.loads(path.read_text()) if path.exists() else []
     with multiprocessing.Pool(CONCURRENT_RUNS) as pool:
         for results in pool.imap(run_processes, seeds, chunksize=1):
-            kept += results
+            stored_results += results
             for result in results:
                 print(json.dumps(result), flush=True)
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_text("[\n" + ",\n".join(json.dumps(result) for result in kept) + "\n]\n")
+    path.write_text("[\n" + ",\n".join(json.dumps(result) for result in stored_results) + "\n]\n")
 
 
 def main() -> None:
-    """Read the command line and run what it asks for."""
+    """Run the command line; print the usage and exit if it is invalid."""
     match sys.argv[1:]:
         case ["model", *seeds]:
             simulate(int(seeds[0]) if seeds else DEFAULT_SEEDS)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""What leases cost and how fast they pass on.
+"""Measures the cost of leases and the time until a lease has a new holder.
 
-On the virtual clock: messages and syncs at rest by the size of the fleet, the time from the death of a holder
-to the next holder at work, and how long it takes until each of many members has a lease. On real processes:
-what leases cost calls, and the time from a SIGKILL to the next holder. Prints a figure a line.
+On the virtual clock: messages and syncs at rest by the size of the fleet, the time from a kill of the holder
+until the next holder may act, and the time until every member has a lease. On real processes: the cost of
+leases to calls, and the time from a SIGKILL of the holder to the next holder. Prints one figure per line.
 
     .venv/bin/python benchmarks/fleet.py
-    .venv/bin/python benchmarks/fleet.py --calls   # cost to calls: real appliances, with and without in turn
+    .venv/bin/python benchmarks/fleet.py --calls   # cost to calls: real softswitches, without and with leases
     .venv/bin/python benchmarks/fleet.py --kills   # from SIGKILL to the next holder on real processes
 """
 
@@ -44,27 +44,27 @@
 KILLED_LEASE_DURATIONS_S = (1.0, 3.0, 10.0)
 VIRTUAL_KILLS = 300
 
-KILL_INTERVAL_LEASES = 3.5  # lease durations between two kills on real processes
+KILL_INTERVAL_LEASES = 3.5  # interval between two kills on real processes, in lease durations
 KILLS_PER_RUN = 8
 KILL_RUNS, KILL_JOBS = 12, 6
 
-CALL_RATES = (60.0, 120.0)  # a second, to each appliance
+CALL_RATES = (60.0, 120.0)  # calls per second to each softswitch
 CALL_RUNS, CALL_RUN_S = 6, 14.0
-MARGIN_S = 1.0  # at the begin and the end of a run of calls, of which the processor time is left out
+MARGIN_S = 1.0  # at the begin and at the end of a run of calls; its processor time is not counted
 
 
 def member_names(count: int) -> tuple[str, ...]:
-    """The names of that many members."""
+    """Return the names of `count` members."""
     return tuple(f"s{index}" for index in range(count))
 
 
 def quantile(ordered: list[float], fraction: float) -> float:
-    """The value that this fraction of the ordered values does not pass."""
+    """Return the value at a fraction of a sorted list; `fraction` is at least 0 and below 1."""
     return ordered[int(len(ordered) * fraction)]
 
 
 def measure_at_rest(count: int) -> None:
-    """Print the messages and syncs a second once all instance indices are held."""
+    """Print messages and syncs per second of a fleet at rest, when all instance indices are held."""
     schedule = FaultSchedule(
         120.0, member_names(count), member_names(VOTER_COUNT), lease_duration_s=LEASE_DURATION_S
     )
@@ -80,12 +80,12 @@
     last_s = max(each.at_s for each in held if each.lease.startswith("number"))
     duration_s = AT_REST_UNTIL_S - AT_REST_FROM_S
     messages, writes = ((after - before) / duration_s for before, after in zip(*counts, strict=True))
-    print(f"{count:4} softswitches: {messages:8.1f} messages/s in all, {messages / count:5.2f} each,")
-    print(f"     {writes:.3f} syncs/s; the list held after {first_s:.2f} s, all numbers after {last_s:.1f} s")
+    print(f"{count:4} softswitches: {messages:8.1f} messages/s in total, {messages / count:5.2f} each,")
+    print(f"     {writes:.3f} syncs/s; list held after {first_s:.2f} s, all indices after {last_s:.1f} s")
 
 
 def measure_virtual_kills(lease_duration_s: float, kills: int) -> None:
-    """Print the time from the holder's SIGKILL to the next that may act, on the virtual clock."""
+    """Print quantiles of the time from a kill of the holder to the next holder, on the virtual clock."""
     waits_s = sorted(_wait_after_virtual_kill(lease_duration_s, seed) for seed in range(kills))
     print(
         f"term {lease_duration_s} s, {kills} kills: next holder p50 {statistics.median(waits_s):.2f} s, "
@@ -111,8 +111,11 @@
     return min(later, default=float("inf")) - killed_at_s
 
 
-async def carry_out_kills(seed: int, kills: int) -> list[float]:
-    """Seconds from each SIGKILL of the holder to the next that may act, on real processes."""
+async def kill_holders(seed: int, kills: int) -> list[float]:
+    """Kill the holder repeatedly on real processes.
+
+    Returns the seconds from each SIGKILL of the holder until the next holder may act.
+    """
     interval_s = KILL_INTERVAL_LEASES * LEASE_DURATION_S
     faults = tuple(
         ScheduledFault(2 * LEASE_DURATION_S + index * interval_s, FaultKind.KILL, HOLDER, duration_s=0.2)
@@ -139,15 +142,15 @@
     return waits_s
 
 
-def carry_out_kills_of_seed(seed: int) -> list[float]:
-    """The same in this process, which has no other loop."""
-    return uvloop.run(carry_out_kills(seed, KILLS_PER_RUN))
+def kill_holders_of_seed(seed: int) -> list[float]:
+    """Run `kill_holders` with an event loop of its own, as a worker of the process pool."""
+    return uvloop.run(kill_holders(seed, KILLS_PER_RUN))
 
 
 def measure_real_kills() -> None:
-    """Print the time from the holder's SIGKILL to the next that may act, on real processes."""
+    """Print quantiles of the time from a SIGKILL of the holder to the next holder, on real processes."""
     with multiprocessing.get_context("spawn").Pool(KILL_JOBS) as pool:
-        runs = pool.map(carry_out_kills_of_seed, range(KILL_RUNS), chunksize=1)
+        runs = pool.map(kill_holders_of_seed, range(KILL_RUNS), chunksize=1)
     waits_s = sorted(each for run in runs for each in run)
     print(
         f"real processes, term {LEASE_DURATION_S} s, {len(waits_s)} kills: next holder p50"
@@ -158,15 +161,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallCost:
-    """What the calls of one run cost."""
+    """The cost of the calls of one run: latency and processor time."""
 
     answer_p99_ms: float
     processor_ms_per_call: float
     calls: int
 
 
-async def carry_out_calls(rate: float, duration_s: float, *, fleet: bool) -> CallCost:
-    """Place calls at three appliances, with leases or without."""
+async def place_calls(rate: float, duration_s: float, *, fleet: bool) -> CallCost:
+    """Place calls at three softswitches for `duration_s` seconds; `fleet` enables leases."""
     names = member_names(VOTER_COUNT)
     schedule = FaultSchedule(duration_s, names, names, lease_duration_s=LEASE_DURATION_S)
     run = FaultInjectionRun(schedule, 1, calls=rate, fleet=fleet)
@@ -188,7 +191,7 @@
 
 
 def processor_time_s(run: FaultInjectionRun) -> float:
-    """Processor time of all softswitches so far (proc(5))."""
+    """Return the processor time of all softswitches so far, in seconds (proc(5))."""
     ticks = 0
     for member in run.members.values():
         assert member.process is not None
@@ -198,19 +201,19 @@
 
 
 def measure_calls(rate: float) -> None:
-    """Print what leases cost calls: runs without and with them in turn."""
+    """Print the cost of calls in runs without and with leases, in turn."""
     for index in range(CALL_RUNS):
         fleet = bool(index % 2)
-        cost = uvloop.run(carry_out_calls(rate, CALL_RUN_S, fleet=fleet))
+        cost = uvloop.run(place_calls(rate, CALL_RUN_S, fleet=fleet))
         print(
             f"fleet {'on ' if fleet else 'off'}, {rate:.0f}/s each: p99 {cost.answer_p99_ms:.2f} ms, "
-            f"{cost.processor_ms_per_call:.3f} ms of processor a call, {cost.calls} calls",
+            f"{cost.processor_ms_per_call:.3f} ms of processor time per call, {cost.calls} calls",
             flush=True,
         )
 
 
 def main() -> None:
-    """Measure what the command line names."""
+    """Run the measurements selected by the options."""
     if "--calls" in sys.argv:
         for rate in CALL_RATES:
             measure_calls(rate)
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,13 +1,13 @@
-"""Small faults planted by chance in SIP and the core, and how many of them suite and tests find.
+"""Mutation testing of SIP and the core: random mutants, and how many of them the checks find.
 
     python benchmarks/mutants.py --count 60 --seed 1 --jobs 8
 
-Each mutant is one change to one line: a condition negated, a comparison shifted, a call dropped, a whole
-number (a status, a limit) raised by one. It is written into a copy of the tree; the suite is played in
-process, then the tests run until the first fails. What neither finds is printed with its line. Nothing
-here runs in CI: 60 mutants take some minutes of all processors. mutmut and cosmic-ray were weighed: both
-know one test command and no drop of a call, and here the suite (a second) comes before the tests (a
-minute).
+Each mutant changes one line: it negates a condition, shifts a comparison, drops a call, or raises an integer
+(a status, a limit) by one. It is applied to a copy of the tree. The conformance suite runs on the copy in
+process, and then the tests until the first failure. Mutants that neither of them finds are printed with their
+lines. CI does not run this: 60 mutants take some minutes on all processors. mutmut and cosmic-ray were
+considered; both support only one test command and can't drop a call, while here the suite (a second) runs
+before the tests (a minute).
 """
 
 from __future__ import annotations
@@ -44,15 +44,16 @@
     "timer_wheel",
 )
 MUTATED_PATHS = ("stairhatch/sip", *(f"stairhatch/node/{name}.py" for name in CORE_MODULES))
-LEFT_OUT = ("__init__.py",)
-COPIED = ("stairhatch", "tests", "conformance", "deploy", "benchmarks", "pyproject.toml", "README.md")
+EXCLUDED_FILES = ("__init__.py",)
+COPIED_PATHS = ("stairhatch", "tests", "conformance", "deploy", "benchmarks", "pyproject.toml", "README.md")
 SUITE_TIMEOUT_S = 120.0
 TESTS_TIMEOUT_S = 600.0
-SHOWN_CHARACTERS = 70  # of a mutant's text
+SHOWN_CHARACTERS = 70  # of a mutant's new text
 SUITE_COMMAND = (sys.executable, "-m", "stairhatch", "conform")
 TEST_COMMAND = (
     *(sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider"),
-    *("--deselect", "tests/test_conformance.py::test_each_mutation_is_found"),  # the whole suite again
+    # This test runs the whole conformance suite again.
+    *("--deselect", "tests/test_conformance.py::test_each_mutation_is_found"),
 )
 SHIFTED_OPERATORS: dict[type[ast.cmpop], str] = {
     ast.Lt: "<=",
@@ -69,7 +70,7 @@
 
 
 class Finder(StrEnum):
-    """What finds a mutant."""
+    """The check that finds a mutant. The values are written to the JSON list."""
 
     SUITE = "suite"
     TESTS = "tests"
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Mutant:
-    """One change: the text between two places of a file becomes another."""
+    """A change to one file: the bytes from `start` to `end` are replaced by `text`."""
 
     path: str
     line: int
@@ -89,16 +90,16 @@
 
     @property
     def name(self) -> str:
-        """The place and the kind of the change."""
+        """The path, line and kind of the change, such as `stairhatch/sip/x.py:7 negated`."""
         return f"{self.path}:{self.line} {self.kind}"
 
     def apply(self, source: bytes) -> bytes:
-        """Return the source with the change."""
+        """Return the source with the change applied."""
         return source[: self.start] + self.text.encode() + source[self.end :]
 
 
 class MutantCollector:
-    """Finds every mutant of one file."""
+    """A collector of all mutants of one source file."""
 
     def __init__(self, path: str, source: bytes) -> None:
         self._path = path
@@ -109,7 +110,7 @@
         self._mutants: list[Mutant] = []
 
     def collect(self) -> list[Mutant]:
-        """Return the mutants in the order of their lines."""
+        """Return the mutants in order of line and offset."""
         for node in ast.walk(ast.parse(self._source)):
             match node:
                 case ast.If(test=test) | ast.While(test=test) | ast.IfExp(test=test):
@@ -125,7 +126,7 @@
         return sorted(self._mutants, key=lambda mutant: (mutant.line, mutant.start))
 
     def _span(self, node: ast.expr) -> tuple[int, int]:
-        """Return where a node begins and ends, as offsets in bytes."""
+        """Return the start and the end of a node, as byte offsets in the source."""
         assert node.end_lineno is not None
         assert node.end_col_offset is not None
         start = self._line_starts[node.lineno - 1] + node.col_offset
@@ -143,29 +144,35 @@
 
 
 def mutants_of(path: str) -> list[Mutant]:
-    """Return every mutant of a file of the tree."""
+    """Return all mutants of a file, given by its path below the root of the tree."""
     return MutantCollector(path, (ROOT / path).read_bytes()).collect()
 
 
 def draw_mutants(count: int, seed: int) -> list[Mutant]:
-    """Draw so many mutants, each kind of change as often as it can be made."""
-    every: list[Mutant] = []
+    """Draw a random sample of `count` mutants, or all if there are fewer.
+
+    Every possible change is equally likely, so that frequent kinds of change are drawn more often.
+    """
+    mutants: list[Mutant] = []
     for name in MUTATED_PATHS:
-        where = ROOT / name
-        for path in sorted(where.glob("*.py")) if where.is_dir() else [where]:
-            if path.name not in LEFT_OUT:
-                every += mutants_of(path.relative_to(ROOT).as_posix())
-    return random.Random(seed).sample(every, min(count, len(every)))
+        source_path = ROOT / name
+        for path in sorted(source_path.glob("*.py")) if source_path.is_dir() else [source_path]:
+            if path.name not in EXCLUDED_FILES:
+                mutants += mutants_of(path.relative_to(ROOT).as_posix())
+    return random.Random(seed).sample(mutants, min(count, len(mutants)))
 
 
 def mutants_of_line(place: str) -> list[Mutant]:
-    """Return every mutant of a line, given as `file:line`."""
+    """Return all mutants of a line, given as `file:line`."""
     path, _, line = place.partition(":")
     return [mutant for mutant in mutants_of(path) if mutant.line == int(line)]
 
 
-def ends_well(command: Sequence[str], tree: Path, timeout_s: float) -> bool:
-    """Return whether a command ends well; one that does not end in time has found the mutant too."""
+def succeeds(command: Sequence[str], tree: Path, timeout_s: float) -> bool:
+    """Return whether a command exits with code 0 within `timeout_s` seconds.
+
+    A time-out counts as a failure: the command has detected the mutant by not ending.
+    """
     with tempfile.TemporaryDirectory() as scratch:
         environment = {
             **os.environ,
@@ -193,9 +200,9 @@
 
 
 def copy_tree(target: Path) -> None:
-    """Copy what suite and tests need."""
+    """Copy the files that the suite and the tests need into a new directory."""
     target.mkdir()
-    for name in COPIED:
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
             shutil.copytree(source, target / name, ignore=shutil.ignore_patterns("__pycache__"))
@@ -204,33 +211,35 @@
 
 
 def find_mutant(mutant: Mutant | None) -> Finder:
-    """Return what finds a mutant; None is the tree as it is."""
+    """Return the check that finds a mutant; for None, the check that fails on the unchanged tree."""
     with tempfile.TemporaryDirectory() as directory:
         tree = Path(directory) / "tree"
         copy_tree(tree)
         if mutant is not None:
             path = tree / mutant.path
             path.write_bytes(mutant.apply(path.read_bytes()))
-        if not ends_well(SUITE_COMMAND, tree, SUITE_TIMEOUT_S):
+        if not succeeds(SUITE_COMMAND, tree, SUITE_TIMEOUT_S):
             return Finder.SUITE
-        return Finder.NOTHING if ends_well(TEST_COMMAND, tree, TESTS_TIMEOUT_S) else Finder.TESTS
+        return Finder.NOTHING if succeeds(TEST_COMMAND, tree, TESTS_TIMEOUT_S) else Finder.TESTS
 
 
 def main() -> None:
-    """Draw mutants, let suite and tests look for them, and print what neither finds."""
+    """Draw mutants, run the suite and the tests on each, and print the mutants that neither finds."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").partition("\n")[0])
     parser.add_argument("--count", type=int, default=60)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) - 1))
-    parser.add_argument("--json", type=Path, help="where the list goes")
-    parser.add_argument("--only", default="", help="file:line: every mutant of that line, in place of a draw")
+    parser.add_argument("--json", type=Path, help="file for the list of mutants")
+    parser.add_argument(
+        "--only", default="", help="file:line: test all mutants of this line instead of a random sample"
+    )
     arguments = parser.parse_args()
     if arguments.only:
         mutants = mutants_of_line(arguments.only)
     else:
         mutants = draw_mutants(arguments.count, arguments.seed)
     if finder := find_mutant(None):
-        sys.exit(f"the tree as it is fails in the {finder}: nothing can be told of mutants")
+        sys.exit(f"the unchanged tree fails in the {finder}: mutants can't be tested")
     with ThreadPoolExecutor(arguments.jobs) as workers:
         finders = list(workers.map(find_mutant, mutants))
     print_results(mutants, finders)
@@ -239,17 +248,17 @@
 
 
 def print_results(mutants: list[Mutant], finders: list[Finder]) -> None:
-    """Print each mutant that was not found, and how many were."""
+    """Print each mutant that was not found, and the number of found mutants by check."""
     for mutant, finder in zip(mutants, finders, strict=True):
         if finder is Finder.NOTHING:
-            print(f"left   {mutant.name}: {mutant.text[:SHOWN_CHARACTERS]}")
+            print(f"missed {mutant.name}: {mutant.text[:SHOWN_CHARACTERS]}")
     counts = Counter(finders)
     by_finder = {finder.value: counts[finder] for finder in Finder}
     print(f"{len(mutants) - counts[Finder.NOTHING]} of {len(mutants)} found: {by_finder}")
 
 
 def write_results(path: Path, mutants: list[Mutant], finders: list[Finder]) -> None:
-    """Write the list as JSON."""
+    """Write the mutants and their finders to a JSON file."""
     lines = [
         {"mutant": mutant.name, "text": mutant.text, "by": finder.value}
         for mutant, finder in zip(mutants, finders, strict=True)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,16 +1,16 @@
-"""How soon restarted softswitches serve.
+"""Measures how soon restarted softswitches serve.
 
-Many are started at once before emulated roster servers and a coordinator that is up, slow, silent or spoils
-its first answer to each; from the start of the process to the first health check (OPTIONS) that the platform
-frontend answers with 200. Prints p50, p90 and the longest, and what the time went into.
+Many softswitches are started at once, with emulated roster servers and a coordinator that is up, slow, silent
+or truncates first answers. The time runs from the start of a process to the first health check (OPTIONS)
+that the platform frontend answers with 200. Prints p50, p90 and the longest time, and medians of its phases.
 
-    python benchmarks/restarts.py                                   # 30 at once, 24 roster servers, each way
+    python benchmarks/restarts.py                                   # 30 softswitches, 24 roster servers
     python benchmarks/restarts.py --count 8 --servers 1900          # a long list
-    python benchmarks/restarts.py --stuck 1 --dead 4 --connect-s 11 # servers that never answer, and refuse
-    python benchmarks/restarts.py --tree ../before                  # another tree's program
+    python benchmarks/restarts.py --stuck 1 --dead 4 --connect-s 11 # unresponsive and refusing servers
+    python benchmarks/restarts.py --tree ../before                  # program of another tree
 
-Roster servers share a few listeners, under one name each in the list. A stuck one has a listener whose queue
-is full; a dead one's port refuses.
+Roster servers share a few listeners, and each has a name of its own in the endpoint list. A stuck server has
+a listener whose accept queue is full; a dead server's port refuses connections.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 ROOT = Path(__file__).parents[1]
 LISTENERS = 8
-INSTANCE_COUNT = 64  # of the numbers that roster servers are given in turn
-SLOW_ANSWER_S = 1.0  # before each answer of a slow coordinator
+INSTANCE_COUNT = 64  # number of server numbers, which are assigned to the roster servers in turn
+SLOW_ANSWER_S = 1.0  # delay of each answer of a slow coordinator
 LONGEST_POLL_S = 2.0
 TIMEOUT_S = 30.0
 CHECK_INTERVAL_S = 0.01
 CHECK_TIMEOUT_S = 5.0
-DIAL_TIMEOUT_S = 0.3  # after which a listener's queue counts as full
+CONNECT_TIMEOUT_S = 0.3  # a listener's accept queue counts as full after a connection attempt of this time
 LOG_DELAY_S = 0.1
 HEALTH_CHECK = sip.request("OPTIONS", "sip:ping@net", [("call-id", "p"), ("cseq", "1 OPTIONS")], b"")
 SETTINGS: dict[str, Any] = {
@@ -85,7 +85,8 @@
         "fall_s": 1.0,
     },
 }
-# Log events and the fields of Start that hold when the last of them came; older trees say `reached`.
+# Log events, and the field of Start for the time of the last such event. Older trees log `reached` instead of
+# `server_connected`.
 FIELD_BY_EVENT = {
     "ready": "ready",
     "serving": "serving",
@@ -95,30 +96,34 @@
 
 
 class CoordinatorBehaviour(Enum):
-    """How the emulated coordinator answers. The values are options of the command line."""
+    """The behaviour of the emulated coordinator. The values are arguments of the option `--way`."""
 
     UP = "up"
     SLOW = "slow"
     SILENT = "silent"
-    BAD_FIRST = "bad first"  # every second first answer is cut off, so that each comes through in the end
+    # Every other first answer is truncated, so that each softswitch succeeds in the end.
+    BAD_FIRST = "bad first"
 
 
 @dataclass(slots=True, kw_only=True)
 class Start:
-    """One start: seconds since the process was begun, and processor seconds of it by then."""
+    """The times of one start, in seconds from the start of the process, and its processor seconds.
+
+    0 means that the log has no such event.
+    """
 
     healthy: float
     ready: float = 0.0
     connected: float = 0.0
     serving: float = 0.0
-    processor: float = 0.0
+    processor: float = 0.0  # used until the health check passed
 
 
 class EmulatedCoordinator:
-    """A coordinator that keeps to one behaviour; it knows no more than the configuration has."""
+    """A coordinator with one behaviour, which sends no updates beyond those in the configuration."""
 
     def __init__(self, behaviour: CoordinatorBehaviour, index: int) -> None:
-        """`index` is that of the endpoint list."""
+        """Create a coordinator; `index` is the index of the endpoint list in its answers."""
         self.behaviour = behaviour
         self.index = index
         self.first_answers = 0
@@ -133,7 +138,7 @@
 
     async def _answer(self, text: bytes, writer: asyncio.StreamWriter) -> None:
         wait_s = int(text.split(b"wait_ms=")[1].split(b" ")[0]) / 1000
-        is_first = wait_s < 1  # asked for at once: this softswitch has had no answer yet
+        is_first = wait_s < 1  # the softswitch polls without waiting until it has the first answer
         match self.behaviour:
             case CoordinatorBehaviour.SILENT:
                 await asyncio.sleep(TIMEOUT_S)
@@ -151,22 +156,22 @@
 
 
 class UnresponsiveListener:
-    """A listener whose queue is full, so that no dial is answered."""
+    """A listener whose accept queue is full, so that connection attempts time out."""
 
     def __init__(self) -> None:
-        """Fill the queue."""
+        """Open the listener, and connect until its accept queue is full."""
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         self.address: tuple[str, int] = listener.getsockname()
         self._sockets = [listener]
-        while self._dial():
+        while self._connect():
             pass
 
-    def _dial(self) -> bool:
-        """Dial once more; whether that was answered."""
+    def _connect(self) -> bool:
+        """Try one more connection. Returns whether it was established."""
         sock = socket.socket()
-        sock.settimeout(DIAL_TIMEOUT_S)
+        sock.settimeout(CONNECT_TIMEOUT_S)
         self._sockets.append(sock)
         try:
             sock.connect(self.address)
@@ -175,32 +180,32 @@
         return True
 
     def close(self) -> None:
-        """Close the listener and what fills its queue."""
+        """Close the listener and the connections that fill its queue."""
         for sock in self._sockets:
             sock.close()
 
 
-async def wait_until_healthy(address: tuple[str, int], began: float) -> float:
-    """Seconds until the frontend first answers a health check with 200."""
-    while time.monotonic() - began < TIMEOUT_S:
+async def wait_until_healthy(address: tuple[str, int], started_at: float) -> float:
+    """Return the seconds from `started_at` to the first 200 to a health check; inf after TIMEOUT_S."""
+    while time.monotonic() - started_at < TIMEOUT_S:
         with contextlib.suppress(OSError, TimeoutError):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(HEALTH_CHECK)
             head = await asyncio.wait_for(reader.read(64), CHECK_TIMEOUT_S)
             writer.close()
             if head.startswith(b"SIP/2.0 200"):
-                return time.monotonic() - began
+                return time.monotonic() - started_at
         await asyncio.sleep(CHECK_INTERVAL_S)
     return float("inf")
 
 
 async def start_softswitch(folder: Path, number: int, config: dict[str, Any], tree: Path) -> Start:
-    """Start one softswitch, wait until it passes its health check, and end it."""
+    """Start one softswitch, wait until it passes a health check, and kill it. Returns its times."""
     port = free_port()
     path, log = folder / f"{number}.json", folder / f"{number}.log"
     path.write_text(json.dumps({**config, "name": f"n{number}", "listen": f"127.0.0.1:{port}"}))
     with log.open("wb") as output:
-        began, began_unix = time.monotonic(), time.time()
+        started_at, started_at_unix = time.monotonic(), time.time()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -212,7 +217,7 @@
             stderr=output,
         )
     try:
-        start = Start(healthy=await wait_until_healthy(("127.0.0.1", port), began))
+        start = Start(healthy=await wait_until_healthy(("127.0.0.1", port), started_at))
         await asyncio.sleep(LOG_DELAY_S)
         start.processor = processor_time_s(process.pid)
     finally:
@@ -221,16 +226,16 @@
         await process.wait()
     text = log.read_text()
     if start.healthy > TIMEOUT_S:
-        print(f"never passed: {text[-200:]}", file=sys.stderr)
+        print(f"softswitch passed no health check; end of its log: {text[-200:]}", file=sys.stderr)
     for line in text.splitlines():
         at, event, *_ = f"{line}  ".split(" ")
         if event in FIELD_BY_EVENT:
-            setattr(start, FIELD_BY_EVENT[event], float(at) - began_unix)
+            setattr(start, FIELD_BY_EVENT[event], float(at) - started_at_unix)
     return start
 
 
 def processor_time_s(pid: int) -> float:
-    """Processor time of a process so far (proc(5)); 0.0 where it has ended."""
+    """Return the processor time of a process so far, in seconds (proc(5)); 0.0 if it has ended."""
     with contextlib.suppress(OSError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -242,7 +247,7 @@
     listening: list[tuple[str, int]],
     unresponsive: list[UnresponsiveListener],
 ) -> list[dict[str, Any]]:
-    """The endpoint list: roster servers that listen, that never answer, and that refuse."""
+    """Return the endpoint list, with listening, unresponsive (stuck) and refusing (dead) roster servers."""
     lines = [
         endpoint_line(f"s-{index}", listening[index % LISTENERS], index % INSTANCE_COUNT)
         for index in range(options.servers)
@@ -261,7 +266,7 @@
 def softswitch_config(
     options: argparse.Namespace, coordinator: tuple[str, int], lines: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """What all softswitches are configured with."""
+    """Return the configuration that all softswitches share."""
     permissions = {**SETTINGS["permissions"], "connect_timeout_s": options.connect_s}
     endpoints = {"generation": 1, "reset": True, "instances": lines}
     return {
@@ -274,9 +279,9 @@
 
 
 async def start_all(behaviour: CoordinatorBehaviour, options: argparse.Namespace) -> list[Start]:
-    """Start all softswitches at once before a coordinator of this behaviour."""
+    """Start all softswitches at once, with a coordinator of the given behaviour. Returns their times."""
     loop = asyncio.get_running_loop()
-    # Servers that accept connections and say nothing.
+    # Servers that accept connections and send nothing.
     listeners = [
         await loop.create_server(asyncio.Protocol, "127.0.0.1", 0, backlog=4096) for _ in range(LISTENERS)
     ]
@@ -299,12 +304,12 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """The value that so large a fraction of them does not pass."""
+    """Return the nearest-rank quantile of the values; `fraction` is between 0 and 1."""
     return sorted(values)[min(len(values) - 1, max(0, round(fraction * len(values)) - 1))]
 
 
 def parse_options() -> argparse.Namespace:
-    """The options of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n\n")[0])
     parser.add_argument("--count", type=int, default=30)
     parser.add_argument("--servers", type=int, default=24)
@@ -317,7 +322,7 @@
 
 
 def main() -> None:
-    """Print a line for each behaviour of the coordinator."""
+    """Measure each behaviour of the coordinator, and print one line for each."""
     options = parse_options()
     for value in options.way or [each.value for each in CoordinatorBehaviour]:
         starts = asyncio.run(start_all(CoordinatorBehaviour(value), options))
@@ -328,10 +333,10 @@
         }
         print(
             f"{value:9} {options.count} at once, {options.servers}+{options.stuck}+{options.dead} servers:"
-            f" passed p50 {quantile(healthy_s, 0.5):.2f} s, p90 {quantile(healthy_s, 0.9):.2f} s,"
+            f" healthy p50 {quantile(healthy_s, 0.5):.2f} s, p90 {quantile(healthy_s, 0.9):.2f} s,"
             f" longest {max(healthy_s):.2f} s;"
-            f" medians: up {medians['ready']:.2f} s, last link {medians['connected']:.2f} s,"
-            f" serving {medians['serving']:.2f} s; {medians['processor']:.2f} s of processor",
+            f" medians: ready {medians['ready']:.2f} s, last connection {medians['connected']:.2f} s,"
+            f" serving {medians['serving']:.2f} s; {medians['processor']:.2f} s of processor time",
             flush=True,
         )
 
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -1,12 +1,12 @@
-"""What a call costs the decisions where many servers are listed and one service of ten is asked for.
+"""Measures the processor time of decisions per call, if many servers are listed and one service is called.
 
-The plain Controller and the scoped decisions are measured side by side, at each size, in one process. Nothing
-here is a test.
+The plain Controller and the scoped decisions are measured at each size in one process. A service has ten
+servers. No result is asserted.
 
     .venv/bin/python benchmarks/scope.py --servers 24,100,400,1900 --json
 
-The clock is virtual: 137 calls a second, set up in 20 ms, that end after 9 s, each with a report of lines.
-The rounds of both take turns; the result is the least processor time a call of the rounds.
+The clock is virtual: 137 calls per second, established after 20 ms and released after 9 s, each with a load
+report. Rounds of the two kinds alternate; the result is the smallest processor time per call of all rounds.
 """
 
 from __future__ import annotations
@@ -49,25 +49,25 @@
 SETUP_S = 0.02
 CALL_DURATION_S = 9.0
 CALLER_TIMEOUT_S = 9.0
-WARM_UP_CALLS = 200  # before the clock is read
+WARM_UP_CALLS = 200  # before the measured rounds
 START_S = 1000.0  # of the virtual clock
 RELEASE_REPORT = LoadReport(free_lines=180.0, total_lines=200.0, processor_wait_s=0.005)
 PLAIN, SCOPED = "plain", "scoped"
 
 
 class Decisions(Protocol):
-    """What is measured."""
+    """The decision component under measurement."""
 
     @property
     def endpoints(self) -> Mapping[int, Endpoint]:
-        """The endpoints that are looked at, by server id."""
+        """The endpoints that the component considers, by server id."""
 
     def handle(self, now: float, event: Event) -> Iterable[Action]:
-        """Take one event and return the actions it leads to."""
+        """Process one event at time `now` in seconds. Returns the resulting actions."""
 
 
 def settings_for(listed: int) -> Settings:
-    """Return settings with services of ten servers each, the last one with what is left over."""
+    """Return settings with services of ten servers each; the last service also has the remaining servers."""
     starts = range(0, max(1, listed // SERVICE_SERVERS) * SERVICE_SERVERS, SERVICE_SERVERS)
     classes = tuple(
         CallClass(
@@ -89,7 +89,7 @@
 
 
 class DecisionDriver:
-    """One softswitch's decisions, which are offered calls to some services in turn."""
+    """A driver for the decisions of one softswitch, which offers calls to the called services in turn."""
 
     def __init__(self, decisions: Decisions, settings: Settings, listed: int, called_services: int) -> None:
         self.decisions = decisions
@@ -103,7 +103,7 @@
         self._handle(EndpointsUpdated(tuple(EndpointRecord(n + 1, n) for n in range(listed)), True))
 
     def run(self, calls: int) -> float:
-        """Offer calls. Returns the processor seconds of one."""
+        """Offer a number of calls. Returns the processor seconds per call."""
         began = time.process_time()
         for _ in range(calls):
             until = self._now + 1 / CALL_RATE
@@ -118,7 +118,7 @@
         return (time.process_time() - began) / calls
 
     def _handle(self, event: Event) -> None:
-        """Hand one event over, and schedule what its actions lead to."""
+        """Pass an event to the decisions, and schedule the events that follow from the actions."""
         for action in self.decisions.handle(self._now, event):
             match action:
                 case SendSetup(call_id, server_id, _):
@@ -138,22 +138,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SizeResult:
-    """What both kinds of decisions cost at one size."""
+    """The processor time of plain and scoped decisions at one size."""
 
     listed: int
     drivers: dict[str, DecisionDriver]
-    rounds_us: dict[str, list[float]]  # processor time a call, a round each
+    rounds_us: dict[str, list[float]]  # processor time per call in microseconds, for each round
 
     def least_us(self) -> dict[str, float]:
-        """Return the processor time a call, of the best round."""
+        """Return the microseconds per call of the fastest round, for both kinds."""
         return {name: min(rounds) for name, rounds in self.rounds_us.items()}
 
     def core_percent(self) -> dict[str, float]:
-        """Return that as a part of a core."""
+        """Return the processor time of the fastest round at CALL_RATE, in per cent of a core."""
         return {name: round(us * CALL_RATE / 1e4, 2) for name, us in self.least_us().items()}
 
     def to_json(self) -> dict[str, Any]:
-        """Return it as it is kept."""
+        """Return the result as a JSON object."""
         plain, scoped = self.drivers[PLAIN], self.drivers[SCOPED]
         return {
             "listed": self.listed,
@@ -168,7 +168,7 @@
 
 
 def measure(listed: int, called_services: int, calls: int, rounds: int) -> SizeResult:
-    """Measure both kinds at one size, their rounds in turn."""
+    """Measure plain and scoped decisions at one size, in alternating rounds of `calls` calls."""
     settings = settings_for(listed)
     decisions: dict[str, Decisions] = {
         PLAIN: Controller(settings, random.Random(1)),
@@ -187,7 +187,7 @@
 
 
 def print_json(results: list[SizeResult], ratios: dict[str, float]) -> None:
-    """Print everything as one JSON object."""
+    """Print the results and the environment of the run as one JSON object."""
     first, last = results[0], results[-1]
     listed_more = max(1, last.listed - first.listed)
     slopes = {
@@ -209,7 +209,7 @@
 
 
 def print_table(results: list[SizeResult], ratios: dict[str, float]) -> None:
-    """Print a line a size."""
+    """Print a table with one line per size."""
     print("listed  plain us  scoped us  plain core  scoped core")
     for result in results:
         us, core = result.least_us(), result.core_percent()
@@ -217,15 +217,15 @@
             f"{result.listed:6} {us[PLAIN]:9.1f} {us[SCOPED]:10.1f} "
             f"{core[PLAIN]:10.1f}% {core[SCOPED]:10.1f}%"
         )
-    print(f"last over first: plain {ratios[PLAIN]}, scoped {ratios[SCOPED]}")
+    print(f"ratio of the last to the first size: plain {ratios[PLAIN]}, scoped {ratios[SCOPED]}")
 
 
 def main() -> None:
-    """Read the sizes, measure, print."""
+    """Parse the command line, measure all sizes, and print the results."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n\n")[0])
     parser.add_argument("--servers", default="24,100,400,1900")
-    parser.add_argument("--asked", type=int, default=1, help="services that are called, in turn")
-    parser.add_argument("--calls", type=int, default=300, help="a round")
+    parser.add_argument("--asked", type=int, default=1, help="number of services to call in turn")
+    parser.add_argument("--calls", type=int, default=300, help="calls per round")
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--json", action="store_true")
     arguments = parser.parse_args()
--- a/benchmarks/sip_calls.py
+++ b/benchmarks/sip_calls.py
@@ -1,11 +1,11 @@
-"""Measures the appliance under calls: processor time a call, memory, times of final responses.
+"""Measures the softswitch under SIP calls: processor time per call, memory, and times to final responses.
 
-Any tree of the project that knows `--sip FILE` can be measured, so that two are compared in one run:
+Any tree of the project that supports `--sip FILE` can be measured, so that one run can compare two trees:
 
     .venv/bin/python benchmarks/sip_calls.py --tree . --tree ../before --rate 500 --seconds 20 --tcp
 
 Roster servers and callers are the project's emulators, in processes of their own. A call is INVITE, 200, ACK,
-BYE and its 200. Each tree is measured in turn, `--repeats` times; every run is printed, not the best.
+BYE and its 200. The trees are measured in turn, `--repeats` times; each run is printed, not only the best.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 ROSTER_SERVERS = 4
-SERVER_LINES = 100_000  # calls that one roster server bears at once
-CALLERS = 4  # in each worker
+SERVER_LINES = 100_000  # concurrent calls that one roster server accepts
+CALLERS = 4  # emulated callers in each worker process
 CALLED_NUMBER = "1000"
 LATENCY_OBJECTIVE_S = 1.5
-LINGER_S = 1.5  # after the last call has ended, for late responses
+LINGER_S = 1.5  # wait for late responses after the end of the last call
 POLL_S = 0.01
 CONFIGURATION = """\
 name = "bench"
@@ -73,31 +73,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workload:
-    """The calls of one run. Times are seconds, the rate is calls a second."""
+    """The parameters of the calls of one run. Times are in seconds, the rate in calls per second."""
 
     rate: float
     seconds: float
-    hold_s: float  # how long a call stays established
+    hold_s: float  # duration of an established call
     workers: int  # processes that place calls
     tcp: bool
-    admission: str  # "on", "off", or "as-is": as the tree's own default has it
+    admission: str  # "on", "off", or "as-is" for the default of the tree
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerFigures:
-    """What the callers saw."""
+    """The results of all callers of one run."""
 
     placed: int
-    results: Counter[str]  # by result and status
+    results: Counter[str]  # number of calls by "RESULT_STATUS"
     retransmissions: int
-    established_after_s: list[float]  # sorted
+    established_after_s: list[float]  # set-up times, sorted
 
 
-# ---- the processes beside the program ----
+# ---- processes of the emulated roster servers and callers ----
 
 
 async def serve_rosters(count: int) -> None:
-    """Be roster servers that establish every call at once, until the input ends; prints their ports."""
+    """Run roster servers that establish every call at once, until standard input is closed.
+
+    Prints the servers' ports as one line of JSON.
+    """
     servers = [
         await ServerEmulator(lambda _key: (establish(),), lines=SERVER_LINES).listen() for _ in range(count)
     ]
@@ -109,8 +112,8 @@
 
 
 async def place_calls(port: int, workload: Workload, seed: int) -> None:
-    """Place calls at random times at a rate, from several callers; prints what came of them."""
-    loop, draws = asyncio.get_running_loop(), random.Random(seed)
+    """Place calls from several callers as a Poisson process, and print the results as one line of JSON."""
+    loop, rng = asyncio.get_running_loop(), random.Random(seed)
     open_caller = CallerEmulator.over_tcp if workload.tcp else CallerEmulator.over_udp
     callers = [
         await open_caller(("127.0.0.1", port), f"o{seed}x{index}", seed + index) for index in range(CALLERS)
@@ -123,13 +126,13 @@
         if result is CallResult.ESTABLISHED:
             established_after_s.append(after_s)
 
-    started_at = due = loop.time()
+    started_at = due_at = loop.time()
     placed = 0
-    while due < started_at + workload.seconds:
-        due += draws.expovariate(workload.rate)
-        if (left_s := due - loop.time()) > 0:
+    while due_at < started_at + workload.seconds:
+        due_at += rng.expovariate(workload.rate)
+        if (left_s := due_at - loop.time()) > 0:
             await asyncio.sleep(left_s)
-        draws.choice(callers).place(CALLED_NUMBER, workload.hold_s, due, call_ended)
+        rng.choice(callers).place(CALLED_NUMBER, workload.hold_s, due_at, call_ended)
         placed += 1
     await asyncio.sleep(workload.hold_s + LINGER_S)
     retransmissions = sum(each.counters.retransmissions for each in callers)
@@ -139,7 +142,7 @@
 
 @contextmanager
 def roster_servers() -> Iterator[list[int]]:
-    """Run the roster servers in a process of their own; gives their ports."""
+    """Run the roster servers in a process of their own until the context is left; yields their ports."""
     command = [sys.executable, __file__, "--rosters", str(ROSTER_SERVERS)]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as process:
         assert process.stdout is not None
@@ -150,10 +153,10 @@
 
 
 class CallerProcesses:
-    """The processes that place the calls of one run."""
+    """The worker processes that place the calls of one run."""
 
     def __init__(self, port: int, workload: Workload) -> None:
-        """Start them against the program at a port."""
+        """Start the processes; they call the program at a port of this machine."""
         command = [sys.executable, __file__, "--place", str(port), "--hold", str(workload.hold_s)]
         command += ["--rate", str(workload.rate / workload.workers), "--seconds", str(workload.seconds)]
         command += ["--tcp"] if workload.tcp else []
@@ -163,7 +166,7 @@
         ]
 
     def wait(self) -> CallerFigures:
-        """Wait until all calls are over."""
+        """Wait until all calls have ended. Returns the results of all processes together."""
         figures = [json.loads(process.communicate()[0]) for process in self._processes]
         return CallerFigures(
             placed=sum(each["placed"] for each in figures),
@@ -173,14 +176,14 @@
         )
 
 
-# ---- the program ----
+# ---- the program under test ----
 
 
 class ProgramUnderTest:
-    """The program of one tree, started with a configuration of its own."""
+    """A process of the program of one tree, with its configuration, log and port."""
 
     def __init__(self, tree: Path, folder: Path, server_ports: list[int], admission: str) -> None:
-        """Start it, and wait until it serves."""
+        """Start the program, and wait until it has logged the event `serving`."""
         self.port = free_port()
         self._log = folder / f"log-{time.monotonic_ns()}"
         path = folder / "sip.toml"
@@ -195,17 +198,17 @@
             time.sleep(POLL_S)
 
     def processor_s(self) -> float:
-        """Processor time that it has used."""
+        """Return the processor time of the program so far, in seconds (proc(5))."""
         words = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Its resident memory."""
+        """Return the resident memory of the program in MiB."""
         text = Path(f"/proc/{self._process.pid}/status").read_text()
         return int(text.split("VmRSS:")[1].split()[0]) / 1024
 
     def counters(self) -> dict[str, int]:
-        """Its counters, asked for by signal."""
+        """Send SIGUSR1, wait until the program logs its counters, and return them by name."""
         lines_before = self._log.read_text().count(" counters ")
         self._process.send_signal(signal.SIGUSR1)
         while self._log.read_text().count(" counters ") <= lines_before:
@@ -214,13 +217,13 @@
         return {name: int(value) for name, _, value in (word.partition("=") for word in line.split()[2:])}
 
     def kill(self) -> None:
-        """End it."""
+        """Kill the program and wait for its end."""
         self._process.kill()
         self._process.wait()
 
 
 def _configuration(tree: Path, port: int, server_ports: list[int], admission: str) -> str:
-    """The configuration file, with only keys that the tree knows."""
+    """Return the text of a configuration file that has only the keys supported by the tree."""
     servers = "\n".join(
         f'[[servers]]\nname = "r{number}"\naddress = "127.0.0.1:{each}"\nnumber = {number}'
         for number, each in enumerate(server_ports)
@@ -233,11 +236,11 @@
     return CONFIGURATION.format(address=f"127.0.0.1:{port}", servers=servers, keys="\n".join(keys))
 
 
-# ---- a run ----
+# ---- one measurement run and the command line ----
 
 
 def measure(tree: Path, workload: Workload, folder: Path) -> dict[str, Any]:
-    """One run of one tree."""
+    """Measure one run of one tree. Returns the figures as a JSON object."""
     with roster_servers() as server_ports:
         program = ProgramUnderTest(tree, folder, server_ports, workload.admission)
         try:
@@ -278,12 +281,15 @@
 
 
 def evicted_records(counts: dict[str, int]) -> int:
-    """Transaction records that were evicted early, by the counter's name in this tree or an older one."""
+    """Return the number of transaction records evicted early.
+
+    Older trees have this counter under the name `forgotten_early`.
+    """
     return counts.get("transaction_records_evicted", counts.get("forgotten_early", 0))
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Read the command line; some of its options are for this program's own processes."""
+    """Parse the command line; `--rosters` and `--place` are for processes started by this program."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--tree", type=Path, action="append")
     parser.add_argument("--rate", type=float, default=400.0)
@@ -300,7 +306,7 @@
 
 
 def main() -> None:
-    """Measure, or be one of the processes that do."""
+    """Measure the trees, or run as one of the roster server or caller processes."""
     arguments = parse_arguments()
     workload = Workload(
         rate=arguments.rate,
--- a/benchmarks/sip_layers.py
+++ b/benchmarks/sip_layers.py
@@ -1,7 +1,7 @@
-"""Measures the SIP layers in process, without sockets, under a clock set by hand.
+"""Measures the SIP layers in process, without sockets, on a manually advanced clock.
 
-The parser's throughput, processor time of a call through frontend, call manager and decisions, and the memory
-of transactions at a rate:
+The figures are the parser's throughput, the processor time per call through frontend, call manager and
+decisions, and the memory of transactions and dialogs:
 
     .venv/bin/python benchmarks/sip_layers.py --rate 1000 --seconds 60
 """
@@ -33,7 +33,7 @@
 
 
 def invite(number: int) -> bytes:
-    """An INVITE as a telephone sends it."""
+    """Return an INVITE with the headers and the SDP offer of a telephone."""
     headers = [
         ("via", f"SIP/2.0/UDP {HOST};branch=z9hG4bKo{number};rport"),
         ("max-forwards", "70"),
@@ -50,7 +50,7 @@
 
 
 def in_dialog_request(method: str, cseq: int, branch: str, answer: sip.SipMessage) -> bytes:
-    """A request within the dialog that an answer has established."""
+    """Return a request within the dialog that a 200 to an INVITE has established."""
     headers = [
         ("via", f"SIP/2.0/UDP {HOST};branch={branch};rport"),
         ("max-forwards", "70"),
@@ -62,8 +62,8 @@
     return sip.request(method, answer.get("contact")[1:-1], headers)
 
 
-def call(environment: InProcessEnvironment, number: int, step_s: float, hang_up: bool = True) -> None:
-    """INVITE, 200, ACK, and, if it is to `hang_up`, BYE and 200 of one caller."""
+def play_call(environment: InProcessEnvironment, number: int, step_s: float, release: bool = True) -> None:
+    """Play the messages of one caller: INVITE, 200, ACK and, if `release` is set, BYE and 200."""
     port = environment.frontend.flows.ports[0]
     port.receive(invite(number), PEER)
     environment.wait(step_s)
@@ -71,14 +71,14 @@
     answer = sip_parser.parse_datagram(environment.undelivered[-1][1])
     environment.undelivered.clear()
     port.receive(in_dialog_request("ACK", 1, f"z9hG4bKa{number}", answer), PEER)
-    if hang_up:
+    if release:
         port.receive(in_dialog_request("BYE", 2, f"z9hG4bKb{number}", answer), PEER)
     environment.deliver_output()
     environment.undelivered.clear()
 
 
 def throughput_mb_s(data: list[bytes], read: Callable[[bytes], object]) -> float:
-    """Megabytes that are read in a second of processor time."""
+    """Return the megabytes that `read` processes per second of processor time."""
     started_at = time.process_time()
     for _ in range(PARSE_ROUNDS):
         for each in data:
@@ -87,7 +87,7 @@
 
 
 def print_parser() -> None:
-    """Print the throughput of the parser, alone and with the mandatory headers read."""
+    """Print the throughput of the parser, alone and together with reading the mandatory headers."""
     data = [invite(number) for number in range(PARSED_REQUESTS)]
     parsed = throughput_mb_s(data, sip_parser.parse_datagram)
     print(f"parser alone: {parsed:.1f} MB/s of processor time")
@@ -96,36 +96,37 @@
 
 
 def print_calls(rate: int, seconds: int) -> None:
-    """Print the processor time of a call, and what is remembered of the calls at the end."""
+    """Print the processor time per call, and the transaction records that remain at the end."""
     environment = InProcessEnvironment(dialogs=MAX_DIALOGS)
     calls = rate * seconds
     started_at = time.process_time()
     for number in range(calls):
-        call(environment, number, 1 / rate)
+        play_call(environment, number, 1 / rate)
     used_s = time.process_time() - started_at
     table, counts = environment.frontend.server_transactions, environment.frontend.counters.counts
-    print(f"{calls} calls at {rate}/s: {1e6 * used_s / calls:.0f} us a call with the caller's own work")
+    print(f"{calls} calls at {rate}/s: {1e6 * used_s / calls:.0f} us per call, including the emulated caller")
     print(
-        f"remembered {len(table.records.responses)}, {table.records.size_bytes / 1e6:.1f} MB counted; open "
-        f"{len(table.open_transactions)}; table_full {counts.get('table_full', 0)}, "
+        f"remembered {len(table.records.responses)} transaction records,"
+        f" {table.records.size_bytes / 1e6:.1f} MB; open transactions {len(table.open_transactions)};"
+        f" table_full {counts.get('table_full', 0)}, "
         f"transaction_records_evicted {counts.get('transaction_records_evicted', 0)}"
     )
 
 
 def print_dialog_memory() -> None:
-    """Print the memory of an open dialog with its call."""
+    """Print the memory of an established dialog together with its call."""
     environment = InProcessEnvironment(dialogs=MAX_DIALOGS)
     tracemalloc.start()
-    call(environment, 0, 0.001, hang_up=False)
+    play_call(environment, 0, 0.001, release=False)
     before = tracemalloc.get_traced_memory()[0]
     for number in range(1, OPEN_DIALOGS + 1):
-        call(environment, number, 0.001, hang_up=False)
-    held = (tracemalloc.get_traced_memory()[0] - before) / OPEN_DIALOGS
-    print(f"an open dialog with its call: {held:.0f} bytes, its answered INVITE's record among them")
+        play_call(environment, number, 0.001, release=False)
+    bytes_per_dialog = (tracemalloc.get_traced_memory()[0] - before) / OPEN_DIALOGS
+    print(f"an open dialog with its call: {bytes_per_dialog:.0f} bytes with the INVITE's transaction record")
 
 
 def main() -> None:
-    """Print each figure."""
+    """Run all measurements and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rate", type=int, default=1000)
     parser.add_argument("--seconds", type=int, default=60)
--- a/benchmarks/weigh_pysyncobj.py
+++ b/benchmarks/weigh_pysyncobj.py
@@ -1,7 +1,8 @@
-"""What the locks and the journal of PySyncObj, a Raft library, promise where leases are tried hardest.
+"""Tests locks and journal of PySyncObj, a Raft library, under the faults that are hardest for leases.
 
-That is a holder that is stopped for longer than its lease, and all processes killed in a moment. Three
-processes, a lock that is released by itself after 1.5 s. Measured, not read off its pages; nothing is a test.
+The faults are a holder that is stopped for longer than its lease, and a simultaneous kill of all processes.
+The cluster has three processes, and its lock expires after 1.5 s. The results are measured, not taken from
+the library's documentation, and none is asserted.
 
     python3 -m venv weigh && weigh/bin/pip install -r requirements-weigh.txt
     weigh/bin/python benchmarks/weigh_pysyncobj.py
@@ -25,18 +26,18 @@
 
 LEASE_DURATION_S = 1.5
 STOPPED_S = 5.0
-START_S, RESTART_S = 4.0, 5.0  # until all are ready
+START_S, RESTART_S = 4.0, 5.0  # wait until all processes are ready
 LOCK = "work"
 MEMBERS = 3
 INCREMENTS = 50
-CALL_TIMEOUT_S = 5  # of the library's
+CALL_TIMEOUT_S = 5  # of calls of the library
 REPLY_TIMEOUT_S = 20.0
 POLL_INTERVAL_S = 0.01
-LOOK_INTERVAL_S = 0.002  # how often a process looks at its lock
+LOCK_CHECK_INTERVAL_S = 0.002  # between two checks of the lock's state by a process
 
 
 class Command(StrEnum):
-    """A command to a process, a line each."""
+    """A command to a member process, sent as one line to its standard input."""
 
     ACQUIRE = "acquire"
     COUNT = "count"
@@ -44,9 +45,9 @@
 
 
 class RecordKind(StrEnum):
-    """What a process writes down."""
+    """The kind of a record that a member process writes to its file."""
 
-    HELD = "held"  # whether it believes that it holds the lock
+    HELD = "held"  # whether the library reports the lock as held by this process
     ACQUIRED = "answer"
     COUNTED = "counted"
     VALUE = "kept"
@@ -62,26 +63,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A line of a process's file."""
+    """One record of a member process: a line of its file."""
 
-    at_s: float  # by the monotonic clock
+    at_s: float  # seconds of the monotonic clock
     kind: str
     value: Any
 
 
 def records_path(directory: Path, name: str) -> Path:
-    """Return the file that a process writes its records to."""
+    """Return the path of the file to which a process writes its records."""
     return directory / f"{name}.said"
 
 
 def read_records(directory: Path, name: str) -> list[Record]:
-    """Return what a process has written down."""
+    """Return all records of a process so far, in order; none if its file doesn't exist."""
     path = records_path(directory, name)
     return [Record(*json.loads(line)) for line in path.read_text().splitlines()] if path.exists() else []
 
 
 class SyncCounter:
-    """Counts the calls of os.fsync in this process."""
+    """A replacement of os.fsync that counts its calls in this process."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -94,10 +95,10 @@
 
 
 class LockMember:
-    """One process: looks at its lock as fast as it can, and carries out commands."""
+    """A member process, which polls the state of the lock and carries out commands."""
 
     def __init__(self, name: str, addresses: list[str], directory: Path) -> None:
-        self._syncs = SyncCounter()  # before the library takes os.fsync
+        self._syncs = SyncCounter()  # must replace os.fsync before the library imports it
         from pysyncobj import SyncObj, SyncObjConf  # type: ignore[import-not-found]
         from pysyncobj.batteries import ReplCounter, ReplLockManager  # type: ignore[import-not-found]
 
@@ -112,7 +113,7 @@
         self._path = records_path(directory, name)
 
     def run(self) -> None:
-        """Run until killed."""
+        """Record each change of the lock's state, and carry out commands, until the process is killed."""
         os.set_blocking(sys.stdin.fileno(), False)
         was_held = None
         while True:
@@ -125,9 +126,9 @@
                 command = os.read(sys.stdin.fileno(), 64).strip()
             try:
                 self._carry_out(command.decode())
-            except Exception as error:  # noqa: BLE001 - whatever the library raises is a result
+            except Exception as error:  # noqa: BLE001 - any error of the library is a result
                 self._write(RecordKind.FAULT, repr(error))
-            time.sleep(LOOK_INTERVAL_S)
+            time.sleep(LOCK_CHECK_INTERVAL_S)
 
     def _carry_out(self, command: str) -> None:
         match command:
@@ -135,10 +136,10 @@
                 acquired = self._lock.tryAcquire(LOCK, sync=True, timeout=CALL_TIMEOUT_S)
                 self._write(RecordKind.ACQUIRED, repr(acquired))
             case Command.COUNT:
-                syncs, began = self._syncs.count, time.monotonic()
+                syncs, started_at = self._syncs.count, time.monotonic()
                 for _ in range(INCREMENTS):
                     self._counter.inc(sync=True, timeout=CALL_TIMEOUT_S)
-                took_s = time.monotonic() - began
+                took_s = time.monotonic() - started_at
                 self._write(RecordKind.COUNTED, [self._counter.get(), self._syncs.count - syncs, took_s])
             case Command.GET:
                 self._write(RecordKind.VALUE, [self._counter.get(), bool(self._node.isReady())])
@@ -149,7 +150,7 @@
 
 
 class LockCluster:
-    """The three processes."""
+    """The cluster of the three member processes."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
@@ -157,7 +158,7 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     def start(self) -> None:
-        """Start all of them."""
+        """Start all member processes."""
         self._processes = [
             subprocess.Popen(
                 [sys.executable, __file__, str(number), str(self._directory), *self._addresses],
@@ -166,8 +167,8 @@
             for number in range(MEMBERS)
         ]
 
-    def tell(self, number: int, command: Command) -> Record | None:
-        """Give a process a command. Returns its reply or fault, None if none comes in time."""
+    def send_command(self, number: int, command: Command) -> Record | None:
+        """Send a command to a process. Returns the reply or fault record, None after REPLY_TIMEOUT_S."""
         replies_before = len(self._replies(number, command))
         stdin = self._processes[number].stdin
         assert stdin is not None
@@ -182,11 +183,11 @@
         return None
 
     def send_signal(self, number: int, signal_number: signal.Signals) -> None:
-        """Stop a process, or let it go on."""
+        """Send a signal to a process, such as SIGSTOP or SIGCONT."""
         self._processes[number].send_signal(signal_number)
 
     def kill(self) -> None:
-        """Kill all of them."""
+        """Kill all member processes and wait for their ends."""
         for process in self._processes:
             process.kill()
             process.wait()
@@ -197,7 +198,7 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return addresses of this machine whose ports are free, as host:port."""
+    """Return loopback addresses with free ports, as host:port."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in sockets]
     for each in sockets:
@@ -206,28 +207,28 @@
 
 
 def measure(cluster: LockCluster, directory: Path) -> None:
-    """Stop a holder for longer than its lease, kill all, and print what the library says."""
+    """Stop a holder for longer than its lease, then kill all processes, and print the library's replies."""
     time.sleep(START_S)
-    print("what the first gets for an acquired lock:", cluster.tell(0, Command.ACQUIRE))
+    print("reply to the first process that acquires the lock:", cluster.send_command(0, Command.ACQUIRE))
     cluster.send_signal(0, signal.SIGSTOP)
     time.sleep(LEASE_DURATION_S * 2)
-    print("what the second gets while the first is stopped:", cluster.tell(1, Command.ACQUIRE))
+    print("reply to the second process while the first is stopped:", cluster.send_command(1, Command.ACQUIRE))
     time.sleep(STOPPED_S - 2 * LEASE_DURATION_S)
     continued_at = time.monotonic()
     cluster.send_signal(0, signal.SIGCONT)
     time.sleep(2)
-    beliefs = [each for each in read_records(directory, "0") if each.kind == RecordKind.HELD]
-    shown = [(round(each.at_s - continued_at, 4), each.value) for each in beliefs]
-    print("the first, seconds from when it was let go on:", shown)
-    print(f"{INCREMENTS} increments: value, fsyncs, seconds:", cluster.tell(1, Command.COUNT))
+    lock_states = [each for each in read_records(directory, "0") if each.kind == RecordKind.HELD]
+    shown = [(round(each.at_s - continued_at, 4), each.value) for each in lock_states]
+    print("lock states of the first process, with seconds since it was continued:", shown)
+    print(f"{INCREMENTS} increments: value, fsyncs, seconds:", cluster.send_command(1, Command.COUNT))
     cluster.kill()
     cluster.start()
     time.sleep(RESTART_S)
-    print("after SIGKILL of all: value, ready:", cluster.tell(1, Command.GET))
+    print("after SIGKILL of all processes: counter value, ready:", cluster.send_command(1, Command.GET))
 
 
 def main() -> None:
-    """Run the three processes and measure them."""
+    """Start the cluster, run the measurement, and kill the cluster."""
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         cluster = LockCluster(directory)
