--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -42,7 +42,7 @@
     seeds: int
 
 
-def describe(case: SimulatedCase) -> str:
+def simulate_case(case: SimulatedCase) -> str:
     """Simulate a case. Returns a line of text with its fullest window and its early set-ups."""
     site = Site(reports_lines=case.reports_lines)
     results = [
@@ -63,7 +63,7 @@
     """Simulate every scenario with and without reports of lines, and print a line for each case."""
     cases = [SimulatedCase(lines, scenario, seeds) for lines in (True, False) for scenario in Scenario]
     with multiprocessing.Pool(CONCURRENT_RUNS) as pool:
-        for line in pool.imap(describe, cases):
+        for line in pool.imap(simulate_case, cases):
             print(line, flush=True)
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -85,8 +85,8 @@
         "fall_s": 1.0,
     },
 }
-# Log events, and the field of Start for the time of the last such event. Older trees log `reached` instead of
-# `server_connected`.
+# Log events, and the field of StartTimes for the time of the last such event. Older trees log `reached`
+# instead of `server_connected`.
 FIELD_BY_EVENT = {
     "ready": "ready",
     "serving": "serving",
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Start:
+class StartTimes:
     """The times of one start, in seconds from the start of the process, and its processor seconds.
 
     0 means that the log has no such event.
@@ -199,7 +199,7 @@
     return float("inf")
 
 
-async def start_softswitch(folder: Path, number: int, config: dict[str, Any], tree: Path) -> Start:
+async def start_softswitch(folder: Path, number: int, config: dict[str, Any], tree: Path) -> StartTimes:
     """Start one softswitch, wait until it passes a health check, and kill it. Returns its times."""
     port = free_port()
     path, log = folder / f"{number}.json", folder / f"{number}.log"
@@ -217,7 +217,7 @@
             stderr=output,
         )
     try:
-        start = Start(healthy=await wait_until_healthy(("127.0.0.1", port), started_at))
+        start = StartTimes(healthy=await wait_until_healthy(("127.0.0.1", port), started_at))
         await asyncio.sleep(LOG_DELAY_S)
         start.processor = processor_time_s(process.pid)
     finally:
@@ -278,7 +278,7 @@
     }
 
 
-async def start_all(behaviour: CoordinatorBehaviour, options: argparse.Namespace) -> list[Start]:
+async def start_all(behaviour: CoordinatorBehaviour, options: argparse.Namespace) -> list[StartTimes]:
     """Start all softswitches at once, with a coordinator of the given behaviour. Returns their times."""
     loop = asyncio.get_running_loop()
     # Servers that accept connections and send nothing.
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -126,7 +126,7 @@
     )
 
 
-def show_or_keep(slope: Slope, as_json: bool, keep: bool) -> None:
+def print_and_store(slope: Slope, as_json: bool, keep: bool) -> None:
     """Print a slope, and store it if `keep` is set; a slope with one size has no fit and is only printed."""
     if len(slope.points) < 2:
         print(f"{slope.name}: {[list(point.values) for point in slope.points]}, too few sizes to fit a line")
@@ -183,7 +183,7 @@
     options = MeasurementOptions(decisions=arguments.decisions, window_s=arguments.seconds)
     results = run_family(family, sizes, arguments.repeat, options)
     for slope in make_slopes(family, results, sizes, arguments.repeat, commit):
-        show_or_keep(slope, arguments.json, arguments.keep)
+        print_and_store(slope, arguments.json, arguments.keep)
     return 0
 
 
--- a/benchmarks/scaling/call_breakdown.py
+++ b/benchmarks/scaling/call_breakdown.py
@@ -42,5 +42,5 @@
     main_ms = 1000 * run.processor.main_thread_s / run.calls
     figures["call_loop_by_servers"] = main_ms - sum(figures.values())
     figures["call_log_thread_by_servers"] = 1000 * run.processor.other_threads_s / run.calls
-    figures["call_waits_by_servers"] = run.waits / run.calls
+    figures["call_waits_by_servers"] = run.voluntary_switches / run.calls
     return Measurement(figures=figures)
--- a/benchmarks/scaling/callers.py
+++ b/benchmarks/scaling/callers.py
@@ -54,8 +54,8 @@
         return caller
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection is up."""
-        self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
+        """Store the transport of the new connection."""
+        self.transport = transport  # type: ignore[assignment]  # uvloop's is no asyncio.Transport
 
     def place_call(self, serial: int, server: int) -> None:
         """Send an INVITE whose routing data names a preferred server."""
@@ -120,8 +120,8 @@
         return caller
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection is up."""
-        self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
+        """Store the transport of the new connection."""
+        self.transport = transport  # type: ignore[assignment]  # uvloop's is no asyncio.Transport
 
     def place_call(self, serial: int) -> None:
         """Send a set-up to the roster server."""
@@ -169,7 +169,7 @@
     calls: int
     duration_s: float
     processor: ProcessorTime
-    waits: int  # voluntary context switches of the main thread
+    voluntary_switches: int  # voluntary context switches of the main thread
     spans_before: str  # JSON that the instrumented program had written when the run began; "" if none
 
     def processor_ms_a_call(self, core_percent_at_rest: float) -> float:
@@ -191,7 +191,11 @@
         caller.place_call(next(serials), rng.randrange(SERVICE_SERVERS))
 
     await run_poisson_process(CALL_DURATION_S + LEAD_S, rate, rng, place_call)
-    processor, waits, began = softswitch.processor_time(), softswitch.waits(), time.monotonic()
+    processor, voluntary_switches, began = (
+        softswitch.processor_time(),
+        softswitch.voluntary_switches(),
+        time.monotonic(),
+    )
     spans = softswitch.spans_path.read_text() if softswitch.spans_path.exists() else ""
     calls = await run_poisson_process(seconds, rate, rng, place_call)
     processor_after, duration_s = softswitch.processor_time(), time.monotonic() - began
@@ -199,7 +203,7 @@
         calls=calls,
         duration_s=duration_s,
         processor=processor_after.since(processor),
-        waits=softswitch.waits() - waits,
+        voluntary_switches=softswitch.voluntary_switches() - voluntary_switches,
         spans_before=spans,
     )
     await caller.wait_until_answered(LAST_ANSWERS_S)
--- a/benchmarks/scaling/capacity_rows.py
+++ b/benchmarks/scaling/capacity_rows.py
@@ -7,7 +7,7 @@
 
 # Size of the deployment that is expected within two years.
 SERVERS = 1900
-SERVICE_SERVERS = 10  # of the service that is called
+SERVICE_SERVERS = 10  # servers of the called service
 CALLS_A_SECOND = 137
 PENDING_CALLS = 1900
 MS_A_CALL_TO_CORE = CALLS_A_SECOND / 10  # factor from milliseconds per call to per cent of a core
--- a/benchmarks/scaling/capacity_tables.py
+++ b/benchmarks/scaling/capacity_tables.py
@@ -10,7 +10,7 @@
 from benchmarks.scaling.line_fit import MIN_SIZES_FOR_BEND, LineFit, fit_line
 from benchmarks.scaling.slopes import Slope
 
-NOTHING = "-"
+EMPTY_CELL = "-"
 
 
 def capacity_tables(slopes: dict[str, Slope], rows: Iterable[CapacityRow] = ROWS) -> str:
@@ -37,7 +37,7 @@
 
 def _row_line(judged: JudgedRow, slopes: dict[str, Slope]) -> str:
     row = judged.row
-    slope = budget = NOTHING
+    slope = budget = EMPTY_CELL
     if row.slope in slopes:
         slope = f"`{row.slope}`, {row.size:,.0f} {slopes[row.slope].size_name}"
     if row.budget is not None:
--- a/benchmarks/scaling/decision_cost.py
+++ b/benchmarks/scaling/decision_cost.py
@@ -41,7 +41,7 @@
 from stairhatch.overload.settings import Settings
 from stairhatch.settings.parser import settings_from_object
 
-START_S = 1000.0  # of the virtual clock
+START_S = 1000.0  # initial time of the virtual clock
 SETUP_S = 0.01  # from sending a set-up to the established call
 RUN_S = 3.0
 CHANGES = 50  # updates of the endpoint list, of one line each
--- a/benchmarks/scaling/fleet_cost.py
+++ b/benchmarks/scaling/fleet_cost.py
@@ -86,7 +86,7 @@
     statuses: list[FollowerStatus] = [process.status() for process in followers]
     return FollowerStatus(
         updates=min(status.updates for status in statuses),
-        last_at=max(status.last_at for status in statuses),
+        last_update_at=max(status.last_update_at for status in statuses),
     )
 
 
@@ -103,6 +103,6 @@
         "a changed endpoint list at every follower",
         poll_s=SLOW_POLL_S,
     )
-    delay_s: float = _follower_status(followers).last_at - published_at
+    delay_s: float = _follower_status(followers).last_update_at - published_at
     time.sleep(CHANGE_PAUSE_S)
     return delay_s
--- a/benchmarks/scaling/line_fit.py
+++ b/benchmarks/scaling/line_fit.py
@@ -10,7 +10,7 @@
 # A deviation above this fraction of the median, and above the point's spread, indicates a bend.
 BEND_FRACTION = 0.1
 MIN_SIZES_FOR_BEND = 4
-# A deviation is weighed by the inverse of its median. The median counts as at least this fraction of the
+# A deviation is weighted by the inverse of its median. The median counts as at least this fraction of the
 # largest one, because a deviation relative to a median of 0 is undefined.
 MIN_WEIGHT_FRACTION = 0.05
 SINGULAR = 1e-9  # a relative pivot below this makes the equations singular
--- a/benchmarks/scaling/simulated_softswitches.py
+++ b/benchmarks/scaling/simulated_softswitches.py
@@ -48,7 +48,7 @@
     """The smallest update count among the followers, and the time of the latest update of any follower."""
 
     updates: int = 0
-    last_at: float = 0.0  # Unix time
+    last_update_at: float = 0.0  # Unix time
 
 
 @dataclass
@@ -61,24 +61,24 @@
     async def start(self) -> None:
         """Start polling the coordinator."""
         self._updates = [0] * self.count
-        self._last_at = 0.0
+        self._last_update_at = 0.0
         for index in range(self.count):
             core = call_manager()
             core.servers.pool = NoServerPool()  # type: ignore[assignment]
             network = Network(core)
             client = ServiceDiscoveryClient(core, self.coordinator, 0)
             update_servers = core.update_servers
-            core.update_servers = partial(self._record_update, index, update_servers)  # type: ignore[method-assign]
+            core.update_servers = partial(self._record, index, update_servers)  # type: ignore[method-assign]
             network.spawn(network.poll_service_discovery(client))
 
     def reply(self, _request: Request) -> FollowerStatus:
         """Return the update status of all followers of the service."""
-        return FollowerStatus(min(self._updates), self._last_at)
+        return FollowerStatus(min(self._updates), self._last_update_at)
 
-    def _record_update(self, index: int, update_servers: Any, records: Iterable[Any], complete: bool) -> None:
+    def _record(self, index: int, update_servers: Any, records: Iterable[Any], complete: bool) -> None:
         update_servers(records, complete)
         self._updates[index] += 1
-        self._last_at = time.time()
+        self._last_update_at = time.time()
 
 
 @dataclass
--- a/benchmarks/scaling/softswitch_process.py
+++ b/benchmarks/scaling/softswitch_process.py
@@ -214,7 +214,7 @@
                 others_s += seconds
         return ProcessorTime(main_s, others_s)
 
-    def waits(self) -> int:
+    def voluntary_switches(self) -> int:
         """Return the number of voluntary context switches of the main thread so far."""
         return self._status_field("voluntary_ctxt_switches:")
 
--- a/benchmarks/scaling/workload.py
+++ b/benchmarks/scaling/workload.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-SERVICE_SERVERS = 10  # of the service that is called
-CALL_RATE = 137.0  # calls a second
+SERVICE_SERVERS = 10  # servers of the called service
+CALL_RATE = 137.0  # calls per second
 CALL_DURATION_S = 1.0
 STATE_INTERVAL_S = 0.4  # between two load reports of a roster server
 SERVER_LINES = 1000  # lines of an emulated roster server; enough for all calls of a run
--- a/benchmarks/scope.py
+++ b/benchmarks/scope.py
@@ -44,13 +44,13 @@
 from stairhatch.scope.config import ScopeConfig
 from stairhatch.scope.controller import ScopedController
 
-CALL_RATE = 137.0  # calls a second
+CALL_RATE = 137.0  # calls per second
 SERVICE_SERVERS = 10
 SETUP_S = 0.02
 CALL_DURATION_S = 9.0
 CALLER_TIMEOUT_S = 9.0
 WARM_UP_CALLS = 200  # before the measured rounds
-START_S = 1000.0  # of the virtual clock
+START_S = 1000.0  # initial time of the virtual clock
 RELEASE_REPORT = LoadReport(free_lines=180.0, total_lines=200.0, processor_wait_s=0.005)
 PLAIN, SCOPED = "plain", "scoped"
 
@@ -189,9 +189,10 @@
 def print_json(results: list[SizeResult], ratios: dict[str, float]) -> None:
     """Print the results and the environment of the run as one JSON object."""
     first, last = results[0], results[-1]
-    listed_more = max(1, last.listed - first.listed)
+    size_difference = max(1, last.listed - first.listed)
     slopes = {
-        name: round((last.least_us()[name] - us) / listed_more, 4) for name, us in first.least_us().items()
+        name: round((last.least_us()[name] - us) / size_difference, 4)
+        for name, us in first.least_us().items()
     }
     revision = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True, check=False
--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -104,7 +104,7 @@
         await asyncio.sleep(0.05)
         for number in range(self.member_count):
             self._start_member(number)
-        while not self._all_ready():  # noqa: ASYNC110 - readiness is only visible in the members' logs, so it must be polled
+        while not self._all_ready():  # noqa: ASYNC110 - only the logs show readiness
             await asyncio.sleep(POLL_INTERVAL_S)
         rate = SITE.capacity * SITE.load * SITE.servers / self.member_count
         for address in self._addresses.values():
--- a/benchmarks/slow_start/results.py
+++ b/benchmarks/slow_start/results.py
@@ -52,4 +52,8 @@
     def bearable_early_setups(self) -> float:
         """Return the number of set-ups that the server could have processed in the first EARLY_S seconds."""
         ages_s = [EARLY_S * (step + 0.5) / INTEGRATION_STEPS for step in range(INTEGRATION_STEPS)]
-        return EARLY_S * self.site.capacity * statistics.fmean(self.site.warmth(age_s) for age_s in ages_s)
+        return (
+            EARLY_S
+            * self.site.capacity
+            * statistics.fmean(self.site.capacity_fraction(age_s) for age_s in ages_s)
+        )
--- a/benchmarks/slow_start/scenarios.py
+++ b/benchmarks/slow_start/scenarios.py
@@ -63,7 +63,7 @@
     lines_factor: float = 1.0
     warms_evenly: bool = True  # False: the server has its initial capacity until the warm-up ends
 
-    def warmth(self, age_s: float) -> float:
+    def capacity_fraction(self, age_s: float) -> float:
         """Return the fraction of its full capacity that a server has `age_s` seconds after its start."""
         progress = min(1.0, max(0.0, age_s / max(self.safety.warm_up_s, 1e-9)))
         if not self.warms_evenly and progress < 1:
@@ -74,7 +74,10 @@
     def budget(self, age_s: float = 0.0) -> float:
         """Return N, the set-ups that the settings allow in an overload window at `age_s` after the start."""
         return (
-            self.safety.overload_multiple * self.warmth(age_s) * self.capacity * self.safety.overload_window_s
+            self.safety.overload_multiple
+            * self.capacity_fraction(age_s)
+            * self.capacity
+            * self.safety.overload_window_s
         )
 
     def bound(self, age_s: float = 0.0) -> float:
--- a/benchmarks/slow_start/servers.py
+++ b/benchmarks/slow_start/servers.py
@@ -24,7 +24,7 @@
 
     def rate(self, now: float) -> float:
         """Return the server's capacity at a time, in calls per second."""
-        return self.site.capacity * self.site.warmth(now - self.started_at)
+        return self.site.capacity * self.site.capacity_fraction(now - self.started_at)
 
     def take_setup(self, now: float) -> float:
         """Accept a set-up into the queue. Returns the time at which it is processed."""
--- a/benchmarks/slow_start/simulation.py
+++ b/benchmarks/slow_start/simulation.py
@@ -39,7 +39,7 @@
 WARM_SETUP_S = 0.01
 LATE_S = 3.0  # delay of half of the endpoint lists in the scenario LATE
 CONNECTED_LATE_S = 2.5  # delay of all connections to the server in the scenario LINKS_LATE
-LEARNING_S = 40.0  # of calls before the server starts
+LEARNING_S = 40.0  # length of the history of calls before the server starts
 
 
 @dataclass(slots=True)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -269,7 +269,7 @@
 
 
 def test_page_without_markers_is_rejected():
-    """A page whose markers are missing, repeated or in the noise_factors order raises an error."""
+    """A page whose markers are missing, repeated or in the wrong order raises an error."""
     for page in (
         "",
         capacity.END_MARKER + capacity.BEGIN_MARKER,
@@ -304,7 +304,7 @@
 
 
 def test_driver_measures_the_decisions_of_its_factory():
-    """The driver creates its decisions by the given factory, and passes slope_names event to them."""
+    """The driver creates its decisions by the given factory, and passes every event to them."""
     handled_events = []
 
     class OtherController(Controller):
