--- a/benchmarks/slow_start/process_run.py
+++ b/benchmarks/slow_start/process_run.py
@@ -27,7 +27,7 @@
 SCENARIOS = (Scenario.CALM, Scenario.RESTARTED, Scenario.LATE, Scenario.ALONE)
 SCENARIO_S = 13.0  # duration of each scenario
 LATE_S = 3.0  # delay of the second coordinator's list in the scenario LATE
-LEARNING_S = 2.5 * CALL_DURATION_S  # of calls before the first scenario
+LEARNING_S = 2.5 * CALL_DURATION_S  # duration of calls before the first scenario
 POLL_INTERVAL_S = 0.1
 
 
@@ -73,10 +73,8 @@
         self._directory = directory
         self._rng = random.Random(seed)
         self._host = loopback_host()
-        self._coordinators = (
-            CoordinatorEmulator(),
-            CoordinatorEmulator(),
-        )  # the second one may publish late; each has half of the members
+        # Each coordinator has half of the members; the second one may publish late.
+        self._coordinators = (CoordinatorEmulator(), CoordinatorEmulator())
         self._processes: dict[int, subprocess.Popen[bytes]] = {}
         self._addresses = {n: (self._host, free_port(self._host)) for n in range(self.member_count)}
         self._servers: dict[str, WarmableServer] = {}
