--- a/stairhatch/fault_injection/schedule.py
+++ b/stairhatch/fault_injection/schedule.py
@@ -1,8 +1,9 @@
-"""The faults of a run: their kinds, when each begins, and the timeline files that hold them.
+"""Fault schedules: the kinds of faults, the start time of each fault, and the timeline files in TOML.
 
-One schedule is carried out on the virtual clock (`virtual_cluster`) and on real processes (`process_run`); it
-never depends on what the run does. Schedules come from a timeline in TOML (`experiments/lab/`) or from a seed
-(`schedule_generator`). The field names of those files are the encoded names given here.
+The same schedule can be run on the virtual clock (`virtual_cluster`) and on real processes (`process_run`). A
+schedule is fixed before its run and does not depend on the run's events. It is read from a timeline in TOML
+(`experiments/lab/`) or drawn from a seed (`schedule_generator`). The keys of a timeline file are the encoded
+field names of the classes in this module.
 """
 
 from __future__ import annotations
@@ -19,35 +20,38 @@
 MIN_MEMBERS, MAX_MEMBERS = 3, 9
 DEFAULT_DRIFT_BOUND = 0.01
 DEFAULT_LEASE_DURATION_S = 3.0
-DRIFT_TOLERANCE = 1e-12  # of the comparison of a clock's rate with the bound
+DRIFT_TOLERANCE = 1e-12  # rounding error allowed when a clock's rate is compared with the drift bound
 
 MemberNames = tuple[str, ...]
 
 
 class FaultKind(Enum):
-    """The kinds of faults; values are the names in timeline files. The order is that of the random draws."""
-
-    STOP = "stop"  # SIGSTOP, and SIGCONT after the duration
-    KILL = "kill"  # SIGKILL, and started again after the duration
-    KILL_ALL = "kill all"
-    LOSE_DATA_DIRECTORY = "lose folder"  # killed, and started again without its data directory
-    RESTORE_OLD_DATA_DIRECTORY = "old folder"  # killed, and started again with an older copy of it
-    DISK_FULL = "disk full"
+    """The kinds of faults. Values are the names in timeline files.
+
+    The order of the members determines which kinds a seed draws (`schedule_generator`).
+    """
+
+    STOP = "stop"  # SIGSTOP; SIGCONT after the duration
+    KILL = "kill"  # SIGKILL; restarted after the duration
+    KILL_ALL = "kill all"  # all members at once; each is restarted within the duration
+    LOSE_DATA_DIRECTORY = "lose folder"  # killed, then restarted without its data directory
+    RESTORE_OLD_DATA_DIRECTORY = "old folder"  # killed, then restarted with an older copy of it
+    DISK_FULL = "disk full"  # writes fail
     DISK_SLOW = "disk slow"  # each write takes `amount` seconds longer
-    DISK_READ_ONLY = "disk read-only"
-    FLIP_BIT = "bit turned"  # killed, and started again with one bit of its data flipped
-    LOSS = "loss"  # of the fraction `amount` of all datagrams
-    DELAY = "delay"  # by up to `amount` seconds, so datagrams are reordered too
-    DUPLICATION = "copies"  # of the fraction `amount`, the copy up to a second later
-    CUT_LINK = "cut"  # from one member to another, in this direction
-    CUT_OUTBOUND = "mute"  # from one member to all others
-    CUT_INBOUND = "deaf"  # from all others to one member
-    CUT_ALL_BUT_ONE = "only"  # from one member to all others but `peer`
-    PARTITION = "split"  # between `members` and the rest
-    STEP_WALL_CLOCK = "step"  # by `amount` seconds
-    STOP_BEFORE_WRITE = "stopped at work"  # the holder stops once, between its check and its write
-    CHANGE_VOTERS = "voters"  # the voter set becomes `members`, and each member is restarted with it
-    HAND_OVER = "hand over"  # the holder releases the lease to a named successor, who may be dead
+    DISK_READ_ONLY = "disk read-only"  # writes fail
+    FLIP_BIT = "bit turned"  # killed, then restarted with one bit of its data flipped
+    LOSS = "loss"  # the fraction `amount` of all datagrams is lost
+    DELAY = "delay"  # datagrams are delayed by up to `amount` seconds, which also reorders them
+    DUPLICATION = "copies"  # the fraction `amount` of datagrams is sent twice, the copy up to 1 s later
+    CUT_LINK = "cut"  # no traffic from `member` to `peer`; the other direction works
+    CUT_OUTBOUND = "mute"  # no traffic from `member` to any other member
+    CUT_INBOUND = "deaf"  # no traffic from any other member to `member`
+    CUT_ALL_BUT_ONE = "only"  # no traffic from `member` to any other member except `peer`
+    PARTITION = "split"  # no traffic between `members` and the other members
+    STEP_WALL_CLOCK = "step"  # the wall clock is stepped by `amount` seconds
+    STOP_BEFORE_WRITE = "stopped at work"  # the holder is stopped once, between lease check and write
+    CHANGE_VOTERS = "voters"  # the voter set becomes `members`; members are restarted with it
+    HAND_OVER = "hand over"  # the holder releases the lease to successor `peer`, which may be down
 
 
 DATA_DIRECTORY_FAULTS = (
@@ -56,48 +60,49 @@
     FaultKind.FLIP_BIT,
 )
 ENDPOINT_LIST_LEASE = "list"
-HOLDER = "@holder"  # in place of a member: whoever holds the endpoint list's lease as the fault begins
+HOLDER = "@holder"  # placeholder for the member that holds the endpoint list's lease when the fault begins
 
 
 class ScheduledFault(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """One fault: its kind, when it begins, and whom it concerns. Times in seconds of the run."""
+    """One fault: its kind, its start time in seconds since the run's start, and the members affected."""
 
     at_s: float = field(name="at")
     kind: FaultKind = field(name="fault")
     member: str = field(name="who", default="")
     peer: str = field(name="other", default="")
     duration_s: float = field(name="lasts", default=0.0)
-    amount: float = 0.0  # a fraction or seconds, by the kind
+    amount: float = 0.0  # a fraction (0 to 1) or seconds, depending on the kind
     members: MemberNames = field(name="names", default=())
-    unchanged_members: MemberNames = field(name="stays", default=())  # whose files keep the old voter set
+    unchanged_members: MemberNames = field(name="stays", default=())  # their files keep the old voters
 
 
 class FaultSchedule(Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """One run: its members, its lease timings, its faults, and what has to come of it."""
+    """Input of one run: its members, lease timings and faults, and the results that it must reach."""
 
     duration_s: float = field(name="seconds")
     members: MemberNames
     voters: MemberNames
     faults: tuple[ScheduledFault, ...] = field(name="events", default=())
-    clock_rates: dict[str, float] = field(name="rates", default_factory=dict)  # 1.0 where not given
+    clock_rates: dict[str, float] = field(name="rates", default_factory=dict)  # by member; default 1.0
     drift_bound: float = field(name="drift", default=DEFAULT_DRIFT_BOUND)
     lease_duration_s: float = field(name="term_s", default=DEFAULT_LEASE_DURATION_S)
-    fault_free_s: float = field(name="quiet_s", default=20.0)  # at the end
-    required_activations: tuple[str, ...] = field(name="must_bite", default=())  # else the run proves nothing
-    min_holders: int = field(name="owners", default=0)  # different holders of the endpoint list's lease
-    expects_no_holder: bool = field(name="rests", default=False)  # at the end, while calls go on
+    fault_free_s: float = field(name="quiet_s", default=20.0)  # at the run's end
+    required_activations: tuple[str, ...] = field(name="must_bite", default=())  # else the run is void
+    min_holders: int = field(name="owners", default=0)  # distinct holders of the endpoint list's lease
+    expects_no_holder: bool = field(name="rests", default=False)  # at the run's end, while calls continue
 
     @property
     def within_drift_bound(self) -> bool:
-        """Whether all clocks keep to the drift bound, on which the safety of the leases rests."""
+        """Whether all clock rates are within the drift bound; the leases are only safe if they are."""
         return all(abs(rate - 1) <= self.drift_bound + DRIFT_TOLERANCE for rate in self.clock_rates.values())
 
     @property
     def expects_recovery(self) -> bool:
-        """Whether the endpoint list's lease must be held again at the end.
+        """Whether the endpoint list's lease must be held again at the run's end.
 
-        Not where a data directory is lost while other members are down, nor where the voter set changes anew
-        before the last change has come through.
+        False if a data directory is lost or changed, because other members may be down at that time. Also
+        False if the voter set changes more than once, because a change may begin before the previous one has
+        completed.
         """
         kinds = [fault.kind for fault in self.faults]
         return (
@@ -107,7 +112,7 @@
 
 
 def blocks_traffic(fault: ScheduledFault, sender: str, receiver: str) -> bool:
-    """Whether a fault holds back everything that one member sends to another."""
+    """Whether a fault blocks all traffic from one member to another."""
     if sender == receiver:
         return False
     blocked = False
@@ -126,9 +131,9 @@
 
 
 def read_schedule(path: Path) -> FaultSchedule:
-    """Read a timeline in TOML.
+    """Return the schedule that a timeline file in TOML contains.
 
-    Raises ScheduleError, which names what is wrong with the file.
+    Raises ScheduleError, with the path and the invalid entry, if the file cannot be read or is invalid.
     """
     try:
         schedule = msgspec.convert(tomllib.loads(path.read_text()), FaultSchedule)
@@ -137,9 +142,9 @@
     for index, fault in enumerate(schedule.faults):
         for name in (fault.member, fault.peer, *fault.members, *fault.unchanged_members):
             if name and name not in (*schedule.members, HOLDER):
-                raise ScheduleError(f"{path}: events[{index}]: no member is called {name!r}")
+                raise ScheduleError(f"{path}: events[{index}]: unknown member {name!r}")
     if not set(schedule.voters) <= set(schedule.members):
-        raise ScheduleError(f"{path}: voters: not all of them are members")
+        raise ScheduleError(f"{path}: voters: every voter must be a member")
     if not MIN_MEMBERS <= len(schedule.members) <= MAX_MEMBERS:
-        raise ScheduleError(f"{path}: members: from {MIN_MEMBERS} to {MAX_MEMBERS} can be started")
+        raise ScheduleError(f"{path}: members: expected {MIN_MEMBERS} to {MAX_MEMBERS} members")
     return schedule
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -47,7 +47,7 @@
 def run_seed(seed: int, options: TrialOptions = DEFAULT_OPTIONS) -> TrialResult:
     """Run one seed and check the rules of leases over its history."""
     with mutation_applied(options.mutation):
-        schedule = draw_schedule(seed, members=options.members, lists_only=options.voter_changes_only)
+        schedule = draw_schedule(seed, members=options.members, voter_changes_only=options.voter_changes_only)
         cluster = VirtualCluster(schedule, seed)
         records = cluster.run()
     violations = find_violations(records, within_drift_bound=schedule.within_drift_bound)
