--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -1,9 +1,9 @@
-"""Carry out a fault schedule on real processes and the links between them.
+"""Inject the faults of a schedule into real processes and the links between them.
 
-A fault that concerns the holder of the endpoint list's lease waits until somebody holds it. Where the run
-proves nothing without that fault, the rest of the schedule is put off until then; and so where a change of
-the voter set finds that the last one has not come through. `activations` counts how often each fault took
-effect, since a run whose faults did nothing proves nothing.
+A fault of the endpoint list's lease holder waits until a member holds that lease. If the schedule requires
+the fault, the rest of the schedule is paused until then. A required change of the voter set waits in the same
+way until the previous change has completed. `activations` counts how often each fault took effect, because a
+run whose faults had no effect proves nothing.
 """
 
 from __future__ import annotations
@@ -36,20 +36,21 @@
 
 POLL_INTERVAL_S = 0.005
 BACKUP_INTERVAL_S = 0.5
-HOLDER_WAIT_LEASES = 2.0  # lease durations for which a fault that wants a holder waits for one
-MAX_PAUSE_S = 30.0  # for which a schedule is put off in all, for required faults that wait
-STOP_WAIT_LEASES = 2.0  # lease durations for which a holder is given work at which to stop
+HOLDER_WAIT_LEASES = 2.0  # lease durations for which a fault that is not required waits for a holder
+MAX_PAUSE_S = 30.0  # longest total pause of a schedule for waiting required faults
+STOP_WAIT_LEASES = 2.0  # lease durations to wait for the holder's next write
 ADMIN_TIMEOUT_S = 1.0
-RESTART_LEASES = (0.05, 0.3)  # lease durations after which a member with another voter set is started again
+RESTART_LEASES = (0.05, 0.3)  # lease durations until a member with a new voter set is restarted
 
-WriteConfig = Callable[[MemberProcess, int, MemberNames], None]  # of a member, for an epoch and its voters
+# Writes a member's configuration file; the arguments are the member, an epoch and the voters of the epoch.
+WriteConfig = Callable[[MemberProcess, int, MemberNames], None]
 
 
 class FaultInjector:
-    """Injects the faults of one schedule, each at its time.
+    """Injector that applies each fault of one schedule at its scheduled time.
 
-    Holds the faults that are under way or wait, the voter sets, and the epoch of the one in each member's
-    file: a file never goes back to an earlier epoch.
+    It keeps the active and waiting faults, all voter sets so far, and the epoch of the voter set in each
+    member's configuration file. A file never returns to an earlier epoch.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         rng: random.Random,
         write_config: WriteConfig,
     ) -> None:
-        """Inject into the members and links of one run; `write_config` changes a member\'s file."""
+        """`write_config` replaces a member's configuration file when its voter set changes."""
         self.schedule = schedule
         self.members = members
         self.links = links
@@ -70,27 +71,27 @@
         self.started_at = 0.0
         self.activations: Counter[str] = Counter()
         self.waiting_faults: list[ScheduledFault] = []
-        self.paused_s = 0.0  # for which the schedule was put off so far
-        self.voter_sets = [schedule.voters]  # by their epochs, from 1
-        self.member_epochs = dict.fromkeys(schedule.members, 1)  # of the voter set in each file
+        self.paused_s = 0.0  # total pause of the schedule so far
+        self.voter_sets = [schedule.voters]  # index 0 is the set of epoch 1
+        self.member_epochs = dict.fromkeys(schedule.members, 1)  # epoch in each member's configuration file
 
     async def run(self, started_at: float, on_progress: Callable[[float], None]) -> None:
-        """Inject all faults, until the run's duration has passed since `started_at` (monotonic time).
+        """Inject all faults; return when the run's duration has passed since `started_at` (monotonic time).
 
-        `on_progress` is called with the seconds that have passed.
+        `on_progress` is called at each poll with the elapsed seconds.
         """
         self.started_at = started_at
         upcoming = sorted(self.schedule.faults, key=lambda each: each.at_s)
-        last_s = 0.0
+        previous_elapsed_s = 0.0
         while (elapsed_s := self.elapsed_s()) < self.duration_s:
             if any(self._is_required(fault) for fault in self.waiting_faults):
-                self.paused_s += elapsed_s - last_s
-            last_s = elapsed_s
-            due, self.waiting_faults = self.waiting_faults, []
+                self.paused_s += elapsed_s - previous_elapsed_s
+            previous_elapsed_s = elapsed_s
+            due_faults, self.waiting_faults = self.waiting_faults, []
             while upcoming and upcoming[0].at_s + self.paused_s <= elapsed_s:
                 fault = upcoming.pop(0)
-                due.append(replace(fault, at_s=fault.at_s + self.paused_s))
-            for fault in due:
+                due_faults.append(replace(fault, at_s=fault.at_s + self.paused_s))
+            for fault in due_faults:
                 self._inject(fault)
             for fault in [each for each in self.links.conditions.active if _end_s(each) <= elapsed_s]:
                 self.links.conditions.active.remove(fault)
@@ -101,19 +102,19 @@
 
     @property
     def duration_s(self) -> float:
-        """Seconds that the run takes, as far as is known."""
+        """Duration of the run in seconds, including the pauses so far."""
         return self.schedule.duration_s + self.paused_s
 
     def elapsed_s(self) -> float:
-        """Seconds since the run began."""
+        """Seconds since the run's start."""
         return time.monotonic() - self.started_at
 
     def records(self) -> list[HistoryRecord]:
-        """The histories of all members so far, in no order."""
+        """All members' history records so far, unsorted."""
         return [each for member in self.members.values() for each in member.history()]
 
     def holder(self) -> MemberProcess | None:
-        """The member that holds the endpoint list's lease now, by the histories."""
+        """Return the current holder of the endpoint list's lease according to the histories, or None."""
         now = time.monotonic()
         for each in reversed(hold_intervals(self.records())):
             if each.lease == ENDPOINT_LIST_LEASE and each.until_s > now:
@@ -121,11 +122,11 @@
         return None
 
     def close(self) -> None:
-        """End the faults that are under way."""
+        """Cancel the tasks of the faults in progress."""
         self.tasks.cancel()
 
-    async def back_up_regularly(self) -> None:
-        """Copy the members' data directories now and then, as somebody's script would."""
+    async def back_up_periodically(self) -> None:
+        """Copy the members' data directories every `BACKUP_INTERVAL_S`, as a backup script would."""
         while True:
             await asyncio.sleep(BACKUP_INTERVAL_S)
             for member in self.members.values():
@@ -135,11 +136,15 @@
         if fault.member == HOLDER or fault.kind in (FaultKind.HAND_OVER, FaultKind.STOP_BEFORE_WRITE):
             holder = self.holder()
             if holder is None:
-                self._wait(fault)
+                self._requeue_or_drop(fault)
                 return
             fault = replace(fault, member=holder.name)
-        if fault.kind is FaultKind.CHANGE_VOTERS and self._is_required(fault) and not self._has_settled():
-            self._wait(fault)
+        if (
+            fault.kind is FaultKind.CHANGE_VOTERS
+            and self._is_required(fault)
+            and not self._voter_set_adopted()
+        ):
+            self._requeue_or_drop(fault)
             return
         member = self.members.get(fault.member)
         if fault.kind is FaultKind.KILL_ALL:
@@ -149,8 +154,8 @@
         elif member is None or not self._inject_on_member(fault, member):
             self._add_network_condition(fault)
 
-    def _has_settled(self) -> bool:
-        """Whether all voters of the last voter set vote, each by that set."""
+    def _voter_set_adopted(self) -> bool:
+        """Whether every voter of the latest voter set votes, and uses that set."""
         epoch, voters = len(self.voter_sets), self.voter_sets[-1]
         previous_voters = self.voter_sets[-2] if epoch > 1 else ()
         records = self.records()
@@ -165,23 +170,24 @@
             for each in records
             if each.event == LeaseEventKind.VOTER_SET_ADVANCED.value and each.fencing_token == epoch
         }
-        # A voter that is new to the set is admitted by those that go by it.
+        # Only voters of the previous set record an advance. A voter that is new to the set is admitted by
+        # voters that already use the set.
         return voting >= set(voters) and advanced >= set(voters) & set(previous_voters)
 
     def _is_required(self, fault: ScheduledFault) -> bool:
         return fault.kind.value in self.schedule.required_activations
 
-    def _wait(self, fault: ScheduledFault) -> None:
-        """Inject it anew at the next poll, unless it has waited for too long."""
+    def _requeue_or_drop(self, fault: ScheduledFault) -> None:
+        """Queue a fault for the next poll, or drop it if it has waited too long."""
         if self._is_required(fault):
-            may_wait = self.paused_s < MAX_PAUSE_S
+            can_wait = self.paused_s < MAX_PAUSE_S
         else:
-            may_wait = self.elapsed_s() < fault.at_s + HOLDER_WAIT_LEASES * self.schedule.lease_duration_s
-        if may_wait:
+            can_wait = self.elapsed_s() < fault.at_s + HOLDER_WAIT_LEASES * self.schedule.lease_duration_s
+        if can_wait:
             self.waiting_faults.append(fault)
 
     def _inject_on_member(self, fault: ScheduledFault, member: MemberProcess) -> bool:
-        """Inject a fault of one process, its disk or its clock; whether it was one."""
+        """Inject a fault of a member's process, disk or clock. Return False for any other kind."""
         match fault.kind:
             case FaultKind.STOP:
                 self.activations[fault.kind.value] += member.stop(fault.duration_s)
@@ -215,9 +221,9 @@
         for member in self.members.values():
             self.activations[fault.kind.value] += member.kill()
         for member in self.members.values():
-            self.tasks.spawn(self._start_later(member, self.rng.uniform(0, fault.duration_s)))
+            self.tasks.spawn(self._start_after_delay(member, self.rng.uniform(0, fault.duration_s)))
 
-    async def _start_later(self, member: MemberProcess, delay_s: float) -> None:
+    async def _start_after_delay(self, member: MemberProcess, delay_s: float) -> None:
         await asyncio.sleep(delay_s)
         member.start()
 
@@ -231,61 +237,61 @@
             member.flip_bit(self.rng)
         elif kind in DATA_DIRECTORY_FAULTS and not restored:
             member.delete_data_directory()
-        await self._start_later(member, fault.duration_s)
+        await self._start_after_delay(member, fault.duration_s)
 
     def _change_voters(self, fault: ScheduledFault) -> None:
         self.voter_sets.append(fault.members)
         epoch = len(self.voter_sets)
-        unchanged = set(fault.unchanged_members)
-        if HOLDER in unchanged and (holder := self.holder()) is not None:
-            unchanged.add(holder.name)
+        unchanged_names = set(fault.unchanged_members)
+        if HOLDER in unchanged_names and (holder := self.holder()) is not None:
+            unchanged_names.add(holder.name)
         for name, member in self.members.items():
-            if name not in unchanged:
+            if name not in unchanged_names:
                 self.tasks.spawn(self._restart_with_voters(member, epoch, fault))
 
     async def _restart_with_voters(self, member: MemberProcess, epoch: int, fault: ScheduledFault) -> None:
-        """Write the next voter set to a member's file, some time after the others', and start it again."""
+        """Write a new voter set to a member's file after a random delay, and restart the member."""
         await asyncio.sleep(self.rng.uniform(0, fault.duration_s))
         if epoch < self.member_epochs[member.name]:
-            return  # a later one was quicker
+            return  # a later change has already been written to the file
         self.member_epochs[member.name] = epoch
         self.write_config(member, epoch, fault.members)
         self.activations[fault.kind.value] += 1
         if member.process is not None:
             member.kill()
-            await self._start_later(
+            await self._start_after_delay(
                 member, self.rng.uniform(*RESTART_LEASES) * self.schedule.lease_duration_s
             )
 
     async def _fail_disk(self, fault: ScheduledFault, member: MemberProcess, disk: str | float) -> None:
         member.send_command(disk=disk)
-        if fault.kind is FaultKind.DISK_SLOW:  # a full disk is activated by a write that fails
+        if fault.kind is FaultKind.DISK_SLOW:  # the other disk faults count when a write fails (`run_report`)
             self.activations[fault.kind.value] += 1
         await asyncio.sleep(fault.duration_s)
         member.send_command(disk="well")
 
     async def _hand_over(self, fault: ScheduledFault, member: MemberProcess) -> None:
-        """Have the holder release the lease by its admin endpoint.
+        """Request through the holder's admin endpoint that it release the lease to the fault's peer.
 
-        A holder that is stopped or dead does not answer, and one that has lost the lease rejects it: then the
-        fault waits for the next holder.
+        If the request fails, the fault waits for the next holder. A holder that is stopped or down sends no
+        response, and a holder that has lost the lease rejects the request.
         """
-        answer = b""
+        response = b""
         with contextlib.suppress(OSError, TimeoutError):
             reader, writer = await asyncio.open_connection(*member.admin_endpoint)
             writer.write(f"hand-over {ENDPOINT_LIST_LEASE} {fault.peer}\n".encode())
-            answer = await asyncio.wait_for(reader.read(), ADMIN_TIMEOUT_S)
+            response = await asyncio.wait_for(reader.read(), ADMIN_TIMEOUT_S)
             writer.close()
-        if answer.startswith(b"ok"):
+        if response.startswith(b"ok"):
             self.activations[fault.kind.value] += 1
         else:
-            self._wait(fault)
+            self._requeue_or_drop(fault)
 
     async def _stop_before_write(self, fault: ScheduledFault, member: MemberProcess) -> None:
-        """Have the holder stop itself at its next piece of work, and resume it after the duration."""
+        """Command the holder to stop itself before its next write; resume it after the duration."""
         member.send_command(stop=True)
-        give_up_at = time.monotonic() + STOP_WAIT_LEASES * self.schedule.lease_duration_s
-        while time.monotonic() < give_up_at and not member.stopped_until:
+        deadline = time.monotonic() + STOP_WAIT_LEASES * self.schedule.lease_duration_s
+        while time.monotonic() < deadline and not member.stopped_until:
             if member.is_stopped():
                 self.activations[fault.kind.value] += 1
                 member.stop(fault.duration_s)
--- a/stairhatch/fault_injection/member_config.py
+++ b/stairhatch/fault_injection/member_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of each softswitch of a run, and the host of its addresses.
+"""The configuration files of a run's softswitches, and the loopback host of their addresses.
 
 The keys are those of the appliance's configuration (`stairhatch.config.appliance`).
 """
@@ -70,34 +70,34 @@
 voters = {{ {voters} }}
 """
 
-# The same without the fleet's section, to measure what leases cost.
+# The template without the [fleet] section, to measure the cost of leases.
 CONFIG_TEMPLATE_WITHOUT_FLEET = CONFIG_TEMPLATE.partition("[fleet]")[0]
 
 
 def loopback_host() -> str:
-    """A loopback address for the softswitches of this process's run.
+    """Return the loopback address, derived from the process ID, for the softswitches of this process's run.
 
-    Nobody else binds there, so a port that a softswitch held is still free when it is started again; on
-    127.0.0.1 any connection may have taken it.
+    No other process binds to the address, so a softswitch's port is still free when the softswitch is
+    restarted. On 127.0.0.1 any connection could have taken the port.
     """
-    number = os.getpid() % (126 * 254 * 254)
-    return f"127.{1 + number // (254 * 254)}.{1 + number // 254 % 254}.{1 + number % 254}"
+    host_index = os.getpid() % (126 * 254 * 254)
+    return f"127.{1 + host_index // (254 * 254)}.{1 + host_index // 254 % 254}.{1 + host_index % 254}"
 
 
 @dataclass(kw_only=True)
 class ConfigRenderer:
-    """Writes out the configuration of each softswitch of a run."""
+    """Renderer of the configuration files of a run's softswitches."""
 
     template: str
     schedule: FaultSchedule
-    address_for: Callable[[str, str], Address]  # under which the first softswitch reaches the second
-    coordinator_links: dict[str, Address] = field(
-        default_factory=dict
-    )  # by which each reaches the coordinator
+    address_for: Callable[[str, str], Address]  # (sender, receiver) -> the receiver's address for it
+    coordinator_links: dict[str, Address] = field(default_factory=dict)  # relay to the coordinator, by member
 
     def render(self, member: MemberProcess, epoch: int, voters: MemberNames) -> str:
-        """The configuration of one softswitch with the voter set of an epoch."""
-        listed = [f'{name} = "{format_address(self.address_for(member.name, name))}"' for name in voters]
+        """Return the text of a softswitch's configuration file with the voter set of an epoch."""
+        voter_entries = [
+            f'{name} = "{format_address(self.address_for(member.name, name))}"' for name in voters
+        ]
         return self.template.format(
             name=member.name,
             admin_endpoint=format_address(member.admin_endpoint),
@@ -107,7 +107,7 @@
             listen=format_address(member.listen),
             lease_duration_s=self.schedule.lease_duration_s,
             drift_bound=self.schedule.drift_bound,
-            voters=", ".join(listed),
+            voters=", ".join(voter_entries),
             epoch=epoch,
             fall_s=min(MAX_FALL_S, self.schedule.lease_duration_s / 3),
         )
--- a/stairhatch/fault_injection/member_main.py
+++ b/stairhatch/fault_injection/member_main.py
@@ -1,10 +1,11 @@
-"""One softswitch of a run: the real program, with faults of its clock, its disk and its work.
-
-Started as `python -m stairhatch.fault_injection.member_main FILE RATE OFFSET PIPE`: the configuration, how
-fast its clock runs, how far it is off in seconds, and the descriptor of a pipe. Commands come on the pipe as
-lines of JSON with any of these keys: `disk` ("well", "full", "read-only", or the seconds that a sync takes
-longer), `stop` (true: stop between the check and the write of the next piece of shared work) and `step`
-(seconds to step the wall clock by). No decision is changed, unless STAIRHATCH_LAB_PLANTED names a mutation.
+"""Process of one softswitch of a run: the real program with faults of its clock, disk and writes.
+
+Usage: `python -m stairhatch.fault_injection.member_main FILE RATE OFFSET PIPE`. The arguments are the
+configuration file, the rate and the offset (seconds) of the process's clock, and the descriptor of a pipe.
+The pipe carries commands, each a JSON object on one line, with any of these keys: `disk` ("well", "full",
+"read-only", or the extra seconds of each sync), `stop` (true: stop the process once, between the lease check
+and the write of shared work) and `step` (seconds by which the wall clock is stepped). The program's decisions
+are unchanged, unless the environment variable STAIRHATCH_LAB_PLANTED names a mutation.
 """
 
 from __future__ import annotations
@@ -28,32 +29,32 @@
 
 
 class LocalFaults:
-    """The faults of this process, put in place of its clock, its disk and its work.
+    """Faults of this process: replacements for its clocks, its disk writes and the hook before a write.
 
-    Commands arrive on a thread of their own; each sets one field that the program reads.
+    A separate thread executes the commands and sets fields that the program's threads read.
     """
 
     def __init__(self, clock_rate: float, clock_offset_s: float) -> None:
-        """No fault but that of the clock, until a command comes."""
+        """Only the clock's rate and offset (seconds) are in effect until a command sets another fault."""
         self.clock_rate = clock_rate
         self.clock_offset_s = clock_offset_s
         self.disk: str | float = "well"
-        self.stop_at_next_work = False
+        self.stop_requested = False
         self.started_at = time.clock_gettime(time.CLOCK_BOOTTIME)
-        self.machine_time = time.time
+        self.system_wall_clock = time.time
         self.wall_clock_step_s = 0.0
 
     def clock(self) -> float:
-        """The clock that leases go by."""
+        """The clock that the leases use, in seconds, with its rate and offset applied."""
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
         return self.clock_offset_s + self.started_at + (now - self.started_at) * self.clock_rate
 
     def wall_clock(self) -> float:
-        """Unix time, as the wall clock shows it after its steps."""
-        return self.machine_time() + self.wall_clock_step_s
+        """Unix time in seconds, including the steps of the wall clock."""
+        return self.system_wall_clock() + self.wall_clock_step_s
 
     def before_commit(self) -> None:
-        """Fail or delay a write to the voter's store. Raises OSError as a full or read-only disk does."""
+        """Delay or fail a write to the voter's store. Raises OSError (ENOSPC or EROFS) for a failing disk."""
         match self.disk:
             case "full":
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -62,34 +63,34 @@
             case float(delay_s):
                 time.sleep(delay_s)
 
-    def stop_once(self) -> None:
-        """Stop this process where a command has asked for it."""
-        if self.stop_at_next_work:
-            self.stop_at_next_work = False
+    def stop_if_requested(self) -> None:
+        """Stop this process by SIGSTOP if a command has requested it; each request stops it once."""
+        if self.stop_requested:
+            self.stop_requested = False
             os.kill(os.getpid(), signal.SIGSTOP)
 
     def execute_commands(self, pipe: int) -> None:
-        """Execute commands until the pipe ends: whoever sent them is gone, and this process goes too."""
+        """Execute commands until the pipe is closed, then kill this process, since its parent has ended."""
         for line in os.fdopen(pipe, "rb"):
             command = json.loads(line)
             self.disk = command.get("disk", self.disk)
-            self.stop_at_next_work = command.get("stop", self.stop_at_next_work)
+            self.stop_requested = command.get("stop", self.stop_requested)
             self.wall_clock_step_s += command.get("step", 0.0)
         os.kill(os.getpid(), signal.SIGKILL)
 
 
-def die_with_parent() -> None:
-    """Have the kernel kill this process when its parent ends, also while it is stopped."""
+def kill_when_parent_ends() -> None:
+    """Request that the kernel kill this process when its parent ends, even while it is stopped."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 def main() -> int:
-    """Serve with the faults in place; the exit code of the program."""
+    """Serve with the faults installed, and return the program's exit code."""
     path, clock_rate, clock_offset_s, pipe = sys.argv[1:5]
-    die_with_parent()
+    kill_when_parent_ends()
     faults = LocalFaults(float(clock_rate), float(clock_offset_s))
     runtime.clock = faults.clock
-    runtime.between_check_and_write = faults.stop_once
+    runtime.between_check_and_write = faults.stop_if_requested
     VoterStore.before_commit = staticmethod(faults.before_commit)
     time.time = faults.wall_clock
     threading.Thread(target=faults.execute_commands, args=(int(pipe),), daemon=True).start()
--- a/stairhatch/fault_injection/member_process.py
+++ b/stairhatch/fault_injection/member_process.py
@@ -1,6 +1,6 @@
-"""One softswitch of a run as a process: its folder, its start and end, its signals, and its history.
+"""The process of one softswitch of a run: its folder, start and end, signals, and history.
 
-It never touches a process that it has not started.
+Signals are only sent to the process that the object itself has started.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 from stairhatch.fault_injection.history import HistoryRecord, ProcessEvent
 
 ROOT = Path(__file__).resolve().parents[2]
-STATE_FILES = ("claims.db", "claims.db-wal")  # in the data directory
-FLIP_BLOCK_BYTES = 64  # a bit is flipped in one block of this size
+STATE_FILES = ("claims.db", "claims.db-wal")  # of the voter's store, in the data directory
+FLIP_BLOCK_BYTES = 64  # block size for drawing the position of a flipped bit
 FOREVER = float("inf")
 NO_PIPE = -1
 
 
 class _LoggedEvent(Struct):
-    """One line of the history that the program writes itself (`stairhatch.fleet.runtime`)."""
+    """One line of the history file that the program writes (`stairhatch.fleet.runtime`)."""
 
-    at: float  # the machine's monotonic time
-    clock: float  # the same moment by the clock that leases go by
+    at: float  # monotonic time of the machine, in seconds
+    clock: float  # the same moment on the lease clock
     what: str
     claim: str = ""
     ticket: int = 0
-    until: float = 0.0  # by the clock that leases go by
+    until: float = 0.0  # end of the lease, on the lease clock
     why: str = ""
-    checked: float | None = None  # by the clock that leases go by: when the lease was checked
+    checked: float | None = None  # when the lease was checked, on the lease clock
 
 
 @dataclass
 class MemberProcess:
-    """One softswitch. `data_directory`, `config_file` and its logs lie in its `folder`."""
+    """One softswitch of a run; `folder` contains its data directory, configuration file and logs."""
 
     name: str
     folder: Path
@@ -56,36 +56,36 @@
     process: subprocess.Popen[bytes] | None = None
     command_pipe: int = NO_PIPE
     start_count: int = 0
-    stopped_until: float = 0.0  # monotonic time; 0.0 while it is not stopped
-    backups: list[tuple[float, Path]] = field(default_factory=list)  # when each was taken
-    records: list[HistoryRecord] = field(default_factory=list)  # of what was done to it
-    outages: list[tuple[float, float]] = field(default_factory=list)  # since and until when it was down
+    stopped_until: float = 0.0  # monotonic time; 0.0 while the process is not stopped
+    backups: list[tuple[float, Path]] = field(default_factory=list)  # (monotonic time, folder)
+    records: list[HistoryRecord] = field(default_factory=list)  # process events of this run
+    outages: list[tuple[float, float]] = field(default_factory=list)  # (begin, end), monotonic time
 
     @property
     def data_directory(self) -> Path:
-        """Where it keeps its votes and fencing tokens."""
+        """Directory in which the softswitch stores its votes and fencing tokens."""
         return self.folder / "state"
 
     @property
     def config_file(self) -> Path:
-        """Its configuration."""
+        """Path of the softswitch's configuration file."""
         return self.folder / "stairhatch.toml"
 
     def record(self, event: ProcessEvent) -> None:
-        """Record what was done to it."""
+        """Append a process event, at the current time, to the member's history."""
         self.records.append(HistoryRecord(time.monotonic(), self.name, event, self.start_count))
 
     def start(self) -> None:
-        """Start it, unless it runs."""
+        """Start the process unless it is already running, and end the current outage."""
         if self.process is not None:
             return
         self.start_count += 1
         read_end, write_end = os.pipe()
         module = "stairhatch.fault_injection.member_main"
-        clock = [repr(self.clock_rate), repr(self.clock_offset_s)]
+        clock_arguments = [repr(self.clock_rate), repr(self.clock_offset_s)]
         with (self.folder / "log").open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", module, str(self.config_file), *clock, str(read_end)],
+                [sys.executable, "-m", module, str(self.config_file), *clock_arguments, str(read_end)],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -100,18 +100,18 @@
             self.outages[-1] = self.outages[-1][0], time.monotonic()
 
     def send_command(self, **command: str | float | bool) -> None:
-        """Send a command to `member_main`; one that does not run misses it."""
+        """Send a command to the member's `member_main`. It is lost if the process is not running."""
         with contextlib.suppress(OSError):
             os.write(self.command_pipe, json.dumps(command).encode() + b"\n")
 
-    def send_signal(self, number: int) -> None:
-        """Send a signal to it, if it runs."""
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal to the process if it is running."""
         if self.process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     def stop(self, duration_s: float) -> bool:
-        """Stop it by SIGSTOP, if it runs; `resume_if_due` lets it go on. Whether it ran."""
+        """Stop a running process by SIGSTOP until `resume_if_due`. Return False if it was not running."""
         if self.process is None:
             return False
         self.record(ProcessEvent.STOPPED)
@@ -122,14 +122,14 @@
         return True
 
     def resume_if_due(self) -> None:
-        """Let it go on by SIGCONT, once the time of its stop is over."""
+        """Resume a stopped process by SIGCONT when the duration of its stop has passed."""
         if self.stopped_until and time.monotonic() >= self.stopped_until:
             self.stopped_until = 0.0
             self.send_signal(signal.SIGCONT)
             self.record(ProcessEvent.RESUMED)
 
     def is_stopped(self) -> bool:
-        """Whether the kernel holds it stopped (proc(5))."""
+        """Whether the kernel reports the process as stopped (state T in proc(5))."""
         if self.process is None:
             return False
         with contextlib.suppress(OSError, IndexError):
@@ -138,7 +138,7 @@
         return False
 
     def kill(self) -> bool:
-        """Kill it by SIGKILL and wait for its end, if it runs. Whether it ran."""
+        """Kill a running process by SIGKILL and wait for its end. Return False if it was not running."""
         if self.process is None:
             return False
         self.outages.append((time.monotonic(), FOREVER))
@@ -153,7 +153,7 @@
         return True
 
     def back_up(self) -> None:
-        """Copy its data directory, as somebody's script would."""
+        """Copy the data directory, without synchronizing with the process, as a backup script would."""
         if (self.data_directory / STATE_FILES[0]).exists():
             backup = self.folder / f"copy-{len(self.backups)}"
             with contextlib.suppress(OSError, shutil.Error):
@@ -161,12 +161,12 @@
                 self.backups.append((time.monotonic(), backup))
 
     def delete_data_directory(self) -> None:
-        """Delete its data directory. It does not run."""
+        """Delete the data directory. The process must not be running."""
         shutil.rmtree(self.data_directory, ignore_errors=True)
         self.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
 
     def flip_bit(self, rng: random.Random) -> None:
-        """Flip one bit of what its data directory holds. It does not run."""
+        """Flip one bit of the store's files, if there are any. The process must not be running."""
         paths = [self.data_directory / name for name in STATE_FILES]
         blocks = [
             (path, start)
@@ -182,7 +182,10 @@
         self.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
 
     def restore_backup(self, taken_before: float) -> bool:
-        """Put the last backup from before that time in place. It does not run. Whether there was one."""
+        """Replace the data directory by the latest backup taken at or before a monotonic time.
+
+        The process must not be running. Return False if there is no such backup.
+        """
         backups = [path for taken_at, path in self.backups if taken_at <= taken_before]
         if not backups:
             return False
@@ -192,7 +195,7 @@
         return True
 
     def history(self) -> list[HistoryRecord]:
-        """What it wrote down, in the run's time, with what was done to it, by the times."""
+        """Return the process events and the program's own events, in the run's time and sorted by it."""
         path = self.folder / "history.jsonl"
         records = list(self.records)
         start_number = 0
@@ -200,14 +203,14 @@
             try:
                 logged = msgspec.convert(json.loads(line), _LoggedEvent)
             except json.JSONDecodeError:
-                continue  # cut off by a kill
+                continue  # line truncated by a kill
             start_number += logged.what == ProcessEvent.STARTED
             records.append(self._to_record(logged, start_number))
         return sorted(records, key=lambda each: each.at_s)
 
     def _to_record(self, logged: _LoggedEvent, start_number: int) -> HistoryRecord:
-        # Where a process is stopped between its check and this line, the check counts: what it did while it
-        # held the lease may come late, and for that there are fencing tokens.
+        # If a process is stopped between its lease check and this log line, the time of the check counts.
+        # Work that was checked while the lease was held may be done late; fencing tokens guard against that.
         checked = logged.clock if logged.checked is None else logged.checked
         return HistoryRecord(
             self._true_time(logged, checked),
@@ -220,6 +223,6 @@
             reason=logged.why,
         )
 
-    def _true_time(self, logged: _LoggedEvent, clock: float) -> float:
-        """The run's time at which this member's clock shows that."""
-        return logged.at + (clock - logged.clock) / self.clock_rate
+    def _true_time(self, logged: _LoggedEvent, clock_time: float) -> float:
+        """Convert a time on the member's lease clock to the run's time, using a logged pair of both."""
+        return logged.at + (clock_time - logged.clock) / self.clock_rate
--- a/stairhatch/fault_injection/network_conditions.py
+++ b/stairhatch/fault_injection/network_conditions.py
@@ -1,4 +1,4 @@
-"""The network conditions of a run: which faults are on the network now, and what they do to a datagram.
+"""The network conditions of a run: the active network faults and their effect on each datagram.
 
 Used by the links between real processes (`network_links`) and by the virtual network (`virtual_network`).
 """
@@ -15,37 +15,37 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """The faults that are on the network, and how often each took effect."""
+    """State of the network: the active faults, and a count of the effects of each kind of fault."""
 
     rng: random.Random
     activations: Counter[str] = field(default_factory=Counter)
     active: list[ScheduledFault] = field(default_factory=list)
 
-    def block(self, sender: str, receiver: str) -> bool:
-        """Whether everything from one to another is held back now."""
+    def is_blocked(self, sender: str, receiver: str) -> bool:
+        """Whether an active fault blocks all traffic from one member to another."""
         return any(blocks_traffic(fault, sender, receiver) for fault in self.active)
 
     def delivery_delays_s(
         self, sender: str, receiver: str, delay_s: float, draw_duplicate_delay_s: Callable[[], float]
     ) -> list[float]:
-        """When each copy of a datagram is delivered; empty where it is lost.
+        """Return the delay of each copy of a datagram, in seconds; the list is empty if the datagram is lost.
 
-        `delay_s` is what it takes without a fault, and `draw_duplicate_delay_s` draws what a duplicate takes.
+        `delay_s` is the delay without a fault. `draw_duplicate_delay_s` returns the delay of a duplicate.
         """
         delays_s = [delay_s]
         for fault in self.active:
             if blocks_traffic(fault, sender, receiver):
                 self.activations[fault.kind.value] += 1
                 return []
-            draw = self.rng.random()
+            fraction = self.rng.random()
             match fault.kind:
-                case FaultKind.LOSS if draw < fault.amount:
+                case FaultKind.LOSS if fraction < fault.amount:
                     self.activations[fault.kind.value] += 1
                     return []
                 case FaultKind.DELAY:
                     self.activations[fault.kind.value] += 1
                     delays_s = [each + fault.amount * self.rng.random() for each in delays_s]
-                case FaultKind.DUPLICATION if draw < fault.amount:
+                case FaultKind.DUPLICATION if fraction < fault.amount:
                     self.activations[fault.kind.value] += 1
                     delays_s.append(draw_duplicate_delay_s())
         return delays_s
--- a/stairhatch/fault_injection/network_links.py
+++ b/stairhatch/fault_injection/network_links.py
@@ -1,9 +1,8 @@
-"""The network links between the processes of a run, and the network conditions on them.
+"""The network links between the processes of a run, to which the network conditions are applied.
 
-Each ordered pair of softswitches has a UDP port of its own. What comes at the port by which A reaches B goes
-on to B from the port by which B reaches A, so each knows the other under one address whatever the link does.
-Connections to what stands outside (coordinator, roster servers) go through a TCP relay. The contents are
-never looked into.
+Each ordered pair of softswitches has its own UDP port. A datagram that arrives at the port for A to B is
+forwarded to B from the port for B to A, so that B sees a constant address for A, whatever faults are active.
+Connections to the coordinator or the roster servers pass through a TCP relay. No contents are parsed.
 """
 
 from __future__ import annotations
@@ -19,9 +18,9 @@
 Address = tuple[str, int]
 READ_SIZE_BYTES = 16 * 1024
 POLL_INTERVAL_S = 0.01
-MAX_DUPLICATE_DELAY_S = (0.05, 0.5)  # one of these is drawn as the most
+MAX_DUPLICATE_DELAY_S = (0.05, 0.5)  # the maximum delay is drawn from these
 COORDINATOR = "coordinator"
-HELD_CONNECTION = "connection held"  # the activation of a fault that holds back a connection's bytes
+HELD_CONNECTION = "connection held"  # activation name: the bytes of a connection are held back
 
 
 class _LinkPort(asyncio.DatagramProtocol):
@@ -30,38 +29,40 @@
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]  # uvloop's is of no class that asyncio has
+        self.transport = transport  # type: ignore[assignment]  # uvloop does not subclass asyncio's class
 
     def datagram_received(self, data: bytes, _addr: Address) -> None:
         self.on_datagram(data)
 
 
 class NetworkLinks:
-    """All links of one run. Whoever injects faults changes their `conditions`."""
+    """The links of one run. The injector adds and removes the faults in `conditions`."""
 
     def __init__(self, seed: int) -> None:
-        """`seed` is that of the run. There are no links until `open`."""
+        """`seed` is the run's seed; it determines losses, delays and duplicates. `open` creates the links."""
         self.rng = random.Random(f"ways {seed}")
         self.loop = asyncio.get_running_loop()
         self.conditions = NetworkConditions(self.rng)
         self.datagrams_forwarded = 0
-        self.addresses: dict[str, Address] = {}  # where each softswitch listens
+        self.addresses: dict[str, Address] = {}  # listening address of each softswitch
         self.ports: dict[tuple[str, str], _LinkPort] = {}
         self.servers: list[asyncio.Server] = []
         self.copy_tasks: set[asyncio.Task[None]] = set()
 
     async def open(self, addresses: dict[str, Address]) -> None:
-        """Open a port for every ordered pair of the softswitches that listen at these addresses."""
+        """Open a UDP port for every ordered pair of softswitches, given their listening addresses."""
         self.addresses = addresses
         for sender in addresses:
             for receiver in addresses:
                 if sender != receiver:
-                    make = partial(_LinkPort, partial(self._on_datagram, sender, receiver))
-                    _, port = await self.loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
+                    create_port = partial(_LinkPort, partial(self._on_datagram, sender, receiver))
+                    _, port = await self.loop.create_datagram_endpoint(
+                        create_port, local_addr=("127.0.0.1", 0)
+                    )
                     self.ports[sender, receiver] = port
 
     def address_for(self, sender: str, receiver: str) -> Address:
-        """The address under which one softswitch reaches another."""
+        """Return the address to which one softswitch sends in order to reach another."""
         if sender == receiver:
             return self.addresses[sender]
         host, port = self.ports[sender, receiver].transport.get_extra_info("sockname")[:2]
@@ -82,9 +83,9 @@
         return self.rng.random() * self.rng.choice(MAX_DUPLICATE_DELAY_S)
 
     async def open_connection_link(self, member: str, target: Address, peer: str = COORDINATOR) -> Address:
-        """Open a TCP relay by which a softswitch reaches something outside, and return its address.
+        """Open a TCP relay from a softswitch to the address `target`, and return the relay's address.
 
-        A fault between the two holds the bytes back until it ends.
+        While a fault blocks traffic between `member` and `peer`, the relay holds the bytes back.
         """
 
         async def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -113,7 +114,7 @@
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await source.read(READ_SIZE_BYTES):
-                while self.conditions.block(sender, receiver):
+                while self.conditions.is_blocked(sender, receiver):
                     self.conditions.activations[HELD_CONNECTION] += 1
                     await asyncio.sleep(POLL_INTERVAL_S)
                 if target.is_closing():
@@ -124,7 +125,7 @@
             target.close()
 
     def close(self) -> None:
-        """Close all links; nothing is forwarded any more."""
+        """Close all ports and relays, and cancel the tasks that copy bytes."""
         for port in self.ports.values():
             port.transport.close()
         for server in self.servers:
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -1,7 +1,7 @@
-"""One run on real processes: softswitches of this program, emulated servers, callers and the links between.
+"""One run on real processes: softswitches of this program, emulated servers, callers, and their links.
 
-`FaultInjectionRun` starts and ends all of them in order, whatever happens; `fault_injector` carries out the
-faults in between, and `run_report` checks the rules over what was observed.
+`FaultInjectionRun` starts all of them, and ends them even if the run fails. `fault_injector` injects the
+faults during the run, and `run_report` checks the rules over the run's observations.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
-ENDPOINT_CHANGE_LEASES = 0.25  # lease durations between two changes that the holder has to relay
+ENDPOINT_CHANGE_LEASES = 0.25  # lease durations between two changes of the endpoint list
 CALLS_PER_S = 3.0  # to each softswitch
 ROSTER_SERVERS = 2
 ROSTER_LINES = 200
 ROSTER_SERVER_PROFILE = ProcessorProfile(setup_s=0.005, warm_up_s=4.0, overload_window_s=1.0)
 MAX_CLOCK_OFFSET_S = 1e5
-CALL_SLACK_S = 0.05  # of the rules of calls, beside the time for which this process did not run
+CALL_SLACK_S = 0.05  # slack of the call rules, added to the longest event loop stall
 
 
 class FaultInjectionRun:
-    """One run of a schedule.
+    """Runner of one schedule on real processes.
 
-    Its processes and its folder go with it, whatever happens to it. `keep` is a folder to which everything
-    that the processes wrote is copied at the end.
+    The processes end and the temporary folder is removed with the run, even if this process is killed. `keep`
+    is a folder to which all files of the processes are copied at the end of the run; None keeps none.
     """
 
     def __init__(
@@ -64,7 +64,11 @@
         calls: float = CALLS_PER_S,
         fleet: bool = True,
     ) -> None:
-        """`fleet` off leaves `[fleet]` out of each file, to measure what leases cost."""
+        """Create the run's temporary folder; no softswitch is started yet.
+
+        `calls` is the rate of calls to each softswitch, per second. `fleet=False` omits `[fleet]` from each
+        configuration file, to measure the cost of leases.
+        """
         self.schedule = schedule
         self.seed = seed
         self.keep = keep
@@ -86,9 +90,10 @@
         self.used_ports: set[int] = set()
 
     async def run(self, on_progress: Callable[[float], None] = lambda _elapsed_s: None) -> RunReport:
-        """Carry out the run; `on_progress` is called with the seconds that have passed.
+        """Carry out the run and return its report.
 
-        Raises RunError where it cannot be carried out.
+        `on_progress` is called at each poll with the elapsed seconds. Raises RunError if a softswitch exits
+        during start-up or does not serve in time.
         """
         self.links = NetworkLinks(self.seed)
         self.config = ConfigRenderer(
@@ -105,14 +110,14 @@
             self._close()
 
     async def _carry_out(self, on_progress: Callable[[float], None]) -> RunReport:
-        watching = asyncio.create_task(self.stall.watch())
+        stall_watch = asyncio.create_task(self.stall.watch())
         self.started_at = time.monotonic()
         self.tasks.spawn(self._change_endpoints())
-        self.tasks.spawn(self.injector.back_up_regularly())
+        self.tasks.spawn(self.injector.back_up_periodically())
         await self.callers.open()
         await self.injector.run(self.started_at, on_progress)
         self.callers.close()
-        watching.cancel()
+        stall_watch.cancel()
         return self._observations().report()
 
     async def _open(self) -> None:
@@ -151,7 +156,10 @@
             )
 
     def _unused_port(self, host: str) -> int:
-        """A port that was not given out before: the system takes it for free again at once."""
+        """Return a free port that no softswitch of this run has been given yet.
+
+        The system may offer a port again at once, because nothing is bound to it yet.
+        """
         while (port := free_port(host)) in self.used_ports:
             pass
         self.used_ports.add(port)
@@ -164,25 +172,25 @@
         member.config_file.write_text(self._config_text(member, epoch, voters))
 
     async def _wait_until_serving(self) -> None:
-        give_up_at = time.monotonic() + READY_TIMEOUT_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while not all(_is_serving(member) for member in self.members.values()):
-            if time.monotonic() > give_up_at:
-                raise RunError("it does not serve")
+            if time.monotonic() > deadline:
+                raise RunError("not all softswitches serve before the start-up timeout")
             await asyncio.sleep(READY_POLL_S)
 
     async def _change_endpoints(self) -> None:
-        """Change the endpoint list now and then, by a server that nobody calls."""
-        serial = 0
+        """Change the endpoint list periodically, by the state of a server that receives no calls."""
+        change_count = 0
         while True:
             await asyncio.sleep(self.schedule.lease_duration_s * ENDPOINT_CHANGE_LEASES)
-            serial += 1
-            state = "terminated" if serial % 2 else "terminating"
+            change_count += 1
+            state = "terminated" if change_count % 2 else "terminating"
             self.coordinator.publish([endpoint_line("ghost", ("127.0.0.1", 9), 9, state)])
 
     def _observations(self) -> RunObservations:
         records = sorted(self.injector.records(), key=lambda each: each.at_s)
         ended_at = self.started_at + self.injector.duration_s
-        quiet_since = ended_at - self.schedule.fault_free_s / 2
+        recovered_since = ended_at - self.schedule.fault_free_s / 2
         call_violations = self.callers.find_violations(CALL_SLACK_S + self.stall.longest_s)
         return RunObservations(
             schedule=self.schedule,
@@ -193,7 +201,7 @@
             calls={end.value: count for end, count in self.callers.end_counts.items()},
             call_violations=[each.line() for each in call_violations],
             lacks_calls_at_end=bool(
-                self.calls_per_s and not self.callers.count_established_since(quiet_since)
+                self.calls_per_s and not self.callers.count_established_since(recovered_since)
             ),
             overloaded_servers=sum(
                 server.processor is not None and server.processor.state is ProcessorState.CRASHED
@@ -221,11 +229,11 @@
 
 
 def _is_serving(member: MemberProcess) -> bool:
-    """Whether a softswitch has logged that it serves. Raises RunError where it has ended."""
+    """Whether a softswitch has logged that it serves. Raises RunError if its process has exited."""
     assert member.process is not None
     log = (member.folder / "log").read_text(errors="replace")
     if member.process.poll() is not None:
-        raise RunError(f"{member.name} ended at its start: {' '.join(log.splitlines()[-1:])}")
+        raise RunError(f"{member.name} exited during start-up: {' '.join(log.splitlines()[-1:])}")
     return " serving " in log
 
 
@@ -235,13 +243,14 @@
     keep: Path | None = None,
     on_progress: Callable[[float], None] = lambda _elapsed_s: None,
 ) -> RunReport:
-    """Carry out one run, and leave nothing behind but `keep`.
+    """Carry out one run and return its report; only the files in `keep` remain afterwards.
 
-    Raises RunError where it cannot be carried out.
+    `on_progress` is called at each poll with the elapsed seconds. Raises RunError if the run cannot be
+    carried out or does not end in time.
     """
     run = FaultInjectionRun(schedule, seed, keep)
     timeout_s = 2 * READY_TIMEOUT_S + schedule.duration_s + MAX_PAUSE_S
     try:
         return await asyncio.wait_for(run.run(on_progress), timeout_s)
     except TimeoutError as error:
-        raise RunError(f"not ended after {timeout_s:.0f} s") from error
+        raise RunError(f"run did not end within {timeout_s:.0f} s") from error
--- a/stairhatch/fault_injection/run_tasks.py
+++ b/stairhatch/fault_injection/run_tasks.py
@@ -1,4 +1,4 @@
-"""Coroutines that run beside a run until it ends."""
+"""Background tasks of a run, which are cancelled together at its end."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 
 
 class RunTasks:
-    """Tasks that are cancelled together, kept so that the event loop does not lose them."""
+    """Set of tasks that are cancelled together.
+
+    The set holds references to the tasks, because the event loop itself keeps only weak ones.
+    """
 
     def __init__(self) -> None:
-        """None yet."""
+        """Start without tasks."""
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Start a coroutine as a task."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task until it returns or `cancel` is called."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel all tasks that still run."""
+        """Cancel all tasks that have not finished."""
         for task in list(self._tasks):
             task.cancel()
