--- a/stairhatch/fault_injection/__init__.py
+++ b/stairhatch/fault_injection/__init__.py
@@ -1,17 +1,17 @@
-"""Fault injection: many softswitches with faults between them, to prove their shared work.
+"""Fault injection into a fleet of softswitches, to test their leases and the work shared under them.
 
-Where to look, by what runs:
+The modules, by the kind of test:
 
-- real processes of this program: `run_batch` (many runs), `process_run` (one), `fault_injector`,
+- real processes of this program: `run_batch` (many runs), `process_run` (one run), `fault_injector`,
   `network_links`, `member_process` and `member_main` (one softswitch), `callers`, `run_report`, `run_files`
-- the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` (one),
+- the same decisions on a virtual clock, from seeds: `trial` (many runs), `virtual_cluster` (one run),
   `virtual_fault_injector`, `virtual_network`, `virtual_member` and `virtual_disk`
-- every order of events of a small cluster: `state_exploration`, `exploration_state`
+- every order of events in a small cluster: `state_exploration`, `exploration_state`
 
-`schedule` and `schedule_generator` say which faults happen when; `network_conditions` are what they do to the
-network, real or virtual. `history`, `lease_rules` and `timeline` read off the histories what came of it.
-`mutations` are mistakes put into the decisions on purpose, to prove the rules.
+`schedule` and `schedule_generator` define the faults and their times. `network_conditions` applies the faults
+of the real or virtual network. `history`, `lease_rules` and `timeline` evaluate the histories of the runs.
+`mutations` are deliberate errors in the decisions, to test that the rules detect them.
 
-The program itself never imports this package, and it ends only processes that it started. The command is
-`stairhatch lab`; timelines lie under `experiments/lab/`.
+The program itself never imports this package. The package ends only processes that it has started. Its
+command is `stairhatch lab`; the timelines are in `experiments/lab/`.
 """
--- a/stairhatch/fault_injection/errors.py
+++ b/stairhatch/fault_injection/errors.py
@@ -1,15 +1,15 @@
-"""Exceptions of the fault-injection runs, all below `FaultInjectionError`."""
+"""Exceptions of the fault-injection runs. `FaultInjectionError` is their base class."""
 
 from __future__ import annotations
 
 
 class FaultInjectionError(Exception):
-    """Why a fault-injection run cannot be carried out, in one line."""
+    """Base class of all errors of fault-injection runs. The message is one line."""
 
 
 class ScheduleError(FaultInjectionError):
-    """A timeline file that cannot be used; the message names the file and the place in it."""
+    """A timeline file cannot be read or is not valid. The message contains its path and the invalid entry."""
 
 
 class RunError(FaultInjectionError):
-    """A run on real processes that could not be carried out, or whose kept files cannot be read."""
+    """A run on real processes could not be carried out, or the files kept of a run cannot be read."""
--- a/stairhatch/fault_injection/folder_cleanup.py
+++ b/stairhatch/fault_injection/folder_cleanup.py
@@ -1,7 +1,7 @@
-"""Remove the temporary folder of a run once the run's process has ended, however it ended.
+"""Remove the temporary folder of a run when the run's process has ended, even if it was killed.
 
-Started as `python -m stairhatch.fault_injection.folder_cleanup FOLDER`, with a pipe from the run's process as
-its standard input. Only that process holds the other end, so the input ends with it, also when it is killed.
+Usage: `python -m stairhatch.fault_injection.folder_cleanup FOLDER`, with a pipe from the run's process as
+standard input. Only the run's process holds the write end, so the pipe is closed when that process ends.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 def main() -> int:
-    """Wait for the end of standard input and remove the folder named by the first argument.
+    """Wait for the end of standard input, remove the folder given as the first argument, and return 0.
 
-    A folder whose name does not begin with `FOLDER_PREFIX` is left alone.
+    A folder whose name does not begin with `FOLDER_PREFIX` is not removed.
     """
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C reaches the whole group, and the run ends first
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C signals the whole group; the run must end first
     folder = Path(sys.argv[1])
     sys.stdin.buffer.read()
     if folder.name.startswith(FOLDER_PREFIX):
--- a/stairhatch/fault_injection/history.py
+++ b/stairhatch/fault_injection/history.py
@@ -1,7 +1,8 @@
-"""The history of a run, as seen from outside: one record an event, and the file that keeps them.
+"""The history of a run: one record for each event of a cluster member, and the file format of the records.
 
-A record says what a process did and when, never what it believes. All times are seconds on one true clock
-that the processes of a run share. Files hold a JSON object a line, under the encoded field names given here.
+A record contains an observable event and its time, not a member's view of other members. All times are
+seconds on one reference clock, common to all processes of a run. A history file has one JSON object per line,
+with the encoded field names of `HistoryRecord`.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 
 class ProcessEvent(StrEnum):
-    """What a history records beside the events of leases (`stairhatch.fleet.effects`)."""
+    """Events of a process. The events of leases are `LeaseEventKind` of `stairhatch.fleet.effects`."""
 
     STARTED = "started"
     KILLED = "killed"
     STOPPED = "stopped"  # by SIGSTOP
-    RESUMED = "let go on"
-    ACTED = "acted"  # under a lease that it had just checked
+    RESUMED = "let go on"  # by SIGCONT
+    ACTED = "acted"  # did work under a lease, after checking it
     DATA_DIRECTORY_CHANGED = "folder"  # deleted, damaged or replaced by an older copy
 
 
@@ -30,22 +31,22 @@
 
     at_s: float = field(name="at")
     member: str = field(name="who")
-    event: str = field(name="what")  # a `ProcessEvent` or an event of a lease
-    start_number: int = field(name="start", default=0)  # counts the starts of this member's process
+    event: str = field(name="what")  # value of a `ProcessEvent` or a `LeaseEventKind`
+    start_number: int = field(name="start", default=0)  # 1 for the first start of the member's process
     lease: str = field(name="claim", default="")
     fencing_token: int = field(name="ticket", default=0)
-    until_s: float = field(name="until", default=0.0)  # the lease is held until then unless it ends before
+    until_s: float = field(name="until", default=0.0)  # expiry of the lease unless it ends earlier
     reason: str = field(name="why", default="")
 
 
 def write_history(path: Path, records: Iterable[HistoryRecord]) -> None:
-    """Write the records, one JSON object a line."""
+    """Write the records to a file, one JSON object per line."""
     encoder = msgspec.json.Encoder()
     path.write_bytes(b"".join(encoder.encode(record) + b"\n" for record in records))
 
 
 def read_history(path: Path) -> list[HistoryRecord]:
-    """Read the records of a file, without the lines that a kill has cut off."""
+    """Return the records of a file, except for lines that a kill has truncated."""
     decoder = msgspec.json.Decoder(HistoryRecord)
     records = []
     for line in path.read_bytes().split(b"\n"):
--- a/stairhatch/fault_injection/lease_rules.py
+++ b/stairhatch/fault_injection/lease_rules.py
@@ -1,16 +1,16 @@
 """The rules of leases, checked over a history.
 
-They go by when each process began and ceased to hold a lease, what receivers accepted and when; never by what
-one process says of the others. The rules, by the names that reports give them:
+The checks use the times at which each process began and ceased to hold a lease, and the fencing tokens that
+receivers accepted. They never use a process's view of other processes. The rules, by name:
 
-  one     no two starts of any process hold one lease at the same time grows   whoever holds a lease after
-  another does so with a higher fencing token fenced  no receiver accepts work under a fencing token below the
-  highest that it has accepted, unless its data
-          directory was lost in between
-  acts    nothing is done under a lease by who did not hold it when it checked
-  held    long after the last fault, a lease that somebody wants is held
+- `one`: no two processes, nor two starts of one, hold the same lease at the same time
+- `grows`: each new holder of a lease has a higher fencing token than the holders before it
+- `fenced`: no receiver accepts work under a fencing token below the highest that it has accepted, unless its
+  data directory was lost or changed in between
+- `acts`: no process does work under a lease that it did not hold when it checked the lease
+- `held`: long after the last fault, each lease that a member requests is held
 
-Runs on real processes add rules of their own: `void`, `rests` and `calls` (`run_report`).
+Runs on real processes add the rules `void`, `rests` and `calls` (`run_report`).
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 START_EVENTS = (LeaseEventKind.HELD.value, LeaseEventKind.RENEWED.value)
 END_EVENTS = (LeaseEventKind.LOST.value, LeaseEventKind.RELEASED.value, LeaseEventKind.STEPPED_DOWN.value)
-EPSILON_S = 1e-6
+EPSILON_S = 1e-6  # rounding error allowed when times are compared
 
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """A rule that was broken, when in the run's time, and how."""
+    """One violation: the rule's name, the time of the violation in the run's time, and an explanation."""
 
     rule: str
     at_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldInterval:
-    """A time for which one start of a process could act under a lease."""
+    """The period in which one start of a member's process could act under a lease, in the run's time."""
 
     lease: str
     member: str
@@ -47,12 +47,12 @@
     until_s: float
 
     def is_same_start(self, other: HoldInterval) -> bool:
-        """Whether both are of one start of one member."""
+        """Whether both intervals belong to the same start of the same member."""
         return (self.member, self.start_number) == (other.member, other.start_number)
 
 
 class _IntervalBuilder:
-    """Collects hold intervals from records in the order of their times."""
+    """Builder of hold intervals from records that are added in the order of their times."""
 
     def __init__(self) -> None:
         self.finished: list[HoldInterval] = []
@@ -89,9 +89,9 @@
 
 
 def hold_intervals(records: Iterable[HistoryRecord]) -> list[HoldInterval]:
-    """Who could act under which lease when, by the beginnings.
+    """Return the periods in which members could act under leases, sorted by their beginnings.
 
-    A stopped process still holds: once it is resumed within the lease's duration it may act.
+    A stopped process still holds its leases, because it can act if it is resumed before they expire.
     """
     builder = _IntervalBuilder()
     for record in sorted(records, key=lambda each: each.at_s):
@@ -102,10 +102,11 @@
 def find_violations(
     records: list[HistoryRecord], slack_s: float = 0.0, within_drift_bound: bool = True
 ) -> list[RuleViolation]:
-    """Check all rules but `held`, and return the violations by their times.
+    """Check all rules except `held`, and return the violations sorted by time.
 
-    `slack_s` is how much two intervals may overlap, where processes read one clock at moments of their own.
-    Where clocks went beyond the drift bound, only the fencing tokens are promised.
+    `slack_s` is the permitted overlap of two intervals, for processes that read the clock at different
+    moments. If a clock exceeded the drift bound, only the rule `fenced` is checked, since the others are not
+    guaranteed.
     """
     found = [*_check_fenced(records)]
     if within_drift_bound:
@@ -121,8 +122,11 @@
         if old is not None and not each.is_same_start(old):
             overlap_s = min(old.until_s, each.until_s) - each.since_s
             if overlap_s > slack_s + EPSILON_S:
-                how = f"{each.lease}: {old.member} and {each.member} both held it for {overlap_s:.3f} s"
-                yield RuleViolation("one", each.since_s, how)
+                explanation = (
+                    f"{each.lease}: {old.member} and {each.member} held the lease at the same time "
+                    f"for {overlap_s:.3f} s"
+                )
+                yield RuleViolation("one", each.since_s, explanation)
         if old is None or each.until_s >= old.until_s:
             last[each.lease] = each
 
@@ -132,25 +136,31 @@
     for each in held:
         old = highest.get(each.lease)
         if old is not None and each.fencing_token <= old.fencing_token and not each.is_same_start(old):
-            before = f"after {old.member} held {old.fencing_token}"
-            how = f"{each.lease}: {each.member} holds {each.fencing_token} {before}"
-            yield RuleViolation("grows", each.since_s, how)
+            earlier_hold = f"after {old.member} held it with fencing token {old.fencing_token}"
+            explanation = (
+                f"{each.lease}: {each.member} holds the lease "
+                f"with fencing token {each.fencing_token} {earlier_hold}"
+            )
+            yield RuleViolation("grows", each.since_s, explanation)
         if old is None or each.fencing_token > old.fencing_token:
             highest[each.lease] = each
 
 
 def _check_fenced(records: list[HistoryRecord]) -> Iterable[RuleViolation]:
-    highest: dict[tuple[str, str], int] = {}  # fencing tokens accepted, by member and lease
+    highest: dict[tuple[str, str], int] = {}  # highest accepted fencing token, by member and lease
     for record in sorted(records, key=lambda each: each.at_s):
         if record.event == ProcessEvent.DATA_DIRECTORY_CHANGED:
-            for gone in [key for key in highest if key[0] == record.member]:
-                del highest[gone]
+            for stale_key in [key for key in highest if key[0] == record.member]:
+                del highest[stale_key]
         if record.event != LeaseEventKind.TOKEN_ACCEPTED.value:
             continue
         key = (record.member, record.lease)
         if record.fencing_token < highest.get(key, 0):
-            how = f"{record.lease}: {record.member} took {record.fencing_token} after {highest[key]}"
-            yield RuleViolation("fenced", record.at_s, how)
+            explanation = (
+                f"{record.lease}: {record.member} accepted fencing token {record.fencing_token} "
+                f"after {highest[key]}"
+            )
+            yield RuleViolation("fenced", record.at_s, explanation)
         highest[key] = max(highest.get(key, 0), record.fencing_token)
 
 
@@ -167,17 +177,22 @@
         if not any(
             each.since_s - slack_s <= record.at_s <= each.until_s + slack_s + EPSILON_S for each in own
         ):
-            how = f"{record.lease}: {record.member} acted under {record.fencing_token}, not held"
-            yield RuleViolation("acts", record.at_s, how)
+            explanation = (
+                f"{record.lease}: {record.member} acted under fencing token {record.fencing_token} "
+                f"without holding the lease"
+            )
+            yield RuleViolation("acts", record.at_s, explanation)
 
 
 def find_unheld(
     records: list[HistoryRecord], leases: Iterable[str], since_s: float, until_s: float
 ) -> Iterable[RuleViolation]:
-    """Check the rule `held`: a violation for each lease that nobody held at any time between the two."""
+    """Check the rule `held`: yield a violation for each lease that no member held between the two times."""
     held = hold_intervals(records)
     for lease in leases:
         if not any(
             each.lease == lease and each.since_s < until_s and each.until_s > since_s for each in held
         ):
-            yield RuleViolation("held", until_s, f"{lease}: nobody holds it, long after the last fault")
+            yield RuleViolation(
+                "held", until_s, f"{lease}: no member holds the lease, long after the last fault"
+            )
--- a/stairhatch/fault_injection/run_batch.py
+++ b/stairhatch/fault_injection/run_batch.py
@@ -1,6 +1,6 @@
-"""Many runs on real processes: which run beside each other, what is kept of them, and their sum.
+"""Batches of runs on real processes: their concurrency, their results, the files kept, and the summary.
 
-Each run has a process of its own, so that one that is broken off takes only its own softswitches along.
+Runs of a batch are carried out in worker processes, so that an aborted run ends only its own softswitches.
 """
 
 from __future__ import annotations
@@ -26,35 +26,35 @@
 
 @dataclass(frozen=True)
 class RunRequest:
-    """One run to be carried out. `keep_in` gets a folder for each run that is kept."""
+    """Parameters of one run. Each run that is kept gets a folder of its own in `keep_in`."""
 
     schedule: FaultSchedule
     seed: int
-    keep_in: Path | None = None  # nothing is kept where there is none
-    keep_successful: bool = False  # else only runs that broke a rule are kept
+    keep_in: Path | None = None  # no files are kept if None
+    keep_successful: bool = False  # if False, only runs that broke a rule are kept
 
     @property
     def folder(self) -> Path | None:
-        """Where this run is kept."""
+        """Folder for the files of this run; None if no files are kept."""
         return self.keep_in / f"run-{self.seed}" if self.keep_in is not None else None
 
 
 @dataclass
 class RunResult:
-    """The result of one run, in a form that can be sent between processes."""
+    """The result of one run; it can be pickled and sent between processes."""
 
     seed: int
-    error: str = ""  # why it could not be carried out; empty where it was
+    error: str = ""  # why the run could not be carried out; empty if it was
     violations: list[str] = field(default_factory=list)
     activations: dict[str, int] = field(default_factory=dict)  # how often each fault took effect
     holds: int = 0  # hold intervals of all leases
-    calls: dict[str, int] = field(default_factory=dict)  # by how they ended
+    calls: dict[str, int] = field(default_factory=dict)  # number of calls by `CallResult` value
     within_drift_bound: bool = True
-    stalled_s: float = 0.0  # the longest time for which the run's process did not run
-    kept_in: str = ""
+    stalled_s: float = 0.0  # longest stall of the event loop of the run's process
+    kept_in: str = ""  # folder with the files of a run that broke a rule
 
     def to_json_dict(self) -> dict[str, object]:
-        """The result as `lab run --json` prints it."""
+        """Return the result with the keys of `lab run --json`."""
         return {
             "seed": self.seed,
             "fault": self.error,
@@ -70,20 +70,20 @@
 
 @dataclass
 class RunSummary(Summary[RunResult]):
-    """The sum of many runs on real processes."""
+    """Totals over many runs on real processes."""
 
     not_carried_out: list[RunResult] = field(default_factory=list)
     calls: Counter[str] = field(default_factory=Counter)
 
     def add(self, result: RunResult) -> None:
-        """Add the result of one more run."""
+        """Add the result of one run to the totals, and collect runs that could not be carried out."""
         super().add(result)
         self.calls.update(result.calls)
         if result.error:
             self.not_carried_out.append(result)
 
     def to_json_dict(self) -> dict[str, object]:
-        """The sum as `lab run --json` prints it."""
+        """Return the totals with the keys of `lab run --json`."""
         return {
             "runs": self.runs,
             "faults": [each.to_json_dict() for each in self.not_carried_out],
@@ -98,15 +98,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BatchOptions:
-    """What determines the drawn runs of a batch beside their seeds."""
+    """Parameters shared by all runs of a batch; a seed and these determine a run's schedule."""
 
     members: int = 5
-    scale: float = 0.2  # of all times
+    scale: float = 0.2  # factor on all times
     keep_in: Path | None = None
 
 
 def carry_out(request: RunRequest) -> RunResult:
-    """Carry out one run in this process. A run that fails gives a result with its error."""
+    """Carry out one run in this process and return its result.
+
+    If the run cannot be carried out, the result contains the error; no exception is raised for it.
+    """
     folder = request.folder
     keep = folder / "processes" if folder is not None and request.keep_successful else None
     try:
@@ -132,7 +135,7 @@
     texts = [f"{each.rule} at {each.at_s:.3f}: {each.explanation}" for each in report.violations]
     texts += report.call_violations
     if report.overloaded_servers:
-        texts.append(f"{report.overloaded_servers} roster servers pushed over")
+        texts.append(f"{report.overloaded_servers} roster servers were overloaded")
     return texts
 
 
@@ -142,7 +145,11 @@
     options: BatchOptions,
     on_result: Callable[[RunSummary, RunResult], None],
 ) -> RunSummary:
-    """Carry out runs drawn from seeds, so many beside each other; `on_result` is called after each."""
+    """Carry out the runs drawn from seeds, and return the totals.
+
+    At most `jobs` runs are carried out at the same time. `on_result` is called after each run with the totals
+    so far and the run's result.
+    """
     summary = RunSummary()
     started_at = time.monotonic()
     requests = [
--- a/stairhatch/fault_injection/run_files.py
+++ b/stairhatch/fault_injection/run_files.py
@@ -1,7 +1,7 @@
-"""The files that a run leaves, from which it can be examined and checked again.
+"""The files kept of a run, from which the run can be examined and its rules checked again.
 
-A run's folder holds its schedule, its history, its report, and its timeline as text and as a picture. The
-keys in these files stay as they are: older runs are read with them.
+A run's folder contains the schedule, the history, the report, and the timeline as text and as an SVG picture.
+The keys in these files must not change, so that the files of older runs remain readable.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 def write_run_files(folder: Path, schedule: FaultSchedule, report: RunReport) -> None:
-    """Write everything that is kept of a run into a folder, which is made where it is missing."""
+    """Write all files kept of a run into a folder, which is created if it does not exist."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / SCHEDULE_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
     write_history(folder / HISTORY_FILE, report.records)
     (folder / TIMELINE_PICTURE_FILE).write_text(render_svg(report.records))
     (folder / TIMELINE_TEXT_FILE).write_text(render_text(report.records))
-    content = {
+    report_json = {
         "broken": [
             {"rule": each.rule, "at": each.at_s, "how": each.explanation} for each in report.violations
         ],
@@ -41,13 +41,13 @@
         "bites": dict(report.activations),
         "calls": report.calls,
     }
-    (folder / REPORT_FILE).write_text(json.dumps(content, indent=1) + "\n")
+    (folder / REPORT_FILE).write_text(json.dumps(report_json, indent=1) + "\n")
 
 
 def check_kept_run(folder: Path) -> tuple[list[RuleViolation], str]:
-    """Check the rules once more over a kept run; the violations, and the timeline as text.
+    """Check the rules of leases again over a kept run; return the violations and the timeline as text.
 
-    Raises RunError where the files cannot be read.
+    Raises RunError if the schedule or the history cannot be read.
     """
     try:
         schedule = msgspec.json.decode((folder / SCHEDULE_FILE).read_bytes(), type=FaultSchedule)
--- a/stairhatch/fault_injection/run_report.py
+++ b/stairhatch/fault_injection/run_report.py
@@ -1,8 +1,10 @@
-"""What came of a run on real processes: the rules checked over everything that was observed of it.
+"""The report of a run on real processes: the rules, checked over the observations of the run.
 
-Beside the rules of leases (`lease_rules`) a run must have meant something: `void` where a required fault was
-never activated or too few members held the endpoint list's lease, `rests` where a lease was held although
-none should be, `calls` where no call was established at the end.
+Rules in addition to those of leases (`lease_rules`), by the names that reports use:
+
+- `void`: each required fault took effect, and enough members held the endpoint list's lease
+- `rests`: no lease is held at the end of a run whose schedule expects none
+- `calls`: calls are established at the end of the run
 """
 
 from __future__ import annotations
@@ -21,45 +23,43 @@
 from stairhatch.fault_injection.schedule import ENDPOINT_LIST_LEASE, FaultKind, FaultSchedule
 from stairhatch.fleet.effects import LeaseEventKind
 
-WENT_ON = "went on"  # the activation of a voter that went on to the next voter set
-DISK_FULL_REASON, DISK_READ_ONLY_REASON = "No space left", "Read-only"  # parts of os.strerror's texts
+VOTER_SET_ADVANCED = "went on"  # activation name: a voter advanced to the next voter set
+DISK_FULL_REASON, DISK_READ_ONLY_REASON = "No space left", "Read-only"  # parts of os.strerror texts
 
 
 @dataclass(slots=True, kw_only=True)
 class RunReport:
-    """What came of a run."""
+    """The results of one run."""
 
     violations: list[RuleViolation]
     call_violations: list[str]
     activations: Counter[str]  # how often each fault took effect
     records: list[HistoryRecord]
-    overloaded_servers: int  # roster servers that were overloaded while warming up
+    overloaded_servers: int  # roster servers that crashed from overload while warming up
     holds: int  # hold intervals of all leases
-    calls: dict[str, int] = field(default_factory=dict)  # by how they ended
+    calls: dict[str, int] = field(default_factory=dict)  # number of calls by `CallResult` value
     datagrams_forwarded: int = 0
-    stalled_s: float = 0.0  # the longest time for which this process did not run
+    stalled_s: float = 0.0  # longest stall of the event loop of the run's process
 
 
 @dataclass(slots=True, kw_only=True)
 class RunObservations:
-    """What was observed of a run, before the rules of leases are checked."""
+    """The observations of one run, over which the rules of leases are still to be checked."""
 
     schedule: FaultSchedule
-    ended_at: float  # in the time of the records
+    ended_at: float  # monotonic time, as in the records
     records: list[HistoryRecord]
-    activations: Counter[str]  # reported by the injector
-    link_activations: Counter[str]
+    activations: Counter[str]  # counted by the injector
+    link_activations: Counter[str]  # counted by the network links
     calls: dict[str, int]
     call_violations: list[str]
-    lacks_calls_at_end: (
-        bool  # calls were placed, and none was established in the second half of the last time
-    )
+    lacks_calls_at_end: bool  # calls were placed, but none was established after `recovered_since`
     overloaded_servers: int
     datagrams_forwarded: int
     stalled_s: float
 
     def report(self) -> RunReport:
-        """Check the rules and sum up the run."""
+        """Check the rules and return the run's report."""
         intervals = hold_intervals(self.records)
         activations = self._all_activations()
         return RunReport(
@@ -75,33 +75,37 @@
         )
 
     @property
-    def quiet_since(self) -> float:
-        """The middle of the time without a fault: from then on everything has recovered."""
+    def recovered_since(self) -> float:
+        """The middle of the fault-free time at the run's end, from which on the fleet must have recovered."""
         return self.ended_at - self.schedule.fault_free_s / 2
 
     def _all_activations(self) -> Counter[str]:
-        """Those of the injector, those that only the histories show, and those of the links."""
+        """Return the counts of the injector, of the links, and of events that only the histories contain."""
         reasons = [each.reason for each in self.records]
-        found = Counter(self.activations)
-        found[FaultKind.DISK_FULL.value] += sum(DISK_FULL_REASON in each for each in reasons)
-        found[FaultKind.DISK_READ_ONLY.value] += sum(DISK_READ_ONLY_REASON in each for each in reasons)
-        found[WENT_ON] += sum(each.event == LeaseEventKind.VOTER_SET_ADVANCED.value for each in self.records)
-        found[FaultKind.DISK_SLOW.value] += 0  # reported also where there was none
-        found.update(self.link_activations)
-        return found
+        counts = Counter(self.activations)
+        counts[FaultKind.DISK_FULL.value] += sum(DISK_FULL_REASON in each for each in reasons)
+        counts[FaultKind.DISK_READ_ONLY.value] += sum(DISK_READ_ONLY_REASON in each for each in reasons)
+        counts[VOTER_SET_ADVANCED] += sum(
+            each.event == LeaseEventKind.VOTER_SET_ADVANCED.value for each in self.records
+        )
+        counts[FaultKind.DISK_SLOW.value] += 0  # reported even if zero
+        counts.update(self.link_activations)
+        return counts
 
     def _lease_violations(self, intervals: list[HoldInterval]) -> list[RuleViolation]:
         schedule = self.schedule
-        found = find_violations(self.records, within_drift_bound=schedule.within_drift_bound)
+        violations = find_violations(self.records, within_drift_bound=schedule.within_drift_bound)
         if not schedule.expects_no_holder and schedule.expects_recovery:
-            found += find_unheld(self.records, [ENDPOINT_LIST_LEASE], self.quiet_since, self.ended_at)
+            violations += find_unheld(
+                self.records, [ENDPOINT_LIST_LEASE], self.recovered_since, self.ended_at
+            )
         if schedule.expects_no_holder:
-            found += [
+            violations += [
                 RuleViolation("rests", each.since_s, f"{each.member} holds {each.lease}")
                 for each in intervals
-                if each.since_s < self.ended_at and each.until_s > self.quiet_since
+                if each.since_s < self.ended_at and each.until_s > self.recovered_since
             ]
-        return found
+        return violations
 
     def _void_violations(
         self, intervals: list[HoldInterval], activations: Counter[str]
@@ -110,14 +114,19 @@
         holders = {
             (each.member, each.start_number) for each in intervals if each.lease == ENDPOINT_LIST_LEASE
         }
-        found = [
-            RuleViolation("void", self.ended_at, f"{name} never bit")
+        violations = [
+            RuleViolation("void", self.ended_at, f"{name} never took effect")
             for name in schedule.required_activations
             if not activations[name]
         ]
         if len(holders) < schedule.min_holders:
-            how = f"{len(holders)} owners, and not {schedule.min_holders}"
-            found.append(RuleViolation("void", self.ended_at, how))
+            explanation = (
+                f"{len(holders)} holders of the endpoint list's lease, "
+                f"expected at least {schedule.min_holders}"
+            )
+            violations.append(RuleViolation("void", self.ended_at, explanation))
         if self.lacks_calls_at_end:
-            found.append(RuleViolation("calls", self.ended_at, "none stood at the end"))
-        return found
+            violations.append(
+                RuleViolation("calls", self.ended_at, "no call was established at the end of the run")
+            )
+        return violations
--- a/stairhatch/fault_injection/summary.py
+++ b/stairhatch/fault_injection/summary.py
@@ -1,4 +1,4 @@
-"""What many runs sum up to, whether on the virtual clock (`trial`) or on real processes (`run_batch`)."""
+"""Totals over many runs, on the virtual clock (`trial`) or on real processes (`run_batch`)."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RunOutcome(Protocol):
-    """What a summary needs of the result of one run."""
+    """Interface of a run's result, as `Summary` needs it."""
 
     @property
     def violations(self) -> Sequence[object]:
-        """The rules that were broken."""
+        """The violations of rules; empty if the run broke none."""
 
     @property
     def activations(self) -> Mapping[str, int]:
-        """How often each fault took effect."""
+        """How often each kind of fault took effect."""
 
     @property
     def holds(self) -> int:
-        """Hold intervals of all leases."""
+        """The number of hold intervals of all leases."""
 
     @property
     def within_drift_bound(self) -> bool:
-        """Whether all clocks kept to the drift bound."""
+        """Whether the rates of all clocks were within the drift bound."""
 
 
 OutcomeT = TypeVar("OutcomeT", bound=RunOutcome)
@@ -33,17 +33,17 @@
 
 @dataclass
 class Summary(Generic[OutcomeT]):
-    """The sum of many runs."""
+    """Totals over many runs."""
 
     runs: int = 0
-    failed: list[OutcomeT] = field(default_factory=list)  # those that broke a rule
-    runs_by_activation: Counter[str] = field(default_factory=Counter)  # runs in which each fault took effect
-    beyond_drift_bound: int = 0
-    holds: int = 0
+    failed: list[OutcomeT] = field(default_factory=list)  # runs that broke a rule
+    runs_by_activation: Counter[str] = field(default_factory=Counter)  # runs in which a fault took effect
+    beyond_drift_bound: int = 0  # runs with a clock beyond the drift bound
+    holds: int = 0  # hold intervals of all leases
     duration_s: float = 0.0
 
     def add(self, result: OutcomeT) -> None:
-        """Add the result of one more run."""
+        """Add the result of one run to the totals."""
         self.runs += 1
         self.beyond_drift_bound += not result.within_drift_bound
         self.holds += result.holds
--- a/stairhatch/fault_injection/timeline.py
+++ b/stairhatch/fault_injection/timeline.py
@@ -1,7 +1,7 @@
-"""Who held which lease when, drawn from a history for people to read: as text and as an SVG picture.
+"""Timelines of a history for people to read, as text and as an SVG picture.
 
-Both have a row for each lease, with its holders over time, and a row for each member, with what was done to
-it.
+A timeline has a row for each lease, which shows its holders over time, and a row for each member, which shows
+the events of its process.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from stairhatch.fault_injection.history import HistoryRecord, ProcessEvent
 from stairhatch.fault_injection.lease_rules import HoldInterval, hold_intervals
 
-MIN_SPAN_S = 1e-9  # so that a history of one moment can be drawn
+MIN_SPAN_S = 1e-9  # avoids a division by zero if all records have the same time
 TEXT_COLUMNS = 100
 TEXT_LABEL_WIDTH = 12
 SVG_WIDTH, SVG_ROW_HEIGHT, SVG_LEFT, SVG_TOP = 1000, 22, 110, 30
 SVG_RIGHT_MARGIN, SVG_FOOT_HEIGHT = 10, 30
 SVG_TICKS = 10
-SVG_MIN_BAR = 0.5
+SVG_MIN_BAR = 0.5  # width in pixels
 COLOURS = ("#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb", "#994400", "#000000")
 MARKS: dict[str, str] = {
     ProcessEvent.KILLED: "x",
@@ -28,7 +28,7 @@
     ProcessEvent.RESUMED: ">",
     ProcessEvent.DATA_DIRECTORY_CHANGED: "!",
 }
-LEGEND = "x killed, o started, | stopped, > let go on, ! its folder lost or put back old, # two at once\n"
+LEGEND = "x killed, o started, | stopped, > resumed, ! data directory changed, # two holders at once\n"
 
 
 def _span_s(records: list[HistoryRecord], intervals: list[HoldInterval]) -> tuple[float, float]:
@@ -37,17 +37,20 @@
 
 
 def render_text(records: list[HistoryRecord]) -> str:
-    """Draw a history as text, a column for each hundredth of its time.
+    """Return a history as text, with one column for each hundredth of its time span.
 
-    A lease's row shows the last character of its holder's name, a member's row the marks of what was done to
-    it.
+    A lease's row shows the last character of the holder's name. A member's row shows `MARKS` for the events
+    of its process.
     """
     if not records:
-        return "nothing happened\n"
+        return "the history contains no events\n"
     intervals = hold_intervals(records)
     begin_s, end_s = _span_s(records, intervals)
     column_s = max(MIN_SPAN_S, (end_s - begin_s) / TEXT_COLUMNS)
-    text = f"{end_s - begin_s:.1f} s, a column is {column_s:.2f} s; holders by the end of their name\n"
+    text = (
+        f"{end_s - begin_s:.1f} s, one column is {column_s:.2f} s; "
+        f"each holder is shown by the last character of its name\n"
+    )
     for lease in sorted({each.lease for each in intervals}):
         row = [" "] * TEXT_COLUMNS
         for interval in intervals:
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Picture:
-    """Where times and rows lie in the SVG."""
+    """Layout of the SVG: converts times and rows to pixel positions, and renders its elements."""
 
     begin_s: float
     end_s: float
@@ -104,7 +107,9 @@
 
     def bar(self, interval: HoldInterval) -> str:
         width = max(SVG_MIN_BAR, self.pixels_per_s * (min(interval.until_s, self.end_s) - interval.since_s))
-        title = escape(f"{interval.member} start {interval.start_number} ticket {interval.fencing_token}")
+        title = escape(
+            f"{interval.member} start {interval.start_number} fencing token {interval.fencing_token}"
+        )
         return (
             f'<rect x="{self.x(interval.since_s):.1f}" y="{self.y(interval.lease) + 3}" width="{width:.1f}" '
             f'height="{SVG_ROW_HEIGHT - 6}" '
@@ -128,7 +133,7 @@
 
 
 def render_svg(records: list[HistoryRecord]) -> str:
-    """Draw a history as an SVG picture, a colour for each member."""
+    """Return a history as an SVG document, with one colour for each member."""
     intervals = hold_intervals(records)
     begin_s, end_s = _span_s(records, intervals) if records else (0.0, 1.0)
     members = sorted({each.member for each in records})
