--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Fault injection into several softswitches of this program, their leases, and the store behind them."""
+"""Fault injection into several softswitches, the leases that they share, and the voter store."""
 
 from __future__ import annotations
 
@@ -27,63 +27,63 @@
 from .support.paths import ROOT
 from .support.waiting import wait_until
 
-TEXT = (ROOT / "deploy" / "sip.toml").read_text()
-FLEET = """
+APPLIANCE_TEXT = (ROOT / "deploy" / "sip.toml").read_text()
+FLEET_SECTION = """
 [fleet]
 name = "here"
 listen = "127.0.0.1:5090"
 folder = "state"
 voters = { stairhatch = "127.0.0.1:5090", other = "127.0.0.1:5091", third = "127.0.0.1:5092" }
 """
-RUN = [sys.executable, "-m", "stairhatch"]
-CASES = sorted((ROOT / "experiments" / "lab").glob("*.toml"))
+COMMAND = [sys.executable, "-m", "stairhatch"]
+TIMELINES = sorted((ROOT / "experiments" / "lab").glob("*.toml"))
 
 
-@pytest.mark.parametrize("path", CASES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", TIMELINES, ids=lambda path: path.stem)
 def test_a_timeline_on_real_processes_breaks_no_rule(path):
-    """No two hold a lease, and a late holder does no harm.
+    """No timeline leads to two holders of a lease, or to accepted work of a holder whose lease has expired.
 
-    Each file says which faults must be activated, and how many holders there must be.
+    Each file defines which faults must take effect, and the least number of holders.
     """
     for _ in range(3):
-        ran = run_batch.carry_out(run_batch.RunRequest(read_schedule(path), 1))
-        if not ran.violations or not all(each.startswith("void ") for each in ran.violations):
-            break  # a fault that was not activated, on a busy machine, shows nothing: it is injected anew
-    assert not ran.error
-    assert not ran.violations
-    assert ran.calls["stood"] > 20
+        result = run_batch.carry_out(run_batch.RunRequest(read_schedule(path), 1))
+        if not result.violations or not all(each.startswith("void ") for each in result.violations):
+            break  # `void`: on a busy machine a fault may not take effect; then the run is repeated
+    assert not result.error
+    assert not result.violations
+    assert result.calls["stood"] > 20
 
 
 @pytest.mark.parametrize(
-    ("mutation", "case", "rule"),
+    ("mutation", "timeline", "rule"),
     [
         ("a fence is not checked", "stopped-at-work", "fenced"),
         ("an older folder is not noticed", "two-folders-gone", "rests"),
     ],
 )
 def test_a_mutation_in_real_processes_breaks_the_rule_that_guards_against_it(
-    monkeypatch, mutation, case, rule
+    monkeypatch, mutation, timeline, rule
 ):
-    """The timelines do not hold whatever the program does: a check is taken out of it."""
+    """A timeline detects the removal of a check from the program."""
     monkeypatch.setenv("STAIRHATCH_LAB_PLANTED", mutation)
-    ran = run_batch.carry_out(
-        run_batch.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{case}.toml"), 1)
+    result = run_batch.carry_out(
+        run_batch.RunRequest(read_schedule(ROOT / "experiments" / "lab" / f"{timeline}.toml"), 1)
     )
-    assert not ran.error
-    assert any(each.startswith(rule) for each in ran.violations)
+    assert not result.error
+    assert any(each.startswith(rule) for each in result.violations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_faults_drawn_from_a_seed_break_no_rule_on_real_processes(seed):
-    """A mixture of faults brings out what single ones do not."""
-    ran = run_batch.carry_out(run_batch.RunRequest(draw_schedule(seed, scale=0.15), seed))
-    assert not ran.error
-    assert not ran.violations
-    assert ran.activations
+    """Combined faults can reveal errors that single faults do not."""
+    result = run_batch.carry_out(run_batch.RunRequest(draw_schedule(seed, scale=0.15), seed))
+    assert not result.error
+    assert not result.violations
+    assert result.activations
 
 
 def test_each_rule_finds_the_history_that_breaks_it():
-    """A history for each rule of leases, and one that breaks none."""
+    """Each rule detects a history that breaks it, and a correct history breaks no rule."""
 
     def record(at_s, member, event, token, until_s=0.0):
         return HistoryRecord(at_s, member, event, 1, "list", token, until_s)
@@ -102,7 +102,7 @@
 
 
 def test_a_run_that_is_killed_leaves_no_process_and_no_folder():
-    """Its softswitches end with it, stopped ones as well."""
+    """The softswitches of a killed run end, even one that is stopped by SIGSTOP; its folder is removed."""
     run = subprocess.Popen(
         [sys.executable, "-m", "stairhatch", "lab", "replay", "5", "--keep", os.devnull], cwd=ROOT
     )
@@ -121,27 +121,29 @@
         return [pid for pid in children() if "stairhatch.fault_injection.member_main" in arguments(pid)]
 
     try:
-        pids = wait_until(lambda: len(found := members()) == 5 and found, "five softswitches")
+        pids = wait_until(lambda: len(found := members()) == 5 and found, "five softswitch processes")
         folder = Path(arguments(pids[0])[3]).parents[1]
         assert folder.exists()
         assert folder.parent == Path(tempfile.gettempdir())
-        wait_until(lambda: len(list(folder.glob("*/history.jsonl"))) == 5, "all at work")
+        wait_until(
+            lambda: len(list(folder.glob("*/history.jsonl"))) == 5, "a history file of each softswitch"
+        )
         os.kill(pids[0], signal.SIGSTOP)
     finally:
         run.kill()
         run.wait()
     wait_until(
         lambda: not any("stairhatch.fault_injection.member_main" in arguments(pid) for pid in pids),
-        "their end",
+        "the end of all softswitch processes",
     )
-    wait_until(lambda: not folder.exists(), "the folder's end")
+    wait_until(lambda: not folder.exists(), "the removal of the run's folder")
 
 
-def serve(folder, name, ports, admin_ports, more=""):
-    """Start one softswitch of three, with a file and a data directory of its own."""
+def serve(folder, name, ports, admin_ports, extra_text=""):
+    """Start one of three softswitches, and return its configuration file and its process."""
     voters = ", ".join(f'{each} = "127.0.0.1:{port}"' for each, port in ports.items())
     sip = free_port()
-    text = TEXT.replace('name = "stairhatch"', f'name = "{name}"', 1).replace(
+    text = APPLIANCE_TEXT.replace('name = "stairhatch"', f'name = "{name}"', 1).replace(
         "127.0.0.1:5060", f"127.0.0.1:{sip}"
     )
     text = text.replace("127.0.0.1:5070", f"127.0.0.1:{admin_ports[name]}").replace(
@@ -149,7 +151,7 @@
     )
     text += f'\n[fleet]\nname = "t"\nlisten = "127.0.0.1:{ports[name]}"\nfolder = "{name}"\nterm_s = 0.6\n'
     path = folder / f"{name}.toml"
-    path.write_text(text + f"voters = {{ {voters} }}\nrestarts = 1\n{more}")
+    path.write_text(text + f"voters = {{ {voters} }}\nrestarts = 1\n{extra_text}")
     with (folder / f"{name}.log").open("ab") as log:
         return path, subprocess.Popen(
             [sys.executable, "-m", "stairhatch", "serve", str(path)],
@@ -161,7 +163,7 @@
 
 
 def lease_report(admin_port):
-    """A softswitch's report on its leases, or None while its admin endpoint does not answer."""
+    """Return a softswitch's report on its leases, or None if its admin endpoint does not respond."""
     try:
         return admin_client.lease_report(("127.0.0.1", admin_port))
     except admin_client.AdminClientError:
@@ -169,9 +171,9 @@
 
 
 def test_three_softswitches_share_instance_indexes_and_one_restart_slot(tmp_path):
-    """Each gets an index of its own, and one the restart slot.
+    """Each softswitch gets a different instance index, and only one holds the restart slot.
 
-    A second process on a data directory or under a voter's address does not start.
+    A process that uses another's addresses or data directory does not start.
     """
     names = ("a", "b", "c")
     ports, admin_ports = {name: free_port() for name in names}, {name: free_port() for name in names}
@@ -180,7 +182,7 @@
 
         def start(path):
             return subprocess.run(
-                [*RUN, "serve", str(path)],
+                [*COMMAND, "serve", str(path)],
                 cwd=ROOT,
                 stdin=subprocess.DEVNULL,
                 capture_output=True,
@@ -194,41 +196,44 @@
 
         wait_until(have_three_indexes, "three different instance indexes")
         path, _ = started["a"]
-        twice = start(path)
-        assert twice.returncode == 2
-        assert "in use" in twice.stderr
-        other = path.with_name("twin.toml")  # addresses of its own, but the folder of `a`
-        own = path.read_text()
+        duplicate = start(path)
+        assert duplicate.returncode == 2
+        assert "in use" in duplicate.stderr
+        other = path.with_name("twin.toml")  # different addresses, but the data directory of `a`
+        twin_text = path.read_text()
         for port in (ports["a"], admin_ports["a"]):
-            own = own.replace(f'"127.0.0.1:{port}"', f'"127.0.0.1:{free_port()}"')
-        sip = next(line for line in own.splitlines() if line.startswith("udp")).split('"')[1]
-        other.write_text(own.replace(sip, f"127.0.0.1:{free_port()}"))
+            twin_text = twin_text.replace(f'"127.0.0.1:{port}"', f'"127.0.0.1:{free_port()}"')
+        sip = next(line for line in twin_text.splitlines() if line.startswith("udp")).split('"')[1]
+        other.write_text(twin_text.replace(sip, f"127.0.0.1:{free_port()}"))
         twin = start(other)
         assert twin.returncode == 2, twin.stderr
         assert "another process has it open" in twin.stderr
 
-        got = subprocess.run([*RUN, "restart-slot", str(path)], cwd=ROOT, capture_output=True, text=True)
-        assert got.returncode == 0
-        assert "slot 1 of 1" in got.stdout
-        second = [*RUN, "restart-slot", str(started["b"][0]), "--wait", "1"]
-        waits = subprocess.run(second, cwd=ROOT, capture_output=True, text=True)
-        assert waits.returncode == 1
-        assert "not yet" in waits.stderr
-        started["a"][1].kill()  # its slot comes back by itself
-        second[-1] = "20"
-        assert subprocess.run(second, cwd=ROOT, capture_output=True, text=True).returncode == 0
-        shown = subprocess.run(
-            [*RUN, "claims", str(started["b"][0]), "--json"], cwd=ROOT, capture_output=True
+        slot = subprocess.run([*COMMAND, "restart-slot", str(path)], cwd=ROOT, capture_output=True, text=True)
+        assert slot.returncode == 0
+        assert "slot 1 of 1" in slot.stdout
+        slot_command = [*COMMAND, "restart-slot", str(started["b"][0]), "--wait", "1"]
+        waiting = subprocess.run(slot_command, cwd=ROOT, capture_output=True, text=True)
+        assert waiting.returncode == 1
+        assert "not yet" in waiting.stderr
+        started["a"][1].kill()  # its restart slot is released when the lease expires
+        slot_command[-1] = "20"
+        assert subprocess.run(slot_command, cwd=ROOT, capture_output=True, text=True).returncode == 0
+        claims_report = subprocess.run(
+            [*COMMAND, "claims", str(started["b"][0]), "--json"], cwd=ROOT, capture_output=True
         )
-        assert any(each["claim"] == "restart/0" for each in json.loads(shown.stdout)["claims"])
-        watch = [*RUN, "claims", str(started["c"][0]), "--watch", "restart/0", "--seconds", "4"]
-        seen = subprocess.run(watch, cwd=ROOT, capture_output=True, text=True)
-        assert "restart/0: held by b," in seen.stdout
-        assert "by 2 voters" in seen.stdout
+        assert any(each["claim"] == "restart/0" for each in json.loads(claims_report.stdout)["claims"])
+        watch = [*COMMAND, "claims", str(started["c"][0]), "--watch", "restart/0", "--seconds", "4"]
+        watched = subprocess.run(watch, cwd=ROOT, capture_output=True, text=True)
+        assert "restart/0: held by b," in watched.stdout
+        assert "by 2 voters" in watched.stdout
         table = subprocess.run(watch[:5], cwd=ROOT, capture_output=True, text=True)
         assert "list          1: a b c\n" in table.stdout
         started["c"][1].send_signal(signal.SIGUSR1)
-        wait_until(lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(), "terms left")
+        wait_until(
+            lambda: "fleet_remaining_ms_number/" in (tmp_path / "c.log").read_text(),
+            "the remaining lease durations in the log of c",
+        )
     finally:
         for _, process in started.values():
             process.kill()
@@ -236,7 +241,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "complaint"),
+    ("old", "new", "error_pattern"),
     [
         ("listen =", "lisden =", r"fleet\.lisden: unknown key; did you mean listen"),
         ('folder = "state"\n', "", r"fleet\.folder: a voter needs a folder"),
@@ -252,20 +257,24 @@
         ('name = "here"', 'name = "here"\nsecret = "none.key"', r"fleet\.secret: .*No such file"),
     ],
 )
-def test_an_unusable_key_of_the_fleet_is_named_in_the_error(old, new, complaint):
-    """A mistyped section does not leave the fleet out without a word."""
-    assert old in FLEET
-    parse_appliance(TEXT + FLEET, "x.toml", {})
-    with pytest.raises(ConfigError, match=complaint):
-        parse_appliance(TEXT + FLEET.replace(old, new, 1), "x.toml", {})
+def test_an_invalid_key_of_the_fleet_section_is_named_in_the_error(old, new, error_pattern):
+    """A mistyped key is an error, and does not silently disable the fleet."""
+    assert old in FLEET_SECTION
+    parse_appliance(APPLIANCE_TEXT + FLEET_SECTION, "x.toml", {})
+    with pytest.raises(ConfigError, match=error_pattern):
+        parse_appliance(APPLIANCE_TEXT + FLEET_SECTION.replace(old, new, 1), "x.toml", {})
 
 
 def run_at_once(action):
     action()
 
 
-def test_the_store_holds_what_it_has_reported_as_persisted(tmp_path):
-    """A restart forgets no vote, a torn file does not end the start, and two processes share no directory."""
+def test_writes_that_the_store_reported_as_persisted_survive_a_restart(tmp_path):
+    """A restarted store returns all votes and fencing tokens that it reported as persisted.
+
+    A second store on the same directory is rejected. An unreadable file is quarantined, and the store then
+    starts without votes.
+    """
     results = []
     store = VoterStore(tmp_path, run_at_once)
     assert not store.stored.voter_state.admitted
@@ -280,38 +289,41 @@
     with pytest.raises(StoreError, match="another process"):
         VoterStore(tmp_path, run_at_once)
     store.close()
-    again = VoterStore(tmp_path, run_at_once)
-    assert again.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
-    assert again.stored.voter_state.storage_version == StorageVersion(version.storage_id, 2, 7)
-    assert again.stored.voter_state.admitted
-    assert again.stored.fencing_tokens == {"list": 4}
-    assert again.stored.voter_state.known_versions == {"b": StorageVersion("f", 2, 3)}
-    again.close()
+    reopened = VoterStore(tmp_path, run_at_once)
+    assert reopened.stored.voter_state.votes == (Vote("list", 4, "a", 9, 3.0),)
+    assert reopened.stored.voter_state.storage_version == StorageVersion(version.storage_id, 2, 7)
+    assert reopened.stored.voter_state.admitted
+    assert reopened.stored.fencing_tokens == {"list": 4}
+    assert reopened.stored.voter_state.known_versions == {"b": StorageVersion("f", 2, 3)}
+    reopened.close()
     (tmp_path / FILE_NAME).write_bytes(b"torn" * 2000)
-    torn = VoterStore(tmp_path, run_at_once)
-    assert torn.stored.quarantined
-    assert not torn.stored.voter_state.admitted
+    unreadable = VoterStore(tmp_path, run_at_once)
+    assert unreadable.stored.quarantined
+    assert not unreadable.stored.voter_state.admitted
     assert list(tmp_path.glob("*.unreadable-*"))
-    torn.close()
+    unreadable.close()
 
 
-def test_the_store_reports_a_write_that_the_disk_did_not_take(tmp_path, monkeypatch):
-    """No write is reported as done that is not on the disk."""
+def test_the_store_reports_a_write_that_the_disk_rejected(tmp_path, monkeypatch):
+    """A write that fails on a full disk is reported as failed."""
     results = []
     store = VoterStore(tmp_path, run_at_once)
 
-    def full():
+    def fail_with_full_disk():
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(VoterStore, "before_commit", staticmethod(full))
+    monkeypatch.setattr(VoterStore, "before_commit", staticmethod(fail_with_full_disk))
     store.persist(PersistFencingToken("list", 4), results.append)
-    wait_until(lambda: results, "an answer")
+    wait_until(lambda: results, "the result of the write")
     assert "No space left" in results[0]
     store.close()
 
 
 def test_a_vote_with_a_flipped_bit_is_never_read(tmp_path):
-    """No lower fencing token is read off a disk whose pages have no checksums: each row has its own."""
+    """A flipped bit cannot yield a wrong vote, such as one with a lower fencing token.
+
+    The pages of the file have no checksums, so each row has its own checksum.
+    """
     results = []
     store = VoterStore(tmp_path, run_at_once)
     version = StorageVersion(store.stored.voter_state.storage_version.storage_id, 1, 7)
@@ -333,4 +345,4 @@
         assert votes in ((), (Vote("list", 4_000_000, "the-owner", 9, 3.0),))
         quarantined_count += bool(flipped.stored.quarantined)
         flipped.close()
-    assert quarantined_count > 10  # other flips hit nothing that is read
+    assert quarantined_count > 10  # the other flipped bits are in bytes that are not read
--- a/tests/test_fault_injector.py
+++ b/tests/test_fault_injector.py
@@ -1,4 +1,4 @@
-"""When the injector of a run on real processes injects a fault, and when it waits."""
+"""Times at which the injector of a run on real processes injects a fault or lets it wait."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class IdleMember:
-    """A member of an injector's run that is no process: `records` is its history."""
+    """Fake member without a process; `records` is its history."""
 
     name: str
     records: list[HistoryRecord] = field(default_factory=list)
@@ -38,14 +38,14 @@
 
 
 class IdleRun:
-    """A run without processes and links; an event is added to the members' histories at each poll."""
+    """Fake run without processes; each poll of the injector adds one event to a member's history."""
 
     def __init__(self, schedule, events):
         self.schedule = schedule
         self.members = {name: IdleMember(name) for name in schedule.members}
         self.events = list(events)
-        self.event_count = 0  # of those that have happened
-        self.file_changes = []  # of each: the epoch, and how many events had happened by then
+        self.event_count = 0  # number of events added to the histories so far
+        self.file_changes = []  # (epoch, `event_count` at that time) of each written file
 
     def write_config(self, _member, epoch, _voters):
         self.file_changes.append((epoch, self.event_count))
@@ -60,7 +60,7 @@
         self.members[member].records.append(record)
 
     async def carry_out(self):
-        """Run an injector over the schedule, and return it."""
+        """Run an injector over the schedule and return the injector."""
         rng = random.Random(1)
         injector = FaultInjector(self.schedule, self.members, NetworkLinks(1), rng, self.write_config)
         await injector.run(time.monotonic(), self.on_progress)
@@ -68,8 +68,8 @@
         return injector
 
 
-def test_the_schedule_is_put_off_until_a_required_fault_has_its_holder():
-    """A slow start of the members costs a run time and not the fault that it is for."""
+def test_the_schedule_is_paused_until_a_required_fault_has_a_holder():
+    """A slow start of the members delays the schedule, but no required fault is lost by it."""
     kill = ScheduledFault(0.0, FaultKind.KILL, HOLDER)
     schedule = FaultSchedule(
         0.05, ("a", "b", "c"), ("a",), (kill,), lease_duration_s=0.001, required_activations=("kill",)
@@ -83,7 +83,7 @@
 
 
 def test_a_fault_that_is_not_required_waits_for_a_holder_for_two_lease_durations():
-    """Drawn schedules have faults that come to nothing, and keep to their time."""
+    """A fault that is not required is dropped after the wait, and the schedule is not paused for it."""
     kill = ScheduledFault(0.0, FaultKind.KILL, HOLDER)
     schedule = FaultSchedule(0.2, ("a", "b", "c"), ("a",), (kill,), lease_duration_s=1e-9)
     run = IdleRun(schedule, [("b", "held", 1)])
@@ -93,8 +93,11 @@
     assert injector.paused_s == 0
 
 
-def test_a_required_change_of_the_voters_waits_until_the_last_one_has_come_through():
-    """All voters vote by the last voter set before the next one: else no majority may ever go on to it."""
+def test_a_required_voter_set_change_waits_until_the_previous_one_has_completed():
+    """Each voter set is adopted by all its voters before the next change.
+
+    Otherwise there may never be a majority that advances to the next voter set.
+    """
     changes = (
         ScheduledFault(0.0, FaultKind.CHANGE_VOTERS, members=("a", "b", "c")),
         ScheduledFault(0.0, FaultKind.CHANGE_VOTERS, members=("b", "c")),
@@ -105,15 +108,17 @@
     advanced = "goes by the next list of voters"
     events = [
         ("a", "votes", 0),
-        ("b", "votes", 0),  # the second event: the first voter set votes
+        ("b", "votes", 0),  # second event: all voters of the first set vote
         ("a", advanced, 2),
         ("c", "votes", 0),
-        ("b", advanced, 1),  # of another epoch
-        ("b", advanced, 2),  # the sixth event: the second voter set votes
+        ("b", advanced, 1),  # advance to an older epoch, which must not count
+        ("b", advanced, 2),  # sixth event: the second voter set is adopted
     ]
     run = IdleRun(schedule, events)
     asyncio.run(run.carry_out())
-    first, second = ([count for epoch, count in run.file_changes if epoch == each] for each in (2, 3))
-    assert len(first) == len(second) == 3
-    assert min(first) >= 2
-    assert min(second) >= 6
+    first_counts, second_counts = (
+        [count for epoch, count in run.file_changes if epoch == each] for each in (2, 3)
+    )
+    assert len(first_counts) == len(second_counts) == 3
+    assert min(first_counts) >= 2
+    assert min(second_counts) >= 6
