--- a/stairhatch/scale_test/simulated_fleet_network.py
+++ b/stairhatch/scale_test/simulated_fleet_network.py
@@ -24,7 +24,7 @@
         """The event loop; this object has its scheduling methods."""
         return self
 
-    def open_datagram_port(self, address: Address, port: FleetRuntime) -> None:  # noqa: ARG002 - see `address`
+    def open_datagram_port(self, address: Address, port: FleetRuntime) -> None:  # noqa: ARG002 - not needed
         """Connect the fleet member's datagram output to the simulated network."""
 
         def send() -> None:
