--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -271,7 +271,7 @@
         if discovery is not None:
             host, port = discovery.address
             age_s = self.parts.clock() - discovery.last_answer_at
-            text += f"directory  {host}:{port}, event {discovery.last_index}, last answer {age_s:.1f} s ago\n"
+            text += f"directory  {host}:{port}, event {discovery.last_index}, last heard {age_s:.1f} s ago\n"
         return text
 
     async def shut_down(self, skip_dialogs: asyncio.Event) -> None:
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -42,7 +42,7 @@
     def __str__(self) -> str:
         """Return the text that the console command `status` shows for this result."""
         text = time.strftime("%F %T", time.gmtime(self.at))
-        return text + (f", restart required: {', '.join(self.restart_keys)}" if self.restart_keys else "")
+        return text + (f", not taken over: {', '.join(self.restart_keys)}" if self.restart_keys else "")
 
 
 ReloadResult = ReloadApplied | ReloadRejected
