--- a/stairhatch/cli/claims.py
+++ b/stairhatch/cli/claims.py
@@ -6,7 +6,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, admin_address, failing_with
+from stairhatch.cli.common import EXIT_FAULT_FOUND, admin_address, failing_with
 
 
 @click.command()
@@ -21,7 +21,7 @@
     """
     from stairhatch.fleet import admin_client
 
-    with failing_with(EXIT_FOUND_WRONG, admin_client.AdminClientError):
+    with failing_with(EXIT_FAULT_FOUND, admin_client.AdminClientError):
         if watch:
             admin_client.observe_lease(admin_address(file), watch, seconds, click.echo)
             return
--- a/stairhatch/cli/common.py
+++ b/stairhatch/cli/common.py
@@ -14,7 +14,7 @@
 from stairhatch.config.model import Config, ConfigError
 
 EXIT_OK = 0
-EXIT_FOUND_WRONG = 1
+EXIT_FAULT_FOUND = 1
 EXIT_UNUSABLE = 2
 EXIT_INTERRUPTED = 130
 
--- a/stairhatch/cli/conform.py
+++ b/stairhatch/cli/conform.py
@@ -8,7 +8,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
+from stairhatch.cli.common import EXIT_FAULT_FOUND, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
 
 if TYPE_CHECKING:
     from stairhatch.conformance.cases import Case
@@ -56,7 +56,7 @@
     for mutation, case in finders.items():
         click.echo(f"{mutation:56} {case or 'NOT FOUND'}")
     click.echo(f"{sum(map(bool, finders.values()))} of {len(finders)} planted faults found")
-    sys.exit(EXIT_OK if all(finders.values()) else EXIT_FOUND_WRONG)
+    sys.exit(EXIT_OK if all(finders.values()) else EXIT_FAULT_FOUND)
 
 
 def _show_results(results: list[CaseResult], junit: Path | None) -> NoReturn:
@@ -72,4 +72,4 @@
     click.echo(f"{counts.passed} passed, {counts.failed} failed, {counts.skipped} skipped")
     if junit is not None:
         junit.write_text(report.junit_xml(results), encoding="utf-8")
-    sys.exit(EXIT_FOUND_WRONG if counts.failed else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if counts.failed else EXIT_OK)
--- a/stairhatch/cli/experiment.py
+++ b/stairhatch/cli/experiment.py
@@ -7,7 +7,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with
+from stairhatch.cli.common import EXIT_FAULT_FOUND, EXIT_OK, EXIT_UNUSABLE, failing_with
 
 
 @click.command()
@@ -36,4 +36,4 @@
         kept_in = keep_results(plan, runs, out, command)
     click.echo(f"kept in {kept_in}")
     is_wrong = any(each.broken or each.void_reason for each in runs)
-    sys.exit(EXIT_FOUND_WRONG if is_wrong else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if is_wrong else EXIT_OK)
--- a/stairhatch/cli/lab.py
+++ b/stairhatch/cli/lab.py
@@ -11,7 +11,7 @@
 import click
 
 from stairhatch.cli.common import (
-    EXIT_FOUND_WRONG,
+    EXIT_FAULT_FOUND,
     EXIT_INTERRUPTED,
     EXIT_OK,
     EXIT_UNUSABLE,
@@ -55,7 +55,7 @@
             f"{good_runs} of {summary.runs} runs good, "
             f"{summary.beyond_drift_bound} beyond the drift bound, {summary.duration_s:.0f} s"
         )
-    sys.exit(EXIT_FOUND_WRONG if summary.failed or summary.not_carried_out else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if summary.failed or summary.not_carried_out else EXIT_OK)
 
 
 @lab.command("run")
@@ -147,7 +147,7 @@
     for each in violations:
         click.echo(f"BROKEN {each.rule} at {each.at_s:.3f}: {each.explanation}")
     click.echo(f"{len(violations)} broken")
-    sys.exit(EXIT_FOUND_WRONG if violations else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if violations else EXIT_OK)
 
 
 @lab.command("trial")
@@ -182,7 +182,7 @@
         f"{summary.beyond_drift_bound} beyond the drift bound, "
         f"claims were held {summary.holds} times, {summary.duration_s:.1f} s"
     )
-    sys.exit(EXIT_FOUND_WRONG if summary.failed else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if summary.failed else EXIT_OK)
 
 
 def _try_mutations(seeds: range, jobs: int, members: int) -> NoReturn:
@@ -198,7 +198,7 @@
         click.echo(f"{name:52} {f'{summary.runs:5} seeds, {rule}' if rule else 'NOT FOUND'}")
         undetected += not rule
     click.echo(f"{len(MUTATIONS) - undetected} of {len(MUTATIONS)} planted faults found")
-    sys.exit(EXIT_FOUND_WRONG if undetected else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if undetected else EXIT_OK)
 
 
 @lab.command("explore")
@@ -240,4 +240,4 @@
         f"in {exploration.states_with_holder} the lease was held, "
         f"{exploration.takeovers} takeovers, {exploration.states_after_crash} states after a crash"
     )
-    sys.exit(EXIT_OK if exploration.complete and not exploration.violation else EXIT_FOUND_WRONG)
+    sys.exit(EXIT_OK if exploration.complete and not exploration.violation else EXIT_FAULT_FOUND)
--- a/stairhatch/cli/load.py
+++ b/stairhatch/cli/load.py
@@ -9,7 +9,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
+from stairhatch.cli.common import EXIT_FAULT_FOUND, EXIT_OK, EXIT_UNUSABLE, failing_with, optional_address
 
 
 def _progress_callback(is_shown: bool, seconds: float) -> Callable[[float], None]:
@@ -51,4 +51,4 @@
         setup = LoadSetup(load_plan, seed, workers, addresses)
         result = run_load(setup, _progress_callback(progress and sys.stderr.isatty(), load_plan.seconds))
     click.echo(json.dumps(result.figures()) if as_json else render_summary(result), nl=as_json)
-    sys.exit(EXIT_FOUND_WRONG if result.violations or result.void_reason() else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if result.violations or result.void_reason() else EXIT_OK)
--- a/stairhatch/cli/restart_slot.py
+++ b/stairhatch/cli/restart_slot.py
@@ -4,7 +4,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, admin_address, failing_with
+from stairhatch.cli.common import EXIT_FAULT_FOUND, admin_address, failing_with
 
 
 @click.command("restart-slot")
@@ -19,7 +19,7 @@
     from stairhatch.fleet import admin_client
 
     address = admin_address(file)
-    with failing_with(EXIT_FOUND_WRONG, admin_client.AdminClientError):
+    with failing_with(EXIT_FAULT_FOUND, admin_client.AdminClientError):
         if give:
             answer = admin_client.execute(address, "restart-give")
         else:
--- a/stairhatch/cli/scale.py
+++ b/stairhatch/cli/scale.py
@@ -8,7 +8,7 @@
 import click
 
 from stairhatch.cli.common import (
-    EXIT_FOUND_WRONG,
+    EXIT_FAULT_FOUND,
     EXIT_INTERRUPTED,
     EXIT_OK,
     EXIT_UNUSABLE,
@@ -46,4 +46,4 @@
         fail(EXIT_INTERRUPTED, "ended by Ctrl-C; nothing is kept")
     click.echo(result_json(result) if as_json else summarize(result), nl=False)
     show_progress(f"kept in {folder}")
-    sys.exit(EXIT_FOUND_WRONG if result.failures else EXIT_OK)
+    sys.exit(EXIT_FAULT_FOUND if result.failures else EXIT_OK)
--- a/stairhatch/cli/soak.py
+++ b/stairhatch/cli/soak.py
@@ -10,7 +10,7 @@
 import click
 
 from stairhatch.cli.common import (
-    EXIT_FOUND_WRONG,
+    EXIT_FAULT_FOUND,
     EXIT_INTERRUPTED,
     EXIT_OK,
     EXIT_UNUSABLE,
@@ -39,7 +39,7 @@
 def _exit(trials: list[TrialSummary]) -> NoReturn:
     """End the command, with exit code 1 if a trial broke a rule or could not be run."""
     is_good = not any(each.error or each.violations for each in trials)
-    sys.exit(EXIT_OK if is_good else EXIT_FOUND_WRONG)
+    sys.exit(EXIT_OK if is_good else EXIT_FAULT_FOUND)
 
 
 @soak.command("trial")
--- a/stairhatch/cli/users.py
+++ b/stairhatch/cli/users.py
@@ -7,7 +7,7 @@
 
 import click
 
-from stairhatch.cli.common import EXIT_FOUND_WRONG, failing_with
+from stairhatch.cli.common import EXIT_FAULT_FOUND, failing_with
 
 
 @click.group()
@@ -32,7 +32,7 @@
         password = sys.stdin.readline().rstrip("\r\n")
     else:
         password = click.prompt("password", hide_input=True, confirmation_prompt=True)
-    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
+    with failing_with(EXIT_FAULT_FOUND, UserFileError, OSError):
         click.echo(add(file, name, realm, password, md5))
 
 
@@ -45,7 +45,7 @@
     from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import remove
 
-    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
+    with failing_with(EXIT_FAULT_FOUND, UserFileError, OSError):
         click.echo(remove(file, name, realm))
 
 
@@ -56,5 +56,5 @@
     from stairhatch.sip.digest_auth import UserFileError
     from stairhatch.users import list_users
 
-    with failing_with(EXIT_FOUND_WRONG, UserFileError, OSError):
+    with failing_with(EXIT_FAULT_FOUND, UserFileError, OSError):
         click.echo(list_users(file))
--- a/stairhatch/load_test/experiment.py
+++ b/stairhatch/load_test/experiment.py
@@ -113,13 +113,13 @@
     )
 
 
-def shortened(experiment: Experiment, part: float) -> Experiment:
-    """Return the experiment with one repeat and a fraction `part` of each run's length, for a quick look."""
+def shortened(experiment: Experiment, fraction: float) -> Experiment:
+    """Return the experiment with one repeat and a `fraction` of each run's length, for a quick look."""
     load = experiment.load
-    phases = tuple(msgspec.structs.replace(each, seconds=each.seconds * part) for each in load.phases)
+    phases = tuple(msgspec.structs.replace(each, seconds=each.seconds * fraction) for each in load.phases)
     return msgspec.structs.replace(
         experiment,
         load=msgspec.structs.replace(load, phases=phases),
-        seconds=experiment.seconds * part,
+        seconds=experiment.seconds * fraction,
         repeats=1,
     )
--- a/stairhatch/soak/caller.py
+++ b/stairhatch/soak/caller.py
@@ -123,8 +123,8 @@
 class Callers:
     """All emulated callers of a trial, with their connections and calls.
 
-    `identify` maps the index of a softswitch to the name of its current process, `address_of` to the address
-    at which it listens.
+    `process_name_of` maps the index of a softswitch to the name of its current process, and `address_of` maps
+    it to the address at which the softswitch listens.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         deployment: Deployment,
         record: Record,
         rng: random.Random,
-        identify: Callable[[int], str],
+        process_name_of: Callable[[int], str],
         address_of: Callable[[int], Address],
     ) -> None:
         """Create the callers without connections and calls; a running event loop is required."""
@@ -140,7 +140,7 @@
         self.calls: dict[str, PlacedCall] = {}
         self.is_closed = False
         self._deployment, self._record, self._rng = deployment, record, rng
-        self._identify, self._address_of = identify, address_of
+        self._process_name_of, self._address_of = process_name_of, address_of
         self._tasks: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
 
@@ -224,7 +224,7 @@
         self._record.note(
             Kind.SETUP_SENT,
             call.call_id,
-            softswitch=self._identify(call.softswitch),
+            softswitch=self._process_name_of(call.softswitch),
             detail=f"{call.call_class.name} waits {call.caller_timeout_s}",
         )
         if self._rng.random() < ABANDON_FRACTION:
@@ -298,7 +298,7 @@
         self._record.note(
             Kind.FINAL_ANSWER,
             call_id,
-            softswitch=self._identify(connection.softswitch),
+            softswitch=self._process_name_of(connection.softswitch),
             status=message.status,
             detail=sdp_answer,
         )
@@ -354,7 +354,7 @@
             connection.close()
 
     def _note(self, kind: Kind, call: PlacedCall, detail: str = "") -> None:
-        process = self._identify(call.softswitch)
+        process = self._process_name_of(call.softswitch)
         self._record.note(kind, call.call_id, softswitch=process, detail=detail)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/stairhatch/soak/roster_server.py
+++ b/stairhatch/soak/roster_server.py
@@ -60,7 +60,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Report the load, and send the releases again that may have been lost with earlier connections."""
-        self.process = self.server.identify(self.softswitch)
+        self.process = self.server.process_name_of(self.softswitch)
         super().connection_made(transport)
         self.server.resend_releases(self)
 
@@ -108,7 +108,7 @@
     deployment: Deployment
     record: Record
     rng: random.Random
-    identify: Callable[[int], str]  # maps a softswitch's index to the name of its current process
+    process_name_of: Callable[[int], str]  # maps a softswitch's index to the name of its current process
 
 
 class RosterServer(ServerEmulator):
@@ -118,7 +118,7 @@
         """Create a server without connections; `instance` is its instance id, `number` that of its place."""
         super().__init__(load_report_interval_s=LOAD_REPORT_INTERVAL_S, lines=10_000)
         self.instance, self.number = instance, number
-        self.identify = context.identify
+        self.process_name_of = context.process_name_of
         self.is_hung = False
         self.is_alive = True
         self.spoils = ""  # how answers are spoilt at present, one of `SPOILT_KINDS`; empty: not at all
