--- a/stairhatch/soak/caller.py
+++ b/stairhatch/soak/caller.py
@@ -20,8 +20,9 @@
 from stairhatch.soak.record import Kind, Record
 
 IDLE_CLOSE_S = 4.0  # a connection without calls is closed after this time
-CROSSING_WINDOW_S = 0.05  # a set-up whose connection closes within this time is sent again, once
-# Fractions of set-ups abandoned, of those by CANCEL, of calls hung up, and of refused calls redialled.
+CROSSING_WINDOW_S = 0.05  # a set-up is sent again, once, if its connection closes so soon after it
+# The fractions of set-ups that are abandoned, of abandoned set-ups that are ended by CANCEL, of established
+# calls that the caller hangs up, and of refused calls that are redialled.
 ABANDON_FRACTION, CANCEL_FRACTION, HANG_UP_FRACTION, REDIAL_FRACTION = 0.08, 0.5, 0.3, 0.3
 NEW_CONNECTION_FRACTION = 0.25  # the fraction of calls that open a connection although a usable one is open
 MAX_CALLS_PER_CONNECTION = 8
@@ -40,7 +41,7 @@
     call_class: DrawnClass
     caller_timeout_s: float  # counted from `sent_at`
     sent_at: float  # the event loop's time at which the last byte of the INVITE was written
-    redials: int = 0  # how many refused calls, each with its own Call-ID, this call redials
+    redials: int = 0  # the number of earlier, refused calls of which this call is a redial
     is_answered: bool = False  # a final response to the INVITE has arrived
     is_established: bool = False
     is_abandoned: bool = False  # the caller has abandoned the set-up
@@ -122,8 +123,8 @@
 class Callers:
     """All emulated callers of a trial, with their connections and calls.
 
-    `identify` maps the index of a softswitch to the name of its current process, `address_of` to the address
-    at which it listens.
+    `process_name_of` maps the index of a softswitch to the name of its current process, and `address_of` maps
+    it to the address at which the softswitch listens.
     """
 
     def __init__(
@@ -131,7 +132,7 @@
         deployment: Deployment,
         record: Record,
         rng: random.Random,
-        identify: Callable[[int], str],
+        process_name_of: Callable[[int], str],
         address_of: Callable[[int], Address],
     ) -> None:
         """Create the callers without connections and calls; a running event loop is required."""
@@ -139,7 +140,7 @@
         self.calls: dict[str, PlacedCall] = {}
         self.is_closed = False
         self._deployment, self._record, self._rng = deployment, record, rng
-        self._identify, self._address_of = identify, address_of
+        self._process_name_of, self._address_of = process_name_of, address_of
         self._tasks: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
 
@@ -223,7 +224,7 @@
         self._record.note(
             Kind.SETUP_SENT,
             call.call_id,
-            softswitch=self._identify(call.softswitch),
+            softswitch=self._process_name_of(call.softswitch),
             detail=f"{call.call_class.name} waits {call.caller_timeout_s}",
         )
         if self._rng.random() < ABANDON_FRACTION:
@@ -297,7 +298,7 @@
         self._record.note(
             Kind.FINAL_ANSWER,
             call_id,
-            softswitch=self._identify(connection.softswitch),
+            softswitch=self._process_name_of(connection.softswitch),
             status=message.status,
             detail=sdp_answer,
         )
@@ -353,7 +354,7 @@
             connection.close()
 
     def _note(self, kind: Kind, call: PlacedCall, detail: str = "") -> None:
-        process = self._identify(call.softswitch)
+        process = self._process_name_of(call.softswitch)
         self._record.note(kind, call.call_id, softswitch=process, detail=detail)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/stairhatch/soak/roster_server.py
+++ b/stairhatch/soak/roster_server.py
@@ -28,8 +28,8 @@
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 LOAD_REPORT_INTERVAL_S = 0.4
-RELEASE_RESEND_S = 30.0  # the releases of this last time are sent again on each new connection
-# Fractions of the set-ups; the others are established within 20 ms.
+RELEASE_RESEND_S = 30.0  # releases are sent again on connections opened within this time
+# Fractions of the set-ups; slow ones are established after 0.1 to 1.2 s, all others within 20 ms.
 UNANSWERED_FRACTION, REJECTED_FRACTION, FAILED_FRACTION, SLOW_FRACTION = 0.02, 0.05, 0.02, 0.08
 
 
@@ -60,7 +60,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Report the load, and send the releases again that may have been lost with earlier connections."""
-        self.process = self.server.identify(self.softswitch)
+        self.process = self.server.process_name_of(self.softswitch)
         super().connection_made(transport)
         self.server.resend_releases(self)
 
@@ -108,7 +108,7 @@
     deployment: Deployment
     record: Record
     rng: random.Random
-    identify: Callable[[int], str]  # maps a softswitch's index to the name of its current process
+    process_name_of: Callable[[int], str]  # maps a softswitch's index to the name of its current process
 
 
 class RosterServer(ServerEmulator):
@@ -118,7 +118,7 @@
         """Create a server without connections; `instance` is its instance id, `number` that of its place."""
         super().__init__(load_report_interval_s=LOAD_REPORT_INTERVAL_S, lines=10_000)
         self.instance, self.number = instance, number
-        self.identify = context.identify
+        self.process_name_of = context.process_name_of
         self.is_hung = False
         self.is_alive = True
         self.spoils = ""  # how answers are spoilt at present, one of `SPOILT_KINDS`; empty: not at all
