--- a/stairhatch/fleet/admin_client.py
+++ b/stairhatch/fleet/admin_client.py
@@ -90,7 +90,9 @@
     lines = [f"fleet {report['fleet']}, softswitch {report['name']}, voters {' '.join(report['voters'])}"]
     if "number" in report:
         index = report["number"]
-        index_text = index if index >= 0 else "none: no turn in what is left over at a cold server"
+        index_text = (
+            index if index >= 0 else "none: no share of the remaining slow-start slots at a cold server"
+        )
         lines.append(f"number        {index_text}")
     lines.append(f"{'claim':20} {'stage':8} {'ticket':>7} {'left':>7} holder")
     lines += [_lease_line(each) for each in report["claims"]]
@@ -112,7 +114,9 @@
     voter_set = f"list          {vote['epoch']}: {' '.join(vote['list'])}"
     if vote["wishes"]:
         proposed = " ".join(vote["wishes"])
-        voter_set += f"; its file has {proposed}: not yet agreed to by a majority, or not heard of"
+        voter_set += (
+            f"; its configuration has {proposed}, to which no majority has reported its agreement yet"
+        )
     lines = [f"votes         {'yes' if vote['votes'] else 'no: ' + vote['why']}", voter_set]
     for each in vote["promises"]:
         remaining = f"{each['left_s']:.1f}s"
--- a/stairhatch/fleet/admin_commands.py
+++ b/stairhatch/fleet/admin_commands.py
@@ -56,7 +56,7 @@
         return "ok " + json.dumps(self._driver.lease_report())
 
     def request_restart_slot(self) -> str:
-        """Request a restart slot; the client repeats the command until the answer begins with `ok`."""
+        """Request a restart slot; the client repeats the command while the answer is `fail not yet`."""
         answer = self._driver.restart_slot.request(self._clock())
         self._driver.tick_soon()
         return answer
--- a/stairhatch/fleet/lease_observer.py
+++ b/stairhatch/fleet/lease_observer.py
@@ -25,7 +25,7 @@
     """The state of a lease, combined from the statuses of the voters."""
 
     holder: str | None = None  # None: no majority of the voters names the same holder
-    fencing_token: int = 0  # of the holder; without a holder the highest_token reported token
+    fencing_token: int = 0  # of the holder; without a holder the highest reported token
     remaining_s: float = 0.0  # the shortest remaining time that a voter reports for the holder
     answered_voters: int = 0  # how many voters answered within `STATUS_VALID_S`
 
--- a/stairhatch/fleet/messages.py
+++ b/stairhatch/fleet/messages.py
@@ -84,7 +84,7 @@
     request_id: Number = field(name="serial")
     reason: Annotated[str, Meta(max_length=32)] = field(name="why")
     highest_token: Number = field(default=0, name="highest")  # that the voter has voted for
-    holder: Annotated[str, Meta(max_length=48)] = ""  # "": the voter knows no holder
+    holder: Annotated[str, Meta(max_length=48)] = ""  # "": the rejection names no holder
     remaining_ms: Millis = field(default=0, name="left_ms")
 
 
--- a/stairhatch/fleet/restart_slots.py
+++ b/stairhatch/fleet/restart_slots.py
@@ -1,4 +1,4 @@
-"""Restart slots, which limit the planned restarts in a fleet to k at a time, and the commands for them.
+"""Restart slots, which limit how many planned restarts a fleet has at a time, and the commands for them.
 
 The process that is to be restarted holds a slot. The end of the process does not release the slot: the slot
 expires one lease duration later, by which time the restarted process serves. The slot of a process that dies
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -48,7 +48,7 @@
 
 MAX_TICK_INTERVAL_S = 0.25
 MIN_TICK_INTERVAL_S = 0.001
-SETTLE_WINDOWS = 1.25  # overload windows in which a slow-start slot at a cold server opens and expires
+SETTLE_WINDOWS = 1.25  # in overload windows: the span in which a slot at a cold server opens and expires
 GAUGE_INTERVAL_S = 1.0
 SEED_BITS = 64
 INCARNATION_BITS = 62  # fits the integers of a fleet datagram
--- a/stairhatch/fleet/vote_log.py
+++ b/stairhatch/fleet/vote_log.py
@@ -28,7 +28,7 @@
     leases: tuple[str, ...]  # the leases whose newest vote was part of this write
     storage_version: StorageVersion
     voter_set: VoterSet | None
-    grant: PendingGrant | None  # that waited for this write
+    grant: PendingGrant | None  # the grant that waited for this write
 
 
 class VoteLog:
@@ -40,7 +40,7 @@
         self.voter_set = persisted.voter_set  # on disk
         self.known_versions = dict(persisted.known_versions)  # of the other voters, by name
         self.vote_count = persisted.storage_version.vote_count  # includes votes that are not on disk yet
-        self.has_unsaved_state = persisted.voter_set is None  # of the voter set or known versions
+        self.has_unsaved_state = persisted.voter_set is None  # voter set or known versions await a write
         self.last_write_id = 1
         self.pending_grants: dict[int, PendingGrant] = {}  # by write id
         self.under_way: dict[str, int] = {}  # by lease: id of the write in progress with its newest vote
--- a/stairhatch/fleet/voter.py
+++ b/stairhatch/fleet/voter.py
@@ -223,8 +223,8 @@
     def handle_status_reply(self, now: float, reply: StatusReply) -> list[Effect]:
         """Handle another voter's status reply.
 
-        Exclude this voter if the other one knows more of its storage. Otherwise use the reply, if it answers
-        the present request, to start voting or to advance to the proposed voter set.
+        Exclude this voter if the other one knows a newer version of this voter's storage. Otherwise use the
+        reply, if it answers the present request, to start voting or to advance to the proposed voter set.
         """
         if reply.voter not in self.others:
             return []
--- a/stairhatch/fleet/voter_set.py
+++ b/stairhatch/fleet/voter_set.py
@@ -87,9 +87,9 @@
     """The relation of the configured voter set to the one in the data directory."""
 
     SAME = "same"
-    SUCCESSOR = "successor"
-    BEHIND = "behind"
-    INCONSISTENT = "inconsistent"
+    SUCCESSOR = "successor"  # the configured set has the next epoch and differs by one voter
+    BEHIND = "behind"  # the stored set is more than one epoch older than the configured one
+    INCONSISTENT = "inconsistent"  # the configured set cannot follow the stored one
 
 
 @dataclass(frozen=True, slots=True)
