--- a/benchmarks/scaling/simulated_softswitches.py
+++ b/benchmarks/scaling/simulated_softswitches.py
@@ -25,7 +25,7 @@
 SETTINGS_SERVERS = 24
 
 
-def call_manager() -> CallManager:
+def create_call_manager() -> CallManager:
     """Return a new call manager that has no frontends and discards its log."""
     return CallManager(
         settings_from_object(settings_json(SETTINGS_SERVERS)).settings,
@@ -63,12 +63,14 @@
         self._updates = [0] * self.count
         self._last_update_at = 0.0
         for index in range(self.count):
-            core = call_manager()
-            core.servers.pool = NoServerPool()  # type: ignore[assignment]
-            network = Network(core)
-            client = ServiceDiscoveryClient(core, self.coordinator, 0)
-            update_servers = core.update_servers
-            core.update_servers = partial(self._record, index, update_servers)  # type: ignore[method-assign]
+            call_manager = create_call_manager()
+            call_manager.servers.pool = NoServerPool()  # type: ignore[assignment]
+            network = Network(call_manager)
+            client = ServiceDiscoveryClient(call_manager, self.coordinator, 0)
+            update_servers = call_manager.update_servers
+            call_manager.update_servers = partial(  # type: ignore[method-assign]
+                self._record, index, update_servers
+            )
             network.spawn(network.poll_service_discovery(client))
 
     def reply(self, _request: Request) -> FollowerStatus:
@@ -91,13 +93,13 @@
     async def start(self) -> None:
         """Start the connections to the roster server."""
         record = ServerRecord("one", (self.server[0], self.server[1]), 0, Availability.READY)
-        self._cores = []
+        self._call_managers = []
         for _ in range(self.count):
-            core = call_manager()
-            ServerConnectionPool(core, Network(core).dial)
-            core.update_servers([record], complete=True)
-            self._cores.append(core)
+            call_manager = create_call_manager()
+            ServerConnectionPool(call_manager, Network(call_manager).dial)
+            call_manager.update_servers([record], complete=True)
+            self._call_managers.append(call_manager)
 
     def reply(self, _request: Request) -> int:
         """Return how many softswitches are connected to the roster server."""
-        return sum(core.servers.by_id[1].connected for core in self._cores)
+        return sum(call_manager.servers.by_id[1].connected for call_manager in self._call_managers)
--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -92,13 +92,15 @@
             from stairhatch.scope.controller import ScopedController
 
             scoped = ScopedController(config.settings, rng, config.scope)
-        core = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
-        network = Network(core)
-        ServerConnectionPool(core, network.dial)
+        call_manager = CallManager(config.settings, rng, clock, log, counters, config.tracing, scoped)
+        network = Network(call_manager)
+        ServerConnectionPool(call_manager, network.dial)
         if scoped is not None:
-            core.servers.in_scope = scoped.in_scope
+            call_manager.servers.in_scope = scoped.in_scope
             scoped.on_scope_changed = self._scope_changed
-        return Components(clock=clock, log=log, counters=counters, core=core, network=network, scoped=scoped)
+        return Components(
+            clock=clock, log=log, counters=counters, call_manager=call_manager, network=network, scoped=scoped
+        )
 
     @property
     def config(self) -> Config:
@@ -113,14 +115,14 @@
         parts = self.parts
         servers = [
             each
-            for each in parts.core.servers.by_id.values()
+            for each in parts.call_manager.servers.by_id.values()
             if numbers is None or each.record.number in numbers
         ]
         parts.counters.add("scopes_entered" if entered else "scopes_left")
         state = "in" if entered else "out"
         parts.log("scope", state=state, classes=",".join(classes), servers=len(servers))
         for server in servers:
-            parts.core.servers.pool.record_changed(server)
+            parts.call_manager.servers.pool.record_changed(server)
 
     # ---- starting the softswitch ----
 
@@ -141,12 +143,12 @@
         except OSError as error:
             raise ConfigError(f"can't listen: {error.strerror}") from error
         self._limit_descriptors(config)
-        self.parts.core.readiness.listening = config.inherited is None
+        self.parts.call_manager.readiness.listening = config.inherited is None
         return ",".join(opened)
 
     def _listen_platform(self, config: Config, address: tuple[str, int]) -> str:
         parts = self.parts
-        parts.platform_frontend = PlatformFrontend(parts.core)
+        parts.platform_frontend = PlatformFrontend(parts.call_manager)
         at = address if config.inherited is None else inherited_socket(config.inherited)
         limits = ListenerLimits(caller_connection_limit(config))
         listener = parts.network.listen(at, parts.platform_frontend.connect, limits, config.inherited is None)
@@ -174,7 +176,7 @@
         network = self.parts.network
         rng = random.Random(secrets.randbits(64))
         frontend = SipFrontend(
-            self.parts.core,
+            self.parts.call_manager,
             config,
             lambda: secrets.token_hex(IDENT_BYTES),
             rng.random,
@@ -187,8 +189,8 @@
         return frontend
 
     def _listen_admin(self, address: tuple[str, int]) -> str:
-        core = self.parts.core
-        self.parts.network.listen(address, lambda _: AdminConnection(core), ADMIN_LIMITS)
+        call_manager = self.parts.call_manager
+        self.parts.network.listen(address, lambda _: AdminConnection(call_manager), ADMIN_LIMITS)
         return f"console:{address[0]}:{address[1]}"
 
     def _limit_descriptors(self, config: Config) -> None:
@@ -213,14 +215,14 @@
         parts = self.parts
         config = self.config
         try:
-            last_event = apply_answer(parts.core, config.known, 0)
+            last_event = apply_answer(parts.call_manager, config.known, 0)
         except ServiceDiscoveryError as error:
             raise ConfigError(str(error)) from error
         if config.coordinator is not None:
-            parts.discovery = ServiceDiscoveryClient(parts.core, config.coordinator, last_event)
+            parts.discovery = ServiceDiscoveryClient(parts.call_manager, config.coordinator, last_event)
         else:
-            parts.core.readiness.list_known = True
-            parts.core.servers.list_confirmed_at = math.inf
+            parts.call_manager.readiness.list_known = True
+            parts.call_manager.servers.list_confirmed_at = math.inf
         if config.fleet is not None:
             self._join_cluster(config.fleet)
         if parts.discovery is not None:
@@ -235,7 +237,7 @@
 
         parts = self.parts
         try:
-            parts.fleet = FleetRuntime(parts.core, parts.network, config, self.config.settings)
+            parts.fleet = FleetRuntime(parts.call_manager, parts.network, config, self.config.settings)
         except StoreError as error:
             raise ConfigError(f"fleet.folder: {error}") from error
         except OSError as error:
@@ -252,15 +254,15 @@
         An inherited socket, which this process may share with another, accepts connections only from then on.
         All other listeners have been accepting since they were created.
         """
-        core = self.parts.core
-        while not core.readiness.startup_health().is_ready:
+        call_manager = self.parts.call_manager
+        while not call_manager.readiness.startup_health().is_ready:
             await asyncio.sleep(READY_POLL_S)
-        if core.readiness.shutting_down:
+        if call_manager.readiness.shutting_down:
             return
         for listener in self.parts.caller_listeners:
             listener.open()
-        core.readiness.listening = True
-        self.parts.log("serving", servers=len(core.servers.by_id))
+        call_manager.readiness.listening = True
+        self.parts.log("serving", servers=len(call_manager.servers.by_id))
 
     # ---- running and ending the softswitch ----
 
@@ -307,7 +309,7 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: parts.log("counters", **parts.counters.counts))
     if hangup_received():
         application.reloader.reload()
-    application.terminal.attach(AdminConsole(parts.core, stop.set, application.status_text))
+    application.terminal.attach(AdminConsole(parts.call_manager, stop.set, application.status_text))
     parts.log("ready", name=application.config.name, listen=addresses)
     parts.network.spawn(application.serve_when_ready())
     gc.collect()
--- a/stairhatch/components.py
+++ b/stairhatch/components.py
@@ -47,7 +47,7 @@
     clock: Callable[[], float]
     log: EventLog
     counters: Counters
-    core: CallManager
+    call_manager: CallManager
     network: Network
     scoped: ScopedController | None = None
     platform_frontend: PlatformFrontend | None = None
--- a/stairhatch/conformance/in_process.py
+++ b/stairhatch/conformance/in_process.py
@@ -71,8 +71,8 @@
 class EmulatedServerPool:
     """A server pool for the call manager: one emulated server, whose replies depend on the number called."""
 
-    def __init__(self, core: CallManager, timeline: VirtualTimeline) -> None:
-        self._core = core
+    def __init__(self, call_manager: CallManager, timeline: VirtualTimeline) -> None:
+        self._call_manager = call_manager
         self._timeline = timeline
         self._released: set[str] = set()
 
@@ -81,7 +81,7 @@
 
     def send_setup(self, attempt: Attempt) -> None:
         """Send a set-up at once, if it may still be sent, and schedule the server's replies."""
-        if not self._core.attempts.claim_transmission(attempt):
+        if not self._call_manager.attempts.claim_transmission(attempt):
             return
         request = attempt.call.request
         for reply in script_for(request.called_uri):
@@ -104,7 +104,7 @@
         def callback() -> None:
             if ident in self._released:
                 return
-            responses = self._core.responses
+            responses = self._call_manager.responses
             match reply.verb:
                 case ReplyVerb.PENDING:
                     responses.setup_progressing(server, ident)
@@ -164,8 +164,8 @@
 
     def __init__(self, **overrides: Any) -> None:
         self.timeline = VirtualTimeline()
-        self.core = _connected_core(self.timeline)
-        self.frontend = _frontend(self.core, overrides)
+        self.call_manager = _connected_call_manager(self.timeline)
+        self.frontend = _frontend(self.call_manager, overrides)
         self.frontend.flows.dial = self._connect
         self.undelivered: list[tuple[Address, bytes]] = []  # datagrams to addresses of no open transport
         self._transports: list[InProcessTransport] = []
@@ -187,7 +187,7 @@
         while (due := self._next_due()) is not None and due <= end:
             self.timeline.now_s = max(self.timeline.now_s, due)
             self.timeline.run_due()
-            self.core.timers.run_due()
+            self.call_manager.timers.run_due()
             self.deliver_output()
         self.timeline.now_s = end
         self.deliver_output()
@@ -223,22 +223,22 @@
 
     def _next_due(self) -> float | None:
         """Return the time of the next event or timer in seconds, None if there is neither."""
-        due_times = (self.timeline.next_due(), self.core.timers.next_due())
+        due_times = (self.timeline.next_due(), self.call_manager.timers.next_due())
         return min((due for due in due_times if due is not None), default=None)
 
 
-def _connected_core(timeline: VirtualTimeline) -> CallManager:
+def _connected_call_manager(timeline: VirtualTimeline) -> CallManager:
     """Return a call manager whose single roster server is connected."""
-    core = CallManager(SETTINGS, random.Random(1), timeline.clock, _log_nothing, Counters())
-    core.servers.pool = EmulatedServerPool(core, timeline)
-    core.update_servers([SERVER], True)
-    core.readiness.listening = core.readiness.list_known = True
-    for server in core.servers.by_id.values():
+    call_manager = CallManager(SETTINGS, random.Random(1), timeline.clock, _log_nothing, Counters())
+    call_manager.servers.pool = EmulatedServerPool(call_manager, timeline)
+    call_manager.update_servers([SERVER], True)
+    call_manager.readiness.listening = call_manager.readiness.list_known = True
+    for server in call_manager.servers.by_id.values():
         server.dial_attempted = server.connected = True
-    return core
+    return call_manager
 
 
-def _frontend(core: CallManager, overrides: dict[str, Any]) -> SipFrontend:
+def _frontend(call_manager: CallManager, overrides: dict[str, Any]) -> SipFrontend:
     """Return a SIP frontend whose tokens and random numbers are the same in each run."""
     listeners = (SipListener((HOST, SIP_PORT)),)
     settings: dict[str, Any] = {
@@ -250,7 +250,9 @@
         **overrides,
     }
     tokens, random_numbers = (f"{number:016x}" for number in count(1)), random.Random(2)
-    return SipFrontend(core, SipConfig(**settings), lambda: next(tokens), random_numbers.random, b"secret")
+    return SipFrontend(
+        call_manager, SipConfig(**settings), lambda: next(tokens), random_numbers.random, b"secret"
+    )
 
 
 def _log_nothing(_event: str, **_fields: Any) -> None:
--- a/stairhatch/conformance/mutations.py
+++ b/stairhatch/conformance/mutations.py
@@ -85,8 +85,10 @@
     """Delay the 2xx until the reliable provisional response is acknowledged, checked every 0.5 s."""
     reliable = self.provisional.reliable if self.provisional is not None else None
     if reliable is not None and not reliable.acknowledged:
-        core = self._agent.context.core
-        core.timers.schedule(core.clock() + 0.5, lambda: _delay_established_until_prack(self, description))
+        call_manager = self._agent.context.call_manager
+        call_manager.timers.schedule(
+            call_manager.clock() + 0.5, lambda: _delay_established_until_prack(self, description)
+        )
     else:
         ORIGINALS["established"](self, description)
 
--- a/stairhatch/demo/callers.py
+++ b/stairhatch/demo/callers.py
@@ -21,10 +21,12 @@
 class DemoCallers:
     """Callers of the demonstration, one per transport, with the counts of their calls' results."""
 
-    def __init__(self, options: DemoOptions, core: CallManager, print_line: Callable[[str], None]) -> None:
-        """Create the callers without opening them; the summary reads the open calls of `core`."""
+    def __init__(
+        self, options: DemoOptions, call_manager: CallManager, print_line: Callable[[str], None]
+    ) -> None:
+        """Create the callers without opening them; the summary reads the open calls of `call_manager`."""
         self.options = options
-        self.core = core
+        self.call_manager = call_manager
         self.print_line = print_line
         self.results: Counter[CallResult] = Counter()
         self.placed_count = 0
@@ -63,6 +65,6 @@
         """Return a line with the counts of placed, ended, established and pending calls."""
         counts = sorted((result.value, count) for result, count in self.results.items())
         ended = ", ".join(f"{count} {name}" for name, count in counts) or "no call ended yet"
-        unanswered = self.core.calls.unanswered
-        established = len(self.core.calls.by_number) - unanswered
+        unanswered = self.call_manager.calls.unanswered
+        established = len(self.call_manager.calls.by_number) - unanswered
         return f"{self.placed_count} placed: {ended}; {established} established, {unanswered} being set up"
--- a/stairhatch/demo/demonstration.py
+++ b/stairhatch/demo/demonstration.py
@@ -31,7 +31,7 @@
     await application.serve_when_ready()
     print_line(f"the appliance listens on {listening}; {SERVER_COUNT} emulated roster servers answer")
 
-    callers = DemoCallers(options, application.parts.core, print_line)
+    callers = DemoCallers(options, application.parts.call_manager, print_line)
     await _place_calls_until(stop, options.seconds, callers)
 
     print_line("draining: calls being set up are answered, established ones may end")
--- a/stairhatch/fleet/runtime.py
+++ b/stairhatch/fleet/runtime.py
@@ -72,17 +72,19 @@
 class FleetRuntime:
     """Driver of one softswitch's fleet member, with its leases and, if it is a voter, its votes."""
 
-    def __init__(self, core: CallManager, network: Network, config: FleetConfig, settings: Settings) -> None:
+    def __init__(
+        self, call_manager: CallManager, network: Network, config: FleetConfig, settings: Settings
+    ) -> None:
         """Open the data directory, the history file and the datagram port.
 
         Raise StoreError if the data directory cannot be used, and OSError if the listening address or the
         history file cannot be used.
         """
-        self.core = core
+        self.call_manager = call_manager
         self.network = network
         self.config = config
-        self.log = core.log
-        self.counters = core.counters
+        self.log = call_manager.log
+        self.counters = call_manager.counters
         self.output: deque[tuple[bytes, PeerAddress]] = deque()
         self.notify_writable: Callable[[], None] = do_nothing  # set by the network, which sends `output`
         self.codec = FleetCodec(config.fleet_name, config.secret)
@@ -103,7 +105,7 @@
         self._gauges_updated_at = -math.inf
         self._is_stopped = False
         network.open_datagram_port(config.listen, self)
-        core.admin_commands.update(AdminCommands(self, lambda: clock()).by_name())
+        call_manager.admin_commands.update(AdminCommands(self, lambda: clock()).by_name())
         self.history.write("started", name=config.member_name, voter=config.is_voter)
 
     def _open_member(self, now: float) -> ClusterMember:
@@ -152,8 +154,8 @@
         """Request the leases for the instance index and the endpoint list, and start the periodic work."""
         now = clock()
         if self.instance_index_lease is not None:
-            self.core.attempts.check_instance_index = self._update_instance_index
-            self.core.update_settings(self.settings_in_use(self.settings))
+            self.call_manager.attempts.check_instance_index = self._update_instance_index
+            self.call_manager.update_settings(self.settings_in_use(self.settings))
             self.instance_index_lease.pool.request(now)
         self.relay.start(now)
         self._tick()
@@ -317,8 +319,8 @@
     def _update_instance_index(self) -> None:
         """Update the settings if the instance index that may be used now has changed.
 
-        The core also calls this before it writes a set-up to a cold server, because the process may have been
-        suspended since the last update.
+        The call manager also calls this before it writes a set-up to a cold server, because the process may
+        have been suspended since the last update.
         """
         index_lease = self.instance_index_lease
         if index_lease is None:
@@ -332,7 +334,7 @@
             "number", claim=f"{instance_index.PREFIX}{lease_index}", number=encode_index(index)
         )
         self.log("fleet", what="instance_index", index="none" if index is None else index)
-        self.core.update_settings(self.settings_in_use(self.settings))
+        self.call_manager.update_settings(self.settings_in_use(self.settings))
 
 
 __all__ = ["FleetRuntime", "StoreError", "clock"]
--- a/stairhatch/node/admin_console.py
+++ b/stairhatch/node/admin_console.py
@@ -38,11 +38,11 @@
     """The console of one terminal: it takes the typed bytes and returns the text to print."""
 
     def __init__(
-        self, core: CallManager, end: Callable[[], None], service: Callable[[], str] = lambda: ""
+        self, call_manager: CallManager, end: Callable[[], None], service: Callable[[], str] = lambda: ""
     ) -> None:
         """Create a console; `end` ends the program, and `service` returns text to append to `status`."""
-        self._core, self._end, self._service = core, end, service
-        self._started_at = core.clock()
+        self._call_manager, self._end, self._service = call_manager, end, service
+        self._started_at = call_manager.clock()
         self._typed = b""  # the incomplete last line
         self._commands: dict[str, Callable[[], str]] = {
             "help": self._help,
@@ -73,48 +73,48 @@
             case ["trace", "on" | "off"]:
                 return self._trace(words[1])
             case ["check" | "drain-on" | "drain-off" as name]:
-                return execute(self._core, name).line + "\n"
-            case [first, *_] if first in self._core.admin_commands:
-                return execute(self._core, " ".join(line.split())).line + "\n"
+                return execute(self._call_manager, name).line + "\n"
+            case [first, *_] if first in self._call_manager.admin_commands:
+                return execute(self._call_manager, " ".join(line.split())).line + "\n"
         return f"unknown command {line.strip()[:40]!r}; try help\n"
 
     def _help(self) -> str:
-        added = self._core.admin_commands
+        added = self._call_manager.admin_commands
         return HELP + "".join(f"{name:9} an order of the door's, with its words\n" for name in added)
 
     def _quit(self) -> str:
         self._end()
-        return f"ending: {self._core.calls.unanswered} calls are still to be answered\n"
+        return f"ending: {self._call_manager.calls.unanswered} calls are still to be answered\n"
 
     def _counters(self) -> str:
-        counts = sorted(self._core.counters.counts.items())
+        counts = sorted(self._call_manager.counters.counts.items())
         return "".join(f"{name:32} {count}\n" for name, count in counts) or "nothing counted yet\n"
 
     def _trace(self, state: str) -> str:
-        self._core.context.tracing = state == "on"
+        self._call_manager.context.tracing = state == "on"
         return f"trace is {state}\n"
 
     def _status(self) -> str:
-        core = self._core
-        states = [call.state for call in core.calls.by_number.values()]
+        call_manager = self._call_manager
+        states = [call.state for call in call_manager.calls.by_number.values()]
         setting_up, established = states.count(CallState.OFFERED), states.count(CallState.ESTABLISHED)
-        ready = sum(s.record.availability is Availability.READY for s in core.servers.by_id.values())
-        connected = sum(server.connected for server in core.servers.by_id.values())
-        counts = core.counters.counts
+        ready = sum(s.record.availability is Availability.READY for s in call_manager.servers.by_id.values())
+        connected = sum(server.connected for server in call_manager.servers.by_id.values())
+        counts = call_manager.counters.counts
         counter_names = ("calls_established", "calls_rejected", "calls_failed", "calls_abandoned")
         unusable = counts.get("requests_unusable", 0) + counts.get("malformed_from_callers", 0)
         stood, refused, failed, given_up = (counts.get(name, 0) for name in counter_names)
-        state = core.readiness.health().reason or "serving"
-        if core.readiness.drain_since is not None:
-            drained_s = core.clock() - core.readiness.drain_since
-            state += f" for {drained_s:.1f} s, {core.calls.unanswered} calls to be answered"
-            state += ", then the program ends" if core.readiness.shutting_down else ""
+        state = call_manager.readiness.health().reason or "serving"
+        if call_manager.readiness.drain_since is not None:
+            drained_s = call_manager.clock() - call_manager.readiness.drain_since
+            state += f" for {drained_s:.1f} s, {call_manager.calls.unanswered} calls to be answered"
+            state += ", then the program ends" if call_manager.readiness.shutting_down else ""
         return (
-            f"up {int(core.clock() - self._started_at)} s\n"
+            f"up {int(call_manager.clock() - self._started_at)} s\n"
             f"state      {state}\n"
             f"calls      {setting_up} being set up, {established} standing\n"
             f"answered   {stood} stood, {refused} refused, {failed} failed, {given_up} given up by callers\n"
-            f"servers    {ready} of {len(core.servers.by_id)} in service, {connected} connected\n"
+            f"servers    {ready} of {len(call_manager.servers.by_id)} in service, {connected} connected\n"
             f"callers    {counts.get('connections_evicted', 0)} connections put out for others, "
             f"{counts.get('connections_expired', 0)} ended as silent, "
             f"{unusable} requests unusable\n"
@@ -124,24 +124,24 @@
         ) + self._service()
 
     def _servers(self) -> str:
-        core = self._core
-        if not core.servers.by_id:
+        call_manager = self._call_manager
+        if not call_manager.servers.by_id:
             return "the directory names no servers\n"
-        now = core.clock()
+        now = call_manager.clock()
         text = (
             f"{'name':20} {'address':22} {'number':>6} {'state':9} link  out held standing  "
             " wait   age marks\n"
         )
-        for server in core.servers.by_id.values():
+        for server in call_manager.servers.by_id.values():
             record = server.record
             states = [
                 call.state
-                for call in core.calls.by_number.values()
+                for call in call_manager.calls.by_number.values()
                 if call.attempt is not None and call.attempt.server is server
             ]
             address = f"{record.address[0]}:{record.address[1]}"
-            link = "up" if server.connected else "down" if core.servers.is_in_scope(server) else "-"
-            endpoint = core.controller.endpoints.get(server.id)  # the state that decisions use
+            link = "up" if server.connected else "down" if call_manager.servers.is_in_scope(server) else "-"
+            endpoint = call_manager.controller.endpoints.get(server.id)  # the state that decisions use
             held, wait, age, marks = 0, "-", "-", []
             if endpoint is not None:
                 held = len(endpoint.pending_setups)
@@ -155,7 +155,7 @@
                     for word, is_set in (("flagged", endpoint.flagged), ("down", endpoint.ejected))
                     if is_set
                 ]
-                marks += ["cold"] if core.controller.is_warming_up(now, endpoint) else []
+                marks += ["cold"] if call_manager.controller.is_warming_up(now, endpoint) else []
             text += (
                 f"{record.instance:20} {address:22} {record.number:6} {record.availability.value:9} "
                 f"{link:4} {states.count(CallState.OFFERED):4} "
@@ -165,22 +165,24 @@
         return text
 
     def _classes(self) -> str:
-        core = self._core
+        call_manager = self._call_manager
         text = f"{'class':16} {'worth':>6} {'aim':>7} {'limit':>7} {'again':5} {'attempts':>8} {'open':>5}"
-        text += "\n" if core.servers.in_scope is None else "  scope\n"
+        text += "\n" if call_manager.servers.in_scope is None else "  scope\n"
         in_scope_numbers = {
-            s.record.number for s in core.servers.by_id.values() if core.servers.is_in_scope(s)
+            s.record.number
+            for s in call_manager.servers.by_id.values()
+            if call_manager.servers.is_in_scope(s)
         }
-        open_classes = [call.request.call_class for call in core.calls.by_number.values()]
-        replaced = [kind for kind in dict.fromkeys(open_classes) if kind not in core.settings.classes]
-        for kind in [*core.settings.classes, *replaced]:
+        open_classes = [call.request.call_class for call in call_manager.calls.by_number.values()]
+        replaced = [kind for kind in dict.fromkeys(open_classes) if kind not in call_manager.settings.classes]
+        for kind in [*call_manager.settings.classes, *replaced]:
             text += (
                 f"{kind.name:16} {kind.priority_weight:6g} {kind.latency_objective_s:6g}s "
                 f"{kind.deadline_s:6g}s {'yes' if kind.idempotent else 'no':5} "
-                f"{core.settings.max_attempts:8} {open_classes.count(kind):5}"
+                f"{call_manager.settings.max_attempts:8} {open_classes.count(kind):5}"
                 f"{' as it was before a reload' if kind in replaced else ''}"
             )
-            if core.servers.in_scope is not None:
+            if call_manager.servers.in_scope is not None:
                 reachable = (
                     in_scope_numbers
                     if kind.allowed_servers is None
@@ -191,13 +193,13 @@
         return text
 
     def _calls(self) -> str:
-        core = self._core
-        if not core.calls.by_number:
+        call_manager = self._call_manager
+        if not call_manager.calls.by_number:
             return "no calls\n"
         text = f"{'call':17} {'number called':18} {'class':12} {'state':9} {'tries':>5} server\n"
-        for index, call in enumerate(core.calls.by_number.values()):
+        for index, call in enumerate(call_manager.calls.by_number.values()):
             if index == MAX_CALLS_SHOWN:
-                return text + f"and {len(core.calls.by_number) - MAX_CALLS_SHOWN} more\n"
+                return text + f"and {len(call_manager.calls.by_number) - MAX_CALLS_SHOWN} more\n"
             kind = call.request.call_class.name
             server = call.attempt.server.record.instance if call.attempt is not None else "-"
             text += (
--- a/stairhatch/node/admin_endpoint.py
+++ b/stairhatch/node/admin_endpoint.py
@@ -37,44 +37,46 @@
         return cls(verdict == SUCCEEDED, text)
 
 
-def execute(core: CallManager, line: str) -> CommandResult:
+def execute(call_manager: CallManager, line: str) -> CommandResult:
     """Execute an operator's command line; an unknown or malformed one gives a failed result."""
     match line.split():
         case ["check"]:
-            return _check(core)
+            return _check(call_manager)
         case ["drain-on" | "drain-off" as name]:
-            return _drain(core, name == "drain-on")
-        case [name, *arguments] if name in core.admin_commands:
+            return _drain(call_manager, name == "drain-on")
+        case [name, *arguments] if name in call_manager.admin_commands:
             try:
-                return CommandResult.from_line(core.admin_commands[name](*arguments))
+                return CommandResult.from_line(call_manager.admin_commands[name](*arguments))
             except TypeError:
                 return CommandResult(False, "the order has more words or fewer than it takes")
         case []:
             return CommandResult(False, "an empty line; known are check, drain-on and drain-off")
     shown = "".join(c if c.isascii() and c.isprintable() else "?" for c in line[:MAX_SHOWN_CHARACTERS])
-    more = "".join(f", {name}" for name in core.admin_commands)
+    more = "".join(f", {name}" for name in call_manager.admin_commands)
     return CommandResult(False, f"unknown order {shown}; known are check, drain-on and drain-off{more}")
 
 
-def _drain(core: CallManager, on: bool) -> CommandResult:
+def _drain(call_manager: CallManager, on: bool) -> CommandResult:
     """Start or end draining; ending it returns the result of `check`. Fails while the program shuts down."""
-    if core.readiness.shutting_down:
+    if call_manager.readiness.shutting_down:
         return CommandResult(False, "the program is ending")
-    core.readiness.drain(on)
+    call_manager.readiness.drain(on)
     if on:
-        return CommandResult(True, f"draining, {core.calls.unanswered} calls are still to be answered")
-    return _check(core)
+        return CommandResult(
+            True, f"draining, {call_manager.calls.unanswered} calls are still to be answered"
+        )
+    return _check(call_manager)
 
 
-def _check(core: CallManager) -> CommandResult:
+def _check(call_manager: CallManager) -> CommandResult:
     """Return whether new callers are served, with the reason or the number of connected servers."""
-    health = core.readiness.health()
+    health = call_manager.readiness.health()
     if not health.is_ready:
         return CommandResult(False, health.reason)
     ready = [
         server
-        for server in core.servers.by_id.values()
-        if server.record.availability is Availability.READY and core.servers.is_in_scope(server)
+        for server in call_manager.servers.by_id.values()
+        if server.record.availability is Availability.READY and call_manager.servers.is_in_scope(server)
     ]
     connected = sum(server.connected for server in ready)
     return CommandResult(True, f"serving, {connected} of {len(ready)} roster servers connected")
@@ -83,10 +85,10 @@
 class AdminConnection(ConnectionProtocol):
     """The sans-I/O protocol of an operator's connection, which is closed after one command and its answer."""
 
-    def __init__(self, core: CallManager) -> None:
+    def __init__(self, call_manager: CallManager) -> None:
         """Create the protocol of a new connection."""
         super().__init__()
-        self._core = core
+        self._call_manager = call_manager
         self._received = b""
         self._answer = b""
 
@@ -103,7 +105,7 @@
         if len(line) > MAX_COMMAND_BYTES:
             self._respond(CommandResult(False, f"a line longer than {MAX_COMMAND_BYTES} bytes"))
         elif end:
-            self._respond(execute(self._core, line.decode("utf-8", "replace").strip()))
+            self._respond(execute(self._call_manager, line.decode("utf-8", "replace").strip()))
 
     def eof_received(self) -> None:
         """Answer `fail` if the operator ends the input before the line is complete."""
@@ -127,7 +129,9 @@
         """Do nothing when the connection ends: it keeps no state."""
 
     def _respond(self, result: CommandResult) -> None:
-        self._core.counters.add("admin_commands_succeeded" if result.succeeded else "admin_commands_failed")
+        self._call_manager.counters.add(
+            "admin_commands_succeeded" if result.succeeded else "admin_commands_failed"
+        )
         self._log(self._received[:MAX_SHOWN_CHARACTERS].decode("ascii", "replace").strip(), result)
         self._answer = result.line.encode() + b"\n"
         self.request_received = True
@@ -137,7 +141,7 @@
     def _log(self, command: str, result: CommandResult) -> None:
         """Log a command; log `check`, which may come ten times a second, only if its outcome has changed."""
         outcome = SUCCEEDED if result.succeeded else result.line
-        if command != "check" or outcome != self._core.last_health_answer:
-            self._core.log("admin_command", line=command, answer=result.line[:MAX_LOGGED_CHARACTERS])
+        if command != "check" or outcome != self._call_manager.last_health_answer:
+            self._call_manager.log("admin_command", line=command, answer=result.line[:MAX_LOGGED_CHARACTERS])
         if command == "check":
-            self._core.last_health_answer = outcome
+            self._call_manager.last_health_answer = outcome
--- a/stairhatch/node/connection_liveness.py
+++ b/stairhatch/node/connection_liveness.py
@@ -2,7 +2,7 @@
 
 A connection may be cut off silently and stay open: data written to it then reaches no process. Silence alone
 proves nothing, as a server may merely be slow, so a suspicion only leads to a second connection. Times are
-those of the core's clock, in seconds.
+those of the call manager's clock, in seconds.
 """
 
 from __future__ import annotations
--- a/stairhatch/node/endpoint_list.py
+++ b/stairhatch/node/endpoint_list.py
@@ -75,18 +75,18 @@
     return WatchAnswer(max(last_index, after), events)
 
 
-def apply_answer(core: CallManager, answer: Any, after: int) -> int:
+def apply_answer(call_manager: CallManager, answer: Any, after: int) -> int:
     """Apply the events after an index to the call manager; return the index of the last event.
 
     Raises ServiceDiscoveryError if the answer is invalid; no event is applied then.
     """
     parsed = parse_answer(answer, after)
     for event in parsed.events:
-        core.update_servers(event.endpoints, event.is_complete)
+        call_manager.update_servers(event.endpoints, event.is_complete)
     return parsed.last_index
 
 
-def skip_unreadable(core: CallManager, answer: Any, after: int) -> ReadableAnswer:
+def skip_unreadable(call_manager: CallManager, answer: Any, after: int) -> ReadableAnswer:
     """Return an answer with its unreadable lines replaced.
 
     An unreadable line is replaced by one that marks its server as draining: the server gets no new calls, and
@@ -96,7 +96,7 @@
     instance id may belong to any server that the list does not contain, so all of these are marked as
     draining. Raises ServiceDiscoveryError if the answer is invalid in other ways.
     """
-    repairer = _AnswerRepairer(after, _known_lines(core))
+    repairer = _AnswerRepairer(after, _known_lines(call_manager))
     try:
         updates = [repairer.repair_event(event) for event in answer["updates"]]
     except PARSE_FAULTS as error:
@@ -133,11 +133,11 @@
     }
 
 
-def _known_lines(core: CallManager) -> dict[str, dict[str, Any]]:
+def _known_lines(call_manager: CallManager) -> dict[str, dict[str, Any]]:
     """Return the lines of the known servers that are not gone, by instance id."""
     return {
         name: _line_of(server.record)
-        for name, server in core.servers.by_instance.items()
+        for name, server in call_manager.servers.by_instance.items()
         if server.record.availability is not Availability.GONE
     }
 
--- a/stairhatch/node/failure_detector.py
+++ b/stairhatch/node/failure_detector.py
@@ -8,8 +8,8 @@
 
 A connection that comes up after all others have broken, or while they are silent, may lead to another process
 at the same address, which does not hold the calls. Its messages confirm nothing until a message arrives on
-one of the older connections as well. The module uses no socket; times are those of the core's clock, in
-seconds.
+one of the older connections as well. The module uses no socket; times are those of the call manager's clock,
+in seconds.
 """
 
 from __future__ import annotations
--- a/stairhatch/node/failure_monitor.py
+++ b/stairhatch/node/failure_monitor.py
@@ -28,7 +28,7 @@
 class MonitoredPool(Protocol):
     """The interface of the connection pool that the monitor uses."""
 
-    core: CallManager
+    call_manager: CallManager
     active: dict[int, ServerConnection]
     standby: dict[int, ServerConnection]
     handed_over: bool
@@ -49,7 +49,7 @@
     def __init__(self, pool: MonitoredPool) -> None:
         """Schedule the first check; the pool notifies the monitor of messages and lost connections."""
         self._pool = pool
-        self._core = pool.core
+        self._call_manager = pool.call_manager
         self._detectors: dict[int, FailureDetector] = {}  # by server id
         self._schedule_check()
 
@@ -62,7 +62,7 @@
         if detector is None:
             detector = self._detectors[server.id] = FailureDetector()
         connected_at = connection.liveness.connected_at
-        detector.message_received(connection, connected_at, self._core.clock(), is_load_report)
+        detector.message_received(connection, connected_at, self._call_manager.clock(), is_load_report)
         if detector.successor_received_at is not None:
             self._judge_successor(server, detector)
 
@@ -79,13 +79,13 @@
     # ---- periodic check ----
 
     def _schedule_check(self) -> None:
-        self._core.timers.schedule(self._core.clock() + CHECK_INTERVAL_S, self._check_all)
+        self._call_manager.timers.schedule(self._call_manager.clock() + CHECK_INTERVAL_S, self._check_all)
 
     def _check_all(self) -> None:
         if self._pool.handed_over:
             return
         self._schedule_check()
-        servers = self._core.servers.by_id
+        servers = self._call_manager.servers.by_id
         for server_id in [each for each in self._detectors if each not in servers]:
             del self._detectors[server_id]
         for server_id, detector in self._detectors.items():
@@ -94,7 +94,7 @@
     def _check(self, server: RosterServer, detector: FailureDetector) -> None:
         if detector.successor_received_at is not None:
             self._judge_successor(server, detector)
-        verdict = detector.check(self._core.clock())
+        verdict = detector.check(self._call_manager.clock())
         if verdict is ServerVerdict.CONFIRMED:
             self._note_confirmed(server, detector)
         elif server.record.availability is Availability.GONE or not self._has_calls(server, detector):
@@ -110,7 +110,7 @@
         if not self._has_calls(server, detector):
             detector.trust_successor()
         elif not self._shares_address(server):
-            detector.confirm_by_list(self._core.servers.list_confirmed_at)
+            detector.confirm_by_list(self._call_manager.servers.list_confirmed_at)
 
     def _shares_address(self, server: RosterServer) -> bool:
         """Return whether another server, from which messages may come instead, is listed at the address."""
@@ -118,34 +118,34 @@
             other is not server
             and other.record.address == server.record.address
             and other.record.availability is not Availability.GONE
-            for other in self._core.servers.by_id.values()
+            for other in self._call_manager.servers.by_id.values()
         )
 
     def _has_calls(self, server: RosterServer, detector: FailureDetector) -> bool:
         """Return whether established calls would be lost with the unconfirmed process."""
-        return self._core.calls.has_established_at(server, detector.lost_before())
+        return self._call_manager.calls.has_established_at(server, detector.lost_before())
 
     def _probe(self, server: RosterServer, detector: FailureDetector) -> None:
         """Dial a standby if a probe is due; a server that is alive reports its load on the new connection."""
         connection = self._pool.active.get(server.id)
         if connection is None or not connection.liveness.is_connected:
             return  # the active connection is being dialled already
-        now = self._core.clock()
+        now = self._call_manager.clock()
         if server.id not in self._pool.standby and detector.is_probe_due(now):
             detector.probe_started(now)
-            self._core.counters.add("server_probes")
+            self._call_manager.counters.add("server_probes")
             self._pool.dial_standby(connection)
 
     def _end_calls(self, server: RosterServer, detector: FailureDetector, verdict: ServerVerdict) -> None:
         """Release the lost calls on both sides, and end the connections that led to the lost process."""
-        core = self._core
+        call_manager = self._call_manager
         lost_before = detector.lost_before()
-        silent_s = round(core.clock() - detector.last_received_at, 2)
-        unconfirmed_s = round(core.clock() - detector.confirmed_at, 2)
+        silent_s = round(call_manager.clock() - detector.last_received_at, 2)
+        unconfirmed_s = round(call_manager.clock() - detector.confirmed_at, 2)
         led_to_lost = detector.reset_after_loss()
-        lost_ids = core.responses.terminate_established_at(server, lost_before, LOSS_REASONS[verdict])
-        core.counters.add("servers_lost")
-        core.log(
+        lost_ids = call_manager.responses.terminate_established_at(server, lost_before, LOSS_REASONS[verdict])
+        call_manager.counters.add("servers_lost")
+        call_manager.log(
             "server_lost",
             server=server.record.instance,
             why=verdict.value,
@@ -165,9 +165,9 @@
         if detector.is_suspected:
             return
         detector.is_suspected = True
-        now = self._core.clock()
-        self._core.counters.add("servers_suspected")
-        self._core.log(
+        now = self._call_manager.clock()
+        self._call_manager.counters.add("servers_suspected")
+        self._call_manager.log(
             "server_suspected",
             server=server.record.instance,
             unheard_s=round(now - detector.last_received_at, 2),
@@ -178,4 +178,4 @@
     def _note_confirmed(self, server: RosterServer, detector: FailureDetector) -> None:
         if detector.is_suspected:
             detector.is_suspected = False
-            self._core.log("server_confirmed", server=server.record.instance)
+            self._call_manager.log("server_confirmed", server=server.record.instance)
--- a/stairhatch/node/io/background.py
+++ b/stairhatch/node/io/background.py
@@ -21,10 +21,10 @@
     end, while the tasks that redial connections run as long as the process.
     """
 
-    def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, call_manager: CallManager, loop: asyncio.AbstractEventLoop) -> None:
         """Run tasks on `loop`, and report their faults to the counters and the log of the call manager."""
         self.running: set[asyncio.Task[None]] = set()  # strong references: the loop keeps only weak ones
-        self._core = core
+        self._call_manager = call_manager
         self._loop = loop
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -40,8 +40,8 @@
     def _on_done(self, task: asyncio.Task[None]) -> None:
         self.running.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self._core.counters.add("task_faults")
-            self._core.log("fault", why=f"{type(error).__name__}: {error}")
+            self._call_manager.counters.add("task_faults")
+            self._call_manager.log("fault", why=f"{type(error).__name__}: {error}")
 
 
 class TimerDriver:
@@ -50,25 +50,25 @@
     `arm` has to be called whenever the due time of the earliest timer has changed.
     """
 
-    def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
-        """Bind the timers of `core` to `loop`; none runs before the first call of `arm`."""
-        self._core = core
+    def __init__(self, call_manager: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+        """Bind the timers of `call_manager` to `loop`; none runs before the first call of `arm`."""
+        self._call_manager = call_manager
         self._loop = loop
         self._handle: asyncio.TimerHandle | None = None
 
     def arm(self) -> None:
         """Schedule one call for the due time of the earliest timer; it replaces the call scheduled before."""
-        due = self._core.timers.next_due()
+        due = self._call_manager.timers.next_due()
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
         if due is not None:
-            self._handle = self._loop.call_later(max(0.0, due - self._core.clock()), self._run_due)
+            self._handle = self._loop.call_later(max(0.0, due - self._call_manager.clock()), self._run_due)
 
     def _run_due(self) -> None:
         self._handle = None
         try:
-            self._core.timers.run_due()
+            self._call_manager.timers.run_due()
         finally:
             self.arm()
 
--- a/stairhatch/node/io/connection_runner.py
+++ b/stairhatch/node/io/connection_runner.py
@@ -24,9 +24,11 @@
 class ConnectionRunner:
     """Runs connections with the loop, tasks, buffers, readers and writer that all of them share."""
 
-    def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop, tasks: BackgroundTasks) -> None:
+    def __init__(
+        self, call_manager: CallManager, loop: asyncio.AbstractEventLoop, tasks: BackgroundTasks
+    ) -> None:
         """Create the readers, the writer, the poller and the buffer pool that the connections share."""
-        self.core = core
+        self.call_manager = call_manager
         self.loop = loop
         self.tasks = tasks
         self.buffer_pool = BufferPool()
@@ -104,5 +106,5 @@
                 accepted.report_loss()
 
     def _log_fault(self, error: Exception, owner: object) -> None:
-        self.core.counters.add("connection_faults")
-        self.core.log("fault", why=f"{type(error).__name__}: {error}", component=type(owner).__name__)
+        self.call_manager.counters.add("connection_faults")
+        self.call_manager.log("fault", why=f"{type(error).__name__}: {error}", component=type(owner).__name__)
--- a/stairhatch/node/io/connector.py
+++ b/stairhatch/node/io/connector.py
@@ -86,7 +86,7 @@
         try:
             sock = await self.connect(peer)
         except (OSError, TimeoutError):
-            self._runner.core.counters.add("callers_unreached")
+            self._runner.call_manager.counters.add("callers_unreached")
             protocol.connection_lost()
             return
         connection = AcceptedConnection(protocol, sock, self._runner.loop.time())
@@ -104,7 +104,7 @@
         self._admission = admission
         self._open: set[ServerConnection] = set()  # the connections that hold a descriptor
 
-    async def keep_up(self, connection: ServerConnection) -> None:
+    async def maintain_connection(self, connection: ServerConnection) -> None:
         """Dial and run a server connection until it is retired, then remove it from its pool."""
         with self._admission.dialled_connection():
             await self._dial_until_retired(connection)
@@ -140,7 +140,7 @@
         if len(self._open) >= self._admission.budget.available_to_servers():
             raise OSError(errno.EMFILE, "no descriptor is left for a server connection")
         self._open.add(connection)
-        within_s = self._runner.core.settings.connect_timeout_s
+        within_s = self._runner.call_manager.settings.connect_timeout_s
         return await self._connector.connect(connection.server.record.address, within_s)
 
     def _report_failure(self, connection: ServerConnection, error: OSError) -> None:
--- a/stairhatch/node/io/datagrams.py
+++ b/stairhatch/node/io/datagrams.py
@@ -48,7 +48,7 @@
     ) -> None:
         """Bind a UDP port and start reading it. Raises OSError if the address cannot be bound."""
         self._protocol = protocol
-        self._core = runner.core
+        self._call_manager = runner.call_manager
         self._loop = runner.loop
         self._monitor = monitor
         self.sock = socket.socket(address_family(address[0]), socket.SOCK_DGRAM)
@@ -109,7 +109,7 @@
                 self._loop.add_writer(self.sock, self._resume_sending)
                 return
             except OSError:
-                self._core.counters.add("datagrams_unsent")
+                self._call_manager.counters.add("datagrams_unsent")
             output.popleft()
 
     def _resume_sending(self) -> None:
--- a/stairhatch/node/io/descriptor_budget.py
+++ b/stairhatch/node/io/descriptor_budget.py
@@ -79,11 +79,11 @@
 class CallerAdmission:
     """Applies one descriptor budget to all listeners that callers connect to."""
 
-    def __init__(self, core: CallManager, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, call_manager: CallManager, loop: asyncio.AbstractEventLoop) -> None:
         """Begin with an unlimited budget and no listeners; `share` sets both."""
         self.budget = DescriptorBudget()
         self._listeners: Sequence[EvictingListener] = ()
-        self._core = core
+        self._call_manager = call_manager
         self._loop = loop
         self._logged_at: dict[str, float] = {}  # by log event
         self._eviction_scheduled = False
@@ -123,7 +123,9 @@
         self._logged_at[event] = now
         budget = self.budget
         callers = self.caller_count()
-        self._core.log(event, why=str(error), callers=callers, dialled=budget.dialled, limit=budget.limit)
+        self._call_manager.log(
+            event, why=str(error), callers=callers, dialled=budget.dialled, limit=budget.limit
+        )
 
     @contextlib.contextmanager
     def dialled_connection(self) -> Iterator[None]:
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -140,7 +140,7 @@
                 self.admission.evict_one(self)
                 self._pause(EXHAUSTED_PAUSE_S)
                 return
-            self.runner.core.counters.add("connections_accepted")
+            self.runner.call_manager.counters.add("connections_accepted")
             connection = AcceptedConnection(self.protocol_factory(peer), sock, self.runner.loop.time())
             self.connections[connection] = None
             self.runner.start_reading(connection, self.connections)
@@ -219,7 +219,7 @@
     def _evict_connection(self, connection: AcceptedConnection) -> None:
         del self.connections[connection]
         self.evicted.add(connection)
-        self.runner.core.counters.add("connections_evicted")
+        self.runner.call_manager.counters.add("connections_evicted")
         if response := connection.protocol.eviction_response():
             with contextlib.suppress(OSError):
                 connection.sock.send(response)
@@ -249,14 +249,14 @@
                 continue  # the bytes arrived in time, but the loop has not read them yet
             idle_s = now - connection.received_at
             if idle_s > self.limits.idle_timeout_s and not protocol.closing and protocol.is_idle():
-                self.runner.core.counters.add("connections_idle_closed")
+                self.runner.call_manager.counters.add("connections_idle_closed")
                 protocol.close_when_idle()
                 continue
             partial_age_s = now - connection.partial_since if connection.partial_since else 0.0
             rest_overdue = partial_age_s > MESSAGE_TIMEOUT_S
             if protocol.closing or not (first_request_overdue or rest_overdue):
                 continue
-            self.runner.core.counters.add("connections_expired")
+            self.runner.call_manager.counters.add("connections_expired")
             protocol.read_timed_out()
 
     def close_idle(self) -> None:
@@ -267,7 +267,7 @@
         process ends. The caller sends a set-up that crosses the close again, to another softswitch.
         """
         now = self.runner.loop.time()
-        rejecting = self.runner.core.readiness.rejects_new_calls()
+        rejecting = self.runner.call_manager.readiness.rejects_new_calls()
         # The least recently used connections are closed last: those that remain carry only releases.
         busiest_first = reversed(list(self.connections))
         for connection in busiest_first:
@@ -278,7 +278,7 @@
                 quiet = now - connection.accepted_at >= DRAIN_FIRST_REQUEST_S
             if protocol.closing or not quiet or not protocol.is_idle() or connection.has_unread():
                 continue
-            self.runner.core.counters.add("connections_drained")
+            self.runner.call_manager.counters.add("connections_drained")
             with contextlib.suppress(OSError):
                 # The socket is shut down here, so that no request arrives between the check and the close.
                 connection.sock.shutdown(socket.SHUT_WR)
--- a/stairhatch/node/io/network.py
+++ b/stairhatch/node/io/network.py
@@ -32,23 +32,23 @@
 class Network:
     """The network I/O of one softswitch. Must be created while an event loop is running."""
 
-    def __init__(self, core: CallManager) -> None:
+    def __init__(self, call_manager: CallManager) -> None:
         """Connect the call manager's timers, reading of callers and drain to the running loop."""
-        self.core = core
+        self.call_manager = call_manager
         self.loop = asyncio.get_running_loop()
-        self.tasks = BackgroundTasks(core, self.loop)
-        self.runner = ConnectionRunner(core, self.loop, self.tasks)
-        self.admission = CallerAdmission(core, self.loop)
+        self.tasks = BackgroundTasks(call_manager, self.loop)
+        self.runner = ConnectionRunner(call_manager, self.loop, self.tasks)
+        self.admission = CallerAdmission(call_manager, self.loop)
         self.connector = Connector(self.runner, self.admission)
         self.load_monitor = LoadMonitor(self.loop)
         self._server_connector = ServerConnector(self.runner, self.connector, self.admission)
         self._discovery_poller = ServiceDiscoveryPoller(self.runner, self.connector, self.admission)
         self._caller_listeners: Sequence[Listener] = ()
         self._drain_task: asyncio.Task[None] | None = None
-        core.readiness.on_drain_started = self._begin_drain
-        core.read_callers = self.runner.poller.read_ready
-        timers = TimerDriver(core, self.loop)
-        core.timers.on_earlier_due = timers.arm
+        call_manager.readiness.on_drain_started = self._begin_drain
+        call_manager.read_callers = self.runner.poller.read_ready
+        timers = TimerDriver(call_manager, self.loop)
+        call_manager.timers.on_earlier_due = timers.arm
         timers.arm()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -124,7 +124,7 @@
             self._drain_task = self.spawn(self._drain())
 
     async def _drain(self) -> None:
-        while self.core.readiness.drain_since is not None:
+        while self.call_manager.readiness.drain_since is not None:
             for each in self._caller_listeners:
                 each.close_idle()
             await asyncio.sleep(DRAIN_CHECK_S)
@@ -133,7 +133,7 @@
 
     def dial(self, connection: ServerConnection) -> None:
         """Dial a server connection, and redial it until it is retired."""
-        self.spawn(self._server_connector.keep_up(connection))
+        self.spawn(self._server_connector.maintain_connection(connection))
 
     async def poll_service_discovery(self, client: ServiceDiscoveryClient) -> None:
         """Maintain the long poll of service discovery until the task is cancelled."""
--- a/stairhatch/node/liveness_checker.py
+++ b/stairhatch/node/liveness_checker.py
@@ -19,7 +19,7 @@
 class CheckedPool(Protocol):
     """The interface of the connection pool that the checker uses."""
 
-    core: CallManager
+    call_manager: CallManager
     active: dict[int, ServerConnection]
     standby: dict[int, ServerConnection]
     superseded: list[ServerConnection]
@@ -34,13 +34,15 @@
     def __init__(self, pool: CheckedPool) -> None:
         """Schedule the first check of the pool's connections."""
         self._pool = pool
-        self._core = pool.core
-        self._core.timers.schedule(self._core.clock() + LIVENESS_CHECK_INTERVAL_S, self._check)
+        self._call_manager = pool.call_manager
+        self._call_manager.timers.schedule(
+            self._call_manager.clock() + LIVENESS_CHECK_INTERVAL_S, self._check
+        )
 
     def _check(self) -> None:
         """Dial a standby for each unresponsive active connection that may be suspected."""
-        now = self._core.clock()
-        self._core.timers.schedule(now + LIVENESS_CHECK_INTERVAL_S, self._check)
+        now = self._call_manager.clock()
+        self._call_manager.timers.schedule(now + LIVENESS_CHECK_INTERVAL_S, self._check)
         unresponsive: list[ServerConnection] = []
         for server_id, connection in self._pool.active.items():
             has_standby = server_id in self._pool.standby
@@ -69,7 +71,7 @@
     def _suspect(self, connection: ServerConnection, now: float) -> None:
         liveness = connection.liveness
         liveness.back_off(now)
-        self._core.counters.add("server_connections_unresponsive")
+        self._call_manager.counters.add("server_connections_unresponsive")
         silent_s = round(now - liveness.last_activity_at, 2)
         instance = connection.server.record.instance
-        self._core.log("server_connection_unresponsive", server=instance, silent_s=silent_s)
+        self._call_manager.log("server_connection_unresponsive", server=instance, silent_s=silent_s)
--- a/stairhatch/node/platform_connection.py
+++ b/stairhatch/node/platform_connection.py
@@ -76,15 +76,15 @@
 class PlatformRegistry:
     """Registry shared by all platform connections: the connections, their calls and pending releases."""
 
-    def __init__(self, core: CallManager) -> None:
+    def __init__(self, call_manager: CallManager) -> None:
         """Start without calls; releases of unknown calls by servers are delivered to callers too."""
-        self.core = core
+        self.call_manager = call_manager
         self.connections: dict[PlatformConnection, None] = {}  # the last active connection comes last
         self.calls: dict[str, PlatformCall] = {}
-        self.deliveries = ReleaseDelivery(core, self.connections)
+        self.deliveries = ReleaseDelivery(call_manager, self.connections)
         self._early_cancels: OrderedDict[str, None] = OrderedDict()
         self._last_branch = 0
-        core.responses.unknown_release_listeners.append(self.release)
+        call_manager.responses.unknown_release_listeners.append(self.release)
 
     def release(self, call_id: str, cause: int, call_connection: PlatformConnection | None = None) -> None:
         """Send a caller the release of its call, on `call_connection` if that is open."""
@@ -126,7 +126,7 @@
         """Start with nothing received; `registry` is shared by all connections."""
         super().__init__()
         self.registry = registry
-        self.core = registry.core
+        self.call_manager = registry.call_manager
         self.pending: dict[str, PlatformCall] = {}  # set-ups without a final response
         self.established_calls: set[str] = set()  # set up on this connection and not known to have ended
         self.requests = 0
@@ -164,13 +164,13 @@
         return (
             super().is_idle()
             and not deliveries.awaits_acknowledgement(self, self._releases_sent)
-            and not (self.core.readiness.keeps_connections_of_calls() and self.carries_calls())
-            and not (self.core.readiness.keeps_release_path() and deliveries.is_only_listener(self))
+            and not (self.call_manager.readiness.keeps_connections_of_calls() and self.carries_calls())
+            and not (self.call_manager.readiness.keeps_release_path() and deliveries.is_only_listener(self))
         )
 
     def carries_calls(self) -> bool:
         """Whether a call that was set up on this connection is still established; drops ended calls."""
-        self.established_calls = set(filter(self.core.calls.is_established, self.established_calls))
+        self.established_calls = set(filter(self.call_manager.calls.is_established, self.established_calls))
         return bool(self.established_calls)
 
     def read_timed_out(self) -> None:
@@ -192,8 +192,8 @@
                 self.requests += 1
                 self._message_received(message)
         except sip_parser.SipError as error:
-            self.core.counters.add("malformed_from_callers")
-            self.core.log("malformed", side="caller", why=str(error))
+            self.call_manager.counters.add("malformed_from_callers")
+            self.call_manager.log("malformed", side="caller", why=str(error))
             if error.partial is not None and error.partial.method not in ("", "ACK"):
                 self.respond(error.partial, error.status, [])
             self._close_when_written()
@@ -234,13 +234,13 @@
 
     def respond(self, request: sip.SipMessage, status: int, extra: sip.Headers, body: bytes = b"") -> None:
         """Queue a response to a request; `extra` are headers beyond those copied from the request."""
-        self.core.counters.add(f"sent_{status}")
+        self.call_manager.counters.add(f"sent_{status}")
         self._queue_output(sip.response(status, sip.echoed(request) + extra, body))
 
     def send_release(self, call_id: str, cause: int) -> None:
         """Queue a BYE for a call, with a Q.850 cause in its Reason header."""
         self._releases_sent.add(call_id)
-        self.core.counters.add("sent_BYE")
+        self.call_manager.counters.add("sent_BYE")
         headers = [
             ("via", f"SIP/2.0/TCP stairhatch;branch={self.registry.next_branch()}"),
             ("from", "<sip:stairhatch@net>;tag=stairhatch"),
@@ -255,7 +255,7 @@
         self._output.append(data)
         self._output_bytes += len(data)
         if self._output_bytes > MAX_OUTPUT_BYTES:
-            self.core.counters.add("connections_slow_closed")
+            self.call_manager.counters.add("connections_slow_closed")
             self.closing = True
             self.abort()
         self.notify_writable()
@@ -278,13 +278,13 @@
         self.registry.calls.pop(call_id, None)
         self.pending.pop(call_id, None)
         if platform_call.call is not None:
-            self.core.abandon(platform_call.call)
+            self.call_manager.abandon(platform_call.call)
 
     def _message_received(self, message: sip.SipMessage) -> None:
         call_id, method = message.get("call-id"), message.method
         is_known = method in METHODS
         kind = method if is_known else "other" if method else "response"
-        self.core.counters.add(f"got_{kind}")  # unknown method names must not create counters
+        self.call_manager.counters.add(f"got_{kind}")  # unknown method names must not create counters
         if is_known and not has_valid_call_headers(message, call_id):
             self._reject_unusable(message, 400)
             return
@@ -300,7 +300,7 @@
             case "BYE":
                 self._bye_received(message, call_id)
             case "OPTIONS":
-                self.respond(message, 200 if self.core.readiness.health().is_ready else 503, [])
+                self.respond(message, 200 if self.call_manager.readiness.health().is_ready else 503, [])
             case "ACK" | "NOTIFY":
                 pass
             case _:
@@ -316,13 +316,13 @@
     def _cancel_received(self, message: sip.SipMessage, call_id: str) -> None:
         platform_call = self.registry.calls.get(call_id)
         if platform_call is not None:
-            is_established = self.core.calls.is_established(call_id)
+            is_established = self.call_manager.calls.is_established(call_id)
             platform_call.connection.abandon(platform_call)
             platform_call.connection.notify_writable()  # it may be closing, and was waiting for this set-up
             if is_established:  # the CANCEL crossed the 200, which the caller may have read
-                self.core.counters.add("cancels_crossed")
+                self.call_manager.counters.add("cancels_crossed")
                 self.registry.release(call_id, ReleaseCause.NORMAL_CLEARING, platform_call.connection)
-        elif not self.core.calls.was_terminated(call_id):
+        elif not self.call_manager.calls.was_terminated(call_id):
             self.registry.remember_early_cancel(call_id)
         self.respond(message, 200 if platform_call is not None else 481, [])
 
@@ -331,9 +331,9 @@
         if platform_call is not None and platform_call.call is not None:
             platform_call.connection.pending.pop(call_id, None)
             platform_call.connection.established_calls.discard(call_id)
-            self.core.release(platform_call.call, sip.release_cause(message))
+            self.call_manager.release(platform_call.call, sip.release_cause(message))
         elif not self.registry.deliveries.acknowledged(call_id):
-            self.core.release_unknown(call_id, sip.release_cause(message))
+            self.call_manager.release_unknown(call_id, sip.release_cause(message))
         self.respond(message, 200, [])
 
     def _reject_unusable(
@@ -344,10 +344,10 @@
         A connection with pending set-ups is not closed.
         """
         self._faults += 1
-        self.core.counters.add("requests_unusable")
+        self.call_manager.counters.add("requests_unusable")
         self.respond(message, status, extra or [])
         if self._faults >= MAX_FAULTS and not self.pending:
-            self.core.counters.add("connections_faulty_closed")
+            self.call_manager.counters.add("connections_faulty_closed")
             self._close_when_written()
 
     def _invite_received(self, message: sip.SipMessage, call_id: str) -> None:
@@ -356,30 +356,30 @@
         Not offered are unusable set-ups, set-ups with a used call id, set-ups whose caller has left, and new
         set-ups during a drain.
         """
-        core, registry = self.core, self.registry
+        call_manager, registry = self.call_manager, self.registry
         try:
-            request = read_call_request(core, message, call_id)
+            request = read_call_request(call_manager, message, call_id)
         except UnusableRequestError as error:
             self._reject_unusable(message, error.status)
             return
-        if call_id in registry.calls or core.calls.was_terminated(call_id):
+        if call_id in registry.calls or call_manager.calls.was_terminated(call_id):
             self._reject_unusable(message, 482)  # every set-up needs a new call id, also a caller retry
             return
         if registry.take_early_cancel(call_id) or self._peer_closed:
-            core.counters.add("calls_abandoned_early")
+            call_manager.counters.add("calls_abandoned_early")
             self.respond(message, 480, [])
             return
-        if core.readiness.rejects_new_calls():
-            core.counters.add("calls_rejected_draining")
-            if core.context.tracing:
-                core.log("call_rejected", call=call_id, why="draining")
+        if call_manager.readiness.rejects_new_calls():
+            call_manager.counters.add("calls_rejected_draining")
+            if call_manager.context.tracing:
+                call_manager.log("call_rejected", call=call_id, why="draining")
             advice = [("come-back-ms", str(int(RETRY_AFTER_S * 1000)))]
-            self.respond(message, 503, advice if core.settings.may_send_retry_after else [])
+            self.respond(message, 503, advice if call_manager.settings.may_send_retry_after else [])
             return
         platform_call = PlatformCall(self, message)
         message.body = b""  # freed: no longer needed
         registry.calls[call_id] = self.pending[call_id] = platform_call
-        call = core.offer_call(request, platform_call)
+        call = call_manager.offer_call(request, platform_call)
         if call is None:
             platform_call.respond(482, [])
         if call_id in registry.calls:
--- a/stairhatch/node/platform_frontend.py
+++ b/stairhatch/node/platform_frontend.py
@@ -18,17 +18,18 @@
 class PlatformFrontend:
     """Frontend for the connections of the platform's callers."""
 
-    def __init__(self, core: CallManager) -> None:
-        """Start without connections; `core` handles the calls."""
-        self.core = core
-        self.registry = PlatformRegistry(core)
+    def __init__(self, call_manager: CallManager) -> None:
+        """Start without connections; `call_manager` handles the calls."""
+        self.call_manager = call_manager
+        self.registry = PlatformRegistry(call_manager)
 
     def connect(self, _peer: tuple[str, int] = ("", 0)) -> PlatformConnection:
         """Return the protocol object for a new connection of a caller or of a health checker."""
         connection = PlatformConnection(self.registry)
         self.registry.mark_active(connection)
-        self.core.timers.schedule(
-            self.core.clock() + CALLER_DETECTION_DELAY_S, partial(self._identify_silent_caller, connection)
+        self.call_manager.timers.schedule(
+            self.call_manager.clock() + CALLER_DETECTION_DELAY_S,
+            partial(self._identify_silent_caller, connection),
         )
         return connection
 
--- a/stairhatch/node/platform_request.py
+++ b/stairhatch/node/platform_request.py
@@ -69,14 +69,14 @@
     return CALL_ID.match(call_id) is not None and not has_repeated and message.cseq()[1] == message.method
 
 
-def read_call_request(core: CallManager, message: sip.SipMessage, call_id: str) -> CallRequest:
+def read_call_request(call_manager: CallManager, message: sip.SipMessage, call_id: str) -> CallRequest:
     """Return the set-up that an INVITE requests.
 
     Raises:
         UnusableRequestError: the INVITE is malformed (400), or exceeds the line limit of a server (413).
     """
     class_name, answer_within = message.get("call-kind"), message.get("answer-within")
-    call_class = core.classes.named(class_name)
+    call_class = call_manager.classes.named(class_name)
     called_uri = sip.user_of(message.uri)
     try:
         description = message.body.decode()  # the server protocol is JSON, which requires UTF-8
@@ -87,7 +87,7 @@
         raise UnusableRequestError(400) from error
     if call_class is None or not called_uri:
         raise UnusableRequestError(400)
-    if not 0 < timeout_s <= TIMEOUT_SLACK * core.classes.longest_deadline_s(call_class):
+    if not 0 < timeout_s <= TIMEOUT_SLACK * call_manager.classes.longest_deadline_s(call_class):
         raise UnusableRequestError(400)
     if exceeds_line_limit(call_id, class_name, called_uri, description):
         raise UnusableRequestError(413)
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -46,10 +46,10 @@
 class ReleaseDelivery:
     """Sender of releases to the platform's callers; repeats each until it is acknowledged or expires."""
 
-    def __init__(self, core: CallManager, channels: Collection[ReleaseChannel]) -> None:
+    def __init__(self, call_manager: CallManager, channels: Collection[ReleaseChannel]) -> None:
         """Send on `channels`, the open connections, whose owner keeps them ordered by last activity."""
         self.pending: dict[str, UnacknowledgedRelease] = {}  # by the call's id, the oldest first
-        self._core, self._channels = core, channels
+        self._call_manager, self._channels = call_manager, channels
 
     def is_only_listener(self, channel: ReleaseChannel) -> bool:
         """Whether the channel is a caller's and no other open one is as likely to be read by its caller."""
@@ -66,7 +66,7 @@
         """Send a release of a call by a Q.850 cause, on the preferred connection if that is open."""
         if len(self.pending) >= MAX_PENDING:
             self._drop(next(iter(self.pending)))
-        release = self.pending[call_id] = UnacknowledgedRelease(cause, self._core.clock())
+        release = self.pending[call_id] = UnacknowledgedRelease(cause, self._call_manager.clock())
         self._send(call_id, release, preferred)
 
     def acknowledged(self, call_id: str) -> bool:
@@ -101,7 +101,7 @@
 
     def _drop(self, call_id: str) -> None:
         self.pending.pop(call_id, None)
-        self._core.counters.add("releases_unacknowledged")
+        self._call_manager.counters.add("releases_unacknowledged")
 
     def _send(
         self, call_id: str, release: UnacknowledgedRelease, preferred: ReleaseChannel | None = None
@@ -111,9 +111,9 @@
         A caller may keep a connection open and not read releases on it; the last active connection may belong
         to a client that sends one request and does not read afterwards.
         """
-        core = self._core
-        now = core.clock()
-        if core.readiness.drain_since is not None:
+        call_manager = self._call_manager
+        now = call_manager.clock()
+        if call_manager.readiness.drain_since is not None:
             release.since = now  # does not expire during a drain: kept for the next caller
         if now - release.since > RELEASE_KEPT_S:
             self._drop(call_id)
@@ -121,7 +121,9 @@
         if len(release.tried) >= MAX_ATTEMPTS:  # no connected caller reads: kept for the next connection
             release.tried.clear()
             expires_at = release.since + RELEASE_KEPT_S + EXPIRY_MARGIN_S
-            core.timers.schedule(expires_at, partial(self._retry_unless_acknowledged, call_id, release, 0))
+            call_manager.timers.schedule(
+                expires_at, partial(self._retry_unless_acknowledged, call_id, release, 0)
+            )
             return
         is_usable = preferred is not None and preferred in self._channels and not preferred.closing
         channel = preferred if is_usable else self._likeliest_listener(release)
@@ -129,13 +131,13 @@
             release.tried.append(channel)
             channel.send_release(call_id, release.cause)
             attempts = len(release.tried)
-            core.timers.schedule(
+            call_manager.timers.schedule(
                 now + ACKNOWLEDGEMENT_TIMEOUT_S,
                 partial(self._retry_unless_acknowledged, call_id, release, attempts),
             )
         else:
             release.tried.clear()  # no open connection: kept for the next one
-            core.timers.schedule(
+            call_manager.timers.schedule(
                 now + RELEASE_KEPT_S, partial(self._retry_unless_acknowledged, call_id, release, 0)
             )
 
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -42,10 +42,10 @@
 class SendQueue:
     """The queue of lines that one connection writes to its roster server."""
 
-    def __init__(self, core: CallManager, liveness: ConnectionLiveness) -> None:
+    def __init__(self, call_manager: CallManager, liveness: ConnectionLiveness) -> None:
         """Create an empty queue; `liveness` is updated when a set-up is written."""
         self.pending_setups: dict[str, Attempt] = {}  # written and unanswered, by call id
-        self._core, self._liveness = core, liveness
+        self._call_manager, self._liveness = call_manager, liveness
         self._items: deque[QueuedItem] = deque()
         self._written_releases: deque[tuple[float, PendingRelease]] = deque(maxlen=MAX_RETAINED_RELEASES)
         self._callers_read_at = math.inf  # time of the last read for rendered set-ups; inf: none
@@ -107,7 +107,7 @@
 
     def take_unconfirmed_releases(self) -> list[PendingRelease]:
         """Remove the kept releases; return those that may not have reached the server and may be repeated."""
-        now = self._core.clock()
+        now = self._call_manager.clock()
         since = max(self._liveness.last_received_at - MAX_ARRIVAL_SKEW_S, now - RELEASE_RETENTION_S)
         found = [
             release
@@ -123,7 +123,7 @@
         If this process was stopped after it read the callers' data, the callers are read and the lines
         rendered once more, up to `MAX_CALLER_READS` times.
         """
-        clock, data = self._core.clock, self._render()
+        clock, data = self._call_manager.clock, self._render()
         for _ in range(MAX_CALLER_READS):
             if clock() - self._callers_read_at < CALLERS_READ_VALID_S:
                 break
@@ -143,7 +143,7 @@
             size -= length
             if isinstance(item, Attempt):
                 self.pending_setups.pop(item.call.request.ident, None)
-                self._core.attempts.retract_transmission(item)
+                self._call_manager.attempts.retract_transmission(item)
             elif isinstance(item, PendingRelease):
                 item.writes -= 1
                 self._written_releases.pop()
@@ -156,21 +156,21 @@
         Data that callers have sent is read before the first set-up is rendered: a caller may have left while
         this process was stopped or while the set-up was queued.
         """
-        core, lines, size = self._core, [], 0
+        call_manager, lines, size = self._call_manager, [], 0
         self._unsent.clear()
         self._callers_read_at = math.inf
         while self._items and size < MAX_SEND_BYTES:
             item = self._items.popleft()
             if isinstance(item, Attempt):
                 if self._callers_read_at == math.inf:
-                    core.read_callers()
-                    self._callers_read_at = core.clock()
+                    call_manager.read_callers()
+                    self._callers_read_at = call_manager.clock()
                 line = self._render_setup(item)
                 if line is None:
                     continue
             elif isinstance(item, PendingRelease):
                 item.writes += 1
-                self._written_releases.append((core.clock(), item))
+                self._written_releases.append((call_manager.clock(), item))
                 line = item.line
             else:
                 line = item
@@ -181,12 +181,12 @@
 
     def _render_setup(self, attempt: Attempt) -> bytes | None:
         """Return the line of a set-up and mark it as pending, or None if it must not be sent any more."""
-        core, liveness = self._core, self._liveness
-        if not core.attempts.claim_transmission(attempt):
+        call_manager, liveness = self._call_manager, self._liveness
+        if not call_manager.attempts.claim_transmission(attempt):
             return None
         request = attempt.call.request
         if liveness.response_due_since <= liveness.last_activity_at:
-            liveness.response_due_since = core.clock()
+            liveness.response_due_since = call_manager.clock()
         self.pending_setups[request.ident] = attempt
         return render_setup(
             request.ident,
--- a/stairhatch/node/server_connection.py
+++ b/stairhatch/node/server_connection.py
@@ -47,7 +47,7 @@
 class ConnectionOwner(Protocol):
     """The interface of the pool that a connection uses."""
 
-    core: CallManager
+    call_manager: CallManager
     active: dict[int, ServerConnection]  # the connection in use, up or being dialled, by server id
 
     def is_standby(self, connection: ServerConnection) -> bool:
@@ -94,7 +94,7 @@
         self.superseded_at = -math.inf
         self.dead_check_pending = False  # a check is scheduled that ends this connection if it stays silent
         self.established_calls: set[str] = set()  # ids of calls set up here, where they are released
-        self.send_queue = SendQueue(pool.core, self.liveness)
+        self.send_queue = SendQueue(pool.call_manager, self.liveness)
         self.pending_setups = self.send_queue.pending_setups  # written and unanswered, by call id
         self._receive_buffer = bytearray()
 
@@ -137,7 +137,9 @@
             return True
         for attempt in self.pending_setups.values():  # the first attempt is the one written first
             return liveness.is_silent_since(now, attempt.written_at)
-        return liveness.is_load_report_overdue(now) and self.pool.core.calls.has_established_at(self.server)
+        return liveness.is_load_report_overdue(now) and self.pool.call_manager.calls.has_established_at(
+            self.server
+        )
 
     # ---- closing ----
 
@@ -151,19 +153,21 @@
         """
         if not self.draining or self.pending_setups or self.has_queued:
             return False
-        if self.pool.core.clock() - self.superseded_at <= MIN_SUPERSEDED_READ_S:
+        if self.pool.call_manager.clock() - self.superseded_at <= MIN_SUPERSEDED_READ_S:
             return False
         if self.superseded_at > -math.inf:
-            self.established_calls = set(filter(self.pool.core.calls.is_established, self.established_calls))
+            self.established_calls = set(
+                filter(self.pool.call_manager.calls.is_established, self.established_calls)
+            )
         return not self.established_calls or self.superseded_at == -math.inf
 
     def drain(self) -> None:
         """Begin to close the connection to a server that is gone or out of scope; fail its unsent set-ups."""
         self.draining, self.superseded_at = True, -math.inf
-        core = self.pool.core
+        call_manager = self.pool.call_manager
         for attempt in self.send_queue.take_setups():
-            core.attempts.transmission_failed(attempt, reached=True)
-        core.timers.schedule(core.clock() + DRAIN_TIMEOUT_S, self._drain_timed_out)
+            call_manager.attempts.transmission_failed(attempt, reached=True)
+        call_manager.timers.schedule(call_manager.clock() + DRAIN_TIMEOUT_S, self._drain_timed_out)
         self.notify_writable()
 
     def _drain_timed_out(self) -> None:
@@ -192,7 +196,7 @@
 
     def mark_superseded(self) -> None:
         """Stop using the connection for new lines; keep reading responses and releases from it."""
-        self.draining, self.superseded_at = True, self.pool.core.clock()
+        self.draining, self.superseded_at = True, self.pool.call_manager.clock()
 
     def end_superseded_period(self) -> None:
         """End the minimum reading time: the connection closes as soon as nothing more is expected on it."""
@@ -209,43 +213,43 @@
 
     def connection_made(self) -> None:
         """Reset the state of the connection that has come up, and promote it if it is a standby."""
-        core = self.pool.core
+        call_manager = self.pool.call_manager
         self._receive_buffer.clear()
         self.malformed = False
-        self.liveness.connection_made(core.clock())
+        self.liveness.connection_made(call_manager.clock())
         self.established_calls.clear()
         self.server.connected, self.server.dial_attempted = True, True
         self.failure_logged = False
         if self.pool.is_standby(self):
             self.pool.promote(self)
-        core.counters.add("server_connections")
-        core.log("server_connected", server=self.server.record.instance)
+        call_manager.counters.add("server_connections")
+        call_manager.log("server_connected", server=self.server.record.instance)
 
     def connect_failed(self, refused: bool) -> None:
         """Handle a failed dial: fail the queued set-ups, unless another connection is active.
 
         A refused connection proves that the server's process, and with it its established calls, is gone.
         """
-        core = self.pool.core
-        core.counters.add("server_connections_failed")
+        call_manager = self.pool.call_manager
+        call_manager.counters.add("server_connections_failed")
         self.server.dial_attempted = True
         if self.pool.is_standby(self) or self.pool.is_superseded(self):
             self.draining = True  # the active connection continues; a refused additional one proves nothing
-            core.counters.add("server_standbys_failed")
-            core.log("server_standby_failed", server=self.server.record.instance, refused=refused)
+            call_manager.counters.add("server_standbys_failed")
+            call_manager.log("server_standby_failed", server=self.server.record.instance, refused=refused)
             self.pool.failures.probe_failed(self.server)
             return
         if not self.failure_logged:  # logged once, since the dial is repeated every second
-            core.log("server_connect_failed", server=self.server.record.instance, refused=refused)
+            call_manager.log("server_connect_failed", server=self.server.record.instance, refused=refused)
             self.failure_logged = True
         setups = self.send_queue.take_setups()
         if refused or self.draining:
             self.send_queue.clear()
         for attempt in setups:
-            core.attempts.transmission_failed(attempt, reached=False)
+            call_manager.attempts.transmission_failed(attempt, reached=False)
         if refused and not self.pool.has_connected_superseded(self.server):
-            core.responses.terminate_established_at(
-                self.server, core.clock() + 1, LossReason.CONNECTION_REFUSED
+            call_manager.responses.terminate_established_at(
+                self.server, call_manager.clock() + 1, LossReason.CONNECTION_REFUSED
             )
 
     def connection_lost(self) -> None:
@@ -255,7 +259,7 @@
         the server repeats a release that was in flight only on a connection opened later, and the active one
         is already open.
         """
-        core = self.pool.core
+        call_manager = self.pool.call_manager
         self.liveness.connection_lost()
         self.pool.failures.connection_lost(self)
         active = self.pool.active.get(self.server.id)
@@ -267,7 +271,7 @@
         if self.pool.is_superseded(self) and not self.can_close() and self._has_established_call():
             self.pool.schedule_redial(self.server)
         reset_attempts = self.send_queue.take_pending()
-        core.log(
+        call_manager.log(
             "server_connection_lost",
             server=self.server.record.instance,
             open=len(reset_attempts),
@@ -275,10 +279,10 @@
             superseded=self.pool.is_superseded(self),
         )
         for attempt in reset_attempts:
-            core.attempts.connection_lost(attempt)
+            call_manager.attempts.connection_lost(attempt)
 
     def _has_established_call(self) -> bool:
-        return any(map(self.pool.core.calls.is_established, self.established_calls))
+        return any(map(self.pool.call_manager.calls.is_established, self.established_calls))
 
     def data_to_send(self) -> bytes:
         """Return the bytes to be written now; none once a line that cannot be parsed was received."""
@@ -314,27 +318,29 @@
 
         Responses that follow a malformed message cannot be read reliably.
         """
-        core = self.pool.core
+        call_manager = self.pool.call_manager
         self.malformed = True
         self._receive_buffer.clear()
-        core.counters.add("malformed_from_servers")
+        call_manager.counters.add("malformed_from_servers")
         instance = self.server.record.instance
-        core.log("malformed", side="server", server=instance, why=reason, open=len(self.pending_setups))
+        call_manager.log(
+            "malformed", side="server", server=instance, why=reason, open=len(self.pending_setups)
+        )
         self.abort()
 
     def _message_received(self, message: ServerMessage) -> None:
-        core, verb, call_id = self.pool.core, message.verb, message.call_id
-        responses, report = core.responses, message.load_report
-        core.counters.add(RECEIVED_COUNTERS.get(verb, "got_other_verb"))
+        call_manager, verb, call_id = self.pool.call_manager, message.verb, message.call_id
+        responses, report = call_manager.responses, message.load_report
+        call_manager.counters.add(RECEIVED_COUNTERS.get(verb, "got_other_verb"))
         is_load_report = verb == Verb.LOAD
-        self.liveness.message_received(core.clock(), is_load_report)
+        self.liveness.message_received(call_manager.clock(), is_load_report)
         self.pool.message_received(self, is_load_report)
         match verb:
             case Verb.STARTED:
                 responses.load_reported(self.server, report)
                 self.pending_setups.pop(call_id, None)
                 responses.call_established(self.server, call_id, message.description)
-                if core.calls.is_established(call_id):
+                if call_manager.calls.is_established(call_id):
                     self.established_calls.add(call_id)
             case Verb.PENDING:
                 if isinstance(call_id, str):
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -31,15 +31,15 @@
 class ServerConnectionPool:
     """The pool of connections to all roster servers of the endpoint list; implements `ServerPool`."""
 
-    def __init__(self, core: CallManager, dial: Callable[[ServerConnection], None]) -> None:
+    def __init__(self, call_manager: CallManager, dial: Callable[[ServerConnection], None]) -> None:
         """Attach the pool to a call manager; `dial` keeps a connection open until it may be closed."""
-        self.core, self.dial = core, dial
+        self.call_manager, self.dial = call_manager, dial
         self.active: dict[int, ServerConnection] = {}  # the connection in use, by server id
         self.standby: dict[int, ServerConnection] = {}  # dialled beside an unresponsive one, by server id
         self.superseded: list[ServerConnection] = []  # still read for pending responses and releases
         self.draining: set[int] = set()  # out-of-scope servers whose connections cannot close yet
         self.handed_over = False  # another process has taken over
-        core.servers.pool = self
+        call_manager.servers.pool = self
         self.failures = FailureMonitor(self)
         self.liveness_checker = LivenessChecker(self)
 
@@ -52,11 +52,11 @@
             for each in self.connections_to(server):
                 each.drain()
             if connection is None:  # never in scope; deferred, since the caller iterates over the list
-                self.core.timers.schedule(self.core.clock(), partial(self._forget, server))
+                self.call_manager.timers.schedule(self.call_manager.clock(), partial(self._forget, server))
             return
         if self.handed_over:
             return
-        if not self.core.servers.is_in_scope(server):
+        if not self.call_manager.servers.is_in_scope(server):
             self._drain_server(server)
             return
         if connection is None:
@@ -75,11 +75,11 @@
         """
         if server.id in self.draining or not self.connections_to(server):
             return
-        attempts = (call.attempt for call in self.core.calls.by_number.values())
+        attempts = (call.attempt for call in self.call_manager.calls.by_number.values())
         if any(attempt is not None and attempt.server is server for attempt in attempts):
             self.draining.add(server.id)
-            self.core.timers.schedule(
-                self.core.clock() + CLOSE_CHECK_S, partial(self._check_draining, server)
+            self.call_manager.timers.schedule(
+                self.call_manager.clock() + CLOSE_CHECK_S, partial(self._check_draining, server)
             )
             return
         for each in self.connections_to(server):
@@ -96,7 +96,7 @@
         """Queue a set-up on the active connection; fail it if there is none or the queue is full."""
         connection = self.active.get(attempt.server.id)
         if connection is None or not connection.send_setup(attempt):
-            self.core.attempts.transmission_failed(attempt, reached=True)
+            self.call_manager.attempts.transmission_failed(attempt, reached=True)
 
     def send_release(self, server: RosterServer, ident: str, cause: int) -> None:
         """Cancel a set-up or release an established call, with a Q.850 cause."""
@@ -172,8 +172,8 @@
     def _forget(self, server: RosterServer) -> None:
         """Drop a server that is gone, ending its established calls, which nothing else would ever end."""
         if server.record.availability is Availability.GONE:
-            self.core.responses.terminate_established_at(server, math.inf, LossReason.LISTED_GONE)
-            self.core.servers.forget(server)
+            self.call_manager.responses.terminate_established_at(server, math.inf, LossReason.LISTED_GONE)
+            self.call_manager.servers.forget(server)
 
     # ---- standby connections ----
 
@@ -198,7 +198,7 @@
         self.superseded.append(old)
         old.mark_superseded()
         first_check_at = old.superseded_at + MIN_SUPERSEDED_READ_S + CLOSE_CHECK_MARGIN_S
-        self.core.timers.schedule(first_check_at, partial(self._check_superseded, old))
+        self.call_manager.timers.schedule(first_check_at, partial(self._check_superseded, old))
         old.hand_queue_to(connection)
 
     # ---- superseded connections ----
@@ -207,7 +207,9 @@
         """Let a superseded connection close if nothing more is expected on it, or else check again later."""
         if old in self.superseded:
             old.notify_writable()
-            self.core.timers.schedule(self.core.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old))
+            self.call_manager.timers.schedule(
+                self.call_manager.clock() + CLOSE_CHECK_S, partial(self._check_superseded, old)
+            )
 
     def _close_oldest_superseded(self, server: RosterServer) -> None:
         """Make room for one more connection: let the oldest superseded one without pending set-ups close.
@@ -228,14 +230,16 @@
             return
         if is_load_report and connection.liveness.load_reports < 2:  # sent first on each new connection
             return
-        now = self.core.clock()
+        now = self.call_manager.clock()
         for old in self.superseded:
             if old.server is not connection.server or old.dead_check_pending:
                 continue
             both_up_at = max(connection.liveness.connected_at, old.liveness.connected_at)
             if max(old.liveness.last_received_at, both_up_at) < now - MAX_ARRIVAL_SKEW_S:
                 old.dead_check_pending = True
-                self.core.timers.schedule(now + MAX_ARRIVAL_SKEW_S, partial(self._close_dead, old, now))
+                self.call_manager.timers.schedule(
+                    now + MAX_ARRIVAL_SKEW_S, partial(self._close_dead, old, now)
+                )
 
     def _close_dead(self, old: ServerConnection, since: float) -> None:
         """End a superseded connection that received nothing around `since`, which confirms the suspicion.
@@ -246,8 +250,8 @@
         old.dead_check_pending = False
         if old in self.superseded and old.liveness.last_received_at < since - MAX_ARRIVAL_SKEW_S:
             instance = old.server.record.instance
-            self.core.counters.add("server_connections_dead")
-            self.core.log("server_connection_dead", server=instance, open=len(old.pending_setups))
+            self.call_manager.counters.add("server_connections_dead")
+            self.call_manager.log("server_connection_dead", server=instance, open=len(old.pending_setups))
             old.abort_as_dead()
             active = self.active.get(old.server.id)
             if active is not None:
@@ -256,7 +260,9 @@
 
     def schedule_redial(self, server: RosterServer) -> None:
         """Schedule another connection, on which the server repeats releases that were lost with one."""
-        self.core.timers.schedule(self.core.clock() + REDIAL_DELAY_S, partial(self._redial, server))
+        self.call_manager.timers.schedule(
+            self.call_manager.clock() + REDIAL_DELAY_S, partial(self._redial, server)
+        )
 
     def _redial(self, server: RosterServer) -> None:
         """Dial a standby to receive the releases that were sent on a dead connection.
--- a/stairhatch/node/service_discovery.py
+++ b/stairhatch/node/service_discovery.py
@@ -40,14 +40,14 @@
     (`stairhatch.fleet`).
     """
 
-    def __init__(self, core: CallManager, address: tuple[str, int], after: int) -> None:
+    def __init__(self, call_manager: CallManager, address: tuple[str, int], after: int) -> None:
         """Create a client for a coordinator's address; `after` is the index of the last known event."""
         super().__init__()
-        self.core = core
+        self.call_manager = call_manager
         self.address = address
         self.last_index = after
         self.answers_received = 0
-        self.last_answer_at = core.clock()
+        self.last_answer_at = call_manager.clock()
         self.reconnect_now: Callable[[], None] = do_nothing
         self.on_answer: Callable[[Any], None] | None = None  # called with each answer that has been applied
         self.may_poll: Callable[[], bool] | None = None  # returns whether this softswitch polls
@@ -60,11 +60,13 @@
         self._parser: Any = None  # parser of the current answer; None: not connected
         self._body = bytearray()
         self._output = b""
-        core.timers.schedule(core.clock() + FIRST_ANSWER_TIMEOUT_S, self._first_answer_overdue)
+        call_manager.timers.schedule(
+            call_manager.clock() + FIRST_ANSWER_TIMEOUT_S, self._first_answer_overdue
+        )
 
     def _first_answer_overdue(self) -> None:
         """Serve with the servers known at the start, since the coordinator has not answered in time."""
-        self.core.readiness.list_known = True
+        self.call_manager.readiness.list_known = True
 
     # ---- control by the fleet ----
 
@@ -85,12 +87,12 @@
         except ServiceDiscoveryError as error:
             self._log(f"the relayed answer is invalid: {error}")
             return
-        self.core.readiness.list_known = True
-        self.last_answer_at = self.core.servers.list_confirmed_at = self.core.clock()
+        self.call_manager.readiness.list_known = True
+        self.last_answer_at = self.call_manager.servers.list_confirmed_at = self.call_manager.clock()
 
     def confirm_relayed(self) -> None:
         """Note that the polling softswitch has confirmed the list without changes."""
-        self.core.servers.list_confirmed_at = self.core.clock()
+        self.call_manager.servers.list_confirmed_at = self.call_manager.clock()
 
     # ---- sending requests ----
 
@@ -101,19 +103,19 @@
 
     def connect_failed(self, error: OSError) -> None:
         """Count a failed dial to the coordinator, and log the first one since its last complete answer."""
-        self.core.counters.add("discovery_unreachable")
+        self.call_manager.counters.add("discovery_unreachable")
         if self._unreachable_since is None:
-            self._unreachable_since = self.core.clock()
+            self._unreachable_since = self.call_manager.clock()
             self._log(f"unreachable at event {self.last_index}: {type(error).__name__}: {error}")
 
     def _request(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._request_number += 1
-        self._requested_at = self.core.clock()
+        self._requested_at = self.call_manager.clock()
         timeout_s = PATIENT_ANSWER_TIMEOUT_S if self._is_patient else ANSWER_TIMEOUT_S
         overdue_at = self._requested_at + timeout_s
-        self.core.timers.schedule(overdue_at, partial(self._answer_overdue, self._request_number))
+        self.call_manager.timers.schedule(overdue_at, partial(self._answer_overdue, self._request_number))
         wait_ms = self._poll_wait_ms()
         path = f"/v2/stream?follow={self.last_index}&wait_ms={wait_ms}"
         host = f"{self.address[0]}:{self.address[1]}"
@@ -121,7 +123,7 @@
         self.notify_writable()
 
     def _poll_wait_ms(self) -> int:
-        if not self.core.readiness.list_known:
+        if not self.call_manager.readiness.list_known:
             return FIRST_POLL_WAIT_MS
         return PATIENT_POLL_WAIT_MS if self._is_patient else POLL_WAIT_MS
 
@@ -135,7 +137,7 @@
         changes count as notified 2 s after the requested wait.
         """
         if self._is_awaiting(request_number):
-            self.core.counters.add("discovery_stalls")
+            self.call_manager.counters.add("discovery_stalls")
             self._is_patient = not self._is_patient
             self._log("the coordinator sent no complete answer in time")
             self.abort()
@@ -156,13 +158,13 @@
         self._unusable_answers += 1
         skipped = ""
         if skip_lines:
-            readable = skip_unreadable(self.core, answer, self.last_index)
+            readable = skip_unreadable(self.call_manager, answer, self.last_index)
             answer = readable.answer
             skipped = readable.skipped
-        self.last_index = apply_answer(self.core, answer, self.last_index)
+        self.last_index = apply_answer(self.call_manager, answer, self.last_index)
         self._unusable_answers = 0
         if skipped:
-            self.core.counters.add("discovery_lines_skipped")
+            self.call_manager.counters.add("discovery_lines_skipped")
             self._log(f"unreadable lines skipped; their servers get no new calls: {skipped}")
         return answer
 
@@ -173,12 +175,12 @@
         """
         is_behind = index < self.last_index
         if is_behind and not self._is_behind:
-            self.core.counters.add("discovery_index_behind")
+            self.call_manager.counters.add("discovery_index_behind")
             self._log(f"the coordinator's index {index} is below {self.last_index}, which is kept")
         self._is_behind = is_behind
 
     def _log(self, reason: str) -> None:
-        self.core.log("service_discovery", why=reason)
+        self.call_manager.log("service_discovery", why=reason)
 
     # ---- calls from the driver and the HTTP parser ----
 
@@ -200,7 +202,7 @@
             self._parser.feed_data(bytes(data))
         except (httptools.HttpParserError, ServiceDiscoveryError) as error:
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else error
-            self.core.counters.add("discovery_faults")
+            self.call_manager.counters.add("discovery_faults")
             self._log(str(cause or error))
             self.closing = True
             self.notify_writable()
@@ -224,18 +226,20 @@
             self.closing = True
             self.notify_writable()
         elif self._was_immediate_and_empty(index_before):
-            next_at = self.core.clock() + EMPTY_ANSWER_PAUSE_S
-            self.core.timers.schedule(next_at, partial(self._request_after_pause, self._request_number))
+            next_at = self.call_manager.clock() + EMPTY_ANSWER_PAUSE_S
+            self.call_manager.timers.schedule(
+                next_at, partial(self._request_after_pause, self._request_number)
+            )
         else:
             self._request()
 
     def _note_complete_answer(self) -> None:
-        now = self.core.clock()
+        now = self.call_manager.clock()
         self.answers_received += 1
         self._is_patient = False
-        self.last_answer_at = self.core.servers.list_confirmed_at = now
-        self.core.readiness.list_known = True
-        self.core.counters.add("discovery_answers")
+        self.last_answer_at = self.call_manager.servers.list_confirmed_at = now
+        self.call_manager.readiness.list_known = True
+        self.call_manager.counters.add("discovery_answers")
         if self._unreachable_since is not None:
             self._log(f"reachable again after {now - self._unreachable_since:.1f} s, event {self.last_index}")
             self._unreachable_since = None
@@ -253,6 +257,6 @@
         """Return whether the answer came at once without new events, and is not the first one."""
         return (
             self.last_index == index_before
-            and self.core.clock() < self._requested_at + IMMEDIATE_ANSWER_S
+            and self.call_manager.clock() < self._requested_at + IMMEDIATE_ANSWER_S
             and self.answers_received > 1
         )
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -105,7 +105,7 @@
         new = candidate.config
         self.config = new
         if new.tracing is not old.tracing:
-            self._parts.core.context.tracing = new.tracing
+            self._parts.call_manager.context.tracing = new.tracing
         self._apply_servers(old, candidate)
         self._apply_settings(old, new)
         restart_keys = self._apply_sip(new) + self._changed_restart_keys(old, new)
@@ -116,15 +116,15 @@
 
     def _apply_servers(self, old: Config, candidate: _Candidate) -> None:
         """Apply the listed servers and a changed address of the coordinator."""
-        core = self._parts.core
+        call_manager = self._parts.call_manager
         discovery = self._parts.discovery
         new = candidate.config
         if discovery is not None and new.coordinator is not None:
-            discovery.last_index = apply_answer(core, new.known, discovery.last_index)
+            discovery.last_index = apply_answer(call_manager, new.known, discovery.last_index)
             if new.coordinator != old.coordinator:
                 discovery.switch_coordinator(new.coordinator)
         elif new.known != old.known:  # without a coordinator the file lists all servers
-            core.update_servers(candidate.servers, complete=True)
+            call_manager.update_servers(candidate.servers, complete=True)
 
     def _apply_settings(self, old: Config, new: Config) -> None:
         """Apply changed settings and a changed scope to the overload control."""
@@ -133,7 +133,7 @@
             parts.scoped.update_settings(parts.scoped.settings, new.scope)
         if new.settings != old.settings:
             settings = parts.fleet.settings_in_use(new.settings) if parts.fleet is not None else new.settings
-            parts.core.update_settings(settings)
+            parts.call_manager.update_settings(settings)
             parts.counters.add("settings_changes")
 
     def _apply_sip(self, new: Config) -> tuple[str, ...]:
--- a/stairhatch/scale_test/connection_drivers.py
+++ b/stairhatch/scale_test/connection_drivers.py
@@ -28,7 +28,7 @@
 class DriverOwner(Protocol):
     """Interface of the softswitch process that owns the connections."""
 
-    core: CallManager
+    call_manager: CallManager
     machine: int
     drivers: dict[ConnectionDriver, None]
 
@@ -99,7 +99,7 @@
         try:
             self.protocol.receive_data(data)
         except Exception as error:  # noqa: BLE001 - ends only this connection, as in `ConnectionRunner.run`
-            self.owner.core.counters.add("connection_faults")
+            self.owner.call_manager.counters.add("connection_faults")
             self.owner.log("fault", why=f"{type(error).__name__}: {error}")
             self._schedule_abort()
             return
@@ -163,7 +163,7 @@
 
 
 class PersistentConnectionDriver(ConnectionDriver):
-    """Driver that keeps a connection to a roster server open, as `ServerConnector.keep_up` does."""
+    """Driver that keeps a connection to a roster server open, like `ServerConnector.maintain_connection`."""
 
     part = ProcessorPart.SERVER_CONNECTIONS
 
@@ -200,7 +200,7 @@
             return
         self._immediate_attempt_requested = False
         protocol.notify_writable = self._request_immediate_attempt
-        timeout_s = self.owner.core.settings.connect_timeout_s
+        timeout_s = self.owner.call_manager.settings.connect_timeout_s
         self.context.connector.connect(self, protocol.server.record.address, timeout_s)
 
     def _reconnect(self) -> None:
--- a/stairhatch/scale_test/simulated_caller.py
+++ b/stairhatch/scale_test/simulated_caller.py
@@ -14,7 +14,7 @@
 class CallOwner(Protocol):
     """Interface of the softswitch process that handles a call."""
 
-    core: CallManager
+    call_manager: CallManager
     is_running: bool
 
 
@@ -66,4 +66,4 @@
 
     def _hang_up(self) -> None:
         if not self.has_ended and self.call is not None and self.owner.is_running:
-            self.owner.core.release(self.call, ReleaseCause.NORMAL_CLEARING)
+            self.owner.call_manager.release(self.call, ReleaseCause.NORMAL_CLEARING)
--- a/stairhatch/scale_test/simulated_softswitch.py
+++ b/stairhatch/scale_test/simulated_softswitch.py
@@ -46,7 +46,9 @@
 
     def counters(self) -> Counter[str]:
         """Return the counters of the process, empty if it does not run."""
-        return Counter() if self.incarnation is None else Counter(self.incarnation.core.counters.counts)
+        return (
+            Counter() if self.incarnation is None else Counter(self.incarnation.call_manager.counters.counts)
+        )
 
     def running(self) -> RunningSoftswitch | None:
         """Return machine and start time of the process, or None if it does not run."""
@@ -67,7 +69,7 @@
         Return False, without a restart, if no process runs or it is already shutting down.
         """
         incarnation = self.incarnation
-        if incarnation is None or incarnation.core.readiness.shutting_down:
+        if incarnation is None or incarnation.call_manager.readiness.shutting_down:
             return False
         incarnation.begin_shutdown()
         deadline = self.context.clock.now + self.context.plan.drain_timeout_s
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -206,6 +206,6 @@
         if softswitch.incarnation is None:
             return False
         coordinator = self.coordinators[self.context.topology.region_of(softswitch.machine)]
-        known = softswitch.incarnation.core.servers.by_instance.values()
+        known = softswitch.incarnation.call_manager.servers.by_instance.values()
         ready = {each.record.instance for each in known if each.record.availability is Availability.READY}
         return ready != coordinator.instances_in_service()
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -71,7 +71,7 @@
         disk: VirtualDisk,
         log: Callable[..., None],
     ) -> None:
-        """Create the core; `start` connects it to roster servers, service discovery and fleet."""
+        """Create the call manager; `start` connects it to roster servers, service discovery and fleet."""
         self.context = context
         self.identity = identity
         self.machine = identity.machine
@@ -80,7 +80,7 @@
         self.started_at = context.clock.now
         self.is_running = True
         self.drivers: dict[ConnectionDriver, None] = {}
-        self.core = self._create_core()
+        self.call_manager = self._create_call_manager()
         self._callers: dict[int, SimulatedCaller] = {}  # by serial of the call
         self._fleet: FleetRuntime | None = None
         self._fleet_network = SimulatedFleetNetwork(context, identity.machine, identity.address)
@@ -89,9 +89,9 @@
 
     def start(self) -> None:
         """Start server connections, service discovery and fleet in the order of the production code."""
-        ServerConnectionPool(self.core, self._drive_connection)
-        self.core.readiness.listening = True
-        discovery = ServiceDiscoveryClient(self.core, self.identity.coordinator, 0)
+        ServerConnectionPool(self.call_manager, self._drive_connection)
+        self.call_manager.readiness.listening = True
+        discovery = ServiceDiscoveryClient(self.call_manager, self.identity.coordinator, 0)
         if self.context.plan.fleet is not None:
             self._join_fleet(self.context.plan.fleet, discovery)
         ServiceDiscoveryDriver(self.context, self, discovery)
@@ -111,30 +111,30 @@
 
     def is_ready(self) -> bool:
         """Return whether the softswitch has completed its startup and serves calls."""
-        return self.core.readiness.startup_health().is_ready
+        return self.call_manager.readiness.startup_health().is_ready
 
     def offer(self, request: GeneratedCall) -> None:
         """Offer a call as a frontend would.
 
         The call is unreachable if the softswitch is not ready or, while shutting down, rejects new calls.
         """
-        readiness = self.core.readiness
+        readiness = self.call_manager.readiness
         rejects_calls = readiness.rejects_new_calls()
         if not self.is_ready() or (readiness.shutting_down and rejects_calls):
             self._record(request, SimulatedCallResult.UNREACHABLE)
         elif rejects_calls:
             self._record(request, SimulatedCallResult.REJECTED)
         else:
-            self._offer_to_core(request)
+            self._offer_to_call_manager(request)
 
     def begin_shutdown(self) -> None:
         """Start draining, as before a planned restart."""
-        self.core.readiness.shutting_down = True
-        self.core.readiness.drain(True)
+        self.call_manager.readiness.shutting_down = True
+        self.call_manager.readiness.drain(True)
 
     def is_drained(self) -> bool:
         """Return whether no call is open and all releases to the roster servers have been written."""
-        return self.core.is_settled() and not self.core.calls.by_number
+        return self.call_manager.is_settled() and not self.call_manager.calls.by_number
 
     def leave_fleet(self) -> None:
         """Stop the fleet member, which releases its leases, as at the end of a graceful shutdown."""
@@ -151,36 +151,36 @@
             driver.stop(powered_off)
         self.drivers.clear()
         self._cancel_timer()
-        self.core.timers.on_earlier_due = do_nothing
+        self.call_manager.timers.on_earlier_due = do_nothing
         self._fleet_network.has_ended = True
         self._fleet = None
         if self._store is not None:
             self._store.close()
-        self.context.ended_counters.update(self.core.counters.counts)
+        self.context.ended_counters.update(self.call_manager.counters.counts)
         for caller in self._callers.values():
             if self._has_open_call(caller):
                 caller.softswitch_ended()
 
-    def _create_core(self) -> CallManager:
+    def _create_call_manager(self) -> CallManager:
         context, fleet = self.context, self.context.plan.fleet
         leases_index = fleet is not None and fleet.lease_instance_index
         instance_index = NO_INSTANCE_INDEX if leases_index else self.machine
         settings = replace(context.settings, instance_index=instance_index)
         rng = random.Random(context.rng.getrandbits(SEED_BITS))
-        core = CallManager(settings, rng, context.clock.time, self.log, Counters())
-        self._measure_decisions(core)
-        core.timers.on_earlier_due = self._schedule_timers
-        return core
+        call_manager = CallManager(settings, rng, context.clock.time, self.log, Counters())
+        self._measure_decisions(call_manager)
+        call_manager.timers.on_earlier_due = self._schedule_timers
+        return call_manager
 
-    def _measure_decisions(self, core: CallManager) -> None:
-        meter, handle = self.context.meter, core.controller.handle
+    def _measure_decisions(self, call_manager: CallManager) -> None:
+        meter, handle = self.context.meter, call_manager.controller.handle
 
         def measured_handle(now: float, event: Event) -> Iterator[Action]:
             """Handle an event and charge the time to the decisions."""
             with meter.measuring(ProcessorPart.DECISIONS):
                 yield from handle(now, event)
 
-        core.controller.handle = measured_handle  # type: ignore[method-assign]
+        call_manager.controller.handle = measured_handle  # type: ignore[method-assign]
 
     def _drive_connection(self, connection: ServerConnection) -> None:
         PersistentConnectionDriver(self.context, self, connection)
@@ -199,7 +199,7 @@
         )
         # `FleetRuntime` uses only the loop and the datagram port of its network.
         network = cast(Network, self._fleet_network)
-        self._fleet = FleetRuntime(self.core, network, config, self.context.settings)
+        self._fleet = FleetRuntime(self.call_manager, network, config, self.context.settings)
         if fleet.relay_endpoint_list:
             self._fleet.discovery = discovery
             discovery.on_answer = self._fleet.coordinator_answered
@@ -207,7 +207,7 @@
         self._fleet.start()
 
     def _schedule_timers(self) -> None:
-        due_at = self.core.timers.next_due()
+        due_at = self.call_manager.timers.next_due()
         self._cancel_timer()
         if due_at is not None:
             self._timer = self.context.clock.call_at(due_at, self._run_timers)
@@ -220,10 +220,10 @@
     def _run_timers(self) -> None:
         self._timer = None
         with self.context.meter.measuring(ProcessorPart.TIMERS):
-            self.core.timers.run_due()
+            self.call_manager.timers.run_due()
         self._schedule_timers()
 
-    def _offer_to_core(self, request: GeneratedCall) -> None:
+    def _offer_to_call_manager(self, request: GeneratedCall) -> None:
         caller = SimulatedCaller(self.context, self, request)
         call_request = CallRequest(
             ident=f"{request.serial:016x}",
@@ -236,14 +236,14 @@
         )
         self._callers[request.serial] = caller
         with self.context.meter.measuring(ProcessorPart.CALLS):
-            caller.call = self.core.offer_call(call_request, caller)
-        if len(self._callers) > 2 * len(self.core.calls.by_number) + MIN_CALLERS_TO_PURGE:
+            caller.call = self.call_manager.offer_call(call_request, caller)
+        if len(self._callers) > 2 * len(self.call_manager.calls.by_number) + MIN_CALLERS_TO_PURGE:
             self._callers = {
                 serial: each for serial, each in self._callers.items() if self._has_open_call(each)
             }
 
     def _has_open_call(self, caller: SimulatedCaller) -> bool:
-        return caller.call is not None and caller.call.number in self.core.calls.by_number
+        return caller.call is not None and caller.call.number in self.call_manager.calls.by_number
 
     def _record(self, request: GeneratedCall, result: SimulatedCallResult) -> None:
         self.context.calls.record_result(request, result, self.context.elapsed_s)
--- a/stairhatch/scope/controller.py
+++ b/stairhatch/scope/controller.py
@@ -113,7 +113,7 @@
                     yield from self._dispatch(now, scoped_set, TimerExpired(PENDING_TIMER_ID))
             case _:
                 yield from self._dispatch(now, None, event)
-        if self.sets.some_may_leave and not self._idle_timer_set:
+        if self.sets.has_removable_sets and not self._idle_timer_set:
             self._idle_timer_set = True
             yield SetTimer(self.config.idle_s / IDLE_CHECKS_PER_IDLE_TIME, IDLE_TIMER_ID)
 
@@ -177,7 +177,7 @@
                 self.owners = {call: each for call, each in self.owners.items() if each is not scoped_set}
                 self.sets.leave(scoped_set)
                 self._notify_scope_changed(scoped_set, entered=False)
-        self.sets.update_some_may_leave()
+        self.sets.update_has_removable_sets()
 
     def _notify_scope_changed(self, scoped_set: ScopedSet, *, entered: bool) -> None:
         self.on_scope_changed(scoped_set.server_set.numbers, scoped_set.class_names, entered)
@@ -240,7 +240,7 @@
         self._enter_successors(replaced_sets)
         self.timers.hand_over(replaced_sets, self.sets.by_numbers.values())
         self.owners = {call: each for call, each in self.owners.items() if each not in replaced_sets}
-        self.sets.update_some_may_leave()
+        self.sets.update_has_removable_sets()
         kept_sets = set(before.values())
         for scoped_set in [each for each in self.sets.by_numbers.values() if each not in kept_sets]:
             self._notify_scope_changed(scoped_set, entered=True)
--- a/stairhatch/scope/sets_in_scope.py
+++ b/stairhatch/scope/sets_in_scope.py
@@ -24,7 +24,7 @@
         self.index = index
         self.listed = ListedEndpoints()
         self.by_numbers: dict[ServerNumbers, ScopedSet] = {}
-        self.some_may_leave = False  # whether any set in scope may leave once it is idle
+        self.has_removable_sets = False  # whether any set in scope may leave once it is idle
         self._rng = rng
         self._timer_ids = count(PENDING_TIMER_ID)
 
@@ -55,7 +55,7 @@
         scoped_set = ScopedSet(next(self._timer_ids), server_set, controller)
         scoped_set.unsent_records = self.listed.records_of(server_set.numbers)
         self.by_numbers[server_set.numbers] = scoped_set
-        self.some_may_leave = self.some_may_leave or not server_set.always_in_scope
+        self.has_removable_sets = self.has_removable_sets or not server_set.always_in_scope
         return scoped_set
 
     def leave(self, scoped_set: ScopedSet) -> None:
@@ -64,9 +64,11 @@
         del self.by_numbers[numbers]
         self.index.remove_stray_numbers(numbers)
 
-    def update_some_may_leave(self) -> None:
+    def update_has_removable_sets(self) -> None:
         """Recompute whether any set in scope may leave it."""
-        self.some_may_leave = any(not each.server_set.always_in_scope for each in self.by_numbers.values())
+        self.has_removable_sets = any(
+            not each.server_set.always_in_scope for each in self.by_numbers.values()
+        )
 
     def server_set_for(self, call_class: CallClass, preferred_number: int, in_transit: bool) -> ServerSet:
         """Return the set that serves a call, in scope or not.
--- a/stairhatch/shutdown.py
+++ b/stairhatch/shutdown.py
@@ -89,8 +89,8 @@
         loop = parts.network.loop
         started = loop.time()
         schedule = self._schedule()
-        parts.log("stopping", unanswered=parts.core.calls.unanswered)
-        readiness = parts.core.readiness
+        parts.log("stopping", unanswered=parts.call_manager.calls.unanswered)
+        readiness = parts.call_manager.readiness
         readiness.shutting_down = True
         if self._replaced:
             self._close_listeners()
@@ -110,8 +110,8 @@
 
     def _close_listeners(self) -> None:
         """Close the listeners, so that the next process accepts all further connections."""
-        core = self._parts.core
-        core.readiness.listening = False
+        call_manager = self._parts.call_manager
+        call_manager.readiness.listening = False
         for listener in self._parts.caller_listeners:
             listener.close()
 
@@ -127,7 +127,7 @@
     def _schedule(self) -> ShutdownSchedule:
         if self._parts.platform_frontend is None:
             return NO_DEADLINES
-        longest_s = max((each.deadline_s for each in self._parts.core.settings.classes), default=0.0)
+        longest_s = max((each.deadline_s for each in self._parts.call_manager.settings.classes), default=0.0)
         return ShutdownSchedule.for_platform(longest_s, self._drain_s, self._replaced)
 
     async def _answer_callers(self, deadline: float, exit_by: float) -> None:
@@ -136,15 +136,15 @@
         The wait for a peer that does not read ends 2 s after the last call was answered, or at `exit_by` if
         that is earlier, and is logged (event `flush_timeout`). Both parameters are event loop times.
         """
-        core = self._parts.core
+        call_manager = self._parts.call_manager
         loop = self._parts.network.loop
         answered_at = math.inf
-        while not await self._is_quiet():
+        while not await self._is_settled_and_read():
             now = loop.time()
-            if core.calls.unanswered and now >= deadline:
-                self._parts.log("drain_deadline_reached", unanswered=core.calls.unanswered)
-                core.answer_pending()
-            answered_at = math.inf if core.calls.unanswered else min(answered_at, now)
+            if call_manager.calls.unanswered and now >= deadline:
+                self._parts.log("drain_deadline_reached", unanswered=call_manager.calls.unanswered)
+                call_manager.answer_pending()
+            answered_at = math.inf if call_manager.calls.unanswered else min(answered_at, now)
             if now > min(answered_at + FLUSH_TIMEOUT_S, exit_by):
                 self._parts.log("flush_timeout", why="a peer does not read its pending answers or releases")
                 return
@@ -152,11 +152,11 @@
 
     def _is_settled(self) -> bool:
         frontends = (self._parts.platform_frontend, self._parts.sip_frontend)
-        return self._parts.core.is_settled() and all(
+        return self._parts.call_manager.is_settled() and all(
             each.is_flushed() for each in frontends if each is not None
         )
 
-    async def _is_quiet(self) -> bool:
+    async def _is_settled_and_read(self) -> bool:
         """Return whether all is delivered and no bytes are unread, now and 0.05 s later.
 
         The second check finds a request that arrives in between: without it, the end of the process would
@@ -187,7 +187,7 @@
                 await asyncio.sleep(POLL_S)
 
     def _is_sip_settled(self, frontend: SipFrontend) -> bool:
-        return frontend.is_flushed() and self._parts.core.is_settled()
+        return frontend.is_flushed() and self._parts.call_manager.is_settled()
 
     def _report_dialogs(self, frontend: SipFrontend, left_s: float) -> None:
         """Report in the log and on the terminal which dialogs the shutdown waits for.
@@ -204,6 +204,6 @@
     async def _close_connections(self, deadline: float) -> None:
         """Let the callers' connections close; wait for this until `deadline`, an event loop time."""
         network = self._parts.network
-        self._parts.core.complete_shutdown()
+        self._parts.call_manager.complete_shutdown()
         while not network.has_no_callers() and network.loop.time() < deadline:
             await asyncio.sleep(POLL_S)
--- a/stairhatch/sip/call_classification.py
+++ b/stairhatch/sip/call_classification.py
@@ -30,4 +30,4 @@
         if called_user.startswith(number_prefix.prefix):
             name, preferred_number = number_prefix.call_class, number_prefix.preferred_number
             break
-    return CallClassification(context.core.classes.named(call_kind or name), preferred_number)
+    return CallClassification(context.call_manager.classes.named(call_kind or name), preferred_number)
--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -185,20 +185,20 @@
             return
         call, self.call = self.call, None
         if call is not None:
-            self._agent.context.core.abandon(call)
+            self._agent.context.call_manager.abandon(call)
         self._reject(487, [])
 
     def disconnected(self) -> None:
         """Make no further attempt after the caller's connection has ended without a final response."""
         if self.call is not None:
-            self._agent.context.core.caller_disconnected(self.call)
+            self._agent.context.call_manager.caller_disconnected(self.call)
 
     def bye_received(self, cause: int) -> None:
         """Release the call after a BYE from the caller; `cause` is a Q.850 cause."""
         call, self.call = self.call, None
         self._end_dialog()
         if call is not None:
-            self._agent.context.core.release(call, cause)
+            self._agent.context.call_manager.release(call, cause)
 
     def reinvite_accepted(
         self, transaction: ServerTransaction, extra: sip.Headers, description: bytes, awaits_answer: bool
@@ -229,7 +229,7 @@
         call, self.call = self.call, None
         self._send_bye(bye_cause or cause)
         if call is not None:
-            self._agent.context.core.release(call, cause)
+            self._agent.context.call_manager.release(call, cause)
 
     def _send_bye(self, cause: int) -> None:
         if self.dialog is None or self.dialog.state is DialogState.TERMINATED:
@@ -245,7 +245,7 @@
         call, self.call = self.call, None
         self._reject(504, [])
         if call is not None:
-            self._agent.context.core.abandon(call)
+            self._agent.context.call_manager.abandon(call)
 
     def _reject(self, status: int, extra: sip.Headers) -> None:
         """Answer the INVITE with a non-2xx response and end its dialog."""
--- a/stairhatch/sip/call_setup.py
+++ b/stairhatch/sip/call_setup.py
@@ -50,7 +50,7 @@
         """
         context = self._agent.context
         ident = head.ident
-        if ident in context.core.calls.by_ident:  # a merged request (RFC 3261, 8.2.2.2)
+        if ident in context.call_manager.calls.by_ident:  # a merged request (RFC 3261, 8.2.2.2)
             self._agent.responder.reject(transaction, MERGED_REQUEST)
             return
         new_call = self._parse_invite(head, ident, user)
@@ -59,7 +59,7 @@
         elif len(self._dialogs.legs) >= context.config.dialogs:
             context.counters.add("table_full")
             self._agent.responder.reject(transaction, TABLE_FULL)
-        elif context.core.calls.was_terminated(ident):  # a retransmission after the call has ended
+        elif context.call_manager.calls.was_terminated(ident):  # a retransmission after the call has ended
             context.counters.add("retransmissions_received")
             self._agent.server_transactions.discard(transaction)
         else:
@@ -69,7 +69,7 @@
         leg = CallLeg(self._agent, self._dialogs, transaction, new_call.parameters)
         transaction.user = leg
         self._agent.responder.respond(transaction, 100)
-        call = self._agent.context.core.offer_call(new_call.request, leg)
+        call = self._agent.context.call_manager.offer_call(new_call.request, leg)
         if leg.invite is not None or leg.dialog is not None:
             leg.call = call
 
--- a/stairhatch/sip/context.py
+++ b/stairhatch/sip/context.py
@@ -15,7 +15,7 @@
 class SipContext:
     """The context that the parts of one frontend share."""
 
-    core: CallManager
+    call_manager: CallManager
     config: SipConfig  # replaced by a reload
     new_token: Callable[[], str]  # returns a unique, unpredictable token for a tag or branch
     draw_fraction: Callable[[], float]  # returns a random number from 0 to 1
@@ -23,13 +23,13 @@
     @property
     def counters(self) -> Counters:
         """The process's counters."""
-        return self.core.counters
+        return self.call_manager.counters
 
     @property
     def timers(self) -> TimerWheel:
         """The process's timers."""
-        return self.core.timers
+        return self.call_manager.timers
 
     def now(self) -> float:
         """Return the Unix time in seconds, from a clock that is never stepped."""
-        return self.core.clock()
+        return self.call_manager.clock()
--- a/stairhatch/sip/frontend.py
+++ b/stairhatch/sip/frontend.py
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        core: CallManager,
+        call_manager: CallManager,
         config: SipConfig,
         new_token: Callable[[], str],
         draw_fraction: Callable[[], float],
@@ -53,14 +53,14 @@
         `new_token` returns a new tag or branch, `draw_fraction` a random number from 0 to 1. `secret` is the
         key that proves that a nonce was created here.
         """
-        context = SipContext(core, config, new_token, draw_fraction)
-        self.counters: Counters = core.counters
+        context = SipContext(call_manager, config, new_token, draw_fraction)
+        self.counters: Counters = call_manager.counters
         self.flows = FlowRouter(self, config)
         self.admission = RequestAdmission(context)
         self.server_transactions = ServerTransactions(
-            core, config.memory_mb * BYTES_PER_MB, self._response_flow, self._overload_feedback
+            call_manager, config.memory_mb * BYTES_PER_MB, self._response_flow, self._overload_feedback
         )
-        self.client_transactions = ClientTransactions(core)
+        self.client_transactions = ClientTransactions(call_manager)
         self._context = context
         self._responder = Responder(context, self.server_transactions)
         agent = UserAgent(
@@ -99,7 +99,7 @@
         legs = [leg for leg in self.dialogs.values() if leg.invite is None]
         for leg in legs:
             call_id = leg.dialog.call_id if leg.dialog else "-"
-            self._context.core.log("dialog_terminated", call=leg.ident, callid=call_id)
+            self._context.call_manager.log("dialog_terminated", call=leg.ident, callid=call_id)
             leg.success.stop()  # so that the BYE is sent without waiting for the ACK
             leg.terminate(ReleaseCause.TEMPORARY_FAILURE)
         return len(legs)
@@ -146,7 +146,7 @@
             and partial.method not in ("", "ACK")
             and all(partial.get(name) for name in ("via", "from", "to", "call-id", "cseq"))
         )
-        self._context.core.log(
+        self._context.call_manager.log(
             "malformed",
             side="caller",
             source=flow.peer[0],
--- a/stairhatch/sip/request_admission.py
+++ b/stairhatch/sip/request_admission.py
@@ -61,7 +61,7 @@
         level_before = overload.level
         level = overload.observe_delay(self._context.now(), delay_s)
         if level is not level_before:
-            self._context.core.log(
+            self._context.call_manager.log(
                 "load",
                 level=level.name.lower(),
                 delay_ms=f"{1000 * overload.delay_s:.0f}",
@@ -82,7 +82,11 @@
     def admit(self, flow: Flow, head: RequestHead) -> AdmissionRejection | None:
         """Return the rejection of a new request, or None if it is admitted."""
         decision = self._decide(flow, head)
-        if head.method == "INVITE" and not head.to_tag and self._context.core.readiness.rejects_new_calls():
+        if (
+            head.method == "INVITE"
+            and not head.to_tag
+            and self._context.call_manager.readiness.rejects_new_calls()
+        ):
             return AdmissionRejection(max(1, math.ceil(RETRY_AFTER_S)), "calls_rejected_draining")
         if decision.outcome is not AdmissionOutcome.ADMITTED:
             return AdmissionRejection(decision.retry_after_s, decision.outcome.value)
--- a/stairhatch/sip/request_dispatcher.py
+++ b/stairhatch/sip/request_dispatcher.py
@@ -56,7 +56,12 @@
         self.authenticator = None
         if auth is not None:
             self.authenticator = DigestAuthenticator(
-                auth.realm, auth.users, self._secret, context.core.clock, auth.algorithms, auth.nonce_s
+                auth.realm,
+                auth.users,
+                self._secret,
+                context.call_manager.clock,
+                auth.algorithms,
+                auth.nonce_s,
             )
 
     def request_received(self, head: RequestHead, flow: Flow) -> None:
@@ -145,7 +150,7 @@
             case "INVITE":
                 self._call_setup.invite_received(transaction, head, user)
             case "OPTIONS":
-                is_ready = self._agent.context.core.readiness.health().is_ready
+                is_ready = self._agent.context.call_manager.readiness.health().is_ready
                 responder.respond(transaction, 200 if is_ready else 503, CAPABILITIES)
             case "INFO":
                 responder.reject(transaction, INFO_NOT_SUPPORTED)
@@ -164,7 +169,7 @@
             context = self._agent.context
             context.counters.add(f"auth_{result.check.value}")
             source = transaction.flow.peer[0]
-            context.core.log(
+            context.call_manager.log(
                 "authentication_failed", check=result.check.value, source=source, method=head.method
             )
         challenges = authenticator.challenges(stale=result.check is CredentialCheck.STALE)
--- a/stairhatch/sip/responder.py
+++ b/stairhatch/sip/responder.py
@@ -69,7 +69,7 @@
 
     def _log_rejection(self, transaction: ServerTransaction, rejection: RequestRejection) -> None:
         source = transaction.flow.peer[0]
-        self._context.core.log(
+        self._context.call_manager.log(
             "request_rejected", source=source, status=rejection.status, why=rejection.reason
         )
 
@@ -84,10 +84,10 @@
         self, transaction: ServerTransaction, status: int, call_id: str, cseq: int = 0, method: str = "INVITE"
     ) -> None:
         """Count a sent response, and log it if calls are traced."""
-        core = self._context.core
-        core.counters.add(f"sent_{status}")
-        if core.context.tracing:
+        call_manager = self._context.call_manager
+        call_manager.counters.add(f"sent_{status}")
+        if call_manager.context.tracing:
             transport = transaction.flow.transport.lower()
-            core.log(
+            call_manager.log(
                 "response_sent", callid=call_id, cseq=f"{cseq}_{method}", status=status, transport=transport
             )
--- a/stairhatch/sip/session_refresh.py
+++ b/stairhatch/sip/session_refresh.py
@@ -129,7 +129,7 @@
                 self._send_refresh(self._session)
             case SessionTimerAction.RELEASE:
                 self._context.counters.add("sessions_expired")
-                self._context.core.log("session_expired", call=self._session.ident)
+                self._context.call_manager.log("session_expired", call=self._session.ident)
                 self._session.terminate()
                 return
             case SessionTimerAction.NONE:
--- a/tests/support/accepted_connections.py
+++ b/tests/support/accepted_connections.py
@@ -31,8 +31,8 @@
     node: InProcessNode, max_connections: int, *sockets: Any
 ) -> tuple[Listener, list[AcceptedConnection]]:
     """Return a listener of the platform frontend and its connections, one accepted for each socket."""
-    frontend = PlatformFrontend(node.core)
-    network = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
+    frontend = PlatformFrontend(node.call_manager)
+    network = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), call_manager=node.call_manager)
     listener = Listener(network, None, None, frontend.connect, ListenerLimits(max_connections))
     accepted = [AcceptedConnection(frontend.connect(), sock, node.now) for sock in sockets]
     listener.connections.update((connection, None) for connection in accepted)
--- a/tests/support/in_process_node.py
+++ b/tests/support/in_process_node.py
@@ -35,26 +35,26 @@
         self.settings = settings_from_object(SETTINGS).settings
         self.clock = lambda: self.now
         self.log = lambda *_args, **_fields: None
-        self.core = CallManager(
+        self.call_manager = CallManager(
             self.settings,
             random.Random(1),
             lambda: self.clock(),
             lambda *args, **fields: self.log(*args, **fields),
             Counters(),
         )
-        self.core.servers.pool = self
+        self.call_manager.servers.pool = self
         self.written: list[Attempt] = []
         self.releases: list[tuple[str, int]] = []
         listeners = (SipListener(("127.0.0.1", 1)),)
         sip_config = replace(SipConfig(listeners, listeners, "127.0.0.1:1", *NUMBERING_PLAN), **config)
         tokens = (f"t{n}" for n in range(10**6))
-        self.front = SipFrontend(
-            self.core, sip_config, lambda: next(tokens), random.Random(1).random, b"secret"
+        self.frontend = SipFrontend(
+            self.call_manager, sip_config, lambda: next(tokens), random.Random(1).random, b"secret"
         )
-        self.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.core.readiness.listening = True
-        self.core.readiness.list_known = True
-        self.core.servers.by_id[1].dial_attempted = True
+        self.call_manager.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+        self.call_manager.readiness.listening = True
+        self.call_manager.readiness.list_known = True
+        self.call_manager.servers.by_id[1].dial_attempted = True
 
     def follow_loop(self, loop: asyncio.AbstractEventLoop) -> None:
         """Let the clock advance with that of an event loop, starting at its present time.
@@ -70,7 +70,7 @@
 
     def send_setup(self, attempt: Attempt) -> None:
         """Record a set-up as written, if it may still be sent (server pool's interface)."""
-        if self.core.attempts.claim_transmission(attempt):
+        if self.call_manager.attempts.claim_transmission(attempt):
             self.written.append(attempt)
 
     def shut_down(self) -> None:
@@ -87,7 +87,7 @@
     def establish(self) -> None:
         """Establish the call whose set-up was written last, as the server's reply does."""
         attempt = self.written[-1]
-        self.core.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
+        self.call_manager.responses.call_established(attempt.server, attempt.call.request.ident, "v=0 æ")
 
     @staticmethod
     def empty_report() -> LoadReport:
@@ -97,7 +97,7 @@
     def run(self, seconds: float) -> None:
         """Advance the clock by a time in seconds, and run each due timer at its time."""
         end = self.now + seconds
-        while (due := self.core.timers.next_due()) is not None and due <= end:
+        while (due := self.call_manager.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.timers.run_due()
+            self.call_manager.timers.run_due()
         self.now = end
--- a/tests/support/recording_flow.py
+++ b/tests/support/recording_flow.py
@@ -35,7 +35,7 @@
         uri = headers.pop("uri", "sip:7@net")
         lines = [(name, value) for name, value in headers.items() if value is not None]
         message = sip_parser.parse_datagram(sip.request(method, str(uri), lines, b""))
-        self.node.front.message_received(self, message)
+        self.node.frontend.message_received(self, message)
         return self.sent[-1] if self.sent else sip.SipMessage()
 
     def statuses(self, method: str = "INVITE") -> list[int]:
--- a/tests/test_admin_endpoint.py
+++ b/tests/test_admin_endpoint.py
@@ -65,11 +65,11 @@
 def test_a_full_admin_endpoint_evicts_a_silent_operator_at_once():
     """An answer is due within 1 s, so a new operator cannot wait for the silent ones' timeout."""
     node = InProcessNode()
-    runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), core=node.core)
+    runner = SimpleNamespace(loop=SimpleNamespace(time=lambda: node.now), call_manager=node.call_manager)
     listener = Listener(runner, None, None, None, ADMIN_LIMITS)
     with socket.socketpair()[0] as end:
         for _ in range(ADMIN_LIMITS.max_connections):
-            listener.connections[AcceptedConnection(AdminConnection(node.core), end, node.now)] = None
+            listener.connections[AcceptedConnection(AdminConnection(node.call_manager), end, node.now)] = None
         node.run(0.1)
         assert listener.evict()
 
@@ -112,19 +112,19 @@
     node, answers = InProcessNode(), []
     node.log = lambda _event, **fields: answers.append(fields.get("answer"))
     for on in (False, True, False):
-        node.core.readiness.drain(on)
+        node.call_manager.readiness.drain(on)
         answers.clear()
         for _ in range(10):
-            AdminConnection(node.core).receive_data(b"check\n")
+            AdminConnection(node.call_manager).receive_data(b"check\n")
         assert len(answers) == 1
 
 
 def test_only_one_command_is_executed_per_connection():
     """A command may arrive in pieces and runs once its line is complete; later lines are not executed."""
     node = InProcessNode()
-    admin = AdminConnection(node.core)
+    admin = AdminConnection(node.call_manager)
     for piece in (b"dra", b"in-", b"on\ndrain-off\n", b"drain-off\n"):
         admin.receive_data(piece)
     assert admin.data_to_send().startswith(b"ok draining")
     assert admin.can_close()
-    assert node.core.readiness.drain_since is not None
+    assert node.call_manager.readiness.drain_since is not None
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -48,7 +48,7 @@
         assert not active.protocol.closing
         overdue = node.now > 1000 + FIRST_REQUEST_TIMEOUT_S
         assert silent.protocol.closing is overdue is incomplete.protocol.closing
-    assert ident in node.core.calls.by_ident
+    assert ident in node.call_manager.calls.by_ident
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 4.0
     assert FIRST_REQUEST_TIMEOUT_S + 0.25 < 3.0
 
@@ -94,10 +94,10 @@
     async def scenario():
         node = InProcessNode()
         node.follow_loop(asyncio.get_running_loop())
-        network = Network(node.core)
+        network = Network(node.call_manager)
         sock = socket.create_server(("127.0.0.1", 0))
         limits = ListenerLimits(1, eviction_grace_s=0.05)
-        listener = network.listen(sock, PlatformFrontend(node.core).connect, limits)
+        listener = network.listen(sock, PlatformFrontend(node.call_manager).connect, limits)
         old = socket.create_connection(sock.getsockname())
         await wait_in_loop(lambda: listener.connections)
         old_connection = next(iter(listener.connections))
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -118,7 +118,7 @@
     """Return a platform frontend on an in-process node, two connections with an established call each, and
     the id of the call on the second connection.
     """
-    frontend = PlatformFrontend(node.core)
+    frontend = PlatformFrontend(node.call_manager)
     first, second = frontend.connect(), frontend.connect()
     for connection in (first, second):
         connection.receive_data(platform_invite(ident := next_call_id()))
@@ -133,13 +133,13 @@
     """
     node = InProcessNode()
     _, first, second, ident = frontend_with_established_calls(node)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
     node.run(60.0)
     for connection in (first, second):
         assert not connection.is_idle(), "the call on it is still established"
         connection.receive_data(platform_invite(new := next_call_id()))
         assert take_statuses(connection, new) == [503]
-    node.core.responses.call_released(node.written[-1].server, ident, 16, "", node.empty_report())
+    node.call_manager.responses.call_released(node.written[-1].server, ident, 16, "", node.empty_report())
     assert take_statuses(second, ident) == ["BYE"]
     assert not second.is_idle(), "the caller has not acknowledged the BYE"
     second.receive_data(
@@ -153,7 +153,7 @@
     """A connection becomes idle after its last call also if the caller has ended that call."""
     node = InProcessNode()
     _, _, second, ident = frontend_with_established_calls(node)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
     second.receive_data(sip.request("BYE", "sip:x@net", [("call-id", ident), ("cseq", "2 BYE")], b""))
     assert take_statuses(second, ident) == [200]
     assert second.is_idle()
@@ -169,7 +169,7 @@
         connection.connection_lost()
     others = [frontend.connect(), frontend.connect()]
     node.run(2 * CALLER_DETECTION_DELAY_S)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
     assert all(connection.is_idle() for connection in others), "either may be closed while the other is open"
     others[1].close_when_idle()
     assert not others[0].is_idle(), "the last connection is kept for the established calls"
@@ -186,11 +186,13 @@
     """
     node = InProcessNode()
     frontend, first, second, ident = frontend_with_established_calls(node)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
     for connection in (first, second):
         connection.close_when_idle()
         connection.connection_lost()
-    node.core.responses.call_released(node.core.servers.by_id[1], ident, 16, "", node.empty_report())
+    node.call_manager.responses.call_released(
+        node.call_manager.servers.by_id[1], ident, 16, "", node.empty_report()
+    )
     node.run(120.0)
     health_checks = frontend.connect()
     health_checks.receive_data(
@@ -209,7 +211,7 @@
     node = InProcessNode()
     local_socket, peer_socket = socket.socketpair()
     listener, (connection,) = listener_with_connections(node, 4, local_socket)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
     listener.close_idle()
     assert not connection.protocol.closing, "the connection is new and may still send its first request"
     node.run(DRAIN_FIRST_REQUEST_S + 0.1)
@@ -217,13 +219,13 @@
     listener.close_idle()
     assert not connection.protocol.closing
     connection.protocol.receive_data(local_socket.recv(4096))
-    assert node.core.calls.unanswered == 1
+    assert node.call_manager.calls.unanswered == 1
     node.run(0.1)
     listener.close_idle()
     assert not connection.protocol.closing, "a response to the set-up is pending"
     node.establish()
     assert take_statuses(connection.protocol, ident) == [200]
-    node.core.release(node.core.calls.by_ident[ident], 16)
+    node.call_manager.release(node.call_manager.calls.by_ident[ident], 16)
     listener.close_idle()
     assert connection.protocol.closing
     assert peer_socket.recv(1) == b"", "the connection is closed without a reset"
@@ -236,7 +238,7 @@
     node = InProcessNode()
     local_socket, peer_socket = socket.socketpair()
     listener, (connection,) = listener_with_connections(node, 4, local_socket)
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.drain(True)
 
     def send_request_and_check_closing():
         headers = [("call-id", next_call_id()), ("cseq", "1 BYE")]
@@ -255,28 +257,28 @@
 def test_drain_rejects_new_setups_after_a_delay():
     """Set-ups sent before the frontend has noticed the failed health check are accepted."""
     node = InProcessNode()
-    connection = PlatformFrontend(node.core).connect()
-    node.core.readiness.drain(True)
+    connection = PlatformFrontend(node.call_manager).connect()
+    node.call_manager.readiness.drain(True)
     node.run(REJECT_AFTER_S - 0.1)
     connection.receive_data(platform_invite(early := next_call_id()))
     node.run(0.2)
     connection.receive_data(platform_invite(late := next_call_id()))
     assert take_statuses(connection, late) == [503]
-    assert early in node.core.calls.by_ident
-    node.core.readiness.drain(False)
+    assert early in node.call_manager.calls.by_ident
+    node.call_manager.readiness.drain(False)
     connection.receive_data(platform_invite(after_drain := next_call_id()))
-    assert after_drain in node.core.calls.by_ident
+    assert after_drain in node.call_manager.calls.by_ident
 
 
 def test_shutdown_keeps_no_connection_for_established_calls():
     """A shutdown waits for no established call: the next process receives their releases from the servers."""
     node = InProcessNode()
     _, first, second, _ = frontend_with_established_calls(node)
-    node.core.readiness.shutting_down = True
-    node.core.readiness.drain(True)
+    node.call_manager.readiness.shutting_down = True
+    node.call_manager.readiness.drain(True)
     second.close_when_idle()
     assert not first.is_idle(), "releases may arrive until the shutdown is complete"
-    node.core.complete_shutdown()
+    node.call_manager.complete_shutdown()
     assert first.is_idle()
 
 
--- a/tests/test_lost_servers.py
+++ b/tests/test_lost_servers.py
@@ -57,9 +57,11 @@
         self.started_at = self.node.now
         self.dialled: list[ServerConnection] = []
         self.aborted: list[ServerConnection] = []
-        self.pool = ServerConnectionPool(self.node.core, self.dial)
-        self.node.core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
-        self.caller = PlatformFrontend(self.node.core).connect()
+        self.pool = ServerConnectionPool(self.node.call_manager, self.dial)
+        self.node.call_manager.update_servers(
+            [ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True
+        )
+        self.caller = PlatformFrontend(self.node.call_manager).connect()
         (self.connection,) = self.dialled
         self.connect(self.connection)
 
@@ -77,11 +79,11 @@
         """Advance the clock; at the end the coordinator confirms its list, if it answers."""
         self.node.run(seconds)
         if self.list_answers:
-            self.node.core.servers.list_confirmed_at = self.node.now
+            self.node.call_manager.servers.list_confirmed_at = self.node.now
 
     def has_call(self, ident: str) -> bool:
         """Return whether a call is established."""
-        return self.node.core.calls.is_established(ident)
+        return self.node.call_manager.calls.is_established(ident)
 
     def establish_call(self) -> str:
         """Establish a call on the active connection, and return its id."""
@@ -173,7 +175,7 @@
     server.run(0.05)
     assert ident.encode() in server.connection.data_to_send()
     gone = ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)
-    server.node.core.update_servers([gone], False)
+    server.node.call_manager.update_servers([gone], False)
     server.connection.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
     assert not server.has_call(ident)
     assert b'"FINISH","tag":"%s"' % ident.encode() in server.connection.data_to_send()
@@ -188,7 +190,7 @@
     ident = server.establish_call()
     server.run(5.0)
     successor = ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)
-    server.node.core.update_servers([successor], False)
+    server.node.call_manager.update_servers([successor], False)
     server.connect(server.pool.standby[1])
     for _ in range(int((RELEASE_LIMIT_S - 5.0) / 0.4)):
         server.run(0.4)
@@ -203,7 +205,7 @@
     server = ServerOnClock()
     ident = server.establish_call()
     successor = ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)
-    server.node.core.update_servers([successor], False)
+    server.node.call_manager.update_servers([successor], False)
     server.connect(server.dialled[1])
     server.dialled[1].receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     assert take_statuses(server.caller, ident) == ["BYE"]
@@ -214,7 +216,7 @@
     server = ServerOnClock()
     ident = server.establish_call()
     other = ServerRecord("t", ("127.0.0.1", 10), 0, Availability.READY)
-    server.node.core.update_servers([other], False)
+    server.node.call_manager.update_servers([other], False)
     server.connect(server.dialled[1])
     server.dialled[1].receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     assert server.has_call(ident)
@@ -232,7 +234,7 @@
     active = server.pool.standby[1]
     server.connect(active)
     gone = ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)
-    server.node.core.update_servers([gone], False)
+    server.node.call_manager.update_servers([gone], False)
     assert active.can_close()
     active.connection_lost()  # the driver's calls when a connection has ended
     server.pool.remove(active)
@@ -281,7 +283,7 @@
     server = ServerOnClock()
     ident = server.establish_call()
     server.node.now += 20.0
-    server.node.core.timers.run_due()  # the loop runs timers before it polls sockets
+    server.node.call_manager.timers.run_due()  # the loop runs timers before it polls sockets
     server.connection.receive_data(LOAD_LINE)
     server.run(1.0)
     assert server.has_call(ident)
@@ -316,8 +318,8 @@
         send=lambda *_: None,
     )
     relay = EndpointListRelay(driver, lambda: node.now, lambda: None)
-    relay.discovery = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+    relay.discovery = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4)
     relay.endpoint_list.index = 4
     node.run(5.0)
     relay.handle_update(node.now, ("a", 1), EndpointUpdate("a", 7, index, 0, 1, b""))
-    assert (node.core.servers.list_confirmed_at == node.now) is confirms
+    assert (node.call_manager.servers.list_confirmed_at == node.now) is confirms
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -87,11 +87,11 @@
 def test_a_release_that_nobody_acknowledges_is_kept_for_the_next_connection():
     """Guards against a release that is dropped after four attempts at callers that don't read."""
     node = InProcessNode()
-    frontend = PlatformFrontend(node.core)
+    frontend = PlatformFrontend(node.call_manager)
     not_reading, ident = frontend.connect(), next_call_id()
     not_reading.receive_data(platform_invite(ident, answer_within_ms="4000"))
     node.establish()
-    node.core.responses.call_released(node.written[-1].server, ident, 16, "", node.empty_report())
+    node.call_manager.responses.call_released(node.written[-1].server, ident, 16, "", node.empty_report())
     node.run(3.0)
     assert not_reading.data_to_send().count(b"BYE sip:") == 4
     late = frontend.connect()
@@ -99,4 +99,4 @@
     assert late.data_to_send().count(b"BYE sip:") == 1
     node.run(60.0)
     assert not frontend.registry.deliveries.pending
-    assert node.core.counters.counts["releases_unacknowledged"] == 1
+    assert node.call_manager.counters.counts["releases_unacknowledged"] == 1
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -173,34 +173,34 @@
 def test_open_calls_keep_their_class_and_number_of_attempts():
     """A reload does not end an open call and does not change its class or its maximum of attempts."""
     node = InProcessNode()
-    connection = PlatformFrontend(node.core).connect()
+    connection = PlatformFrontend(node.call_manager).connect()
     connection.receive_data(platform_invite(old := next_call_id(), "save-roster", "9000"))
-    kept = node.core.calls.by_ident[old].request.call_class
+    kept = node.call_manager.calls.by_ident[old].request.call_class
     classes = [class_settings("read-roster", effect="keyed", hard_limit_s=4.0)]
-    node.core.update_settings(settings_from_object(settings_with_classes(classes, cap=1)).settings)
+    node.call_manager.update_settings(settings_from_object(settings_with_classes(classes, cap=1)).settings)
     connection.receive_data(platform_invite(new := next_call_id()))
-    call, other = node.core.calls.by_ident[old], node.core.calls.by_ident[new]
-    assert node.core.controller.settings is node.core.settings
+    call, other = node.call_manager.calls.by_ident[old], node.call_manager.calls.by_ident[new]
+    assert node.call_manager.controller.settings is node.call_manager.settings
     assert call.request.call_class is kept
     assert kept.idempotent
     assert (call.max_attempts, other.max_attempts) == (6, 1)
     assert not other.request.call_class.idempotent
-    server = node.core.servers.by_id[1]
+    server = node.call_manager.servers.by_id[1]
     for _ in range(3):  # resets: the new call fails, since it must not be repeated; the old call is retried
         for ident in (old, new):
-            node.core.responses.call_released(server, ident, 41, "", node.empty_report())
+            node.call_manager.responses.call_released(server, ident, 41, "", node.empty_report())
         node.run(2.0)
     assert take_statuses(connection, new) == [500]
     assert take_statuses(connection, old) == []
     assert call.attempts > 1
-    assert old in node.core.calls.by_ident
+    assert old in node.call_manager.calls.by_ident
 
 
 def test_callers_may_use_a_former_class_or_its_deadline_for_a_while():
     """Calls that callers sent before they knew the new settings are not rejected."""
     node = InProcessNode()
-    connection = PlatformFrontend(node.core).connect()
-    node.core.update_settings(
+    connection = PlatformFrontend(node.call_manager).connect()
+    node.call_manager.update_settings(
         settings_from_object(
             settings_with_classes([class_settings("read-roster", hard_limit_s=2.0)])
         ).settings
@@ -208,7 +208,7 @@
     node.run(1.3)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
         connection.receive_data(platform_invite(ident, kind, "9000"))
-        assert ident in node.core.calls.by_ident
+        assert ident in node.call_manager.calls.by_ident
     node.run(FORMER_CLASS_S)
     for ident, kind in ((next_call_id(), "save-roster"), (next_call_id(), "read-roster")):
         connection.receive_data(platform_invite(ident, kind, "9000"))
@@ -244,7 +244,10 @@
 
     async def scenario():
         node, dialled, peer_sockets = InProcessNode(), [], []
-        network, discovery = Network(node.core), ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+        network, discovery = (
+            Network(node.call_manager),
+            ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4),
+        )
 
         async def connect(address):
             dialled.append(address)
--- a/tests/test_request_validation.py
+++ b/tests/test_request_validation.py
@@ -151,7 +151,7 @@
     The time limit for a message is shorter than a call's deadline.
     """
     node = InProcessNode()
-    frontend = PlatformFrontend(node.core)
+    frontend = PlatformFrontend(node.call_manager)
     connection, ident = frontend.connect(), next_call_id()
     connection.receive_data(
         platform_invite(ident, answer_within_ms="4000")
--- a/tests/test_scope_connections.py
+++ b/tests/test_scope_connections.py
@@ -29,22 +29,24 @@
         settings = settings_with(*classes)
         self.scoped = scoped_controller(settings, idle_s=4.0)
         self.scoped.on_scope_changed = self.scope_changed
-        self.core = CallManager(
+        self.call_manager = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters(),
             decisions=self.scoped,
         )  # fmt: skip
-        self.core.servers.in_scope = self.scoped.in_scope
-        self.pool = ServerConnectionPool(self.core, self.opened.append)
-        self.core.readiness.list_known = self.core.readiness.listening = True
+        self.call_manager.servers.in_scope = self.scoped.in_scope
+        self.pool = ServerConnectionPool(self.call_manager, self.opened.append)
+        self.call_manager.readiness.list_known = self.call_manager.readiness.listening = True
 
     def scope_changed(self, _numbers, _classes, _entered):
         """Update the connections of all servers after a set entered or left the scope."""
-        for server in list(self.core.servers.by_id.values()):
+        for server in list(self.call_manager.servers.by_id.values()):
             self.pool.record_changed(server)
 
     def list_server(self, name, number, availability=Availability.READY):
         """Add a server to the endpoint list, or change its entry."""
-        self.core.update_servers([ServerRecord(name, ("127.0.0.1", 9), number, availability)], complete=False)
+        self.call_manager.update_servers(
+            [ServerRecord(name, ("127.0.0.1", 9), number, availability)], complete=False
+        )
 
     def list_servers(self, **numbers):
         """Add servers to the endpoint list, as name=number."""
@@ -55,15 +57,17 @@
         """Offer a call of a class; return the call and its caller's session."""
         self.calls += 1
         caller = RecordingSession()
-        call = self.core.offer_call(CallRequest(f"{self.calls:016x}", requested_class, "7", "d", 5.0), caller)
+        call = self.call_manager.offer_call(
+            CallRequest(f"{self.calls:016x}", requested_class, "7", "d", 5.0), caller
+        )
         return call, caller
 
     def run(self, seconds):
         """Advance the clock and run the timers that are due."""
         end = self.now + seconds
-        while (due := self.core.timers.next_due()) is not None and due <= end:
+        while (due := self.call_manager.timers.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.core.timers.run_due()
+            self.call_manager.timers.run_due()
         self.now = end
 
 
@@ -91,7 +95,9 @@
     node = ScopedNode(a, b)
     node.list_servers(x=1, y=2, z=3)
     assert not node.opened
-    assert node.core.readiness.startup_health().is_ready, "readiness waits for servers that are out of scope"
+    assert (
+        node.call_manager.readiness.startup_health().is_ready
+    ), "readiness waits for servers that are out of scope"
     call, caller = node.offer(a)
     assert instances(node.opened) == ["x", "y"]
     for server_connection in node.opened:
@@ -101,7 +107,7 @@
     other = next(each for each in node.opened if each is not server_connection)
     node.run(30)
     assert not node.scoped.sets.by_numbers
-    assert node.core.counters.counts["calls_offered"] == 1
+    assert node.call_manager.counters.counts["calls_offered"] == 1
     assert other.can_close()
     assert not server_connection.draining
     assert not server_connection.can_close()
@@ -110,7 +116,7 @@
     node.run(30)
     assert not server_connection.draining
     assert not server_connection.can_close()
-    node.core.release(call, 16)
+    node.call_manager.release(call, 16)
     assert not server_connection.can_close(), "the release has not been written"
     assert b'"FINISH"' in server_connection.data_to_send()
     node.run(5)
@@ -137,7 +143,7 @@
 
     def abandon_after_setup(call):
         assert b'"START"' in server_connection.data_to_send()
-        node.core.abandon(call)
+        node.call_manager.abandon(call)
         assert b'"FINISH"' in server_connection.data_to_send()
         server_connection.receive_data(b'{"verb":"LOAD","opts":{"load":"free:5;size:9"}}\n')
 
@@ -165,9 +171,11 @@
     node.offer(call_class("a", 1))
     node.list_server("z", 2, Availability.GONE)
     node.run(0.1)
-    assert [s.record.instance for s in node.core.servers.by_id.values()] == ["x"]
+    assert [s.record.instance for s in node.call_manager.servers.by_id.values()] == ["x"]
     assert list(node.scoped.sets.listed.by_id) == [1]
     node.list_server("z", 2)
-    node.core.update_servers([ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True)
+    node.call_manager.update_servers(
+        [ServerRecord("x", ("127.0.0.1", 9), 1, Availability.READY)], complete=True
+    )
     node.run(0.1)
-    assert [s.record.instance for s in node.core.servers.by_id.values()] == ["x"]
+    assert [s.record.instance for s in node.call_manager.servers.by_id.values()] == ["x"]
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -112,7 +112,7 @@
     """Return a call manager with one connected server, the pool, the connection, and a list that records the
     times at which the connection is aborted.
     """
-    core = CallManager(
+    call_manager = CallManager(
         settings_from_object(SETTINGS).settings,
         random.Random(1),
         lambda: now[0],
@@ -120,11 +120,11 @@
         Counters(),
     )
     server_connections, aborted = [], []
-    pool = ServerConnectionPool(core, server_connections.append)
-    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    pool = ServerConnectionPool(call_manager, server_connections.append)
+    call_manager.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY)], True)
     server_connections[0].abort = lambda: aborted.append(now[0])
     server_connections[0].connection_made()
-    return core, pool, server_connections[0], aborted
+    return call_manager, pool, server_connections[0], aborted
 
 
 def test_after_a_confirmed_suspicion_the_next_one_is_not_delayed():
@@ -132,8 +132,8 @@
     after the other gets no set-ups for 3 s.
     """
     now = [1000.0]
-    core, pool, _, _ = connected_server(now)
-    caller = PlatformFrontend(core).connect()
+    call_manager, pool, _, _ = connected_server(now)
+    caller = PlatformFrontend(call_manager).connect()
 
     def silent_until_doubted():
         """Write a set-up without an answer; return the seconds until the connection is suspected."""
@@ -141,18 +141,18 @@
         caller.receive_data(platform_invite(next_call_id(), answer_within_ms="9000"))
         while not server_connection.data_to_send():
             now[0] += 0.01
-            core.timers.run_due()
+            call_manager.timers.run_due()
         since = now[0]
         while not pool.standby:
             now[0] += 0.01
-            core.timers.run_due()
+            call_manager.timers.run_due()
             assert now[0] < since + 5, "the connection was not suspected"
         standby = pool.standby[1]
         standby.connection_made()
         for _ in range(3):
             now[0] += 0.3
             standby.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
-            core.timers.run_due()
+            call_manager.timers.run_due()
         for each in list(pool.superseded):  # the driver's calls when a connection has ended
             each.connection_lost()
             pool.remove(each)
@@ -161,69 +161,69 @@
     first = silent_until_doubted()
     for _ in range(3):
         now[0] += 0.2
-        core.timers.run_due()
+        call_manager.timers.run_due()
         for standby in list(pool.standby.values()):
             standby.connection_made()
         assert silent_until_doubted() < first + 0.2
 
 
-def offer_written_call(core, pool, now, within="9000"):
+def offer_written_call(call_manager, pool, now, within="9000"):
     """Offer a call, wait until its set-up is written on the active connection, and return its id."""
-    caller, ident = PlatformFrontend(core).connect(), next_call_id()
+    caller, ident = PlatformFrontend(call_manager).connect(), next_call_id()
     caller.receive_data(platform_invite(ident, answer_within_ms=within))
     for _ in range(100):
         if b"START" in pool.active[1].data_to_send():
             return ident
         now[0] += 0.01
-        core.timers.run_due()
+        call_manager.timers.run_due()
     raise AssertionError("no set-up was written")
 
 
-def pass_time(core, now, seconds):
+def pass_time(call_manager, now, seconds):
     """Advance the clock in steps of 10 ms, and run the due timers after each step."""
     end = now[0] + seconds
     while now[0] < end:
         now[0] += 0.01
-        core.timers.run_due()
+        call_manager.timers.run_due()
 
 
 @pytest.mark.parametrize("ends", ["by the server", "by the caller"])
 def test_a_superseded_connection_is_read_while_calls_set_up_on_it_are_established(ends):
     """A release is not lost if its connection was superseded before the release arrives."""
     now = [1000.0]
-    core, pool, old, _ = connected_server(now)
-    ident = offer_written_call(core, pool, now, within="13000")
-    pass_time(core, now, 0.6)
+    call_manager, pool, old, _ = connected_server(now)
+    ident = offer_written_call(call_manager, pool, now, within="13000")
+    pass_time(call_manager, now, 0.6)
     pool.standby[1].connection_made()
     assert pool.superseded == [old]
     assert not old.can_close()
-    pass_time(core, now, 9.0)
+    pass_time(call_manager, now, 9.0)
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    pass_time(core, now, 20.0)
-    assert core.calls.is_established(ident)
+    pass_time(call_manager, now, 20.0)
+    assert call_manager.calls.is_established(ident)
     assert not old.can_close()
     if ends == "by the server":
         old.receive_data(b'{"verb":"FINISH","tag":"%s","opts":{},"rc":16}\n' % ident.encode())
     else:
-        core.release(core.calls.by_ident[ident], 16)
-    assert not core.calls.is_established(ident)
+        call_manager.release(call_manager.calls.by_ident[ident], 16)
+    assert not call_manager.calls.is_established(ident)
     assert old.can_close()
 
 
 def test_another_connection_is_opened_if_a_superseded_one_breaks_with_calls_established():
     """The server repeats a release that was in flight only on the next connection, so one must be opened."""
     now = [1000.0]
-    core, pool, old, _ = connected_server(now)
-    ident = offer_written_call(core, pool, now, within="13000")
-    pass_time(core, now, 0.6)
+    call_manager, pool, old, _ = connected_server(now)
+    ident = offer_written_call(call_manager, pool, now, within="13000")
+    pass_time(call_manager, now, 0.6)
     pool.standby[1].connection_made()
     old.receive_data(b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode())
-    assert core.calls.is_established(ident)
+    assert call_manager.calls.is_established(ident)
     assert pool.superseded == [old]
     assert not pool.standby
     old.connection_lost()  # the driver's calls when a connection has ended
     pool.remove(old)
-    pass_time(core, now, 0.2)
+    pass_time(call_manager, now, 0.2)
     assert pool.standby, "another connection is opened"
 
 
@@ -232,11 +232,11 @@
     before the next opens, so that the server repeats the releases sent on it there.
     """
     now = [1000.0]
-    core, pool, _, _ = connected_server(now)
+    call_manager, pool, _, _ = connected_server(now)
     for _ in range(6):
         server_connection = pool.active[1]
         server_connection.receive_data(b'{"verb":"LOAD","tag":"","opts":{"load":"free:50;size:90"}}\n')
-        ident = offer_written_call(core, pool, now)
+        ident = offer_written_call(call_manager, pool, now)
         server_connection.receive_data(
             b'{"verb":"STARTED","tag":"%s","opts":{},"blob":"d"}\n' % ident.encode()
         )
@@ -254,21 +254,21 @@
 def test_a_connection_from_before_its_servers_start_is_aborted(started, ends):
     """Connections to the old process of a machine that vanished and restarted would stay silent forever."""
     now = [1000.0]
-    core, _, _, aborted = connected_server(now)
+    call_manager, _, _, aborted = connected_server(now)
     now[0] = 1010.0
-    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
+    call_manager.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.READY, started)], False)
     assert bool(aborted) is ends
 
 
 def test_a_connection_to_a_gone_server_is_not_kept_for_undeliverable_releases():
     """A connection with queued releases for a machine that is gone is ended after the drain timeout."""
     now = [1000.0]
-    core, pool, server_connection, aborted = connected_server(now)
+    call_manager, pool, server_connection, aborted = connected_server(now)
     pool.send_release(server_connection.server, "00000000005e0001", 16)
-    core.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
+    call_manager.update_servers([ServerRecord("s", ("127.0.0.1", 9), 0, Availability.GONE)], False)
     assert not server_connection.can_close()
     now[0] += 11
-    core.timers.run_due()
+    call_manager.timers.run_due()
     assert aborted
     assert server_connection.can_close()
 
@@ -278,10 +278,10 @@
     timeout. Otherwise it stays in use, in one case for 4.7 s.
     """
     node, server_connections = InProcessNode(), []
-    pool = ServerConnectionPool(node.core, server_connections.append)
-    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    pool = ServerConnectionPool(node.call_manager, server_connections.append)
+    node.call_manager.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
     server_connections[0].connection_made()
-    connection = PlatformFrontend(node.core).connect()
+    connection = PlatformFrontend(node.call_manager).connect()
     for _ in range(4):
         connection.receive_data(platform_invite(ident := next_call_id()))
         node.run(0.01)
@@ -299,9 +299,9 @@
     which each is used.
     """
     node, server_connections = InProcessNode(), []
-    pool = ServerConnectionPool(node.core, server_connections.append)
-    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
-    connection = PlatformFrontend(node.core).connect()
+    pool = ServerConnectionPool(node.call_manager, server_connections.append)
+    node.call_manager.update_servers([ServerRecord("t", ("127.0.0.1", 9), 0, Availability.READY)], True)
+    connection = PlatformFrontend(node.call_manager).connect()
     began = node.now
     while len(server_connections) < 4:
         server_connections[-1].connection_made()
@@ -325,7 +325,7 @@
     async def scenario():
         node = InProcessNode()
         node.follow_loop(asyncio.get_running_loop())
-        network = Network(node.core)
+        network = Network(node.call_manager)
         dial = asyncio.ensure_future(network.connector.connect(("127.0.0.1", server.port), 0.2))
         for _ in range(3):  # lets the connect begin
             await asyncio.sleep(0)
--- a/tests/test_service_discovery.py
+++ b/tests/test_service_discovery.py
@@ -44,7 +44,7 @@
 def test_an_unresponsive_coordinator_is_disconnected_within_2_s():
     """A poll ends less than 2 s after its requested wait, by when changes count as notified."""
     node = InProcessNode()
-    client, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    client, aborted = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4), []
     client.abort = lambda: aborted.append(node.now)
     client.connected()
     assert b"follow=4" in client.data_to_send()
@@ -62,7 +62,7 @@
     long one, a silent coordinator would be detected late each time.
     """
     node = InProcessNode()
-    client, aborted = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    client, aborted = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4), []
     client.abort = lambda: aborted.append(node.now)
     waits = []
     for _ in range(4):
@@ -85,24 +85,24 @@
 def test_the_first_poll_does_not_wait_for_changes():
     """A new process is ready without waiting for the full time of a poll."""
     node = InProcessNode()
-    node.core.readiness.list_known = False
-    client = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4)
+    node.call_manager.readiness.list_known = False
+    client = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4)
     client.connected()
     assert int(client.data_to_send().split(b"wait_ms=")[1].split()[0]) <= 100
     body = b'{"index":4,"updates":[]}'
     client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-    assert node.core.readiness.list_known
+    assert node.call_manager.readiness.list_known
     assert int(client.data_to_send().split(b"wait_ms=")[1].split()[0]) >= 1000
 
 
 def test_a_softswitch_with_a_known_list_serves_despite_an_unresponsive_coordinator():
     """A softswitch that has a list at its start does not wait for the coordinator's changes."""
     node = InProcessNode()
-    node.core.readiness.list_known = False
-    ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4).connected()
-    assert not node.core.readiness.health().is_ready
+    node.call_manager.readiness.list_known = False
+    ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4).connected()
+    assert not node.call_manager.readiness.health().is_ready
     node.run(2.0)
-    assert node.core.readiness.health().is_ready
+    assert node.call_manager.readiness.health().is_ready
 
 
 def test_an_older_event_index_is_logged_and_changes_nothing():
@@ -111,7 +111,7 @@
     """
     node, logged = InProcessNode(), []
     node.log = lambda event, **fields: logged.append((event, fields))
-    client = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 9)
+    client = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 9)
 
     def answer(index):
         body = json.dumps({"index": index, "updates": []}).encode()
@@ -176,19 +176,19 @@
     Returns the client, the servers' availability by instance id, and the answers passed to `on_answer`.
     """
     node = InProcessNode()
-    ServerConnectionPool(node.core, lambda _connection: None)
-    node.core.servers.by_id.clear()
-    node.core.servers.by_instance.clear()
+    ServerConnectionPool(node.call_manager, lambda _connection: None)
+    node.call_manager.servers.by_id.clear()
+    node.call_manager.servers.by_instance.clear()
     listed = [ServerRecord(name, ("127.0.0.1", 9), 0, Availability.READY) for name in names]
-    node.core.update_servers(listed, True)
-    client, relayed = ServiceDiscoveryClient(node.core, ("127.0.0.1", 1), 4), []
+    node.call_manager.update_servers(listed, True)
+    client, relayed = ServiceDiscoveryClient(node.call_manager, ("127.0.0.1", 1), 4), []
     client.on_answer = relayed.append
     for event in events:
         client.connected()
         body = json.dumps({"index": 5, "updates": [{"index": 5, "endpoints": event}]}).encode()
         client.receive_data(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     availabilities = {
-        s.record.instance: s.record.availability.value for s in node.core.servers.by_instance.values()
+        s.record.instance: s.record.availability.value for s in node.call_manager.servers.by_instance.values()
     }
     return client, availabilities, relayed
 
--- a/tests/test_setup_transmission.py
+++ b/tests/test_setup_transmission.py
@@ -31,14 +31,14 @@
     def __init__(self, server_address):
         self.node = InProcessNode()
         self.node.follow_loop(asyncio.get_running_loop())
-        self.core = self.node.core
-        self.network = Network(self.core)
+        self.call_manager = self.node.call_manager
+        self.network = Network(self.call_manager)
         connections = []
-        self.pool = ServerConnectionPool(self.core, connections.append)
-        self.core.update_servers([ServerRecord("r", server_address, 0, Availability.READY)], True)
+        self.pool = ServerConnectionPool(self.call_manager, connections.append)
+        self.call_manager.update_servers([ServerRecord("r", server_address, 0, Availability.READY)], True)
         (self.server_connection,) = connections
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.network.listen(self.listener, PlatformFrontend(self.core).connect, ListenerLimits(100))
+        self.network.listen(self.listener, PlatformFrontend(self.call_manager).connect, ListenerLimits(100))
         self.idents = []
         self.callers = []
 
@@ -48,7 +48,7 @@
         self.callers = [socket.create_connection(self.listener.getsockname()) for _ in self.idents]
         for ident, caller in zip(self.idents, self.callers, strict=True):
             caller.sendall(platform_invite(ident, answer_within_ms="4000", body=body))
-        await wait_in_loop(lambda: self.core.calls.unanswered == count)
+        await wait_in_loop(lambda: self.call_manager.calls.unanswered == count)
 
     def disconnect_callers(self, ways):
         """Disconnect the first callers, each in the given way."""
@@ -115,7 +115,7 @@
             for ident in node.idents:
                 server.send("FINISH", ident, rc=41)
             sent_before = len(leaving)
-        await wait_in_loop(lambda: node.core.calls.is_established(staying))
+        await wait_in_loop(lambda: node.call_manager.calls.is_established(staying))
         late = next_call_id()
         node.callers[-1].sendall(platform_invite(late, answer_within_ms="4000"))
         await wait_in_loop(lambda: late in sent({late}))
@@ -183,7 +183,7 @@
         node = NodeInLoop(listener.getsockname())
         connect_with_small_buffers(node.network)
         await node.place_calls(10, b"d" * 12_000)
-        staying, counts = node.idents[-1], node.core.counters.counts
+        staying, counts = node.idents[-1], node.call_manager.counters.counts
         node.network.dial(node.server_connection)
         await wait_in_loop(lambda: node.server_connection.writing)
         await wait_in_loop(lambda: counts["attempts_retracted"] >= 5, "five set-ups that have left the queue")
@@ -193,7 +193,7 @@
         assert len(partly_written) <= 3, "the connection is slow"
         assert counts["attempts_retracted"] >= 5, "the set-ups had left the queue"
         node.disconnect_callers([*["close"] * 3, *["reset"] * 3, *["cancel"] * 3])
-        await wait_in_loop(lambda: node.core.calls.unanswered == 1)
+        await wait_in_loop(lambda: node.call_manager.calls.unanswered == 1)
         server, _ = listener.accept()
         server.setblocking(False)
 
@@ -223,8 +223,11 @@
     reads the callers again.
     """
     node, server_connections = InProcessNode(), []
-    pool, frontend = ServerConnectionPool(node.core, server_connections.append), PlatformFrontend(node.core)
-    pool.record_changed(node.core.servers.by_id[1])
+    pool, frontend = (
+        ServerConnectionPool(node.call_manager, server_connections.append),
+        PlatformFrontend(node.call_manager),
+    )
+    pool.record_changed(node.call_manager.servers.by_id[1])
     (server_connection,) = server_connections
     server_connection.connection_made()
     callers, reads = [frontend.connect() for _ in range(3)], []
@@ -235,19 +238,19 @@
             callers[0].eof_received()
         reads.append(node.now)
 
-    node.core.read_callers = read_callers
+    node.call_manager.read_callers = read_callers
     idents = [next_call_id() for _ in callers]
     for ident, caller in zip(idents, callers, strict=True):
         caller.receive_data(platform_invite(ident, answer_within_ms="4000"))
-    claim_transmission, stalls_s = node.core.attempts.claim_transmission, [0.3]
+    claim_transmission, stalls_s = node.call_manager.attempts.claim_transmission, [0.3]
 
     def claim_after_stall(attempt):
         node.now += stalls_s.pop() if stalls_s else 0.0
         return claim_transmission(attempt)
 
-    node.core.attempts.claim_transmission = claim_after_stall
+    node.call_manager.attempts.claim_transmission = claim_after_stall
     started = [json.loads(line)["tag"] for line in server_connection.data_to_send().splitlines()]
     assert len(reads) == 2
     assert started == idents[1:]
     assert set(server_connection.pending_setups) == set(idents[1:])
-    assert node.core.counters.counts["attempts_sent"] == 2
+    assert node.call_manager.counters.counts["attempts_sent"] == 2
--- a/tests/test_shedding_at_sip_frontend.py
+++ b/tests/test_shedding_at_sip_frontend.py
@@ -20,7 +20,7 @@
     lines = sip_headers(method, "1", f"z9hG4bK{number}", f"c{number}", to_tag=to_tag)
     lines["via"] += via_parameters
     data = sip.request(method, "sip:1@net", list(lines.items()))
-    port = node.front.flows.ports[0]
+    port = node.frontend.flows.ports[0]
     port.receive(data, ("127.0.0.1", 4000))
     sent = [sip_parser.parse_datagram(each) for each, _ in port.output]
     port.output.clear()
@@ -34,10 +34,10 @@
     )
     for _ in range(intervals):
         node.now += OBSERVATION_INTERVAL_S
-        overload = node.front.admission.control.overload
+        overload = node.frontend.admission.control.overload
         for index in range(10):
             overload.count_call(index >= 10 * overload.shed_fraction)
-        node.front.admission.observe_delay(delay_s)
+        node.frontend.admission.observe_delay(delay_s)
     return node
 
 
@@ -50,10 +50,10 @@
             assert response.status == 503
             assert 1 <= int(response.get("retry-after")) <= 5
     assert not node.written
-    assert not node.front.server_transactions.open_transactions
-    assert not node.core.calls.by_number
-    assert not node.front.server_transactions.records.responses
-    counts = node.core.counters.counts
+    assert not node.frontend.server_transactions.open_transactions
+    assert not node.call_manager.calls.by_number
+    assert not node.frontend.server_transactions.records.responses
+    counts = node.call_manager.counters.counts
     assert counts["shed_load"] == 100
     assert "malformed_from_callers" not in counts
 
@@ -63,12 +63,12 @@
     node = overloaded_node(0.0, 1)
     receive_request(node, number=1)
     node.establish()
-    port = node.front.flows.ports[0]
+    port = node.frontend.flows.ports[0]
     tag = sip.parameters(sip_parser.parse_datagram(port.output[-1][0]).get("to"))["tag"]
     port.output.clear()
     for _ in range(5):
         node.now += OBSERVATION_INTERVAL_S
-        node.front.admission.observe_delay(1.0)
+        node.frontend.admission.observe_delay(1.0)
     assert receive_request(node, number=2)[0].status == 503
     assert receive_request(node, number=1) == []  # a retransmission is absorbed
     receive_request(node, "ACK", number=1, to_tag=tag)
@@ -99,5 +99,5 @@
     node.log = lambda event, **fields: logged.append((event, fields.get("level")))
     for delay_s in [0.08] * 20 + [0.0] * 100:
         node.now += OBSERVATION_INTERVAL_S
-        node.front.admission.observe_delay(delay_s)
+        node.frontend.admission.observe_delay(delay_s)
     assert logged == [("load", "overloaded"), ("load", "normal")]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -41,14 +41,14 @@
     """An answer or a release to a peer that reads slowly is written completely before the process ends."""
     node, server_connections = InProcessNode(), []
     if peer == "caller":
-        component = PlatformFrontend(node.core)
+        component = PlatformFrontend(node.call_manager)
         connection = component.connect()
     elif peer == "SIP caller":
-        component = node.front
+        component = node.frontend
         connection = component.flows.connector(component.config.tcp[0])(("127.0.0.1", 4000))
     else:
-        component = ServerConnectionPool(node.core, server_connections.append)
-        component.record_changed(node.core.servers.by_id[1])
+        component = ServerConnectionPool(node.call_manager, server_connections.append)
+        component.record_changed(node.call_manager.servers.by_id[1])
         connection = server_connections[0]
         connection.connection_made()
     assert component.is_flushed()
@@ -73,10 +73,10 @@
         application = Application(config, lambda: config)
         application.open_listeners()
         application.start_discovery()
-        application.parts.core.readiness.reject_after_s = 0.0
+        application.parts.call_manager.readiness.reject_after_s = 0.0
         caller = socket.create_connection(application.parts.caller_listeners[0].sock.getsockname())
         await wait_in_loop(lambda: application.parts.caller_listeners[0].connections)
-        is_settled, results = application.parts.core.is_settled, []
+        is_settled, results = application.parts.call_manager.is_settled, []
 
         def send_at_second_true():
             results.append(is_settled())
@@ -84,7 +84,7 @@
                 caller.sendall(platform_invite(next_call_id(), "ebb", "4000"))
             return results[-1]
 
-        application.parts.core.is_settled = send_at_second_true
+        application.parts.call_manager.is_settled = send_at_second_true
         await asyncio.wait_for(application.shut_down(asyncio.Event()), WAIT_LIMIT_S)
         assert results.count(True) > 2, "the request arrived between two checks"
         caller.setblocking(False)
@@ -322,8 +322,8 @@
 def test_server_connections_closed_by_a_shutdown_are_not_opened_again():
     """A process that shuts down does not redial a server, which would send releases on the new connection."""
     node, server_connections = InProcessNode(), []
-    component = ServerConnectionPool(node.core, server_connections.append)
-    node.core.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
+    component = ServerConnectionPool(node.call_manager, server_connections.append)
+    node.call_manager.update_servers([ServerRecord("t", ("127.0.0.1", 9), 1, Availability.READY)], False)
     server_connections[0].connection_made()
     component.send_release(server_connections[0].server, next_call_id(), 16)
     assert not component.is_flushed()
