--- a/tests/test_sip_frontend.py
+++ b/tests/test_sip_frontend.py
@@ -57,7 +57,7 @@
     response = flow.request(method, **change)
     if None in change.values():
         assert not flow.sent  # a request without a mandatory header can't be answered
-        assert flow.node.core.counters.counts["malformed_from_callers"] == 1
+        assert flow.node.call_manager.counters.counts["malformed_from_callers"] == 1
         return
     assert response.status == status
     assert not flow.node.written
@@ -87,7 +87,7 @@
     flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
     flow.node.run(60)
     assert len(flow.statuses()) == 5
-    assert not flow.node.front.server_transactions.open_transactions
+    assert not flow.node.frontend.server_transactions.open_transactions
 
 
 def test_a_call_whose_2xx_is_never_acknowledged_is_released_on_both_sides(flow):
@@ -97,10 +97,10 @@
     flow.node.run(33)
     assert flow.sent[-1].method == "BYE" or "BYE" in [m.method for m in flow.sent]
     assert flow.node.releases
-    assert not flow.node.core.calls.by_number
+    assert not flow.node.call_manager.calls.by_number
     flow.node.run(40)
-    assert not flow.node.front.server_transactions.open_transactions
-    assert not flow.node.front.dialogs
+    assert not flow.node.frontend.server_transactions.open_transactions
+    assert not flow.node.frontend.dialogs
 
 
 @pytest.mark.parametrize("acked", [True, False])
@@ -115,7 +115,7 @@
     before = len(flow.sent)
     flow.node.run(70)
     assert (len(flow.sent) > before) is (not flow.reliable and not acked)
-    assert not flow.node.front.server_transactions.open_transactions
+    assert not flow.node.frontend.server_transactions.open_transactions
 
 
 def test_the_caller_timeout_is_that_of_the_class_or_of_expires(flow):
@@ -136,10 +136,10 @@
     assert flow.statuses("CANCEL") == [200]
     if cancelled == "after the final response":
         assert flow.statuses() == [100, 200]
-        assert flow.node.core.calls.by_number
+        assert flow.node.call_manager.calls.by_number
     else:
         assert flow.statuses() == [100, 487]
-        assert not flow.node.core.calls.by_number
+        assert not flow.node.call_manager.calls.by_number
         assert len(flow.node.releases) == 1
 
 
@@ -153,7 +153,7 @@
         if wait_s == 40.0:
             flow.request("ACK", branch="z9hG4bKINVITE1")
         flow.request()
-    assert flow.node.core.counters.counts["calls_offered"] == 1
+    assert flow.node.call_manager.counters.counts["calls_offered"] == 1
     assert len(flow.node.written) == 1
     assert set(flow.statuses()) == {100, 487}
 
@@ -164,29 +164,29 @@
     flow, udp_flow = RecordingFlow(node, reliable=True), RecordingFlow(node)
     tag = establish_call(flow)
     flow.alive = False
-    assert node.core.calls.by_number
+    assert node.call_manager.calls.by_number
     assert udp_flow.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
     assert len(node.releases) == 1
-    assert not node.core.calls.by_number
-    assert not node.front.dialogs
+    assert not node.call_manager.calls.by_number
+    assert not node.frontend.dialogs
 
 
 @pytest.mark.parametrize("transport", ["", ";transport=tcp"])
 def test_our_bye_goes_to_the_contact_when_the_connection_has_ended(transport):
     """The BYE is sent on a new connection if the Contact has transport=tcp, else by UDP."""
     node, dialed_connections = InProcessNode(), []
-    node.front.flows.dial = dialed_connections.append
+    node.frontend.flows.dial = dialed_connections.append
     flow = RecordingFlow(node, reliable=True)
     flow.request(contact=f"<sip:office@127.0.0.1:4010{transport}>")
     node.establish()
     flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
     flow.alive = False
     attempt = node.written[0]
-    node.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
+    node.call_manager.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
     if transport:
         data, peer = dialed_connections[0].data_to_send(), dialed_connections[0].peer
     else:
-        data, peer = node.front.flows.ports[0].output[0]
+        data, peer = node.frontend.flows.ports[0].output[0]
     assert peer == ("127.0.0.1", 4010)
     bye = sip_parser.parse_datagram(data)
     assert bye.method == "BYE"
@@ -202,7 +202,7 @@
     assert flow.request(number="3", to=to).status == 200  # a re-INVITE that refreshes the session
     flow.request("ACK", number="3", branch="z9hG4bKa3", to=to)
     assert flow.request("BYE", number="2", to=to).status == 500
-    assert flow.node.core.calls.by_number
+    assert flow.node.call_manager.calls.by_number
     assert flow.request("BYE", number="4", to=to).status == 200
     assert flow.request("BYE", number="5", to=to).status == 481
 
@@ -211,13 +211,13 @@
     """If the BYE were lost, the caller would stay in the released call (timers E and F)."""
     establish_call(flow)
     attempt = flow.node.written[0]
-    flow.node.core.responses.call_released(attempt.server, attempt.call.request.ident, 41, "", REPORT)
+    flow.node.call_manager.responses.call_released(attempt.server, attempt.call.request.ident, 41, "", REPORT)
     flow.node.run(2.0)
     byes = [m for m in flow.sent if m.method == "BYE"]
     assert len(byes) == (1 if flow.reliable else 3)
     assert byes[0].get("reason") == "Q.850;cause=41"
     response = sip_parser.parse_datagram(sip.response(200, sip.echoed(byes[0])))
-    flow.node.front.message_received(flow, response)
+    flow.node.frontend.message_received(flow, response)
     flow.node.run(40)
     assert len([m for m in flow.sent if m.method == "BYE"]) == len(byes)
 
@@ -234,14 +234,14 @@
     for _ in range(2):
         flow.request(via="SIP/2.0/UDP 127.0.0.1:4000")
     flow.request("CANCEL", via="SIP/2.0/UDP 127.0.0.1:4000")
-    assert flow.node.core.counters.counts["calls_offered"] == 1
+    assert flow.node.call_manager.counters.counts["calls_offered"] == 1
     assert flow.statuses()[-1] == 487
 
 
 def test_a_full_transaction_table_answers_503_with_retry_after(flow):
     """A flood of requests must not exhaust memory."""
     flow.request()
-    flow.node.front.server_transactions.max_bytes = 1
+    flow.node.frontend.server_transactions.max_bytes = 1
     response = flow.request(branch="z9hG4bKz", call_id="c2")
     assert response.status == 503
     assert int(response.get("retry-after")) >= 1
@@ -253,11 +253,11 @@
     def raise_error(_now, _event):
         raise RuntimeError("the controller has failed")
 
-    monkeypatch.setattr(flow.node.core.controller, "handle", raise_error)
+    monkeypatch.setattr(flow.node.call_manager.controller, "handle", raise_error)
     response = flow.request()
     assert response.status == 500
     assert response.get("retry-after")
-    assert flow.node.core.counters.counts["decision_faults"] >= 1
+    assert flow.node.call_manager.counters.counts["decision_faults"] >= 1
 
 
 @pytest.mark.parametrize(
@@ -280,12 +280,12 @@
 def test_malformed_datagrams_are_answered_or_counted(data, status):
     """A malformed datagram causes no exception; one without the headers of a response gets no response."""
     node = InProcessNode()
-    node.front.flows.ports[0].receive(data, ("127.0.0.1", 4000))
-    sent = [sip_parser.parse_datagram(piece) for piece, _ in node.front.flows.ports[0].output]
+    node.frontend.flows.ports[0].receive(data, ("127.0.0.1", 4000))
+    sent = [sip_parser.parse_datagram(piece) for piece, _ in node.frontend.flows.ports[0].output]
     assert [m.status for m in sent] == ([status] if status else [])
     # Malformed bodies are rejected after the parse, without this counter.
     fails_in_parser = b'"' not in data and b"\xff" not in data
-    assert node.core.counters.counts.get("malformed_from_callers", 0) == fails_in_parser
+    assert node.call_manager.counters.counts.get("malformed_from_callers", 0) == fails_in_parser
     assert not node.written
 
 
@@ -303,8 +303,8 @@
     node = InProcessNode()
     lines = {**sip_headers("OPTIONS"), "via": f"SIP/2.0/UDP {via}"}
     data = sip.request("OPTIONS", "sip:x@net", list(lines.items()))
-    node.front.flows.ports[0].receive(data, ("127.0.0.1", 4000))
-    assert [address for _, address in node.front.flows.ports[0].output] == [peer]
+    node.frontend.flows.ports[0].receive(data, ("127.0.0.1", 4000))
+    assert [address for _, address in node.frontend.flows.ports[0].output] == [peer]
 
 
 def test_a_bye_to_a_contact_with_a_host_name_is_sent_to_the_source_of_the_call():
@@ -316,8 +316,8 @@
     flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
     flow.alive = False
     attempt = node.written[0]
-    node.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
-    assert node.front.flows.ports[0].output[0][1] == flow.peer
+    node.call_manager.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", REPORT)
+    assert node.frontend.flows.ports[0].output[0][1] == flow.peer
 
 
 def test_a_restart_releases_the_calls_it_cannot_wait_for_on_both_sides():
@@ -326,31 +326,33 @@
     flow.request()
     flow.node.establish()
     flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
-    assert flow.node.front.end_dialogs() == 1
+    assert flow.node.frontend.end_dialogs() == 1
     assert flow.sent[-1].method == "BYE"
     assert "cause=41" in flow.sent[-1].get("reason")
     assert len(flow.node.releases) == 1
-    assert not flow.node.core.calls.by_number
-    assert not flow.node.front.dialogs
+    assert not flow.node.call_manager.calls.by_number
+    assert not flow.node.frontend.dialogs
 
 
 def test_a_bye_whose_connection_ends_is_sent_on_another_flow():
     """Without the second flow the release would be lost with its connection."""
     node, dialed_connections = InProcessNode(), []
-    node.front.flows.dial = dialed_connections.append
+    node.frontend.flows.dial = dialed_connections.append
     flow = RecordingFlow(node, reliable=True)
     flow.request(contact="<sip:office@127.0.0.1:4010;transport=tcp>")
     node.establish()
     flow.request("ACK", to=f"<sip:7@net>;tag={flow.to_tag()}")
     attempt = node.written[0]
-    node.core.responses.call_released(attempt.server, attempt.call.request.ident, 16, "", node.empty_report())
+    node.call_manager.responses.call_released(
+        attempt.server, attempt.call.request.ident, 16, "", node.empty_report()
+    )
     assert flow.sent[-1].method == "BYE"
     flow.alive = False
-    node.front.flow_lost(flow)
+    node.frontend.flow_lost(flow)
     assert dialed_connections
     assert b"BYE sip:office@127.0.0.1:4010" in dialed_connections[0].data_to_send()
     dialed_connections[0].connection_lost()  # the connection is refused, so the BYE is sent by UDP
-    assert node.front.flows.ports[0].output[-1][1] == ("127.0.0.1", 4010)
+    assert node.frontend.flows.ports[0].output[-1][1] == ("127.0.0.1", 4010)
 
 
 def test_a_call_established_before_authentication_was_enabled_can_still_end():
@@ -360,7 +362,7 @@
     flow.node.establish()
     tag = flow.to_tag()
     flow.request("ACK", to=f"<sip:7@net>;tag={tag}")
-    front = flow.node.front
-    front.dispatcher.authenticator, _ = digest_authenticator()
+    frontend = flow.node.frontend
+    frontend.dispatcher.authenticator, _ = digest_authenticator()
     assert flow.request("BYE", number="2", to=f"<sip:7@net>;tag={tag}").status == 200
     assert flow.request(number="1", call_id="c9", branch="z9hG4bKnew").status == 401
--- a/tests/test_sip_transport.py
+++ b/tests/test_sip_transport.py
@@ -31,6 +31,6 @@
     networks = AllowedNetworks((ipaddress.ip_network("10.0.0.0/8"),))
     node = InProcessNode(udp=(SipListener(("127.0.0.1", 1), networks),))
     data = sip.request("OPTIONS", "sip:7@net", list(sip_headers("OPTIONS").items()))
-    node.front.flows.ports[0].receive(data, ("127.0.0.1", 4000))
-    assert not node.front.flows.ports[0].output
-    assert node.core.counters.counts == {"datagrams_denied": 1}
+    node.frontend.flows.ports[0].receive(data, ("127.0.0.1", 4000))
+    assert not node.frontend.flows.ports[0].output
+    assert node.call_manager.counters.counts == {"datagrams_denied": 1}
--- a/tests/test_site_calls.py
+++ b/tests/test_site_calls.py
@@ -27,14 +27,14 @@
     def __init__(self, site_settings: dict[str, Any]) -> None:
         self.now, self.setups_sent, self.events = 1000.0, 0, []
         settings = parse_settings_json(json.dumps(site_settings)).settings
-        self.core = CallManager(
+        self.call_manager = CallManager(
             settings, random.Random(1), lambda: self.now, lambda *_args, **_fields: None, Counters()
         )
-        self.core.servers.pool = self
+        self.call_manager.servers.pool = self
         pools = site_settings["family_info"]["allowed_pools"][0]
         records = [ServerRecord(f"s{n}", ("127.0.0.1", 9), n, Availability.READY) for n in pools]
-        self.core.update_servers(records, True)
-        self.caller = PlatformFrontend(self.core).connect()
+        self.call_manager.update_servers(records, True)
+        self.caller = PlatformFrontend(self.call_manager).connect()
 
     def record_changed(self, server: object) -> None:
         """Ignore a changed server record (interface of the server pool)."""
@@ -44,9 +44,9 @@
 
     def send_setup(self, attempt: Any) -> None:
         """Send a set-up and establish its call at once (interface of the server pool)."""
-        if self.core.attempts.claim_transmission(attempt):
+        if self.call_manager.attempts.claim_transmission(attempt):
             self.setups_sent += 1
-            self.core.responses.call_established(attempt.server, attempt.call.request.ident, "d")
+            self.call_manager.responses.call_established(attempt.server, attempt.call.request.ident, "d")
 
     def offer_call(self, call_class: str, **extra_headers: str) -> int:
         """Offer a call of a class with additional headers; returns the status of its only response."""
@@ -59,7 +59,7 @@
         self.caller.receive_data(sip.request("INVITE", "sip:7f3a@net", list(headers.items()), b"d"))
         for _ in range(200):  # lets 4 s pass, so that pending calls are tried again
             self.now += 0.02
-            self.core.timers.run_due()
+            self.call_manager.timers.run_due()
         parser = sip_parser.StreamParser()
         parser.feed(self.caller.data_to_send())
         statuses = []
@@ -84,7 +84,7 @@
     assert site.offer_call(call_class, charged_party="no-such-tenant") == 200
     assert site.offer_call(call_class, charged_party="") == 200
     assert site.setups_sent == 4
-    assert not site.core.calls.by_number.keys() - {1, 2, 3, 4}
+    assert not site.call_manager.calls.by_number.keys() - {1, 2, 3, 4}
 
 
 @pytest.mark.parametrize(
@@ -112,6 +112,8 @@
     """
     assert parse_load_report(text) == report
     site = InProcessSite(TENDERS)
-    site.core.controller.handle = lambda _now, event: site.events.append(event) or iter(())
-    site.core.responses.load_reported(next(iter(site.core.servers.by_id.values())), parse_load_report(text))
+    site.call_manager.controller.handle = lambda _now, event: site.events.append(event) or iter(())
+    site.call_manager.responses.load_reported(
+        next(iter(site.call_manager.servers.by_id.values())), parse_load_report(text)
+    )
     assert len(site.events) == (report != LoadReport())
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -64,43 +64,43 @@
 def test_start_waits_a_limited_time_for_server_connections():
     """The start waits for server connections, but servers listed meanwhile do not extend the wait."""
     node = InProcessNode()
-    ServerConnectionPool(node.core, lambda _connection: None)
+    ServerConnectionPool(node.call_manager, lambda _connection: None)
     for number in range(20):
         name = f"s-{number}"
         record = ServerRecord(name, ("127.0.0.1", 9), number % 2, Availability.READY)
-        node.core.update_servers([record], False)
-        reason = node.core.readiness.startup_health().reason
+        node.call_manager.update_servers([record], False)
+        reason = node.call_manager.readiness.startup_health().reason
         assert (name in reason) is (number * 0.1 < FIRST_CONNECT_WAIT_S), "the newest is not connected yet"
         node.run(0.1)
-    assert node.core.readiness.startup_health().is_ready
+    assert node.call_manager.readiness.startup_health().is_ready
 
 
 def test_health_check_requires_list_and_connection_attempts_but_no_dead_server():
     """The health check passes only when calls can be served, and one unreachable server does not fail it."""
     node, server_connections = InProcessNode(), []
-    core = node.core
-    pool = ServerConnectionPool(core, server_connections.append)
-    core.servers.by_id.clear()
-    core.servers.by_instance.clear()
-    core.readiness.listening = core.readiness.list_known = False
-    assert "list" in core.readiness.health().reason
-    core.readiness.list_known = True
-    assert "no roster server" in core.readiness.health().reason
+    call_manager = node.call_manager
+    pool = ServerConnectionPool(call_manager, server_connections.append)
+    call_manager.servers.by_id.clear()
+    call_manager.servers.by_instance.clear()
+    call_manager.readiness.listening = call_manager.readiness.list_known = False
+    assert "list" in call_manager.readiness.health().reason
+    call_manager.readiness.list_known = True
+    assert "no roster server" in call_manager.readiness.health().reason
     records = [
         ServerRecord(name, ("127.0.0.1", 9), n, Availability.READY) for n, name in enumerate(("live", "dead"))
     ]
-    core.update_servers(records, True)
-    assert "live dead" in core.readiness.health().reason
+    call_manager.update_servers(records, True)
+    assert "live dead" in call_manager.readiness.health().reason
     server_connections[0].connection_made()
-    assert "tried yet: dead" in core.readiness.health().reason
+    assert "tried yet: dead" in call_manager.readiness.health().reason
     server_connections[1].connect_failed(refused=False)
-    assert "not listening" in core.readiness.health().reason
-    core.readiness.listening = True
-    assert core.readiness.health().reason == ""
-    core.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
+    assert "not listening" in call_manager.readiness.health().reason
+    call_manager.readiness.listening = True
+    assert call_manager.readiness.health().reason == ""
+    call_manager.update_servers([ServerRecord("new", ("127.0.0.1", 9), 2, Availability.READY)], False)
     server_connections[0].connection_lost()
     assert (
-        core.readiness.health().reason == ""
+        call_manager.readiness.health().reason == ""
     ), "server changes after the start do not affect the health check"
     assert pool.active
 
