--- a/stairhatch/fault_injection/event_queue.py
+++ b/stairhatch/fault_injection/event_queue.py
@@ -1,4 +1,4 @@
-"""The virtual clock of a simulated run: what is to be done when, carried out in that order."""
+"""The virtual clock of a simulated run: a queue of actions, carried out in the order of their times."""
 
 from __future__ import annotations
 
@@ -10,20 +10,26 @@
 
 
 class EventQueue:
-    """A virtual clock and the actions due on it. Actions due at one time go in the order of their entry."""
+    """Virtual clock with a priority queue of scheduled actions.
+
+    Actions scheduled for the same time are carried out in the order in which they were scheduled.
+    """
 
     def __init__(self) -> None:
-        """Empty, at the time 0.0 s."""
+        """Create an empty queue; its clock is at 0.0 s."""
         self.now = 0.0
-        self._order = count()
+        self._sequence_numbers = count()
         self._queue: list[tuple[float, int, Action]] = []
 
-    def schedule_at(self, when: float, action: Action) -> None:
-        """Have something done at a time of this clock, in seconds."""
-        heapq.heappush(self._queue, (when, next(self._order), action))
+    def schedule_at(self, at_s: float, action: Action) -> None:
+        """Schedule an action for a time of this clock, in seconds."""
+        heapq.heappush(self._queue, (at_s, next(self._sequence_numbers), action))
+
+    def run_until(self, end_s: float) -> None:
+        """Carry out, in order, all actions due at or before `end_s`, and set the clock to the time of each.
 
-    def run_until(self, end: float) -> None:
-        """Carry out everything that is due up to a time."""
-        while self._queue and self._queue[0][0] <= end:
+        Actions that these schedule are included. The clock stays at the time of the last action.
+        """
+        while self._queue and self._queue[0][0] <= end_s:
             self.now, _, action = heapq.heappop(self._queue)
             action()
--- a/stairhatch/fault_injection/virtual_cluster.py
+++ b/stairhatch/fault_injection/virtual_cluster.py
@@ -1,7 +1,7 @@
-"""Many softswitches on one virtual clock, with the faults of a schedule between them.
+"""A cluster of softswitches on one virtual clock, with the faults of a schedule.
 
-The decisions are the program's own; the clocks, disks and the network are simulated. The same schedule and
-seed give the same history to the letter, so the order of the random draws must stay.
+The lease protocol is the program's code; the clocks, disks and network are simulated. The same schedule and
+seed give exactly the same history, so the order of the random draws must not change.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class VirtualCluster:
-    """One run of a schedule."""
+    """Simulation of one run: the members, the state that they share, and the fault injector."""
 
     def __init__(self, schedule: FaultSchedule, seed: int) -> None:
-        """Make the members of a run; nothing happens until `run`."""
+        """Create the members of a run without starting them; `seed` seeds all random draws of the run."""
         rng = random.Random(f"world {seed}")
         queue = EventQueue()
         activations: Counter[str] = Counter()
@@ -37,15 +37,15 @@
             voter_sets=[schedule.voters],
         )
         self.members = {name: VirtualMember(self.shared, name) for name in schedule.members}
-        self.shared.network.receivers = {name: each.deliver for name, each in self.members.items()}
+        self.shared.network.receivers = {name: member.deliver for name, member in self.members.items()}
 
     @property
     def activations(self) -> Counter[str]:
-        """How often each fault took effect."""
+        """How often each kind of fault took effect, by the kind's value."""
         return self.shared.activations
 
     def run(self) -> list[HistoryRecord]:
-        """Carry out the whole run and return its history."""
+        """Simulate the whole run and return its history."""
         shared = self.shared
         for member in self.members.values():
             shared.queue.schedule_at(shared.rng.uniform(0, MAX_START_DELAY_S), member.start)
@@ -54,12 +54,15 @@
         return shared.records
 
     def holders_by_lease(self) -> dict[str, list[str]]:
-        """Who holds which lease by their own belief: for measurements, not for the rules."""
+        """Return the names of the members whose lease client is in the state HELD, by lease.
+
+        This state is not checked against the clock. It is for measurements; the rules use the history.
+        """
         holders: dict[str, list[str]] = {}
         for member in self.members.values():
-            if member.decisions is None:
+            if member.protocol is None:
                 continue
-            for name, lease in member.decisions.leases.items():
+            for name, lease in member.protocol.leases.items():
                 if lease.state is LeaseState.HELD:
                     holders.setdefault(name, []).append(member.name)
         return holders
--- a/stairhatch/fault_injection/virtual_disk.py
+++ b/stairhatch/fault_injection/virtual_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a softswitch on the virtual clock: its data directory, and when it is full or slow."""
+"""The simulated disk of a softswitch: the content of its data directory, and the faults of the disk."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from stairhatch.fleet.messages import StorageVersion
 from stairhatch.fleet.voter_set import VoterSet
 
-DISK_SYNC_S = (0.0005, 0.006)  # the least and the most that a sync takes
+DISK_SYNC_S = (0.0005, 0.006)  # minimum and maximum duration of a sync
 
 
 @dataclass
 class VirtualDisk:
-    """A data directory: what is synced in it."""
+    """The synced content of a data directory; an empty `storage_id` means an empty directory."""
 
     storage_id: str = ""
     incarnation: int = 0
@@ -26,7 +26,7 @@
     voter_set: VoterSet | None = None
 
     def copy(self) -> VirtualDisk:
-        """A copy of it as it is now."""
+        """Return an independent copy of the present content."""
         return replace(
             self,
             votes=dict(self.votes),
@@ -35,8 +35,8 @@
         )
 
     def apply(self, write: PersistVotes) -> None:
-        """Put a whole write on it."""
-        self.votes.update((each.lease, each) for each in write.votes)
+        """Apply a completed write to the content."""
+        self.votes.update((vote.lease, vote) for vote in write.votes)
         self.vote_count = max(self.vote_count, write.storage_version.vote_count)
         self.known_versions.update(write.known_versions)
         self.admitted = self.admitted or write.admitted
@@ -45,7 +45,10 @@
 
 @dataclass(slots=True)
 class DiskFaults:
-    """The faults of a disk. They outlast its data directory. Times are those of the virtual clock."""
+    """The active faults of one disk, which stay active if the data directory is deleted or replaced.
+
+    Times are seconds on the virtual clock.
+    """
 
     failing_until: float = 0.0
     failing_kind: FaultKind = FaultKind.DISK_FULL
@@ -53,19 +56,19 @@
     delay_s: float = 0.0
 
     def fail(self, kind: FaultKind, until: float) -> None:
-        """Take no write until then: the disk is full or read-only."""
+        """Make writes fail until a time; `kind` is DISK_FULL or DISK_READ_ONLY."""
         self.failing_until = until
         self.failing_kind = kind
 
     def slow_down(self, delay_s: float, until: float) -> None:
-        """Take so much longer for each write until then."""
+        """Delay each write that begins before a time by `delay_s`."""
         self.slow_until = until
         self.delay_s = delay_s
 
     def is_failing(self, now: float) -> bool:
-        """Whether a write that ends now fails."""
+        """Whether a write that ends at `now` fails."""
         return now < self.failing_until
 
     def delay_at(self, now: float) -> float:
-        """How much longer a write takes that begins now, in seconds."""
+        """Return the additional duration of a write that begins at `now`, in seconds."""
         return self.delay_s if now < self.slow_until else 0.0
--- a/stairhatch/fault_injection/virtual_fault_injector.py
+++ b/stairhatch/fault_injection/virtual_fault_injector.py
@@ -1,4 +1,4 @@
-"""Inject the faults of a schedule into the softswitches and the network on the virtual clock."""
+"""Inject the faults of a schedule into the simulated softswitches and network."""
 
 from __future__ import annotations
 
@@ -19,34 +19,40 @@
 from stairhatch.fault_injection.virtual_member import VirtualMember, VirtualRun
 
 BACKUP_INTERVAL_S = 1.0
-MIN_BACKUP_AGE_S = 5.0  # unscaled: an older copy of a data directory is one taken so long ago or more
-RESTART_DELAY_S = (0.05, 0.5)  # unscaled, of a member whose file has another voter set
+MIN_BACKUP_AGE_S = 5.0  # of an old data directory, at the default lease duration
+RESTART_DELAY_RANGE_S = (
+    0.05,
+    0.5,
+)  # minimum and maximum for a voter set change, at the default lease duration
 
 
 class VirtualFaultInjector:
-    """Injects each fault at its time. A fault of the holder does nothing while nobody holds the lease."""
+    """Injector that applies each fault of one run at its scheduled time.
+
+    A fault of the holder has no effect if no member holds the endpoint list's lease at that time.
+    """
 
     def __init__(self, run: VirtualRun, members: dict[str, VirtualMember]) -> None:
-        """Inject into these members of a run, once they are scheduled."""
+        """`members` are all members of the run, by name. No fault is scheduled before `schedule_all`."""
         self.run = run
         self.members = members
 
     def schedule_all(self) -> None:
-        """Enter all faults and the first backup on the virtual clock."""
+        """Schedule all faults and the first backup on the virtual clock."""
         for fault in self.run.schedule.faults:
             self.run.queue.schedule_at(fault.at_s, partial(self._inject, fault))
         self.run.queue.schedule_at(BACKUP_INTERVAL_S, self._back_up)
 
     def holder(self) -> VirtualMember | None:
-        """The member that may act under the endpoint list's lease now."""
+        """Return the first member that may act under the endpoint list's lease now; None if there is none."""
         for member in self.members.values():
-            decisions = member.decisions
-            if decisions is not None and decisions.may_act(member.clock(), ENDPOINT_LIST_LEASE):
+            protocol = member.protocol
+            if protocol is not None and protocol.may_act(member.clock(), ENDPOINT_LIST_LEASE):
                 return member
         return None
 
     def _back_up(self) -> None:
-        """Copy all data directories, as somebody's script would, and do so again."""
+        """Copy all data directories, as a backup script would, and schedule the next copy."""
         for member in self.members.values():
             member.backups.append((self.run.queue.now, member.disk.copy()))
         self.run.queue.schedule_at(self.run.queue.now + BACKUP_INTERVAL_S, self._back_up)
@@ -66,11 +72,11 @@
             self.run.network.add_condition(fault)
 
     def _inject_on_member(self, fault: ScheduledFault, member: VirtualMember) -> bool:
-        """Inject a fault of one process or its disk; whether it was one."""
+        """Inject a fault of one process or its disk; return False if the fault is of another kind."""
         ends_at = self.run.queue.now + fault.duration_s
         match fault.kind:
             case FaultKind.STOP:
-                self.run.activations[fault.kind.value] += member.decisions is not None
+                self.run.activations[fault.kind.value] += member.protocol is not None
                 member.stop(fault.duration_s)
             case FaultKind.KILL:
                 self._kill_and_restart(fault, member)
@@ -85,7 +91,7 @@
         return True
 
     def _inject_on_all(self, fault: ScheduledFault) -> bool:
-        """Inject a fault that is neither of one process nor of the network; whether it was one."""
+        """Inject any other fault that is not of the network; return False for a fault of the network."""
         match fault.kind:
             case FaultKind.KILL_ALL:
                 self._kill_all(fault)
@@ -95,19 +101,20 @@
                 self._change_voters(fault)
             case FaultKind.STOP_BEFORE_WRITE:
                 self.run.stop_before_write_s = fault.duration_s
-            case FaultKind.STEP_WALL_CLOCK:  # no wall clock is read here: there is nothing to step
+            case FaultKind.STEP_WALL_CLOCK:  # counted only: the simulated members read no wall clock
                 self.run.activations[fault.kind.value] += 1
             case _:
                 return False
         return True
 
     def _kill_and_restart(self, fault: ScheduledFault, member: VirtualMember) -> None:
-        self.run.activations[fault.kind.value] += member.decisions is not None
+        """Kill a member, change its data directory if the fault is of this kind, and schedule its start."""
+        self.run.activations[fault.kind.value] += member.protocol is not None
         member.kill()
         if fault.kind in DATA_DIRECTORY_FAULTS:
             member.record(ProcessEvent.DATA_DIRECTORY_CHANGED)
-            taken_before = self.run.queue.now - MIN_BACKUP_AGE_S * self._time_scale
-            backups = [disk for taken_at, disk in member.backups if taken_at <= taken_before]
+            latest_backup_at = self.run.queue.now - MIN_BACKUP_AGE_S * self._time_scale
+            backups = [disk for taken_at, disk in member.backups if taken_at <= latest_backup_at]
             if fault.kind is FaultKind.RESTORE_OLD_DATA_DIRECTORY and backups:
                 member.disk = self.run.rng.choice(backups).copy()
             else:
@@ -122,16 +129,20 @@
             self.run.queue.schedule_at(starts_at, member.start)
 
     def _hand_over(self, fault: ScheduledFault) -> None:
-        """Have the holder release the lease to a named successor."""
+        """Make the holder release its lease, with `peer` as successor, and request it a lease duration later.
+
+        Do nothing if no member holds the lease or the holder's process is stopped.
+        """
         holder = self.holder()
-        if holder is None or holder.decisions is None or self.run.queue.now < holder.stopped_until:
+        if holder is None or holder.protocol is None or self.run.queue.now < holder.stopped_until:
             return
         self.run.activations[fault.kind.value] += 1
-        lease = holder.decisions.lease(ENDPOINT_LIST_LEASE)
+        lease = holder.protocol.lease(ENDPOINT_LIST_LEASE)
         holder.execute(lease.release(fault.peer or None))
         lease.request(holder.clock(), self.run.schedule.lease_duration_s)
 
     def _change_voters(self, fault: ScheduledFault) -> None:
+        """Begin the next voter set: restart all members but the unchanged ones with it, at random times."""
         self.run.voter_sets.append(fault.members)
         epoch = len(self.run.voter_sets)
         unchanged = set(fault.unchanged_members)
@@ -143,10 +154,13 @@
                 self.run.queue.schedule_at(changes_at, partial(self._restart_with_voters, member, epoch))
 
     def _restart_with_voters(self, member: VirtualMember, epoch: int) -> None:
-        """Give one member's file the next voter set, and start it again."""
+        """Change the voter set in one member's configuration to that of `epoch`, and restart its process.
+
+        The configuration never returns to an earlier epoch.
+        """
         self.run.activations[FaultKind.CHANGE_VOTERS.value] += 1
         member.configured_epoch = max(member.configured_epoch, epoch)
-        if member.decisions is not None:
+        if member.protocol is not None:
             member.kill()
-            delay_s = self.run.rng.uniform(*RESTART_DELAY_S) * self._time_scale
+            delay_s = self.run.rng.uniform(*RESTART_DELAY_RANGE_S) * self._time_scale
             self.run.queue.schedule_at(self.run.queue.now + delay_s, member.start)
--- a/stairhatch/fault_injection/virtual_member.py
+++ b/stairhatch/fault_injection/virtual_member.py
@@ -1,7 +1,7 @@
-"""One softswitch on the virtual clock: the program's decisions, with a clock and a disk of its own.
+"""A softswitch on the virtual clock: the program's lease protocol with a simulated clock, disk and process.
 
-The decisions (`stairhatch.fleet.member`) are never reached into: what is known of them is what they send,
-write and report.
+The rules check the protocol (`stairhatch.fleet.member`) only by its effects: the messages that it sends, the
+writes that it requests and the events that it reports.
 """
 
 from __future__ import annotations
@@ -39,93 +39,96 @@
 from stairhatch.fleet.member import ClusterMember
 from stairhatch.fleet.messages import EndpointUpdate, FleetMessage, StorageVersion
 
-MEAN_WORK_INTERVAL_S = 0.15  # between two pieces of work of the endpoint list's holder
-MAX_CHECK_TO_WRITE_S = 0.02  # of a piece of work that is not stopped in between
-TICK_INTERVAL_S = (0.001, 0.5)  # the least and the most
+MEAN_WORK_INTERVAL_S = 0.15  # between two calls of `VirtualMember.work`
+MAX_CHECK_TO_WRITE_S = 0.02  # from the lease check to the update, if the process is not stopped
+TICK_INTERVAL_RANGE_S = (0.001, 0.5)  # minimum and maximum
 MAX_CLOCK_OFFSET_S = 1e5
-ROUND_TIMEOUT_S = 0.25  # of one round of requests, at the default lease duration
-WRITTEN_BEFORE_KILL = 0.5  # the probability that a write under way is on the disk after a kill
-REORDERED_AFTER_STOP = 0.5  # the probability that what came during a stop is taken in another order
+ROUND_TIMEOUT_S = 0.25  # of a request round, at the default lease duration
+WRITE_SURVIVES_KILL_PROBABILITY = 0.5  # probability that a kill leaves a pending write on the disk
+REORDER_AFTER_STOP_PROBABILITY = 0.5  # probability that actions deferred by a stop are shuffled
 
 
 @dataclass(kw_only=True)
 class VirtualRun:
-    """What the members of one run share: the virtual clock, the network, and what is observed."""
+    """The state shared by the members of one run: virtual clock, network, history and counters."""
 
     schedule: FaultSchedule
     rng: random.Random
     queue: EventQueue
     network: VirtualNetwork
-    activations: Counter[str]  # how often each fault took effect
+    activations: Counter[str]  # how often each kind of fault took effect
     records: list[HistoryRecord] = field(default_factory=list)
-    effect_counts: Counter[str] = field(default_factory=Counter)  # messages and writes of all members
-    voter_sets: list[MemberNames] = field(default_factory=list)  # by their epochs, from 1
-    stop_before_write_s: float = 0.0  # the holder stops for so long at its next piece of work
+    effect_counts: Counter[str] = field(default_factory=Counter)  # "messages" and "writes" of all members
+    voter_sets: list[MemberNames] = field(default_factory=list)  # index 0 is the set of epoch 1
+    stop_before_write_s: float = 0.0  # duration of a stop before the holder's next update; 0: none
 
 
 class VirtualMember:
-    """One softswitch: starts and ends, stops and resumes, and carries out what its decisions ask for.
+    """Driver of one softswitch's lease protocol: simulates the process and carries out the effects.
 
-    What is due while it is stopped is deferred until it resumes; what is due in one start never happens in
-    the next. `decisions` are there only while it runs.
+    An action that becomes due while the process is stopped is deferred until the process resumes. An action
+    scheduled before a kill is never carried out after the restart. `protocol` is None while no process runs.
     """
 
     def __init__(self, run: VirtualRun, name: str) -> None:
-        """Not started yet, with an empty disk."""
+        """Create a member with an empty disk and no process. Draw its clock offset."""
         self.shared = run
         self.name = name
         self.clock_rate = run.schedule.clock_rates.get(name, 1.0)
         self.clock_offset_s = run.rng.uniform(0, MAX_CLOCK_OFFSET_S)
         self.disk = VirtualDisk()
         self.disk_faults = DiskFaults()
-        self.backups: list[tuple[float, VirtualDisk]] = []  # when each was taken
-        self.decisions: ClusterMember | None = None
+        self.backups: list[tuple[float, VirtualDisk]] = []  # with the time of each copy
+        self.protocol: ClusterMember | None = None
         self.index_pool: LeasePool
         self.start_count = 0
-        self.configured_epoch = 1  # of the voter set in its file
+        self.configured_epoch = 1  # of the voter set in the configuration file
         self.stopped_until = 0.0
-        self.deferred: list[Action] = []
+        self.deferred_actions: list[Action] = []
         self.pending_writes: list[PersistVotes] = []
 
     def clock(self) -> float:
-        """The time that its own clock shows."""
+        """The present time of this member's own clock, in seconds."""
         return self.clock_offset_s + self.shared.queue.now * self.clock_rate
 
-    def to_true_time(self, local: float) -> float:
-        """The time of the run at which its clock shows this."""
-        return (local - self.clock_offset_s) / self.clock_rate
+    def to_run_time(self, member_time: float) -> float:
+        """Convert a time of this member's own clock to a time of the run, both in seconds."""
+        return (member_time - self.clock_offset_s) / self.clock_rate
 
     def start(self) -> None:
-        """Start it with what its disk holds, unless it runs."""
-        if self.decisions is not None:
+        """Start the process with the data on its disk; do nothing if a process runs already."""
+        if self.protocol is not None:
             return
         self.start_count += 1
         schedule, rng = self.shared.schedule, self.shared.rng
         voters = self.shared.voter_sets[self.configured_epoch - 1]
         persisted = self._read_disk() if self.name in voters else None
         identity = MemberId(self.name, rng.getrandbits(60))
-        own_rng = random.Random(rng.getrandbits(64))
-        round_s = ROUND_TIMEOUT_S * schedule.lease_duration_s / DEFAULT_LEASE_DURATION_S
-        self.decisions = ClusterMember(
+        member_rng = random.Random(rng.getrandbits(64))
+        round_timeout_s = ROUND_TIMEOUT_S * schedule.lease_duration_s / DEFAULT_LEASE_DURATION_S
+        self.protocol = ClusterMember(
             identity,
             LeaseConfig(
                 {name: (name, 0) for name in voters},
-                LeaseTimings(schedule.lease_duration_s, schedule.drift_bound, round_s),
+                LeaseTimings(schedule.lease_duration_s, schedule.drift_bound, round_timeout_s),
                 self.configured_epoch,
             ),
-            own_rng,
+            member_rng,
             self.clock(),
             MemberState(persisted, dict(self.disk.fencing_tokens)),
         )
-        names = [f"number/{index}" for index in range(len(schedule.members) - 1)]
-        self.index_pool = LeasePool(names, self.decisions.lease, own_rng.randrange(len(names)))
+        index_leases = [f"number/{index}" for index in range(len(schedule.members) - 1)]
+        self.index_pool = LeasePool(
+            index_leases, self.protocol.lease, member_rng.randrange(len(index_leases))
+        )
         self.index_pool.request(self.clock())
-        self.decisions.lease(ENDPOINT_LIST_LEASE).request(self.clock())
+        self.protocol.lease(ENDPOINT_LIST_LEASE).request(self.clock())
         self.record(ProcessEvent.STARTED)
         self.tick()
         self.work()
 
     def _read_disk(self) -> PersistedState:
+        """Return the voter's state for a new incarnation; an empty disk first gets a storage id."""
         disk = self.disk
         if not disk.storage_id:
             disk.storage_id = f"{self.shared.rng.getrandbits(64):016x}"
@@ -135,84 +138,93 @@
         return PersistedState(version, disk.admitted, votes, dict(disk.known_versions), disk.voter_set)
 
     def kill(self) -> None:
-        """Kill it, if it runs: a write under way is on the disk or is not."""
-        if self.decisions is None:
+        """Kill the process, if it runs.
+
+        Each pending write is either on the disk or lost, at random; if the disk fails, it is lost.
+        """
+        if self.protocol is None:
             return
         self.record(ProcessEvent.KILLED)
         for write in self.pending_writes:
-            written = self.shared.rng.random() < WRITTEN_BEFORE_KILL
+            written = self.shared.rng.random() < WRITE_SURVIVES_KILL_PROBABILITY
             if written and not self.disk_faults.is_failing(self.shared.queue.now):
                 self.disk.apply(write)
-        self.decisions = None
+        self.protocol = None
         self.pending_writes = []
-        self.deferred = []
+        self.deferred_actions = []
         self.stopped_until = 0.0
 
     def stop(self, duration_s: float) -> None:
-        """Stop it for a time, if it runs."""
-        if self.decisions is not None:
+        """Stop the process, if it runs, for a duration or until the end of an earlier longer stop."""
+        if self.protocol is not None:
             self.record(ProcessEvent.STOPPED)
             self.stopped_until = max(self.stopped_until, self.shared.queue.now + duration_s)
             self.shared.queue.schedule_at(self.stopped_until, partial(self._resume, self.start_count))
 
     def _resume(self, start_number: int) -> None:
-        """Handle what has come meanwhile, messages and timers in any order."""
+        """Run the actions (messages and timers) deferred by a stop, shuffled with some probability."""
         if self._is_running(start_number) and self.shared.queue.now >= self.stopped_until:
-            actions, self.deferred = self.deferred, []
-            if self.shared.rng.random() < REORDERED_AFTER_STOP:
+            actions, self.deferred_actions = self.deferred_actions, []
+            if self.shared.rng.random() < REORDER_AFTER_STOP_PROBABILITY:
                 self.shared.rng.shuffle(actions)
             for action in actions:
                 self._run_when_resumed(start_number, action)
 
     def _is_running(self, start_number: int) -> bool:
-        return self.decisions is not None and self.start_count == start_number
+        return self.protocol is not None and self.start_count == start_number
 
     def _call_later(self, delay_s: float, action: Action) -> None:
-        act = partial(self._run_when_resumed, self.start_count, action)
-        self.shared.queue.schedule_at(self.shared.queue.now + delay_s, act)
+        run_action = partial(self._run_when_resumed, self.start_count, action)
+        self.shared.queue.schedule_at(self.shared.queue.now + delay_s, run_action)
 
     def _run_when_resumed(self, start_number: int, action: Action) -> None:
+        """Run an action of one start of the process; defer it while stopped, drop it after a kill."""
         if not self._is_running(start_number):
             return
         if self.shared.queue.now < self.stopped_until:
-            self.deferred.append(action)
+            self.deferred_actions.append(action)
         else:
             action()
 
     def tick(self) -> None:
-        """Let the decisions do what is due, and come again when something is."""
-        decisions = self.decisions
-        if decisions is None:
+        """Run the due timers of the protocol and the index pool, and schedule the next call.
+
+        The next call is at the time of their next timer, within the limits of `TICK_INTERVAL_RANGE_S`.
+        """
+        protocol = self.protocol
+        if protocol is None:
             return
         now = self.clock()
-        self.execute(decisions.tick(now) + self.index_pool.tick(now))
-        due = min(
-            decisions.next_due_at(), self.index_pool.due_at if self.index_pool.due_at > now else float("inf")
+        self.execute(protocol.tick(now) + self.index_pool.tick(now))
+        next_due_at = min(
+            protocol.next_due_at(), self.index_pool.due_at if self.index_pool.due_at > now else float("inf")
+        )
+        min_interval_s, max_interval_s = TICK_INTERVAL_RANGE_S
+        self._call_later(
+            min(max(min_interval_s, (next_due_at - now) / self.clock_rate), max_interval_s), self.tick
         )
-        shortest_s, longest_s = TICK_INTERVAL_S
-        self._call_later(min(max(shortest_s, (due - now) / self.clock_rate), longest_s), self.tick)
 
     def deliver(self, sender: str, message: FleetMessage) -> None:
-        """A datagram has arrived; it is received once the process is not stopped."""
+        """Receive a datagram now or, if the process is stopped, when it resumes."""
         self._run_when_resumed(self.start_count, lambda: self.receive((sender, 0), message))
 
     def receive(self, sender: PeerAddress, message: FleetMessage) -> None:
-        """Handle a datagram."""
-        decisions = self.decisions
-        if decisions is None:
+        """Handle a datagram: check an endpoint update's fencing token, or pass a message to the protocol."""
+        protocol = self.protocol
+        if protocol is None:
             return
         if isinstance(message, EndpointUpdate):
-            check = decisions.fencing_tokens.check(ENDPOINT_LIST_LEASE, message.fencing_token, sender)
+            check = protocol.fencing_tokens.check(ENDPOINT_LIST_LEASE, message.fencing_token, sender)
             self.execute(check.effects)
             if check.is_accepted:
                 self.record(LeaseEventKind.TOKEN_ACCEPTED.value, ENDPOINT_LIST_LEASE, message.fencing_token)
             return
-        self.execute(decisions.handle(self.clock(), sender, message))
-        now = self.clock()  # what is due by now is done at once, as in the program
-        self.execute(decisions.tick(now) + self.index_pool.tick(now) + decisions.tick(now))
+        self.execute(protocol.handle(self.clock(), sender, message))
+        now = self.clock()  # like the program, run all timers that are due after a message
+        self.execute(protocol.tick(now) + self.index_pool.tick(now) + protocol.tick(now))
 
     def execute(self, effects: list[Effect]) -> None:
-        """Do what the decisions ask for."""
+        """Carry out the effects that the protocol returned."""
         for effect in effects:
             match effect:
                 case SendMessage():
@@ -223,10 +235,11 @@
                 case PersistFencingToken():
                     self.disk.fencing_tokens[effect.lease] = effect.fencing_token
                 case LeaseEvent():
-                    until_s = self.to_true_time(effect.expires_at) if effect.expires_at else 0.0
+                    until_s = self.to_run_time(effect.expires_at) if effect.expires_at else 0.0
                     self.record(effect.kind.value, effect.lease, effect.fencing_token, until_s, effect.reason)
 
     def _begin_write(self, write: PersistVotes) -> None:
+        """Schedule the end of a write. A stop of the process does not delay a write."""
         self.shared.effect_counts["writes"] += 1
         self.pending_writes.append(write)
         now = self.shared.queue.now
@@ -235,9 +248,9 @@
         self.shared.queue.schedule_at(now + duration_s, finish)
 
     def _finish_write(self, start_number: int, write: PersistVotes) -> None:
-        """Report to the decisions whether the disk has taken the write."""
-        decisions = self.decisions
-        if decisions is None or self.start_count != start_number:
+        """Apply a write to the disk unless the disk fails, and report the result to the protocol."""
+        protocol = self.protocol
+        if protocol is None or self.start_count != start_number:
             return
         self.pending_writes.remove(write)
         error = ""
@@ -247,21 +260,21 @@
         else:
             self.disk.apply(write)
         self._run_when_resumed(
-            start_number, lambda: self.execute(decisions.write_completed(self.clock(), write.write_id, error))
+            start_number, lambda: self.execute(protocol.write_completed(self.clock(), write.write_id, error))
         )
 
     def work(self) -> None:
-        """Do a piece of work if it holds the endpoint list's lease: check, and send a moment later.
+        """Send an endpoint update if this member holds the endpoint list's lease, and schedule the next call.
 
-        The lease is not checked again before it is sent, wherever the process is stopped: fencing tokens
-        guard against that.
+        The update follows the lease check after a delay, without a second check, even if the process is
+        stopped in between. Fencing tokens protect the receivers from an update that is late for this reason.
         """
-        decisions = self.decisions
-        if decisions is None:
+        protocol = self.protocol
+        if protocol is None:
             return
         shared = self.shared
-        if decisions.may_act(self.clock(), ENDPOINT_LIST_LEASE):
-            token = decisions.leases[ENDPOINT_LIST_LEASE].fencing_token
+        if protocol.may_act(self.clock(), ENDPOINT_LIST_LEASE):
+            token = protocol.leases[ENDPOINT_LIST_LEASE].fencing_token
             self.record(ProcessEvent.ACTED, ENDPOINT_LIST_LEASE, token)
             send = partial(self._send_update, token)
             if shared.stop_before_write_s:
@@ -274,7 +287,7 @@
         self._call_later(shared.rng.uniform(0, 2 * MEAN_WORK_INTERVAL_S), self.work)
 
     def _send_update(self, token: int) -> None:
-        """Send the endpoint list to all others."""
+        """Send an endpoint update under a fencing token to all other members."""
         for name in self.shared.schedule.members:
             if name != self.name:
                 self.shared.network.send(self.name, name, EndpointUpdate(self.name, token, 0, 0, 1, b""))
@@ -282,7 +295,7 @@
     def record(
         self, event: str, lease: str = "", token: int = 0, until_s: float = 0.0, reason: str = ""
     ) -> None:
-        """Add a record to the run's history."""
+        """Append an event of this member to the run's history. `until_s` is a time of the run."""
         now = self.shared.queue.now
         self.shared.records.append(
             HistoryRecord(now, self.name, event, self.start_count, lease, token, until_s, reason=reason)
