--- a/stairhatch/fault_injection/exploration_state.py
+++ b/stairhatch/fault_injection/exploration_state.py
@@ -1,7 +1,7 @@
-"""The states of a small cluster, and the step from one to the next (`state_exploration` goes through them).
+"""The states of a small cluster and the transitions between them, for `state_exploration`.
 
-The cluster has voters, and clients that request one lease. Its softswitches are kept pickled in a state and
-are unpacked where a step needs them. All go by one clock; random pauses are none.
+The cluster has voters, and clients that request one lease. A state holds its members pickled; a transition
+unpickles the members that it changes. All members share one clock, and all random pauses are zero.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 
 LEASE = "work"
 TIMINGS = LeaseTimings(3.0, 0.01, 0.25)
-NEVER = 1e9
+NEVER = 1e9  # a time after the end of every path
 FIRST_CLIENT = "a0"
-LEAP_MARGIN_S = 1e-3  # beyond the end of the votes
+LEAP_MARGIN_S = 1e-3  # past the expiry of the last vote
 
-PackedMessage = tuple[str, str, bytes]  # from whom, to whom, and the pickled message
+PickledMessage = tuple[str, str, bytes]  # sender, receiver and pickled message
 
 
 class ZeroRandom(random.Random):
-    """A random source that always draws zero, so that an exploration repeats."""
+    """Random source that always draws zero, so that explorations are reproducible."""
 
     def random(self) -> float:
-        """Draw zero."""
+        """Return 0.0."""
         return 0.0
 
     def __reduce__(self) -> str:
-        """Pickle it by the name of the one instance."""
+        """Return the name of the only instance, so that pickling keeps a reference to it."""
         return "ZERO_RANDOM"
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemainingActions:
-    """How much of each kind may still happen on a path."""
+    """How many actions of each kind may still happen on a path."""
 
     crashes: int
     duplicates: int
@@ -69,51 +69,55 @@
 
 @dataclass(frozen=True, slots=True)
 class LastHolder:
-    """The highest fencing token under which the lease was held so far, and by whom."""
+    """The last holder of the lease on a path, with its fencing token, the highest of all holders so far."""
 
     fencing_token: int = 0
-    name: str = ""  # empty while nobody has held it
+    name: str = ""  # empty: the lease has not been held
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """One state of the cluster. Two states that compare equal go on alike."""
-
-    now: float
-    members: tuple[tuple[str, bytes], ...]
-    disks: tuple[tuple[str, bytes], ...]  # of the voters: the storage version and the votes by lease
-    messages_in_flight: tuple[PackedMessage, ...]
-    pending_writes: tuple[tuple[str, bytes], ...]
-    held_until: tuple[tuple[str, float], ...]  # by each client that holds the lease
+    """One state of the cluster, hashable. States that compare equal have the same successors."""
+
+    now: float  # the time on the cluster's clock, in seconds
+    members: tuple[tuple[str, bytes], ...]  # name and pickled member
+    disks: tuple[tuple[str, bytes], ...]  # voter's name; pickled storage version and votes by lease
+    messages_in_flight: tuple[PickledMessage, ...]
+    pending_writes: tuple[tuple[str, bytes], ...]  # voter's name and pickled write
+    held_until: tuple[tuple[str, float], ...]  # name and expiry time of each client that holds the lease
     last_holder: LastHolder
     remaining: RemainingActions
-    # Deliveries to two that know nothing of each other's come to the same in either order: of the messages
-    # that were in flight before the last delivery, only those to names not below its own are taken next.
+    # Partial-order reduction: two deliveries to different members give the same state in either order if both
+    # messages were in flight before. After a delivery to `lowest_receiver`, the messages that were in flight
+    # before it (`earlier_messages`) are therefore delivered only to members whose names are not lower.
     lowest_receiver: str = ""
-    earlier_messages: frozenset[PackedMessage] = frozenset()
+    earlier_messages: frozenset[PickledMessage] = frozenset()
 
 
 class Transition:
-    """One step from a state: unpacks what it touches and packs the state that follows."""
+    """A transition to the next state: a mutable copy of a state, whose members are unpickled on use."""
 
     def __init__(self, state: ClusterState) -> None:
-        """Nothing has happened yet."""
+        """Begin at `state`; each method applies a change, and `next_state` returns the result."""
         self.state = state
         self.now = state.now
-        self.packed_members = dict(state.members)
-        self.unpacked_members: dict[str, ClusterMember] = {}
+        self.pickled_members = dict(state.members)
+        self.loaded_members: dict[str, ClusterMember] = {}
         self.disks = dict(state.disks)
         self.messages_in_flight = list(state.messages_in_flight)
         self.pending_writes = list(state.pending_writes)
 
     def member(self, name: str) -> ClusterMember:
-        """One softswitch, to be changed."""
-        if name not in self.unpacked_members:
-            self.unpacked_members[name] = pickle.loads(self.packed_members[name])
-        return self.unpacked_members[name]
+        """Return a member of this transition, unpickled; changes to it become part of the next state."""
+        if name not in self.loaded_members:
+            self.loaded_members[name] = pickle.loads(self.pickled_members[name])
+        return self.loaded_members[name]
 
     def execute(self, name: str, effects: list[Effect]) -> None:
-        """Do what one has asked for. Status requests and replies arrive at once, queries never."""
+        """Carry out the effects that a member returned.
+
+        Status requests and replies are delivered immediately; lease queries and their replies are dropped.
+        """
         for effect in effects:
             if isinstance(effect, PersistVotes):
                 self.pending_writes.append((name, pickle.dumps(effect)))
@@ -124,30 +128,38 @@
                 elif not isinstance(message, LeaseQuery | LeaseStatus):
                     self.messages_in_flight.append((name, receiver, pickle.dumps(message)))
 
-    def deliver(self, index: int, *, again: bool = False, slow: bool = False) -> None:
-        """Deliver a message: it may arrive again, and what it makes a voter write may take its time."""
+    def deliver(self, index: int, *, duplicate: bool = False, slow_disk: bool = False) -> None:
+        """Deliver the message in flight at `index`.
+
+        With `duplicate`, a copy stays in flight. The writes that the message causes end immediately, or stay
+        pending with `slow_disk`.
+        """
         in_flight = self.messages_in_flight
-        sender, receiver, packed = in_flight[index] if again else in_flight.pop(index)
-        message: FleetMessage = pickle.loads(packed)
+        sender, receiver, pickled = in_flight[index] if duplicate else in_flight.pop(index)
+        message: FleetMessage = pickle.loads(pickled)
         writes_before = len(self.pending_writes)
         self.execute(receiver, self.member(receiver).handle(self.now, (sender, 0), message))
-        while not slow and len(self.pending_writes) > writes_before:
+        while not slow_disk and len(self.pending_writes) > writes_before:
             self.finish_write(writes_before)
 
     def finish_write(self, index: int) -> None:
-        """End a write that is under way."""
-        name, packed = self.pending_writes.pop(index)
-        write: PersistVotes = pickle.loads(packed)
+        """Apply the pending write at `index` to its voter's disk and report its success to the voter."""
+        name, pickled = self.pending_writes.pop(index)
+        write: PersistVotes = pickle.loads(pickled)
         self._apply_write(name, write)
         self.execute(name, self.member(name).write_completed(self.now, write.write_id))
 
     def _apply_write(self, name: str, write: PersistVotes) -> None:
         _, votes = pickle.loads(self.disks[name])
-        votes.update((each.lease, each) for each in write.votes)
+        votes.update((vote.lease, vote) for vote in write.votes)
         self.disks[name] = pickle.dumps((write.storage_version, votes))
 
     def crash(self, name: str, *, written: bool) -> None:
-        """Kill a voter and start it again, with its writes under way on its disk or not."""
+        """Kill a voter and restart it; its pending writes are on the disk if `written`, else lost.
+
+        After the restart the voter votes again, since it receives the replies of the others immediately. Its
+        timers are disabled from then on.
+        """
         own_writes = [pickle.loads(write) for owner, write in self.pending_writes if owner == name]
         self.pending_writes = [each for each in self.pending_writes if each[0] != name]
         if written:
@@ -156,31 +168,34 @@
         version, votes = pickle.loads(self.disks[name])
         version = StorageVersion(version.storage_id, version.incarnation + 1, version.vote_count)
         persisted = PersistedState(version, True, tuple(votes.values()))
-        old = self.member(name)
-        fresh = ClusterMember(old.identity, old.config, ZERO_RANDOM, self.now, MemberState(persisted))
-        self.unpacked_members[name] = fresh
-        self.execute(name, fresh.tick(self.now))
-        for each in [each for each in self.pending_writes if each[0] == name]:  # that it votes
+        previous = self.member(name)
+        restarted = ClusterMember(
+            previous.identity, previous.config, ZERO_RANDOM, self.now, MemberState(persisted)
+        )
+        self.loaded_members[name] = restarted
+        self.execute(name, restarted.tick(self.now))
+        # The end of the writes that the start caused lets the voter vote.
+        for each in [each for each in self.pending_writes if each[0] == name]:
             self.finish_write(self.pending_writes.index(each))
-        assert fresh.voter is not None
-        fresh.voter.eligibility.due_at = NEVER
+        assert restarted.voter is not None
+        restarted.voter.eligibility.due_at = NEVER
 
     def step_clock(self) -> None:
-        """Move the clock to the next moment at which a client has something to do."""
+        """Move the clock to the time of the next timer of a client, and run the clients' timers."""
         self._tick_clients(max(self.now, min(self.member(name).next_due_at() for name in self._clients())))
 
     def leap_clock(self) -> None:
-        """Move the clock past the end of all votes."""
-        ends = [
+        """Move the clock past the expiry of all votes, and run the clients' timers."""
+        expiry_times = [
             expires_at
-            for name in self.packed_members
+            for name in self.pickled_members
             if (voter := self.member(name).voter) is not None
             for expires_at in voter.votes.expires_at.values()
         ]
-        self._tick_clients(max([self.now, *ends]) + LEAP_MARGIN_S)
+        self._tick_clients(max([self.now, *expiry_times]) + LEAP_MARGIN_S)
 
     def _clients(self) -> list[str]:
-        return [name for name in self.packed_members if self.member(name).voter is None]
+        return [name for name in self.pickled_members if self.member(name).voter is None]
 
     def _tick_clients(self, now: float) -> None:
         self.now = now
@@ -188,12 +203,12 @@
             self.execute(name, self.member(name).tick(now))
 
     def next_state(self, remaining: RemainingActions) -> ClusterState:
-        """Pack the state that follows."""
+        """Return the state after this transition, with these actions remaining on the path."""
         members, held_until = [], []
         held_before = dict(self.state.held_until)
-        for name, packed in self.state.members:
-            member = self.unpacked_members.get(name)
-            members.append((name, packed if member is None else pickle.dumps(member)))
+        for name, pickled in self.state.members:
+            member = self.loaded_members.get(name)
+            members.append((name, pickled if member is None else pickle.dumps(member)))
             if member is None:
                 if name in held_before:
                     held_until.append((name, held_before[name]))
@@ -212,7 +227,7 @@
 
 
 def initial_state(voter_count: int, client_count: int, remaining: RemainingActions) -> ClusterState:
-    """Voters that vote, and clients whose requests for the lease are in flight."""
+    """Return a state in which all voters vote and the clients' requests for the lease are in flight."""
     voters: dict[str, PeerAddress] = {f"v{index}": (f"v{index}", 0) for index in range(voter_count)}
     config = LeaseConfig(voters, TIMINGS)
     members = {name: pickle.dumps(_established_voter(name, config)) for name in voters}
@@ -224,12 +239,13 @@
     no_votes: dict[str, Vote] = {}
     disks = tuple((name, pickle.dumps((StorageVersion(name, 1, 0), no_votes))) for name in voters)
     empty = ClusterState(0.0, tuple(members.items()), disks, (), (), (), LastHolder(), remaining)
-    step = Transition(empty)
-    step.step_clock()
-    return step.next_state(remaining)
+    transition = Transition(empty)
+    transition.step_clock()
+    return transition.next_state(remaining)
 
 
 def _established_voter(name: str, config: LeaseConfig) -> ClusterMember:
+    """Return a voter that votes; its timers are disabled."""
     persisted = PersistedState(StorageVersion(name, 1, 0), True)
     member = ClusterMember(MemberId(name, 0), config, ZERO_RANDOM, 0.0, MemberState(persisted))
     assert member.voter is not None
@@ -239,26 +255,33 @@
 
 
 def with_first_client_holding(state: ClusterState) -> ClusterState:
-    """The same state once all messages to and from the first client have arrived."""
-    step = Transition(state)
-    while own := [n for n, each in enumerate(step.messages_in_flight) if FIRST_CLIENT in each[:2]]:
-        step.deliver(own[0])
-    return step.next_state(state.remaining)
+    """Deliver all messages to and from the first client; return the state, in which it holds the lease."""
+    transition = Transition(state)
+    while indexes := [n for n, each in enumerate(transition.messages_in_flight) if FIRST_CLIENT in each[:2]]:
+        transition.deliver(indexes[0])
+    return transition.next_state(state.remaining)
+
 
+def find_violation(state: ClusterState, holder: LastHolder) -> str:
+    """Return the broken rule in words, or an empty string.
 
-def find_violation(state: ClusterState, current: LastHolder) -> str:
-    """Two holders at once, or a fencing token not above the last; empty where nothing is wrong."""
+    A rule is broken if two clients hold the lease, or if the holder's fencing token is lower than that of the
+    last holder, or equal to it although the holder is another. `holder` is the present `current_holder`.
+    """
     if len(state.held_until) > 1:
-        return f"{' and '.join(name for name, _ in state.held_until)} hold it at once"
+        return f"{' and '.join(name for name, _ in state.held_until)} hold the lease at once"
     last = state.last_holder
-    is_lower = current.fencing_token < last.fencing_token
-    if is_lower or (current.fencing_token == last.fencing_token and current.name != last.name):
-        return f"{current.name} holds {current.fencing_token} after {last.name} held {last.fencing_token}"
+    is_lower = holder.fencing_token < last.fencing_token
+    if is_lower or (holder.fencing_token == last.fencing_token and holder.name != last.name):
+        return (
+            f"{holder.name} holds the lease with token {holder.fencing_token} "
+            f"after {last.name} held it with token {last.fencing_token}"
+        )
     return ""
 
 
 def current_holder(state: ClusterState) -> LastHolder:
-    """Who holds the lease in a state without violation, or else who held it last."""
+    """Return the holder of the lease in a state with at most one, or the last holder if there is none."""
     for name, _ in state.held_until:
         member: ClusterMember = pickle.loads(dict(state.members)[name])
         return LastHolder(member.leases[LEASE].fencing_token, name)
--- a/stairhatch/fault_injection/trial.py
+++ b/stairhatch/fault_injection/trial.py
@@ -1,6 +1,6 @@
-"""Many runs on the virtual clock, from seeds: which seeds, in how many processes, and their sum.
+"""Trials: many runs on the virtual clock, one for each seed, in several worker processes.
 
-A run depends on nothing but its seed and its `TrialOptions`.
+The result of a run depends only on its seed and its `TrialOptions`.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from stairhatch.fault_injection.summary import Summary
 from stairhatch.fault_injection.virtual_cluster import VirtualCluster
 
-SEEDS_A_TASK = 2  # that a worker process takes at a time
+SEEDS_PER_CHUNK = 2  # seeds that a worker process takes at a time
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrialOptions:
-    """What determines the runs of one trial beside their seeds."""
+    """Options that, together with the seeds, determine the runs of a trial."""
 
     members: int = 5
-    mutation: str = ""  # the name of a mistake put into the decisions; none where empty
-    voter_changes_only: bool = False  # no faults but two changes of the voter set
+    mutation: str = ""  # name of the mutation applied to the program; empty: none
+    voter_changes_only: bool = False  # the only faults are two changes of the voter set
 
 
 @dataclass(frozen=True, slots=True)
 class TrialResult:
-    """What came of one seed."""
+    """The result of the run of one seed."""
 
     seed: int
     violations: tuple[RuleViolation, ...]
-    activations: dict[str, int]  # how often each fault took effect
-    holds: int  # hold intervals of all leases
+    activations: dict[str, int]  # how often each kind of fault took effect
+    holds: int  # number of hold intervals of all leases
     within_drift_bound: bool
 
 
@@ -45,7 +45,11 @@
 
 
 def run_seed(seed: int, options: TrialOptions = DEFAULT_OPTIONS) -> TrialResult:
-    """Run one seed and check the rules of leases over its history."""
+    """Run one seed, check the lease rules against its history, and return the result.
+
+    If the schedule expects a recovery, the endpoint list's lease must also be held at some time in the second
+    half of the fault-free time at the run's end.
+    """
     with mutation_applied(options.mutation):
         schedule = draw_schedule(seed, members=options.members, voter_changes_only=options.voter_changes_only)
         cluster = VirtualCluster(schedule, seed)
@@ -53,8 +57,8 @@
     violations = find_violations(records, within_drift_bound=schedule.within_drift_bound)
     if schedule.expects_recovery:
         ended_at = schedule.duration_s
-        quiet_since = ended_at - schedule.fault_free_s / 2
-        violations += find_unheld(records, [ENDPOINT_LIST_LEASE], quiet_since, ended_at)
+        must_hold_since = ended_at - schedule.fault_free_s / 2
+        violations += find_unheld(records, [ENDPOINT_LIST_LEASE], must_hold_since, ended_at)
     return TrialResult(
         seed,
         tuple(violations),
@@ -74,7 +78,11 @@
     jobs: int = 1,
     until_violation: bool = False,
 ) -> TrialSummary:
-    """Run many seeds in order, in so many processes, perhaps only until one breaks a rule."""
+    """Run seeds in `jobs` processes and return the totals.
+
+    The results are added in the order of the seeds. With `until_violation`, the run that breaks a rule first
+    in this order is the last one added.
+    """
     summary = TrialSummary()
     started_at = time.monotonic()
     tasks = [(seed, options) for seed in seeds]
@@ -82,7 +90,7 @@
         _add_results(summary, map(_run_task, tasks), until_violation)
     else:
         with multiprocessing.Pool(jobs) as pool:
-            results = pool.imap(_run_task, tasks, chunksize=SEEDS_A_TASK)
+            results = pool.imap(_run_task, tasks, chunksize=SEEDS_PER_CHUNK)
             _add_results(summary, results, until_violation)
     summary.duration_s = time.monotonic() - started_at
     return summary
