--- a/stairhatch/fault_injection/mutations/__init__.py
+++ b/stairhatch/fault_injection/mutations/__init__.py
@@ -1,12 +1,12 @@
-"""Mistakes put into the decisions on purpose, each one that somebody could make.
+"""Mutations: plausible programming errors in the lease protocol, to test that the lease rules detect them.
 
-A rule that finds none of them proves nothing: `lab trial --faults` puts in one after the other and counts the
-seeds until a rule is broken. The modules hold the mutations by what they change; `registry` puts them in
-place and takes them out again. They name methods and attributes of `stairhatch.fleet`, private ones too, and
-change with it.
+`lab trial --faults` applies each mutation and counts the seeds until a rule is broken; rules that detect no
+mutation prove nothing. Each module contains the mutations of one part of the protocol, and `registry` applies
+and reverts them. Mutations replace methods and attributes of `stairhatch.fleet` by name, also private ones,
+and must follow renames there.
 """
 
-from stairhatch.fault_injection.mutations import receivers  # isort: skip - the order is that of the list
+from stairhatch.fault_injection.mutations import receivers  # isort: skip - sets the order of `MUTATIONS`
 from stairhatch.fault_injection.mutations import holders  # isort: skip
 from stairhatch.fault_injection.mutations import voters  # isort: skip
 from stairhatch.fault_injection.mutations import voter_sets  # isort: skip
--- a/stairhatch/fault_injection/mutations/holders.py
+++ b/stairhatch/fault_injection/mutations/holders.py
@@ -1,4 +1,4 @@
-"""Mutations of holders: for how long they act under a lease, and how they request and release it."""
+"""Mutations of holders: errors in the time limit for acting under a lease, in requests and in releases."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @mutation("the term counts from the answer")
 def count_duration_from_grant() -> list[AttributePatch]:
-    """The lease's duration counts from the grant, and not from the request."""
+    """The lease's duration begins at the arrival of a grant instead of at the request."""
     handle_granted: EffectsMethod = original(LeaseClient, "handle_granted")
 
-    def handle_late(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
+    def handle_with_late_start(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
         if request_round := self._rounds.get(message.request_id):
             request_round.started_at = now
         return handle_granted(self, now, message)
 
-    return [AttributePatch(LeaseClient, "handle_granted", handle_late)]
+    return [AttributePatch(LeaseClient, "handle_granted", handle_with_late_start)]
 
 
 @mutation("may_act does not look at the time")
 def act_without_time() -> list[AttributePatch]:
-    """A holder acts until it is notified that it lost the lease, whatever the time."""
+    """A holder acts as long as its state is HELD, without a check of the lease's expiry time."""
 
     def may_act(self: LeaseClient, _now: float) -> bool:
         return self.state is LeaseState.HELD
@@ -36,7 +36,7 @@
 
 @mutation("may_act holds while it is asked for again")
 def act_while_requesting() -> list[AttributePatch]:
-    """A holder goes on acting while it requests the lease again."""
+    """A holder that has lost the lease still acts while it requests the lease again."""
 
     def may_act(self: LeaseClient, _now: float) -> bool:
         return self.fencing_token > 0 and self.state is not LeaseState.IDLE
@@ -46,7 +46,7 @@
 
 @mutation("drift is not reckoned with")
 def ignore_drift() -> list[AttributePatch]:
-    """Neither holders nor voters allow for clocks that drift apart."""
+    """Neither holders nor voters include a safety margin for clock drift in their durations."""
 
     def holder_duration_s(self: LeaseTimings) -> float:
         return self.duration_s
@@ -62,7 +62,7 @@
 
 @mutation("late answers count for the newest round")
 def count_late_grants() -> list[AttributePatch]:
-    """A grant that comes late counts for the newest round of requests."""
+    """A delayed grant of an earlier request round counts for the newest round."""
     handle_granted: EffectsMethod = original(LeaseClient, "handle_granted")
 
     def handle_as_newest(self: LeaseClient, now: float, message: LeaseGranted) -> list[Any]:
@@ -78,7 +78,7 @@
 
 @mutation("less than a majority is enough for the holder")
 def hold_with_a_minority() -> list[AttributePatch]:
-    """Half of the voters, rounded down, are enough to hold a lease."""
+    """Half of the voters, rounded down, count as a majority."""
 
     def majority(self: LeaseClient) -> int:
         return len(self.voters) // 2
@@ -88,7 +88,7 @@
 
 @mutation("the ticket is not raised")
 def keep_token() -> list[AttributePatch]:
-    """A new request goes out under the fencing token of the last one."""
+    """A holder sends a new request under the fencing token of its last one instead of a higher token."""
     send_requests: EffectsMethod = original(LeaseClient, "_send_requests")
 
     def send_with_old_token(self: LeaseClient, now: float) -> list[Any]:
@@ -101,14 +101,14 @@
 
 @mutation("who gives back goes on")
 def act_after_release() -> list[AttributePatch]:
-    """A holder that has released the lease acts on until its time is over."""
+    """A holder that has released the lease still acts until the lease's expiry time."""
     release: EffectsMethod = original(LeaseClient, "release")
 
     def release_and_hold(self: LeaseClient, successor: str | None = None) -> list[Any]:
-        before = self.state, self.expires_at, self.due_at
+        state_before = self.state, self.expires_at, self.due_at
         effects = release(self, successor)
-        if before[0] is LeaseState.HELD:
-            self.state, self.expires_at, self.due_at = before
-        return [each for each in effects if isinstance(each, SendMessage)]
+        if state_before[0] is LeaseState.HELD:
+            self.state, self.expires_at, self.due_at = state_before
+        return [effect for effect in effects if isinstance(effect, SendMessage)]
 
     return [AttributePatch(LeaseClient, "release", release_and_hold)]
--- a/stairhatch/fault_injection/mutations/receivers.py
+++ b/stairhatch/fault_injection/mutations/receivers.py
@@ -1,4 +1,4 @@
-"""Mutations of receivers: how they check the fencing tokens of what they are sent."""
+"""Mutations of the receivers of work under a lease: errors in the check of its fencing token."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @mutation("a fence is not checked")
 def accept_every_token() -> list[AttributePatch]:
-    """Receivers accept work under any fencing token."""
+    """A receiver accepts work under any fencing token."""
 
     def check(_self: FencingTokens, *_args: Any) -> TokenCheck:
         return TokenCheck(True)
@@ -22,19 +22,19 @@
 
 @mutation("a fence lasts for one start only")
 def forget_tokens_at_start() -> list[AttributePatch]:
-    """Receivers begin without the fencing tokens that they persisted."""
+    """A receiver restarts without the fencing tokens that it persisted."""
     init = original(ClusterMember, "__init__")
 
-    def forgetful_init(self: ClusterMember, *args: Any) -> None:
+    def init_without_tokens(self: ClusterMember, *args: Any) -> None:
         *others, persisted = args
         init(self, *others, replace(persisted, fencing_tokens={}))
 
-    return [AttributePatch(ClusterMember, "__init__", forgetful_init)]
+    return [AttributePatch(ClusterMember, "__init__", init_without_tokens)]
 
 
 @mutation("a fence keeps the last ticket and not the highest")
 def keep_last_token() -> list[AttributePatch]:
-    """Receivers compare with the last fencing token, and let some lower ones pass."""
+    """A receiver stores the last fencing token instead of the highest and accepts lower even tokens."""
 
     def admit(self: FencingTokens, lease: str, token: int) -> TokenCheck:
         accepted = token >= self.highest.get(lease, 0) or token % 2 == 0
--- a/stairhatch/fault_injection/mutations/registry.py
+++ b/stairhatch/fault_injection/mutations/registry.py
@@ -1,4 +1,4 @@
-"""The mutations by their names, and how one is put in place and taken out again."""
+"""The registry of the mutations by name, and the context manager that applies one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributePatch:
-    """An attribute of a class or a module, and its replacement while the mutation is applied."""
+    """The replacement of one attribute of a class or a module while a mutation is applied."""
 
     owner: Any
     attribute: str
@@ -19,12 +19,12 @@
 
 
 Mutation = Callable[[], list[AttributePatch]]
-EffectsMethod = Callable[..., list[Any]]  # a method that returns the effects of a decision
-MUTATIONS: dict[str, Mutation] = {}  # in the order in which they are listed
+EffectsMethod = Callable[..., list[Any]]  # a method of the lease protocol that returns effects
+MUTATIONS: dict[str, Mutation] = {}  # by name, in the order of registration
 
 
 def mutation(name: str) -> Callable[[Mutation], Mutation]:
-    """Register the decorated function under the name that the command line knows it by."""
+    """Return a decorator that registers a function under the mutation's name for the command line."""
 
     def register(make_patches: Mutation) -> Mutation:
         MUTATIONS[name] = make_patches
@@ -34,13 +34,16 @@
 
 
 def original(owner: Any, attribute: str) -> Any:
-    """The attribute as it is now, for a replacement to call."""
+    """Return the present value of an attribute, for use in its replacement."""
     return getattr(owner, attribute)
 
 
 @contextmanager
 def mutation_applied(name: str) -> Iterator[None]:
-    """Run the block with this mutation in the decisions; with none where the name is empty."""
+    """Apply a mutation for the length of a `with` block; an empty name applies none.
+
+    Raises KeyError if no mutation has the name.
+    """
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name else ():
             stack.enter_context(mock.patch.object(patch.owner, patch.attribute, patch.replacement))
--- a/stairhatch/fault_injection/mutations/voter_sets.py
+++ b/stairhatch/fault_injection/mutations/voter_sets.py
@@ -1,4 +1,4 @@
-"""Mutations of how voters go from one voter set to the next."""
+"""Mutations of voter set changes: errors in the advance of a voter to the next voter set."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @mutation("any list of voters is served")
 def accept_any_voter_set() -> list[AttributePatch]:
-    """A voter judges requests by any voter set."""
+    """A voter serves requests under any voter set."""
 
     def accepts(_self: VoterSet, _epoch: int, _digest: int) -> bool:
         return True
@@ -22,12 +22,15 @@
 
 @mutation("a list stays open while the second after it is gone on to")
 def keep_old_voter_sets_open() -> list[AttributePatch]:
-    """Voters go on to the next voter set but one while the first is not closed."""
-    real_successor = original(VoterSet, "successor")
+    """Voters advance to the third voter set while the first set is still open.
+
+    Majorities of the first and the third set may have no voter in common.
+    """
+    original_successor = original(VoterSet, "successor")
 
     def successor(self: VoterSet, voters: tuple[str, ...]) -> VoterSet:
-        following: VoterSet = real_successor(self, voters)
-        return replace(following, minimum_epoch=0)
+        next_set: VoterSet = original_successor(self, voters)
+        return replace(next_set, minimum_epoch=0)
 
     def accepts(self: VoterSet, epoch: int, _digest: int) -> bool:
         return epoch <= self.epoch
@@ -36,11 +39,11 @@
         return replace(self, agreed_digest=self.agreed_digest or digest)
 
     def advance_unclosed(
-        voter_set: VoterSet, proposed: int, statuses: dict[str, VoterSetStatus], me: str
+        voter_set: VoterSet, proposed: int, statuses: dict[str, VoterSetStatus], member: str
     ) -> bool:
         epoch = voter_set.epoch
-        closed = {name: replace(each, minimum_epoch=epoch) for name, each in statuses.items()}
-        return may_advance(replace(voter_set, minimum_epoch=epoch), proposed, closed, me)
+        closed = {name: replace(status, minimum_epoch=epoch) for name, status in statuses.items()}
+        return may_advance(replace(voter_set, minimum_epoch=epoch), proposed, closed, member)
 
     return [
         AttributePatch(VoterSet, "successor", successor),
@@ -52,7 +55,7 @@
 
 @mutation("a voter goes on to its file's list by itself")
 def advance_alone() -> list[AttributePatch]:
-    """A voter goes on to the voter set in its file without a majority."""
+    """A voter advances to the voter set in its configuration without the agreement of a majority."""
 
     def advance(*_args: Any) -> bool:
         return True
@@ -62,7 +65,7 @@
 
 @mutation("who goes on to the next list takes over no tickets")
 def advance_without_tokens() -> list[AttributePatch]:
-    """A voter that goes on to the next voter set takes over no fencing tokens."""
+    """A voter advances to the next voter set without the reported votes and their fencing tokens."""
 
     def take_over_nothing(*_args: Any) -> None:
         pass
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -1,4 +1,4 @@
-"""Mutations of voters: when they grant a lease, what they persist of it, and how they start."""
+"""Mutations of voters: errors in grants, in the writes of votes, in releases and in the start of a voter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @mutation("a promise is answered before it is on disk")
 def grant_before_write() -> list[AttributePatch]:
-    """A vote is granted before it is on disk."""
+    """A voter sends a grant before its vote is on disk."""
     cast_vote: EffectsMethod = original(LeaseGranter, "_cast_vote")
 
     def grant_at_once(self: LeaseGranter, *args: Any) -> list[Any]:
@@ -29,10 +29,10 @@
 
 @mutation("a copy of an ask is answered before the disk is")
 def grant_duplicate_before_write() -> list[AttributePatch]:
-    """A duplicate of a request is granted while the vote for the first one is still being written."""
+    """A voter grants a duplicate of a request while the vote for the first copy is still being written."""
     handle_request: EffectsMethod = original(LeaseGranter, "handle_request")
 
-    def handle_eagerly(self: LeaseGranter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
+    def handle_before_write(self: LeaseGranter, now: float, sender: Any, request: LeaseRequest) -> list[Any]:
         under_way = self._log.under_way
         requested = Vote(
             request.lease,
@@ -47,12 +47,12 @@
         self._log.under_way = {**under_way, **self._log.under_way}
         return effects
 
-    return [AttributePatch(LeaseGranter, "handle_request", handle_eagerly)]
+    return [AttributePatch(LeaseGranter, "handle_request", handle_before_write)]
 
 
 @mutation("a disk that is full is not noticed")
 def ignore_disk_errors() -> list[AttributePatch]:
-    """A write that failed counts as written."""
+    """A voter treats a failed write as completed."""
     write_completed: EffectsMethod = original(Voter, "write_completed")
 
     def ignore_error(self: Voter, now: float, write_id: int, _error: str) -> list[Any]:
@@ -63,7 +63,7 @@
 
 @mutation("a promise is no promise to others")
 def grant_while_held() -> list[AttributePatch]:
-    """A request with a higher fencing token is granted while another holds the lease."""
+    """A voter grants a request with a higher fencing token while another member holds the lease."""
     rejection = original(LeaseGranter, "_rejection")
 
     def reject_lower_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> VoteRejection | None:
@@ -79,7 +79,7 @@
 
 @mutation("a voter takes any ticket")
 def grant_low_tokens() -> list[AttributePatch]:
-    """A request is granted however low its fencing token is."""
+    """A voter grants a request even if its fencing token is too low."""
     rejection = original(LeaseGranter, "_rejection")
 
     def ignore_low_tokens(self: LeaseGranter, now: float, request: LeaseRequest) -> VoteRejection | None:
@@ -92,16 +92,19 @@
 
 @mutation("a renewal does not lengthen the promise")
 def keep_expiry_at_renewal() -> list[AttributePatch]:
-    """A renewal is granted, but the vote expires as before."""
+    """A voter grants a renewal without extending its vote."""
     handle_request: EffectsMethod = original(LeaseGranter, "handle_request")
 
     def handle_without_extension(
         self: LeaseGranter, now: float, sender: Any, request: LeaseRequest
     ) -> list[Any]:
-        expires_at, vote = self._votes.expires_at.get(request.lease), self._votes.by_lease.get(request.lease)
+        expires_at_before, vote = (
+            self._votes.expires_at.get(request.lease),
+            self._votes.by_lease.get(request.lease),
+        )
         effects = handle_request(self, now, sender, request)
-        if vote is not None and expires_at is not None and vote.fencing_token == request.fencing_token:
-            self._votes.expires_at[request.lease] = expires_at
+        if vote is not None and expires_at_before is not None and vote.fencing_token == request.fencing_token:
+            self._votes.expires_at[request.lease] = expires_at_before
         return effects
 
     return [AttributePatch(LeaseGranter, "handle_request", handle_without_extension)]
@@ -109,32 +112,32 @@
 
 @mutation("promises are over with a restart")
 def expire_votes_at_start() -> list[AttributePatch]:
-    """A voter that starts takes its persisted votes for expired."""
+    """A voter that restarts treats its persisted votes as expired."""
     init = original(Voter, "__init__")
 
-    def forgetful_init(self: Voter, *args: Any) -> None:
+    def init_with_expired_votes(self: Voter, *args: Any) -> None:
         init(self, *args)
         self.votes.expires_at = {}
 
-    return [AttributePatch(Voter, "__init__", forgetful_init)]
+    return [AttributePatch(Voter, "__init__", init_with_expired_votes)]
 
 
 @mutation("an empty folder votes at once")
 def vote_with_new_storage() -> list[AttributePatch]:
-    """A voter with an empty data directory votes at once."""
+    """A voter with an empty data directory votes immediately."""
     init = original(Voter, "__init__")
 
-    def trusting_init(self: Voter, *args: Any) -> None:
+    def init_with_voting_state(self: Voter, *args: Any) -> None:
         init(self, *args)
         self.eligibility.state = VoterState.VOTING
         self.eligibility.is_new_storage = False
 
-    return [AttributePatch(Voter, "__init__", trusting_init)]
+    return [AttributePatch(Voter, "__init__", init_with_voting_state)]
 
 
 @mutation("an older folder is not noticed")
 def ignore_old_storage() -> list[AttributePatch]:
-    """A voter does not notice that its data directory is an older copy."""
+    """A voter does not detect that its data directory is an older copy."""
 
     def is_behind(_self: VoterStartup, _version: Any) -> bool:
         return False
@@ -144,51 +147,51 @@
 
 @mutation("who is let in again does not wait")
 def vote_without_waiting() -> list[AttributePatch]:
-    """A voter that is admitted again does not wait until its forgotten votes have expired."""
+    """A voter that is admitted again does not wait until votes that it may have forgotten have expired."""
     start_waiting = original(VoterStartup, "_start_waiting")
 
-    def wait_for_nothing(self: VoterStartup, now: float) -> None:
+    def wait_until_now(self: VoterStartup, now: float) -> None:
         start_waiting(self, now)
         self._eligibility.waiting_until = now
         self._votes.expires_at = {}
 
-    return [AttributePatch(VoterStartup, "_start_waiting", wait_for_nothing)]
+    return [AttributePatch(VoterStartup, "_start_waiting", wait_until_now)]
 
 
 @mutation("who is let in again is told no promises")
 def admit_without_votes() -> list[AttributePatch]:
-    """A voter that is admitted again learns none of the others' votes."""
+    """A voter that is admitted again discards the reported votes of the other voters and its own votes."""
     admit: EffectsMethod = original(VoterStartup, "_admit")
 
-    def admit_uninformed(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
-        for each in peers:
-            each.votes.clear()
+    def admit_with_no_votes(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
+        for peer in peers:
+            peer.votes.clear()
         self._votes.by_lease.clear()
         return admit(self, now, peers)
 
-    return [AttributePatch(VoterStartup, "_admit", admit_uninformed)]
+    return [AttributePatch(VoterStartup, "_admit", admit_with_no_votes)]
 
 
 @mutation("a fleet is founded by any two")
 def found_with_any_peer() -> list[AttributePatch]:
-    """A new voter begins to vote once one other has replied."""
+    """A voter with an empty data directory founds the fleet after the reply of a single other voter."""
     evaluate_replies: EffectsMethod = original(VoterStartup, "evaluate_replies")
 
-    def evaluate_hastily(self: VoterStartup, now: float) -> list[Any]:
+    def found_after_one_reply(self: VoterStartup, now: float) -> list[Any]:
         if self._eligibility.state is VoterState.NEW_STORAGE and self._peers.by_voter:
             self._start_waiting(now)
             return []
         return evaluate_replies(self, now)
 
-    return [AttributePatch(VoterStartup, "evaluate_replies", evaluate_hastily)]
+    return [AttributePatch(VoterStartup, "evaluate_replies", found_after_one_reply)]
 
 
 @mutation("anybody gives back for anybody")
 def release_for_others() -> list[AttributePatch]:
-    """A voter takes a release from anybody for the holder's."""
+    """A voter accepts a release of a lease from any member as the holder's release."""
     handle_release: EffectsMethod = original(LeaseGranter, "handle_release")
 
-    def handle_from_anybody(self: LeaseGranter, now: float, message: LeaseRelease) -> list[Any]:
+    def handle_from_any_member(self: LeaseGranter, now: float, message: LeaseRelease) -> list[Any]:
         vote = self._votes.by_lease.get(message.lease)
         if vote is not None:
             message = LeaseRelease(
@@ -196,12 +199,12 @@
             )
         return handle_release(self, now, message)
 
-    return [AttributePatch(LeaseGranter, "handle_release", handle_from_anybody)]
+    return [AttributePatch(LeaseGranter, "handle_release", handle_from_any_member)]
 
 
 @mutation("what is given back is forgotten with its ticket")
 def forget_token_at_release() -> list[AttributePatch]:
-    """A voter forgets a released lease's fencing token."""
+    """A voter forgets the fencing token of a released lease."""
     handle_release: EffectsMethod = original(LeaseGranter, "handle_release")
 
     def handle_and_forget(self: LeaseGranter, now: float, message: LeaseRelease) -> list[Any]:
@@ -216,12 +219,15 @@
 
 @mutation("who is let in hears the promises before its wait")
 def admit_like_a_founder() -> list[AttributePatch]:
-    """A voter that is admitted takes the votes reported before its wait, and none after it."""
+    """A voter that is admitted adopts the votes reported before its wait, but none reported after it.
+
+    During the wait, another voter may cast a vote that forms a majority with a forgotten vote.
+    """
     admit: EffectsMethod = original(VoterStartup, "_admit")
 
-    def admit_early(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
+    def admit_as_founder(self: VoterStartup, now: float, peers: list[Any]) -> list[Any]:
         effects = admit(self, now, peers)
         self.is_founding = True
         return effects
 
-    return [AttributePatch(VoterStartup, "_admit", admit_early)]
+    return [AttributePatch(VoterStartup, "_admit", admit_as_founder)]
