--- a/stairhatch/fault_injection/virtual_fault_injector.py
+++ b/stairhatch/fault_injection/virtual_fault_injector.py
@@ -19,11 +19,8 @@
 from stairhatch.fault_injection.virtual_member import VirtualMember, VirtualRun
 
 BACKUP_INTERVAL_S = 1.0
-MIN_BACKUP_AGE_S = 5.0  # of an old data directory, at the default lease duration
-RESTART_DELAY_RANGE_S = (
-    0.05,
-    0.5,
-)  # minimum and maximum for a voter set change, at the default lease duration
+MIN_BACKUP_AGE_S = 5.0  # of a restored old data directory, at the default lease duration
+RESTART_DELAY_RANGE_S = (0.05, 0.5)  # of a member with a new voter set, at the default lease duration
 
 
 class VirtualFaultInjector:
@@ -68,7 +65,9 @@
                 return
             fault = replace(fault, member=holder.name)
         member = self.members.get(fault.member)
-        if (member is None or not self._inject_on_member(fault, member)) and not self._inject_on_all(fault):
+        if (member is None or not self._inject_on_member(fault, member)) and not self._inject_on_cluster(
+            fault
+        ):
             self.run.network.add_condition(fault)
 
     def _inject_on_member(self, fault: ScheduledFault, member: VirtualMember) -> bool:
@@ -90,7 +89,7 @@
                 return False
         return True
 
-    def _inject_on_all(self, fault: ScheduledFault) -> bool:
+    def _inject_on_cluster(self, fault: ScheduledFault) -> bool:
         """Inject any other fault that is not of the network; return False for a fault of the network."""
         match fault.kind:
             case FaultKind.KILL_ALL:
