--- a/stairhatch/application.py
+++ b/stairhatch/application.py
@@ -74,7 +74,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config]) -> None:
-        """Build the components that do not need a socket. Requires a running event loop.
+        """Build the components that exist from the start. Requires a running event loop.
 
         `read_config` reads the configuration again for a reload and raises ConfigError if it is unusable.
         """
--- a/stairhatch/node/attempts.py
+++ b/stairhatch/node/attempts.py
@@ -81,7 +81,8 @@
 
         If True, the attempt is marked as written and its `remaining_ms` is set. If False, the attempt has
         ended or was written before: while the set-up waited for a connection, its caller may have abandoned
-        it, its deadline may have passed, or its server may have become unavailable.
+        it, its deadline may have passed, its server may have become unavailable, or this softswitch may have
+        lost its slow-start slots at the server.
         """
         if attempt.ended or attempt.written:
             return False
@@ -200,7 +201,7 @@
             self.give_up(attempt, AttemptOutcome.TIMED_OUT)
 
     def _has_slow_start_slot(self, server: RosterServer, check_instance_index: Callable[[], None]) -> bool:
-        """Whether this softswitch may still send to a server, by its slow-start slots if it is warming up.
+        """Whether this softswitch has a slow-start slot at a server; True if the server is not warming up.
 
         The process may have been suspended between the decision and the write, and another softswitch may
         have leased its instance index since; both would then use the same slots.
--- a/stairhatch/node/calls.py
+++ b/stairhatch/node/calls.py
@@ -55,10 +55,10 @@
 
 
 class CallState(Enum):
-    """State of a call; the values appear in the output of the admin endpoint."""
+    """State of a call; the values appear in the output of the operator's console."""
 
     OFFERED = "offered"
-    ESTABLISHED = "standing"  # word of the admin endpoint's output
+    ESTABLISHED = "standing"  # the console's word for an established call
     TERMINATED = "over"
 
 
--- a/stairhatch/node/connection_liveness.py
+++ b/stairhatch/node/connection_liveness.py
@@ -48,7 +48,7 @@
         self.connected_at = math.inf
 
     def message_received(self, now: float, is_load_report: bool) -> None:
-        """Note a received message."""
+        """Note a message received at `now`, and count it if it is an unsolicited load report."""
         self.last_received_at = now
         if is_load_report:
             self.load_reports += 1
@@ -59,7 +59,10 @@
         return due_since > self.last_activity_at and now - due_since > RESPONSE_TIMEOUT_S
 
     def is_silent_since(self, now: float, written_at: float) -> bool:
-        """Return whether a pending set-up has had no message after it for `RESPONSE_TIMEOUT_S`."""
+        """Return whether nothing was received for `RESPONSE_TIMEOUT_S` while a set-up was pending.
+
+        `written_at` is the time at which that set-up was written.
+        """
         return now - max(self.last_activity_at, written_at) > RESPONSE_TIMEOUT_S
 
     def is_load_report_overdue(self, now: float) -> bool:
--- a/stairhatch/node/context.py
+++ b/stairhatch/node/context.py
@@ -23,7 +23,7 @@
     """Interface of the pool of connections to the roster servers."""
 
     def record_changed(self, server: RosterServer) -> None:
-        """Open or close connections after a change of the server's endpoint list record, or a new one."""
+        """Open or close connections to a server whose endpoint list record is new or has changed."""
 
     def send_setup(self, attempt: Attempt) -> None:
         """Write a set-up once connected, if `AttemptManager.claim_transmission` permits it then."""
@@ -39,7 +39,10 @@
 
 
 class OverloadControl(Protocol):
-    """Interface of the component that decides where calls go, such as `Controller`. Times are in seconds."""
+    """Interface of the component that decides where calls go, such as `Controller`.
+
+    Times are those of `NodeContext.clock`, in seconds.
+    """
 
     @property
     def endpoints(self) -> Mapping[int, endpoint.Endpoint]:
--- a/stairhatch/node/endpoint_list.py
+++ b/stairhatch/node/endpoint_list.py
@@ -123,7 +123,7 @@
 
 
 def _line_of(record: ServerRecord) -> dict[str, Any]:
-    """Return the line of a server in service, in the coordinator's form."""
+    """Return a server's line in the coordinator's form, with `in_service` whatever its availability."""
     return {
         "instanceId": record.instance,
         "hostPort": format_address(record.address),
--- a/stairhatch/node/failure_detector.py
+++ b/stairhatch/node/failure_detector.py
@@ -23,7 +23,7 @@
 PROBE_AFTER_S = 2.0  # silence after which the server is probed with an additional connection
 PROBE_INTERVAL_S = 2.0  # between two probes; after a probe that fails to connect the next one is due at once
 LISTED_AFTER_S = 4.5  # after the last confirmation: by then the coordinator lists a restart or an end
-STALL_THRESHOLD_S = 0.5  # a longer gap between checks means that the softswitch has unread messages
+STALL_THRESHOLD_S = 0.5  # a longer gap between checks shows a stall: messages are read before a verdict
 
 
 class ServerVerdict(Enum):
--- a/stairhatch/node/io/listener.py
+++ b/stairhatch/node/io/listener.py
@@ -27,7 +27,7 @@
 
 FIRST_REQUEST_TIMEOUT_S = 2.5  # a caller's first request has to be answered within 3 s
 MESSAGE_TIMEOUT_S = 5.0  # for a later message, from its first byte; some callers send in small pieces
-TIMEOUT_CHECK_S = 0.25  # check period of the two timeouts above and of the idle timeout
+TIMEOUT_CHECK_S = 0.25  # check period of the first-request, message and idle timeouts
 EVICTION_GRACE_S = 0.25  # time for a new connection to send its request before it may be evicted
 DRAIN_QUIET_S = 0.02  # idle time before a drain closes a connection; the ACK arrives within it
 DRAIN_FIRST_REQUEST_S = 0.5  # time for a new connection to send its first request during a drain
@@ -45,7 +45,7 @@
     max_connections: int  # at a time
     first_request_timeout_s: float = FIRST_REQUEST_TIMEOUT_S
     eviction_grace_s: float = EVICTION_GRACE_S
-    idle_timeout_s: float = math.inf  # without received bytes and pending answers, before a close
+    idle_timeout_s: float = math.inf  # a connection without received bytes for longer is closed if idle
 
 
 class Listener:
@@ -264,11 +264,12 @@
 
         As long as new set-ups are accepted, a connection has to be quiet for `DRAIN_QUIET_S`. Once they are
         rejected this is not required, since a caller that never pauses would keep its connection until the
-        process ends. The caller sends a set-up that crosses the close again, to another softswitch.
+        process ends. A connection that has brought no request yet stays open for `DRAIN_FIRST_REQUEST_S` in
+        either case. A set-up that crosses the close is repeated by its caller, at another softswitch.
         """
         now = self.runner.loop.time()
         rejecting = self.runner.call_manager.readiness.rejects_new_calls()
-        # The least recently used connections are closed last: those that remain carry only releases.
+        # The least recently used are closed last: the one that a drain keeps for releases is used least.
         busiest_first = reversed(list(self.connections))
         for connection in busiest_first:
             protocol = connection.protocol
--- a/stairhatch/node/release_delivery.py
+++ b/stairhatch/node/release_delivery.py
@@ -17,7 +17,7 @@
 RELEASE_KEPT_S = 30.0  # a release waits this long for a caller to connect
 ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # an unacknowledged release is sent on another connection after this time
 EXPIRY_MARGIN_S = 0.01  # the expiry timer of a release fires this long after RELEASE_KEPT_S
-MAX_ATTEMPTS = 4
+MAX_ATTEMPTS = 4  # sends of one release before it is kept for the next caller that connects
 MAX_PENDING = 8192  # limit on unacknowledged releases; above it the oldest is dropped
 MAX_REQUESTS_RANKED = 8  # more requests on a connection don't make it likelier that its caller reads
 
@@ -142,7 +142,7 @@
             )
 
     def _retry_unless_acknowledged(self, call_id: str, release: UnacknowledgedRelease, attempts: int) -> None:
-        """Send a release again unless it was acknowledged or sent since; `attempts` was its count then."""
+        """Send a release again unless it was acknowledged or was not sent exactly `attempts` times."""
         if self.pending.get(call_id) is release and len(release.tried) == attempts:
             self._send(call_id, release)
 
--- a/stairhatch/node/send_queue.py
+++ b/stairhatch/node/send_queue.py
@@ -48,7 +48,7 @@
         self._call_manager, self._liveness = call_manager, liveness
         self._items: deque[QueuedItem] = deque()
         self._written_releases: deque[tuple[float, PendingRelease]] = deque(maxlen=MAX_RETAINED_RELEASES)
-        self._callers_read_at = math.inf  # time of the last read for rendered set-ups; inf: none
+        self._callers_read_at = math.inf  # when callers were last read for rendered set-ups; inf: none
         self._unsent: list[tuple[QueuedItem, int]] = []  # items rendered last, with their lengths in bytes
 
     def __len__(self) -> int:
--- a/stairhatch/node/server_pool.py
+++ b/stairhatch/node/server_pool.py
@@ -259,7 +259,7 @@
             self.schedule_redial(old.server)
 
     def schedule_redial(self, server: RosterServer) -> None:
-        """Schedule another connection, on which the server repeats releases that were lost with one."""
+        """Schedule another connection, on which the server repeats releases lost on an ended connection."""
         self.call_manager.timers.schedule(
             self.call_manager.clock() + REDIAL_DELAY_S, partial(self._redial, server)
         )
--- a/stairhatch/node/server_responses.py
+++ b/stairhatch/node/server_responses.py
@@ -160,7 +160,7 @@
         """Fail a call that was established and has ended at the server before its answer was received.
 
         The call is not set up a second time, since it has already taken place; the caller gets a final
-        response (found in rate+silent+leave, in which answers arrive late).
+        response (found in the trial rate+silent+leave, in which answers arrive late).
         """
         self.context.counters.add("calls_ended_unanswered")
         if self.context.tracing:
--- a/stairhatch/node/syslog.py
+++ b/stairhatch/node/syslog.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 FACILITY = 16  # local0 (RFC 5424, 6.2.1)
-SD_ID = "stairhatch@32473"  # RFC 5612's number for documentation; the project has no number yet
+SD_ID = "stairhatch@32473"  # RFC 5612's enterprise number for documentation; the project has none yet
 BOM = "\ufeff"  # marks the message after it as UTF-8 (RFC 5424, 6.4)
 NIL = "-"
 MAX_HOST, MAX_APP, MAX_MESSAGE_ID, MAX_SD_NAME = 255, 48, 32, 32  # characters (RFC 5424, section 6)
--- a/stairhatch/node/timer_wheel.py
+++ b/stairhatch/node/timer_wheel.py
@@ -22,7 +22,7 @@
 
     def __init__(self, context: NodeContext) -> None:
         """Start without timers; due times refer to the context's clock."""
-        self.on_earlier_due: Callable[[], None] = do_nothing  # called when the earliest due time changes
+        self.on_earlier_due: Callable[[], None] = do_nothing  # called if a new timer is due before all others
         self._context = context
         self._slots: dict[float, list[Callable[[], None]]] = {}  # due time -> callbacks
         self._due_times: list[float] = []  # a heap of the keys of `_slots`
--- a/stairhatch/reload.py
+++ b/stairhatch/reload.py
@@ -66,7 +66,7 @@
     """
 
     def __init__(self, config: Config, read_config: Callable[[], Config], parts: Components) -> None:
-        """Begin with `config` in effect; `parts` may gain components until the first reload."""
+        """Begin with `config` in effect; a reload uses the components that `parts` has at that time."""
         self.config = config
         self.last_result: ReloadResult | None = None
         self._read_config = read_config
