--- a/stairhatch/fault_injection/fault_injector.py
+++ b/stairhatch/fault_injection/fault_injector.py
@@ -1,9 +1,10 @@
 """Inject the faults of a schedule into real processes and the links between them.
 
-A fault of the endpoint list's lease holder waits until a member holds that lease. If the schedule requires
-the fault, the rest of the schedule is paused until then. A required change of the voter set waits in the same
-way until the previous change has completed. `activations` counts how often each fault took effect, because a
-run whose faults had no effect proves nothing.
+A fault of the endpoint list's lease holder waits until a member holds that lease, and is dropped after
+`HOLDER_WAIT_LEASES`. If the schedule requires the fault, the rest of the schedule is paused while it waits;
+it is dropped only when all pauses together have reached `MAX_PAUSE_S`. A required change of the voter set
+waits in the same way until the previous change has completed. `activations` counts how often each fault took
+effect, because a run whose faults had no effect proves nothing.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 MAX_PAUSE_S = 30.0  # longest total pause of a schedule for waiting required faults
 STOP_WAIT_LEASES = 2.0  # lease durations to wait for the holder's next write
 ADMIN_TIMEOUT_S = 1.0
-RESTART_LEASES = (0.05, 0.3)  # lease durations until a member with a new voter set is restarted
+RESTART_LEASES = (0.05, 0.3)  # lease durations between kill and start of a member with a new voter set
 
 # Writes a member's configuration file; the arguments are the member, an epoch and the voters of the epoch.
 WriteConfig = Callable[[MemberProcess, int, MemberNames], None]
--- a/stairhatch/fault_injection/mutations/voters.py
+++ b/stairhatch/fault_injection/mutations/voters.py
@@ -124,7 +124,7 @@
 
 @mutation("an empty folder votes at once")
 def vote_with_new_storage() -> list[AttributePatch]:
-    """A voter with an empty data directory votes immediately."""
+    """A voter votes immediately after its start, even with an empty data directory."""
     init = original(Voter, "__init__")
 
     def init_with_voting_state(self: Voter, *args: Any) -> None:
--- a/stairhatch/fault_injection/network_links.py
+++ b/stairhatch/fault_injection/network_links.py
@@ -18,7 +18,7 @@
 Address = tuple[str, int]
 READ_SIZE_BYTES = 16 * 1024
 POLL_INTERVAL_S = 0.01
-MAX_DUPLICATE_DELAY_S = (0.05, 0.5)  # the maximum delay is drawn from these
+MAX_DUPLICATE_DELAY_S = (0.05, 0.5)  # one of the two, drawn at random, is the maximum delay
 COORDINATOR = "coordinator"
 HELD_CONNECTION = "connection held"  # activation name: the bytes of a connection are held back
 
--- a/stairhatch/fault_injection/process_run.py
+++ b/stairhatch/fault_injection/process_run.py
@@ -40,7 +40,7 @@
 
 READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.02
-ENDPOINT_CHANGE_LEASES = 0.25  # lease durations between two changes of the endpoint list
+ENDPOINT_CHANGE_LEASES = 0.25  # lease durations between two list changes, which the holder must relay
 CALLS_PER_S = 3.0  # to each softswitch
 ROSTER_SERVERS = 2
 ROSTER_LINES = 200
--- a/stairhatch/fault_injection/schedule_generator.py
+++ b/stairhatch/fault_injection/schedule_generator.py
@@ -170,7 +170,10 @@
 
 
 def _stopped_writer(inputs: _DrawInputs, at_s: float) -> list[ScheduledFault]:
-    """The holder is stopped before a write until another member holds the lease; two members restart."""
+    """The holder is stopped before a write until another member holds the lease.
+
+    Two members, possible receivers of the late write, restart shortly before the holder resumes.
+    """
     rng = inputs.rng
     duration_s = rng.uniform(4.0, 7.0)
     faults = [ScheduledFault(at_s, FaultKind.STOP_BEFORE_WRITE, duration_s=duration_s)]
@@ -181,7 +184,7 @@
 
 
 def _delayed_answers(inputs: _DrawInputs, at_s: float) -> list[ScheduledFault]:
-    """Answers to the holder are delayed, and shortly after, everything that the holder sends is blocked."""
+    """All datagrams are delayed, also answers to the holder; then everything that it sends is blocked."""
     return [
         ScheduledFault(at_s, FaultKind.DELAY, duration_s=1.2, amount=4.0),
         ScheduledFault(at_s + inputs.rng.uniform(0.3, 1.2), FaultKind.CUT_OUTBOUND, HOLDER, duration_s=7.0),
--- a/stairhatch/fault_injection/virtual_fault_injector.py
+++ b/stairhatch/fault_injection/virtual_fault_injector.py
@@ -90,7 +90,7 @@
         return True
 
     def _inject_on_cluster(self, fault: ScheduledFault) -> bool:
-        """Inject any other fault that is not of the network; return False for a fault of the network."""
+        """Inject a fault of the cluster, its holder or a wall clock; return False for other kinds."""
         match fault.kind:
             case FaultKind.KILL_ALL:
                 self._kill_all(fault)
@@ -107,7 +107,10 @@
         return True
 
     def _kill_and_restart(self, fault: ScheduledFault, member: VirtualMember) -> None:
-        """Kill a member, change its data directory if the fault is of this kind, and schedule its start."""
+        """Kill a member, change its data directory if the fault is of this kind, and schedule its start.
+
+        A flipped bit, or a restore without an old enough backup, is simulated as an empty data directory.
+        """
         self.run.activations[fault.kind.value] += member.protocol is not None
         member.kill()
         if fault.kind in DATA_DIRECTORY_FAULTS:
@@ -128,9 +131,10 @@
             self.run.queue.schedule_at(starts_at, member.start)
 
     def _hand_over(self, fault: ScheduledFault) -> None:
-        """Make the holder release its lease, with `peer` as successor, and request it a lease duration later.
+        """Make the holder release its lease, with `peer` as successor.
 
-        Do nothing if no member holds the lease or the holder's process is stopped.
+        The holder requests the lease again one lease duration later. Do nothing if no member holds the lease
+        or the holder's process is stopped.
         """
         holder = self.holder()
         if holder is None or holder.protocol is None or self.run.queue.now < holder.stopped_until:
--- a/stairhatch/fault_injection/virtual_network.py
+++ b/stairhatch/fault_injection/virtual_network.py
@@ -13,7 +13,7 @@
 from stairhatch.fleet.messages import FleetMessage
 
 DATAGRAM_DELAY_RANGE_S = (0.0005, 0.004)  # minimum and maximum, without a fault
-MAX_DUPLICATE_DELAY_CHOICES_S = (0.1, 1.0)  # the maximum delay is drawn from these
+MAX_DUPLICATE_DELAY_CHOICES_S = (0.1, 1.0)  # one of the two, drawn at random, is the maximum delay
 
 Receiver = Callable[[str, FleetMessage], None]  # called with the sender's name and the message
 
--- a/stairhatch/scale_test/connection_drivers.py
+++ b/stairhatch/scale_test/connection_drivers.py
@@ -204,9 +204,9 @@
         self.context.connector.connect(self, protocol.server.record.address, timeout_s)
 
     def _reconnect(self) -> None:
-        """Schedule another attempt, after the backoff if the connection lasted at most MAX_BACKOFF_S.
+        """Schedule another attempt: now if the connection lasted over MAX_BACKOFF_S, else after the backoff.
 
-        For a draining server it is immediate: `_connect` removes the connection unless requests are queued.
+        For a draining server it is always now: `_connect` removes the connection unless requests are queued.
         """
         if self.clock.now - self.connected_at > MAX_BACKOFF_S:
             self.backoff_s = MIN_BACKOFF_S
--- a/stairhatch/scale_test/memory.py
+++ b/stairhatch/scale_test/memory.py
@@ -75,7 +75,7 @@
         FEW_SERVERS,
         MANY_SERVERS,
     )
-    # Bytes of the small runs, named by the number of softswitches and then of servers.
+    # Traced bytes of the small runs; `low_high` is the run with few softswitches and many servers, and so on.
     tracemalloc.start()
     try:
         low_low = _traced_bytes(plan, low_softswitches, low_servers)
--- a/stairhatch/scale_test/simulated_network.py
+++ b/stairhatch/scale_test/simulated_network.py
@@ -72,7 +72,7 @@
     def partitioned_until(self, one: int, other: int) -> float:
         """Return the clock time at which the last partition between two machines ends; 0.0 without one.
 
-        Each call that finds a partition counts as an activation of its kind.
+        Each query that finds a partition counts as an activation of the partition's kind.
         """
         longest: ActivePartition | None = None
         for partition in self.partitions:
--- a/stairhatch/scale_test/simulation.py
+++ b/stairhatch/scale_test/simulation.py
@@ -153,7 +153,7 @@
         return SimulatedSoftswitch(self.context, index, self.coordinators[region].address)
 
     def _choose_voters(self) -> dict[str, Address]:
-        """Return the addresses of the voters by name; they are chosen from the zones in turn."""
+        """Return the addresses of the voters by name, chosen from the zones, and so the regions, in turn."""
         voter_count = self.plan.fleet.voter_count if self.plan.fleet is not None else 0
         candidates = [self._softswitches_in(zone) for zone in range(self.plan.zone_count)]
         voters: list[SimulatedSoftswitch] = []
--- a/stairhatch/scale_test/softswitch_incarnation.py
+++ b/stairhatch/scale_test/softswitch_incarnation.py
@@ -116,7 +116,8 @@
     def offer(self, request: GeneratedCall) -> None:
         """Offer a call as a frontend would.
 
-        The call is unreachable if the softswitch is not ready or, while shutting down, rejects new calls.
+        The call is unreachable if the softswitch is not ready or, while shutting down, rejects new calls. If
+        the softswitch rejects new calls for another reason, the call is rejected.
         """
         readiness = self.call_manager.readiness
         rejects_calls = readiness.rejects_new_calls()
--- a/stairhatch/scale_test/verdict.py
+++ b/stairhatch/scale_test/verdict.py
@@ -11,7 +11,11 @@
 
 
 def find_failures(plan: ScalePlan, figures: SimulationFigures) -> list[str]:
-    """Return a message for each failure; a required event without effect, or no established call, is one."""
+    """Return a message for each failure.
+
+    A run that proves nothing fails too: one in which no call was established, or a required event had no
+    effect.
+    """
     failures = [*_call_failures(figures), *_list_failures(figures)]
     failures += [
         f"{kind.value} had no effect: the run proves nothing of it"
--- a/stairhatch/sip/call_leg.py
+++ b/stairhatch/sip/call_leg.py
@@ -238,7 +238,7 @@
         self._dialogs.requests.send(self, "BYE", [("reason", f"Q.850;cause={cause}")])
 
     def ack_timed_out(self) -> None:
-        """End the call if no ACK to the 2xx has been received within 64 T1."""
+        """End the call, because no ACK to the 2xx has been received within 64 T1."""
         self.terminate(bye_cause=self._delayed_bye_cause)
 
     def _prack_timed_out(self) -> None:
--- a/stairhatch/sip/digest_auth.py
+++ b/stairhatch/sip/digest_auth.py
@@ -90,7 +90,7 @@
     GOOD = "good"
     NONE = "none"  # the request has no digest credentials for our realm
     STALE = "stale"  # the response is correct, but the nonce is expired, evicted or not ours
-    REPLAYED = "replayed"  # the response is correct, but the nonce count was used before
+    REPLAYED = "replayed"  # the response is correct, but the nonce count was used before, is 0 or too low
     BAD = "bad"  # the credentials are malformed or the response is wrong
 
 
--- a/stairhatch/sip/request_head.py
+++ b/stairhatch/sip/request_head.py
@@ -109,7 +109,8 @@
     def key_for(self, method: str) -> bytes:
         """Return the key of the transaction of this branch and the given method (RFC 3261, 17.2.3).
 
-        A CANCEL has the same branch as the INVITE that it cancels (9.2), so this finds that transaction.
+        A CANCEL has the same branch as the INVITE that it cancels (9.2), so the key for "INVITE" is the key
+        of that INVITE's transaction.
         """
         via = self.via
         if via.branch.startswith(MAGIC_COOKIE):
--- a/stairhatch/sip/session_timer.py
+++ b/stairhatch/sip/session_timer.py
@@ -75,8 +75,9 @@
 def negotiate(message: sip.SipMessage, policy: SessionTimerPolicy) -> SessionTimer | RequestRejection | None:
     """Negotiate the session timer of an INVITE or UPDATE (RFC 4028, section 9).
 
-    Returns None if the session has no timer, a 400 rejection for malformed headers, and a 422 rejection for
-    an interval below the configured minimum.
+    Returns None if the session has no timer, and a 400 rejection for malformed headers. If the interval is
+    below the configured minimum, returns a 422 rejection if the caller supports timers; else the interval is
+    raised to the minimum.
     """
     supported = supports_timer(message)
     try:
@@ -153,7 +154,10 @@
         return min(self.refresh_at, self.release_at) if refreshes else self.release_at
 
     def due_action(self, now: float) -> SessionTimerAction:
-        """Return the action that is due at `now`; REFRESH is returned once per interval."""
+        """Return the action that is due at `now`.
+
+        After REFRESH has been returned, it is not returned again until `restart` or `postpone_refresh`.
+        """
         if self.timer is None:
             return SessionTimerAction.NONE
         if now >= self.release_at:
--- a/stairhatch/sip/transport.py
+++ b/stairhatch/sip/transport.py
@@ -189,9 +189,10 @@
         return self._parser.has_partial_message()
 
     def is_idle(self) -> bool:
-        """Whether a drain may close the connection: nothing is pending on it and no dialog uses it.
+        """Whether a drain or the idle timeout may close the connection.
 
-        A drain waits for the dialogs to end, because their BYE is received on this connection.
+        It is idle if nothing is pending on it and no dialog uses it. A drain waits for the dialogs to end,
+        because their BYE is received on this connection.
         """
         return super().is_idle() and not self._dialogs
 
@@ -214,7 +215,10 @@
         super().close_when_idle()
 
     def send(self, data: bytes) -> None:
-        """Queue a message; abort the connection if the peer reads too slowly for `MAX_OUTPUT_BYTES`."""
+        """Queue a message; abort the connection if more than `MAX_OUTPUT_BYTES` are queued.
+
+        The peer then reads too slowly.
+        """
         self.output.append(data)
         self._output_bytes += len(data)
         if self._output_bytes > MAX_OUTPUT_BYTES:
